--- a/crates/ivyward-benchlink/src/codec.rs
+++ b/crates/ivyward-benchlink/src/codec.rs
@@ -54,11 +54,17 @@
         if value.is_finite() && value >= 0.0 {
             return Ok(f64::from(value));
         }
-        Err(format!("{}: {value} is no token count at byte {}", self.what, self.start + at))
+        Err(format!(
+            "{}: {value} is no token count at byte {}",
+            self.what,
+            self.start + at
+        ))
     }
     fn server(&self, at: usize) -> Result<ServerId, String> {
         let b: [u8; 6] = self.array(at)?;
-        Ok(ServerId(u64::from_be_bytes([0, 0, b[0], b[1], b[2], b[3], b[4], b[5]])))
+        Ok(ServerId(u64::from_be_bytes([
+            0, 0, b[0], b[1], b[2], b[3], b[4], b[5],
+        ])))
     }
     fn report(&self, at: usize) -> Result<Report, String> {
         let len = usize::from(self.u8(at)?);
@@ -81,13 +87,23 @@
 
 /// Decodes a batch; `body` is all that follows the length field.
 pub fn decode(body: &[u8]) -> Result<Batch, String> {
-    let head = Fields { bytes: body, what: "batch header", start: 4 };
+    let head = Fields {
+        bytes: body,
+        what: "batch header",
+        start: 4,
+    };
     let clock = head.u64(0)?;
     let count = head.u32(8)? as usize;
     let records = &body[12..];
-    let tail_at = count.checked_mul(EVENT_SIZE).filter(|n| *n <= records.len());
-    let tail_at =
-        tail_at.ok_or_else(|| format!("batch of {count} records cut short at byte {}", body.len() + 4))?;
+    let tail_at = count
+        .checked_mul(EVENT_SIZE)
+        .filter(|n| *n <= records.len());
+    let tail_at = tail_at.ok_or_else(|| {
+        format!(
+            "batch of {count} records cut short at byte {}",
+            body.len() + 4
+        )
+    })?;
     let (records, tail) = records.split_at(tail_at);
     let mut inputs = Vec::with_capacity(count);
     for (i, record) in records.chunks_exact(EVENT_SIZE).enumerate() {
@@ -105,14 +121,21 @@
 }
 
 fn decode_event(record: &[u8], tail: &[u8], start: usize) -> Result<Input, String> {
-    let f = |what| Fields { bytes: record, what, start };
+    let f = |what| Fields {
+        bytes: record,
+        what,
+        start,
+    };
     let event = match record[0] {
         9 => return Ok(Input::Target(f("TARGET_INSTANCE").u32(1)?)),
         3 => {
             let f = f("CREATE");
             let env = String::from_utf8(tail_part(&f, tail, 9, 1)?.to_vec());
             let env = env.map_err(|_| "CREATE: settings are not text".to_string())?;
-            return Ok(Input::Create { seed: f.u64(1)?, env });
+            return Ok(Input::Create {
+                seed: f.u64(1)?,
+                env,
+            });
         }
         1 => return Ok(Input::Stop),
         11 => decode_update(&f("UPDATE"), tail)?,
@@ -137,11 +160,18 @@
         }
         12 => {
             let f = f("STREAMING");
-            Event::FirstToken { request: RequestId(f.u64(1)?), attempt: f.u16(9)? }
+            Event::FirstToken {
+                request: RequestId(f.u64(1)?),
+                attempt: f.u16(9)?,
+            }
         }
         2 => {
             let f = f("HOLD_RESULT");
-            Event::PlaceAnswer { request: RequestId(f.u64(1)?), server: f.server(14)?, held: f.u8(13)? == 1 }
+            Event::PlaceAnswer {
+                request: RequestId(f.u64(1)?),
+                server: f.server(14)?,
+                held: f.u8(13)? == 1,
+            }
         }
         5 => {
             let f = f("OUTCOME");
@@ -157,7 +187,12 @@
                 70 => Outcome::Cancelled,
                 80 => Outcome::NotSent,
                 202 => Outcome::Read,
-                other => return Err(format!("OUTCOME: unknown outcome {other} at byte {}", start + 26)),
+                other => {
+                    return Err(format!(
+                        "OUTCOME: unknown outcome {other} at byte {}",
+                        start + 26
+                    ))
+                }
             };
             Event::AttemptEnded {
                 request: RequestId(f.u64(1)?),
@@ -172,7 +207,11 @@
         7 => Event::Timer(f("TIMEOUT_FIRED").u64(1)?),
         6 => {
             let f = f("HEALTH_RESULT");
-            Event::Probed { server: f.server(6)?, alive: f.u8(5)? == 10, report: f.report(12)? }
+            Event::Probed {
+                server: f.server(6)?,
+                alive: f.u8(5)? == 10,
+                report: f.report(12)?,
+            }
         }
         8 => return Ok(Input::Nothing),
         other => return Err(format!("unknown event code {other} at byte {start}")),
@@ -186,11 +225,20 @@
         1 => ListKind::Full,
         2 => ListKind::Cached,
         3 => ListKind::Failed,
-        other => return Err(format!("UPDATE: unknown kind of list {other} at byte {}", f.start + 5)),
+        other => {
+            return Err(format!(
+                "UPDATE: unknown kind of list {other} at byte {}",
+                f.start + 5
+            ))
+        }
     };
     let mut entries = Vec::new();
     for entry in tail_part(f, tail, 6, 23)?.chunks_exact(23) {
-        let e = Fields { bytes: entry, what: "UPDATE entry", start: 0 };
+        let e = Fields {
+            bytes: entry,
+            what: "UPDATE entry",
+            start: 0,
+        };
         let condition = match e.u8(10)? {
             0 => Condition::Gone,
             1 => Condition::Ready,
@@ -260,15 +308,30 @@
         let span = |t: &Micros| u32::try_from(*t).unwrap_or(u32::MAX).to_le_bytes();
         match action {
             // There an attempt is out from its send, so that nothing waits for its last byte.
-            Action::Send { request, server: to, timeout, leave_by: _ } => {
+            Action::Send {
+                request,
+                server: to,
+                timeout,
+                leave_by: _,
+            } => {
                 self.record(65, &[&id(request), &server(to), &span(timeout)]);
             }
-            Action::Cancel { request, attempt } => self.record(68, &[&id(request), &attempt.to_le_bytes()]),
-            Action::Refuse { request, retry_after } => self.record(66, &[&id(request), &span(retry_after)]),
+            Action::Cancel { request, attempt } => {
+                self.record(68, &[&id(request), &attempt.to_le_bytes()])
+            }
+            Action::Refuse {
+                request,
+                retry_after,
+            } => self.record(66, &[&id(request), &span(retry_after)]),
             Action::Fail(request) => self.record(67, &[&id(request)]),
             Action::Release(request) => self.record(79, &[&id(request)]),
-            Action::HoldAhead { request, server: at } => self.record(78, &[&id(request), &server(at)]),
-            Action::SetTimer { at, token } => self.record(69, &[&at.to_le_bytes(), &token.to_le_bytes()]),
+            Action::HoldAhead {
+                request,
+                server: at,
+            } => self.record(78, &[&id(request), &server(at)]),
+            Action::SetTimer { at, token } => {
+                self.record(69, &[&at.to_le_bytes(), &token.to_le_bytes()])
+            }
             Action::Probe(which) => self.record(70, &[&server(which)]),
             Action::Subscribe => self.record(75, &[&[1]]),
             Action::Log(line) => self.text(73, line),
--- a/crates/ivyward-benchlink/src/main.rs
+++ b/crates/ivyward-benchlink/src/main.rs
@@ -30,9 +30,17 @@
     }
     let length = u64::from(u32::from_le_bytes(head)) + 12;
     let mut body = Vec::new();
-    let read = input.by_ref().take(length).read_to_end(&mut body).map_err(|e| format!("cannot read: {e}"))?;
+    let read = input
+        .by_ref()
+        .take(length)
+        .read_to_end(&mut body)
+        .map_err(|e| format!("cannot read: {e}"))?;
     if (read as u64) < length {
-        return Err(format!("batch of {} bytes cut short at byte {}", length + 4, read + 4));
+        return Err(format!(
+            "batch of {} bytes cut short at byte {}",
+            length + 4,
+            read + 4
+        ));
     }
     Ok(Some(body))
 }
@@ -40,8 +48,13 @@
 /// Turns a hint of the answer's length, given as time at the class's pace, into tokens.
 fn hint_in_tokens(event: &mut Event, settings: &Settings) {
     if let Event::Request(arrival) = event {
-        let pace = settings.classes.get(arrival.class).map_or(0.0, |c| c.tpot_aim);
-        let hint = arrival.hinted_output.filter(|time| *time > 0.0 && pace > 0.0);
+        let pace = settings
+            .classes
+            .get(arrival.class)
+            .map_or(0.0, |c| c.tpot_aim);
+        let hint = arrival
+            .hinted_output
+            .filter(|time| *time > 0.0 && pace > 0.0);
         arrival.hinted_output = hint.map(|time| time / pace);
     }
 }
@@ -68,15 +81,17 @@
             }
             Input::Event(mut event) => {
                 let instance = instances.get_mut(&who);
-                let instance =
-                    instance.ok_or_else(|| format!("an event for instance {who}, which was not created"))?;
+                let instance = instance
+                    .ok_or_else(|| format!("an event for instance {who}, which was not created"))?;
                 hint_in_tokens(&mut event, &instance.settings);
                 let handled = catch_unwind(AssertUnwindSafe(|| {
                     instance.router.handle(batch.clock, event, &mut actions);
                 }));
                 if let Err(panic) = handled {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
-                    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+                    let text = text
+                        .or(panic.downcast_ref::<&str>().copied())
+                        .unwrap_or("panic");
                     reply.speak_for(who);
                     reply.die(text);
                     return Ok(reply.finish());
@@ -98,7 +113,10 @@
     let mut instances = BTreeMap::new();
     while let Some(body) = read_frame(&mut input)? {
         let reply = answer(&body, &mut instances)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("cannot write: {e}"))?;
     }
     Ok(())
 }
--- a/crates/ivyward-benchlink/tests/bad_frames.rs
+++ b/crates/ivyward-benchlink/tests/bad_frames.rs
@@ -16,7 +16,9 @@
 }
 
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
-    let mut frame = ((records.len() * 56 + tail.len()) as u32).to_le_bytes().to_vec();
+    let mut frame = ((records.len() * 56 + tail.len()) as u32)
+        .to_le_bytes()
+        .to_vec();
     frame.extend(5u64.to_le_bytes());
     frame.extend((records.len() as u32).to_le_bytes());
     for record in records {
@@ -43,7 +45,8 @@
     assert!(out.stdout.is_empty(), "no partial reply");
 }
 
-const ENV: &str = "balancers=2\nclasses.count=1\nclasses.0.target_us=800000\nclasses.0.deadline_us=4000000\n\
+const ENV: &str =
+    "balancers=2\nclasses.count=1\nclasses.0.target_us=800000\nclasses.0.deadline_us=4000000\n\
     classes.0.semantics=retryable\nfamily_info.kind_role=read,write\nsomething.new=7\n";
 
 #[test]
@@ -51,7 +54,11 @@
     let out = adapter(&batch(&[], &[]));
     assert!(out.status.success() && out.stdout == [0; 8]);
     let out = adapter(&create(ENV));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     assert_eq!(out.stdout, [0; 8]);
 }
 
@@ -59,10 +66,22 @@
 fn malformed_frames_and_settings_get_one_plain_line() {
     faulty(&[1, 0], "batch header cut short");
     faulty(&batch(&[], &[])[..9], "cut short");
-    faulty(&batch(&[vec![9, 0, 0, 0, 0], vec![222]], &[]), "unknown event code 222");
+    faulty(
+        &batch(&[vec![9, 0, 0, 0, 0], vec![222]], &[]),
+        "unknown event code 222",
+    );
     faulty(&batch(&[vec![4]], &[]), "before any TARGET_INSTANCE");
-    faulty(&create(&ENV.replace("balancers=2\n", "")), "balancers is missing");
-    faulty(&create(&ENV.replace("balancers=2", "balancers=many")), "balancers");
-    faulty(&create(&ENV.replace("retryable", "maybe")), "classes.0.semantics");
+    faulty(
+        &create(&ENV.replace("balancers=2\n", "")),
+        "balancers is missing",
+    );
+    faulty(
+        &create(&ENV.replace("balancers=2", "balancers=many")),
+        "balancers",
+    );
+    faulty(
+        &create(&ENV.replace("retryable", "maybe")),
+        "classes.0.semantics",
+    );
     faulty(&create(&ENV.replace("read,write", "read,sing")), "sing");
 }
--- a/crates/ivyward-core/src/interface.rs
+++ b/crates/ivyward-core/src/interface.rs
@@ -252,7 +252,10 @@
 impl Outcome {
     /// Whether an attempt that ended so, without an answer, may have run or may run yet.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+        matches!(
+            self,
+            Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        )
     }
 }
 
--- a/crates/ivyward-core/src/invariants.rs
+++ b/crates/ivyward-core/src/invariants.rs
@@ -5,8 +5,8 @@
 //! and says which step would break a rule; the caller counts that and leaves the step out. No I/O, no clock.
 
 use crate::interface::{
-    ClassSettings, Condition, Effect, ListKind, Micros, Outcome, RepeatGroup, RequestId, ServerEntry,
-    ServerId, Settings,
+    ClassSettings, Condition, Effect, ListKind, Micros, Outcome, RepeatGroup, RequestId,
+    ServerEntry, ServerId, Settings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -206,7 +206,13 @@
                     continue;
                 }
             }
-            self.sites.insert(entry.id, Site { zone: entry.zone, cell: entry.cell });
+            self.sites.insert(
+                entry.id,
+                Site {
+                    zone: entry.zone,
+                    cell: entry.cell,
+                },
+            );
         }
     }
 
@@ -218,10 +224,19 @@
         if self.phase == NodePhase::Stopped {
             return violation(Rule::NodePhase, "a request is taken after the end");
         }
-        let request = Request { class, deadline, last: None, may_have_run: None, answered: false };
+        let request = Request {
+            class,
+            deadline,
+            last: None,
+            may_have_run: None,
+            answered: false,
+        };
         match self.requests.insert(id, request) {
             None => Ok(()),
-            Some(_) => violation(Rule::OneAnswer, "a request is taken under the number of an open one"),
+            Some(_) => violation(
+                Rule::OneAnswer,
+                "a request is taken under the number of an open one",
+            ),
         }
     }
 
@@ -238,7 +253,10 @@
     ) -> Result<AttemptReason, Violation> {
         let site = self.sites.get(&server).copied();
         let Some(request) = self.requests.get(&id) else {
-            return Err(Violation { rule: Rule::NothingAfterAnswer, reason: "the request is not open" });
+            return Err(Violation {
+                rule: Rule::NothingAfterAnswer,
+                reason: "the request is not open",
+            });
         };
         self.check_send(now, request, (server, site), reads)?;
         let reason = match request.last.map(|last| last.outcome) {
@@ -248,7 +266,13 @@
             Some(None) => AttemptReason::Retry(Outcome::Cancelled),
         };
         if let Some(request) = self.requests.get_mut(&id) {
-            request.last = Some(Attempt { number, reads, sent: now, site, outcome: None });
+            request.last = Some(Attempt {
+                number,
+                reads,
+                sent: now,
+                site,
+                outcome: None,
+            });
         }
         Ok(reason)
     }
@@ -271,7 +295,10 @@
         }
         let told = self.draining.get(&server);
         if told.is_some_and(|told| now > told.saturating_add(self.drain_grace)) {
-            return violation(Rule::NothingToDraining, "the engine drains, and the grace is over");
+            return violation(
+                Rule::NothingToDraining,
+                "the engine drains, and the grace is over",
+            );
         }
         match request.may_have_run.filter(|_| !reads) {
             Some(ran) => self.check_repeat(now, request, ran, site),
@@ -286,7 +313,9 @@
         ran: MayHaveRun,
         to: Option<Site>,
     ) -> Result<(), Violation> {
-        let Some(class) = self.classes.get(request.class) else { return Ok(()) };
+        let Some(class) = self.classes.get(request.class) else {
+            return Ok(());
+        };
         match class.effect {
             Effect::Safe => return Ok(()),
             Effect::Unsafe => return violation(Rule::NoEffectTwice, "an attempt may have run"),
@@ -295,8 +324,7 @@
         if now >= ran.sent.saturating_add(class.repeat_window) {
             return violation(Rule::NoEffectTwice, "the window of repeats is over");
         }
-        let same =
-            |field: fn(Site) -> u16| matches!((ran.site, to), (Some(a), Some(b)) if field(a) == field(b));
+        let same = |field: fn(Site) -> u16| matches!((ran.site, to), (Some(a), Some(b)) if field(a) == field(b));
         let inside = match class.group {
             RepeatGroup::All => true,
             RepeatGroup::Zone => same(|site| u16::from(site.zone)),
@@ -304,17 +332,27 @@
         };
         match inside {
             true => Ok(()),
-            false => violation(Rule::NoEffectTwice, "the engine is not in the group that drops repeats"),
+            false => violation(
+                Rule::NoEffectTwice,
+                "the engine is not in the group that drops repeats",
+            ),
         }
     }
 
     /// An attempt ended.
     pub fn ended(&mut self, id: RequestId, number: u16, outcome: Outcome) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(last) = request.last.as_mut().filter(|last| last.number == number) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(last) = request.last.as_mut().filter(|last| last.number == number) else {
+            return;
+        };
         last.outcome = Some(outcome);
         if !last.reads && outcome.may_have_run() && request.may_have_run.is_none() {
-            request.may_have_run = Some(MayHaveRun { site: last.site, sent: last.sent });
+            request.may_have_run = Some(MayHaveRun {
+                site: last.site,
+                sent: last.sent,
+            });
         }
     }
 
@@ -336,7 +374,9 @@
                 Effect::Keyed => class.group == RepeatGroup::All || request.may_have_run.is_none(),
                 Effect::Unsafe => request.may_have_run.is_none(),
             });
-            let write_out = request.last.is_some_and(|last| !last.reads && last.outcome.is_none());
+            let write_out = request
+                .last
+                .is_some_and(|last| !last.reads && last.outcome.is_none());
             let safe = class.is_none_or(|class| class.effect == Effect::Safe);
             if !harmless || (write_out && !safe) {
                 return violation(Rule::HarmlessRefusal, "an attempt may have run");
@@ -352,7 +392,9 @@
     /// When it is not.
     pub fn forget(&mut self, id: RequestId) -> Result<(), Violation> {
         match self.requests.remove(&id) {
-            Some(request) if !request.answered => violation(Rule::OneAnswer, "forgotten without an answer"),
+            Some(request) if !request.answered => {
+                violation(Rule::OneAnswer, "forgotten without an answer")
+            }
             Some(_) => Ok(()),
             None => violation(Rule::OneAnswer, "forgotten twice"),
         }
--- a/crates/ivyward-core/src/keep.rs
+++ b/crates/ivyward-core/src/keep.rs
@@ -50,7 +50,9 @@
 /// does so while the state that it is to fetch waits: it has not arrived, so it does not stop that state's clock. An engine
 /// that answered within the state's own span is taken for one that is not cut off.
 pub fn reuse(now: Micros, carried: &Carried) -> Reuse {
-    let heard = |within: Micros| carried.last_answer > 0 && now <= carried.last_answer.saturating_add(within);
+    let heard = |within: Micros| {
+        carried.last_answer > 0 && now <= carried.last_answer.saturating_add(within)
+    };
     if carried.repeats_effect || carried.awaited_within.is_some_and(|within| !heard(within)) {
         return Reuse::Never;
     }
@@ -72,7 +74,10 @@
 
 /// The check of a write that left at `now`; the state waits for `within` at most.
 pub fn arrival_check(now: Micros, within: Micros) -> ArrivalCheck {
-    ArrivalCheck { dial_at: now.saturating_add(within / 4), reachable_by: now.saturating_add(within / 2) }
+    ArrivalCheck {
+        dial_at: now.saturating_add(within / 4),
+        reachable_by: now.saturating_add(within / 2),
+    }
 }
 
 /// What was seen of connections under requests. See the module's page.
@@ -108,6 +113,7 @@
     pub fn may_use(&self, now: Micros, idle: Micros, again: bool) -> bool {
         let usual = self.fresh.mean_near(now, MEMORY, 0.0, PRIOR);
         let unproven = if again { 0.0 } else { UNPROVEN };
-        self.steps[step(idle)].mean_near(now, MEMORY, usual + unproven / PRIOR, PRIOR) <= usual + MORE
+        self.steps[step(idle)].mean_near(now, MEMORY, usual + unproven / PRIOR, PRIOR)
+            <= usual + MORE
     }
 }
--- a/crates/ivyward-core/src/keepalive.rs
+++ b/crates/ivyward-core/src/keepalive.rs
@@ -63,7 +63,11 @@
 impl Keepalive {
     /// A budget of which nothing was taken.
     pub fn new(settings: KeepaliveSettings) -> Keepalive {
-        Keepalive { settings, resting: 0, checked: None }
+        Keepalive {
+            settings,
+            resting: 0,
+            checked: None,
+        }
     }
 
     /// Between two checks.
@@ -107,7 +111,9 @@
     /// What a connection that asks now is told. Holds the budget also where many ask in one moment, as in a process that
     /// stood still: those that are told to ask again spread over a round.
     pub fn ask(&mut self, now: Micros, jitter: f64) -> Ask {
-        let Some(pause) = self.pause() else { return Ask::Again(Micros::MAX) };
+        let Some(pause) = self.pause() else {
+            return Ask::Again(Micros::MAX);
+        };
         let free_at = self.checked.map_or(0, |at| at.saturating_add(pause));
         if now >= free_at || planted::is(Defect::BudgetIgnored) {
             self.checked = Some(now);
@@ -120,7 +126,12 @@
     /// What is to be done before a call leaves on a connection on which something was last heard at `heard`. One in use is
     /// found silent after a silence and a time-out; what was heard within these is as good, whether it rested or not.
     pub fn before_use(&self, now: Micros, heard: Micros) -> BeforeUse {
-        let KeepaliveSettings { silence, timeout, dial_timeout, .. } = self.settings;
+        let KeepaliveSettings {
+            silence,
+            timeout,
+            dial_timeout,
+            ..
+        } = self.settings;
         let found_after = silence.saturating_add(timeout);
         let good = silence == 0 || now.saturating_sub(heard) <= found_after;
         match good || planted::is(Defect::UncheckedUse) {
--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -144,7 +144,12 @@
     /// Takes in what was heard and appends what follows.
     pub fn hear(&mut self, now: Micros, heard: Heard, out: &mut Vec<Told>) {
         match heard {
-            Heard::List { cluster, revision, members, unread } => {
+            Heard::List {
+                cluster,
+                revision,
+                members,
+                unread,
+            } => {
                 self.on_list(now, (cluster, revision), members, &unread, out);
             }
             Heard::Put(member) => self.on_put(member, out),
@@ -160,7 +165,10 @@
                 self.members = members.into_iter().map(|m| (m.entry.id, m)).collect();
                 self.from_file = true;
                 let entries = self.members.values().copied().collect();
-                out.push(Told::Fleet { kind: ListKind::Cached, entries });
+                out.push(Told::Fleet {
+                    kind: ListKind::Cached,
+                    entries,
+                });
             }
             Heard::Snapshot(_) => {}
         }
@@ -199,7 +207,10 @@
             if let Some(old) = old.filter(|_| planted::is(Defect::DrainLostInList)) {
                 member.entry.condition = old.entry.condition;
             }
-            self.members.insert(member.entry.id, old.map_or(member, |old| newer(&member, old)));
+            self.members.insert(
+                member.entry.id,
+                old.map_or(member, |old| newer(&member, old)),
+            );
         }
         if planted::is(Defect::MissingStay) {
             for (id, old) in &before {
@@ -212,10 +223,14 @@
             }
         }
         let changed = before != self.members || self.from_file || self.cluster != Some(cluster);
-        (self.cluster, self.revision, self.gap, self.from_file) = (Some(cluster), revision, false, false);
+        (self.cluster, self.revision, self.gap, self.from_file) =
+            (Some(cluster), revision, false, false);
         if changed {
             let entries = self.members.values().copied().collect();
-            out.push(Told::Fleet { kind: ListKind::Full, entries });
+            out.push(Told::Fleet {
+                kind: ListKind::Full,
+                entries,
+            });
             out.push(Told::Keep);
         }
     }
@@ -233,7 +248,10 @@
             return;
         }
         self.empty_since = None;
-        out.push(Told::Fleet { kind: ListKind::Changes, entries: vec![member] });
+        out.push(Told::Fleet {
+            kind: ListKind::Changes,
+            entries: vec![member],
+        });
         out.push(Told::Keep);
     }
 
@@ -242,11 +260,21 @@
             self.revision = self.revision.max(revision);
         }
         // A deletion from before the record that is known is an echo.
-        let known = self.members.get(&id).filter(|m| m.revision < revision || self.from_file).copied();
+        let known = self
+            .members
+            .get(&id)
+            .filter(|m| m.revision < revision || self.from_file)
+            .copied();
         let Some(member) = known else { return };
         self.members.remove(&id);
-        let entry = ServerEntry { condition: Condition::Gone, ..member.entry };
-        out.push(Told::Fleet { kind: ListKind::Changes, entries: vec![Member { entry, ..member }] });
+        let entry = ServerEntry {
+            condition: Condition::Gone,
+            ..member.entry
+        };
+        out.push(Told::Fleet {
+            kind: ListKind::Changes,
+            entries: vec![Member { entry, ..member }],
+        });
         out.push(Told::Keep);
     }
 }
@@ -257,7 +285,13 @@
         return *old;
     }
     if new.entry.started == 0 {
-        return Member { entry: ServerEntry { started: old.entry.started, ..new.entry }, ..*new };
+        return Member {
+            entry: ServerEntry {
+                started: old.entry.started,
+                ..new.entry
+            },
+            ..*new
+        };
     }
     if new.entry.started >= old.entry.started {
         return *new;
@@ -265,6 +299,17 @@
     // Guards against a drain that is overheard: written by a tool that does not know when the engine started, or by the
     // process before this one, it is what the store says now. That the engine is ready is for itself to say.
     let drains = new.entry.condition != Condition::Ready;
-    let condition = if drains { new.entry.condition } else { old.entry.condition };
-    Member { entry: ServerEntry { condition, ..old.entry }, revision: new.revision, ..*old }
+    let condition = if drains {
+        new.entry.condition
+    } else {
+        old.entry.condition
+    };
+    Member {
+        entry: ServerEntry {
+            condition,
+            ..old.entry
+        },
+        revision: new.revision,
+        ..*old
+    }
 }
--- a/crates/ivyward-core/src/pace.rs
+++ b/crates/ivyward-core/src/pace.rs
@@ -21,7 +21,11 @@
 impl PaceSettings {
     /// For a grace within which drains are to be heeded: a quarter of the time, an eighth of the grace, a second.
     pub fn for_grace(grace: Micros) -> PaceSettings {
-        PaceSettings { share: 0.25, urgent: grace / 8, most: 1_000_000 }
+        PaceSettings {
+            share: 0.25,
+            urgent: grace / 8,
+            most: 1_000_000,
+        }
     }
 }
 
@@ -40,7 +44,11 @@
 impl Pace {
     /// Nothing was passed on yet.
     pub fn new(settings: PaceSettings) -> Pace {
-        Pace { settings, cost: 0.0, ended: 0 }
+        Pace {
+            settings,
+            cost: 0.0,
+            ended: 0,
+        }
     }
 
     /// When what was first heard at `since` is to be passed on; a time that is over means now.
@@ -49,8 +57,14 @@
         if rest < LEAST {
             return since;
         }
-        let most = if urgent { self.settings.urgent } else { self.settings.most };
-        self.ended.saturating_add(rest).min(since.saturating_add(most))
+        let most = if urgent {
+            self.settings.urgent
+        } else {
+            self.settings.most
+        };
+        self.ended
+            .saturating_add(rest)
+            .min(since.saturating_add(most))
     }
 
     /// A list was passed on between these times.
--- a/crates/ivyward-core/src/peers/gossip.rs
+++ b/crates/ivyward-core/src/peers/gossip.rs
@@ -189,7 +189,9 @@
     }
     /// Whether something is so new that it is worth messages of its own; the rest rides on those there are.
     pub(super) fn urgent(&self) -> bool {
-        self.queue.first_key_value().is_some_and(|(key, _)| key.0 < URGENT)
+        self.queue
+            .first_key_value()
+            .is_some_and(|(key, _)| key.0 < URGENT)
     }
     fn put(&mut self, sent: u32, id: PeerId) {
         self.order += 1;
@@ -209,7 +211,9 @@
         let keys: Vec<(u32, u64)> = self.queue.keys().take(room).copied().collect();
         let mut claims = Vec::with_capacity(keys.len());
         for key in keys {
-            let Some(id) = self.queue.remove(&key) else { continue };
+            let Some(id) = self.queue.remove(&key) else {
+                continue;
+            };
             self.at.remove(&id);
             if let Some(claim) = of(id) {
                 claims.push(claim);
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -200,7 +200,13 @@
 
 impl Peers {
     /// A node that knows its own card and some addresses. `seed` feeds its lots.
-    pub fn new(now: Micros, me: Card, seeds: Vec<SocketAddr>, settings: PeerSettings, seed: u64) -> Peers {
+    pub fn new(
+        now: Micros,
+        me: Card,
+        seeds: Vec<SocketAddr>,
+        settings: PeerSettings,
+        seed: u64,
+    ) -> Peers {
         Peers {
             me,
             began: now,
@@ -254,9 +260,17 @@
     /// Nodes that may still be sending, this one among them. Falls only when one is certainly gone.
     pub fn count(&self) -> u32 {
         let doubted = |p: &Peer| planted::is(Defect::CountOnDoubt) && p.standing != Standing::Alive;
-        let known = self.members.all().filter(|p| !p.certain && !doubted(p)).count();
+        let known = self
+            .members
+            .all()
+            .filter(|p| !p.certain && !doubted(p))
+            .count();
         // The store knows of some whom nobody here hears.
-        let unknown = self.leased.keys().filter(|id| self.members.get(**id).is_none()).count();
+        let unknown = self
+            .leased
+            .keys()
+            .filter(|id| self.members.get(**id).is_none())
+            .count();
         let count = 1 + (known + unknown) as u32;
         if self.whole {
             count
@@ -302,7 +316,9 @@
 
     /// The store's record of a node is gone: its lease is over. After the grace it is certainly gone, if it is silent.
     pub fn record_gone(&mut self, now: Micros, id: PeerId) {
-        let Some(start) = self.leased.remove(&id) else { return };
+        let Some(start) = self.leased.remove(&id) else {
+            return;
+        };
         if let Some(peer) = self.members.get_mut(id).filter(|p| p.card.start == start) {
             peer.lease_over = Some(now + self.settings.lease_grace);
         }
@@ -311,12 +327,19 @@
     /// This node leaves: everybody who is here is told, once each.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Out>) {
         let all: Vec<SocketAddr> = self.members.here().map(|p| p.card.address).collect();
-        all.into_iter().for_each(|to| self.send(now, to, Body::Leave, out));
+        all.into_iter()
+            .for_each(|to| self.send(now, to, Body::Leave, out));
     }
 
     /// Takes in a message.
     pub fn hear(&mut self, now: Micros, message: Message, out: &mut Vec<Out>) {
-        let Message { from, beat, view, body, claims } = message;
+        let Message {
+            from,
+            beat,
+            view,
+            body,
+            claims,
+        } = message;
         if from.id == self.me.id {
             self.hear_of_me(now, from.start);
             return;
@@ -325,8 +348,23 @@
         let proof = matches!(body, Body::Ack { seq, of }
             if of == from.id && (self.probes.get(&seq).is_some_and(|p| p.of == of) || self.calls.contains(&seq)));
         let by = if proof { By::Proof } else { By::Itself };
-        if !self.learn(now, Claim { card: from, beat, ago: 0, about: About::Here }, by, out) {
-            if let Some(peer) = self.members.get(from.id).filter(|p| p.card.start > from.start).copied() {
+        if !self.learn(
+            now,
+            Claim {
+                card: from,
+                beat,
+                ago: 0,
+                about: About::Here,
+            },
+            by,
+            out,
+        ) {
+            if let Some(peer) = self
+                .members
+                .get(from.id)
+                .filter(|p| p.card.start > from.start)
+                .copied()
+            {
                 // It does not know that it is over, or that its clock went back.
                 self.send_with(now, from.address, Body::Gossip, Some(peer.claim(now)), out);
             }
@@ -339,11 +377,24 @@
             self.differs = Some(from.address);
         }
         match body {
-            Body::Ping { seq } => self.send(now, from.address, Body::Ack { seq, of: self.me.id }, out),
+            Body::Ping { seq } => self.send(
+                now,
+                from.address,
+                Body::Ack {
+                    seq,
+                    of: self.me.id,
+                },
+                out,
+            ),
             Body::Ack { seq, of } => self.on_ack(now, seq, of, out),
             Body::Relay { seq, to } => {
                 let mine = self.next_seq();
-                let errand = Errand { of: to.id, sent: now, back: from.address, seq };
+                let errand = Errand {
+                    of: to.id,
+                    sent: now,
+                    back: from.address,
+                    seq,
+                };
                 // As many as come in before they are over; one node's probes ask a few others each.
                 if self.errands.len() < self.settings.most {
                     self.errands.insert(mine, errand);
@@ -358,10 +409,20 @@
             Body::Ask { after, whole } => {
                 let (page, next) = self.page(now, after);
                 let (next, last) = (next.filter(|_| whole), whole && next.is_none());
-                let body = Body::Page { claims: page, next, last, sure: self.whole };
+                let body = Body::Page {
+                    claims: page,
+                    next,
+                    last,
+                    sure: self.whole,
+                };
                 self.send(now, from.address, body, out);
             }
-            Body::Page { claims, next, last, sure } => {
+            Body::Page {
+                claims,
+                next,
+                last,
+                sure,
+            } => {
                 self.on_page(now, from.address, next, (last, sure), out);
                 self.on_claims(now, from, claims, out);
             }
@@ -376,7 +437,16 @@
             self.errands.remove(&seq);
             // With the word that it was heard, which is evidence.
             let heard = self.members.get(of).map(|p| p.claim(now));
-            self.send_with(now, errand.back, Body::Ack { seq: errand.seq, of }, heard, out);
+            self.send_with(
+                now,
+                errand.back,
+                Body::Ack {
+                    seq: errand.seq,
+                    of,
+                },
+                heard,
+                out,
+            );
         }
         // Guards against an answer by whoever took over its address ending the question to it.
         if let Some(probe) = self.probes.get(&seq).copied().filter(|p| p.of == of) {
@@ -402,20 +472,31 @@
     }
 
     fn on_claims(&mut self, now: Micros, from: Card, claims: Vec<Claim>, out: &mut Vec<Out>) {
-        let better: Vec<PeerId> =
-            claims.into_iter().filter_map(|claim| self.on_claim(now, from, claim, out)).collect();
+        let better: Vec<PeerId> = claims
+            .into_iter()
+            .filter_map(|claim| self.on_claim(now, from, claim, out))
+            .collect();
         if better.is_empty() {
             return;
         }
         // Who doubts is told at once, not when it comes up by lot: it may hear few, and has little time.
-        let known =
-            better.into_iter().take(TOLD_BETTER).filter_map(|id| self.members.get(id)).map(|p| p.claim(now));
+        let known = better
+            .into_iter()
+            .take(TOLD_BETTER)
+            .filter_map(|id| self.members.get(id))
+            .map(|p| p.claim(now));
         let known: Vec<Claim> = known.collect();
         self.say(now, from.address, Body::Gossip, known, out);
     }
 
     /// Of whom more is known here than the sender knows, if it doubts somebody wrongly.
-    fn on_claim(&mut self, now: Micros, from: Card, claim: Claim, out: &mut Vec<Out>) -> Option<PeerId> {
+    fn on_claim(
+        &mut self,
+        now: Micros,
+        from: Card,
+        claim: Claim,
+        out: &mut Vec<Out>,
+    ) -> Option<PeerId> {
         let id = claim.card.id;
         if id == self.me.id {
             self.hear_of_me(now, claim.card.start);
@@ -467,13 +548,18 @@
 
     /// Whether the evidence counts (it need not be news).
     fn learn(&mut self, now: Micros, claim: Claim, by: By, out: &mut Vec<Out>) -> bool {
-        let known = self.members.get(claim.card.id).map(|p| (p.standing, p.card.start));
+        let known = self
+            .members
+            .get(claim.card.id)
+            .map(|p| (p.standing, p.card.start));
         let spans = (self.settings.death_after, self.settings.keep_dead);
         if !self.members.learn(now, &claim, by, spans, out) {
             return false;
         }
         let id = claim.card.id;
-        let Some(peer) = self.members.get(id).copied() else { return false };
+        let Some(peer) = self.members.get(id).copied() else {
+            return false;
+        };
         match known {
             None => {
                 if by.direct() && (!self.whole || self.seeds.contains(&peer.card.address)) {
@@ -513,8 +599,20 @@
     /// Begins to take in somebody's whole view, page by page; one at a time, for one that heals a split brings all.
     fn take_whole(&mut self, now: Micros, from: SocketAddr, out: &mut Vec<Out>) {
         if self.paging.is_none() {
-            self.paging = Some(Paging { from, after: None, asked: now });
-            self.send(now, from, Body::Ask { after: None, whole: true }, out);
+            self.paging = Some(Paging {
+                from,
+                after: None,
+                asked: now,
+            });
+            self.send(
+                now,
+                from,
+                Body::Ask {
+                    after: None,
+                    whole: true,
+                },
+                out,
+            );
         }
     }
 
@@ -526,13 +624,23 @@
         (last, sure): (bool, bool),
         out: &mut Vec<Out>,
     ) {
-        let Some(paging) = self.paging.as_mut().filter(|p| p.from == by) else { return };
+        let Some(paging) = self.paging.as_mut().filter(|p| p.from == by) else {
+            return;
+        };
         if last {
             (self.paging, self.paged, self.paged_once) = (None, now, true);
             self.whole |= sure;
         } else if next.is_some() && next > paging.after {
             (paging.after, paging.asked) = (next, now);
-            self.send(now, by, Body::Ask { after: next, whole: true }, out);
+            self.send(
+                now,
+                by,
+                Body::Ask {
+                    after: next,
+                    whole: true,
+                },
+                out,
+            );
         }
     }
 
@@ -540,12 +648,19 @@
     fn page_on(&mut self, now: Micros, out: &mut Vec<Out>) {
         // Nobody who is heard knows the same nodes: something was missed. Those that begin together are in nobody's whole
         // view, and what is said a few times does not reach all.
-        if let Some(from) = self.differs.filter(|_| now >= self.same.max(self.paged) + self.differ_wait) {
+        if let Some(from) = self
+            .differs
+            .filter(|_| now >= self.same.max(self.paged) + self.differ_wait)
+        {
             if self.paging.is_none() {
                 // One that is cut off on one side sees other things than the rest, for as long as that lasts.
                 let view = self.view();
                 let helped = self.compared != view;
-                self.differ_wait = if helped { DIFFER } else { (2 * self.differ_wait).min(MOST_DIFFER) };
+                self.differ_wait = if helped {
+                    DIFFER
+                } else {
+                    (2 * self.differ_wait).min(MOST_DIFFER)
+                };
                 self.compared = view;
             }
             self.take_whole(now, from, out);
@@ -561,7 +676,11 @@
                 self.take_whole(now, to, out);
             }
         }
-        if self.paging.as_ref().is_none_or(|p| now < p.asked + self.wait().max(PAGE_WAIT)) {
+        if self
+            .paging
+            .as_ref()
+            .is_none_or(|p| now < p.asked + self.wait().max(PAGE_WAIT))
+        {
             return;
         }
         let to = self.some_peer();
@@ -583,7 +702,10 @@
             }
             peer.asked = peer.asked.min(asked);
         }
-        if self.members.set(id, Standing::Alive, Standing::Suspected, out) {
+        if self
+            .members
+            .set(id, Standing::Alive, Standing::Suspected, out)
+        {
             self.rumours.add(id);
         }
     }
@@ -624,26 +746,47 @@
             }
         }
         if now >= self.next_reach {
-            self.next_reach = now + self.settings.reach_out / 2 + self.lot_span(self.settings.reach_out);
+            self.next_reach =
+                now + self.settings.reach_out / 2 + self.lot_span(self.settings.reach_out);
             self.reach_out(now, out);
         }
         self.page_on(now, out);
         if now >= self.next_page {
-            self.next_page = now + self.settings.page_every / 2 + self.lot_span(self.settings.page_every);
+            self.next_page =
+                now + self.settings.page_every / 2 + self.lot_span(self.settings.page_every);
             let here: Vec<PeerId> = self.members.here().map(|p| p.card.id).collect();
             if let Some(to) = self.some_peer() {
                 let after = here[self.lot(here.len())];
-                self.send(now, to, Body::Ask { after: Some(after), whole: false }, out);
+                self.send(
+                    now,
+                    to,
+                    Body::Ask {
+                        after: Some(after),
+                        whole: false,
+                    },
+                    out,
+                );
             }
         }
     }
 
     fn some_peer(&mut self) -> Option<SocketAddr> {
         // Guards against most of what is said going to the dead, where many died at once.
-        let alive = self.members.here().filter(|p| p.standing == Standing::Alive).count();
+        let alive = self
+            .members
+            .here()
+            .filter(|p| p.standing == Standing::Alive)
+            .count();
         let any = alive == 0;
-        let at = self.lot(if any { self.members.here().count() } else { alive });
-        let mut those = self.members.here().filter(|p| any || p.standing == Standing::Alive);
+        let at = self.lot(if any {
+            self.members.here().count()
+        } else {
+            alive
+        });
+        let mut those = self
+            .members
+            .here()
+            .filter(|p| any || p.standing == Standing::Alive);
         those.nth(at).map(|p| p.card.address)
     }
 
@@ -658,7 +801,10 @@
     fn judge_probes(&mut self, now: Micros, out: &mut Vec<Out>) {
         let wait = self.wait();
         // Most pauses end before it: nobody else need hear of them. What is left is enough to reach all in time.
-        let doubt_after = self.settings.doubt_after.min(self.settings.death_after * 3 / 8);
+        let doubt_after = self
+            .settings
+            .doubt_after
+            .min(self.settings.death_after * 3 / 8);
         let open: Vec<(u64, Probe)> = self.probes.iter().map(|(seq, p)| (*seq, *p)).collect();
         for (seq, probe) in open {
             let since = now.saturating_sub(probe.sent);
@@ -671,7 +817,15 @@
                 let mut asked = 0;
                 for _ in 0..self.settings.relays.min(others.len()) {
                     let to = others[self.lot(others.len())];
-                    self.send(now, to, Body::Relay { seq, to: target.card }, out);
+                    self.send(
+                        now,
+                        to,
+                        Body::Relay {
+                            seq,
+                            to: target.card,
+                        },
+                        out,
+                    );
                     asked += 1;
                 }
                 if let Some(probe) = self.probes.get_mut(&seq) {
@@ -694,8 +848,12 @@
             }
         }
         let ack_after = self.settings.ack_after;
-        let over: Vec<u64> =
-            self.errands.iter().filter(|e| now >= e.1.sent + ack_after).map(|e| *e.0).collect();
+        let over: Vec<u64> = self
+            .errands
+            .iter()
+            .filter(|e| now >= e.1.sent + ack_after)
+            .map(|e| *e.0)
+            .collect();
         for seq in over {
             if let Some(errand) = self.errands.remove(&seq) {
                 self.send(now, errand.back, Body::Nack { seq: errand.seq }, out);
@@ -706,7 +864,11 @@
     fn judge_silences(&mut self, now: Micros, out: &mut Vec<Out>) {
         // While nobody at all is heard, their silence tells of me.
         let healthy = self.healthy();
-        let (times, from) = if healthy && self.alone(now) { (ALONE, self.heard_any) } else { (1, 0) };
+        let (times, from) = if healthy && self.alone(now) {
+            (ALONE, self.heard_any)
+        } else {
+            (1, 0)
+        };
         let (most, from) = (self.settings.death_after * times, self.woke.max(from));
         let since = |p: &Peer| p.asked.max(p.learned).max(from);
         // A doubt that comes late, from one that waits long, is known here for a while before it counts.
@@ -723,7 +885,10 @@
         // Guards against a death that only came before the word of its end: whoever is about to count one asks for itself.
         // Each look asks and the next one hears: a node that could not look for a while asks first.
         let mut last = Vec::new();
-        let near = self.members.suspected().filter(|p| now + LAST_ASK >= since(p) + most);
+        let near = self
+            .members
+            .suspected()
+            .filter(|p| now + LAST_ASK >= since(p) + most);
         for peer in near.take(LAST_ASKED) {
             peer.last_asks = peer.last_asks.saturating_add(1);
             last.push((peer.card, peer.last_asks % 2 == 1));
@@ -731,15 +896,27 @@
         for (card, through) in last {
             self.call_on(now, card.address, out);
             // Through another as well: its answer may not reach us.
-            let others = if through { self.relays(card.id) } else { Vec::new() };
+            let others = if through {
+                self.relays(card.id)
+            } else {
+                Vec::new()
+            };
             if !others.is_empty() {
                 let (seq, to) = (self.next_seq(), others[self.lot(others.len())]);
                 self.send(now, to, Body::Relay { seq, to: card }, out);
             }
         }
-        let dead: Vec<PeerId> = self.members.all().filter(silent).map(|p| p.card.id).collect();
+        let dead: Vec<PeerId> = self
+            .members
+            .all()
+            .filter(silent)
+            .map(|p| p.card.id)
+            .collect();
         for id in dead {
-            if self.members.set(id, Standing::Suspected, Standing::Dead, out) {
+            if self
+                .members
+                .set(id, Standing::Suspected, Standing::Dead, out)
+            {
                 // Said again: where many died at once, most of what was said of them went to the dead.
                 self.rumours.add_quietly(id);
             }
@@ -758,12 +935,19 @@
             // Back in at a place by lot in the older half: each comes up once in about a round.
             let at = self.lot(self.ring.len() / 2 + 1);
             self.ring.insert(at, id);
-            let Some(peer) = self.members.get(id).copied() else { continue };
+            let Some(peer) = self.members.get(id).copied() else {
+                continue;
+            };
             if matches!(peer.standing, Standing::Dead | Standing::Left) {
                 continue;
             }
             let seq = self.next_seq();
-            let probe = Probe { of: id, sent: now, relayed: false, mute: 0 };
+            let probe = Probe {
+                of: id,
+                sent: now,
+                relayed: false,
+                mute: 0,
+            };
             self.probes.insert(seq, probe);
             // The one in doubt hears of it first of all.
             let extra = (peer.standing == Standing::Suspected).then(|| peer.claim(now));
@@ -787,9 +971,16 @@
     /// other again by this.
     fn reach_out(&mut self, now: Micros, out: &mut Vec<Out>) {
         let here: Vec<SocketAddr> = self.members.here().map(|p| p.card.address).collect();
-        let dead = self.members.all().filter(|p| p.standing == Standing::Dead && !p.certain);
+        let dead = self
+            .members
+            .all()
+            .filter(|p| p.standing == Standing::Dead && !p.certain);
         let mut away: Vec<SocketAddr> = dead.map(|p| p.card.address).collect();
-        away.extend(self.seeds.iter().filter(|s| **s != self.me.address && !here.contains(s)));
+        away.extend(
+            self.seeds
+                .iter()
+                .filter(|s| **s != self.me.address && !here.contains(s)),
+        );
         // One that hears nobody may still be heard, if it speaks.
         let most = if self.alone(now) { WAKE } else { REACH };
         for _ in 0..most.min(away.len()) {
@@ -800,9 +991,15 @@
 
     fn page(&self, now: Micros, after: Option<PeerId>) -> (Vec<Claim>, Option<PeerId>) {
         // The dead as well, while they may be sending: one that starts in one half is to count the other.
-        let mut all = self.members.all().filter(|p| !p.certain && after.is_none_or(|a| p.card.id > a));
+        let mut all = self
+            .members
+            .all()
+            .filter(|p| !p.certain && after.is_none_or(|a| p.card.id > a));
         let claims: Vec<Claim> = all.by_ref().take(PAGE).map(|p| p.claim(now)).collect();
-        let next = claims.last().map(|c| c.card.id).filter(|_| all.next().is_some());
+        let next = claims
+            .last()
+            .map(|c| c.card.id)
+            .filter(|_| all.next().is_some());
         (claims, next)
     }
 
@@ -819,11 +1016,20 @@
         out: &mut Vec<Out>,
     ) {
         let extra: Vec<Claim> = extra.into_iter().collect();
-        let taken = if let Body::Page { claims, .. } = &body { claims.len() } else { 0 };
+        let taken = if let Body::Page { claims, .. } = &body {
+            claims.len()
+        } else {
+            0
+        };
         let room = (MOST_CLAIMS - taken).saturating_sub(extra.len());
         let (me, beat, members) = (self.me, self.beat(now), &self.members);
         let of = |id: PeerId| match id == me.id {
-            true => Some(Claim { card: me, beat, ago: 0, about: About::Here }),
+            true => Some(Claim {
+                card: me,
+                beat,
+                ago: 0,
+                about: About::Here,
+            }),
             false => members.get(id).map(|p| p.claim(now)),
         };
         let mut claims = self.rumours.take(room, members.len(), of);
@@ -832,8 +1038,21 @@
     }
 
     /// Says this and nothing beside it.
-    fn say(&mut self, now: Micros, to: SocketAddr, body: Body, claims: Vec<Claim>, out: &mut Vec<Out>) {
-        let message = Message { from: self.me, beat: self.beat(now), view: self.view(), body, claims };
+    fn say(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        body: Body,
+        claims: Vec<Claim>,
+        out: &mut Vec<Out>,
+    ) {
+        let message = Message {
+            from: self.me,
+            beat: self.beat(now),
+            view: self.view(),
+            body,
+            claims,
+        };
         out.push(Out::Send { to, message });
     }
 
--- a/crates/ivyward-core/src/peers/view.rs
+++ b/crates/ivyward-core/src/peers/view.rs
@@ -95,10 +95,17 @@
     pub(super) fn claim(&self, now: Micros) -> Claim {
         let about = match self.standing {
             Standing::Alive => About::Here,
-            Standing::Suspected | Standing::Dead => About::Silent { since: now.saturating_sub(self.asked) },
+            Standing::Suspected | Standing::Dead => About::Silent {
+                since: now.saturating_sub(self.asked),
+            },
             Standing::Left => About::Left,
         };
-        Claim { card: self.card, beat: self.beat, ago: now.saturating_sub(self.learned), about }
+        Claim {
+            card: self.card,
+            beat: self.beat,
+            ago: now.saturating_sub(self.learned),
+            about,
+        }
     }
 }
 
@@ -131,7 +138,12 @@
         let all = self.peers.values().filter(|p| !p.certain);
         *self.digest.get_or_insert_with(|| {
             all.fold(0, |sum, p| {
-                sum ^ mark(&p.card) ^ if p.standing == Standing::Dead { mix(p.card.id.0) } else { 0 }
+                sum ^ mark(&p.card)
+                    ^ if p.standing == Standing::Dead {
+                        mix(p.card.id.0)
+                    } else {
+                        0
+                    }
             })
         })
     }
@@ -142,11 +154,14 @@
         self.peers.values()
     }
     pub(super) fn suspected(&mut self) -> impl Iterator<Item = &mut Peer> {
-        self.peers.values_mut().filter(|p| p.standing == Standing::Suspected)
+        self.peers
+            .values_mut()
+            .filter(|p| p.standing == Standing::Suspected)
     }
     /// Those that are not known to be away.
     pub(super) fn here(&self) -> impl Iterator<Item = &Peer> {
-        self.all().filter(|p| matches!(p.standing, Standing::Alive | Standing::Suspected))
+        self.all()
+            .filter(|p| matches!(p.standing, Standing::Alive | Standing::Suspected))
     }
     pub(super) fn get(&self, id: PeerId) -> Option<&Peer> {
         self.peers.get(&id)
@@ -168,7 +183,9 @@
         let (card, direct) = (claim.card, by.direct());
         let at = now.saturating_sub(claim.ago);
         let (standing, asked) = match claim.about {
-            About::Silent { since } if since >= fresh => (Standing::Dead, now.saturating_sub(since)),
+            About::Silent { since } if since >= fresh => {
+                (Standing::Dead, now.saturating_sub(since))
+            }
             About::Silent { since } => (Standing::Suspected, now.saturating_sub(since)),
             _ => (Standing::Alive, 0),
         };
@@ -198,7 +215,11 @@
             }
             self.peers.insert(card.id, new);
             self.digest = None;
-            out.push(Out::Changed { card, was: None, is: standing });
+            out.push(Out::Changed {
+                card,
+                was: None,
+                is: standing,
+            });
             return true;
         };
         if card.start < peer.card.start {
@@ -214,13 +235,23 @@
                     return false;
                 }
             }
-            let Some(peer) = self.peers.get_mut(&card.id) else { return false };
+            let Some(peer) = self.peers.get_mut(&card.id) else {
+                return false;
+            };
             let was = (peer.card, peer.standing);
             *peer = new;
             self.digest = None;
             self.witnesses.retain(|w, _| w.0 != card.id);
-            out.push(Out::Changed { card: was.0, was: Some(was.1), is: Standing::Left });
-            out.push(Out::Changed { card, was: None, is: standing });
+            out.push(Out::Changed {
+                card: was.0,
+                was: Some(was.1),
+                is: Standing::Left,
+            });
+            out.push(Out::Changed {
+                card,
+                was: None,
+                is: standing,
+            });
             return true;
         }
         if peer.standing == Standing::Left {
@@ -236,10 +267,15 @@
             self.dropped.implausible += 1;
             return false;
         }
-        let news =
-            by == By::Proof || if direct { claim.beat > peer.direct_beat } else { claim.beat > peer.beat };
+        let news = by == By::Proof
+            || if direct {
+                claim.beat > peer.direct_beat
+            } else {
+                claim.beat > peer.beat
+            };
         if direct && news {
-            (peer.direct, peer.direct_beat, peer.unheard, peer.card) = (now, claim.beat, false, card);
+            (peer.direct, peer.direct_beat, peer.unheard, peer.card) =
+                (now, claim.beat, false, card);
         }
         if news {
             peer.beat = peer.beat.max(claim.beat);
@@ -250,7 +286,11 @@
             if was != Standing::Alive && later {
                 (peer.standing, peer.certain) = (Standing::Alive, false);
                 self.digest = None;
-                out.push(Out::Changed { card: peer.card, was: Some(was), is: Standing::Alive });
+                out.push(Out::Changed {
+                    card: peer.card,
+                    was: Some(was),
+                    is: Standing::Alive,
+                });
             }
         }
         true
@@ -258,28 +298,52 @@
 
     /// Whoever is silent and has no lease any more is certainly gone.
     pub(super) fn settle_leases(&mut self, now: Micros) {
-        let over = |p: &&mut Peer| p.standing == Standing::Dead && p.lease_over.is_some_and(|at| at <= now);
-        self.peers.values_mut().filter(over).filter(|p| !p.certain).for_each(|p| {
-            p.certain = true;
-            self.digest = None;
-        });
+        let over = |p: &&mut Peer| {
+            p.standing == Standing::Dead && p.lease_over.is_some_and(|at| at <= now)
+        };
+        self.peers
+            .values_mut()
+            .filter(over)
+            .filter(|p| !p.certain)
+            .for_each(|p| {
+                p.certain = true;
+                self.digest = None;
+            });
     }
 
     /// Changes what one is taken for, if it is taken for `from` now.
-    pub(super) fn set(&mut self, id: PeerId, from: Standing, to: Standing, out: &mut Vec<Out>) -> bool {
-        let Some(peer) = self.peers.get_mut(&id).filter(|p| p.standing == from) else { return false };
+    pub(super) fn set(
+        &mut self,
+        id: PeerId,
+        from: Standing,
+        to: Standing,
+        out: &mut Vec<Out>,
+    ) -> bool {
+        let Some(peer) = self.peers.get_mut(&id).filter(|p| p.standing == from) else {
+            return false;
+        };
         peer.standing = to;
         self.digest = None;
-        out.push(Out::Changed { card: peer.card, was: Some(from), is: to });
+        out.push(Out::Changed {
+            card: peer.card,
+            was: Some(from),
+            is: to,
+        });
         true
     }
 
     pub(super) fn leave(&mut self, card: Card, out: &mut Vec<Out>) -> bool {
         let known = self.peers.get_mut(&card.id);
-        let Some(peer) = known.filter(|p| p.card.start == card.start && p.standing != Standing::Left) else {
+        let Some(peer) =
+            known.filter(|p| p.card.start == card.start && p.standing != Standing::Left)
+        else {
             return false;
         };
-        out.push(Out::Changed { card, was: Some(peer.standing), is: Standing::Left });
+        out.push(Out::Changed {
+            card,
+            was: Some(peer.standing),
+            is: Standing::Left,
+        });
         (peer.standing, peer.certain) = (Standing::Left, true);
         self.digest = None;
         true
@@ -302,7 +366,9 @@
         if planted::is(Defect::TombstoneStays) {
             return Vec::new();
         }
-        let over = self.all().filter(|p| away(p) && now.saturating_sub(p.learned) >= keep);
+        let over = self
+            .all()
+            .filter(|p| away(p) && now.saturating_sub(p.learned) >= keep);
         let ids: Vec<PeerId> = over.map(|p| p.card.id).collect();
         for id in &ids {
             self.peers.remove(id);
--- a/crates/ivyward-core/src/planted.rs
+++ b/crates/ivyward-core/src/planted.rs
@@ -102,7 +102,10 @@
 /// Plants one, or takes it out again.
 #[cfg(planted)]
 pub fn plant(defect: Option<Defect>) {
-    WHICH.store(defect.map_or(0, |d| d as u8), std::sync::atomic::Ordering::SeqCst);
+    WHICH.store(
+        defect.map_or(0, |d| d as u8),
+        std::sync::atomic::Ordering::SeqCst,
+    );
 }
 
 /// Whether this one is planted.
--- a/crates/ivyward-core/src/release.rs
+++ b/crates/ivyward-core/src/release.rs
@@ -184,7 +184,11 @@
             self.again(no, now);
             return None;
         }
-        let left = if self.owed.len() >= self.settings.most_owed { self.leave_oldest() } else { None };
+        let left = if self.owed.len() >= self.settings.most_owed {
+            self.leave_oldest()
+        } else {
+            None
+        };
         let no = self.next_no;
         self.next_no += 1;
         let pause = self.span(PAUSE);
@@ -209,7 +213,11 @@
     /// A request needs again what is held for it from now on. Whether something was still owed: that is the caller's to let
     /// go of later, with the rest.
     pub fn needed(&mut self, request: u64) -> bool {
-        self.by_request.get(&request).copied().and_then(|no| self.forget(no)).is_some()
+        self.by_request
+            .get(&request)
+            .copied()
+            .and_then(|no| self.forget(no))
+            .is_some()
     }
 
     /// An engine that had been silent was heard again: nobody waits out a pause any more.
@@ -217,8 +225,15 @@
         let waiting: Vec<u64> = self.due.iter().filter(|d| d.0 > now).map(|d| d.1).collect();
         for no in waiting {
             // A repeat waits for what may still be on its way, not for an engine.
-            if self.owed.get(&no).is_some_and(|o| o.repeats == 0 || o.since <= now) {
-                self.owed.get_mut(&no).into_iter().for_each(|o| o.asked.clear());
+            if self
+                .owed
+                .get(&no)
+                .is_some_and(|o| o.repeats == 0 || o.since <= now)
+            {
+                self.owed
+                    .get_mut(&no)
+                    .into_iter()
+                    .for_each(|o| o.asked.clear());
                 self.again(no, now);
             }
         }
@@ -235,7 +250,10 @@
             Some(by) if now >= by => {
                 self.due.clear();
                 self.by_request.clear();
-                std::mem::take(&mut self.owed).into_values().map(|o| o.request).collect()
+                std::mem::take(&mut self.owed)
+                    .into_values()
+                    .map(|o| o.request)
+                    .collect()
             }
             _ => Vec::new(),
         }
@@ -244,7 +262,11 @@
     /// When [`ReleaseQueue::act`] has something to do at the latest.
     pub fn due(&self) -> Option<Micros> {
         let end = self.end_by.filter(|_| !self.owed.is_empty());
-        let due = self.due.first().map(|d| d.0).filter(|_| self.asks < self.settings.most_asks);
+        let due = self
+            .due
+            .first()
+            .map(|d| d.0)
+            .filter(|_| self.asks < self.settings.most_asks);
         [due, end].into_iter().flatten().min()
     }
 
@@ -252,13 +274,17 @@
     pub fn act(&mut self, now: Micros, takers: &[Taker]) -> Vec<Ask> {
         let mut asks = Vec::new();
         while self.asks < self.settings.most_asks {
-            let Some((at, no)) = self.due.first().copied().filter(|d| d.0 <= now) else { break };
+            let Some((at, no)) = self.due.first().copied().filter(|d| d.0 <= now) else {
+                break;
+            };
             self.due.remove(&(at, no));
             let lately = now.saturating_sub(self.span(LATELY));
             let (span, beside, more) = (self.span(1.0), self.span(BESIDE), self.span(BESIDE_MORE));
             let (patience, pause_most) = (self.span(PATIENCE), self.span(PAUSE_MOST));
             let round = takers.len().div_ceil(ROUND) / self.owed.len().max(1);
-            let Some(owed) = self.owed.get_mut(&no) else { continue };
+            let Some(owed) = self.owed.get_mut(&no) else {
+                continue;
+            };
             let racing = owed.races(now, span);
             let at = &self.at;
             // Guards against many that ask one engine, all in vain: each is an ask that could have found another.
@@ -271,18 +297,28 @@
                 let missed = if t.silent() { t.missed } else { 0 };
                 (silent, t.leaving, missed, stands, Reverse(t.heard), t.id)
             };
-            let best = takers.iter().filter(|t| !owed.asked.contains(&t.id)).min_by_key(likely);
+            let best = takers
+                .iter()
+                .filter(|t| !owed.asked.contains(&t.id))
+                .min_by_key(likely);
             if let Some(taker) = best {
                 owed.asked.push(taker.id);
                 owed.out += 1;
                 owed.last = now;
                 self.asks += 1;
                 self.at.entry(taker.id).or_insert((0, now)).0 += 1;
-                asks.push(Ask { request: owed.request, no, taker: taker.id, until: now + patience });
+                asks.push(Ask {
+                    request: owed.request,
+                    no,
+                    taker: taker.id,
+                    until: now + patience,
+                });
             }
             let next = match best {
                 // While its answer is out, an end of it comes sooner than any pause.
-                Some(_) if racing && owed.out < AT_ONCE => now + if owed.out == 1 { beside } else { more },
+                Some(_) if racing && owed.out < AT_ONCE => {
+                    now + if owed.out == 1 { beside } else { more }
+                }
                 Some(_) if racing => Micros::MAX,
                 // Guards against one engine a pause where there are hundreds, all silent and one of them back.
                 Some(t) if (t.silent() || t.heard < lately) && owed.round + 1 < round => {
@@ -309,7 +345,10 @@
     pub fn answered(&mut self, now: Micros, ask: &Ask, answer: Answer) {
         self.asks = self.asks.saturating_sub(1);
         if let Some(at) = self.at.get_mut(&ask.taker) {
-            *at = (at.0.saturating_sub(1), if answer == Answer::Taken { now } else { at.1 });
+            *at = (
+                at.0.saturating_sub(1),
+                if answer == Answer::Taken { now } else { at.1 },
+            );
             if at.0 == 0 {
                 self.at.remove(&ask.taker);
             }
@@ -317,7 +356,9 @@
         let (span, beside, pause) = (self.span(1.0), self.span(BESIDE), self.span(PAUSE));
         let more = self.span(BESIDE_MORE);
         let repeats = REPEATS.map(|part| self.span(part));
-        let Some(owed) = self.owed.get_mut(&ask.no) else { return };
+        let Some(owed) = self.owed.get_mut(&ask.no) else {
+            return;
+        };
         owed.out = owed.out.saturating_sub(1);
         match answer {
             Answer::Taken if owed.sure || owed.repeats >= REPEATS.len() => {
@@ -326,7 +367,11 @@
             // An answer to an earlier ask while the next repeat is waited for.
             Answer::Taken if owed.since > now => {}
             Answer::Taken => {
-                let before = if owed.repeats == 0 { 0 } else { repeats[owed.repeats - 1] };
+                let before = if owed.repeats == 0 {
+                    0
+                } else {
+                    repeats[owed.repeats - 1]
+                };
                 let at = now + repeats[owed.repeats] - before;
                 owed.repeats += 1;
                 owed.since = at;
@@ -337,7 +382,11 @@
             Answer::Not if owed.since > now => {}
             // Another one that was asked just now may answer yet.
             Answer::Not if owed.races(now, span) => {
-                let at = if owed.out > 0 { now.max(owed.last + more) } else { now };
+                let at = if owed.out > 0 {
+                    now.max(owed.last + more)
+                } else {
+                    now
+                };
                 self.again(ask.no, at);
             }
             Answer::Not => {
--- a/crates/ivyward-core/src/rules.rs
+++ b/crates/ivyward-core/src/rules.rs
@@ -112,11 +112,17 @@
     }
     /// How much slower than a usual server of its pool: the more answers lately, the more they tell.
     fn slow(&self, now: Micros) -> f64 {
-        self.times.mean_near(now, self.span.max(RECENT), 1.0, JUDGE_PRIOR).max(0.5)
+        self.times
+            .mean_near(now, self.span.max(RECENT), 1.0, JUDGE_PRIOR)
+            .max(0.5)
     }
     /// Age of the oldest wait: tells of a queue that other nodes filled.
     fn oldest(&self, now: Micros) -> f64 {
-        self.waiting.values().map(|w| now.saturating_sub(w.sent)).max().unwrap_or(0) as f64
+        self.waiting
+            .values()
+            .map(|w| now.saturating_sub(w.sent))
+            .max()
+            .unwrap_or(0) as f64
     }
     /// Guards against servers that take work and answer none, for any cause (hang, cut link, pause): a wait
     /// far over its own expected time, which is long for a heavy prompt, with nothing back meanwhile. May
@@ -154,7 +160,11 @@
         (self.work.count > 0.0).then(|| self.latency.mean() * part)
     }
     fn learn(&mut self, now: Micros, latency: f64, work: f64) {
-        let most = if self.work.count > 0.0 { CLIP * self.latency.mean() } else { latency };
+        let most = if self.work.count > 0.0 {
+            CLIP * self.latency.mean()
+        } else {
+            latency
+        };
         self.latency.add(now, RECENT, latency.min(most));
         self.work.add(now, RECENT, work);
     }
@@ -162,7 +172,9 @@
 
 impl PathStats {
     fn fed(&self, now: Micros) -> bool {
-        [self.ttft, self.pace].iter().all(|of| of.left(now, CELL_AGE).1 >= CELL_MIN)
+        [self.ttft, self.pace]
+            .iter()
+            .all(|of| of.left(now, CELL_AGE).1 >= CELL_MIN)
     }
 }
 
@@ -235,7 +247,12 @@
     /// A router that knows only its settings. `seed` feeds its random choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let kinds = settings.roles.len();
-        let memory = |kind| settings.memory_tokens.get(kind).map_or(f64::INFINITY, |m| m * HOLDS_FIRST);
+        let memory = |kind| {
+            settings
+                .memory_tokens
+                .get(kind)
+                .map_or(f64::INFINITY, |m| m * HOLDS_FIRST)
+        };
         Router {
             random: mix(seed),
             lots: mix(!seed),
@@ -259,11 +276,25 @@
             Event::Fleet { kind, entries } => self.on_fleet(now, kind, &entries, out),
             Event::Request(arrival) => self.on_request(now, arrival, out),
             Event::FirstToken { request, attempt } => self.on_first_token(now, request, attempt),
-            Event::PlaceAnswer { request, server, held } => {
-                let asked = self.open.get_mut(&request).filter(|r| r.held_at == Some(server) && !held);
+            Event::PlaceAnswer {
+                request,
+                server,
+                held,
+            } => {
+                let asked = self
+                    .open
+                    .get_mut(&request)
+                    .filter(|r| r.held_at == Some(server) && !held);
                 asked.into_iter().for_each(|r| r.held_at = None);
             }
-            Event::AttemptEnded { request, attempt, outcome, kept_tokens, finished, .. } => {
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                kept_tokens,
+                finished,
+                ..
+            } => {
                 self.on_ended(now, request, attempt, (outcome, kept_tokens, finished), out);
             }
             Event::ClientGone(request) => self.on_gone(now, request, out),
@@ -276,15 +307,26 @@
 
     fn on_fleet(&mut self, now: Micros, kind: ListKind, entries: &[ServerEntry], out: &mut Out) {
         match kind {
-            ListKind::Failed => out.push(Action::SetTimer { at: now + 1_000_000, token: SUBSCRIBE }),
+            ListKind::Failed => out.push(Action::SetTimer {
+                at: now + 1_000_000,
+                token: SUBSCRIBE,
+            }),
             ListKind::Cached if self.cfg.must_subscribe => out.push(Action::Subscribe),
             _ => {}
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.fleet.values_mut().for_each(|s| s.entry.condition = Condition::Gone);
+            self.fleet
+                .values_mut()
+                .for_each(|s| s.entry.condition = Condition::Gone);
         }
-        for entry in entries.iter().filter(|e| usize::from(e.kind) < self.cfg.roles.len()) {
-            let new = || Server { entry: *entry, ..Server::default() };
+        for entry in entries
+            .iter()
+            .filter(|e| usize::from(e.kind) < self.cfg.roles.len())
+        {
+            let new = || Server {
+                entry: *entry,
+                ..Server::default()
+            };
             let server = self.fleet.entry(entry.id).or_insert_with(new);
             if server.entry.started != entry.started || entry.condition == Condition::Gone {
                 // Restarted or gone: nothing it kept is there any more, and its past tells nothing.
@@ -308,19 +350,28 @@
             racks.entry(entry.cell).or_default()[side] += self.size(entry);
             all[side] += self.size(entry);
         }
-        let pull = |read: f64, write: f64| (write / all[1].max(0.01)) / (read / all[0].max(0.01)).max(0.01);
-        let pulls = racks.into_iter().map(|(rack, [r, w])| (rack, pull(r, w).clamp(PULL_LEAST, PULL_MOST)));
+        let pull = |read: f64, write: f64| {
+            (write / all[1].max(0.01)) / (read / all[0].max(0.01)).max(0.01)
+        };
+        let pulls = racks
+            .into_iter()
+            .map(|(rack, [r, w])| (rack, pull(r, w).clamp(PULL_LEAST, PULL_MOST)));
         self.racks = pulls.collect();
     }
 
     /// Forgets servers that are gone and to which no request in hand was sent, with the sessions they held.
     fn forget_gone(&mut self) {
-        let used: BTreeSet<ServerId> =
-            self.open.values().flat_map(|r| r.attempts.iter().map(|t| t.server)).collect();
+        let used: BTreeSet<ServerId> = self
+            .open
+            .values()
+            .flat_map(|r| r.attempts.iter().map(|t| t.server))
+            .collect();
         let before = self.fleet.len();
-        self.fleet.retain(|id, s| s.entry.condition != Condition::Gone || used.contains(id));
+        self.fleet
+            .retain(|id, s| s.entry.condition != Condition::Gone || used.contains(id));
         if self.fleet.len() < before {
-            self.rows.retain(|_, row| self.fleet.contains_key(&row.writer));
+            self.rows
+                .retain(|_, row| self.fleet.contains_key(&row.writer));
         }
     }
 
@@ -334,17 +385,23 @@
     }
 
     fn listed(&self) -> impl Iterator<Item = &Server> {
-        self.fleet.values().filter(|s| s.entry.condition == Condition::Ready)
+        self.fleet
+            .values()
+            .filter(|s| s.entry.condition == Condition::Ready)
     }
 
     /// The servers that read for others, or those that write.
     fn pool(&self, readers: bool) -> impl Iterator<Item = &Server> {
-        self.listed().filter(move |s| (self.role(s) == Role::Prefill) == readers)
+        self.listed()
+            .filter(move |s| (self.role(s) == Role::Prefill) == readers)
     }
 
     /// The part of its capacity that a server has; 1 when warm. Growth is not told: 3/4 of a line is taken.
     fn capacity_share(&self, entry: &ServerEntry, now: Micros) -> f64 {
-        let (age, warm) = (now.saturating_sub(entry.started) as f64, self.cfg.warm_after as f64);
+        let (age, warm) = (
+            now.saturating_sub(entry.started) as f64,
+            self.cfg.warm_after as f64,
+        );
         if entry.started == 0 || age >= warm {
             return 1.0;
         }
@@ -357,9 +414,12 @@
         self.next_look = now + self.cfg.warm_after / 64 + 1;
         let mut present = vec![0.0; self.kinds.len()];
         for s in self.listed() {
-            present[usize::from(s.entry.kind)] += self.size(&s.entry) * self.capacity_share(&s.entry, now);
+            present[usize::from(s.entry.kind)] +=
+                self.size(&s.entry) * self.capacity_share(&s.entry, now);
         }
-        let cold = self.listed().any(|s| self.capacity_share(&s.entry, now) < 1.0);
+        let cold = self
+            .listed()
+            .any(|s| self.capacity_share(&s.entry, now) < 1.0);
         self.cold = cold;
         self.present = present;
     }
@@ -367,8 +427,14 @@
     /// The part of its capacity that it most likely has: that at its start is told as the least, the time
     /// until it is warm as the most. What all send is shared out by this, what each may send by the other.
     fn likely_share(&self, entry: &ServerEntry, now: Micros) -> f64 {
-        let (age, warm) = (now.saturating_sub(entry.started) as f64, self.cfg.warm_after as f64);
-        let (told, start) = (self.capacity_share(entry, now), self.cfg.start_capacity.min(1.0));
+        let (age, warm) = (
+            now.saturating_sub(entry.started) as f64,
+            self.cfg.warm_after as f64,
+        );
+        let (told, start) = (
+            self.capacity_share(entry, now),
+            self.cfg.start_capacity.min(1.0),
+        );
         let likely = start + (1.0 - start) * (0.1 + age / (0.75 * warm).max(1.0));
         // What is told to be warm is warm.
         likely.min(1.0).max(told.floor())
@@ -384,7 +450,11 @@
             return true;
         }
         let window = self.cfg.fall_window.max(1);
-        let sent = server.sends.iter().filter(|t| now.saturating_sub(**t) < window).count() as f64;
+        let sent = server
+            .sends
+            .iter()
+            .filter(|t| now.saturating_sub(**t) < window)
+            .count() as f64;
         // While requests have not come for long, over the time that they have.
         let since = now.saturating_sub(self.since).max(window) as f64;
         let usual = self.usual_rate(&server.entry, now) / (1.0 - (-since / RECENT).exp());
@@ -401,21 +471,34 @@
         if !self.cold {
             return 0.0;
         }
-        let able = |s: &&Server| s.grade(now, r.a.tenant, false) < 2 && !r.tried.contains(&s.entry.id);
+        let able =
+            |s: &&Server| s.grade(now, r.a.tenant, false) < 2 && !r.tried.contains(&s.entry.id);
         let usable = self.pool(readers).filter(able);
-        let usable: f64 = usable.map(|s| self.size(&s.entry) * self.capacity_share(&s.entry, now)).sum();
+        let usable: f64 = usable
+            .map(|s| self.size(&s.entry) * self.capacity_share(&s.entry, now))
+            .sum();
         BURST * self.sends(now, readers) / usable.max(0.01)
     }
 
     /// What this node sent to a pool in the window of rule 4.
     fn sends(&self, now: Micros, readers: bool) -> f64 {
-        self.sent[usize::from(readers)].left(now, self.cfg.fall_window as f64).1.max(1.0)
+        self.sent[usize::from(readers)]
+            .left(now, self.cfg.fall_window as f64)
+            .1
+            .max(1.0)
     }
 
     /// Guards against a fleet in which all are new: nothing was done yet that could tell what they stand. One
     /// request in the longest wanted time is within any server's means; that, over all nodes.
     fn first_rate(&self, entry: &ServerEntry) -> f64 {
-        let aim = self.cfg.classes.iter().map(|c| c.ttft_aim).max().unwrap_or(0).max(1);
+        let aim = self
+            .cfg
+            .classes
+            .iter()
+            .map(|c| c.ttft_aim)
+            .max()
+            .unwrap_or(0)
+            .max(1);
         self.size(entry) / aim as f64 / f64::from(self.cfg.nodes.max(1))
     }
 
@@ -451,13 +534,17 @@
     fn expected(&self, now: Micros, server: &Server, op: Op, work: f64, aim: f64) -> f64 {
         let norm = |key| self.norms.get(&key).and_then(|n| n.expect(work));
         // A writer that has not yet read for us is taken to read more slowly than the readers do.
-        let norm = norm((op, self.role(server))).or(norm((Op::Read, Role::Prefill)).map(|e| e * UNSEEN));
-        (norm.unwrap_or(aim / 4.0) * server.slow(now).clamp(1.0, 2.0)).max(STALL_LEAST * aim / STALL)
+        let norm =
+            norm((op, self.role(server))).or(norm((Op::Read, Role::Prefill)).map(|e| e * UNSEEN));
+        (norm.unwrap_or(aim / 4.0) * server.slow(now).clamp(1.0, 2.0))
+            .max(STALL_LEAST * aim / STALL)
     }
 
     /// A server that was listed once stays known.
     fn at(&mut self, id: ServerId) -> &mut Server {
-        self.fleet.get_mut(&id).expect("a server once listed stays known")
+        self.fleet
+            .get_mut(&id)
+            .expect("a server once listed stays known")
     }
 
     /// Takes note of a failure that says something of the server. A pause in which a node would send it
@@ -471,13 +558,18 @@
         let before = server.doubt;
         server.doubt = (server.doubt + amount).min(3.0);
         if server.doubt >= 1.0 {
-            let next = (server.trial_gap as f64 * 2.0).min(first.max(4.0 * least)).min(most);
+            let next = (server.trial_gap as f64 * 2.0)
+                .min(first.max(4.0 * least))
+                .min(most);
             server.trial_gap = if before < 1.0 { first } else { next } as Micros;
             server.trial_at = now + server.trial_gap;
             let waits = server.waiting.len();
             if before < 1.0 && self.logged < LOG_LINES {
                 self.logged += 1;
-                out.push(Action::Log(format!("server {:x} doubted, {waits} more of ours wait there", id.0)));
+                out.push(Action::Log(format!(
+                    "server {:x} doubted, {waits} more of ours wait there",
+                    id.0
+                )));
             }
         }
     }
@@ -487,7 +579,11 @@
     /// Consistent hashing with bounded loads: in the order of the hash, the first reader within the bound.
     /// A prefix has as many homes as its share of what was asked fills, and a session keeps to one of them.
     fn pick_reader(&self, now: Micros, r: &Request) -> Option<ServerId> {
-        let session = if r.a.session != 0 { r.a.session } else { r.a.id.0 };
+        let session = if r.a.session != 0 {
+            r.a.session
+        } else {
+            r.a.id.0
+        };
         let key = if r.a.prefix != 0 { r.a.prefix } else { session };
         let spread = self.spread(now, true, r);
         let may = |s: &&Server| !r.tried.contains(&s.entry.id) && self.repeat_allowed(r, s, now);
@@ -495,36 +591,62 @@
         let place = |s: &Server, key: u64| {
             // All nodes (of a zone) are to name the same homes: what is learned moves only in a jam.
             let far = s.entry.zone != self.cfg.zone && self.cfg.cross_zone_price > 0.0;
-            let near = if far { FAR_PLACE.powf(self.lean[1]) } else { 1.0 };
+            let near = if far {
+                FAR_PLACE.powf(self.lean[1])
+            } else {
+                1.0
+            };
             let near = near * self.pull(&s.entry).powf(self.lean[0]);
             let weight = near * self.size(&s.entry) * self.likely_share(&s.entry, now);
             -(unit(mix(key) ^ mix(s.entry.id.0)) + 1e-16).ln() / weight
         };
         ring.sort_by_cached_key(|s| (place(s, key).to_bits(), s.entry.id));
-        let asked = self.prefixes.get(&key).map_or(0.0, |p| p.left(now, CELL_AGE).0);
-        let share = asked / (self.asked.left(now, CELL_AGE).0 + SHARE_PRIOR * self.asked.mean()).max(1.0);
-        let homes = |ring: &Vec<&Server>| ((share * ring.len() as f64 * HOMES) as usize + 1).min(ring.len());
+        let asked = self
+            .prefixes
+            .get(&key)
+            .map_or(0.0, |p| p.left(now, CELL_AGE).0);
+        let share =
+            asked / (self.asked.left(now, CELL_AGE).0 + SHARE_PRIOR * self.asked.mean()).max(1.0);
+        let homes = |ring: &Vec<&Server>| {
+            ((share * ring.len() as f64 * HOMES) as usize + 1).min(ring.len())
+        };
         // Guards a cold home of an opening that many nodes ask for: more of them use an open lot there.
         let (mut rank, all) = (0.., homes(&ring));
         let home = share * self.sends(now, true) / all as f64;
-        ring.retain(|s| self.cold_room(s, now, spread, if rank.next() < Some(all) { home } else { 0.0 }));
+        ring.retain(|s| {
+            self.cold_room(
+                s,
+                now,
+                spread,
+                if rank.next() < Some(all) { home } else { 0.0 },
+            )
+        });
         let best = ring.iter().map(|s| s.grade(now, r.a.tenant, false)).min()?;
         ring.retain(|s| s.grade(now, r.a.tenant, false) == best);
         let homes = homes(&ring);
-        let home = (0..homes).min_by(|a, b| place(ring[*a], session).total_cmp(&place(ring[*b], session)));
+        let home =
+            (0..homes).min_by(|a, b| place(ring[*a], session).total_cmp(&place(ring[*b], session)));
         ring.rotate_left(home.unwrap_or(0));
         // What other nodes sent there shows in the age of our oldest wait. Elsewhere the opening is read too.
-        let norm = self.norms.get(&(Op::Read, Role::Prefill)).copied().unwrap_or_default();
+        let norm = self
+            .norms
+            .get(&(Op::Read, Role::Prefill))
+            .copied()
+            .unwrap_or_default();
         let rate = norm.work.mean() / norm.latency.mean().max(1.0);
         let cost = |(i, s): (usize, &&Server)| {
             let work = if i < homes { r.new } else { r.a.prompt_tokens };
             // A cold one got its smaller place in the ring; only what waits there weighs more than elsewhere.
-            let waits = s.waiting_tokens().max(s.oldest(now) * rate) / self.likely_share(&s.entry, now);
+            let waits =
+                s.waiting_tokens().max(s.oldest(now) * rate) / self.likely_share(&s.entry, now);
             (norm.work.mean() + work + waits) * s.slow(now) / self.size(&s.entry)
         };
         let costs: Vec<f64> = ring.iter().enumerate().map(cost).collect();
         let bound = RING_BOUND * costs.iter().copied().fold(f64::INFINITY, f64::min);
-        costs.iter().position(|c| *c <= bound).map(|i| ring[i].entry.id)
+        costs
+            .iter()
+            .position(|c| *c <= bound)
+            .map(|i| ring[i].entry.id)
     }
 
     // ---- Writer choice
@@ -532,13 +654,22 @@
     /// The writer with the fewest of our streams for its size: the best of the reader's rack, of its zone
     /// and of the rest, then the cheapest of these. What all nodes would decide alike is drawn by lot: a
     /// server's load beyond our own streams is not seen, so parts of one stream are random.
-    fn pick_writer(&self, now: Micros, from: Option<ServerId>, r: &Request, reads: bool) -> Option<ServerId> {
+    fn pick_writer(
+        &self,
+        now: Micros,
+        from: Option<ServerId>,
+        r: &Request,
+        reads: bool,
+    ) -> Option<ServerId> {
         let from = from.and_then(|id| self.fleet.get(&id)).map(|s| s.entry);
-        let able = |s: &Server| !reads || self.role(s) == Role::Mixed || self.cfg.decode_may_prefill;
-        let writers = self.pool(false).filter(|s| able(s) && !r.tried.contains(&s.entry.id));
+        let able =
+            |s: &Server| !reads || self.role(s) == Role::Mixed || self.cfg.decode_may_prefill;
+        let writers = self
+            .pool(false)
+            .filter(|s| able(s) && !r.tried.contains(&s.entry.id));
         let spread = self.spread(now, false, r);
-        let writers =
-            writers.filter(|s| self.cold_room(s, now, spread, 0.0) && self.repeat_allowed(r, s, now));
+        let writers = writers
+            .filter(|s| self.cold_room(s, now, spread, 0.0) && self.repeat_allowed(r, s, now));
         let once = self.cfg.classes[r.a.class].effect == Effect::Unsafe;
         let mut tiers: [Option<(u8, f64, f64, &Server)>; 3] = [None; 3];
         let lot = mix(self.random ^ r.a.id.0);
@@ -558,9 +689,18 @@
         // Other nodes choose as we do, so our own streams stand for all, as far as so few can.
         let best = tiers.iter().enumerate().filter_map(|(tier, best)| {
             let (grade, _, each, s) = (*best)?;
-            Some((grade, (s.load() + FEW_STREAMS) * each * OUTSIDE.powi(tier as i32), s.entry.id))
+            Some((
+                grade,
+                (s.load() + FEW_STREAMS) * each * OUTSIDE.powi(tier as i32),
+                s.entry.id,
+            ))
         });
-        best.min_by(|a, b| (a.0, a.1).partial_cmp(&(b.0, b.1)).unwrap_or(Ordering::Equal)).map(|t| t.2)
+        best.min_by(|a, b| {
+            (a.0, a.1)
+                .partial_cmp(&(b.0, b.1))
+                .unwrap_or(Ordering::Equal)
+        })
+        .map(|t| t.2)
     }
 
     // ---- Request life cycle
@@ -568,11 +708,16 @@
     fn on_request(&mut self, now: Micros, a: Arrival, out: &mut Out) {
         if now >= self.next_sweep {
             self.next_sweep = now + ROW_IDLE / 16;
-            self.rows.retain(|_, row| now.saturating_sub(row.used) < ROW_IDLE);
-            self.prefixes.retain(|_, p| now.saturating_sub(p.at) < ROW_IDLE);
+            self.rows
+                .retain(|_, row| now.saturating_sub(row.used) < ROW_IDLE);
+            self.prefixes
+                .retain(|_, p| now.saturating_sub(p.at) < ROW_IDLE);
         }
         let Some(class) = self.cfg.classes.get(a.class) else {
-            out.push(Action::Refuse { request: a.id, retry_after: 0 });
+            out.push(Action::Refuse {
+                request: a.id,
+                retry_after: 0,
+            });
             return;
         };
         let aim = class.ttft_aim as f64 + class.ttft_aim_per_1000 * a.prompt_tokens / 1000.0;
@@ -582,9 +727,19 @@
         let (new, deadline) = (self.new_tokens(&a), now + a.patience);
         self.asked.add(now, CELL_AGE, a.prompt_tokens);
         if a.prefix != 0 {
-            self.prefixes.entry(a.prefix).or_default().add(now, CELL_AGE, a.prompt_tokens);
+            self.prefixes
+                .entry(a.prefix)
+                .or_default()
+                .add(now, CELL_AGE, a.prompt_tokens);
         }
-        let request = Request { a, arrived: now, deadline, aim, new, ..Request::default() };
+        let request = Request {
+            a,
+            arrived: now,
+            deadline,
+            aim,
+            new,
+            ..Request::default()
+        };
         match self.sheds(&request) {
             true => self.give_up(now, request, out),
             false => self.step(now, request, out),
@@ -599,7 +754,11 @@
         self.arrivals.add(r.arrived, RECENT, 0.0);
         self.steer(r.arrived);
         let worth = self.cfg.classes[r.a.class].worth.max(0.01);
-        self.worth += if self.worth == 0.0 { worth } else { STEP * (worth - self.worth) };
+        self.worth += if self.worth == 0.0 {
+            worth
+        } else {
+            STEP * (worth - self.worth)
+        };
         let part = self.shed * (self.worth / worth).clamp(0.5, 2.0) * self.over_share(r);
         self.shed > 0.0 && self.chance() < part.min(SHED_MOST)
     }
@@ -612,7 +771,9 @@
         let quota = |t: &TenantSettings| t.quota_per_s.unwrap_or(0.0);
         let all: f64 = self.cfg.tenants.iter().map(quota).sum();
         let share = self.cfg.tenants.get(r.a.tenant).map_or(0.0, quota) / all.max(1e-9);
-        let Some(own) = self.tenants.get_mut(r.a.tenant).filter(|_| share > 0.0) else { return 1.0 };
+        let Some(own) = self.tenants.get_mut(r.a.tenant).filter(|_| share > 0.0) else {
+            return 1.0;
+        };
         own.add(now, RECENT, 0.0);
         let (own, all) = (own.count, self.arrivals.left(now, RECENT).1);
         let over = (own + SHARE_PRIOR * share) / (all + SHARE_PRIOR) / share;
@@ -636,19 +797,27 @@
             }
         }
         // What waits now, over what gets done (Little's law), tells of a queue before its answers are late.
-        let waits = self.open.values().filter(|r| !r.over && r.first_token.is_none());
+        let waits = self
+            .open
+            .values()
+            .filter(|r| !r.over && r.first_token.is_none());
         let (waiting, aims) = waits.fold((0.0, 0.0), |(n, aims), r| (n + 1.0, aims + r.aim));
         // Guards against a burst after idle time: that nothing began while nobody asked tells of no queue.
         let over = DELAY_QUEUE.min(now.saturating_sub(self.since) as f64);
-        let time = f64::max(waiting - 1.0, 0.0) * over / (self.begun.left(now, DELAY_QUEUE).1 + 1.0);
+        let time =
+            f64::max(waiting - 1.0, 0.0) * over / (self.begun.left(now, DELAY_QUEUE).1 + 1.0);
         let queue = time * waiting / f64::max(aims, 1.0);
-        self.shed = (self.shed + (mean.max(queue) - DELAY_TARGET) * span / 1e6).clamp(0.0, SHED_MOST);
+        self.shed =
+            (self.shed + (mean.max(queue) - DELAY_TARGET) * span / 1e6).clamp(0.0, SHED_MOST);
     }
 
     /// The next thing to do for a request with no attempt out: an attempt, or the final answer.
     fn step(&mut self, now: Micros, mut r: Request, out: &mut Out) {
         let least = (self.cfg.release_within as f64 * HELD_LEAST) as Micros;
-        if self.held_until(&r).is_some_and(|until| now + least >= until) {
+        if self
+            .held_until(&r)
+            .is_some_and(|until| now + least >= until)
+        {
             out.push(Action::Release(r.a.id));
             // A hold that is still on its way may land later.
             (r.state_at, r.held) = (None, r.held_at.take().map(|_| now));
@@ -656,29 +825,38 @@
         let left = (self.cfg.max_attempts as usize).saturating_sub(r.attempts.len());
         // Overload: nothing is read again for what is already late, so that retries do not keep a jam
         // alive.
-        let late = (now - r.arrived) as f64 > r.aim && !r.attempts.is_empty() && r.state_at.is_none();
+        let late =
+            (now - r.arrived) as f64 > r.aim && !r.attempts.is_empty() && r.state_at.is_none();
         let in_time = now < r.deadline && !(late && self.shed > SHED_MOST / 2.0);
         let mut target = None;
         if left > 0 && in_time && self.repeat_open(&r, now) {
             if r.state_at.is_some() {
                 let spread = self.spread(now, false, &r);
                 let apt = |s: &&Server| {
-                    let ready = s.entry.condition == Condition::Ready && s.grade(now, r.a.tenant, true) < 2;
-                    let free = self.cold_room(s, now, spread, 0.0) && !r.tried.contains(&s.entry.id);
+                    let ready =
+                        s.entry.condition == Condition::Ready && s.grade(now, r.a.tenant, true) < 2;
+                    let free =
+                        self.cold_room(s, now, spread, 0.0) && !r.tried.contains(&s.entry.id);
                     ready && free && self.repeat_allowed(&r, s, now)
                 };
                 let held = r.held_at.and_then(|id| self.fleet.get(&id)).filter(apt);
-                let writer =
-                    held.map(|s| s.entry.id).or_else(|| self.pick_writer(now, r.state_at, &r, false));
+                let writer = held
+                    .map(|s| s.entry.id)
+                    .or_else(|| self.pick_writer(now, r.state_at, &r, false));
                 target = writer.map(|w| (w, Op::Fetch));
             } else {
                 target = self.local_writer(now, &mut r).map(|w| (w, Op::Local));
                 if target.is_none() && left > 1 {
                     let reader = self.pick_reader(now, &r);
-                    target = reader.filter(|id| !self.direct_wins(now, *id, &r)).map(|s| (s, Op::Read));
+                    target = reader
+                        .filter(|id| !self.direct_wins(now, *id, &r))
+                        .map(|s| (s, Op::Read));
                 }
                 // No reader or no attempt for two steps: a server that reads for itself.
-                target = target.or_else(|| self.pick_writer(now, None, &r, true).map(|w| (w, Op::Local)));
+                target = target.or_else(|| {
+                    self.pick_writer(now, None, &r, true)
+                        .map(|w| (w, Op::Local))
+                });
             }
         }
         match target {
@@ -692,10 +870,26 @@
     /// idle writers; may harm running streams, so a decode server needs twice the gain.
     fn direct_wins(&self, now: Micros, reader: ServerId, r: &Request) -> bool {
         let reader = &self.fleet[&reader];
-        let read = self.expected(now, reader, Op::Read, r.new + reader.waiting_tokens(), r.aim);
-        let margin = |s: &Server| if self.role(s) == Role::Mixed { 1.0 } else { DIRECT_MARGIN };
-        let direct = |s: &Server| margin(s) * self.expected(now, s, Op::Local, r.a.prompt_tokens, r.aim);
-        let writer = || self.pick_writer(now, None, r, true).map(|id| &self.fleet[&id]);
+        let read = self.expected(
+            now,
+            reader,
+            Op::Read,
+            r.new + reader.waiting_tokens(),
+            r.aim,
+        );
+        let margin = |s: &Server| {
+            if self.role(s) == Role::Mixed {
+                1.0
+            } else {
+                DIRECT_MARGIN
+            }
+        };
+        let direct =
+            |s: &Server| margin(s) * self.expected(now, s, Op::Local, r.a.prompt_tokens, r.aim);
+        let writer = || {
+            self.pick_writer(now, None, r, true)
+                .map(|id| &self.fleet[&id])
+        };
         read > JAMMED * r.aim
             && writer().is_some_and(|s| s.grade(now, r.a.tenant, true) == 0 && direct(s) < read)
     }
@@ -720,7 +914,9 @@
             let apt = row.session == r.a.session || self.role(server) == Role::Mixed;
             server.epoch == row.epoch && apt && now.saturating_sub(row.used) < ROW_IDLE
         };
-        let row = *row_keys(&r.a).filter_map(|key| self.rows.get(&key)).find(held)?;
+        let row = *row_keys(&r.a)
+            .filter_map(|key| self.rows.get(&key))
+            .find(held)?;
         let server = &self.fleet[&row.writer];
         let mut loads: Vec<f64> = self.pool(false).map(Server::load).collect();
         loads.sort_by(f64::total_cmp);
@@ -730,7 +926,8 @@
         // one node sends any one of them too little to tell.
         let all = (self.flow - row.flow + self.running) * f64::from(self.cfg.nodes);
         let passed = all / loads.len().max(1) as f64;
-        let kept = passed < self.holds[usize::from(server.entry.kind)] || r.a.prompt_tokens < EMPTY_CELL_NEW;
+        let kept = passed < self.holds[usize::from(server.entry.kind)]
+            || r.a.prompt_tokens < EMPTY_CELL_NEW;
         let new = if kept { r.new } else { r.a.prompt_tokens };
         let key = (
             (r.a.prompt_tokens / 512.0).max(1.0).log2().min(8.0) as u8,
@@ -740,13 +937,21 @@
         r.path = Some((Path::Remote, key));
         let limits = new < LOCAL_SHARE * r.a.prompt_tokens && server.load() <= LOCAL_CROWD * median;
         let able = self.role(server) == Role::Mixed || self.cfg.decode_may_prefill;
-        let well = server.entry.condition == Condition::Ready && server.grade(now, r.a.tenant, true) == 0;
-        if !(limits && able && well && self.cold_room(server, now, self.spread(now, false, r), 0.0)) {
+        let well =
+            server.entry.condition == Condition::Ready && server.grade(now, r.a.tenant, true) == 0;
+        if !(limits && able && well && self.cold_room(server, now, self.spread(now, false, r), 0.0))
+        {
             return None;
         }
-        let cells = [key, coarse(key)].into_iter().filter_map(|key| self.cells.get(&key));
-        let fed = cells.into_iter().find(|cell| cell.iter().all(|path| path.fed(now)));
-        if !fed.map_or(new < EMPTY_CELL_NEW, |cell| score(cell) > 0.0) || self.chance() < REMOTE_SHARE {
+        let cells = [key, coarse(key)]
+            .into_iter()
+            .filter_map(|key| self.cells.get(&key));
+        let fed = cells
+            .into_iter()
+            .find(|cell| cell.iter().all(|path| path.fed(now)));
+        if !fed.map_or(new < EMPTY_CELL_NEW, |cell| score(cell) > 0.0)
+            || self.chance() < REMOTE_SHARE
+        {
             return None;
         }
         r.path = Some((Path::Local, key));
@@ -769,47 +974,103 @@
     fn send(&mut self, now: Micros, mut r: Request, to: ServerId, op: Op, out: &mut Out) {
         let left = (self.cfg.max_attempts as usize).saturating_sub(r.attempts.len());
         let attempt = r.attempts.len() as u16;
-        let tokens = if op == Op::Fetch { r.a.prompt_tokens } else { r.new };
+        let tokens = if op == Op::Fetch {
+            r.a.prompt_tokens
+        } else {
+            r.new
+        };
         let server = &self.fleet[&to];
-        let work = tokens + if op == Op::Read { server.waiting_tokens() } else { 0.0 };
+        let work = tokens
+            + if op == Op::Read {
+                server.waiting_tokens()
+            } else {
+                0.0
+            };
         let expected = self.expected(now, server, op, work, r.aim);
         // A time-out leaves time for another attempt, unless a repeat is ruled out. Under a clear multiple of
         // the expected time it would only give up places in a jam, or with clients of little patience.
         let once = op != Op::Read && self.cfg.classes[r.a.class].effect != Effect::Safe;
         let part = r.deadline.saturating_sub(now) as f64 * ATTEMPT_PART;
-        let stall = if self.cfg.may_cancel { part } else { STALL * expected };
-        let timeout =
-            if once || left <= 1 || part < PATIENT * expected { 0 } else { part.min(stall) as Micros };
+        let stall = if self.cfg.may_cancel {
+            part
+        } else {
+            STALL * expected
+        };
+        let timeout = if once || left <= 1 || part < PATIENT * expected {
+            0
+        } else {
+            part.min(stall) as Micros
+        };
         let held_part = if left > 1 { HELD_DIAL } else { 1.0 };
         let dial = |until: Micros| now + (until.saturating_sub(now) as f64 * held_part) as Micros;
         // Guards against a repeat that leaves after its window, as its connection came up late.
-        let leave_by =
-            self.held_until(&r).map(dial).into_iter().chain(self.repeat_until(&r)).min().unwrap_or(0);
-        out.push(Action::Send { request: r.a.id, server: to, timeout, leave_by });
+        let leave_by = self
+            .held_until(&r)
+            .map(dial)
+            .into_iter()
+            .chain(self.repeat_until(&r))
+            .min()
+            .unwrap_or(0);
+        out.push(Action::Send {
+            request: r.a.id,
+            server: to,
+            timeout,
+            leave_by,
+        });
         let window = self.cfg.fall_window;
         self.sent[usize::from(op == Op::Read)].add(now, self.cfg.fall_window as f64, 0.0);
         let server = self.at(to);
         if server.entry.started > 0 {
             server.sends.push_back(now);
-            while server.sends.front().is_some_and(|t| now.saturating_sub(*t) >= window) {
+            while server
+                .sends
+                .front()
+                .is_some_and(|t| now.saturating_sub(*t) >= window)
+            {
                 server.sends.pop_front();
             }
         }
-        server.waiting.insert((r.a.id, attempt), Wait { sent: now, tokens, expected });
-        r.attempts.push(Attempt { server: to, op, sent: now, work, out: true, streaming: false });
+        server.waiting.insert(
+            (r.a.id, attempt),
+            Wait {
+                sent: now,
+                tokens,
+                expected,
+            },
+        );
+        r.attempts.push(Attempt {
+            server: to,
+            op,
+            sent: now,
+            work,
+            out: true,
+            streaming: false,
+        });
         if op == Op::Read && self.cfg.hold_ahead && left > 1 {
             r.held_at = self.pick_writer(now, Some(to), &r, false);
-            out.extend(r.held_at.map(|server| Action::HoldAhead { request: r.a.id, server }));
+            out.extend(r.held_at.map(|server| Action::HoldAhead {
+                request: r.a.id,
+                server,
+            }));
         }
         self.open.insert(r.a.id, r);
         self.set_tick(now, out);
     }
 
     fn set_tick(&mut self, now: Micros, out: &mut Out) {
-        let shortest = self.cfg.classes.iter().map(|c| c.ttft_aim).min().unwrap_or(0);
+        let shortest = self
+            .cfg
+            .classes
+            .iter()
+            .map(|c| c.ttft_aim)
+            .min()
+            .unwrap_or(0);
         if !self.ticking && !self.open.is_empty() {
             self.ticking = true;
-            out.push(Action::SetTimer { at: now + (shortest / TICKS).max(1_000), token: TICK });
+            out.push(Action::SetTimer {
+                at: now + (shortest / TICKS).max(1_000),
+                token: TICK,
+            });
         }
     }
 
@@ -821,8 +1082,11 @@
         self.steer(now);
         let mut lost = Vec::new();
         for readers in [true, false] {
-            let hung: Vec<ServerId> =
-                self.pool(readers).filter(|s| s.stalled(now)).map(|s| s.entry.id).collect();
+            let hung: Vec<ServerId> = self
+                .pool(readers)
+                .filter(|s| s.stalled(now))
+                .map(|s| s.entry.id)
+                .collect();
             let count = self.pool(readers).count();
             if hung.len() * 2 < count || count == 1 {
                 lost.extend(hung);
@@ -830,11 +1094,17 @@
         }
         for id in lost {
             // A wave of long prompts looks like hangs to a node that sees one wait at a time.
-            if self.called_off.left(now, RECENT).1 > CALL_OFFS * self.arrivals.left(now, RECENT).1 + 1.0 {
+            if self.called_off.left(now, RECENT).1
+                > CALL_OFFS * self.arrivals.left(now, RECENT).1 + 1.0
+            {
                 break;
             }
             for (request, attempt) in self.fleet[&id].waiting.keys().copied() {
-                let Some(r) = self.open.get(&request).filter(|r| !r.over && self.cfg.may_cancel) else {
+                let Some(r) = self
+                    .open
+                    .get(&request)
+                    .filter(|r| !r.over && self.cfg.may_cancel)
+                else {
                     continue;
                 };
                 let read = r.attempts[usize::from(attempt)].op == Op::Read;
@@ -851,19 +1121,31 @@
     }
 
     fn on_first_token(&mut self, now: Micros, id: RequestId, attempt: u16) {
-        let Some(r) = self.open.get_mut(&id) else { return };
-        let Some(t) = r.attempts.get_mut(usize::from(attempt)).filter(|t| t.out && !t.streaming) else {
+        let Some(r) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(t) = r
+            .attempts
+            .get_mut(usize::from(attempt))
+            .filter(|t| t.out && !t.streaming)
+        else {
             return;
         };
         t.streaming = true;
         let (to, op, took, work) = (t.server, t.op, now - t.sent, t.work);
-        let (path, keys, session, context) = (r.path, row_keys(&r.a), r.a.session, r.a.prompt_tokens);
+        let (path, keys, session, context) =
+            (r.path, row_keys(&r.a), r.a.session, r.a.prompt_tokens);
         let tenant = r.a.tenant;
-        let read = r.attempts.iter().rfind(|t| t.op == Op::Read).map(|t| (t.server, now - t.sent));
+        let read = r
+            .attempts
+            .iter()
+            .rfind(|t| t.op == Op::Read)
+            .map(|t| (t.server, now - t.sent));
         let ttft = (now - r.arrived) as f64;
         let (aim, new) = (r.aim.max(1.0), r.new);
         (r.first_token, r.state_at, r.held_at) = (Some(now), None, None);
-        read.into_iter().for_each(|(id, took)| self.learn_place(now, id, took as f64 / aim));
+        read.into_iter()
+            .for_each(|(id, took)| self.learn_place(now, id, took as f64 / aim));
         self.begun.add(now, DELAY_QUEUE, 0.0);
         self.learn_delay(now, ttft / aim);
         self.learn_cell(path, |stats| stats.ttft.add(now, CELL_AGE, ttft));
@@ -875,7 +1157,14 @@
         let epoch = server.epoch;
         self.running += context;
         self.flow += if op == Op::Fetch { context } else { new };
-        let row = Row { writer: to, session, epoch, used: now, context, flow: self.flow };
+        let row = Row {
+            writer: to,
+            session,
+            epoch,
+            used: now,
+            context,
+            flow: self.flow,
+        };
         self.rows.extend(keys.map(|key| (key, row)));
     }
 
@@ -887,8 +1176,13 @@
     /// A server did what it was asked: it clears doubt, and its time against its pool's tells its speed.
     fn progress(&mut self, now: Micros, id: ServerId, op: Op, took: Micros, work: f64) {
         let (took, entry) = (took as f64, self.fleet[&id].entry);
-        let norm = self.norms.entry((op, self.cfg.roles[usize::from(entry.kind)])).or_default();
-        let ratio = norm.expect(work).map_or(1.0, |e| (took / e.max(1.0)).min(CLIP));
+        let norm = self
+            .norms
+            .entry((op, self.cfg.roles[usize::from(entry.kind)]))
+            .or_default();
+        let ratio = norm
+            .expect(work)
+            .map_or(1.0, |e| (took / e.max(1.0)).min(CLIP));
         norm.learn(now, took, work);
         let kind = usize::from(entry.kind);
         self.kind_done[kind].add(now, RECENT, 1.0 / self.present[kind].max(0.1));
@@ -901,9 +1195,18 @@
         server.progress = now;
     }
 
-    fn on_ended(&mut self, now: Micros, id: RequestId, no: u16, end: (Outcome, u32, bool), out: &mut Out) {
+    fn on_ended(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        no: u16,
+        end: (Outcome, u32, bool),
+        out: &mut Out,
+    ) {
         let (outcome, kept, finished) = end;
-        let Some(mut r) = self.open.remove(&id) else { return };
+        let Some(mut r) = self.open.remove(&id) else {
+            return;
+        };
         let Some(t) = r.attempts.get_mut(usize::from(no)).filter(|t| t.out) else {
             self.open.insert(id, r);
             return;
@@ -922,7 +1225,9 @@
                 r.state_at = Some(to);
             }
             Outcome::Served => {
-                if r.path.is_some_and(|(path, _)| op == Op::Local && path == Path::Local) {
+                if r.path
+                    .is_some_and(|(path, _)| op == Op::Local && path == Path::Local)
+                {
                     self.learn_holds(to, r.a.prompt_tokens - r.new, kept, r.passed);
                 }
                 if let Some(first) = r.first_token {
@@ -931,14 +1236,22 @@
                     self.at(to).progress = now;
                 }
                 for key in row_keys(&r.a) {
-                    self.rows.get_mut(&key).into_iter().for_each(|row| row.used = now);
+                    self.rows
+                        .get_mut(&key)
+                        .into_iter()
+                        .for_each(|row| row.used = now);
                 }
             }
             Outcome::Full => self.at(to).turn_away(now, &r),
             Outcome::StateLost => r.state_at = None,
             Outcome::ConnectFailed | Outcome::Reset => {
                 self.at(to).epoch += 1;
-                self.blame(to, now, if outcome == Outcome::Reset { 0.5 } else { 1.0 }, out);
+                self.blame(
+                    to,
+                    now,
+                    if outcome == Outcome::Reset { 0.5 } else { 1.0 },
+                    out,
+                );
             }
             // A busy server that got other work done meanwhile is not a sick one.
             Outcome::TimedOut | Outcome::Cancelled if !r.over => {
@@ -952,7 +1265,10 @@
             Outcome::Error => self.blame(to, now, 0.5, out),
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if !matches!(outcome, Outcome::Read | Outcome::StateLost | Outcome::NotSent) {
+        if !matches!(
+            outcome,
+            Outcome::Read | Outcome::StateLost | Outcome::NotSent
+        ) {
             r.tried.push(to);
         }
         let came = !matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
@@ -988,10 +1304,20 @@
     }
 
     fn on_gone(&mut self, now: Micros, id: RequestId, out: &mut Out) {
-        let Some(r) = self.open.remove(&id) else { return };
+        let Some(r) = self.open.remove(&id) else {
+            return;
+        };
         let may = self.cfg.may_cancel;
-        for (i, _) in r.attempts.iter().enumerate().filter(|(_, t)| may && t.out && !t.streaming) {
-            out.push(Action::Cancel { request: id, attempt: i as u16 });
+        for (i, _) in r
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, t)| may && t.out && !t.streaming)
+        {
+            out.push(Action::Cancel {
+                request: id,
+                attempt: i as u16,
+            });
         }
         self.close(now, r, out);
     }
@@ -1002,14 +1328,20 @@
     /// is within its time, and all together are not. An attempt that came to its server starts it anew.
     fn held_until(&self, r: &Request) -> Option<Micros> {
         let span = (self.cfg.release_within as f64 * HELD_PART) as Micros;
-        r.held.filter(|_| self.cfg.out_once_left && span > 0).map(|since| since + span)
+        r.held
+            .filter(|_| self.cfg.out_once_left && span > 0)
+            .map(|since| since + span)
     }
 
     /// Until when a request that may have run may be sent again (no effect twice); `None`: for ever.
     fn repeat_until(&self, r: &Request) -> Option<Micros> {
         let class = &self.cfg.classes[r.a.class];
         let (_, sent) = r.may_have_run.filter(|_| class.effect != Effect::Safe)?;
-        Some(if class.effect == Effect::Keyed { sent.saturating_add(class.repeat_window) } else { 0 })
+        Some(if class.effect == Effect::Keyed {
+            sent.saturating_add(class.repeat_window)
+        } else {
+            0
+        })
     }
     fn repeat_open(&self, r: &Request, now: Micros) -> bool {
         self.repeat_until(r).is_none_or(|until| now < until)
@@ -1018,8 +1350,12 @@
     /// Whether this server drops repeats of a keyed request that may have run.
     fn repeat_allowed(&self, r: &Request, to: &Server, now: Micros) -> bool {
         let class = &self.cfg.classes[r.a.class];
-        let Some((ran_at, _)) = r.may_have_run.filter(|_| class.effect != Effect::Safe) else { return true };
-        let Some(ran_at) = self.fleet.get(&ran_at) else { return false };
+        let Some((ran_at, _)) = r.may_have_run.filter(|_| class.effect != Effect::Safe) else {
+            return true;
+        };
+        let Some(ran_at) = self.fleet.get(&ran_at) else {
+            return false;
+        };
         self.repeat_open(r, now)
             && match class.group {
                 RepeatGroup::All => true,
@@ -1034,7 +1370,10 @@
         let keyed_everywhere = class.effect == Effect::Keyed && class.group == RepeatGroup::All;
         let harmless = class.effect == Effect::Safe || r.may_have_run.is_none() || keyed_everywhere;
         out.push(match harmless && now < r.deadline {
-            true => Action::Refuse { request: r.a.id, retry_after: self.cfg.max_retry_after },
+            true => Action::Refuse {
+                request: r.a.id,
+                retry_after: self.cfg.max_retry_after,
+            },
             false => Action::Fail(r.a.id),
         });
         self.close(now, r, out);
@@ -1050,7 +1389,9 @@
             }
             if !r.over {
                 // An unserved request must not flatter its path: the time it cost counts.
-                self.learn_cell(r.path, |stats| stats.ttft.add(now, CELL_AGE, waited.max(r.aim)));
+                self.learn_cell(r.path, |stats| {
+                    stats.ttft.add(now, CELL_AGE, waited.max(r.aim))
+                });
             }
             // Nothing is left pinned, also when a late outcome of an ended request leaves a state behind.
             out.push(Action::Release(r.a.id));
--- a/crates/ivyward-core/src/starts.rs
+++ b/crates/ivyward-core/src/starts.rs
@@ -46,9 +46,19 @@
     }
 
     /// The start to tell the module for an engine that is there, `unix` being this node's own clock.
-    pub fn here(&mut self, entry: &ServerEntry, now: Micros, unix: Micros, warm_after: Micros) -> Micros {
+    pub fn here(
+        &mut self,
+        entry: &ServerEntry,
+        now: Micros,
+        unix: Micros,
+        warm_after: Micros,
+    ) -> Micros {
         let (id, written) = (entry.id, entry.started);
-        let known = self.here.get(&id).or_else(|| self.gone.get(&id).map(|g| &g.0)).copied();
+        let known = self
+            .here
+            .get(&id)
+            .or_else(|| self.gone.get(&id).map(|g| &g.0))
+            .copied();
         let own = match known {
             Some(start) if start.written == written => start.own,
             _ if written == 0 => 0,
@@ -75,12 +85,19 @@
     /// make an engine younger than it is.
     pub fn listed(&mut self, entry: &ServerEntry, now: Micros, unix: Micros) -> Micros {
         let (id, written) = (entry.id, entry.started);
-        let known = self.here.get(&id).or_else(|| self.gone.get(&id).map(|g| &g.0)).copied();
+        let known = self
+            .here
+            .get(&id)
+            .or_else(|| self.gone.get(&id).map(|g| &g.0))
+            .copied();
         let own = match known {
             Some(start) if start.written == written => start.own,
             _ if written == 0 => 0,
             _ => {
-                let told = written.saturating_add(now).saturating_sub(unix).clamp(1, now.max(1));
+                let told = written
+                    .saturating_add(now)
+                    .saturating_sub(unix)
+                    .clamp(1, now.max(1));
                 // In the first list nothing better than the told start is known.
                 let age = unix.saturating_sub(written);
                 match self.heard.filter(|_| self.whole) {
@@ -109,7 +126,9 @@
 
     /// An engine left.
     pub fn gone(&mut self, id: ServerId) {
-        let Some(start) = self.here.remove(&id) else { return };
+        let Some(start) = self.here.remove(&id) else {
+            return;
+        };
         self.leaves += 1;
         self.gone.insert(id, (start, self.leaves));
         self.left.insert(self.leaves, id);
--- a/crates/ivyward-core/src/state.rs
+++ b/crates/ivyward-core/src/state.rs
@@ -19,7 +19,11 @@
     }
     pub(crate) fn add(&mut self, now: Micros, span: f64, value: f64) {
         let (sum, count) = self.left(now, span);
-        *self = Fading { sum: sum + value, count: count + 1.0, at: now };
+        *self = Fading {
+            sum: sum + value,
+            count: count + 1.0,
+            at: now,
+        };
     }
     pub(crate) fn mean(&self) -> f64 {
         self.sum / self.count.max(1e-9)
@@ -49,7 +53,9 @@
 
 /// The keys of an arrival's rows: its session's, and its shared opening's.
 pub(crate) fn row_keys(a: &Arrival) -> impl Iterator<Item = (bool, u64)> {
-    [(true, a.session), (false, a.prefix)].into_iter().filter(|key| key.1 != 0)
+    [(true, a.session), (false, a.prefix)]
+        .into_iter()
+        .filter(|key| key.1 != 0)
 }
 
 /// What an attempt asks of a server.
--- a/crates/ivyward-core/src/watch.rs
+++ b/crates/ivyward-core/src/watch.rs
@@ -70,7 +70,14 @@
     /// Changes are to be known `within` this time of their being there to be read. Calls are `costly` where lists come only
     /// to those who ask. `seed` tells the nodes of a fleet apart.
     pub fn new(within: Micros, costly: bool, seed: u64) -> Watch {
-        Watch { within: within.max(SHORTEST), quick: 0, slow: 0, costly, load: 0, random: mix(seed) }
+        Watch {
+            within: within.max(SHORTEST),
+            quick: 0,
+            slow: 0,
+            costly,
+            load: 0,
+            random: mix(seed),
+        }
     }
     fn part(&self, part: f64) -> Micros {
         (self.within as f64 * part) as Micros
--- a/crates/ivyward-core/tests/bad_input.rs
+++ b/crates/ivyward-core/tests/bad_input.rs
@@ -15,8 +15,16 @@
     assert!(rig.done.is_empty());
     assert_eq!(rig.end(9, 3, Outcome::Served), None);
     assert!(rig.done.is_empty());
-    rig.event(Event::PlaceAnswer { request: RequestId(9), server: ServerId(77), held: true });
-    rig.event(Event::Probed { server: ServerId(77), alive: true, report: Report::default() });
+    rig.event(Event::PlaceAnswer {
+        request: RequestId(9),
+        server: ServerId(77),
+        held: true,
+    });
+    rig.event(Event::Probed {
+        server: ServerId(77),
+        alive: true,
+        report: Report::default(),
+    });
     assert!(rig.done.is_empty());
 }
 
@@ -24,7 +32,11 @@
 fn odd_sizes_lists_and_clocks_do_not_panic() {
     let odd = [0.0, 1.0, 1e30];
     let mut rig = Rig::new(settings(), &[server(1, 0), server(11, 1), server(5, 200)]);
-    for (id, (prompt, prefix)) in odd.iter().flat_map(|p| odd.iter().map(move |q| (*p, *q))).enumerate() {
+    for (id, (prompt, prefix)) in odd
+        .iter()
+        .flat_map(|p| odd.iter().map(move |q| (*p, *q)))
+        .enumerate()
+    {
         let id = id as u64;
         rig.ask(Arrival {
             prompt_tokens: prompt,
@@ -40,6 +52,9 @@
     rig.fleet(ListKind::Full, &[]);
     rig.ask(arrival(50, 5, 1_000.0));
     assert!(rig.refused());
-    rig.ask(Arrival { class: 99, ..arrival(51, 5, 1_000.0) });
+    rig.ask(Arrival {
+        class: 99,
+        ..arrival(51, 5, 1_000.0)
+    });
     assert!(rig.refused());
 }
--- a/crates/ivyward-core/tests/cold_fleet.rs
+++ b/crates/ivyward-core/tests/cold_fleet.rs
@@ -10,7 +10,13 @@
 #[test]
 fn an_idle_fleet_of_new_servers_serves_its_first_request() {
     for nodes in [1, 3, 300] {
-        let mut rig = Rig::new(Settings { nodes, ..settings() }, &both(1..=20, START - SECOND));
+        let mut rig = Rig::new(
+            Settings {
+                nodes,
+                ..settings()
+            },
+            &both(1..=20, START - SECOND),
+        );
         rig.turn(1, 1, 1_000.0);
         assert!(!rig.refused());
     }
@@ -23,13 +29,25 @@
     let every = 10 * SECOND;
     let mut crowd = Crowd::new(100, every, &both(1..=20, START - SECOND));
     crowd.play(START + 9 * SECOND, every);
-    assert!(crowd.refused * 10 <= crowd.arrived, "{} of {} refused", crowd.refused, crowd.arrived);
+    assert!(
+        crowd.refused * 10 <= crowd.arrived,
+        "{} of {} refused",
+        crowd.refused,
+        crowd.arrived
+    );
     let settings = settings();
-    let bound =
-        settings.fall_multiple * settings.start_capacity * settings.fall_window as f64 / SECOND as f64;
+    let bound = settings.fall_multiple * settings.start_capacity * settings.fall_window as f64
+        / SECOND as f64;
     // Chance has a say: ten requests a second on twenty servers of each role.
-    let most = (1..=20).flat_map(|n| [n, 100 + n]).map(|s| crowd.most_in_a_window(s, START)).max().unwrap();
-    assert!(most as f64 <= 3.0 * bound, "{most} in a window, {bound:.1} for a server of the least size");
+    let most = (1..=20)
+        .flat_map(|n| [n, 100 + n])
+        .map(|s| crowd.most_in_a_window(s, START))
+        .max()
+        .unwrap();
+    assert!(
+        most as f64 <= 3.0 * bound,
+        "{most} in a window, {bound:.1} for a server of the least size"
+    );
 }
 
 /// Six in ten are replaced within seconds: the new ones take their part at once, in proportion to what they can do, and
@@ -41,15 +59,25 @@
         crowd.play(START + 15 * SECOND, every);
         let old = (crowd.refused, crowd.arrived);
         let mut released = both(1..=12, 0);
-        released.iter_mut().for_each(|e| e.condition = Condition::Draining);
+        released
+            .iter_mut()
+            .for_each(|e| e.condition = Condition::Draining);
         released.extend(both(21..=32, START + 15 * SECOND));
         crowd.list(START + 15 * SECOND, ListKind::Changes, &released);
         crowd.play(START + 20 * SECOND, every);
-        assert!(crowd.refused - old.0 <= (crowd.arrived - old.1) / 50, "{} refused", crowd.refused - old.0);
+        assert!(
+            crowd.refused - old.0 <= (crowd.arrived - old.1) / 50,
+            "{} refused",
+            crowd.refused - old.0
+        );
         // Of 100 requests a second the new ones, at 0.3 to 0.55 of their size, should take 12 in 20 or so.
-        for (role, new, kept) in [("readers", 21..=32, 13..=20), ("writers", 121..=132, 113..=120)] {
-            let count =
-                |servers| crowd.sent_between(servers, START + 15 * SECOND, START + 20 * SECOND) as f64;
+        for (role, new, kept) in [
+            ("readers", 21..=32, 13..=20),
+            ("writers", 121..=132, 113..=120),
+        ] {
+            let count = |servers| {
+                crowd.sent_between(servers, START + 15 * SECOND, START + 20 * SECOND) as f64
+            };
             let (new, kept) = (count(new), count(kept));
             assert!(
                 (0.15..0.6).contains(&(new / (new + kept))),
@@ -58,7 +86,10 @@
         }
         for server in (21..=32).flat_map(|n| [n, 100 + n]) {
             let most = crowd.most_in_a_window(server, START + 15 * SECOND);
-            assert!(most as f64 <= BOUND, "{nodes} nodes: {most} to {server} in a window");
+            assert!(
+                most as f64 <= BOUND,
+                "{nodes} nodes: {most} to {server} in a window"
+            );
         }
     }
 }
@@ -73,7 +104,9 @@
     let at = START + 15 * SECOND;
     crowd.play(at, SECOND);
     let mut changed: Vec<ServerEntry> = (101..=112).map(|id| started(id, 1, 0)).collect();
-    changed.iter_mut().for_each(|e| e.condition = Condition::Draining);
+    changed
+        .iter_mut()
+        .for_each(|e| e.condition = Condition::Draining);
     changed.extend((121..=132).map(|id| started(id, 1, at)));
     crowd.list(at, ListKind::Changes, &changed);
     let old = (crowd.refused, crowd.arrived);
@@ -81,7 +114,10 @@
     assert!(crowd.refused - old.0 <= (crowd.arrived - old.1) / 50);
     let count = |servers| crowd.sent_between(servers, at, at + 5 * SECOND) as f64;
     let (new, kept) = (count(121..=132), count(113..=120));
-    assert!((0.15..0.6).contains(&(new / (new + kept))), "{new} beside {kept}");
+    assert!(
+        (0.15..0.6).contains(&(new / (new + kept))),
+        "{new} beside {kept}"
+    );
     assert_eq!(count(101..=112), 0.0, "nothing to those that drain");
     assert!((121..=132).all(|s| crowd.most_in_a_window(s, at) as f64 <= BOUND));
 }
@@ -91,21 +127,35 @@
 fn a_rack_all_new_is_used_by_less_than_its_size() {
     let at = START + 15 * SECOND;
     let rack = |since: Micros| -> Vec<ServerEntry> {
-        both(1..=5, since).into_iter().map(|e| ServerEntry { cell: 1, ..e }).collect()
+        both(1..=5, since)
+            .into_iter()
+            .map(|e| ServerEntry { cell: 1, ..e })
+            .collect()
     };
-    let rest = both(6..=20, 0).into_iter().map(|e| ServerEntry { cell: 2, ..e });
-    let mut crowd = Crowd::new(100, SECOND, &rack(0).into_iter().chain(rest).collect::<Vec<_>>());
+    let rest = both(6..=20, 0)
+        .into_iter()
+        .map(|e| ServerEntry { cell: 2, ..e });
+    let mut crowd = Crowd::new(
+        100,
+        SECOND,
+        &rack(0).into_iter().chain(rest).collect::<Vec<_>>(),
+    );
     crowd.play(at, SECOND);
     crowd.list(at, ListKind::Changes, &rack(at));
     let old = (crowd.refused, crowd.arrived);
     crowd.play(at + 5 * SECOND, SECOND);
     assert!(crowd.refused - old.0 <= (crowd.arrived - old.1) / 50);
-    for (role, mine, all) in [("readers", 1..=5, 1..=20), ("writers", 101..=105, 101..=120)] {
+    for (role, mine, all) in [
+        ("readers", 1..=5, 1..=20),
+        ("writers", 101..=105, 101..=120),
+    ] {
         let count = |servers| crowd.sent_between(servers, at, at + 5 * SECOND) as f64;
         let part = count(mine) / count(all);
         assert!((0.03..0.22).contains(&part), "{role}: {part}");
     }
-    assert!((1..=5).flat_map(|n| [n, 100 + n]).all(|s| crowd.most_in_a_window(s, at) as f64 <= BOUND));
+    assert!((1..=5)
+        .flat_map(|n| [n, 100 + n])
+        .all(|s| crowd.most_in_a_window(s, at) as f64 <= BOUND));
 }
 
 /// Guards against taking an idle time for a stopped fleet: of 60 requests at once at an idle node, half were refused.
--- a/crates/ivyward-core/tests/cold_sum.rs
+++ b/crates/ivyward-core/tests/cold_sum.rs
@@ -49,7 +49,9 @@
     let mut crowd = Crowd::seeded(seed, scene.nodes, span, &old);
     if scene.uneven {
         // One in five sees four times the mean of the others.
-        crowd.pace = (0..scene.nodes).map(|n| if n % 5 == 0 { 0.4 } else { 1.6 }).collect();
+        crowd.pace = (0..scene.nodes)
+            .map(|n| if n % 5 == 0 { 0.4 } else { 1.6 })
+            .collect();
     }
     if scene.hot {
         crowd.prefix = |id| if id % 10 < 3 { 1_000 } else { 1 + id % 20 };
@@ -58,9 +60,10 @@
     crowd.play(at, span);
     let mut changed = both(21..=20 + scene.cold, at - SECOND / 2);
     if scene.replaced {
-        changed.extend(
-            both(1..=scene.cold, 0).into_iter().map(|e| ServerEntry { condition: Condition::Draining, ..e }),
-        );
+        changed.extend(both(1..=scene.cold, 0).into_iter().map(|e| ServerEntry {
+            condition: Condition::Draining,
+            ..e
+        }));
     }
     crowd.list(at, ListKind::Changes, &changed);
     let storm = every(scene.nodes, scene.rate * scene.storm);
@@ -77,11 +80,18 @@
     crowd.play(at + 12 * SECOND, storm);
     // What a warm one is seen to carry: the guide that the rule names.
     let window = set.fall_window;
-    let stay = if scene.replaced { scene.cold + 1..=20 } else { 1..=20 };
+    let stay = if scene.replaced {
+        scene.cold + 1..=20
+    } else {
+        1..=20
+    };
     let carried = |from: Micros| {
         crowd.sent_between(stay.clone(), from, from + window) as f64 / stay.clone().count() as f64
     };
-    let most = (0..10).map(|n| carried(at + n * SECOND)).fold(0.0, f64::max) / window as f64;
+    let most = (0..10)
+        .map(|n| carried(at + n * SECOND))
+        .fold(0.0, f64::max)
+        / window as f64;
     let each = most.max(scene.rate * scene.storm / 20.0 / SECOND as f64);
     let mut worst = (f64::MIN, 0.0);
     for server in (21..=20 + scene.cold).flat_map(|n| [n, 100 + n]) {
@@ -94,7 +104,10 @@
             }
             let share = set.start_capacity + (1.0 - set.start_capacity) * 0.75 * age;
             let budget = set.fall_multiple * share * each * window as f64;
-            let sent = times[i..].iter().take_while(|t| **t < from + window).count() as f64;
+            let sent = times[i..]
+                .iter()
+                .take_while(|t| **t < from + window)
+                .count() as f64;
             let over = (sent - budget) / budget.sqrt();
             if over > worst.0 {
                 worst = (over, sent - budget - 2.0 * budget.sqrt() - 2.0);
@@ -110,14 +123,71 @@
         let plain = Scene { nodes, ..PLAIN };
         all.extend([
             ("plain", plain),
-            ("storm", Scene { storm: 4.0, ..plain }),
-            ("few requests", Scene { rate: 40.0, storm: 3.0, ..plain }),
-            ("uneven storm", Scene { uneven: true, storm: 3.0, ..plain }),
-            ("hot opening", Scene { hot: true, storm: 2.0, ..plain }),
-            ("restarts", Scene { restarts: true, storm: 2.0, ..plain }),
-            ("several cold", Scene { cold: 6, storm: 2.0, ..plain }),
-            ("mostly new", Scene { cold: 12, replaced: true, ..plain }),
-            ("mostly new, hot", Scene { cold: 12, replaced: true, hot: true, restarts: true, ..plain }),
+            (
+                "storm",
+                Scene {
+                    storm: 4.0,
+                    ..plain
+                },
+            ),
+            (
+                "few requests",
+                Scene {
+                    rate: 40.0,
+                    storm: 3.0,
+                    ..plain
+                },
+            ),
+            (
+                "uneven storm",
+                Scene {
+                    uneven: true,
+                    storm: 3.0,
+                    ..plain
+                },
+            ),
+            (
+                "hot opening",
+                Scene {
+                    hot: true,
+                    storm: 2.0,
+                    ..plain
+                },
+            ),
+            (
+                "restarts",
+                Scene {
+                    restarts: true,
+                    storm: 2.0,
+                    ..plain
+                },
+            ),
+            (
+                "several cold",
+                Scene {
+                    cold: 6,
+                    storm: 2.0,
+                    ..plain
+                },
+            ),
+            (
+                "mostly new",
+                Scene {
+                    cold: 12,
+                    replaced: true,
+                    ..plain
+                },
+            ),
+            (
+                "mostly new, hot",
+                Scene {
+                    cold: 12,
+                    replaced: true,
+                    hot: true,
+                    restarts: true,
+                    ..plain
+                },
+            ),
         ]);
     }
     all
@@ -125,7 +195,10 @@
 
 #[test]
 fn sends_of_all_processes_stay_within_the_budget_and_chance() {
-    let seeds = std::env::var("IVYWARD_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(3u64);
+    let seeds = std::env::var("IVYWARD_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(3u64);
     let mut broken = Vec::new();
     for (name, scene) in scenes() {
         let mut over: Vec<(f64, f64)> = (0..seeds).map(|seed| worst(seed, scene)).collect();
--- a/crates/ivyward-core/tests/common/crowd.rs
+++ b/crates/ivyward-core/tests/common/crowd.rs
@@ -40,9 +40,18 @@
 
     pub fn seeded(seed: u64, nodes: u32, every: Micros, fleet: &[ServerEntry]) -> Crowd {
         let rig = |node| {
-            let router =
-                Router::new(Settings { nodes, ..settings() }, seed * 1_000_003 + u64::from(node) + 1);
-            Rig { router, now: START, done: Vec::new() }
+            let router = Router::new(
+                Settings {
+                    nodes,
+                    ..settings()
+                },
+                seed * 1_000_003 + u64::from(node) + 1,
+            );
+            Rig {
+                router,
+                now: START,
+                done: Vec::new(),
+            }
         };
         let mut crowd = Crowd {
             pace: vec![1.0; nodes as usize],
@@ -59,7 +68,9 @@
         };
         for node in 0..nodes as usize {
             let first = START + every * node as u64 / u64::from(nodes);
-            crowd.due.push((std::cmp::Reverse(first), node, Due::Arrival));
+            crowd
+                .due
+                .push((std::cmp::Reverse(first), node, Due::Arrival));
         }
         crowd.list(START, ListKind::Full, fleet);
         crowd
@@ -70,11 +81,21 @@
         self.born += 1;
         let nodes = self.nodes.len() as u32;
         let seed = (self.seed + 77) * 1_000_003 + 1_000 * self.born + node as u64;
-        let mut rig =
-            Rig { router: Router::new(Settings { nodes, ..settings() }, seed), now: at, done: Vec::new() };
+        let mut rig = Rig {
+            router: Router::new(
+                Settings {
+                    nodes,
+                    ..settings()
+                },
+                seed,
+            ),
+            now: at,
+            done: Vec::new(),
+        };
         rig.fleet(ListKind::Full, list);
         self.nodes[node] = rig;
-        self.due.retain(|(_, n, due)| *n != node || *due == Due::Arrival);
+        self.due
+            .retain(|(_, n, due)| *n != node || *due == Due::Arrival);
     }
 
     pub fn list(&mut self, at: Micros, kind: ListKind, entries: &[ServerEntry]) {
@@ -99,10 +120,14 @@
                     self.next += 1;
                     self.arrived += 1;
                     let id = self.next;
-                    rig.ask(Arrival { prefix: (self.prefix)(id), ..arrival(id, 1_000 + id, 1_000.0) });
+                    rig.ask(Arrival {
+                        prefix: (self.prefix)(id),
+                        ..arrival(id, 1_000 + id, 1_000.0)
+                    });
                     self.refused += usize::from(rig.refused());
                     let next = (every as f64 * self.pace[node]) as Micros;
-                    self.due.push((std::cmp::Reverse(at.0 + next), node, Due::Arrival));
+                    self.due
+                        .push((std::cmp::Reverse(at.0 + next), node, Due::Arrival));
                 }
                 Due::Read(id, attempt) => {
                     rig.end(id, attempt, Outcome::Read);
@@ -115,7 +140,9 @@
                 .done
                 .iter()
                 .filter_map(|a| match a {
-                    Action::Send { request, server, .. } => Some((request.0, server.0)),
+                    Action::Send {
+                        request, server, ..
+                    } => Some((request.0, server.0)),
                     _ => None,
                 })
                 .collect();
@@ -134,23 +161,48 @@
 
     /// The most that a server got within the window of rule 4, from `from` on.
     pub fn most_in_a_window(&self, server: u64, from: Micros) -> usize {
-        let times: Vec<Micros> =
-            self.sends.get(&server).into_iter().flatten().copied().filter(|t| *t >= from).collect();
+        let times: Vec<Micros> = self
+            .sends
+            .get(&server)
+            .into_iter()
+            .flatten()
+            .copied()
+            .filter(|t| *t >= from)
+            .collect();
         let window = settings().fall_window;
-        let within = |i: usize| times[i..].iter().take_while(|t| **t < times[i] + window).count();
+        let within = |i: usize| {
+            times[i..]
+                .iter()
+                .take_while(|t| **t < times[i] + window)
+                .count()
+        };
         (0..times.len()).map(within).max().unwrap_or(0)
     }
 
-    pub fn sent_between(&self, servers: std::ops::RangeInclusive<u64>, from: Micros, to: Micros) -> usize {
-        self.sends.range(servers).flat_map(|s| s.1).filter(|t| (from..to).contains(*t)).count()
+    pub fn sent_between(
+        &self,
+        servers: std::ops::RangeInclusive<u64>,
+        from: Micros,
+        to: Micros,
+    ) -> usize {
+        self.sends
+            .range(servers)
+            .flat_map(|s| s.1)
+            .filter(|t| (from..to).contains(*t))
+            .count()
     }
 }
 
 pub fn started(id: u64, kind: u8, at: Micros) -> ServerEntry {
-    ServerEntry { started: at, ..server(id, kind) }
+    ServerEntry {
+        started: at,
+        ..server(id, kind)
+    }
 }
 
 /// Readers 1 to 20 and writers 101 to 120, or a part of them, that started then.
 pub fn both(numbers: std::ops::RangeInclusive<u64>, at: Micros) -> Vec<ServerEntry> {
-    numbers.flat_map(|n| [started(n, 0, at), started(100 + n, 1, at)]).collect()
+    numbers
+        .flat_map(|n| [started(n, 0, at), started(100 + n, 1, at)])
+        .collect()
 }
--- a/crates/ivyward-core/tests/common/mod.rs
+++ b/crates/ivyward-core/tests/common/mod.rs
@@ -24,7 +24,10 @@
 
 /// Kinds: 0 prefill, 1 decode, 2 mixed. Classes: 0 safe, 1 unsafe, 2 keyed within a zone.
 pub fn settings() -> Settings {
-    let zonal = ClassSettings { group: RepeatGroup::Zone, ..class(Effect::Keyed) };
+    let zonal = ClassSettings {
+        group: RepeatGroup::Zone,
+        ..class(Effect::Keyed)
+    };
     Settings {
         nodes: 1,
         roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
@@ -45,7 +48,13 @@
 }
 
 pub fn server(id: u64, kind: u8) -> ServerEntry {
-    ServerEntry { id: ServerId(id), kind, condition: Condition::Ready, weight: 1.0, ..ServerEntry::default() }
+    ServerEntry {
+        id: ServerId(id),
+        kind,
+        condition: Condition::Ready,
+        weight: 1.0,
+        ..ServerEntry::default()
+    }
 }
 
 pub fn arrival(id: u64, session: u64, prompt: f64) -> Arrival {
@@ -69,7 +78,11 @@
 
 impl Rig {
     pub fn new(settings: Settings, servers: &[ServerEntry]) -> Rig {
-        let mut rig = Rig { router: Router::new(settings, 1), now: 100 * SECOND, done: Vec::new() };
+        let mut rig = Rig {
+            router: Router::new(settings, 1),
+            now: 100 * SECOND,
+            done: Vec::new(),
+        };
         rig.fleet(ListKind::Full, servers);
         rig
     }
@@ -80,23 +93,42 @@
         &self.done
     }
     pub fn fleet(&mut self, kind: ListKind, servers: &[ServerEntry]) {
-        self.event(Event::Fleet { kind, entries: servers.to_vec() });
+        self.event(Event::Fleet {
+            kind,
+            entries: servers.to_vec(),
+        });
     }
     pub fn ask(&mut self, arrival: Arrival) -> Option<ServerId> {
         self.event(Event::Request(arrival));
         self.sent()
     }
     pub fn first(&mut self, id: u64, attempt: u16) {
-        self.event(Event::FirstToken { request: RequestId(id), attempt });
+        self.event(Event::FirstToken {
+            request: RequestId(id),
+            attempt,
+        });
     }
     pub fn end(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Option<ServerId> {
         self.end_kept(id, attempt, outcome, 0)
     }
-    pub fn end_kept(&mut self, id: u64, attempt: u16, outcome: Outcome, kept: u32) -> Option<ServerId> {
+    pub fn end_kept(
+        &mut self,
+        id: u64,
+        attempt: u16,
+        outcome: Outcome,
+        kept: u32,
+    ) -> Option<ServerId> {
         let finished = outcome == Outcome::Served;
         let report = Report::default();
         let request = RequestId(id);
-        self.event(Event::AttemptEnded { request, attempt, outcome, kept_tokens: kept, finished, report });
+        self.event(Event::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            kept_tokens: kept,
+            finished,
+            report,
+        });
         self.sent()
     }
     /// Where the last event led to a send.
@@ -129,7 +161,8 @@
     }
     /// A whole remote turn: read, written, served. Returns the writer.
     pub fn turn(&mut self, id: u64, session: u64, prompt: f64) -> ServerId {
-        self.ask(arrival(id, session, prompt)).expect("sent to a reader");
+        self.ask(arrival(id, session, prompt))
+            .expect("sent to a reader");
         self.now += 50_000;
         let writer = self.end(id, 0, Outcome::Read).expect("sent to a writer");
         self.now += 20_000;
--- a/crates/ivyward-core/tests/five_rules.rs
+++ b/crates/ivyward-core/tests/five_rules.rs
@@ -12,13 +12,21 @@
 fn lost_an_empty_fleet_refuses_at_once_with_advice() {
     let mut rig = Rig::new(settings(), &[]);
     assert_eq!(rig.ask(arrival(1, 5, 1_000.0)), None);
-    assert!(rig.done.contains(&Action::Refuse { request: RequestId(1), retry_after: SECOND / 2 }));
+    assert!(rig.done.contains(&Action::Refuse {
+        request: RequestId(1),
+        retry_after: SECOND / 2
+    }));
 }
 
 #[test]
 fn lost_every_request_gets_one_final_answer_when_nothing_helps() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Reset, Outcome::Error, Outcome::TimedOut]
-    {
+    for outcome in [
+        Outcome::Full,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Error,
+        Outcome::TimedOut,
+    ] {
         let mut rig = Rig::new(settings(), &fleet());
         rig.ask(arrival(1, 5, 1_000.0));
         let (mut finals, mut attempt) = (0, 0);
@@ -54,8 +62,14 @@
 fn at_writer(class: usize, outcome: Outcome) -> (Rig, ServerId, Option<ServerId>) {
     let mut far = server(12, 1);
     far.zone = 1;
-    let mut rig = Rig::new(settings(), &[server(1, 0), server(2, 0), server(11, 1), far]);
-    rig.ask(Arrival { class, ..arrival(1, 5, 1_000.0) });
+    let mut rig = Rig::new(
+        settings(),
+        &[server(1, 0), server(2, 0), server(11, 1), far],
+    );
+    rig.ask(Arrival {
+        class,
+        ..arrival(1, 5, 1_000.0)
+    });
     let writer = rig.end(1, 0, Outcome::Read).unwrap();
     rig.now += 100_000;
     let next = rig.end(1, 1, outcome);
@@ -64,7 +78,12 @@
 
 #[test]
 fn twice_an_unsafe_request_that_may_have_run_is_failed_and_not_resent_or_refused() {
-    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let (rig, _, next) = at_writer(1, outcome);
         assert_eq!(next, None, "{outcome:?}");
         assert!(rig.failed() && !rig.refused(), "{outcome:?}");
@@ -82,7 +101,12 @@
 #[test]
 fn twice_reading_is_no_effect() {
     let mut rig = Rig::new(settings(), &fleet());
-    let reader = rig.ask(Arrival { class: 1, ..arrival(1, 5, 1_000.0) }).unwrap();
+    let reader = rig
+        .ask(Arrival {
+            class: 1,
+            ..arrival(1, 5, 1_000.0)
+        })
+        .unwrap();
     let next = rig.end(1, 0, Outcome::TimedOut);
     assert!(next.is_some() && next != Some(reader));
 }
@@ -93,54 +117,117 @@
     let (rig, _, next) = at_writer(2, Outcome::Reset);
     assert_ne!(next, Some(ServerId(11)));
     assert_ne!(next, Some(ServerId(12)));
-    assert!(!rig.refused(), "a refusal would promise too much for a zonal group");
+    assert!(
+        !rig.refused(),
+        "a refusal would promise too much for a zonal group"
+    );
 }
 
 /// A place that was held before another writer may have run the request is no way out of its group.
 #[test]
 fn twice_a_keyed_repeat_takes_no_place_held_outside_its_group() {
-    let writers = [server(11, 1), ServerEntry { zone: 1, ..server(12, 1) }];
-    let mut rig =
-        Rig::new(Settings { hold_ahead: true, ..settings() }, &[server(1, 0), writers[0], writers[1]]);
-    rig.ask(Arrival { class: 2, ..arrival(1, 5, 1_000.0) });
+    let writers = [
+        server(11, 1),
+        ServerEntry {
+            zone: 1,
+            ..server(12, 1)
+        },
+    ];
+    let mut rig = Rig::new(
+        Settings {
+            hold_ahead: true,
+            ..settings()
+        },
+        &[server(1, 0), writers[0], writers[1]],
+    );
+    rig.ask(Arrival {
+        class: 2,
+        ..arrival(1, 5, 1_000.0)
+    });
     let held = rig.done.iter().find_map(|a| match a {
         Action::HoldAhead { server, .. } => Some(*server),
         _ => None,
     });
     let held = held.expect("a place is asked for");
     let entry = writers.into_iter().find(|w| w.id == held).unwrap();
-    rig.fleet(ListKind::Changes, &[ServerEntry { condition: Condition::Draining, ..entry }]);
+    rig.fleet(
+        ListKind::Changes,
+        &[ServerEntry {
+            condition: Condition::Draining,
+            ..entry
+        }],
+    );
     let ran_at = rig.end(1, 0, Outcome::Read).unwrap();
     assert_ne!(ran_at, held);
     rig.fleet(ListKind::Changes, &[entry]);
     rig.now += 100_000;
-    assert_ne!(rig.end(1, 1, Outcome::Reset), Some(held), "it is in another zone");
+    assert_ne!(
+        rig.end(1, 1, Outcome::Reset),
+        Some(held),
+        "it is in another zone"
+    );
 }
 
 /// Nor is a writer that came to hold its session meanwhile.
 #[test]
 fn twice_a_keyed_repeat_follows_no_session_out_of_its_group() {
     // Without readers both turns are read where they are written.
-    let far = ServerEntry { zone: 1, ..server(12, 1) };
+    let far = ServerEntry {
+        zone: 1,
+        ..server(12, 1)
+    };
     let mut rig = Rig::new(settings(), &[server(11, 1), far]);
-    let shared = Arrival { prefix_tokens: 7_000.0, ..arrival(1, 5, 8_000.0) };
-    assert_eq!(rig.ask(Arrival { class: 2, ..shared }), Some(ServerId(11)), "the writer of this zone");
+    let shared = Arrival {
+        prefix_tokens: 7_000.0,
+        ..arrival(1, 5, 8_000.0)
+    };
+    assert_eq!(
+        rig.ask(Arrival { class: 2, ..shared }),
+        Some(ServerId(11)),
+        "the writer of this zone"
+    );
     // Another turn of the session is written by the far one.
-    rig.fleet(ListKind::Changes, &[ServerEntry { condition: Condition::Draining, ..server(11, 1) }]);
-    assert_eq!(rig.ask(Arrival { id: RequestId(2), ..shared }), Some(ServerId(12)));
+    rig.fleet(
+        ListKind::Changes,
+        &[ServerEntry {
+            condition: Condition::Draining,
+            ..server(11, 1)
+        }],
+    );
+    assert_eq!(
+        rig.ask(Arrival {
+            id: RequestId(2),
+            ..shared
+        }),
+        Some(ServerId(12))
+    );
     rig.first(2, 0);
     rig.end(2, 0, Outcome::Served);
-    assert_ne!(rig.end(1, 0, Outcome::Reset), Some(ServerId(12)), "it is in another zone");
+    assert_ne!(
+        rig.end(1, 0, Outcome::Reset),
+        Some(ServerId(12)),
+        "it is in another zone"
+    );
 }
 
 /// Once a keyed request may have run, whatever is sent for it stays in its group and window: reads as well.
 #[test]
 fn twice_a_keyed_repeat_is_read_in_its_group_too() {
-    let reader = |id: u64, zone: u8, condition| ServerEntry { zone, condition, ..server(id, 0) };
+    let reader = |id: u64, zone: u8, condition| ServerEntry {
+        zone,
+        condition,
+        ..server(id, 0)
+    };
     for zone in [0, 1] {
         // Without readers the first attempt is read where it is written.
         let mut rig = Rig::new(settings(), &[server(11, 1)]);
-        assert_eq!(rig.ask(Arrival { class: 2, ..arrival(1, 5, 1_000.0) }), Some(ServerId(11)));
+        assert_eq!(
+            rig.ask(Arrival {
+                class: 2,
+                ..arrival(1, 5, 1_000.0)
+            }),
+            Some(ServerId(11))
+        );
         rig.fleet(ListKind::Changes, &[reader(1, zone, Condition::Ready)]);
         let sent = rig.now;
         rig.now += 100_000;
@@ -148,7 +235,10 @@
         assert_eq!(next, (zone == 0).then_some(ServerId(1)), "zone {zone}");
         if zone == 0 {
             let leave_by = rig.leave_by().unwrap();
-            assert!(leave_by > rig.now && leave_by <= sent + 5 * SECOND, "{leave_by}");
+            assert!(
+                leave_by > rig.now && leave_by <= sent + 5 * SECOND,
+                "{leave_by}"
+            );
         }
     }
 }
@@ -158,17 +248,33 @@
 #[test]
 fn twice_a_keyed_repeat_leaves_within_its_window() {
     let mut settings = settings();
-    settings.classes[2] = ClassSettings { repeat_window: SECOND, ..class(Effect::Keyed) };
+    settings.classes[2] = ClassSettings {
+        repeat_window: SECOND,
+        ..class(Effect::Keyed)
+    };
     let mut rig = Rig::new(settings, &fleet());
-    rig.ask(Arrival { class: 2, ..arrival(1, 5, 1_000.0) });
+    rig.ask(Arrival {
+        class: 2,
+        ..arrival(1, 5, 1_000.0)
+    });
     assert!(rig.end(1, 0, Outcome::Read).is_some());
     let sent = rig.now;
     rig.now += 900_000;
-    assert!(rig.end(1, 1, Outcome::Reset).is_some(), "sent on within the window");
+    assert!(
+        rig.end(1, 1, Outcome::Reset).is_some(),
+        "sent on within the window"
+    );
     let leave_by = rig.leave_by().unwrap();
-    assert!(leave_by > rig.now && leave_by <= sent + SECOND, "{leave_by} after {sent}");
+    assert!(
+        leave_by > rig.now && leave_by <= sent + SECOND,
+        "{leave_by} after {sent}"
+    );
     rig.now = sent + SECOND;
-    assert_eq!(rig.end(1, 2, Outcome::ConnectFailed), None, "the window is over");
+    assert_eq!(
+        rig.end(1, 2, Outcome::ConnectFailed),
+        None,
+        "the window is over"
+    );
 }
 
 #[test]
@@ -176,8 +282,20 @@
     for condition in [Condition::Draining, Condition::Gone] {
         let mut rig = Rig::new(settings(), &fleet());
         let writer = rig.turn(1, 5, 2_000.0);
-        rig.fleet(ListKind::Changes, &[ServerEntry { condition, ..server(1, 0) }]);
-        rig.fleet(ListKind::Changes, &[ServerEntry { condition, ..server(writer.0, 1) }]);
+        rig.fleet(
+            ListKind::Changes,
+            &[ServerEntry {
+                condition,
+                ..server(1, 0)
+            }],
+        );
+        rig.fleet(
+            ListKind::Changes,
+            &[ServerEntry {
+                condition,
+                ..server(writer.0, 1)
+            }],
+        );
         for id in 2..30 {
             let reader = rig.ask(arrival(id, 5, 2_100.0));
             assert_eq!(reader, Some(ServerId(2)), "{condition:?}");
@@ -203,7 +321,10 @@
     for id in 0..100 {
         rig.turn(id, 1_000 + id, 1_000.0);
     }
-    let cold = ServerEntry { started: rig.now, ..server(13, 1) };
+    let cold = ServerEntry {
+        started: rig.now,
+        ..server(13, 1)
+    };
     rig.fleet(ListKind::Changes, &[cold]);
     // A burst of 60 within one window; the usual is about 3 a window for each writer.
     let mut to_cold = 0;
@@ -212,7 +333,10 @@
         rig.now += 1_000;
         to_cold += usize::from(rig.end(id, 0, Outcome::Read) == Some(ServerId(13)));
     }
-    assert!((1..=4).contains(&to_cold), "{to_cold} of 60 sent to the cold writer");
+    assert!(
+        (1..=4).contains(&to_cold),
+        "{to_cold} of 60 sent to the cold writer"
+    );
 }
 
 #[test]
@@ -220,7 +344,13 @@
     // No writer: the read state cannot be taken.
     let mut rig = Rig::new(settings(), &[server(1, 0), server(11, 1)]);
     rig.ask(arrival(1, 5, 1_000.0));
-    rig.fleet(ListKind::Changes, &[ServerEntry { condition: Condition::Gone, ..server(11, 1) }]);
+    rig.fleet(
+        ListKind::Changes,
+        &[ServerEntry {
+            condition: Condition::Gone,
+            ..server(11, 1)
+        }],
+    );
     rig.end(1, 0, Outcome::Read);
     assert!(rig.refused() && rig.released());
     // The client leaves during the read: let go then, and again when the state turns up late.
@@ -243,11 +373,20 @@
 fn pinned_dials_that_fail_in_a_row_do_not_keep_a_state_past_its_time() {
     for outcome in [Outcome::Read, Outcome::Reset, Outcome::TimedOut] {
         for class in [0, 1] {
-            let many: Vec<ServerEntry> =
-                (1..10).map(|i| server(i, 0)).chain((11..20).map(|i| server(i, 1))).collect();
-            let settings = Settings { out_once_left: true, max_attempts: 9, ..settings() };
+            let many: Vec<ServerEntry> = (1..10)
+                .map(|i| server(i, 0))
+                .chain((11..20).map(|i| server(i, 1)))
+                .collect();
+            let settings = Settings {
+                out_once_left: true,
+                max_attempts: 9,
+                ..settings()
+            };
             let mut rig = Rig::new(settings, &many);
-            rig.ask(Arrival { class, ..arrival(1, 5, 1_000.0) });
+            rig.ask(Arrival {
+                class,
+                ..arrival(1, 5, 1_000.0)
+            });
             assert_eq!(rig.leave_by(), Some(0), "nothing is held yet");
             rig.now += 50_000;
             rig.end(1, 0, outcome);
@@ -263,9 +402,16 @@
                 attempt += 1;
             }
             assert!((3..6).contains(&attempt), "{outcome:?}: {attempt}");
-            assert!(rig.now <= held + 250_000, "{outcome:?}: {} us leave no time to let go", rig.now - held);
+            assert!(
+                rig.now <= held + 250_000,
+                "{outcome:?}: {} us leave no time to let go",
+                rig.now - held
+            );
             // What was let go of is not there any more: it is read again.
-            assert!(rig.sent().is_some_and(|s| s.0 < 10) && rig.leave_by() == Some(0), "{outcome:?}");
+            assert!(
+                rig.sent().is_some_and(|s| s.0 < 10) && rig.leave_by() == Some(0),
+                "{outcome:?}"
+            );
         }
     }
 }
@@ -273,8 +419,15 @@
 /// An attempt that came to its server starts the time anew, and one attempt alone has all that is left.
 #[test]
 fn pinned_the_time_counts_from_the_last_attempt_that_came() {
-    let many: Vec<ServerEntry> = (1..3).map(|i| server(i, 0)).chain((11..16).map(|i| server(i, 1))).collect();
-    let settings = Settings { out_once_left: true, max_attempts: 4, ..settings() };
+    let many: Vec<ServerEntry> = (1..3)
+        .map(|i| server(i, 0))
+        .chain((11..16).map(|i| server(i, 1)))
+        .collect();
+    let settings = Settings {
+        out_once_left: true,
+        max_attempts: 4,
+        ..settings()
+    };
     let mut rig = Rig::new(settings.clone(), &many);
     rig.ask(arrival(1, 5, 1_000.0));
     rig.end(1, 0, Outcome::Read);
@@ -285,12 +438,20 @@
     assert_eq!(rig.leave_by(), Some(rig.now + 210_000), "the last attempt");
     assert!(!rig.released());
     // Where an attempt is out from its send, dials take what they take.
-    let mut rig = Rig::new(Settings { out_once_left: false, ..settings }, &many);
+    let mut rig = Rig::new(
+        Settings {
+            out_once_left: false,
+            ..settings
+        },
+        &many,
+    );
     rig.ask(arrival(1, 5, 1_000.0));
     rig.end(1, 0, Outcome::Read);
     rig.now += 250_000;
     rig.end(1, 1, Outcome::ConnectFailed);
     rig.now += 250_000;
-    assert!(rig.end(1, 2, Outcome::ConnectFailed).is_some_and(|s| s.0 > 10));
+    assert!(rig
+        .end(1, 2, Outcome::ConnectFailed)
+        .is_some_and(|s| s.0 > 10));
     assert!(!rig.released() && rig.leave_by() == Some(0));
 }
--- a/crates/ivyward-core/tests/health.rs
+++ b/crates/ivyward-core/tests/health.rs
@@ -5,7 +5,14 @@
 use ivyward_core::interface::*;
 
 fn fleet() -> Vec<ServerEntry> {
-    vec![server(1, 0), server(2, 0), server(3, 0), server(11, 1), server(12, 1), server(13, 1)]
+    vec![
+        server(1, 0),
+        server(2, 0),
+        server(3, 0),
+        server(11, 1),
+        server(12, 1),
+        server(13, 1),
+    ]
 }
 
 const TICK: u64 = 1;
@@ -22,9 +29,15 @@
     for step in 0..40 {
         rig.now += 100_000;
         rig.event(Event::Timer(TICK));
-        called_off |= rig.done.contains(&Action::Cancel { request: RequestId(100), attempt: 0 });
+        called_off |= rig.done.contains(&Action::Cancel {
+            request: RequestId(100),
+            attempt: 0,
+        });
         if called_off {
-            assert!(step > 2, "called off after {step} tenths of a second: noise would do that too");
+            assert!(
+                step > 2,
+                "called off after {step} tenths of a second: noise would do that too"
+            );
             break;
         }
     }
@@ -73,7 +86,11 @@
     rig.now += 11 * SECOND;
     assert_eq!(rig.ask(arrival(3, 3, 1_000.0)), Some(home), "one trial");
     rig.end(3, 0, Outcome::Read);
-    assert_eq!(rig.ask(arrival(4, 4, 1_000.0)), Some(home), "it answered, so it is used again");
+    assert_eq!(
+        rig.ask(arrival(4, 4, 1_000.0)),
+        Some(home),
+        "it answered, so it is used again"
+    );
 }
 
 /// First tokens that all come late lead to refusals, at once and with advice, and these end when all is well.
@@ -134,13 +151,19 @@
     let mut calm = Rig::new(settings(), &fleet());
     calm.ask(arrival(1, 1, 1_000.0));
     calm.now += 1_500_000;
-    assert!(calm.end(1, 0, Outcome::TimedOut).is_some(), "without overload it is read again");
+    assert!(
+        calm.end(1, 0, Outcome::TimedOut).is_some(),
+        "without overload it is read again"
+    );
 }
 
 /// Waits that grow everywhere at once are a jam: reading each prompt anew elsewhere would only add to it.
 #[test]
 fn a_jam_of_all_readers_is_not_called_off_over_and_over() {
-    let readers: Vec<ServerEntry> = (1..=30).map(|id| server(id, 0)).chain([server(40, 1)]).collect();
+    let readers: Vec<ServerEntry> = (1..=30)
+        .map(|id| server(id, 0))
+        .chain([server(40, 1)])
+        .collect();
     let mut rig = Rig::new(settings(), &readers);
     for id in 0..30 {
         rig.turn(id, id, 1_000.0);
@@ -151,7 +174,10 @@
         // Two requests a second with prefixes of their own, whose reads take longer than any client waits.
         if step % 5 == 0 {
             next += 1;
-            rig.ask(Arrival { prefix: next, ..arrival(next, next, 1_000.0) });
+            rig.ask(Arrival {
+                prefix: next,
+                ..arrival(next, next, 1_000.0)
+            });
         }
         rig.event(Event::Timer(TICK));
         let called: Vec<_> = rig.done.drain(..).collect();
@@ -162,7 +188,10 @@
             }
         }
     }
-    assert!((1..=8).contains(&cancels), "{cancels} call-offs for 20 requests");
+    assert!(
+        (1..=8).contains(&cancels),
+        "{cancels} call-offs for 20 requests"
+    );
 }
 
 /// A writer that answers every request with an error at once has the fewest streams of all, and would draw all requests.
@@ -176,7 +205,12 @@
     let (mut lost, mut erred, mut once) = (0, 0, 0);
     for id in 100..300 {
         let class = usize::from(id % 4 == 0);
-        rig.ask(Arrival { class, prefix: id, ..arrival(id, id, 1_000.0) }).expect("sent to a reader");
+        rig.ask(Arrival {
+            class,
+            prefix: id,
+            ..arrival(id, id, 1_000.0)
+        })
+        .expect("sent to a reader");
         rig.now += 50_000;
         let mut writer = rig.end(id, 0, Outcome::Read);
         once += class;
@@ -203,5 +237,8 @@
         }
     }
     assert!(lost <= 1, "{lost} of {once} were lost to it");
-    assert!((3..=30).contains(&erred), "it was tried {erred} times in 20 s");
+    assert!(
+        (3..=30).contains(&erred),
+        "it was tried {erred} times in 20 s"
+    );
 }
--- a/crates/ivyward-core/tests/invariants.rs
+++ b/crates/ivyward-core/tests/invariants.rs
@@ -17,7 +17,10 @@
 /// A node that serves, with a reader and a writer in zone 0 and a writer in zone 1, and one request.
 fn serving(class: usize) -> Guard {
     let mut guard = Guard::new(&settings());
-    let far = ServerEntry { zone: 1, ..server(3, 1) };
+    let far = ServerEntry {
+        zone: 1,
+        ..server(3, 1)
+    };
     guard.listed(0, ListKind::Full, &[server(1, 0), server(2, 1), far]);
     guard.enter(NodePhase::Serving).unwrap();
     guard.take(REQUEST, class, 6 * SECOND).unwrap();
@@ -33,10 +36,16 @@
     let mut guard = serving(UNSAFE);
     assert_eq!(guard.send(10, REQUEST, 0, READER), Ok(AttemptReason::First));
     guard.ended(REQUEST, 0, Outcome::Read);
-    assert_eq!(guard.send(20, REQUEST, 1, WRITER), Ok(AttemptReason::NextStage));
+    assert_eq!(
+        guard.send(20, REQUEST, 1, WRITER),
+        Ok(AttemptReason::NextStage)
+    );
     guard.ended(REQUEST, 1, Outcome::Served);
     assert_eq!(guard.answer(REQUEST, AnswerKind::Served), Ok(()));
-    assert_eq!(forbidden(guard.answer(REQUEST, AnswerKind::Failed)), Rule::OneAnswer);
+    assert_eq!(
+        forbidden(guard.answer(REQUEST, AnswerKind::Failed)),
+        Rule::OneAnswer
+    );
     assert_eq!(guard.forget(REQUEST), Ok(()));
     assert_eq!(forbidden(guard.forget(REQUEST)), Rule::OneAnswer);
 }
@@ -44,21 +53,36 @@
 #[test]
 fn nothing_is_sent_after_the_answer_or_the_clients_time() {
     let mut guard = serving(SAFE);
-    assert_eq!(forbidden(guard.send(6 * SECOND + 1, REQUEST, 0, READER)), Rule::NothingAfterAnswer);
+    assert_eq!(
+        forbidden(guard.send(6 * SECOND + 1, REQUEST, 0, READER)),
+        Rule::NothingAfterAnswer
+    );
     assert!(guard.send(6 * SECOND, REQUEST, 0, READER).is_ok());
     guard.ended(REQUEST, 0, Outcome::Reset);
     guard.answer(REQUEST, AnswerKind::ClientGone).unwrap();
-    assert_eq!(forbidden(guard.send(6 * SECOND, REQUEST, 1, READER)), Rule::NothingAfterAnswer);
-    assert_eq!(forbidden(guard.send(10, RequestId(5), 0, READER)), Rule::NothingAfterAnswer);
+    assert_eq!(
+        forbidden(guard.send(6 * SECOND, REQUEST, 1, READER)),
+        Rule::NothingAfterAnswer
+    );
+    assert_eq!(
+        forbidden(guard.send(10, RequestId(5), 0, READER)),
+        Rule::NothingAfterAnswer
+    );
 }
 
 #[test]
 fn one_attempt_is_out_at_a_time() {
     let mut guard = serving(SAFE);
     guard.send(10, REQUEST, 0, WRITER).unwrap();
-    assert_eq!(forbidden(guard.send(11, REQUEST, 1, FAR_WRITER)), Rule::OneAttempt);
+    assert_eq!(
+        forbidden(guard.send(11, REQUEST, 1, FAR_WRITER)),
+        Rule::OneAttempt
+    );
     guard.ended(REQUEST, 0, Outcome::Reset);
-    assert_eq!(guard.send(12, REQUEST, 1, FAR_WRITER), Ok(AttemptReason::Retry(Outcome::Reset)));
+    assert_eq!(
+        guard.send(12, REQUEST, 1, FAR_WRITER),
+        Ok(AttemptReason::Retry(Outcome::Reset))
+    );
 }
 
 #[test]
@@ -96,8 +120,14 @@
     let mut guard = serving(KEYED_IN_ZONE);
     guard.send(10, REQUEST, 0, WRITER).unwrap();
     guard.ended(REQUEST, 0, Outcome::Reset);
-    assert_eq!(forbidden(guard.clone().send(20, REQUEST, 1, FAR_WRITER)), Rule::NoEffectTwice);
-    assert_eq!(forbidden(guard.clone().send(10 + 5 * SECOND, REQUEST, 1, WRITER)), Rule::NoEffectTwice);
+    assert_eq!(
+        forbidden(guard.clone().send(20, REQUEST, 1, FAR_WRITER)),
+        Rule::NoEffectTwice
+    );
+    assert_eq!(
+        forbidden(guard.clone().send(10 + 5 * SECOND, REQUEST, 1, WRITER)),
+        Rule::NoEffectTwice
+    );
     assert!(guard.send(9 + 5 * SECOND, REQUEST, 1, WRITER).is_ok());
 }
 
@@ -105,19 +135,28 @@
 fn a_refusal_while_a_write_is_out_promises_too_much() {
     let mut guard = serving(UNSAFE);
     guard.send(10, REQUEST, 0, WRITER).unwrap();
-    assert_eq!(forbidden(guard.answer(REQUEST, AnswerKind::Refused)), Rule::HarmlessRefusal);
+    assert_eq!(
+        forbidden(guard.answer(REQUEST, AnswerKind::Refused)),
+        Rule::HarmlessRefusal
+    );
     assert_eq!(guard.answer(REQUEST, AnswerKind::Failed), Ok(()));
 }
 
 #[test]
 fn a_drain_has_a_grace_that_runs_from_the_first_word() {
     let mut guard = serving(SAFE);
-    let drains = ServerEntry { condition: Condition::Draining, ..server(2, 1) };
+    let drains = ServerEntry {
+        condition: Condition::Draining,
+        ..server(2, 1)
+    };
     guard.listed(SECOND, ListKind::Changes, &[drains]);
     // Told again, it drains no later.
     guard.listed(2 * SECOND, ListKind::Full, &[server(1, 0), drains]);
     assert!(guard.clone().send(2 * SECOND, REQUEST, 0, WRITER).is_ok());
-    assert_eq!(forbidden(guard.clone().send(2 * SECOND + 1, REQUEST, 0, WRITER)), Rule::NothingToDraining);
+    assert_eq!(
+        forbidden(guard.clone().send(2 * SECOND + 1, REQUEST, 0, WRITER)),
+        Rule::NothingToDraining
+    );
     guard.listed(3 * SECOND, ListKind::Changes, &[server(2, 1)]);
     assert!(guard.send(3 * SECOND, REQUEST, 0, WRITER).is_ok());
 }
@@ -131,5 +170,8 @@
     assert_eq!(forbidden(guard.enter(NodePhase::Stopped)), Rule::NodePhase);
     guard.answer(REQUEST, AnswerKind::Failed).unwrap();
     guard.enter(NodePhase::Stopped).unwrap();
-    assert_eq!(forbidden(guard.take(RequestId(10), SAFE, SECOND)), Rule::NodePhase);
+    assert_eq!(
+        forbidden(guard.take(RequestId(10), SAFE, SECOND)),
+        Rule::NodePhase
+    );
 }
--- a/crates/ivyward-core/tests/keep.rs
+++ b/crates/ivyward-core/tests/keep.rs
@@ -18,10 +18,19 @@
     assert!(keep.may_use(0, 300_000, true), "nothing speaks against it");
     let now = play(&mut keep, 0, Some(300_000), 25);
     assert!(!keep.may_use(now, 300_000, true));
-    assert!(keep.may_use(now, 20_000, true), "shorter ones are judged by themselves");
-    assert!(keep.may_use(now, 5 * SECOND, true), "and so are those that outlived it");
+    assert!(
+        keep.may_use(now, 20_000, true),
+        "shorter ones are judged by themselves"
+    );
+    assert!(
+        keep.may_use(now, 5 * SECOND, true),
+        "and so are those that outlived it"
+    );
     assert!(!keep.may_use(now + SECOND, 310_000, true));
-    assert!(keep.may_use(now + 300 * SECOND, 300_000, true), "it is tried again when that is long ago");
+    assert!(
+        keep.may_use(now + 300 * SECOND, 300_000, true),
+        "it is tried again when that is long ago"
+    );
 }
 
 #[test]
@@ -51,6 +60,12 @@
     assert!(!keep.may_use(0, 50_000, false));
     let now = play(&mut keep, 0, Some(50_000), 0);
     assert!(keep.may_use(now, 50_000, false));
-    assert!(!keep.may_use(now, 500_000, false), "another idle time has shown nothing");
-    assert!(!keep.may_use(now + 200 * SECOND, 50_000, false), "nor has one of long ago");
+    assert!(
+        !keep.may_use(now, 500_000, false),
+        "another idle time has shown nothing"
+    );
+    assert!(
+        !keep.may_use(now + 200 * SECOND, 50_000, false),
+        "nor has one of long ago"
+    );
 }
--- a/crates/ivyward-core/tests/keepalive.rs
+++ b/crates/ivyward-core/tests/keepalive.rs
@@ -6,13 +6,23 @@
 const SECOND: u64 = 1_000_000;
 
 fn settings(resting_checks: u32) -> KeepaliveSettings {
-    KeepaliveSettings { silence: SECOND, timeout: SECOND, resting_checks, dial_timeout: SECOND / 4 }
+    KeepaliveSettings {
+        silence: SECOND,
+        timeout: SECOND,
+        resting_checks,
+        dial_timeout: SECOND / 4,
+    }
 }
 
 /// Most of these times that lie within a second.
 fn most_in_a_second(mut times: Vec<u64>) -> usize {
     times.sort_unstable();
-    let from = |i: usize| times[i..].iter().take_while(|t| **t < times[i] + SECOND).count();
+    let from = |i: usize| {
+        times[i..]
+            .iter()
+            .take_while(|t| **t < times[i] + SECOND)
+            .count()
+    };
     (0..times.len()).map(from).max().unwrap_or(0)
 }
 
@@ -20,12 +30,15 @@
 fn checks(keepalive: &mut Keepalive, connections: usize, since: u64, until: u64) -> Vec<Vec<u64>> {
     let mut random = 1_u64;
     let mut jitter = move || {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        random = random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (random >> 40) as f64 / (1_u64 << 24) as f64
     };
     (0..connections).for_each(|_| keepalive.rested());
-    let mut asks: BTreeSet<(u64, usize)> =
-        (0..connections).map(|i| (keepalive.next_check(since, jitter()).unwrap(), i)).collect();
+    let mut asks: BTreeSet<(u64, usize)> = (0..connections)
+        .map(|i| (keepalive.next_check(since, jitter()).unwrap(), i))
+        .collect();
     let mut checked = vec![Vec::new(); connections];
     while let Some((at, connection)) = asks.pop_first().filter(|(at, _)| *at < until) {
         let next = match keepalive.ask(at, jitter()) {
@@ -48,11 +61,21 @@
         let round = (connections as u64 * SECOND / u64::from(budget)).max(2 * SECOND);
         let checked = checks(&mut keepalive, connections, since, since + 20 * round);
         let all: Vec<u64> = checked.iter().flatten().copied().collect();
-        assert!(all.iter().all(|at| *at >= since + SECOND), "none before the silence is over");
+        assert!(
+            all.iter().all(|at| *at >= since + SECOND),
+            "none before the silence is over"
+        );
         let most = most_in_a_second(all.clone());
-        assert!(most <= budget as usize + 1, "{most} in a second of {budget}");
+        assert!(
+            most <= budget as usize + 1,
+            "{most} in a second of {budget}"
+        );
         // Half of the budget is used at least, and all have their turns.
-        assert!(all.len() >= connections * 8, "{} checks of {connections} in 20 rounds", all.len());
+        assert!(
+            all.len() >= connections * 8,
+            "{} checks of {connections} in 20 rounds",
+            all.len()
+        );
         let least = checked.iter().map(Vec::len).min().unwrap();
         assert!(least >= 1, "one was checked {least} times in 20 rounds");
     }
@@ -64,11 +87,21 @@
     let mut keepalive = Keepalive::new(settings(16));
     (0..600).for_each(|_| keepalive.rested());
     let woke = 100 * SECOND;
-    let told: Vec<Ask> = (0..600).map(|i| keepalive.ask(woke, f64::from(i) / 600.0)).collect();
+    let told: Vec<Ask> = (0..600)
+        .map(|i| keepalive.ask(woke, f64::from(i) / 600.0))
+        .collect();
     let at_once = told.iter().filter(|told| **told == Ask::Check).count();
     assert_eq!(at_once, 1);
-    let again: Vec<u64> =
-        told.into_iter().filter_map(|told| if let Ask::Again(at) = told { Some(at) } else { None }).collect();
+    let again: Vec<u64> = told
+        .into_iter()
+        .filter_map(|told| {
+            if let Ask::Again(at) = told {
+                Some(at)
+            } else {
+                None
+            }
+        })
+        .collect();
     assert!(again.iter().all(|at| *at > woke));
     assert!(most_in_a_second(again) <= 17);
 }
@@ -80,9 +113,15 @@
     (0..1_000).for_each(|_| keepalive.rested());
     assert_eq!(keepalive.next_check(0, 0.5), Some(100 * SECOND));
     (0..900).for_each(|_| keepalive.roused());
-    assert_eq!((keepalive.resting(), keepalive.next_check(0, 0.5)), (100, Some(10 * SECOND)));
+    assert_eq!(
+        (keepalive.resting(), keepalive.next_check(0, 0.5)),
+        (100, Some(10 * SECOND))
+    );
     (0..200).for_each(|_| keepalive.roused());
-    assert_eq!((keepalive.resting(), keepalive.next_check(0, 0.0)), (0, Some(SECOND)));
+    assert_eq!(
+        (keepalive.resting(), keepalive.next_check(0, 0.0)),
+        (0, Some(SECOND))
+    );
 }
 
 #[test]
@@ -96,7 +135,11 @@
         (2 * SECOND + 1, check),
         (90 * SECOND, check),
     ] {
-        assert_eq!(keepalive.before_use(now, now - silent), before, "silent {silent}");
+        assert_eq!(
+            keepalive.before_use(now, now - silent),
+            before,
+            "silent {silent}"
+        );
     }
     // A clock that is behind what was heard.
     assert_eq!(keepalive.before_use(now, now + SECOND), BeforeUse::Nothing);
@@ -109,8 +152,14 @@
     assert_eq!(none.ask(5, 0.5), Ask::Again(u64::MAX));
     // Without checks at rest they are still checked before use.
     assert_ne!(none.before_use(100 * SECOND, 0), BeforeUse::Nothing);
-    let off = Keepalive::new(KeepaliveSettings { silence: 0, ..settings(16) });
-    assert_eq!((off.next_check(5, 0.5), off.before_use(u64::MAX, 0)), (None, BeforeUse::Nothing));
+    let off = Keepalive::new(KeepaliveSettings {
+        silence: 0,
+        ..settings(16)
+    });
+    assert_eq!(
+        (off.next_check(5, 0.5), off.before_use(u64::MAX, 0)),
+        (None, BeforeUse::Nothing)
+    );
     let largest = KeepaliveSettings {
         silence: u64::MAX,
         timeout: u64::MAX,
--- a/crates/ivyward-core/tests/membership.rs
+++ b/crates/ivyward-core/tests/membership.rs
@@ -9,9 +9,18 @@
 const GRACE: Micros = 5_000_000;
 
 fn member(id: u64, revision: i64, condition: Condition) -> Member {
-    let entry =
-        ServerEntry { id: ServerId(id), condition, weight: 1.0, started: 1, ..ServerEntry::default() };
-    Member { entry, address: SocketAddr::from(([127, 0, 0, 1], id as u16)), revision }
+    let entry = ServerEntry {
+        id: ServerId(id),
+        condition,
+        weight: 1.0,
+        started: 1,
+        ..ServerEntry::default()
+    };
+    Member {
+        entry,
+        address: SocketAddr::from(([127, 0, 0, 1], id as u16)),
+        revision,
+    }
 }
 
 fn ready(id: u64, revision: i64) -> Member {
@@ -19,7 +28,12 @@
 }
 
 fn list(revision: i64, members: Vec<Member>) -> Heard {
-    Heard::List { cluster: 1, revision, members, unread: vec![] }
+    Heard::List {
+        cluster: 1,
+        revision,
+        members,
+        unread: vec![],
+    }
 }
 
 struct Rig {
@@ -31,8 +45,15 @@
 
 impl Rig {
     fn new() -> Rig {
-        let settings = MembershipSettings { empty_grace: GRACE, behind_grace: 2 * GRACE };
-        Rig { of: Membership::new(settings), now: 1, view: BTreeMap::new() }
+        let settings = MembershipSettings {
+            empty_grace: GRACE,
+            behind_grace: 2 * GRACE,
+        };
+        Rig {
+            of: Membership::new(settings),
+            now: 1,
+            view: BTreeMap::new(),
+        }
     }
     fn hear(&mut self, heard: Heard) -> Vec<Told> {
         let mut out = Vec::new();
@@ -66,9 +87,24 @@
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
     let told = rig.hear(Heard::Put(member(1, 11, Condition::Draining)));
     let entries = vec![member(1, 11, Condition::Draining)];
-    assert_eq!(told, [Told::Fleet { kind: ListKind::Changes, entries }, Told::Keep]);
-    rig.hear(Heard::Deleted { id: ServerId(2), revision: 12 });
-    assert_eq!((rig.ids(), rig.condition(1), rig.of.revision()), (vec![1], Some(Condition::Draining), 12));
+    assert_eq!(
+        told,
+        [
+            Told::Fleet {
+                kind: ListKind::Changes,
+                entries
+            },
+            Told::Keep
+        ]
+    );
+    rig.hear(Heard::Deleted {
+        id: ServerId(2),
+        revision: 12,
+    });
+    assert_eq!(
+        (rig.ids(), rig.condition(1), rig.of.revision()),
+        (vec![1], Some(Condition::Draining), 12)
+    );
 }
 
 /// Guards against a watch that was compacted away: deletions that nobody told are found by the next list.
@@ -78,8 +114,14 @@
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6), ready(3, 7)]));
     assert_eq!(rig.hear(Heard::Gap), [Told::Relist]);
     assert_eq!(rig.ids(), [1, 2, 3], "a gap alone empties nothing");
-    rig.hear(list(40, vec![ready(1, 5), member(3, 30, Condition::Draining)]));
-    assert_eq!((rig.ids(), rig.condition(3)), (vec![1, 3], Some(Condition::Draining)));
+    rig.hear(list(
+        40,
+        vec![ready(1, 5), member(3, 30, Condition::Draining)],
+    ));
+    assert_eq!(
+        (rig.ids(), rig.condition(3)),
+        (vec![1, 3], Some(Condition::Draining))
+    );
 }
 
 /// Guards against a drain that is forgotten while the store restarts: what was heard stands until the store says
@@ -92,12 +134,24 @@
     rig.hear(Heard::Gap);
     assert_eq!(rig.condition(1), Some(Condition::Draining));
     // A member that lags behind answers from before the drain: not believed.
-    assert_eq!(rig.hear(list(10, vec![ready(1, 5), ready(2, 6)])), [Told::Relist]);
+    assert_eq!(
+        rig.hear(list(10, vec![ready(1, 5), ready(2, 6)])),
+        [Told::Relist]
+    );
     assert_eq!(rig.condition(1), Some(Condition::Draining));
     // A notice during the gap is told, but the watch must not go on from its revision.
     rig.hear(Heard::Put(member(2, 14, Condition::Draining)));
-    assert_eq!((rig.condition(2), rig.of.revision()), (Some(Condition::Draining), 11));
-    rig.hear(list(15, vec![member(1, 11, Condition::Draining), member(2, 14, Condition::Draining)]));
+    assert_eq!(
+        (rig.condition(2), rig.of.revision()),
+        (Some(Condition::Draining), 11)
+    );
+    rig.hear(list(
+        15,
+        vec![
+            member(1, 11, Condition::Draining),
+            member(2, 14, Condition::Draining),
+        ],
+    ));
     assert_eq!((rig.of.revision(), rig.of.gap()), (15, false));
 }
 
@@ -113,18 +167,33 @@
     rig.now += GRACE / 2;
     rig.hear(list(12, vec![ready(1, 5)]));
     rig.now += GRACE;
-    assert!(matches!(rig.hear(list(13, vec![]))[..], [Told::RelistAt(_)]));
+    assert!(matches!(
+        rig.hear(list(13, vec![]))[..],
+        [Told::RelistAt(_)]
+    ));
     rig.now += GRACE;
     rig.hear(list(14, vec![]));
     assert_eq!(rig.ids(), Vec::<u64>::new());
     // The last one's deletion is told as such and believed at once.
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5)]));
-    rig.hear(Heard::Deleted { id: ServerId(1), revision: 11 });
+    rig.hear(Heard::Deleted {
+        id: ServerId(1),
+        revision: 11,
+    });
     assert!(rig.view.is_empty());
     // With nobody known, an empty list is just that.
     let mut rig = Rig::new();
-    assert!(matches!(rig.hear(list(3, vec![]))[..], [Told::Fleet { kind: ListKind::Full, .. }, Told::Keep]));
+    assert!(matches!(
+        rig.hear(list(3, vec![]))[..],
+        [
+            Told::Fleet {
+                kind: ListKind::Full,
+                ..
+            },
+            Told::Keep
+        ]
+    ));
 }
 
 #[test]
@@ -134,22 +203,37 @@
     // Deleted and put again between two responses: its new start time tells.
     let mut again = ready(1, 12);
     again.entry.started = 9;
-    rig.hear(Heard::Deleted { id: ServerId(1), revision: 11 });
+    rig.hear(Heard::Deleted {
+        id: ServerId(1),
+        revision: 11,
+    });
     rig.hear(Heard::Put(again));
     assert_eq!(rig.view[&ServerId(1)].started, 9);
     // The old one's record or deletion, heard late, changes nothing.
     assert_eq!(rig.hear(Heard::Put(member(1, 11, Condition::Draining))), []);
     assert_eq!(rig.hear(Heard::Put(member(1, 13, Condition::Ready))), []);
-    assert_eq!(rig.hear(Heard::Deleted { id: ServerId(1), revision: 11 }), []);
+    assert_eq!(
+        rig.hear(Heard::Deleted {
+            id: ServerId(1),
+            revision: 11
+        }),
+        []
+    );
     assert_eq!(rig.condition(1), Some(Condition::Ready));
     // A drain and its cancellation.
     let draining = Member {
-        entry: ServerEntry { condition: Condition::Draining, ..again.entry },
+        entry: ServerEntry {
+            condition: Condition::Draining,
+            ..again.entry
+        },
         revision: 14,
         ..again
     };
     rig.hear(Heard::Put(draining));
-    rig.hear(Heard::Put(Member { revision: 15, ..again }));
+    rig.hear(Heard::Put(Member {
+        revision: 15,
+        ..again
+    }));
     assert_eq!(rig.condition(1), Some(Condition::Ready));
 }
 
@@ -158,7 +242,12 @@
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
     let unread = vec![ServerId(2), ServerId(9)];
-    rig.hear(Heard::List { cluster: 1, revision: 12, members: vec![ready(1, 5), ready(3, 11)], unread });
+    rig.hear(Heard::List {
+        cluster: 1,
+        revision: 12,
+        members: vec![ready(1, 5), ready(3, 11)],
+        unread,
+    });
     assert_eq!(rig.ids(), [1, 2, 3]);
 }
 
@@ -166,12 +255,23 @@
 fn a_kept_file_serves_until_the_store_speaks() {
     let mut rig = Rig::new();
     let told = rig.hear(Heard::Snapshot(vec![ready(1, 5)]));
-    assert!(matches!(told[..], [Told::Fleet { kind: ListKind::Cached, .. }]));
+    assert!(matches!(
+        told[..],
+        [Told::Fleet {
+            kind: ListKind::Cached,
+            ..
+        }]
+    ));
     rig.hear(list(3, vec![ready(1, 2), ready(2, 3)]));
     assert_eq!(rig.ids(), [1, 2]);
     assert_eq!(rig.hear(Heard::Snapshot(vec![])), []);
     // Another store, whose revisions begin anew.
-    let heard = Heard::List { cluster: 2, revision: 1, members: vec![ready(2, 1)], unread: vec![] };
+    let heard = Heard::List {
+        cluster: 2,
+        revision: 1,
+        members: vec![ready(2, 1)],
+        unread: vec![],
+    };
     rig.hear(heard);
     assert_eq!((rig.ids(), rig.of.revision()), (vec![2], 1));
 }
@@ -251,14 +351,24 @@
 fn a_store_whose_revisions_stay_behind_is_believed_in_the_end() {
     let mut rig = Rig::new();
     rig.hear(list(100, vec![ready(1, 50), ready(2, 60), ready(3, 70)]));
-    assert_eq!(rig.hear(list(40, vec![ready(1, 30)])), [Told::Relist], "an old answer, it seems");
+    assert_eq!(
+        rig.hear(list(40, vec![ready(1, 30)])),
+        [Told::Relist],
+        "an old answer, it seems"
+    );
     assert_eq!(rig.ids(), [1, 2, 3]);
     rig.now += 2 * GRACE - 1;
     assert_eq!(rig.hear(list(41, vec![ready(1, 30)])), [Told::Relist]);
     rig.now += 1;
     // Records of lower revisions than the ones known are no echoes now.
-    rig.hear(list(42, vec![member(1, 30, Condition::Draining), ready(4, 42)]));
-    assert_eq!((rig.ids(), rig.condition(1)), (vec![1, 4], Some(Condition::Draining)));
+    rig.hear(list(
+        42,
+        vec![member(1, 30, Condition::Draining), ready(4, 42)],
+    ));
+    assert_eq!(
+        (rig.ids(), rig.condition(1)),
+        (vec![1, 4], Some(Condition::Draining))
+    );
     assert_eq!(rig.of.revision(), 42);
 }
 
@@ -279,12 +389,18 @@
 #[test]
 fn a_minute_of_silence_empties_nothing() {
     let mut rig = Rig::new();
-    rig.hear(list(100, vec![ready(1, 50), member(2, 60, Condition::Draining)]));
+    rig.hear(list(
+        100,
+        vec![ready(1, 50), member(2, 60, Condition::Draining)],
+    ));
     for _ in 0..30 {
         rig.now += 2_000_000;
         assert_eq!(rig.hear(Heard::Gap), [Told::Relist]);
     }
-    assert_eq!((rig.ids(), rig.condition(2)), (vec![1, 2], Some(Condition::Draining)));
+    assert_eq!(
+        (rig.ids(), rig.condition(2)),
+        (vec![1, 2], Some(Condition::Draining))
+    );
 }
 
 fn started(id: u64, revision: i64, condition: Condition, started: Micros) -> Member {
@@ -305,8 +421,17 @@
         assert_eq!(rig.view[&ServerId(1)].started, 10);
         // Only the engine itself, or a record that says nothing of its start, makes it ready again.
         rig.hear(Heard::Put(started(1, 12, Condition::Ready, 5)));
-        assert_eq!(rig.condition(1), Some(Condition::Draining), "a process of the past is not the engine");
-        rig.hear(Heard::Put(started(1, 13, Condition::Ready, if named == 0 { 0 } else { 20 })));
+        assert_eq!(
+            rig.condition(1),
+            Some(Condition::Draining),
+            "a process of the past is not the engine"
+        );
+        rig.hear(Heard::Put(started(
+            1,
+            13,
+            Condition::Ready,
+            if named == 0 { 0 } else { 20 },
+        )));
         assert_eq!(rig.condition(1), Some(Condition::Ready));
     }
     // The same in a list.
--- a/crates/ivyward-core/tests/places.rs
+++ b/crates/ivyward-core/tests/places.rs
@@ -7,7 +7,10 @@
 
 /// Ten readers beside all writers (rack 1), and ten beside none (rack 2).
 fn racks() -> Vec<ServerEntry> {
-    let at = |id, kind, cell| ServerEntry { cell, ..server(id, kind) };
+    let at = |id, kind, cell| ServerEntry {
+        cell,
+        ..server(id, kind)
+    };
     let mut fleet: Vec<ServerEntry> = (1..=10).map(|id| at(id, 0, 1)).collect();
     fleet.extend((11..=20).map(|id| at(id, 0, 2)));
     fleet.extend((101..=105).map(|id| at(id, 1, 1)));
@@ -22,13 +25,19 @@
     takes: impl Fn(u64) -> Micros,
     counts: impl Fn(u64) -> bool,
 ) -> f64 {
-    let mut rig = Rig { router: Router::new(cfg, 5), now: 100 * SECOND, done: Vec::new() };
+    let mut rig = Rig {
+        router: Router::new(cfg, 5),
+        now: 100 * SECOND,
+        done: Vec::new(),
+    };
     rig.fleet(ListKind::Full, fleet);
     let (mut of, mut all) = (0.0, 0.0);
     for id in 0..600u64 {
         rig.now = 100 * SECOND + id * SECOND / 10;
-        let Some(ServerId(reader)) = rig.ask(Arrival { prefix: 1 + id, ..arrival(id, 9_000 + id, 1_000.0) })
-        else {
+        let Some(ServerId(reader)) = rig.ask(Arrival {
+            prefix: 1 + id,
+            ..arrival(id, 9_000 + id, 1_000.0)
+        }) else {
             continue;
         };
         if id >= 400 {
@@ -53,23 +62,37 @@
 #[test]
 fn racks_do_not_count_while_nothing_is_slow() {
     let part = played(settings(), &racks(), |_| QUICK, |id| id <= 10);
-    assert!((0.38..0.62).contains(&part), "{part} of reads beside writers");
+    assert!(
+        (0.38..0.62).contains(&part),
+        "{part} of reads beside writers"
+    );
 }
 
 /// States that cross racks wait for a link: what is read beside no writers comes late, and moves beside them.
 #[test]
 fn reads_move_beside_writers_when_links_between_racks_jam() {
-    let part =
-        played(settings(), &racks(), |id| if id > 10 { 9 * SECOND / 10 } else { QUICK }, |id| id <= 10);
+    let part = played(
+        settings(),
+        &racks(),
+        |id| if id > 10 { 9 * SECOND / 10 } else { QUICK },
+        |id| id <= 10,
+    );
     assert!(part > 0.75, "{part} of reads beside writers");
 }
 
 /// And back, when those are the slow ones.
 #[test]
 fn reads_do_not_move_where_first_tokens_are_late() {
-    let part =
-        played(settings(), &racks(), |id| if id <= 10 { 9 * SECOND / 10 } else { QUICK }, |id| id <= 10);
-    assert!((0.38..0.62).contains(&part), "{part} of reads beside writers");
+    let part = played(
+        settings(),
+        &racks(),
+        |id| if id <= 10 { 9 * SECOND / 10 } else { QUICK },
+        |id| id <= 10,
+    );
+    assert!(
+        (0.38..0.62).contains(&part),
+        "{part} of reads beside writers"
+    );
 }
 
 /// Ten readers in each of two zones. Crossing has a price: near homes come first, until this zone is jammed and the other is
@@ -77,14 +100,28 @@
 #[test]
 fn reads_go_to_the_other_zone_only_while_this_one_is_jammed() {
     let mut fleet: Vec<ServerEntry> = (1..=10).map(|id| server(id, 0)).collect();
-    fleet.extend((11..=20).map(|id| ServerEntry { zone: 1, ..server(id, 0) }));
+    fleet.extend((11..=20).map(|id| ServerEntry {
+        zone: 1,
+        ..server(id, 0)
+    }));
     fleet.extend((101..=105).map(|id| server(id, 1)));
-    let cfg = || Settings { cross_zone_price: 0.02, ..settings() };
+    let cfg = || Settings {
+        cross_zone_price: 0.02,
+        ..settings()
+    };
     let slow = 9 * SECOND / 10;
     let calm = played(cfg(), &fleet, |_| QUICK, |id| id > 10);
-    let jammed = played(cfg(), &fleet, |id| if id <= 10 { slow } else { QUICK }, |id| id > 10);
+    let jammed = played(
+        cfg(),
+        &fleet,
+        |id| if id <= 10 { slow } else { QUICK },
+        |id| id > 10,
+    );
     let both = played(cfg(), &fleet, |_| slow, |id| id > 10);
     assert!((0.1..0.35).contains(&calm), "{calm} across on a calm day");
-    assert!(jammed > calm + 0.15, "{jammed} across while this zone is jammed");
+    assert!(
+        jammed > calm + 0.15,
+        "{jammed} across while this zone is jammed"
+    );
     assert!(both < 0.5, "{both} across while both are");
 }
