--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -29,7 +29,15 @@
 
 impl Play {
     fn new(engines: u64, answers: impl Fn(ServerId, Micros) -> bool + 'static) -> Play {
-        Play::with(ReleaseSettings { within: WITHIN, most_asks: 28, most_owed: 1_000 }, engines, answers)
+        Play::with(
+            ReleaseSettings {
+                within: WITHIN,
+                most_asks: 28,
+                most_owed: 1_000,
+            },
+            engines,
+            answers,
+        )
     }
     fn with(
         settings: ReleaseSettings,
@@ -76,10 +84,22 @@
                 self.out.push((at, ask, answer));
             }
             self.most_out = self.most_out.max(self.out.len());
-            let met: Vec<u64> = self.owing.iter().copied().filter(|r| !self.let_go.owes(*r)).collect();
+            let met: Vec<u64> = self
+                .owing
+                .iter()
+                .copied()
+                .filter(|r| !self.let_go.owes(*r))
+                .collect();
             self.owing.retain(|r| self.let_go.owes(*r));
-            self.done.extend(met.into_iter().map(|request| (request, self.now)));
-            let next = self.out.iter().map(|o| o.0).chain(self.let_go.due()).min().unwrap_or(Micros::MAX);
+            self.done
+                .extend(met.into_iter().map(|request| (request, self.now)));
+            let next = self
+                .out
+                .iter()
+                .map(|o| o.0)
+                .chain(self.let_go.due())
+                .min()
+                .unwrap_or(Micros::MAX);
             if self.let_go.owed() == 0 && self.out.is_empty() || next > end {
                 self.now = if next > end { end } else { self.now };
                 return;
@@ -116,7 +136,11 @@
     play.owe(1, true);
     play.until(START + WITHIN);
     assert_eq!(play.asks.len(), 1, "one ask is enough: {:?}", play.asks);
-    assert_eq!(play.asks[0].1.taker, ServerId(7), "no new connection where one stands");
+    assert_eq!(
+        play.asks[0].1.taker,
+        ServerId(7),
+        "no new connection where one stands"
+    );
     assert_eq!(play.done[&1], START + play.way);
 }
 
@@ -153,7 +177,10 @@
 fn three_hundred_at_once_stay_within_their_connections_and_in_time() {
     // A third of the engines is behind the cut; and, worse than any cut, all those that were heard last.
     for (last_ones, within) in [(false, WITHIN), (true, 3 * WITHIN)] {
-        let mut play = Play::new(300, move |id, _| if last_ones { id.0 <= 200 } else { id.0 % 3 > 0 });
+        let mut play = Play::new(
+            300,
+            move |id, _| if last_ones { id.0 <= 200 } else { id.0 % 3 > 0 },
+        );
         for request in 0..300 {
             play.owe(request, true);
         }
@@ -175,14 +202,21 @@
     }
     play.until(back);
     assert_eq!(play.let_go.owed(), 20, "nothing is given up");
-    assert!(play.asks.len() < 20 * 60, "{} asks in a minute", play.asks.len());
+    assert!(
+        play.asks.len() < 20 * 60,
+        "{} asks in a minute",
+        play.asks.len()
+    );
     // Something else of that engine is heard.
     play.takers.get_mut(&ServerId(17)).unwrap().heard = back;
     play.let_go.heard(back);
     play.until(back + 4 * WITHIN);
     assert_eq!(play.let_go.owed(), 0);
     let first = |request| play.taken.iter().find(|t| t.1 == request).unwrap().0;
-    assert!((0..20).all(|r| first(r) <= back + 2 * play.way), "at once, and not after a pause");
+    assert!(
+        (0..20).all(|r| first(r) <= back + 2 * play.way),
+        "at once, and not after a pause"
+    );
 }
 
 /// Hundreds of engines, all silent, one of them back, and nothing else is heard of it: found in some pauses, not in hundreds.
@@ -199,7 +233,11 @@
         assert!(asked < 2_000, "{asked} asks in 20 s");
         play.until(back + 60_000 * MS);
         let last = play.done.values().max().copied().unwrap_or(Micros::MAX);
-        assert!(last - back < 12_000 * MS, "{requests} owed: {} us", last - back);
+        assert!(
+            last - back < 12_000 * MS,
+            "{requests} owed: {} us",
+            last - back
+        );
     }
 }
 
@@ -210,7 +248,10 @@
     play.until(START + 4 * WITHIN);
     let taken: Vec<Micros> = play.taken.iter().map(|t| t.0 - START).collect();
     assert_eq!(taken.len(), 3, "{taken:?}");
-    assert!(taken[1] >= WITHIN / 3 && taken[2] >= WITHIN && taken[2] <= WITHIN + 20 * MS, "{taken:?}");
+    assert!(
+        taken[1] >= WITHIN / 3 && taken[2] >= WITHIN && taken[2] <= WITHIN + 20 * MS,
+        "{taken:?}"
+    );
     // Something more is left after the first was taken: all begins anew, and what is unsure stays so.
     play.owe(2, false);
     play.until(play.now + 10 * MS);
@@ -241,10 +282,21 @@
 
 #[test]
 fn at_its_bound_the_oldest_is_left_and_named() {
-    let settings = ReleaseSettings { within: WITHIN, most_asks: 4, most_owed: 3 };
+    let settings = ReleaseSettings {
+        within: WITHIN,
+        most_asks: 4,
+        most_owed: 3,
+    };
     let mut play = Play::with(settings, 2, |_, _| false);
-    assert_eq!([play.owe(1, true), play.owe(2, true), play.owe(3, true)], [None; 3]);
-    assert_eq!(play.owe(2, true), None, "one that is owed already takes no more room");
+    assert_eq!(
+        [play.owe(1, true), play.owe(2, true), play.owe(3, true)],
+        [None; 3]
+    );
+    assert_eq!(
+        play.owe(2, true),
+        None,
+        "one that is owed already takes no more room"
+    );
     assert_eq!(play.owe(4, true), Some(1));
     assert_eq!(play.let_go.owed(), 3);
 }
@@ -273,7 +325,10 @@
     let ask = play.let_go.act(play.now, &takers)[0];
     play.let_go.answered(play.now, &ask, Answer::NoRoom);
     let again = play.let_go.due().unwrap();
-    assert!(again > START && again <= START + WITHIN / 5, "soon, and not at once");
+    assert!(
+        again > START && again <= START + WITHIN / 5,
+        "soon, and not at once"
+    );
     play.now = again;
     play.until(again + WITHIN);
     assert_eq!(play.let_go.owed(), 0);
@@ -282,12 +337,20 @@
 #[test]
 fn a_very_short_time_leaves_answers_their_way() {
     for within in [0, MS, 20 * MS] {
-        let settings = ReleaseSettings { within, most_asks: 28, most_owed: 10 };
+        let settings = ReleaseSettings {
+            within,
+            most_asks: 28,
+            most_owed: 10,
+        };
         let mut play = Play::with(settings, 8, |id, _| id.0 <= 6);
         play.way = 8 * MS;
         play.owe(1, true);
         play.until(START + 1_000 * MS);
-        assert!(play.done[&1] <= START + 40 * MS, "{within}: {}", play.done[&1] - START);
+        assert!(
+            play.done[&1] <= START + 40 * MS,
+            "{within}: {}",
+            play.done[&1] - START
+        );
     }
 }
 
@@ -298,7 +361,16 @@
     play.until(START + 5_000 * MS);
     assert_eq!((play.let_go.owed(), play.asks.len()), (1, 0));
     let id = ServerId(1);
-    play.takers.insert(id, Taker { id, heard: 0, missed: 0, stands: false, leaving: false });
+    play.takers.insert(
+        id,
+        Taker {
+            id,
+            heard: 0,
+            missed: 0,
+            stands: false,
+            leaving: false,
+        },
+    );
     play.until(START + 8_000 * MS);
     assert_eq!(play.let_go.owed(), 0);
 }
--- a/crates/ivyward-core/tests/starts_and_pace.rs
+++ b/crates/ivyward-core/tests/starts_and_pace.rs
@@ -11,28 +11,54 @@
 const UNIX: Micros = 1_000 * HOUR;
 
 fn entry(id: u64, started: Micros) -> ServerEntry {
-    ServerEntry { id: ServerId(id), weight: 1.0, started, ..ServerEntry::default() }
+    ServerEntry {
+        id: ServerId(id),
+        weight: 1.0,
+        started,
+        ..ServerEntry::default()
+    }
 }
 
 /// Guards against a wall clock an hour ahead of the engines': one that has just come would count as warm.
 #[test]
-fn one_that_is_new_to_a_list_that_is_followed_started_no_earlier_than_the_list_was_heard_without_it() {
+fn one_that_is_new_to_a_list_that_is_followed_started_no_earlier_than_the_list_was_heard_without_it(
+) {
     let mut starts = Starts::new();
     starts.listed(&entry(1, UNIX), NOW, UNIX);
     starts.whole(|_| true);
     starts.heard(NOW);
     let (later, ahead) = (NOW + 3_000_000, UNIX + HOUR);
-    assert_eq!(starts.listed(&entry(2, UNIX + 2_000_000), later, ahead), NOW, "an hour ahead");
+    assert_eq!(
+        starts.listed(&entry(2, UNIX + 2_000_000), later, ahead),
+        NOW,
+        "an hour ahead"
+    );
     assert_eq!(
         starts.listed(&entry(3, UNIX + 2_000_000), later, UNIX + 3_000_000),
         NOW + 2_000_000,
         "by one clock"
     );
     let late = starts.listed(&entry(5, UNIX - 5_000_000), later, UNIX + 3_000_000);
-    assert_eq!(late, NOW - 5_000_000, "a list that is late makes nobody younger");
-    assert_eq!(starts.listed(&entry(1, UNIX + 2_000_000), later, ahead), NOW, "it started again");
-    assert_eq!(starts.listed(&entry(1, UNIX + 2_000_000), later + HOUR, ahead + HOUR), NOW, "told again");
-    assert_eq!(starts.listed(&entry(4, 0), later, ahead), 0, "said to be long ago");
+    assert_eq!(
+        late,
+        NOW - 5_000_000,
+        "a list that is late makes nobody younger"
+    );
+    assert_eq!(
+        starts.listed(&entry(1, UNIX + 2_000_000), later, ahead),
+        NOW,
+        "it started again"
+    );
+    assert_eq!(
+        starts.listed(&entry(1, UNIX + 2_000_000), later + HOUR, ahead + HOUR),
+        NOW,
+        "told again"
+    );
+    assert_eq!(
+        starts.listed(&entry(4, 0), later, ahead),
+        0,
+        "said to be long ago"
+    );
 }
 
 /// Guards against a wall clock an hour behind: every engine that started within that hour would count as cold for it.
@@ -40,18 +66,40 @@
 fn nobody_starts_in_the_future() {
     let mut starts = Starts::new();
     assert_eq!(starts.listed(&entry(1, UNIX), NOW, UNIX - HOUR), NOW);
-    assert_eq!(starts.listed(&entry(1, UNIX), NOW + WARM, UNIX - HOUR + WARM), NOW, "its age grows");
+    assert_eq!(
+        starts.listed(&entry(1, UNIX), NOW + WARM, UNIX - HOUR + WARM),
+        NOW,
+        "its age grows"
+    );
 }
 
 #[test]
 fn in_the_first_list_an_age_is_taken_at_its_word() {
     let mut starts = Starts::new();
-    assert_eq!(starts.here(&entry(1, UNIX - 5_000_000), NOW, UNIX, WARM), NOW - 5_000_000);
-    assert_eq!(starts.here(&entry(2, UNIX - HOUR), NOW, UNIX, WARM), 0, "long warm");
-    assert_eq!(starts.here(&entry(3, UNIX + HOUR), NOW, UNIX, WARM), NOW, "in the future is just now");
-    assert_eq!(starts.here(&entry(4, 0), NOW, UNIX, WARM), 0, "said to be long ago");
+    assert_eq!(
+        starts.here(&entry(1, UNIX - 5_000_000), NOW, UNIX, WARM),
+        NOW - 5_000_000
+    );
+    assert_eq!(
+        starts.here(&entry(2, UNIX - HOUR), NOW, UNIX, WARM),
+        0,
+        "long warm"
+    );
+    assert_eq!(
+        starts.here(&entry(3, UNIX + HOUR), NOW, UNIX, WARM),
+        NOW,
+        "in the future is just now"
+    );
+    assert_eq!(
+        starts.here(&entry(4, 0), NOW, UNIX, WARM),
+        0,
+        "said to be long ago"
+    );
     // Read again later, nobody has started anew.
-    assert_eq!(starts.here(&entry(1, UNIX - 5_000_000), NOW + HOUR, UNIX + HOUR, WARM), NOW - 5_000_000);
+    assert_eq!(
+        starts.here(&entry(1, UNIX - 5_000_000), NOW + HOUR, UNIX + HOUR, WARM),
+        NOW - 5_000_000
+    );
 }
 
 /// Guards against an engine whose clock is an hour behind: it has just started, looks long warm, and all nodes would
@@ -63,10 +111,17 @@
     starts.whole(|id| id.0 == 1);
     for (id, skew) in [(2, -(HOUR as i64)), (3, 0), (4, HOUR as i64)] {
         let written = (UNIX as i64 + skew) as Micros;
-        assert_eq!(starts.here(&entry(id, written), NOW, UNIX, WARM), NOW, "{skew}");
+        assert_eq!(
+            starts.here(&entry(id, written), NOW, UNIX, WARM),
+            NOW,
+            "{skew}"
+        );
     }
     // One that was there restarts, by a clock that went back meanwhile.
-    assert_eq!(starts.here(&entry(1, UNIX - 2 * HOUR), NOW + 9, UNIX, WARM), NOW + 9);
+    assert_eq!(
+        starts.here(&entry(1, UNIX - 2 * HOUR), NOW + 9, UNIX, WARM),
+        NOW + 9
+    );
 }
 
 /// Guards against a lease that was lost, or a store that came back empty: the same process registers again, and is as
@@ -78,13 +133,22 @@
     starts.here(&entry(2, UNIX - 1), NOW, UNIX, WARM);
     starts.whole(|_| true);
     starts.gone(ServerId(1));
-    assert_eq!(starts.here(&entry(1, UNIX - HOUR), NOW + HOUR, UNIX + HOUR, WARM), 0);
+    assert_eq!(
+        starts.here(&entry(1, UNIX - HOUR), NOW + HOUR, UNIX + HOUR, WARM),
+        0
+    );
     // Missing from a whole list, and back in the next.
     starts.whole(|_| false);
-    assert_eq!(starts.here(&entry(2, UNIX - 1), NOW + HOUR, UNIX + HOUR, WARM), NOW - 1);
+    assert_eq!(
+        starts.here(&entry(2, UNIX - 1), NOW + HOUR, UNIX + HOUR, WARM),
+        NOW - 1
+    );
     // Back as another process.
     starts.gone(ServerId(1));
-    assert_eq!(starts.here(&entry(1, UNIX + HOUR), NOW + HOUR, UNIX + HOUR, WARM), NOW + HOUR);
+    assert_eq!(
+        starts.here(&entry(1, UNIX + HOUR), NOW + HOUR, UNIX + HOUR, WARM),
+        NOW + HOUR
+    );
 }
 
 #[test]
@@ -96,12 +160,24 @@
     }
     starts.whole(|_| true);
     (0..many).for_each(|id| starts.gone(ServerId(id)));
-    assert_eq!(starts.here(&entry(9, UNIX - HOUR), NOW, UNIX, WARM), NOW, "the oldest is forgotten");
-    assert_eq!(starts.here(&entry(10, UNIX - HOUR), NOW, UNIX, WARM), 0, "the next is not");
+    assert_eq!(
+        starts.here(&entry(9, UNIX - HOUR), NOW, UNIX, WARM),
+        NOW,
+        "the oldest is forgotten"
+    );
+    assert_eq!(
+        starts.here(&entry(10, UNIX - HOUR), NOW, UNIX, WARM),
+        0,
+        "the next is not"
+    );
 }
 
 fn pace() -> Pace {
-    Pace::new(PaceSettings { share: 0.25, urgent: 30_000, most: 1_000_000 })
+    Pace::new(PaceSettings {
+        share: 0.25,
+        urgent: 30_000,
+        most: 1_000_000,
+    })
 }
 
 #[test]
@@ -118,7 +194,10 @@
     pace.passed(0, 1_000);
     assert_eq!(pace.due(1_001, false), 4_000);
     pace.passed(4_000, 104_000);
-    assert_eq!((pace.due(104_001, false), pace.due(104_001, true)), (404_000, 134_001));
+    assert_eq!(
+        (pace.due(104_001, false), pace.due(104_001, true)),
+        (404_000, 134_001)
+    );
     // One cheap list between costly ones does not hide what they cost.
     pace.passed(404_000, 404_010);
     assert_eq!(pace.due(404_011, false), 644_010);
--- a/crates/ivyward-core/tests/tenants.rs
+++ b/crates/ivyward-core/tests/tenants.rs
@@ -5,11 +5,19 @@
 use ivyward_core::interface::*;
 
 fn two_tenants() -> Settings {
-    Settings { tenants: vec![TenantSettings { quota_per_s: None }; 2], max_attempts: 5, ..settings() }
+    Settings {
+        tenants: vec![TenantSettings { quota_per_s: None }; 2],
+        max_attempts: 5,
+        ..settings()
+    }
 }
 
 fn of(tenant: usize, id: u64) -> Arrival {
-    Arrival { tenant, prefix: id, ..arrival(id, id, 1_000.0) }
+    Arrival {
+        tenant,
+        prefix: id,
+        ..arrival(id, id, 1_000.0)
+    }
 }
 
 /// A read request's writer, which then serves it unless it limits that tenant; where it went last.
@@ -36,8 +44,10 @@
 
 #[test]
 fn a_tenant_that_is_limited_goes_where_it_is_not_and_others_go_on() {
-    let fleet: Vec<ServerEntry> =
-        [server(1, 0)].into_iter().chain((11..16).map(|id| server(id, 1))).collect();
+    let fleet: Vec<ServerEntry> = [server(1, 0)]
+        .into_iter()
+        .chain((11..16).map(|id| server(id, 1)))
+        .collect();
     let mut rig = Rig::new(two_tenants(), &fleet);
     let limits = [11, 12, 13, 14];
     let (mut wasted, mut others) = (0, std::collections::BTreeSet::new());
@@ -50,8 +60,14 @@
             others.insert(*tried.last().unwrap());
         }
     }
-    assert!(wasted <= 8, "{wasted} attempts of 20 requests went where the tenant is limited");
-    assert!(others.len() >= 4, "the other tenant is not kept off those servers: {others:?}");
+    assert!(
+        wasted <= 8,
+        "{wasted} attempts of 20 requests went where the tenant is limited"
+    );
+    assert!(
+        others.len() >= 4,
+        "the other tenant is not kept off those servers: {others:?}"
+    );
     // When the limit is over it is found out again, since nothing else is preferred for good.
     rig.now += 60 * SECOND;
     let mut seen = std::collections::BTreeSet::new();
@@ -69,24 +85,42 @@
         let entries = [server(id + 1, 0), server(id + 2, 1), server(id + 3, 1)];
         rig.fleet(ListKind::Full, &entries);
         let writer = rig.turn(round, round % 7, 3_000.0);
-        assert!((id..id + 10).contains(&writer.0), "sent to one that is gone");
-        assert!(rig.router.known() <= 6, "{} servers are remembered", rig.router.known());
+        assert!(
+            (id..id + 10).contains(&writer.0),
+            "sent to one that is gone"
+        );
+        assert!(
+            rig.router.known() <= 6,
+            "{} servers are remembered",
+            rig.router.known()
+        );
     }
 }
 
 /// One that is gone stays known while something of ours is out there.
 #[test]
 fn a_server_that_is_gone_under_a_request_is_not_missed() {
-    let mut rig = Rig::new(settings(), &[server(1, 0), server(2, 0), server(11, 1), server(12, 1)]);
+    let mut rig = Rig::new(
+        settings(),
+        &[server(1, 0), server(2, 0), server(11, 1), server(12, 1)],
+    );
     let reader = rig.ask(arrival(1, 1, 3_000.0)).unwrap();
-    let others = if reader.0 == 1 { server(2, 0) } else { server(1, 0) };
+    let others = if reader.0 == 1 {
+        server(2, 0)
+    } else {
+        server(1, 0)
+    };
     rig.fleet(ListKind::Full, &[others, server(11, 1), server(12, 1)]);
     rig.now += 10_000;
     assert_eq!(rig.end(1, 0, Outcome::Reset), Some(others.id));
     rig.now += 10_000;
     let writer = rig.end(1, 1, Outcome::Read).unwrap();
     rig.first(1, 2);
-    let stays = if writer.0 == 11 { server(12, 1) } else { server(11, 1) };
+    let stays = if writer.0 == 11 {
+        server(12, 1)
+    } else {
+        server(11, 1)
+    };
     rig.fleet(ListKind::Full, &[others, stays]);
     rig.end(1, 2, Outcome::Served);
     rig.fleet(ListKind::Full, &[others, stays]);
--- a/crates/ivyward-core/tests/watch.rs
+++ b/crates/ivyward-core/tests/watch.rs
@@ -8,7 +8,11 @@
 #[test]
 fn four_silent_calls_fit_into_the_told_time() {
     let watch = Watch::new(TOLD, true, 1);
-    assert!(watch.longest(3) + TOLD / 20 <= TOLD, "{} us", watch.longest(3));
+    assert!(
+        watch.longest(3) + TOLD / 20 <= TOLD,
+        "{} us",
+        watch.longest(3)
+    );
     // As a sum of what the parts really are, not of what the module says of them.
     let call = watch.dial() + watch.silence();
     assert_eq!(watch.longest(3), watch.wait() + watch.silence() + 4 * call);
@@ -21,16 +25,28 @@
     let watch = Watch::new(TOLD, true, 1);
     assert_eq!(watch.beside(), watch.dial() + watch.silence());
     assert!(watch.patience() >= 2 * watch.beside());
-    assert!(watch.most_calls() as u64 * watch.beside() >= watch.patience() && watch.most_calls() <= 4);
+    assert!(
+        watch.most_calls() as u64 * watch.beside() >= watch.patience() && watch.most_calls() <= 4
+    );
 }
 
 #[test]
 fn pauses_grow_with_quick_failures_alone_and_end_with_an_answer() {
     let mut watch = Watch::new(TOLD, true, 1);
-    assert_eq!(watch.missed(Miss::Silent), 0, "silence has cost time enough");
+    assert_eq!(
+        watch.missed(Miss::Silent),
+        0,
+        "silence has cost time enough"
+    );
     let pauses: Vec<u64> = (0..12).map(|_| watch.missed(Miss::Failed)).collect();
-    assert!(pauses.windows(2).all(|p| p[0] <= p[1]) && pauses[0] > 0, "{pauses:?}");
-    assert!(pauses[11] <= TOLD / 10, "back within a tenth of the told time: {pauses:?}");
+    assert!(
+        pauses.windows(2).all(|p| p[0] <= p[1]) && pauses[0] > 0,
+        "{pauses:?}"
+    );
+    assert!(
+        pauses[11] <= TOLD / 10,
+        "back within a tenth of the told time: {pauses:?}"
+    );
     // A service that is down for a minute is not run against.
     assert!(pauses[11] >= TOLD / 20, "{pauses:?}");
     watch.came();
@@ -43,12 +59,20 @@
 fn a_service_that_turns_calls_away_is_spared() {
     let pauses = |seed: u64| {
         let mut watch = Watch::new(TOLD, true, seed);
-        (0..10).map(|_| watch.missed(Miss::TurnedAway)).collect::<Vec<_>>()
+        (0..10)
+            .map(|_| watch.missed(Miss::TurnedAway))
+            .collect::<Vec<_>>()
     };
     let (one, other) = (pauses(1), pauses(2));
     assert_eq!(one, pauses(1), "the same seed draws the same");
-    assert!(one.iter().zip(&other).all(|(a, b)| a != b), "{one:?} {other:?}");
-    assert!(one[0] <= TOLD / 50 && one[9] >= TOLD / 2 && one.iter().all(|p| *p <= TOLD), "{one:?}");
+    assert!(
+        one.iter().zip(&other).all(|(a, b)| a != b),
+        "{one:?} {other:?}"
+    );
+    assert!(
+        one[0] <= TOLD / 50 && one[9] >= TOLD / 2 && one.iter().all(|p| *p <= TOLD),
+        "{one:?}"
+    );
     let mut watch = Watch::new(TOLD, true, 1);
     let usual = watch.wait();
     for _ in 0..8 {
@@ -57,7 +81,11 @@
     let longest = watch.wait();
     assert!(longest >= 5 * usual && longest <= 2 * TOLD);
     watch.came();
-    assert_eq!(watch.wait(), longest, "one list is no sign that it bears more calls");
+    assert_eq!(
+        watch.wait(),
+        longest,
+        "one list is no sign that it bears more calls"
+    );
     for _ in 0..8 {
         watch.watch_came(0);
     }
@@ -99,8 +127,13 @@
 fn a_fleet_gets_through_to_a_service_that_can_take_few_calls() {
     const NODES: u64 = 32;
     for all_in in [4_000_000, 8_000_000] {
-        let mut service = Service { cost: all_in / NODES, free_at: 0 };
-        let mut nodes: Vec<Watch> = (0..NODES).map(|seed| Watch::new(TOLD, true, seed)).collect();
+        let mut service = Service {
+            cost: all_in / NODES,
+            free_at: 0,
+        };
+        let mut nodes: Vec<Watch> = (0..NODES)
+            .map(|seed| Watch::new(TOLD, true, seed))
+            .collect();
         // What each node does next, in the order of time: it calls for the whole list, or goes on with a watch.
         let mut next: std::collections::BTreeSet<(u64, usize, bool)> =
             (0..nodes.len()).map(|node| (0, node, false)).collect();
@@ -133,7 +166,10 @@
             longest_gap < 6 * TOLD,
             "{longest_gap} us without a word, {turned_away} of {calls} turned away"
         );
-        assert!(turned_away * 2 < calls, "{turned_away} of {calls} calls turned away");
+        assert!(
+            turned_away * 2 < calls,
+            "{turned_away} of {calls} calls turned away"
+        );
     }
 }
 
--- a/crates/ivyward-etcd/src/keep.rs
+++ b/crates/ivyward-etcd/src/keep.rs
@@ -41,7 +41,9 @@
         let span = seconds.max(1) as u64 * 1_000_000;
         let (mut value, mut lease, mut first) = (value, 0, true);
         loop {
-            let step = self.keep_once(key, &mut value, &mut lease, seconds, first, &mut told).await;
+            let step = self
+                .keep_once(key, &mut value, &mut lease, seconds, first, &mut told)
+                .await;
             // A third of its life, not all keepers in one moment; sooner after a failure.
             let pause = match step {
                 Ok(true) => span / 3,
@@ -52,7 +54,9 @@
                 }
             };
             first &= lease == 0;
-            world.sleep((pause as f64 * (0.9 + 0.2 * world.unit())) as Micros).await;
+            world
+                .sleep((pause as f64 * (0.9 + 0.2 * world.unit())) as Micros)
+                .await;
         }
     }
 
@@ -99,11 +103,23 @@
             target_union: Some(rpc::compare::TargetUnion::CreateRevision(0)),
             ..rpc::Compare::default()
         };
-        let put =
-            rpc::PutRequest { key: key.into(), value: value.clone(), lease: granted, ..Default::default() };
-        let put = rpc::RequestOp { request: Some(rpc::request_op::Request::RequestPut(put)) };
+        let put = rpc::PutRequest {
+            key: key.into(),
+            value: value.clone(),
+            lease: granted,
+            ..Default::default()
+        };
+        let put = rpc::RequestOp {
+            request: Some(rpc::request_op::Request::RequestPut(put)),
+        };
         let compare = if first { vec![] } else { vec![absent] };
-        let written = self.txn(&rpc::TxnRequest { compare, success: vec![put], failure: vec![] }).await?;
+        let written = self
+            .txn(&rpc::TxnRequest {
+                compare,
+                success: vec![put],
+                failure: vec![],
+            })
+            .await?;
         if !written.succeeded {
             return match self.seen(key, granted).await? {
                 Seen::Other(lease) => {
@@ -120,7 +136,12 @@
     }
 
     async fn seen(&self, key: &[u8], lease: i64) -> Result<Seen, EtcdError> {
-        let found = self.range(&rpc::RangeRequest { key: key.into(), ..Default::default() }).await?;
+        let found = self
+            .range(&rpc::RangeRequest {
+                key: key.into(),
+                ..Default::default()
+            })
+            .await?;
         Ok(match found.kvs.into_iter().next() {
             None => Seen::Absent,
             Some(kv) if kv.lease == lease => Seen::Ours(kv.value),
--- a/crates/ivyward-etcd/src/lib.rs
+++ b/crates/ivyward-etcd/src/lib.rs
@@ -126,7 +126,12 @@
 impl Client {
     /// A client of the store at these endpoints; connects when first asked.
     pub fn new(world: &WorldRef, endpoints: Vec<SocketAddr>, options: EtcdOptions) -> Client {
-        Client { world: world.clone(), endpoints, options, current: Mutex::default() }
+        Client {
+            world: world.clone(),
+            endpoints,
+            options,
+            current: Mutex::default(),
+        }
     }
     fn current(&self) -> MutexGuard<'_, Current> {
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
@@ -143,21 +148,32 @@
 
     /// A connection to the endpoint in use, or to the first of the others that can be reached.
     async fn channel(&self) -> Result<Channel, EtcdError> {
-        let nobody =
-            EtcdError::Unreachable(SocketAddr::from(([0, 0, 0, 0], 0)), "no endpoint is given".into());
+        let nobody = EtcdError::Unreachable(
+            SocketAddr::from(([0, 0, 0, 0], 0)),
+            "no endpoint is given".into(),
+        );
         let mut last = nobody;
         for _ in 0..self.endpoints.len() {
             let (ready, endpoint) = {
                 let current = self.current();
-                (current.channel.clone().filter(Channel::usable), current.endpoint)
+                (
+                    current.channel.clone().filter(Channel::usable),
+                    current.endpoint,
+                )
             };
             if let Some(channel) = ready {
                 return Ok(channel);
             }
             let address = self.endpoints[endpoint % self.endpoints.len()];
             let dial = async {
-                let conn = self.world.connect(address).await.map_err(|e| e.to_string())?;
-                Channel::begin(&self.world, conn, self.options.wire).await.map_err(|e| e.to_string())
+                let conn = self
+                    .world
+                    .connect(address)
+                    .await
+                    .map_err(|e| e.to_string())?;
+                Channel::begin(&self.world, conn, self.options.wire)
+                    .await
+                    .map_err(|e| e.to_string())
             };
             let until = self.world.now().saturating_add(self.options.dial_timeout);
             match before(&self.world, until, dial).await {
@@ -166,7 +182,9 @@
                     return Ok(channel);
                 }
                 other => {
-                    let text = other.and_then(Result::err).unwrap_or_else(|| "not open in time".into());
+                    let text = other
+                        .and_then(Result::err)
+                        .unwrap_or_else(|| "not open in time".into());
                     last = EtcdError::Unreachable(address, text);
                     self.leave_endpoint();
                 }
@@ -177,12 +195,17 @@
 
     async fn headers(&self, channel: &Channel) -> Result<HeaderMap, EtcdError> {
         let mut headers = HeaderMap::new();
-        let Some((name, password)) = &self.options.login else { return Ok(headers) };
+        let Some((name, password)) = &self.options.login else {
+            return Ok(headers);
+        };
         let known = self.current().token.clone();
         let token = match known {
             Some(token) => token,
             None => {
-                let ask = rpc::AuthenticateRequest { name: name.clone(), password: password.clone() };
+                let ask = rpc::AuthenticateRequest {
+                    name: name.clone(),
+                    password: password.clone(),
+                };
                 let path = "/etcdserverpb.Auth/Authenticate";
                 let reply: rpc::AuthenticateResponse =
                     self.once(channel, path, &ask, HeaderMap::new()).await?;
@@ -191,7 +214,10 @@
             }
         };
         let value = HeaderValue::from_str(&token);
-        headers.insert("token", value.map_err(|_| EtcdError::Nonsense("a token that is no text".into()))?);
+        headers.insert(
+            "token",
+            value.map_err(|_| EtcdError::Nonsense("a token that is no text".into()))?,
+        );
         Ok(headers)
     }
 
@@ -204,10 +230,18 @@
     ) -> Result<M, EtcdError> {
         let until = self.world.now().saturating_add(self.options.call_timeout);
         let call = async {
-            let mut call = channel.call(path, encode(ask), headers).await.map_err(told)?;
-            call.next::<M>().await.map_err(told)?.ok_or_else(|| EtcdError::Nonsense("an empty answer".into()))
+            let mut call = channel
+                .call(path, encode(ask), headers)
+                .await
+                .map_err(told)?;
+            call.next::<M>()
+                .await
+                .map_err(told)?
+                .ok_or_else(|| EtcdError::Nonsense("an empty answer".into()))
         };
-        before(&self.world, until, call).await.unwrap_or(Err(EtcdError::Late))
+        before(&self.world, until, call)
+            .await
+            .unwrap_or(Err(EtcdError::Late))
     }
 
     /// One call. `again` says that it may be done twice: then a break is followed by a try at the next endpoint.
@@ -227,14 +261,17 @@
                 Err(e) => Err(e),
             };
             match asked {
-                Err(EtcdError::Status { code: UNAUTHENTICATED, .. })
-                    if self.options.login.is_some() && !logged_in_again =>
-                {
+                Err(EtcdError::Status {
+                    code: UNAUTHENTICATED,
+                    ..
+                }) if self.options.login.is_some() && !logged_in_again => {
                     // The token ran out, or the store forgot it.
                     logged_in_again = true;
                     self.current().token = None;
                 }
-                Err(EtcdError::Broken(_) | EtcdError::Late) if again && tries < self.endpoints.len() + 1 => {
+                Err(EtcdError::Broken(_) | EtcdError::Late)
+                    if again && tries < self.endpoints.len() + 1 =>
+                {
                     self.leave_endpoint();
                 }
                 Err(e @ (EtcdError::Broken(_) | EtcdError::Late)) => {
@@ -270,11 +307,15 @@
                 ..rpc::RangeRequest::default()
             };
             let page = self.range(&ask).await?;
-            let header = page.header.ok_or_else(|| EtcdError::Nonsense("a range without a header".into()))?;
+            let header = page
+                .header
+                .ok_or_else(|| EtcdError::Nonsense("a range without a header".into()))?;
             if list.revision == 0 {
                 (list.cluster, list.revision) = (header.cluster_id, header.revision);
             } else if header.cluster_id != list.cluster {
-                return Err(EtcdError::Nonsense("another store answered in the middle of a list".into()));
+                return Err(EtcdError::Nonsense(
+                    "another store answered in the middle of a list".into(),
+                ));
             }
             if list.kvs.len() + page.kvs.len() > self.options.most_keys {
                 return Err(EtcdError::Nonsense(format!(
@@ -296,8 +337,12 @@
     /// # Errors
     /// [`EtcdError`]; after `Broken` or `Late` it may have been written.
     pub async fn put(&self, key: &[u8], value: &[u8], lease: i64) -> Result<i64, EtcdError> {
-        let ask =
-            rpc::PutRequest { key: key.into(), value: value.into(), lease, ..rpc::PutRequest::default() };
+        let ask = rpc::PutRequest {
+            key: key.into(),
+            value: value.into(),
+            lease,
+            ..rpc::PutRequest::default()
+        };
         let reply: rpc::PutResponse = self.call("/etcdserverpb.KV/Put", &ask, false).await?;
         Ok(reply.header.map_or(0, |h| h.revision))
     }
@@ -307,8 +352,13 @@
     /// # Errors
     /// [`EtcdError`]; after `Broken` or `Late` it may have been deleted.
     pub async fn delete(&self, key: &[u8]) -> Result<i64, EtcdError> {
-        let ask = rpc::DeleteRangeRequest { key: key.into(), ..rpc::DeleteRangeRequest::default() };
-        let reply: rpc::DeleteRangeResponse = self.call("/etcdserverpb.KV/DeleteRange", &ask, false).await?;
+        let ask = rpc::DeleteRangeRequest {
+            key: key.into(),
+            ..rpc::DeleteRangeRequest::default()
+        };
+        let reply: rpc::DeleteRangeResponse = self
+            .call("/etcdserverpb.KV/DeleteRange", &ask, false)
+            .await?;
         Ok(reply.deleted)
     }
 
@@ -325,11 +375,19 @@
     /// # Errors
     /// [`EtcdError`].
     pub async fn grant(&self, seconds: i64) -> Result<i64, EtcdError> {
-        let ask = rpc::LeaseGrantRequest { ttl: seconds, id: 0 };
-        let reply: rpc::LeaseGrantResponse = self.call("/etcdserverpb.Lease/LeaseGrant", &ask, true).await?;
+        let ask = rpc::LeaseGrantRequest {
+            ttl: seconds,
+            id: 0,
+        };
+        let reply: rpc::LeaseGrantResponse = self
+            .call("/etcdserverpb.Lease/LeaseGrant", &ask, true)
+            .await?;
         match reply.error.is_empty() {
             true => Ok(reply.id),
-            false => Err(EtcdError::Status { code: 2, message: reply.error }),
+            false => Err(EtcdError::Status {
+                code: 2,
+                message: reply.error,
+            }),
         }
     }
 
@@ -339,7 +397,9 @@
     /// [`EtcdError`].
     pub async fn revoke(&self, lease: i64) -> Result<(), EtcdError> {
         let ask = rpc::LeaseRevokeRequest { id: lease };
-        let _: rpc::LeaseRevokeResponse = self.call("/etcdserverpb.Lease/LeaseRevoke", &ask, true).await?;
+        let _: rpc::LeaseRevokeResponse = self
+            .call("/etcdserverpb.Lease/LeaseRevoke", &ask, true)
+            .await?;
         Ok(())
     }
 
@@ -368,7 +428,10 @@
 /// A failed call as an error of this package.
 pub(crate) fn told(e: CallError) -> EtcdError {
     match e.cause {
-        Cause::Status(status) => EtcdError::Status { code: status.code, message: status.message },
+        Cause::Status(status) => EtcdError::Status {
+            code: status.code,
+            message: status.message,
+        },
         Cause::Frame(e) => EtcdError::Nonsense(e.to_string()),
         cause => EtcdError::Broken(cause.to_string()),
     }
--- a/crates/ivyward-etcd/src/watch.rs
+++ b/crates/ivyward-etcd/src/watch.rs
@@ -49,15 +49,26 @@
             ..rpc::WatchCreateRequest::default()
         };
         let union = Some(rpc::watch_request::RequestUnion::CreateRequest(create));
-        let ask = rpc::WatchRequest { request_union: union };
-        let call = channel.open("/etcdserverpb.Watch/Watch", encode(&ask), headers).await.map_err(told)?;
-        Ok(Watcher { call, cluster: None, parts: Vec::new() })
+        let ask = rpc::WatchRequest {
+            request_union: union,
+        };
+        let call = channel
+            .open("/etcdserverpb.Watch/Watch", encode(&ask), headers)
+            .await
+            .map_err(told)?;
+        Ok(Watcher {
+            call,
+            cluster: None,
+            parts: Vec::new(),
+        })
     }
 
     /// Asks the store to say up to which revision all was told. The answer comes as [`Notice::Progress`].
     pub fn ask_progress(&mut self) {
         let union = rpc::watch_request::RequestUnion::ProgressRequest(rpc::WatchProgressRequest {});
-        self.call.send(encode(&rpc::WatchRequest { request_union: Some(union) }));
+        self.call.send(encode(&rpc::WatchRequest {
+            request_union: Some(union),
+        }));
     }
 
     /// Which store it watches, once it answered.
@@ -72,10 +83,15 @@
     pub async fn next(&mut self) -> Result<Notice, EtcdError> {
         loop {
             let response = self.call.next::<rpc::WatchResponse>().await.map_err(told)?;
-            let response = response.ok_or_else(|| EtcdError::Broken("the store closed the watch".into()))?;
+            let response =
+                response.ok_or_else(|| EtcdError::Broken("the store closed the watch".into()))?;
             let header = response.header.unwrap_or_default();
-            if header.cluster_id != 0 && *self.cluster.get_or_insert(header.cluster_id) != header.cluster_id {
-                return Err(EtcdError::Nonsense("another store went on with the watch".into()));
+            if header.cluster_id != 0
+                && *self.cluster.get_or_insert(header.cluster_id) != header.cluster_id
+            {
+                return Err(EtcdError::Nonsense(
+                    "another store went on with the watch".into(),
+                ));
             }
             if response.compact_revision > 0 {
                 return Ok(Notice::Compacted(response.compact_revision));
@@ -84,7 +100,9 @@
                 return Ok(Notice::Cancelled(response.cancel_reason));
             }
             if self.parts.len() + response.events.len() > MOST_EVENTS {
-                return Err(EtcdError::Nonsense(format!("over {MOST_EVENTS} events in one response")));
+                return Err(EtcdError::Nonsense(format!(
+                    "over {MOST_EVENTS} events in one response"
+                )));
             }
             self.parts.extend(response.events);
             if response.fragment || response.created && self.parts.is_empty() {
@@ -93,7 +111,10 @@
             let events = std::mem::take(&mut self.parts);
             return Ok(match events.is_empty() {
                 true => Notice::Progress(header.revision),
-                false => Notice::Events { revision: header.revision, events },
+                false => Notice::Events {
+                    revision: header.revision,
+                    events,
+                },
             });
         }
     }
--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -15,7 +15,11 @@
 }
 
 fn options() -> EtcdOptions {
-    EtcdOptions { page: 7, call_timeout: 1_500_000, ..EtcdOptions::default() }
+    EtcdOptions {
+        page: 7,
+        call_timeout: 1_500_000,
+        ..EtcdOptions::default()
+    }
 }
 
 fn client(at: &[SocketAddr], options: EtcdOptions) -> (Arc<SmolWorld>, Client) {
@@ -25,9 +29,14 @@
 }
 
 fn keys(notice: &Notice) -> Vec<String> {
-    let Notice::Events { events, .. } = notice else { panic!("{notice:?}") };
+    let Notice::Events { events, .. } = notice else {
+        panic!("{notice:?}")
+    };
     let key = |kv: &ivyward_etcd::mvccpb::KeyValue| String::from_utf8_lossy(&kv.key).into_owned();
-    events.iter().filter_map(|e| e.kv.as_ref().map(key)).collect()
+    events
+        .iter()
+        .filter_map(|e| e.kv.as_ref().map(key))
+        .collect()
 }
 
 #[test]
@@ -36,11 +45,17 @@
     let (_world, client) = client(&[store.address()], options());
     block_on(async {
         for i in 0..40 {
-            client.put(format!("a/{i:02}").as_bytes(), b"x", 0).await.unwrap();
+            client
+                .put(format!("a/{i:02}").as_bytes(), b"x", 0)
+                .await
+                .unwrap();
         }
         client.put(b"b", b"beside", 0).await.unwrap();
         let list = client.list(b"a/").await.unwrap();
-        assert_eq!((list.kvs.len(), list.revision, list.cluster), (40, store.revision(), 1));
+        assert_eq!(
+            (list.kvs.len(), list.revision, list.cluster),
+            (40, store.revision(), 1)
+        );
         assert!(list.kvs.windows(2).all(|w| w[0].key < w[1].key));
         // A page at the first one's revision does not see what came later.
         let ask = rpc::RangeRequest {
@@ -53,7 +68,11 @@
         assert_eq!(client.range(&ask).await.unwrap().count, 19);
         store.compact();
         let gone = client.range(&ask).await.unwrap_err();
-        assert!(gone.to_string().contains("required revision has been compacted"), "{gone}");
+        assert!(
+            gone.to_string()
+                .contains("required revision has been compacted"),
+            "{gone}"
+        );
         assert_eq!(client.list(b"a/").await.unwrap().kvs.len(), 39);
         assert_eq!(client.list(b"none/").await.unwrap().kvs.len(), 0);
     });
@@ -87,11 +106,17 @@
         assert!(client.txn(&many).await.unwrap().succeeded);
         assert_eq!(keys(&watch.next().await.unwrap()).len(), 250);
         watch.ask_progress();
-        assert_eq!(watch.next().await.unwrap(), Notice::Progress(store.revision()));
+        assert_eq!(
+            watch.next().await.unwrap(),
+            Notice::Progress(store.revision())
+        );
         // A revision that is gone.
         store.compact();
         let mut old = client.watch(b"a/", from).await.unwrap();
-        assert_eq!(old.next().await.unwrap(), Notice::Compacted(store.revision()));
+        assert_eq!(
+            old.next().await.unwrap(),
+            Notice::Compacted(store.revision())
+        );
         // The store ends the watch.
         store.cancel_watches();
         assert!(matches!(watch.next().await.unwrap(), Notice::Cancelled(_)));
@@ -108,7 +133,10 @@
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/1"]);
         store.die();
         assert!(matches!(watch.next().await, Err(EtcdError::Broken(_))));
-        assert!(matches!(client.list(b"a/").await, Err(EtcdError::Unreachable(..) | EtcdError::Broken(_))));
+        assert!(matches!(
+            client.list(b"a/").await,
+            Err(EtcdError::Unreachable(..) | EtcdError::Broken(_))
+        ));
         store.come_up().unwrap();
         assert_eq!(client.list(b"a/").await.unwrap().kvs.len(), 1);
     });
@@ -144,11 +172,19 @@
         client.put(b"a/1", b"x", lease).await.unwrap();
         assert_eq!(client.renew(lease).await.unwrap(), 2);
         let mut watch = client.watch(b"a/", store.revision() + 1).await.unwrap();
-        let Notice::Events { events, .. } = watch.next().await.unwrap() else { panic!() };
-        assert_eq!(events[0].r#type(), ivyward_etcd::mvccpb::event::EventType::Delete);
+        let Notice::Events { events, .. } = watch.next().await.unwrap() else {
+            panic!()
+        };
+        assert_eq!(
+            events[0].r#type(),
+            ivyward_etcd::mvccpb::event::EventType::Delete
+        );
         assert_eq!(client.renew(lease).await.unwrap(), 0, "it is over");
         let missing = client.put(b"a/2", b"x", lease).await.unwrap_err();
-        assert!(missing.to_string().contains("requested lease not found"), "{missing}");
+        assert!(
+            missing.to_string().contains("requested lease not found"),
+            "{missing}"
+        );
         let other = client.grant(60).await.unwrap();
         client.put(b"a/3", b"x", other).await.unwrap();
         client.revoke(other).await.unwrap();
@@ -164,10 +200,16 @@
     let with = |login| client(&[store.address()], EtcdOptions { login, ..options() });
     block_on(async {
         let (_world, nobody) = with(None);
-        assert!(matches!(nobody.list(b"a").await, Err(EtcdError::Status { code: 16, .. })));
+        assert!(matches!(
+            nobody.list(b"a").await,
+            Err(EtcdError::Status { code: 16, .. })
+        ));
         let (_world, wrong) = with(login("guess"));
         let told = wrong.list(b"a").await.unwrap_err();
-        assert!(told.to_string().contains("invalid user ID or password"), "{told}");
+        assert!(
+            told.to_string().contains("invalid user ID or password"),
+            "{told}"
+        );
         let (_world, right) = with(login("secret"));
         right.put(b"a", b"x", 0).await.unwrap();
         assert_eq!(right.list(b"a").await.unwrap().kvs.len(), 1);
@@ -184,16 +226,25 @@
     let (_world, client) = client(&[store.address()], EtcdOptions { login, ..options() });
     block_on(async {
         // Each token is over before it is used: the store's no is told, not tried for ever.
-        assert!(matches!(client.put(b"a", b"x", 0).await, Err(EtcdError::Status { code: 16, .. })));
+        assert!(matches!(
+            client.put(b"a", b"x", 0).await,
+            Err(EtcdError::Status { code: 16, .. })
+        ));
         store.fault(|f| f.token_life = 50_000);
         for i in 0..30 {
             // Many of these find their token over; each is asked for once more.
             let put = client.put(format!("a/{i}").as_bytes(), b"x", 0).await;
-            assert!(matches!(put, Ok(_) | Err(EtcdError::Status { code: 16, .. })), "{put:?}");
+            assert!(
+                matches!(put, Ok(_) | Err(EtcdError::Status { code: 16, .. })),
+                "{put:?}"
+            );
         }
         store.fault(|f| f.token_life = 0);
         client.put(b"a/last", b"x", 0).await.unwrap();
-        assert!(client.list(b"a/").await.unwrap().kvs.len() > 7, "more than a page");
+        assert!(
+            client.list(b"a/").await.unwrap().kvs.len() > 7,
+            "more than a page"
+        );
     });
 }
 
@@ -210,20 +261,29 @@
         let (client, on) = (client.clone(), as_ref.clone());
         world.run(async move {
             let told = |kept| drop(tell.try_send(kept));
-            client.keep(&on, key.as_bytes(), b"ready".to_vec(), 1, told).await;
+            client
+                .keep(&on, key.as_bytes(), b"ready".to_vec(), 1, told)
+                .await;
         });
         told
     };
     block_on(async {
         let told = keep("a/1");
-        let Ok(Kept::Written(first)) = told.recv().await else { panic!() };
+        let Ok(Kept::Written(first)) = told.recv().await else {
+            panic!()
+        };
         store.put_leased("a/1", "draining");
         assert_eq!(told.recv().await, Ok(Kept::Changed));
         store.forget();
-        let Ok(Kept::Written(second)) = told.recv().await else { panic!() };
+        let Ok(Kept::Written(second)) = told.recv().await else {
+            panic!()
+        };
         assert_eq!(store.value("a/1").as_deref(), Some("draining"));
         client.revoke(second).await.unwrap();
-        assert!(matches!(told.recv().await, Ok(Kept::Written(third)) if third != second), "{first} {second}");
+        assert!(
+            matches!(told.recv().await, Ok(Kept::Written(third)) if third != second),
+            "{first} {second}"
+        );
         store.delete("a/1");
         assert_eq!(told.recv().await, Ok(Kept::Deleted));
         assert!(told.recv().await.is_err(), "the keeper ended");
--- a/crates/ivyward-faults-preload/src/lib.rs
+++ b/crates/ivyward-faults-preload/src/lib.rs
@@ -34,7 +34,14 @@
                 return None;
             }
             let access = libc::PROT_READ | libc::PROT_WRITE;
-            let map = libc::mmap(std::ptr::null_mut(), FILE_BYTES, access, libc::MAP_SHARED, file, 0);
+            let map = libc::mmap(
+                std::ptr::null_mut(),
+                FILE_BYTES,
+                access,
+                libc::MAP_SHARED,
+                file,
+                0,
+            );
             libc::close(file);
             let control = (map != libc::MAP_FAILED).then(|| Control(map.cast_const().cast()))?;
             (control.slot(0).load(Ordering::Relaxed) == MAGIC).then_some(control)
@@ -50,8 +57,15 @@
         if rate == 0 {
             return false;
         }
-        let call = self.slot(fault.calls_slot()).fetch_add(1, Ordering::Relaxed);
-        let met = meets(self.slot(SEED_SLOT).load(Ordering::Relaxed), fault, call, rate);
+        let call = self
+            .slot(fault.calls_slot())
+            .fetch_add(1, Ordering::Relaxed);
+        let met = meets(
+            self.slot(SEED_SLOT).load(Ordering::Relaxed),
+            fault,
+            call,
+            rate,
+        );
         if met {
             self.slot(fault.hits_slot()).fetch_add(1, Ordering::Relaxed);
         }
@@ -88,7 +102,10 @@
 
 impl Real {
     const fn new(name: &'static CStr) -> Real {
-        Real { name, found: AtomicPtr::new(std::ptr::null_mut()) }
+        Real {
+            name,
+            found: AtomicPtr::new(std::ptr::null_mut()),
+        }
     }
     fn address(&self) -> *mut c_void {
         let known = self.found.load(Ordering::Relaxed);
@@ -117,8 +134,16 @@
 /// # Safety
 /// As for the real function.
 #[no_mangle]
-pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let receive = real!(c"recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+pub unsafe extern "C" fn recv(
+    socket: c_int,
+    buffer: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    let receive = real!(
+        c"recv",
+        unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t
+    );
     if meets_fault(SystemFault::ReceiveInterrupted) {
         return fail(libc::EINTR) as ssize_t;
     }
@@ -147,8 +172,16 @@
 /// # Safety
 /// As for the real function.
 #[no_mangle]
-pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let send = real!(c"send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+pub unsafe extern "C" fn send(
+    socket: c_int,
+    buffer: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    let send = real!(
+        c"send",
+        unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t
+    );
     if let Some(error) = send_fault(socket) {
         return fail(error) as ssize_t;
     }
@@ -162,7 +195,10 @@
 /// As for the real function.
 #[no_mangle]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let writev = real!(c"writev", unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t);
+    let writev = real!(
+        c"writev",
+        unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t
+    );
     if descriptor <= LAST_STANDARD_DESCRIPTOR {
         return writev(descriptor, parts, count);
     }
@@ -170,7 +206,10 @@
         return fail(error) as ssize_t;
     }
     if count > 0 && (*parts).iov_len > 1 && meets_fault(SystemFault::SendShort) {
-        let one = iovec { iov_base: (*parts).iov_base, iov_len: 1 };
+        let one = iovec {
+            iov_base: (*parts).iov_base,
+            iov_len: 1,
+        };
         return writev(descriptor, &one, 1);
     }
     writev(descriptor, parts, count)
@@ -187,8 +226,10 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    let accept =
-        real!(c"accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
+    let accept = real!(
+        c"accept4",
+        unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
+    );
     if meets_fault(SystemFault::AcceptNoDescriptor) {
         return fail(libc::ENFILE);
     }
@@ -216,8 +257,15 @@
 /// # Safety
 /// As for the real function.
 #[no_mangle]
-pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    let write = real!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
+pub unsafe extern "C" fn write(
+    descriptor: c_int,
+    buffer: *const c_void,
+    length: size_t,
+) -> ssize_t {
+    let write = real!(
+        c"write",
+        unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t
+    );
     if !is_file(descriptor) {
         return write(descriptor, buffer, length);
     }
@@ -247,7 +295,10 @@
 /// As for the real function; the mode is passed on whether or not the flags ask for it, as libc itself does.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    let open = real!(c"open64", unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int);
+    let open = real!(
+        c"open64",
+        unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int
+    );
     if flags & libc::O_ACCMODE != libc::O_RDONLY && meets_fault(SystemFault::OpenFails) {
         return fail(libc::EIO);
     }
@@ -260,7 +311,10 @@
 /// As for the real function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int {
-    let get = real!(c"clock_gettime", unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int);
+    let get = real!(
+        c"clock_gettime",
+        unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int
+    );
     let result = get(clock, time);
     if result == 0 && clock == libc::CLOCK_REALTIME {
         let offset = control().map_or(0, |c| c.slot(CLOCK_SLOT).load(Ordering::Relaxed) as i64);
--- a/crates/ivyward-faults/src/lib.rs
+++ b/crates/ivyward-faults/src/lib.rs
@@ -113,9 +113,17 @@
     /// # Errors
     /// When the file cannot be written.
     pub fn create(path: &Path, seed: u64) -> io::Result<ControlFile> {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(path)?;
         file.set_len(FILE_BYTES as u64)?;
-        let control = ControlFile { file, path: path.to_owned() };
+        let control = ControlFile {
+            file,
+            path: path.to_owned(),
+        };
         control.write(SEED_SLOT, seed)?;
         control.write(0, MAGIC)?;
         Ok(control)
@@ -144,11 +152,13 @@
     /// When the file cannot be read.
     pub fn hits(&self, fault: SystemFault) -> io::Result<u64> {
         let mut bytes = [0; SLOT_BYTES as usize];
-        self.file.read_exact_at(&mut bytes, fault.hits_slot() as u64 * SLOT_BYTES)?;
+        self.file
+            .read_exact_at(&mut bytes, fault.hits_slot() as u64 * SLOT_BYTES)?;
         Ok(u64::from_ne_bytes(bytes))
     }
     fn write(&self, slot: usize, value: u64) -> io::Result<()> {
-        self.file.write_all_at(&value.to_ne_bytes(), slot as u64 * SLOT_BYTES)
+        self.file
+            .write_all_at(&value.to_ne_bytes(), slot as u64 * SLOT_BYTES)
     }
 }
 
@@ -163,5 +173,7 @@
 pub fn library_beside(program: &Path) -> Option<PathBuf> {
     const NAME: &str = "libivyward_faults_preload.so";
     let folder = program.parent()?;
-    [folder.join("deps").join(NAME), folder.join(NAME)].into_iter().find(|path| path.exists())
+    [folder.join("deps").join(NAME), folder.join(NAME)]
+        .into_iter()
+        .find(|path| path.exists())
 }
--- a/crates/ivyward-http1/src/body.rs
+++ b/crates/ivyward-http1/src/body.rs
@@ -74,7 +74,12 @@
             Framing::Chunked => State::Size,
             Framing::UntilClose => State::Open,
         };
-        Body { state, chunked: framing == Framing::Chunked, most_chunk: limits.chunk, trailers: 0 }
+        Body {
+            state,
+            chunked: framing == Framing::Chunked,
+            most_chunk: limits.chunk,
+            trailers: 0,
+        }
     }
 
     /// Whether it is whole.
@@ -105,9 +110,15 @@
                     return Ok((Step::Data(used..end), end));
                 }
                 State::Size => {
-                    let Some(line) = line(rest, BodyError::Size)? else { return Ok((Step::More, used)) };
+                    let Some(line) = line(rest, BodyError::Size)? else {
+                        return Ok((Step::More, used));
+                    };
                     used += line.len() + 2;
-                    let size = line.split(|b| *b == b';').next().unwrap_or(line).trim_ascii();
+                    let size = line
+                        .split(|b| *b == b';')
+                        .next()
+                        .unwrap_or(line)
+                        .trim_ascii();
                     self.state = match hex(size)? {
                         0 => State::Trailer,
                         n if n > self.most_chunk => return Err(BodyError::TooLong),
@@ -123,7 +134,9 @@
                     _ => return Err(BodyError::End),
                 },
                 State::Trailer => {
-                    let Some(line) = line(rest, BodyError::End)? else { return Ok((Step::More, used)) };
+                    let Some(line) = line(rest, BodyError::End)? else {
+                        return Ok((Step::More, used));
+                    };
                     used += line.len() + 2;
                     self.trailers += 1;
                     if line.is_empty() {
--- a/crates/ivyward-http1/src/head.rs
+++ b/crates/ivyward-http1/src/head.rs
@@ -36,20 +36,30 @@
 impl Head {
     /// The first value of a header, by its name in small letters.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
-        self.lines.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_slice())
+        self.lines
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_slice())
     }
     /// The same, as text.
     pub fn text(&self, name: &str) -> Option<&str> {
-        self.get(name).and_then(|v| std::str::from_utf8(v).ok()).map(str::trim)
+        self.get(name)
+            .and_then(|v| std::str::from_utf8(v).ok())
+            .map(str::trim)
     }
     /// All values of a header.
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.lines.iter().filter(move |(n, _)| n == name).map(|(_, v)| v.as_slice())
+        self.lines
+            .iter()
+            .filter(move |(n, _)| n == name)
+            .map(|(_, v)| v.as_slice())
     }
     /// Whether a list header holds a word.
     fn lists(&self, name: &str, word: &str) -> bool {
         let words = self.all(name).flat_map(|v| v.split(|b| *b == b','));
-        words.into_iter().any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+        words
+            .into_iter()
+            .any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
     /// Whether the connection serves further messages after this one.
     pub fn keeps(&self) -> bool {
@@ -77,7 +87,9 @@
             (Some(_), None) => Err(Fault::Coding),
             (None, None) => Ok(absent),
             (None, Some(length)) => {
-                let text = std::str::from_utf8(length).map_err(|_| Fault::Length)?.trim();
+                let text = std::str::from_utf8(length)
+                    .map_err(|_| Fault::Length)?
+                    .trim();
                 // Digits alone: the standard parser would take a sign.
                 if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
                     return Err(Fault::Length);
@@ -116,8 +128,14 @@
 }
 
 fn lines(headers: &[httparse::Header<'_>], minor: Option<u8>) -> Head {
-    let lines = headers.iter().map(|h| (h.name.to_ascii_lowercase(), h.value.to_vec())).collect();
-    Head { lines, minor: minor.unwrap_or(1) }
+    let lines = headers
+        .iter()
+        .map(|h| (h.name.to_ascii_lowercase(), h.value.to_vec()))
+        .collect();
+    Head {
+        lines,
+        minor: minor.unwrap_or(1),
+    }
 }
 
 fn unfinished(bytes: &[u8], limits: &Limits) -> Result<(), Fault> {
@@ -143,7 +161,12 @@
                 let head = lines(parsed.headers, parsed.version);
                 let framing = head.framing(limits, Framing::Length(0))?;
                 let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
-                let request = Request { method: method.into(), target: target.into(), head, framing };
+                let request = Request {
+                    method: method.into(),
+                    target: target.into(),
+                    head,
+                    framing,
+                };
                 Ok(Some((request, used)))
             }
         }
@@ -162,12 +185,22 @@
         match parsed.parse(seen).map_err(|_| Fault::Unreadable)? {
             httparse::Status::Partial => unfinished(bytes, limits).map(|()| None),
             httparse::Status::Complete(used) => {
-                let (head, status) = (lines(parsed.headers, parsed.version), parsed.code.unwrap_or(0));
+                let (head, status) = (
+                    lines(parsed.headers, parsed.version),
+                    parsed.code.unwrap_or(0),
+                );
                 let framing = match status {
                     100..=199 | 204 | 304 => Framing::Length(0),
                     _ => head.framing(limits, Framing::UntilClose)?,
                 };
-                Ok(Some((Answer { status, head, framing }, used)))
+                Ok(Some((
+                    Answer {
+                        status,
+                        head,
+                        framing,
+                    },
+                    used,
+                )))
             }
         }
     }
--- a/crates/ivyward-http1/tests/framing.rs
+++ b/crates/ivyward-http1/tests/framing.rs
@@ -3,7 +3,12 @@
 use ivyward_http1::{body, Answer, Body, BodyError, Fault, Framing, Limits, Request, Step};
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { head: 2_000, headers: 16, body: 1_000, chunk: 1_000 };
+const LIMITS: Limits = Limits {
+    head: 2_000,
+    headers: 16,
+    body: 1_000,
+    chunk: 1_000,
+};
 
 fn head(lines: &str) -> Result<Framing, Fault> {
     let text = format!("POST /a?b HTTP/1.1\r\n{lines}\r\n");
@@ -14,17 +19,37 @@
 fn a_bodys_end_is_told_once_or_not_at_all() {
     assert_eq!(head(""), Ok(Framing::Length(0)));
     assert_eq!(head("Content-Length: 12\r\n"), Ok(Framing::Length(12)));
-    assert_eq!(head("Content-Length: 12\r\nContent-Length: 12\r\n"), Ok(Framing::Length(12)));
+    assert_eq!(
+        head("Content-Length: 12\r\nContent-Length: 12\r\n"),
+        Ok(Framing::Length(12))
+    );
     assert_eq!(head("Transfer-Encoding: Chunked\r\n"), Ok(Framing::Chunked));
-    assert_eq!(head("Content-Length: 12\r\nContent-Length: 13\r\n"), Err(Fault::Length));
-    assert_eq!(head("Content-Length: 12\r\nTransfer-Encoding: chunked\r\n"), Err(Fault::Both));
+    assert_eq!(
+        head("Content-Length: 12\r\nContent-Length: 13\r\n"),
+        Err(Fault::Length)
+    );
+    assert_eq!(
+        head("Content-Length: 12\r\nTransfer-Encoding: chunked\r\n"),
+        Err(Fault::Both)
+    );
     assert_eq!(head("Transfer-Encoding: gzip\r\n"), Err(Fault::Coding));
-    assert_eq!(head("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), Err(Fault::Coding));
+    assert_eq!(
+        head("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"),
+        Err(Fault::Coding)
+    );
     for bad in ["-1", "+1", "1 2", "0x10", "", "1,1"] {
-        assert_eq!(head(&format!("Content-Length: {bad}\r\n")), Err(Fault::Length), "{bad:?}");
+        assert_eq!(
+            head(&format!("Content-Length: {bad}\r\n")),
+            Err(Fault::Length),
+            "{bad:?}"
+        );
     }
     for large in ["1001", "99999999999999999999999"] {
-        assert_eq!(head(&format!("Content-Length: {large}\r\n")), Err(Fault::TooLarge), "{large}");
+        assert_eq!(
+            head(&format!("Content-Length: {large}\r\n")),
+            Err(Fault::TooLarge),
+            "{large}"
+        );
     }
 }
 
@@ -34,7 +59,10 @@
     assert_eq!(Request::read(&long.as_bytes()[..1_999], &LIMITS), Ok(None));
     assert_eq!(Request::read(long.as_bytes(), &LIMITS), Err(Fault::TooLong));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "X: y\r\n".repeat(17));
-    assert_eq!(Request::read(many.as_bytes(), &LIMITS), Err(Fault::Unreadable));
+    assert_eq!(
+        Request::read(many.as_bytes(), &LIMITS),
+        Err(Fault::Unreadable)
+    );
     assert_eq!(Answer::read(b"\x00\x01", &LIMITS), Err(Fault::Unreadable));
 }
 
@@ -44,13 +72,16 @@
     assert_eq!(read("HTTP/1.1 204 No\r\n\r\n").framing, Framing::Length(0));
     assert_eq!(read("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::UntilClose);
     assert!(read("HTTP/1.1 200 OK\r\n\r\n").head.keeps());
-    assert!(!read("HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n").head.keeps());
+    assert!(!read("HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n")
+        .head
+        .keeps());
     assert!(!read("HTTP/1.0 200 OK\r\n\r\n").head.keeps());
 }
 
 /// Feeds bytes in pieces; the body's bytes, whether it is whole, and how many bytes were used.
 fn feed(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, usize), BodyError> {
-    let (mut body, mut out, mut all, mut buf) = (Body::new(framing, &LIMITS), Vec::new(), 0, Vec::new());
+    let (mut body, mut out, mut all, mut buf) =
+        (Body::new(framing, &LIMITS), Vec::new(), 0, Vec::new());
     for piece in pieces {
         buf.extend_from_slice(piece);
         loop {
@@ -81,11 +112,21 @@
         ("fffffffffffffffff\r\n", BodyError::TooLong),
         ("5\r\nhelloX", BodyError::End),
     ] {
-        assert_eq!(feed(Framing::Chunked, &[bytes.as_bytes()]), Err(error), "{bytes:?}");
+        assert_eq!(
+            feed(Framing::Chunked, &[bytes.as_bytes()]),
+            Err(error),
+            "{bytes:?}"
+        );
     }
-    assert_eq!(feed(Framing::Chunked, &[&[b'1'; 2_000]]), Err(BodyError::Size));
+    assert_eq!(
+        feed(Framing::Chunked, &[&[b'1'; 2_000]]),
+        Err(BodyError::Size)
+    );
     let endless = format!("0\r\n{}", "a: b\r\n".repeat(100));
-    assert_eq!(feed(Framing::Chunked, &[endless.as_bytes()]), Err(BodyError::End));
+    assert_eq!(
+        feed(Framing::Chunked, &[endless.as_bytes()]),
+        Err(BodyError::End)
+    );
 }
 
 proptest! {
--- a/crates/ivyward-lab/src/badday.rs
+++ b/crates/ivyward-lab/src/badday.rs
@@ -48,10 +48,22 @@
 impl Day {
     /// A day of so many requests, with these kinds of trouble or all.
     pub fn drawn(seed: u64, requests: usize, kinds: &[Trouble]) -> Day {
-        let load = Load { requests, rate: 200.0, output: 24 };
+        let load = Load {
+            requests,
+            rate: 200.0,
+            output: 24,
+        };
         let length = (requests as f64 / load.rate * 1e6) as Micros;
         let plan = Plan::draw(seed, length.max(2_000_000), kinds);
-        Day { plan, load, nodes: 3, racks: 4, runs: Runs::Inside, flight: 250_000, etcd: false }
+        Day {
+            plan,
+            load,
+            nodes: 3,
+            racks: 4,
+            runs: Runs::Inside,
+            flight: 250_000,
+            etcd: false,
+        }
     }
 }
 
@@ -95,9 +107,12 @@
         false => None,
         true => {
             let host: Arc<dyn Host> = Arc::new(Threads);
-            let open =
-                Store::start(&host, 1).and_then(|mut store| store.open_doors(day.nodes).map(|()| store));
-            Some(open.map_err(|error| SceneError::Io { what: "starting a store".into(), error })?)
+            let open = Store::start(&host, 1)
+                .and_then(|mut store| store.open_doors(day.nodes).map(|()| store));
+            Some(open.map_err(|error| SceneError::Io {
+                what: "starting a store".into(),
+                error,
+            })?)
         }
     };
     let follow = store.as_ref().map(|store| Follow {
@@ -111,7 +126,10 @@
         seed: day.plan.seed,
         engines: engines(day.racks),
         settings: NodeSettings {
-            rules: ivyward_core::interface::Settings { nodes: day.nodes as u32, ..settings().rules },
+            rules: ivyward_core::interface::Settings {
+                nodes: day.nodes as u32,
+                ..settings().rules
+            },
             ..settings()
         },
         nodes: day.nodes,
@@ -128,7 +146,11 @@
         }
         scene.world.clone().block_on(async {
             let all = scene.engines() as u64;
-            let knows = |n: usize| scene.node(n).is_none_or(|n| n.metrics().engines.get() == all);
+            let knows = |n: usize| {
+                scene
+                    .node(n)
+                    .is_none_or(|n| n.metrics().engines.get() == all)
+            };
             while !(0..scene.nodes()).all(knows) {
                 scene.world.sleep(5_000).await;
             }
@@ -138,7 +160,8 @@
     let tries = scene.world.clone().block_on(async {
         let (done, wait) = async_channel::bounded::<()>(1);
         for (i, spell) in plan.spells.iter().enumerate() {
-            let (scene, plan, spell, done) = (scene.clone(), plan.clone(), spell.clone(), done.clone());
+            let (scene, plan, spell, done) =
+                (scene.clone(), plan.clone(), spell.clone(), done.clone());
             scene.world.clone().run(async move {
                 scene.world.sleep(spell.at).await;
                 trouble(&scene, &plan, &spell, i).await;
@@ -156,7 +179,12 @@
         tries
     });
     let audit = scene.audit();
-    Ok(Report { day, tries, audit, recording: memory.bytes() })
+    Ok(Report {
+        day,
+        tries,
+        audit,
+        recording: memory.bytes(),
+    })
 }
 
 /// Engines for a trouble: up to a share of all, of one role if wanted.
@@ -172,8 +200,14 @@
 /// Writes what the list says of an engine into the store, as the engine would.
 fn write_record(scene: &Scene, engine: usize, condition: Condition, since: Option<Micros>) -> bool {
     let unix = scene.world.unix_micros();
-    let started_ms = since.map_or(0, |at| unix.saturating_sub(scene.log.now().saturating_sub(at)) / 1_000);
-    let state = if condition == Condition::Ready { State::Ready } else { State::Draining };
+    let started_ms = since.map_or(0, |at| {
+        unix.saturating_sub(scene.log.now().saturating_sub(at)) / 1_000
+    });
+    let state = if condition == Condition::Ready {
+        State::Ready
+    } else {
+        State::Draining
+    };
     let (key, record) = scene.registration(engine, state, started_ms);
     let written = scene.with_store(|store| match condition {
         Condition::Gone => store.delete(&key),
@@ -219,10 +253,15 @@
     if write_record(scene, engine, condition, since) {
         return;
     }
-    let late = plan.on(Trouble::DiscoveryStale, at).map_or(0, |s| (LIST_LATE as f64 * s.size) as Micros);
+    let late = plan
+        .on(Trouble::DiscoveryStale, at)
+        .map_or(0, |s| (LIST_LATE as f64 * s.size) as Micros);
     for node in 0..scene.nodes() {
         // Nodes hear of it one after the other.
-        scene.world.sleep((LIST_BEHIND + late) / scene.nodes() as u64).await;
+        scene
+            .world
+            .sleep((LIST_BEHIND + late) / scene.nodes() as u64)
+            .await;
         scene.tell(node, engine).await;
     }
 }
@@ -244,7 +283,15 @@
         scene.world.sleep(20_000).await;
     }
     let since = Some(scene.log.now());
-    list(scene, plan, engine, Condition::Ready, since, spell.at + spell.len).await;
+    list(
+        scene,
+        plan,
+        engine,
+        Condition::Ready,
+        since,
+        spell.at + spell.len,
+    )
+    .await;
 }
 
 async fn trouble(scene: &Arc<Scene>, plan: &Plan, spell: &Spell, no: usize) {
@@ -303,19 +350,32 @@
         }
         Trouble::AnswerLost => {
             let engines = some(scene, &mut random, 0.5, None);
-            all(&engines, &|f| (f.lose_answer, f.reset) = (0.06 * size, 0.06 * size));
+            all(&engines, &|f| {
+                (f.lose_answer, f.reset) = (0.06 * size, 0.06 * size)
+            });
             world.sleep(spell.len).await;
             all(&engines, &|f| (f.lose_answer, f.reset) = (0.0, 0.0));
         }
         Trouble::Ageing => {
             let engines = some(scene, &mut random, 0.3, Some(Role::Writer));
             for step in 1..=10 {
-                all(&engines, &|f| f.slow = 1.0 + 5.0 * size * f64::from(step) / 10.0);
+                all(&engines, &|f| {
+                    f.slow = 1.0 + 5.0 * size * f64::from(step) / 10.0
+                });
                 world.sleep(spell.len / 10).await;
             }
             let first = engines[0];
             all(&engines, &|f| f.slow = 1.0);
-            crash(scene, plan, first, &Spell { len: spell.len / 4, ..spell.clone() }).await;
+            crash(
+                scene,
+                plan,
+                first,
+                &Spell {
+                    len: spell.len / 4,
+                    ..spell.clone()
+                },
+            )
+            .await;
         }
         Trouble::Drain => {
             for engine in some(scene, &mut random, 0.15 * size, None) {
@@ -359,9 +419,11 @@
             world.sleep(spell.len / 6).await;
         }
         // These are the load's.
-        Trouble::Burst | Trouble::HotKey | Trouble::HeavyTail | Trouble::GiveUp | Trouble::RetryAbuse => {
-            world.sleep(spell.len).await
-        }
+        Trouble::Burst
+        | Trouble::HotKey
+        | Trouble::HeavyTail
+        | Trouble::GiveUp
+        | Trouble::RetryAbuse => world.sleep(spell.len).await,
     }
 }
 
@@ -418,7 +480,9 @@
 fn percentiles(values: impl Iterator<Item = u64>) -> BTreeMap<String, f64> {
     let mut h = histogram();
     values.for_each(|v| h.saturating_record(v.max(1)));
-    [50.0, 90.0, 99.0, 99.9].map(|p| (format!("p{p}"), h.value_at_percentile(p) as f64 / 1e3)).into()
+    [50.0, 90.0, 99.0, 99.9]
+        .map(|p| (format!("p{p}"), h.value_at_percentile(p) as f64 / 1e3))
+        .into()
 }
 
 impl Report {
@@ -428,19 +492,33 @@
     }
     fn ends(&self, of: impl Fn(&Tried) -> bool) -> Ends {
         let mut ends = Ends::default();
-        self.tries.iter().filter(|t| of(t)).for_each(|t| ends.add(t.end.how));
+        self.tries
+            .iter()
+            .filter(|t| of(t))
+            .for_each(|t| ends.add(t.end.how));
         ends
     }
     fn first_tokens(&self, class: Option<usize>) -> BTreeMap<String, f64> {
-        let of = self.tries.iter().filter(|t| class.is_none_or(|c| t.class == c));
+        let of = self
+            .tries
+            .iter()
+            .filter(|t| class.is_none_or(|c| t.class == c));
         percentiles(of.filter_map(|t| t.end.first))
     }
     fn paces(&self) -> BTreeMap<String, f64> {
-        let served = self.tries.iter().filter(|t| t.end.how == Heard::Served && t.end.tokens > 1);
-        percentiles(served.filter_map(|t| Some((t.end.took - t.end.first?) / u64::from(t.end.tokens - 1))))
+        let served = self
+            .tries
+            .iter()
+            .filter(|t| t.end.how == Heard::Served && t.end.tokens > 1);
+        percentiles(
+            served.filter_map(|t| Some((t.end.took - t.end.first?) / u64::from(t.end.tokens - 1))),
+        )
     }
     fn class_names(&self) -> Vec<String> {
-        crate::scene::classes().into_iter().map(|c| c.name).collect()
+        crate::scene::classes()
+            .into_iter()
+            .map(|c| c.name)
+            .collect()
     }
 
     /// The last line.
@@ -467,11 +545,15 @@
         let json = Json {
             plan: &self.day.plan,
             all: self.all(),
-            classes: classes.map(|(i, name)| (name, self.ends(|t| t.class == i))).collect(),
+            classes: classes
+                .map(|(i, name)| (name, self.ends(|t| t.class == i)))
+                .collect(),
             first_token_ms: self.first_tokens(None),
             token_pace_ms: self.paces(),
             rules_kept: self.audit.kept(),
-            rules: rules.map(|(r, name)| (name, (r.checked, r.count))).collect(),
+            rules: rules
+                .map(|(r, name)| (name, (r.checked, r.count)))
+                .collect(),
             attempts_side_by_side: (self.audit.overlap.checked, self.audit.overlap.count),
             longest_overlap_ms: self.audit.longest_overlap as f64 / 1e3,
             broken: self.audit.broken(),
@@ -512,17 +594,33 @@
             let during = self.ends(|t| (spell.at..spell.at + spell.len).contains(&t.at));
             line(row(&spell.kind.name(), during));
         }
-        let quiet = |t: &Tried| !self.day.plan.spells.iter().any(|s| (s.at..s.at + s.len).contains(&t.at));
+        let quiet = |t: &Tried| {
+            !self
+                .day
+                .plan
+                .spells
+                .iter()
+                .any(|s| (s.at..s.at + s.len).contains(&t.at))
+        };
         line(row("(none of these)", self.ends(quiet)));
         line(String::new());
         let show = |p: &BTreeMap<String, f64>| {
-            p.iter().map(|(k, v)| format!("{k} {v:.1}")).collect::<Vec<_>>().join("  ")
+            p.iter()
+                .map(|(k, v)| format!("{k} {v:.1}"))
+                .collect::<Vec<_>>()
+                .join("  ")
         };
-        line(format!("first token, ms: {}", show(&self.first_tokens(None))));
+        line(format!(
+            "first token, ms: {}",
+            show(&self.first_tokens(None))
+        ));
         line(format!("token pace, ms:  {}", show(&self.paces())));
         line(String::new());
         for (rule, name) in self.audit.rules.iter().zip(RULES) {
-            line(format!("{name:<18} checked {:>7} times, broken {}", rule.checked, rule.count));
+            line(format!(
+                "{name:<18} checked {:>7} times, broken {}",
+                rule.checked, rule.count
+            ));
         }
         let o = &self.audit.overlap;
         let longest = self.audit.longest_overlap as f64 / 1e3;
--- a/crates/ivyward-lab/src/byhand.rs
+++ b/crates/ivyward-lab/src/byhand.rs
@@ -67,7 +67,10 @@
 /// # Errors
 /// When it is no order; the message names all of them.
 pub fn order(line: &str) -> Result<Order, ByHandError> {
-    let bad = |reason: &str| ByHandError::Order { line: line.trim().into(), reason: reason.into() };
+    let bad = |reason: &str| ByHandError::Order {
+        line: line.trim().into(),
+        reason: reason.into(),
+    };
     let words: Vec<&str> = line.split_whitespace().collect();
     let number = |most: f64| {
         let text = words.get(1).ok_or_else(|| bad("a number is missing"))?;
@@ -92,8 +95,14 @@
         Some(_) => return Err(bad("not known")),
         None => return Err(bad("empty")),
     };
-    let takes =
-        if matches!(order, Order::Slow(_) | Order::Ill(_) | Order::Lose(_) | Order::Full(_)) { 2 } else { 1 };
+    let takes = if matches!(
+        order,
+        Order::Slow(_) | Order::Ill(_) | Order::Lose(_) | Order::Full(_)
+    ) {
+        2
+    } else {
+        1
+    };
     match words.len() == takes {
         true => Ok(order),
         false => Err(bad("too many words")),
@@ -107,7 +116,9 @@
         Order::Drain(on) => engine.drain(on),
         Order::Hang(on) => engine.fault(|f| f.hang = on),
         Order::Slow(by) => engine.fault(|f| f.slow = by),
-        Order::Ill(share) => engine.fault(|f| (f.reset, f.lose_answer, f.full) = (share, share, share)),
+        Order::Ill(share) => {
+            engine.fault(|f| (f.reset, f.lose_answer, f.full) = (share, share, share))
+        }
         Order::Lose(share) => engine.fault(|f| f.lose_answer = share),
         Order::Full(share) => engine.fault(|f| f.full = share),
         Order::Die => engine.die(),
@@ -119,7 +130,10 @@
         Order::Show => {}
     }
     let state = if engine.up() { "up" } else { "down" };
-    format!("engine {id} is {state} and keeps {} states and places", engine.kept())
+    format!(
+        "engine {id} is {state} and keeps {} states and places",
+        engine.kept()
+    )
 }
 
 /// A fleet that runs until its holder drops it.
@@ -134,7 +148,14 @@
 /// tokens and 50 answer tokens a second.
 pub fn racks(count: u16) -> Vec<Spec> {
     let specs = crate::scene::fleet(count).into_iter();
-    specs.map(|spec| Spec { read_rate: 20_000.0, fetch_rate: 200_000.0, token_gap: 20_000, ..spec }).collect()
+    specs
+        .map(|spec| Spec {
+            read_rate: 20_000.0,
+            fetch_rate: 200_000.0,
+            token_gap: 20_000,
+            ..spec
+        })
+        .collect()
 }
 
 impl Fleet {
@@ -153,15 +174,25 @@
         let (log, host): (_, Arc<dyn Host>) = (Log::new(&as_ref), Arc::new(Threads));
         let mut engines = Vec::new();
         for (i, spec) in specs.into_iter().enumerate() {
-            let port = if port == 0 { 0 } else { port.saturating_add(i as u16) };
+            let port = if port == 0 {
+                0
+            } else {
+                port.saturating_add(i as u16)
+            };
             let address = SocketAddr::new(ip, port);
             let engine = Engine::start_at(&host, &log, spec, address);
-            engines.push(Mutex::new(engine.map_err(|error| ByHandError::Listen { address, error })?));
+            engines.push(Mutex::new(
+                engine.map_err(|error| ByHandError::Listen { address, error })?,
+            ));
         }
-        let mut fleet = Fleet { engines, store: None, world };
+        let mut fleet = Fleet {
+            engines,
+            store: None,
+            world,
+        };
         if let Some(address) = store {
-            let store =
-                Store::start_at(&host, 1, address).map_err(|error| ByHandError::Listen { address, error })?;
+            let store = Store::start_at(&host, 1, address)
+                .map_err(|error| ByHandError::Listen { address, error })?;
             for engine in &fleet.engines {
                 let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
                 let (key, record) = enlist::record(&engine, State::Ready, 0);
@@ -177,7 +208,10 @@
         if let Some(store) = &self.store {
             return vec![format!("--etcd-endpoint={}", store.address())];
         }
-        let engines = self.engines.iter().map(|e| e.lock().unwrap_or_else(PoisonError::into_inner));
+        let engines = self
+            .engines
+            .iter()
+            .map(|e| e.lock().unwrap_or_else(PoisonError::into_inner));
         engines
             .map(|e| {
                 let spec = e.spec();
@@ -196,18 +230,30 @@
     /// When it is none.
     pub fn obey(&self, line: &str) -> Result<String, ByHandError> {
         let (id, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
-        let bad = |reason: String| ByHandError::Order { line: line.trim().into(), reason };
+        let bad = |reason: String| ByHandError::Order {
+            line: line.trim().into(),
+            reason,
+        };
         let (engine, text) = match (&self.engines[..], id.parse::<u64>()) {
             ([one], Err(_)) => (one, line),
             (all, Ok(id)) => {
-                let this =
-                    |e: &&Mutex<Engine>| e.lock().unwrap_or_else(PoisonError::into_inner).spec().id == id;
-                (all.iter().find(this).ok_or_else(|| bad(format!("there is no engine {id}")))?, rest)
+                let this = |e: &&Mutex<Engine>| {
+                    e.lock().unwrap_or_else(PoisonError::into_inner).spec().id == id
+                };
+                (
+                    all.iter()
+                        .find(this)
+                        .ok_or_else(|| bad(format!("there is no engine {id}")))?,
+                    rest,
+                )
             }
             (_, Err(_)) => return Err(bad("the engine's id comes first".into())),
         };
         let order = order(text)?;
-        Ok(obey(&mut engine.lock().unwrap_or_else(PoisonError::into_inner), order))
+        Ok(obey(
+            &mut engine.lock().unwrap_or_else(PoisonError::into_inner),
+            order,
+        ))
     }
 
     /// Follows lines from standard input; when that ends, it goes on until the process is ended.
@@ -237,7 +283,13 @@
                 eprintln!("ivyward-lab: {e}; tried again");
             }
         };
-        enlist::keep(&engine, endpoints.to_vec(), seconds, fleet.world.unix_micros() / 1_000, told);
+        enlist::keep(
+            &engine,
+            endpoints.to_vec(),
+            seconds,
+            fleet.world.unix_micros() / 1_000,
+            told,
+        );
     }
 }
 
--- a/crates/ivyward-lab/src/capacity/chart.rs
+++ b/crates/ivyward-lab/src/capacity/chart.rs
@@ -46,7 +46,14 @@
                 engines,
             )
         },
-        panel("node: MiB, by connections", "node", "resident_kib", Quantity::Connections, 1_024.0, engines),
+        panel(
+            "node: MiB, by connections",
+            "node",
+            "resident_kib",
+            Quantity::Connections,
+            1_024.0,
+            engines,
+        ),
         panel(
             "node: kB/s of peers out, by nodes",
             "node",
@@ -71,7 +78,14 @@
             1_024.0,
             engines,
         ),
-        panel("store: % of a core, by engines", "store", "core_percent", Quantity::Engines, 1.0, engines),
+        panel(
+            "store: % of a core, by engines",
+            "store",
+            "core_percent",
+            Quantity::Engines,
+            1.0,
+            engines,
+        ),
     ]
 }
 
@@ -83,11 +97,13 @@
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(|e| CapacityError::Chart(e.to_string()))?;
+        area.fill(&WHITE)
+            .map_err(|e| CapacityError::Chart(e.to_string()))?;
         for (panel, part) in panels(target).iter().zip(area.split_evenly((2, 3))) {
             draw(kept, panel, &part)?;
         }
-        area.present().map_err(|e| CapacityError::Chart(e.to_string()))?;
+        area.present()
+            .map_err(|e| CapacityError::Chart(e.to_string()))?;
     }
     Ok(text)
 }
@@ -99,14 +115,22 @@
     let (sweep, line) = fit(kept, panel.quantity, panel.role, panel.figure)?;
     let mut points = Vec::new();
     for point in &sweep.points {
-        let figures = point.roles.get(panel.role).map(|rates| rates.figures()).unwrap_or_default();
+        let figures = point
+            .roles
+            .get(panel.role)
+            .map(|rates| rates.figures())
+            .unwrap_or_default();
         if let Some(value) = figures.get(panel.figure) {
             points.push((point.value as f64, value / panel.scale, point.left_out));
         }
     }
     let at = |size: f64| line.at(size) / panel.scale;
     let most_x = points.iter().map(|p| p.0).fold(panel.until, f64::max);
-    let most_y = points.iter().map(|p| p.1).fold(at(most_x), f64::max).max(panel.budget.unwrap_or(0.0));
+    let most_y = points
+        .iter()
+        .map(|p| p.1)
+        .fold(at(most_x), f64::max)
+        .max(panel.budget.unwrap_or(0.0));
     let mut chart = ChartBuilder::on(area)
         .margin(10)
         .caption(panel.title, ("sans-serif", 14))
@@ -114,7 +138,13 @@
         .y_label_area_size(44)
         .build_cartesian_2d(0.0..most_x * 1.05, 0.0..most_y * 1.15)
         .map_err(|e| error(&e))?;
-    chart.configure_mesh().x_labels(5).y_labels(5).light_line_style(WHITE).draw().map_err(|e| error(&e))?;
+    chart
+        .configure_mesh()
+        .x_labels(5)
+        .y_labels(5)
+        .light_line_style(WHITE)
+        .draw()
+        .map_err(|e| error(&e))?;
     let fitted = LineSeries::new([(0.0, at(0.0).max(0.0)), (most_x, at(most_x))], &BLUE);
     chart.draw_series(fitted).map_err(|e| error(&e))?;
     if let Some(most) = panel.budget {
@@ -123,7 +153,11 @@
     }
     // Filled: the line goes through them. Open: left out of it.
     let dots = points.iter().map(|(x, y, left_out)| {
-        let style = if *left_out { BLACK.stroke_width(1) } else { BLACK.filled() };
+        let style = if *left_out {
+            BLACK.stroke_width(1)
+        } else {
+            BLACK.filled()
+        };
         Circle::new((*x, *y), 3, style)
     });
     chart.draw_series(dots).map_err(|e| error(&e))?;
--- a/crates/ivyward-lab/src/capacity/command.rs
+++ b/crates/ivyward-lab/src/capacity/command.rs
@@ -32,7 +32,11 @@
 
 /// The tables as Markdown: all rows, and those over their budgets by how far.
 pub fn markdown(rows: &[Row]) -> String {
-    format!("{}\nOver budget, the farthest first:\n\n{}", table::markdown(rows), table::ranking(rows))
+    format!(
+        "{}\nOver budget, the farthest first:\n\n{}",
+        table::markdown(rows),
+        table::ranking(rows)
+    )
 }
 
 impl CapacityFlags {
@@ -51,8 +55,12 @@
             })?;
         }
         if self.json {
-            let answer = Answer { size: &self.target, rows: &rows };
-            return serde_json::to_string_pretty(&answer).map_err(|e| CapacityError::Chart(e.to_string()));
+            let answer = Answer {
+                size: &self.target,
+                rows: &rows,
+            };
+            return serde_json::to_string_pretty(&answer)
+                .map_err(|e| CapacityError::Chart(e.to_string()));
         }
         Ok(markdown(&rows))
     }
--- a/crates/ivyward-lab/src/capacity/kept.rs
+++ b/crates/ivyward-lab/src/capacity/kept.rs
@@ -20,7 +20,10 @@
 }
 
 fn read<T: DeserializeOwned>(path: &Path) -> Result<T, CapacityError> {
-    let bad = |reason: String| CapacityError::Kept { path: path.display().to_string(), reason };
+    let bad = |reason: String| CapacityError::Kept {
+        path: path.display().to_string(),
+        reason,
+    };
     let text = std::fs::read_to_string(path).map_err(|e| bad(e.to_string()))?;
     serde_json::from_str(&text).map_err(|e| bad(e.to_string()))
 }
@@ -33,9 +36,15 @@
     pub fn load(folder: &Path) -> Result<Kept, CapacityError> {
         let mut sweeps = BTreeMap::new();
         for quantity in Quantity::ALL {
-            sweeps.insert(quantity, read(&folder.join(format!("{}.json", quantity.name())))?);
+            sweeps.insert(
+                quantity,
+                read(&folder.join(format!("{}.json", quantity.name())))?,
+            );
         }
-        Ok(Kept { sweeps, run: read(&folder.join(RUN))? })
+        Ok(Kept {
+            sweeps,
+            run: read(&folder.join(RUN))?,
+        })
     }
 
     /// A part of the whole run.
@@ -43,8 +52,14 @@
     /// # Errors
     /// When there is none of that name.
     pub fn part(&self, name: &str) -> Result<&Part, CapacityError> {
-        let missing =
-            || CapacityError::Kept { path: RUN.into(), reason: format!("there is no part {name:?}") };
-        self.run.parts.iter().find(|part| part.name == name).ok_or_else(missing)
+        let missing = || CapacityError::Kept {
+            path: RUN.into(),
+            reason: format!("there is no part {name:?}"),
+        };
+        self.run
+            .parts
+            .iter()
+            .find(|part| part.name == name)
+            .ok_or_else(missing)
     }
 }
--- a/crates/ivyward-lab/src/capacity/model.rs
+++ b/crates/ivyward-lab/src/capacity/model.rs
@@ -31,7 +31,11 @@
         figure: figure.to_owned(),
     };
     let sweep = kept.sweeps.get(&quantity).ok_or_else(missing)?;
-    let fit = sweep.fits.get(role).and_then(|fits| fits.get(figure)).ok_or_else(missing)?;
+    let fit = sweep
+        .fits
+        .get(role)
+        .and_then(|fits| fits.get(figure))
+        .ok_or_else(missing)?;
     Ok((sweep, fit))
 }
 
@@ -39,12 +43,27 @@
 ///
 /// # Errors
 /// When the sweep has no such figure.
-pub fn slope(kept: &Kept, quantity: Quantity, role: &str, figure: &str) -> Result<f64, CapacityError> {
+pub fn slope(
+    kept: &Kept,
+    quantity: Quantity,
+    role: &str,
+    figure: &str,
+) -> Result<f64, CapacityError> {
     let (sweep, fit) = fit(kept, quantity, role, figure)?;
-    let sizes = || sweep.points.iter().filter(|p| !p.left_out).map(|p| p.value as f64);
+    let sizes = || {
+        sweep
+            .points
+            .iter()
+            .filter(|p| !p.left_out)
+            .map(|p| p.value as f64)
+    };
     let range = sizes().fold(f64::MIN, f64::max) - sizes().fold(f64::MAX, f64::min);
     let grows = fit.slope * range;
-    Ok(if grows > OUT_OF_THE_NOISE * fit.residual { fit.slope } else { 0.0 })
+    Ok(if grows > OUT_OF_THE_NOISE * fit.residual {
+        fit.slope
+    } else {
+        0.0
+    })
 }
 
 /// A figure of a role at a size, from the smallest size of a sweep on.
--- a/crates/ivyward-lab/src/capacity/model/tests.rs
+++ b/crates/ivyward-lab/src/capacity/model/tests.rs
@@ -11,19 +11,45 @@
     let mut points = Vec::new();
     for (i, value) in quantity.fitted().into_iter().enumerate() {
         let noise = if i % 2 == 0 { 0.5 } else { -0.5 };
-        let rates = Rates { resident_kib: memory(value), core_percent: 5.0 + noise, ..Rates::default() };
-        points.push(Point { value, play: 1, left_out: false, roles: Roles::from([("node".into(), rates)]) });
+        let rates = Rates {
+            resident_kib: memory(value),
+            core_percent: 5.0 + noise,
+            ..Rates::default()
+        };
+        points.push(Point {
+            value,
+            play: 1,
+            left_out: false,
+            roles: Roles::from([("node".into(), rates)]),
+        });
     }
     let fits = fits(&points);
-    Sweep { quantity, base: quantity.size(quantity.fitted()[0], 1), points, fits }
+    Sweep {
+        quantity,
+        base: quantity.size(quantity.fitted()[0], 1),
+        points,
+        fits,
+    }
 }
 
 fn kept() -> Kept {
     let sweeps = BTreeMap::from([
-        (Quantity::Connections, sweep(Quantity::Connections, |n| 1_000.0 + 30.0 * n as f64)),
-        (Quantity::Nodes, sweep(Quantity::Nodes, |n| 2_450.0 + 12.5 * n as f64)),
+        (
+            Quantity::Connections,
+            sweep(Quantity::Connections, |n| 1_000.0 + 30.0 * n as f64),
+        ),
+        (
+            Quantity::Nodes,
+            sweep(Quantity::Nodes, |n| 2_450.0 + 12.5 * n as f64),
+        ),
     ]);
-    Kept { sweeps, run: Report { size: Quantity::Nodes.size(4, 1), parts: Vec::new() } }
+    Kept {
+        sweeps,
+        run: Report {
+            size: Quantity::Nodes.size(4, 1),
+            parts: Vec::new(),
+        },
+    }
 }
 
 #[test]
@@ -32,29 +58,58 @@
     let amounts = [(Quantity::Nodes, 104.0), (Quantity::Connections, 1_050.0)];
     let memory = figure(&kept, Quantity::Nodes, "node", "resident_kib", &amounts).unwrap();
     // 2,500 at the base of 4 nodes and 50 connections, 100 nodes and 1,000 connections more.
-    assert!((memory - (2_500.0 + 1_250.0 + 30_000.0)).abs() < 1e-6, "{memory}");
+    assert!(
+        (memory - (2_500.0 + 1_250.0 + 30_000.0)).abs() < 1e-6,
+        "{memory}"
+    );
 }
 
 #[test]
 fn a_slope_that_does_not_stand_out_of_the_noise_counts_for_nothing() {
     let kept = kept();
-    assert_eq!(slope(&kept, Quantity::Nodes, "node", "core_percent").unwrap(), 0.0);
-    let core = figure(&kept, Quantity::Nodes, "node", "core_percent", &[(Quantity::Nodes, 1e6)]).unwrap();
+    assert_eq!(
+        slope(&kept, Quantity::Nodes, "node", "core_percent").unwrap(),
+        0.0
+    );
+    let core = figure(
+        &kept,
+        Quantity::Nodes,
+        "node",
+        "core_percent",
+        &[(Quantity::Nodes, 1e6)],
+    )
+    .unwrap();
     assert!((core - 5.0).abs() < 1.0, "{core}");
 }
 
 #[test]
 fn a_figure_that_falls_is_not_taken_to_fall_further() {
     let falling = sweep(Quantity::Nodes, |n| 5_000.0 - 10.0 * n as f64);
-    let kept = Kept { sweeps: BTreeMap::from([(Quantity::Nodes, falling)]), ..kept() };
-    let memory = figure(&kept, Quantity::Nodes, "node", "resident_kib", &[(Quantity::Nodes, 400.0)]).unwrap();
+    let kept = Kept {
+        sweeps: BTreeMap::from([(Quantity::Nodes, falling)]),
+        ..kept()
+    };
+    let memory = figure(
+        &kept,
+        Quantity::Nodes,
+        "node",
+        "resident_kib",
+        &[(Quantity::Nodes, 400.0)],
+    )
+    .unwrap();
     assert!((memory - 4_960.0).abs() < 1e-6, "{memory}");
 }
 
 #[test]
 fn what_was_not_kept_is_named() {
     let error = figure(&kept(), Quantity::Nodes, "node", "temperature", &[]).unwrap_err();
-    assert_eq!(error.to_string(), "no temperature of node was kept in the sweep of nodes");
+    assert_eq!(
+        error.to_string(),
+        "no temperature of node was kept in the sweep of nodes"
+    );
     let error = slope(&kept(), Quantity::Tenants, "node", "resident_kib").unwrap_err();
-    assert_eq!(error.to_string(), "no resident_kib of node was kept in the sweep of tenants");
+    assert_eq!(
+        error.to_string(),
+        "no resident_kib of node was kept in the sweep of tenants"
+    );
 }
--- a/crates/ivyward-lab/src/capacity/rows.rs
+++ b/crates/ivyward-lab/src/capacity/rows.rs
@@ -83,7 +83,14 @@
     budget: Option<f64>,
     basis: Basis,
 ) -> Row {
-    Row { role, what, value, unit, budget, basis }
+    Row {
+        role,
+        what,
+        value,
+        unit,
+        budget,
+        basis,
+    }
 }
 
 /// What a process whose counters are not split uses, by a function that works its figures out.
@@ -94,10 +101,28 @@
     let part = Basis::Extrapolated;
     let bytes = of("all.bytes_in")? + of("all.bytes_out")?;
     Ok(vec![
-        row(role, "processor", (of("core_percent")?, PERCENT), None, part),
-        row(role, "memory", (of("resident_kib")? / 1_024.0, "MiB"), None, part),
+        row(
+            role,
+            "processor",
+            (of("core_percent")?, PERCENT),
+            None,
+            part,
+        ),
+        row(
+            role,
+            "memory",
+            (of("resident_kib")? / 1_024.0, "MiB"),
+            None,
+            part,
+        ),
         row(role, "descriptors", (of("descriptors")?, ""), None, part),
-        row(role, "bytes without headers", (bytes / 1_000.0, "kB/s"), None, part),
+        row(
+            role,
+            "bytes without headers",
+            (bytes / 1_000.0, "kB/s"),
+            None,
+            part,
+        ),
     ])
 }
 
@@ -118,17 +143,29 @@
     }
 
     fn node(&self, name: &str) -> Result<f64, CapacityError> {
-        figure(self.kept, Quantity::Nodes, "node", name, &self.control_amounts())
+        figure(
+            self.kept,
+            Quantity::Nodes,
+            "node",
+            name,
+            &self.control_amounts(),
+        )
     }
 
     /// Bytes of a part of a node, both ways together: its payload, and with headers and bare acknowledgements.
     fn node_bytes(&self, part: &str, headers: f64) -> Result<(f64, f64), CapacityError> {
-        let payload = self.node(&format!("{part}.bytes_in"))? + self.node(&format!("{part}.bytes_out"))?;
-        let (came, went) =
-            (self.node(&format!("{part}.messages_in"))?, self.node(&format!("{part}.messages_out"))?);
+        let payload =
+            self.node(&format!("{part}.bytes_in"))? + self.node(&format!("{part}.bytes_out"))?;
+        let (came, went) = (
+            self.node(&format!("{part}.messages_in"))?,
+            self.node(&format!("{part}.messages_out"))?,
+        );
         // What comes is acknowledged by a segment of its own unless something goes out just then.
         let acknowledgements = if headers == TCP_HEADERS { came } else { 0.0 };
-        Ok((payload, payload + headers * (came + went + acknowledgements)))
+        Ok((
+            payload,
+            payload + headers * (came + went + acknowledgements),
+        ))
     }
 
     fn node_control(&self) -> Result<Vec<Row>, CapacityError> {
@@ -147,11 +184,41 @@
         let memory_of_connections = of_connections("resident_kib")? / 1_024.0;
         let part = Basis::Extrapolated;
         Ok(vec![
-            row(role, "processor", (core, PERCENT), Some(budget::CORE_PERCENT), part),
-            row(role, "- of it connections", (of_connections("core_percent")?, PERCENT), None, part),
-            row(role, "memory", (memory, "MiB"), Some(budget::MEMORY_MIB), part),
-            row(role, "- of it connections", (memory_of_connections, "MiB"), None, part),
-            row(role, "descriptors", (self.node("descriptors")?, ""), None, part),
+            row(
+                role,
+                "processor",
+                (core, PERCENT),
+                Some(budget::CORE_PERCENT),
+                part,
+            ),
+            row(
+                role,
+                "- of it connections",
+                (of_connections("core_percent")?, PERCENT),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "memory",
+                (memory, "MiB"),
+                Some(budget::MEMORY_MIB),
+                part,
+            ),
+            row(
+                role,
+                "- of it connections",
+                (memory_of_connections, "MiB"),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "descriptors",
+                (self.node("descriptors")?, ""),
+                None,
+                part,
+            ),
             row(
                 role,
                 "bytes without headers",
@@ -159,7 +226,13 @@
                 Some(budget::KILOBYTES),
                 part,
             ),
-            row(role, "- of it pings of connections", (kib(engines), "kB/s"), None, part),
+            row(
+                role,
+                "- of it pings of connections",
+                (kib(engines), "kB/s"),
+                None,
+                part,
+            ),
             row(role, "- of it peers", (kib(peers), "kB/s"), None, part),
             row(role, "- of it the list", (kib(list), "kB/s"), None, part),
             row(
@@ -169,12 +242,19 @@
                 Some(budget::KILOBYTES),
                 Basis::Reckoned,
             ),
-            row(role, "messages to and from engines", (self.messages("engines")?, "/s"), None, part),
+            row(
+                role,
+                "messages to and from engines",
+                (self.messages("engines")?, "/s"),
+                None,
+                part,
+            ),
         ])
     }
 
     fn messages(&self, part: &str) -> Result<f64, CapacityError> {
-        Ok(self.node(&format!("{part}.messages_in"))? + self.node(&format!("{part}.messages_out"))?)
+        Ok(self.node(&format!("{part}.messages_in"))?
+            + self.node(&format!("{part}.messages_out"))?)
     }
 
     /// What requests take beside control: the growth by requests alone.
@@ -182,19 +262,68 @@
         let role = "node, requests";
         let rate = self.target.rate_of_a_node();
         let part = Basis::Extrapolated;
-        let of =
-            |name: &str| Ok::<f64, CapacityError>(slope(self.kept, Quantity::Requests, "real", name)? * rate);
+        let of = |name: &str| {
+            Ok::<f64, CapacityError>(slope(self.kept, Quantity::Requests, "real", name)? * rate)
+        };
         let clients = of("clients.bytes_in")? + of("clients.bytes_out")?;
         let engines = of("engines.bytes_in")? + of("engines.bytes_out")?;
         Ok(vec![
-            row(role, "processor", (of("core_percent")?, PERCENT), None, part),
-            row(role, "- of it decisions", (of("module.busy_percent")?, PERCENT), None, part),
-            row(role, "- of it the driver", (of("driver.busy_percent")?, PERCENT), None, part),
-            row(role, "- of it clients' connections", (of("clients.busy_percent")?, PERCENT), None, part),
-            row(role, "- of it engines' connections", (of("engines.busy_percent")?, PERCENT), None, part),
-            row(role, "memory", (of("resident_kib")? / 1_024.0, "MiB"), None, part),
-            row(role, "bytes to and from clients", (clients / 1_000.0, "kB/s"), None, part),
-            row(role, "bytes to and from engines", (engines / 1_000.0, "kB/s"), None, part),
+            row(
+                role,
+                "processor",
+                (of("core_percent")?, PERCENT),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "- of it decisions",
+                (of("module.busy_percent")?, PERCENT),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "- of it the driver",
+                (of("driver.busy_percent")?, PERCENT),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "- of it clients' connections",
+                (of("clients.busy_percent")?, PERCENT),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "- of it engines' connections",
+                (of("engines.busy_percent")?, PERCENT),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "memory",
+                (of("resident_kib")? / 1_024.0, "MiB"),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "bytes to and from clients",
+                (clients / 1_000.0, "kB/s"),
+                None,
+                part,
+            ),
+            row(
+                role,
+                "bytes to and from engines",
+                (engines / 1_000.0, "kB/s"),
+                None,
+                part,
+            ),
         ])
     }
 
@@ -214,11 +343,17 @@
     fn store(&self) -> Result<Vec<Row>, CapacityError> {
         let role = "store";
         let target = self.target;
-        let amounts = [(Quantity::Nodes, target.nodes), (Quantity::Engines, target.engines)];
+        let amounts = [
+            (Quantity::Nodes, target.nodes),
+            (Quantity::Engines, target.engines),
+        ];
         let of = |name: &str| {
             let at_rest = figure(self.kept, Quantity::Nodes, "store", name, &amounts)?;
-            let each_change = slope(self.kept, Quantity::Changes, "store", name)? / WATCHERS_OF_CHANGES;
-            Ok::<f64, CapacityError>(at_rest + each_change * target.nodes * target.changes_of_an_hour())
+            let each_change =
+                slope(self.kept, Quantity::Changes, "store", name)? / WATCHERS_OF_CHANGES;
+            Ok::<f64, CapacityError>(
+                at_rest + each_change * target.nodes * target.changes_of_an_hour(),
+            )
         };
         let mut rows = usage(role, of)?;
         rows.push(row(
@@ -240,10 +375,18 @@
                 figure: what.to_owned(),
             };
             let part = self.kept.part(part)?;
-            part.took_ms.get(what).map(|ms| ms / 1e3).ok_or_else(missing)
+            part.took_ms
+                .get(what)
+                .map(|ms| ms / 1e3)
+                .ok_or_else(missing)
         };
         let seconds = budget::CHANGE_SECONDS;
-        let first_token = self.kept.part("requests")?.clients.as_ref().map_or(0.0, |c| c.first_token_ms[1]);
+        let first_token = self
+            .kept
+            .part("requests")?
+            .clients
+            .as_ref()
+            .map_or(0.0, |c| c.first_token_ms[1]);
         let restart = took("daemon restarted", "its end")? + took("daemon restarted", "its start")?;
         let rounds = (1.0 / RESTARTED_AT_ONCE).ceil();
         let measured = Basis::Measured;
--- a/crates/ivyward-lab/src/capacity/table.rs
+++ b/crates/ivyward-lab/src/capacity/table.rs
@@ -21,7 +21,9 @@
 }
 
 fn line(row: &Row) -> String {
-    let budget = row.budget.map_or("-".to_owned(), |budget| format!("{} {}", number(budget), row.unit));
+    let budget = row.budget.map_or("-".to_owned(), |budget| {
+        format!("{} {}", number(budget), row.unit)
+    });
     let over = match row.over_budget() {
         Some(over) if over > 1.0 => format!("**{} times over**", number(over)),
         Some(_) => "within".to_owned(),
@@ -52,7 +54,13 @@
         .collect();
     over.sort_by(|a, b| b.0.total_cmp(&a.0));
     let line = |(rank, (over, row)): (usize, &(f64, &Row))| {
-        format!("{}. {}, {}: {} times its budget\n", rank + 1, row.role, row.what, number(*over))
+        format!(
+            "{}. {}, {}: {} times its budget\n",
+            rank + 1,
+            row.role,
+            row.what,
+            number(*over)
+        )
     };
     over.iter().enumerate().map(line).collect()
 }
--- a/crates/ivyward-lab/src/capacity/target.rs
+++ b/crates/ivyward-lab/src/capacity/target.rs
@@ -63,10 +63,17 @@
             ("changes", self.changes, 0.0),
             ("replaced", self.replaced, 0.0),
         ];
-        match sizes.into_iter().find(|(_, value, least)| !(*least..=1e9).contains(value)) {
+        match sizes
+            .into_iter()
+            .find(|(_, value, least)| !(*least..=1e9).contains(value))
+        {
             Some((flag, value, _)) => {
                 let reason = "must be a number that a deployment can have";
-                Err(CapacityError::Size { flag, value, reason })
+                Err(CapacityError::Size {
+                    flag,
+                    value,
+                    reason,
+                })
             }
             None => Ok(()),
         }
--- a/crates/ivyward-lab/src/cluster/links.rs
+++ b/crates/ivyward-lab/src/cluster/links.rs
@@ -76,8 +76,14 @@
     }
     /// Cuts or mends both directions between two sets of nodes.
     pub fn part(&self, some: &[usize], others: &[usize]) {
-        for (a, b) in some.iter().flat_map(|a| others.iter().map(move |b| (*a, *b))) {
-            let cut = Fault { cut: true, ..Fault::default() };
+        for (a, b) in some
+            .iter()
+            .flat_map(|a| others.iter().map(move |b| (*a, *b)))
+        {
+            let cut = Fault {
+                cut: true,
+                ..Fault::default()
+            };
             self.set(End::Node(a), End::Node(b), cut);
             self.set(End::Node(b), End::Node(a), cut);
         }
@@ -95,7 +101,11 @@
     fn fault(&self, from: End, to: End) -> Fault {
         let state = self.lock();
         let between_nodes = matches!((from, to), (End::Node(_), End::Node(_)));
-        let usual = if between_nodes { state.everywhere } else { Fault::default() };
+        let usual = if between_nodes {
+            state.everywhere
+        } else {
+            Fault::default()
+        };
         state.faults.get(&(from, to)).copied().unwrap_or(usual)
     }
     fn broken(&self, from: End, to: End) -> u64 {
@@ -128,7 +138,9 @@
     let (mut bytes, mut count) = ([0u8; MOST_DATAGRAM + 1], 0);
     let me = End::Node(node);
     loop {
-        let due = waiting.first_key_value().map_or(Micros::MAX, |(key, _)| key.0);
+        let due = waiting
+            .first_key_value()
+            .map_or(Micros::MAX, |(key, _)| key.0);
         let came = or(async { Some(door.receive(&mut bytes).await) }, async {
             world.sleep_until(due).await;
             None
@@ -205,7 +217,13 @@
     }
 }
 
-async fn stream(world: &WorldRef, links: &Links, conn: Conn, (from, to): (End, End), address: SocketAddr) {
+async fn stream(
+    world: &WorldRef,
+    links: &Links,
+    conn: Conn,
+    (from, to): (End, End),
+    address: SocketAddr,
+) {
     let began = links.broken(from, to);
     let broken = async {
         while links.broken(from, to) == began {
@@ -214,7 +232,9 @@
     };
     let both = async {
         passable(world, links, from, to).await;
-        let Ok(target) = world.connect(address).await else { return };
+        let Ok(target) = world.connect(address).await else {
+            return;
+        };
         let (read, write) = futures_lite::io::split(conn);
         let (read_back, write_back) = futures_lite::io::split(target);
         // An end of one direction is passed on; the other goes on until its own.
--- a/crates/ivyward-lab/src/cluster/mod.rs
+++ b/crates/ivyward-lab/src/cluster/mod.rs
@@ -136,21 +136,43 @@
         let world = SmolWorld::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
         let as_ref: WorldRef = world.clone();
         let (log, host): (Log, Arc<dyn Host>) = (Log::new(&as_ref), Arc::new(Threads));
-        let rules = Settings { nodes: size.nodes as u32, ..settings().rules };
+        let rules = Settings {
+            nodes: size.nodes as u32,
+            ..settings().rules
+        };
         let spec = |id: u64| {
-            let role = if id % 5 < 2 { Role::Reader } else { Role::Writer };
-            Spec { falls: (rules.fall_multiple, rules.fall_window), ..Spec::small(id, role) }
+            let role = if id % 5 < 2 {
+                Role::Reader
+            } else {
+                Role::Writer
+            };
+            Spec {
+                falls: (rules.fall_multiple, rules.fall_window),
+                ..Spec::small(id, role)
+            }
         };
         let specs: Vec<Spec> = (1..=size.engines as u64).map(spec).collect();
         let engines = specs.iter().map(|s| Engine::start(&host, &log, s.clone()));
-        let engines = engines.collect::<std::io::Result<Vec<Engine>>>().map_err(io("starting an engine"))?;
+        let engines = engines
+            .collect::<std::io::Result<Vec<Engine>>>()
+            .map_err(io("starting an engine"))?;
         let store = match size.store {
             true => Some(Store::start(&host, 1).map_err(io("starting the store"))?),
             false => None,
         };
         let links = Links::default();
         let places = Vec::new();
-        let mut cluster = Cluster { world, links, log, size, rules, specs, engines, store, places };
+        let mut cluster = Cluster {
+            world,
+            links,
+            log,
+            size,
+            rules,
+            specs,
+            engines,
+            store,
+            places,
+        };
         cluster.wire_up()?;
         for node in 0..cluster.size.nodes {
             cluster.begin(node)?;
@@ -174,22 +196,33 @@
             // Held until all are found: one that is free again is found twice.
             held.push(socket);
             self.links.source(real, node);
-            world.run(links::datagrams(world.clone(), self.links.clone(), door, node, real));
+            world.run(links::datagrams(
+                world.clone(),
+                self.links.clone(),
+                door,
+                node,
+                real,
+            ));
             let mut listed = Vec::new();
             for engine in &self.engines {
                 let id = engine.spec().id;
                 let through = self.relay(End::Node(node), End::Engine(id), engine.address())?;
-                let mut entry = crate::scene::listed(engine, ivyward::core::interface::Condition::Ready, 0);
+                let mut entry =
+                    crate::scene::listed(engine, ivyward::core::interface::Condition::Ready, 0);
                 entry.address = through;
                 listed.push(entry);
             }
-            let settings = NodeSettings { rules: self.rules.clone(), ..settings() };
+            let settings = NodeSettings {
+                rules: self.rules.clone(),
+                ..settings()
+            };
             let mut flags = match &self.store {
                 Some(store) => {
                     let prefix = format!("ivyward/engines-of-{node}/");
                     for (engine, through) in self.engines.iter().zip(&listed) {
                         let (_, text) = enlist::record(engine, State::Ready, 0);
-                        let text = text.replace(&engine.address().to_string(), &through.address.to_string());
+                        let text = text
+                            .replace(&engine.address().to_string(), &through.address.to_string());
                         store.put(&format!("{prefix}{}", engine.spec().id), &text);
                     }
                     let through = self.relay(End::Node(node), End::Store, store.address())?;
@@ -205,8 +238,18 @@
             flags.push(format!("--peer-announce={}", announced[node]));
             flags.push(format!("--peer-name={}", name(node)));
             flags.push(format!("--peer-death-after={}us", self.size.death_after));
-            flags.extend(announced.iter().take(self.size.seeds).map(|a| format!("--peer={a}")));
-            self.places.push(Place { real, flags, process: None, stopped: false });
+            flags.extend(
+                announced
+                    .iter()
+                    .take(self.size.seeds)
+                    .map(|a| format!("--peer={a}")),
+            );
+            self.places.push(Place {
+                real,
+                flags,
+                process: None,
+                stopped: false,
+            });
         }
         Ok(())
     }
@@ -215,7 +258,13 @@
         let world: WorldRef = self.world.clone();
         let door = world.listen(local()).map_err(io("opening a relay"))?;
         let through = door.address();
-        world.run(links::streams(world.clone(), self.links.clone(), door, (from, to), address));
+        world.run(links::streams(
+            world.clone(),
+            self.links.clone(),
+            door,
+            (from, to),
+            address,
+        ));
         Ok(through)
     }
 
@@ -273,7 +322,10 @@
     /// Kills a node (SIGKILL).
     pub fn kill(&mut self, node: usize) {
         if let Some(process) = self.places[node].process.take() {
-            self.log.add(Sight::Killed { node, run: process.run });
+            self.log.add(Sight::Killed {
+                node,
+                run: process.run,
+            });
         }
     }
     /// Asks a node to end in order (SIGTERM) and waits for it; whether it ended well.
@@ -320,7 +372,10 @@
                 continue;
             };
             for of in (0..self.places.len()).filter(|of| of != node) {
-                let state = view.peers.get(&id(of)).map_or("unknown", |row| row.state.as_str());
+                let state = view
+                    .peers
+                    .get(&id(of))
+                    .map_or("unknown", |row| row.state.as_str());
                 let right = match running.contains(&of) {
                     true => matches!(state, "alive" | "unheard"),
                     false => matches!(state, "dead" | "left" | "unknown"),
@@ -337,7 +392,8 @@
     pub fn miscounts(&self, views: &BTreeMap<usize, View>) -> Vec<String> {
         let there = self.there() as u32;
         let low = views.iter().filter(|(_, view)| view.count < there);
-        low.map(|(node, view)| format!("node {node} counts {} of {there}", view.count)).collect()
+        low.map(|(node, view)| format!("node {node} counts {} of {there}", view.count))
+            .collect()
     }
 
     /// Waits until something holds of the views; how long that took. The limit is for what never comes about.
@@ -382,7 +438,11 @@
 
     /// The five rules, from what engines and clients saw.
     pub fn audit(&self) -> Audit {
-        audit(&self.log.all(), &limits(&self.rules, FLIGHT, &self.specs), self.log.now())
+        audit(
+            &self.log.all(),
+            &limits(&self.rules, FLIGHT, &self.specs),
+            self.log.now(),
+        )
     }
 }
 
--- a/crates/ivyward-lab/src/cluster/plan.rs
+++ b/crates/ivyward-lab/src/cluster/plan.rs
@@ -76,7 +76,8 @@
     /// # Errors
     /// [`PlanError`].
     pub fn read(text: &str) -> Result<Plan, PlanError> {
-        let plan: Plan = serde_json::from_str(text).map_err(|e| PlanError::Malformed(e.to_string()))?;
+        let plan: Plan =
+            serde_json::from_str(text).map_err(|e| PlanError::Malformed(e.to_string()))?;
         plan.check()?;
         Ok(plan)
     }
@@ -92,18 +93,29 @@
             return bad(format!("{} nodes; 2 to {nodes} are played", self.nodes));
         }
         if self.episodes.len() > episodes {
-            return bad(format!("{} episodes; {episodes} at most", self.episodes.len()));
+            return bad(format!(
+                "{} episodes; {episodes} at most",
+                self.episodes.len()
+            ));
         }
         for (i, episode) in self.episodes.iter().enumerate() {
             if episode.lasts_ms > seconds * 1_000 {
-                return bad(format!("episode {i} lasts {} ms; {seconds} s at most", episode.lasts_ms));
+                return bad(format!(
+                    "episode {i} lasts {} ms; {seconds} s at most",
+                    episode.lasts_ms
+                ));
             }
             if let Some(node) = episode.fault.nodes().into_iter().find(|n| *n >= self.nodes) {
-                return bad(format!("episode {i} names node {node}; they are 0 to {}", self.nodes - 1));
+                return bad(format!(
+                    "episode {i} names node {node}; they are 0 to {}",
+                    self.nodes - 1
+                ));
             }
             if let Trouble::Everywhere(f) | Trouble::Around(_, f) = &episode.fault {
                 if !(0.0..=1.0).contains(&f.lose) || !(0.0..=1.0).contains(&f.repeat) {
-                    return bad(format!("episode {i}: lose and repeat are parts from 0 to 1"));
+                    return bad(format!(
+                        "episode {i}: lose and repeat are parts from 0 to 1"
+                    ));
                 }
             }
         }
@@ -123,7 +135,11 @@
             let Some(kind) = kinds.pop() else { break };
             drawn.push(episode(kind, nodes, &mut random));
         }
-        Plan { seed, nodes, episodes: drawn }
+        Plan {
+            seed,
+            nodes,
+            episodes: drawn,
+        }
     }
 }
 
@@ -144,7 +160,9 @@
     let (short, long) = (ms(500, 1_800), ms(4_000, 8_000));
     let groups = |random: &mut SmallRng, count: usize| {
         let all = some(random, nodes, nodes);
-        (0..count).map(|g| all.iter().copied().skip(g).step_by(count).collect()).collect::<Vec<Vec<usize>>>()
+        (0..count)
+            .map(|g| all.iter().copied().skip(g).step_by(count).collect())
+            .collect::<Vec<Vec<usize>>>()
     };
     let (fault, lasts_ms) = match kind {
         0 => (Trouble::Kill(vec![one(random)]), long),
@@ -161,10 +179,24 @@
             (Trouble::Link(pair[0], pair[1]), long)
         }
         10 => {
-            let fault = Fault { lose: 0.2, repeat: 0.2, jitter_ms: 20, ..Fault::default() };
+            let fault = Fault {
+                lose: 0.2,
+                repeat: 0.2,
+                jitter_ms: 20,
+                ..Fault::default()
+            };
             (Trouble::Everywhere(fault), long)
         }
-        _ => (Trouble::Around(one(random), Fault { lose: 0.6, ..Fault::default() }), long),
+        _ => (
+            Trouble::Around(
+                one(random),
+                Fault {
+                    lose: 0.6,
+                    ..Fault::default()
+                },
+            ),
+            long,
+        ),
     };
     Episode { fault, lasts_ms }
 }
@@ -173,9 +205,11 @@
     /// Nodes that it names.
     pub fn nodes(&self) -> Vec<usize> {
         match self {
-            Trouble::Kill(n) | Trouble::Roll(n) | Trouble::Stop(n) | Trouble::Mute(n) | Trouble::Deaf(n) => {
-                n.clone()
-            }
+            Trouble::Kill(n)
+            | Trouble::Roll(n)
+            | Trouble::Stop(n)
+            | Trouble::Mute(n)
+            | Trouble::Deaf(n) => n.clone(),
             Trouble::NoStore(n) => n.clone(),
             Trouble::Split(groups) => groups.concat(),
             Trouble::Link(a, b) | Trouble::Flap(a, b, _) => vec![*a, *b],
--- a/crates/ivyward-lab/src/cluster/plan/tests.rs
+++ b/crates/ivyward-lab/src/cluster/plan/tests.rs
@@ -14,12 +14,34 @@
 
 #[test]
 fn what_cannot_be_played_says_why() {
-    let plan = |fault, lasts_ms| Plan { seed: 1, nodes: 3, episodes: vec![Episode { fault, lasts_ms }] };
+    let plan = |fault, lasts_ms| Plan {
+        seed: 1,
+        nodes: 3,
+        episodes: vec![Episode { fault, lasts_ms }],
+    };
     let bad = [
         (plan(Trouble::Stop(vec![3]), 1), "names node 3"),
         (plan(Trouble::Stop(vec![1]), 10_000_000), "at most"),
-        (Plan { nodes: 1, ..plan(Trouble::Stop(vec![0]), 1) }, "2 to 300"),
-        (plan(Trouble::Around(1, Fault { lose: 1.5, ..Fault::default() }), 1), "parts from 0 to 1"),
+        (
+            Plan {
+                nodes: 1,
+                ..plan(Trouble::Stop(vec![0]), 1)
+            },
+            "2 to 300",
+        ),
+        (
+            plan(
+                Trouble::Around(
+                    1,
+                    Fault {
+                        lose: 1.5,
+                        ..Fault::default()
+                    },
+                ),
+                1,
+            ),
+            "parts from 0 to 1",
+        ),
     ];
     for (plan, why) in bad {
         assert!(plan.check().unwrap_err().to_string().contains(why));
--- a/crates/ivyward-lab/src/cluster/play.rs
+++ b/crates/ivyward-lab/src/cluster/play.rs
@@ -67,11 +67,17 @@
         for (i, came) in self.came.iter().enumerate() {
             wrong.extend(came.miscounts.iter().map(|m| format!("episode {i}: {m}")));
             if came.false_deaths > 0 {
-                wrong.push(format!("episode {i}: {} false deaths under {:?}", came.false_deaths, came.fault));
+                wrong.push(format!(
+                    "episode {i}: {} false deaths under {:?}",
+                    came.false_deaths, came.fault
+                ));
             }
         }
         if self.astray.1 > 0 {
-            wrong.push(format!("{} datagrams were answers to their source", self.astray.1));
+            wrong.push(format!(
+                "{} datagrams were answers to their source",
+                self.astray.1
+            ));
         }
         wrong
     }
@@ -97,13 +103,17 @@
         let nodes: Vec<usize> = nodes.collect();
         let pause = PAUSE.max(1_000_000 * nodes.len() as Micros / CALLS_S);
         for node in nodes {
-            let Some(door) = cluster.process(node).map(|p| p.door) else { continue };
+            let Some(door) = cluster.process(node).map(|p| p.door) else {
+                continue;
+            };
             let (world, log) = (world.clone(), cluster.log().clone());
             let (over, made, served) = (load.over.clone(), load.made.clone(), load.served.clone());
             let place = load.at_work.clone();
             world.clone().run(async move {
                 // Not all in one moment.
-                world.sleep((world.unit() * 20.0 * pause as f64) as Micros).await;
+                world
+                    .sleep((world.unit() * 20.0 * pause as f64) as Micros)
+                    .await;
                 let mut client: Option<Client> = None;
                 while !over.load(Ordering::SeqCst) {
                     if client.as_ref().is_none_or(|c| !c.usable()) {
@@ -141,7 +151,10 @@
         operation: call,
         effect: Effect::Safe,
         node,
-        habit: Habit { patience: PATIENCE, ..Habit::default() },
+        habit: Habit {
+            patience: PATIENCE,
+            ..Habit::default()
+        },
     }
 }
 
@@ -149,10 +162,18 @@
 ///
 /// # Errors
 /// When views do not come to agree, or a process does not start.
-pub fn play(cluster: &mut Cluster, plan: &Plan, mut told: impl FnMut(&Came)) -> Result<Report, ClusterError> {
+pub fn play(
+    cluster: &mut Cluster,
+    plan: &Plan,
+    mut told: impl FnMut(&Came),
+) -> Result<Report, ClusterError> {
     let began = cluster.world().now();
     let joined = cluster.until_agreed(MOST_HEALING)?;
-    let touched: BTreeSet<usize> = plan.episodes.iter().flat_map(|e| e.fault.processes()).collect();
+    let touched: BTreeSet<usize> = plan
+        .episodes
+        .iter()
+        .flat_map(|e| e.fault.processes())
+        .collect();
     let load = Load::begin(cluster, (0..plan.nodes).filter(|n| !touched.contains(n)));
     let mut came = Vec::new();
     for episode in &plan.episodes {
@@ -174,7 +195,10 @@
         datagrams_s: datagrams as f64 / a_node,
         bytes_s: bytes as f64 / a_node,
         astray: cluster.links().astray(),
-        calls: (load.made.load(Ordering::SeqCst), load.served.load(Ordering::SeqCst)),
+        calls: (
+            load.made.load(Ordering::SeqCst),
+            load.served.load(Ordering::SeqCst),
+        ),
         rules_kept: audit.kept(),
         broken: audit.broken(),
     })
@@ -189,7 +213,11 @@
         let process = cluster.process(*node);
         let of_one = |name: &String| {
             process.map_or(0, |p| {
-                p.said(&["a peer changed", &format!("\"peer\":\"{name}\""), "\"is\":\"dead\""])
+                p.said(&[
+                    "a peer changed",
+                    &format!("\"peer\":\"{name}\""),
+                    "\"is\":\"dead\"",
+                ])
             })
         };
         names.iter().map(of_one).sum::<usize>()
@@ -208,7 +236,10 @@
     let before = deaths(cluster, &spared);
     let links = cluster.links().clone();
     let node = |n: usize| End::Node(n);
-    let cut = Fault { cut: true, ..Fault::default() };
+    let cut = Fault {
+        cut: true,
+        ..Fault::default()
+    };
     let mut known_ms = None;
     let mut miscounts = Vec::new();
     match fault {
@@ -227,7 +258,9 @@
         Trouble::Stop(nodes) => nodes.iter().for_each(|n| cluster.stop(*n, true)),
         Trouble::Split(groups) => {
             for (i, some) in groups.iter().enumerate() {
-                groups[i + 1..].iter().for_each(|others| links.part(some, others));
+                groups[i + 1..]
+                    .iter()
+                    .for_each(|others| links.part(some, others));
             }
         }
         Trouble::Mute(nodes) | Trouble::Deaf(nodes) => {
@@ -237,7 +270,9 @@
                 links.set(node(from), node(to), cut);
             }
         }
-        Trouble::Link(from, to) | Trouble::Flap(from, to, _) => links.set(node(*from), node(*to), cut),
+        Trouble::Link(from, to) | Trouble::Flap(from, to, _) => {
+            links.set(node(*from), node(*to), cut)
+        }
         Trouble::Everywhere(fault) => links.everywhere(*fault),
         Trouble::Around(n, fault) => {
             for other in &all {
@@ -259,7 +294,14 @@
         if let Trouble::Flap(from, to, each) = fault {
             if now >= turned + each * 1_000 {
                 (on, turned) = (!on, now);
-                links.set(node(*from), node(*to), Fault { cut: on, ..Fault::default() });
+                links.set(
+                    node(*from),
+                    node(*to),
+                    Fault {
+                        cut: on,
+                        ..Fault::default()
+                    },
+                );
             }
         }
         // Counts hold at every moment, not only where all is well.
--- a/crates/ivyward-lab/src/cluster/process.rs
+++ b/crates/ivyward-lab/src/cluster/process.rs
@@ -70,9 +70,18 @@
                     view.joined = *pairs.get("joined")? == "true";
                 }
                 _ => {
-                    let (state, certain) =
-                        ((*pairs.get("state")?).to_owned(), *pairs.get("certain")? == "true");
-                    view.peers.insert(id, Row { state, start, certain });
+                    let (state, certain) = (
+                        (*pairs.get("state")?).to_owned(),
+                        *pairs.get("certain")? == "true",
+                    );
+                    view.peers.insert(
+                        id,
+                        Row {
+                            state,
+                            start,
+                            certain,
+                        },
+                    );
                 }
             }
         }
@@ -102,13 +111,25 @@
         Process::start_with(binary, flags, None)
     }
 
-    fn start_with(binary: &Path, flags: &[String], key: Option<&str>) -> Result<Process, ClusterError> {
-        let failed = |what: String| ClusterError::Start { program: binary.display().to_string(), what };
+    fn start_with(
+        binary: &Path,
+        flags: &[String],
+        key: Option<&str>,
+    ) -> Result<Process, ClusterError> {
+        let failed = |what: String| ClusterError::Start {
+            program: binary.display().to_string(),
+            what,
+        };
         let mut child = end_with_parent(&mut Command::new(binary))
             .env_clear()
             .envs(key.map(|key| ("IVYWARD_PEER_KEY", key)))
             .args(flags)
-            .args(["--listen=127.0.0.1:0", "--admin=127.0.0.1:0", "--threads=1", "--log-format=json"])
+            .args([
+                "--listen=127.0.0.1:0",
+                "--admin=127.0.0.1:0",
+                "--threads=1",
+                "--log-format=json",
+            ])
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
@@ -134,7 +155,10 @@
         }
         let mut first = String::new();
         let _ = BufReader::new(out).read_line(&mut first);
-        let door = first.trim().strip_prefix("listening on ").and_then(|a| a.parse().ok());
+        let door = first
+            .trim()
+            .strip_prefix("listening on ")
+            .and_then(|a| a.parse().ok());
         let (Some(door), Some(admin), Some(run)) = (door, admin, run) else {
             let _ = child.kill();
             let _ = child.wait();
@@ -152,7 +176,13 @@
                 lines.push_back(line);
             }
         });
-        Ok(Process { child, door, admin, run, lines })
+        Ok(Process {
+            child,
+            door,
+            admin,
+            run,
+            lines,
+        })
     }
 
     /// Its number, for /proc.
@@ -181,7 +211,10 @@
     /// Lines of its log that hold all these words.
     pub fn said(&self, words: &[&str]) -> usize {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.iter().filter(|line| words.iter().all(|w| line.contains(w))).count()
+        lines
+            .iter()
+            .filter(|line| words.iter().all(|w| line.contains(w)))
+            .count()
     }
     /// What its admin port says to a path.
     ///
@@ -194,10 +227,15 @@
             conn.write_all(head.as_bytes()).await?;
             let mut text = String::new();
             conn.read_to_string(&mut text).await?;
-            Ok(text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default())
+            Ok(text
+                .split_once("\r\n\r\n")
+                .map(|(_, body)| body.to_owned())
+                .unwrap_or_default())
         };
         let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-        before(world, world.now() + ASKING, asking).await.unwrap_or_else(|| Err(late()))
+        before(world, world.now() + ASKING, asking)
+            .await
+            .unwrap_or_else(|| Err(late()))
     }
     /// Its view, if it answers.
     pub async fn view(&self, world: &WorldRef) -> Option<View> {
--- a/crates/ivyward-lab/src/cluster/process/tests.rs
+++ b/crates/ivyward-lab/src/cluster/process/tests.rs
@@ -8,7 +8,11 @@
                 peer id=0b start=6 zone=0 address=127.0.0.1:2 state=unheard certain=false\n";
     let view = View::read(text).unwrap();
     assert_eq!((view.count, view.joined, view.start), (2, true, 5));
-    let row = Row { state: "unheard".into(), start: 6, certain: false };
+    let row = Row {
+        state: "unheard".into(),
+        start: 6,
+        certain: false,
+    };
     assert_eq!(view.peers.get(&0x0b), Some(&row));
     assert_eq!(View::read(""), None);
     assert_eq!(View::read("not found\n"), None);
--- a/crates/ivyward-lab/src/drains.rs
+++ b/crates/ivyward-lab/src/drains.rs
@@ -35,8 +35,16 @@
 }
 
 /// The kinds of what goes wrong with the store, in the order in which a round plays them.
-const FAULTS: [&str; 8] =
-    ["lag", "batches", "cancelled", "mute and compacted", "restart", "hang", "half open", "slow link"];
+const FAULTS: [&str; 8] = [
+    "lag",
+    "batches",
+    "cancelled",
+    "mute and compacted",
+    "restart",
+    "hang",
+    "half open",
+    "slow link",
+];
 
 /// Plays one kind of trouble with the store.
 async fn fault(scene: &Scene, kind: &str) {
@@ -58,7 +66,10 @@
         }
         "restart" => {
             // A port that is still taken is tried again.
-            while scene.with_store(Store::come_up).is_some_and(|up| up.is_err()) {
+            while scene
+                .with_store(Store::come_up)
+                .is_some_and(|up| up.is_err())
+            {
                 scene.world.sleep(20_000).await;
             }
         }
@@ -93,8 +104,13 @@
 /// When the scene cannot be set up.
 pub fn followed(drains: usize, nodes: usize, faults: bool) -> Result<Followed, SceneError> {
     let mut store = store()?;
-    store.open_doors(nodes).map_err(io("opening doors of a store"))?;
-    let mut follow = Follow { endpoints: store.doors().to_vec(), ..Follow::default() };
+    store
+        .open_doors(nodes)
+        .map_err(io("opening doors of a store"))?;
+    let mut follow = Follow {
+        endpoints: store.doors().to_vec(),
+        ..Follow::default()
+    };
     if faults {
         (follow.silence, follow.pauses) = (150_000, (10_000, 100_000));
         follow.etcd.call_timeout = 150_000;
@@ -110,11 +126,22 @@
     (0..scene.engines()).for_each(|e| put(&scene, e, State::Ready));
     // Beside faults, long enough for sends past the grace to show.
     let span = if faults { 450_000 } else { 150_000 };
-    let mut out = Followed { drains, ..Followed::default() };
+    let mut out = Followed {
+        drains,
+        ..Followed::default()
+    };
     scene.world.clone().block_on(async {
         scene.world.sleep(300_000).await;
-        let load = Load { requests: drains * 2 * span as usize / 5_000, rate: 200.0, output: 12 };
-        let plan = Arc::new(Plan { seed: 51, length: drains as u64 * 2 * span, spells: vec![] });
+        let load = Load {
+            requests: drains * 2 * span as usize / 5_000,
+            rate: 200.0,
+            output: 12,
+        };
+        let plan = Arc::new(Plan {
+            seed: 51,
+            length: drains as u64 * 2 * span,
+            spells: vec![],
+        });
         let (done, wait) = async_channel::bounded::<()>(1);
         let one = scene.clone();
         scene.world.run(async move {
@@ -138,7 +165,11 @@
         let one = scene.clone();
         scene.world.run(async move {
             let mut counts = BTreeMap::new();
-            for kind in FAULTS.iter().cycle().take_while(|_| faults && !stopped.is_closed()) {
+            for kind in FAULTS
+                .iter()
+                .cycle()
+                .take_while(|_| faults && !stopped.is_closed())
+            {
                 fault(&one, kind).await;
                 *counts.entry(*kind).or_insert(0) += 1;
                 one.world.sleep(250_000).await;
@@ -152,15 +183,26 @@
         scene.settle(5_000_000).await;
     });
     let (mut told, mut back) = (BTreeMap::new(), BTreeMap::new());
-    out.gaps = (0..nodes).filter_map(|n| scene.node(n)).map(|n| n.metrics().list_gaps.get()).sum();
+    out.gaps = (0..nodes)
+        .filter_map(|n| scene.node(n))
+        .map(|n| n.metrics().list_gaps.get())
+        .sum();
     out.broken = scene.audit().broken();
     for seen in scene.log.all() {
         match seen.what {
-            Sight::Told { node, engine, ready: false } => {
+            Sight::Told {
+                node,
+                engine,
+                ready: false,
+            } => {
                 told.insert((node, engine), (seen.at, seen.at));
                 back.remove(&engine);
             }
-            Sight::Told { node, engine, ready: true } => {
+            Sight::Told {
+                node,
+                engine,
+                ready: true,
+            } => {
                 if let Some((from, last)) = told.remove(&(node, engine)) {
                     out.last_sends.push(last - from);
                     back.entry(engine).or_insert(seen.at);
@@ -183,7 +225,9 @@
 fn memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().next()).and_then(|n| n.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next())
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Measures a change's cost at these sizes of the fleet; the engines are records alone.
@@ -210,7 +254,10 @@
         let world = SmolWorld::start(1, 1);
         let as_ref: WorldRef = world.clone();
         let node = Node::start(as_ref.clone(), NodeSettings { ..settings() }, None)?;
-        let follow = Follow { endpoints: vec![store.address()], ..Follow::default() };
+        let follow = Follow {
+            endpoints: vec![store.address()],
+            ..Follow::default()
+        };
         let (following, began) = (node.clone(), as_ref.now());
         world.run(async move { following.follow(follow).await });
         let known = |at_least: i64| {
@@ -232,7 +279,11 @@
         let m = node.metrics();
         let (module, driver) = (m.module_us.get(), m.driver_us.get());
         for i in 0..count {
-            let state = if i / fleet % 2 == 0 { "draining" } else { "ready" };
+            let state = if i / fleet % 2 == 0 {
+                "draining"
+            } else {
+                "ready"
+            };
             let last = store.put(&key(i % fleet + 1), &record(i % fleet + 1, state));
             world.block_on(known(last));
         }
@@ -255,22 +306,51 @@
     let row = |name: &str, values: &[Micros]| {
         let mut sorted = values.to_vec();
         sorted.sort_unstable();
-        let at =
-            |p: f64| sorted.get(((sorted.len() as f64 * p) as usize).min(sorted.len().saturating_sub(1)));
+        let at = |p: f64| {
+            sorted.get(((sorted.len() as f64 * p) as usize).min(sorted.len().saturating_sub(1)))
+        };
         let ms = |p: f64| at(p).map_or(0.0, |us| *us as f64 / 1e3);
-        format!("| {name} | {} | {:.1} | {:.1} | {:.1} |", sorted.len(), ms(0.5), ms(0.99), ms(1.0))
+        format!(
+            "| {name} | {} | {:.1} | {:.1} | {:.1} |",
+            sorted.len(),
+            ms(0.5),
+            ms(0.99),
+            ms(1.0)
+        )
     };
     // Writing to a String cannot fail.
-    let _ = writeln!(out, "| ms | times | p50 | p99 | max |\n| --- | --- | --- | --- | --- |");
-    let _ = writeln!(out, "{}", row("last send after a notice, a node", &followed.last_sends));
-    let _ = writeln!(out, "{}", row("first request after an engine's return", &followed.first_sends));
-    let kinds: Vec<String> = followed.faults.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
+    let _ = writeln!(
+        out,
+        "| ms | times | p50 | p99 | max |\n| --- | --- | --- | --- | --- |"
+    );
+    let _ = writeln!(
+        out,
+        "{}",
+        row("last send after a notice, a node", &followed.last_sends)
+    );
+    let _ = writeln!(
+        out,
+        "{}",
+        row(
+            "first request after an engine's return",
+            &followed.first_sends
+        )
+    );
+    let kinds: Vec<String> = followed
+        .faults
+        .iter()
+        .map(|(kind, n)| format!("{kind} {n}"))
+        .collect();
     let _ = writeln!(
         out,
         "\n{} drains and departures; {} gaps; the store's faults: {}",
         followed.drains,
         followed.gaps,
-        if kinds.is_empty() { "none".into() } else { kinds.join(", ") }
+        if kinds.is_empty() {
+            "none".into()
+        } else {
+            kinds.join(", ")
+        }
     );
     let _ = writeln!(out, "rules broken: {}", followed.broken.len());
     followed.broken.iter().for_each(|line| {
@@ -282,8 +362,11 @@
     );
     for c in changes {
         let load = c.load as f64 / 1e3;
-        let _ =
-            writeln!(out, "| {} | {load:.0} | {:.1} | {:.1} | {} |", c.fleet, c.module, c.driver, c.memory);
+        let _ = writeln!(
+            out,
+            "| {} | {load:.0} | {:.1} | {:.1} | {} |",
+            c.fleet, c.module, c.driver, c.memory
+        );
     }
     out
 }
--- a/crates/ivyward-lab/src/enlist.rs
+++ b/crates/ivyward-lab/src/enlist.rs
@@ -25,7 +25,10 @@
         state,
     };
     // A record of these fields is always JSON.
-    (format!("{PREFIX}{}", spec.id), serde_json::to_string(&record).unwrap_or_default())
+    (
+        format!("{PREFIX}{}", spec.id),
+        serde_json::to_string(&record).unwrap_or_default(),
+    )
 }
 
 /// A stand-in engine registers itself, under a lease of so many seconds that its process keeps alive and that ends after
@@ -41,7 +44,9 @@
     engine.beside(move |world| {
         Box::pin(async move {
             let client = Client::new(&world, endpoints, EtcdOptions::default());
-            client.keep(&world, key.as_bytes(), record.into_bytes(), seconds, told).await;
+            client
+                .keep(&world, key.as_bytes(), record.into_bytes(), seconds, told)
+                .await;
         })
     });
 }
@@ -49,7 +54,10 @@
 fn client(endpoints: &[SocketAddr]) -> (Arc<SmolWorld>, Client) {
     let world = SmolWorld::start(1, 1);
     let as_ref: WorldRef = world.clone();
-    (world, Client::new(&as_ref, endpoints.to_vec(), EtcdOptions::default()))
+    (
+        world,
+        Client::new(&as_ref, endpoints.to_vec(), EtcdOptions::default()),
+    )
 }
 
 /// Writes a record, under a lease of so many seconds that is kept alive for as long as this runs, or without one.
@@ -101,11 +109,17 @@
     let (world, client) = client(endpoints);
     let key = format!("{prefix}{id}").into_bytes();
     world.block_on(async {
-        let ask = rpc::RangeRequest { key: key.clone(), ..rpc::RangeRequest::default() };
+        let ask = rpc::RangeRequest {
+            key: key.clone(),
+            ..rpc::RangeRequest::default()
+        };
         let found = client.range(&ask).await.map_err(|e| e.to_string())?;
-        let kv = found.kvs.first().ok_or_else(|| format!("engine {id} is not registered below {prefix}"))?;
-        let mut record: serde_json::Value =
-            serde_json::from_slice(&kv.value).map_err(|e| format!("its record is malformed: {e}"))?;
+        let kv = found
+            .kvs
+            .first()
+            .ok_or_else(|| format!("engine {id} is not registered below {prefix}"))?;
+        let mut record: serde_json::Value = serde_json::from_slice(&kv.value)
+            .map_err(|e| format!("its record is malformed: {e}"))?;
         record["state"] = "draining".into();
         let same = rpc::Compare {
             result: rpc::compare::CompareResult::Equal.into(),
@@ -120,8 +134,14 @@
             ignore_lease: true,
             ..rpc::PutRequest::default()
         };
-        let put = rpc::RequestOp { request: Some(rpc::request_op::Request::RequestPut(put)) };
-        let ask = rpc::TxnRequest { compare: vec![same], success: vec![put], failure: vec![] };
+        let put = rpc::RequestOp {
+            request: Some(rpc::request_op::Request::RequestPut(put)),
+        };
+        let ask = rpc::TxnRequest {
+            compare: vec![same],
+            success: vec![put],
+            failure: vec![],
+        };
         match client.txn(&ask).await.map_err(|e| e.to_string())?.succeeded {
             true => println!("engine {id} drains"),
             false => return Err("its record changed meanwhile; try again".into()),
--- a/crates/ivyward-lab/src/handover.rs
+++ b/crates/ivyward-lab/src/handover.rs
@@ -2,8 +2,8 @@
 //! take a stated time for everything, and no bytes move.
 
 use ivyward::core::interface::{
-    Action, Arrival, Condition, Event, ListKind, Micros, Outcome, Report, RequestId, ServerEntry, ServerId,
-    Settings,
+    Action, Arrival, Condition, Event, ListKind, Micros, Outcome, Report, RequestId, ServerEntry,
+    ServerId, Settings,
 };
 use ivyward::core::rules::Router;
 use ivyward::NodeSettings;
@@ -150,7 +150,13 @@
         seen: Handovers::default(),
     };
     let begin = 3_600_000_000;
-    play.tell(begin, Event::Fleet { kind: ListKind::Full, entries });
+    play.tell(
+        begin,
+        Event::Fleet {
+            kind: ListKind::Full,
+            entries,
+        },
+    );
     play.plan(begin, Step::Arrives(1));
     while let Some((at, _, step)) = play.due.pop_first() {
         play.step(at, step);
@@ -169,7 +175,13 @@
             Step::Arrives(id) => self.arrives(now, id),
             Step::ReadEnds(id, attempt) => self.ends(now, id, attempt, Outcome::Read),
             Step::FirstToken(id, attempt) => {
-                self.tell(now, Event::FirstToken { request: RequestId(id), attempt });
+                self.tell(
+                    now,
+                    Event::FirstToken {
+                        request: RequestId(id),
+                        attempt,
+                    },
+                );
             }
             Step::AnswerEnds(id, attempt) => self.ends(now, id, attempt, Outcome::Served),
             // Timers of the last requests would go on without end.
@@ -180,7 +192,10 @@
 
     fn arrives(&mut self, now: Micros, id: u64) {
         if id < self.flags.requests {
-            self.plan(now + (1e6 / self.flags.rate) as Micros, Step::Arrives(id + 1));
+            self.plan(
+                now + (1e6 / self.flags.rate) as Micros,
+                Step::Arrives(id + 1),
+            );
         }
         self.attempts.insert(id, 0);
         if id > WARM_UP {
@@ -206,7 +221,17 @@
             self.read_at.remove(&id);
         }
         let (request, report) = (RequestId(id), Report::default());
-        self.tell(now, Event::AttemptEnded { request, attempt, outcome, kept_tokens: 0, finished, report });
+        self.tell(
+            now,
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                kept_tokens: 0,
+                finished,
+                report,
+            },
+        );
     }
 
     fn tell(&mut self, now: Micros, event: Event) {
@@ -214,7 +239,9 @@
         self.router.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, server, .. } => self.sent(now, request.0, server),
+                Action::Send {
+                    request, server, ..
+                } => self.sent(now, request.0, server),
                 Action::SetTimer { at, token } => self.plan(at.max(now + 1), Step::Timer(token)),
                 Action::Refuse { request, .. } | Action::Fail(request) => {
                     self.attempts.remove(&request.0);
@@ -226,8 +253,12 @@
     }
 
     fn sent(&mut self, now: Micros, id: u64, server: ServerId) {
-        let Some(engine) = self.engines.get(&server).copied() else { return };
-        let Some(attempts) = self.attempts.get_mut(&id) else { return };
+        let Some(engine) = self.engines.get(&server).copied() else {
+            return;
+        };
+        let Some(attempts) = self.attempts.get_mut(&id) else {
+            return;
+        };
         let attempt = *attempts;
         *attempts += 1;
         if engine.kind == 0 {
@@ -242,7 +273,10 @@
     }
 
     fn count(&mut self, id: u64, writer: &ServerEntry) {
-        let reader = self.read_at.get(&id).and_then(|reader| self.engines.get(reader));
+        let reader = self
+            .read_at
+            .get(&id)
+            .and_then(|reader| self.engines.get(reader));
         let counter = match reader {
             None => &mut self.seen.in_place,
             Some(reader) if reader.cell == writer.cell => &mut self.seen.in_rack,
--- a/crates/ivyward-lab/src/load.rs
+++ b/crates/ivyward-lab/src/load.rs
@@ -50,7 +50,9 @@
     // Two turns a session, on the mean.
     let gap = Exp::new(load.rate / 2.0 / 1e6).ok();
     while asked < load.requests {
-        let burst = plan.on(Trouble::Burst, at as Micros).map_or(1.0, |s| 1.0 + 3.0 * s.size);
+        let burst = plan
+            .on(Trouble::Burst, at as Micros)
+            .map_or(1.0, |s| 1.0 + 3.0 * s.size);
         at += gap.map_or(0.0, |g| g.sample(&mut random)) / burst;
         let turns = random.random_range(1..=3).min(load.requests - asked);
         asked += turns;
@@ -63,7 +65,13 @@
         };
         let class = class.min(classes - 1);
         let node = random.random_range(0..nodes);
-        sessions.push(Session { begins: at as Micros, seed: random.random(), turns, class, node });
+        sessions.push(Session {
+            begins: at as Micros,
+            seed: random.random(),
+            turns,
+            class,
+            node,
+        });
     }
     sessions
 }
@@ -75,7 +83,10 @@
     let (done, wait) = async_channel::bounded::<()>(1);
     let classes = scene.make().settings.classes.len();
     for session in draw(plan, load, scene.nodes(), classes) {
-        scene.world.sleep((begun + session.begins).saturating_sub(scene.log.now())).await;
+        scene
+            .world
+            .sleep((begun + session.begins).saturating_sub(scene.log.now()))
+            .await;
         let (scene, plan, tries, done) = (scene.clone(), plan.clone(), tries.clone(), done.clone());
         let world = scene.world.clone();
         let load = *load;
@@ -101,7 +112,9 @@
 ) {
     let mut random = SmallRng::seed_from_u64(session.seed);
     let now = || scene.log.now() - begun;
-    let hot = plan.on(Trouble::HotKey, session.begins).is_some_and(|s| random.random_bool(0.5 * s.size));
+    let hot = plan
+        .on(Trouble::HotKey, session.begins)
+        .is_some_and(|s| random.random_bool(0.5 * s.size));
     // Openings by popularity: the first of twelve is asked twelve times as often as the last.
     let opening: u32 = match hot {
         true => 4_000 + plan.seed as u32 % 1_000,
@@ -111,17 +124,35 @@
     let mut prompt: Vec<u32> = (0..length).map(|i| opening ^ (i * 31)).collect();
     let lengths = LogNormal::new(4.6, 0.6).ok();
     for _ in 0..session.turns {
-        let mut new = lengths.map_or(100.0_f64, |l| l.sample(&mut random)).min(2_000.0) as u32;
+        let mut new = lengths
+            .map_or(100.0_f64, |l| l.sample(&mut random))
+            .min(2_000.0) as u32;
         if session.class == 1 {
             new *= 4;
         }
-        if plan.on(Trouble::HeavyTail, now()).is_some_and(|s| random.random_bool(0.1 * s.size)) {
+        if plan
+            .on(Trouble::HeavyTail, now())
+            .is_some_and(|s| random.random_bool(0.1 * s.size))
+        {
             new *= 12;
         }
         let new = new.clamp(1, 20_000);
         prompt.extend((0..new).map(|_| random.random::<u32>() >> 8));
-        let output = if session.class == 1 { 2 * load.output } else { load.output };
-        turn(scene, plan, session, &mut random, begun, (&prompt, length, output), tries).await;
+        let output = if session.class == 1 {
+            2 * load.output
+        } else {
+            load.output
+        };
+        turn(
+            scene,
+            plan,
+            session,
+            &mut random,
+            begun,
+            (&prompt, length, output),
+            tries,
+        )
+        .await;
         prompt.extend(text::answer(&prompt, output));
         let think = random.random_range(50_000..400_000);
         scene.world.sleep(think).await;
@@ -141,15 +172,23 @@
     let class = &scene.make().settings.classes[session.class];
     let operation = scene.call_id();
     let effect = seen_effect(&class.settings);
-    let abuse = plan.on(Trouble::RetryAbuse, scene.log.now() - begun).is_some();
+    let abuse = plan
+        .on(Trouble::RetryAbuse, scene.log.now() - begun)
+        .is_some();
     let most_tries = if abuse { 8 } else { 3 };
     for attempt in 0..most_tries {
         let at = scene.log.now() - begun;
         // A front layer spreads clients; one whose node is gone goes to the next.
         let node = (session.node + attempt) % scene.nodes();
-        let mut habit = Habit { patience: class.settings.deadline, ..Habit::default() };
+        let mut habit = Habit {
+            patience: class.settings.deadline,
+            ..Habit::default()
+        };
         habit.patience = (habit.patience as f64 * random.random_range(0.5..1.0)) as Micros;
-        if plan.on(Trouble::GiveUp, at).is_some_and(|s| random.random_bool(0.6 * s.size)) {
+        if plan
+            .on(Trouble::GiveUp, at)
+            .is_some_and(|s| random.random_bool(0.6 * s.size))
+        {
             habit.leave_after = Some(random.random_range(1_000..400_000));
         }
         if random.random_bool(0.01) {
@@ -166,15 +205,32 @@
             call_id: scene.call_id(),
             ..GenerateRequest::default()
         };
-        let ask = Ask { request, operation, effect, node, habit };
+        let ask = Ask {
+            request,
+            operation,
+            effect,
+            node,
+            habit,
+        };
         let Some(end) = scene.send(&ask).await else {
             // Nobody there: nothing was sent.
             scene.world.sleep(20_000).await;
             continue;
         };
         let how = end.how;
-        let pause = if abuse { 1_000 } else { end.pushback.unwrap_or(50_000) };
-        tries.lock().unwrap_or_else(PoisonError::into_inner).push(Tried { at, class: session.class, end });
+        let pause = if abuse {
+            1_000
+        } else {
+            end.pushback.unwrap_or(50_000)
+        };
+        tries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(Tried {
+                at,
+                class: session.class,
+                end,
+            });
         let again = match (how, effect) {
             (Heard::Refused, _) => true,
             // A failure promises nothing: only what may be repeated freely is.
--- a/crates/ivyward-lab/src/main.rs
+++ b/crates/ivyward-lab/src/main.rs
@@ -362,7 +362,12 @@
 #[derive(clap::Args)]
 struct StoreFlags {
     /// An endpoint of the store; may be given several times.
-    #[arg(long = "etcd-endpoint", env = "IVYWARD_ETCD_ENDPOINTS", value_delimiter = ';', required = true)]
+    #[arg(
+        long = "etcd-endpoint",
+        env = "IVYWARD_ETCD_ENDPOINTS",
+        value_delimiter = ';',
+        required = true
+    )]
     endpoints: Vec<SocketAddr>,
     /// Engines' records stand below it.
     #[arg(long = "etcd-prefix", env = "IVYWARD_ETCD_PREFIX", default_value = ivyward::registration::PREFIX)]
@@ -379,8 +384,8 @@
     use cluster::plan::Plan;
     let plan = match file {
         Some(path) => {
-            let text =
-                std::fs::read_to_string(&path).map_err(|e| format!("--plan {}: {e}", path.display()))?;
+            let text = std::fs::read_to_string(&path)
+                .map_err(|e| format!("--plan {}: {e}", path.display()))?;
             Plan::read(&text).map_err(|e| format!("--plan {}: {e}", path.display()))?
         }
         None => Plan::draw(size.seed, size.nodes, episodes),
@@ -413,7 +418,11 @@
         let text = serde_json::to_string_pretty(&report).unwrap_or_default();
         std::fs::write(&path, text).map_err(|e| format!("--keep {}: {e}", path.display()))?;
     }
-    Ok(if wrong.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if wrong.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 /// Nodes of a scene: more where they know each other.
@@ -457,53 +466,104 @@
             }
             bad_day(play, day, json, record)
         }
-        What::Register { store, id, address, role, zone, cell, weight, lease, once } => {
+        What::Register {
+            store,
+            id,
+            address,
+            role,
+            zone,
+            cell,
+            weight,
+            lease,
+            once,
+        } => {
             let record = serde_json::json!({
                 "version": ivyward::registration::VERSION, "id": id, "role": role, "address": address.to_string(),
                 "zone": zone, "cell": cell, "weight": weight, "state": "ready",
             });
-            enlist::register(&store.endpoints, &store.prefix, record, (!once).then_some(lease))
+            enlist::register(
+                &store.endpoints,
+                &store.prefix,
+                record,
+                (!once).then_some(lease),
+            )
         }
         What::Drain { id, store } => enlist::drain(&store.endpoints, &store.prefix, id),
-        What::Drains { drains: count, fleet, faults } => {
+        What::Drains {
+            drains: count,
+            fleet,
+            faults,
+        } => {
             let sizes: Vec<usize> = fleet.iter().map(|n| *n as usize).collect();
             let measured = drains::followed(count as usize, 2, faults)
                 .and_then(|followed| Ok((followed, drains::changes(&sizes, 200)?)));
-            measured.map_err(|e| e.to_string()).map(|(followed, changes)| {
-                print!("{}", drains::text(&followed, &changes));
-                if followed.broken.is_empty() {
-                    ExitCode::SUCCESS
-                } else {
-                    ExitCode::FAILURE
-                }
-            })
+            measured
+                .map_err(|e| e.to_string())
+                .map(|(followed, changes)| {
+                    print!("{}", drains::text(&followed, &changes));
+                    if followed.broken.is_empty() {
+                        ExitCode::SUCCESS
+                    } else {
+                        ExitCode::FAILURE
+                    }
+                })
         }
-        What::Peers { nodes, seeds, minutes, plain, chart } => {
+        What::Peers {
+            nodes,
+            seeds,
+            minutes,
+            plain,
+            chart,
+        } => {
             let mut all = Vec::new();
             println!("{}", peernet::HEAD);
             for nodes in nodes {
-                let spans = ivyward_core::peers::PeerSettings { own_health: !plain, ..Default::default() };
+                let spans = ivyward_core::peers::PeerSettings {
+                    own_health: !plain,
+                    ..Default::default()
+                };
                 let threads = std::thread::available_parallelism().map_or(1, usize::from);
-                all.push(peernet::measure(nodes as usize, seeds, minutes, spans, threads));
-                all.last().into_iter().for_each(|figures| println!("{figures}"));
+                all.push(peernet::measure(
+                    nodes as usize,
+                    seeds,
+                    minutes,
+                    spans,
+                    threads,
+                ));
+                all.last()
+                    .into_iter()
+                    .for_each(|figures| println!("{figures}"));
             }
             match chart.map(|path| (std::fs::write(&path, peernet::chart(&all)), path)) {
                 Some((Err(e), path)) => Err(format!("--chart {}: {e}", path.display())),
                 _ => Ok(ExitCode::SUCCESS),
             }
         }
-        What::Soak { nodes, seed, seeds, seconds, plan, keep, daemon } => {
+        What::Soak {
+            nodes,
+            seed,
+            seeds,
+            seconds,
+            plan,
+            keep,
+            daemon,
+        } => {
             let options = soak_options((nodes, (seed, seeds), seconds), plan, keep, daemon);
-            options.and_then(|options| soak::play(&options).map_err(|e| e.to_string())).map(|report| {
-                print!("{}", report.text());
-                if report.holds() {
-                    ExitCode::SUCCESS
-                } else {
-                    ExitCode::FAILURE
-                }
-            })
+            options
+                .and_then(|options| soak::play(&options).map_err(|e| e.to_string()))
+                .map(|report| {
+                    print!("{}", report.text());
+                    if report.holds() {
+                        ExitCode::SUCCESS
+                    } else {
+                        ExitCode::FAILURE
+                    }
+                })
         }
-        What::Scale { flags } => flags.play().map(|()| ExitCode::SUCCESS).map_err(|e| e.to_string()),
+        What::Scale { flags } => flags
+            .play()
+            .map(|()| ExitCode::SUCCESS)
+            .map_err(|e| e.to_string()),
         What::Capacity { flags } => {
             let answer = flags.answer().map_err(|e| e.to_string());
             answer.map(|text| {
@@ -516,7 +576,16 @@
             Ok(ExitCode::SUCCESS)
         }
         What::Hollow { role } => hollow(&role).map(|()| ExitCode::SUCCESS),
-        What::Cluster { daemon, seed, nodes, engines, episodes, plan, store, keep } => {
+        What::Cluster {
+            daemon,
+            seed,
+            nodes,
+            engines,
+            episodes,
+            plan,
+            store,
+            keep,
+        } => {
             let size = cluster::Size {
                 nodes: nodes as usize,
                 engines: engines as usize,
@@ -529,12 +598,39 @@
             };
             play_cluster(size, episodes as usize, plan, keep)
         }
-        What::Seeds { from, count, jobs, faults, rough, peers } => {
-            let size = Size { faults: faults as usize, rough, peers, nodes: nodes(peers), ..Size::default() };
+        What::Seeds {
+            from,
+            count,
+            jobs,
+            faults,
+            rough,
+            peers,
+        } => {
+            let size = Size {
+                faults: faults as usize,
+                rough,
+                peers,
+                nodes: nodes(peers),
+                ..Size::default()
+            };
             Ok(play_seeds(from, count, jobs, &size))
         }
-        What::Seed { seed, faults, rough, peers, shrink, keep, trace } => {
-            let size = Size { faults: faults as usize, rough, peers, nodes: nodes(peers), ..Size::default() };
+        What::Seed {
+            seed,
+            faults,
+            rough,
+            peers,
+            shrink,
+            keep,
+            trace,
+        } => {
+            let size = Size {
+                faults: faults as usize,
+                rough,
+                peers,
+                nodes: nodes(peers),
+                ..Size::default()
+            };
             play_seed(seed, &size, shrink, keep, trace)
         }
         #[cfg(planted)]
@@ -557,14 +653,37 @@
                 "decode" => Role::Writer,
                 _ => Role::Mixed,
             };
-            let base = Spec { id, role, cell, slots: slots as usize, memory, ..Spec::small(id, role) };
+            let base = Spec {
+                id,
+                role,
+                cell,
+                slots: slots as usize,
+                memory,
+                ..Spec::small(id, role)
+            };
             let token_gap = u64::from(token_gap_ms) * 1_000;
-            let spec = Spec { read_rate: f64::from(read_rate), fetch_rate: 200_000.0, token_gap, ..base };
+            let spec = Spec {
+                read_rate: f64::from(read_rate),
+                fetch_rate: 200_000.0,
+                token_gap,
+                ..base
+            };
             by_hand(vec![spec], listen, None, &orders, &register_in, lease)
         }
         What::Store { listen } => by_hand(Vec::new(), listen, Some(listen), &[], &[], 10),
-        What::Fleet { racks, listen, store } => by_hand(byhand::racks(racks), listen, store, &[], &[], 10),
-        What::Ask { door, tokens, prompt, class, session, patience_ms } => {
+        What::Fleet {
+            racks,
+            listen,
+            store,
+        } => by_hand(byhand::racks(racks), listen, store, &[], &[], 10),
+        What::Ask {
+            door,
+            tokens,
+            prompt,
+            class,
+            session,
+            patience_ms,
+        } => {
             let request = GenerateRequest {
                 prompt: (0..prompt).collect(),
                 max_output_tokens: tokens,
@@ -576,7 +695,11 @@
             match byhand::ask(door, request, patience, &mut std::io::stdout()) {
                 Ok((served, line)) => {
                     println!("{line}");
-                    Ok(if served { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+                    Ok(if served {
+                        ExitCode::SUCCESS
+                    } else {
+                        ExitCode::FAILURE
+                    })
                 }
                 Err(e) => Err(e.to_string()),
             }
@@ -585,7 +708,11 @@
             println!("{}", ivyward::registration::schema());
             Ok(ExitCode::SUCCESS)
         }
-        What::Relay { streams, fleet, rounds } => measure(&streams, &fleet, rounds as usize),
+        What::Relay {
+            streams,
+            fleet,
+            rounds,
+        } => measure(&streams, &fleet, rounds as usize),
         What::ReplayRecord { file } => replay(&file),
     };
     match result {
@@ -633,7 +760,11 @@
 struct Part(Vec<usize>);
 
 fn part(text: &str) -> Result<Part, String> {
-    let number = |t: &str| t.trim().parse::<usize>().map_err(|_| format!("{t:?} is no number of a fault"));
+    let number = |t: &str| {
+        t.trim()
+            .parse::<usize>()
+            .map_err(|_| format!("{t:?} is no number of a fault"))
+    };
     let mut out = Vec::new();
     for piece in text.split(',') {
         let (from, to) = piece.split_once('-').unwrap_or((piece, piece));
@@ -647,21 +778,52 @@
 }
 
 fn play_seeds(from: u64, count: u64, jobs: usize, size: &Size) -> ExitCode {
-    let jobs = if jobs > 0 { jobs } else { std::thread::available_parallelism().map_or(1, |n| n.get()) };
+    let jobs = if jobs > 0 {
+        jobs
+    } else {
+        std::thread::available_parallelism().map_or(1, |n| n.get())
+    };
     let (faults, rough) = (size.faults, size.rough);
     let told = |t: &seeds::Tally| {
         if t.played % 500 == 0 {
-            eprintln!("{} of {count} seeds, {} with something wrong", t.played, t.wrong.len());
+            eprintln!(
+                "{} of {count} seeds, {} with something wrong",
+                t.played,
+                t.wrong.len()
+            );
         }
     };
     let tally = seeds::many(from, count, jobs, size, &told);
     let row = |of: Vec<String>| of.join(", ");
-    println!("{} seeds from {from} on, {faults} faults of roughness {rough} in each", tally.played);
-    println!("ends: {}", row(tally.heard.iter().map(|(how, n)| format!("{how} {n}")).collect()));
-    println!("faults: {}", row(tally.faults.iter().map(|(kind, n)| format!("{kind} {n}")).collect()));
+    println!(
+        "{} seeds from {from} on, {faults} faults of roughness {rough} in each",
+        tally.played
+    );
+    println!(
+        "ends: {}",
+        row(tally
+            .heard
+            .iter()
+            .map(|(how, n)| format!("{how} {n}"))
+            .collect())
+    );
+    println!(
+        "faults: {}",
+        row(tally
+            .faults
+            .iter()
+            .map(|(kind, n)| format!("{kind} {n}"))
+            .collect())
+    );
     println!("met:");
-    tally.met.iter().for_each(|(what, n)| println!("  {what}: {n}"));
-    let never: Vec<&str> = seeds::CATALOGUE.into_iter().filter(|c| !tally.met.contains_key(c)).collect();
+    tally
+        .met
+        .iter()
+        .for_each(|(what, n)| println!("  {what}: {n}"));
+    let never: Vec<&str> = seeds::CATALOGUE
+        .into_iter()
+        .filter(|c| !tally.met.contains_key(c))
+        .collect();
     // A few seeds need not bring about everything.
     let missed = count >= 1_000 && !never.is_empty();
     if missed {
@@ -682,10 +844,18 @@
 /// How many seeds each planted defect takes, a line each.
 #[cfg(planted)]
 fn planted(count: u64, jobs: usize) -> ExitCode {
-    let jobs = if jobs > 0 { jobs } else { std::thread::available_parallelism().map_or(1, |n| n.get()) };
+    let jobs = if jobs > 0 {
+        jobs
+    } else {
+        std::thread::available_parallelism().map_or(1, |n| n.get())
+    };
     let mut all = true;
     println!("| defect | seeds | found by |\n| --- | --- | --- |");
-    let with_peers = Size { peers: true, nodes: nodes(true), ..Size::default() };
+    let with_peers = Size {
+        peers: true,
+        nodes: nodes(true),
+        ..Size::default()
+    };
     let usual = ivyward_core::planted::ALL.map(|d| (d, Size::default()));
     let peers = ivyward_core::planted::PEERS.map(|d| (d, with_peers));
     for (defect, size) in usual.into_iter().chain(peers) {
@@ -715,9 +885,17 @@
     let mut plan = seeds::plan(seed, size);
     if let Some(Part(kept)) = keep {
         if let Some(none) = kept.iter().find(|i| **i >= plan.len()) {
-            return Err(format!("--keep {none}: the plan has {} faults, numbered from 0", plan.len()));
+            return Err(format!(
+                "--keep {none}: the plan has {} faults, numbered from 0",
+                plan.len()
+            ));
         }
-        plan = plan.into_iter().enumerate().filter(|(i, _)| kept.contains(i)).map(|(_, t)| t).collect();
+        plan = plan
+            .into_iter()
+            .enumerate()
+            .filter(|(i, _)| kept.contains(i))
+            .map(|(_, t)| t)
+            .collect();
     }
     let mut outcome = seeds::run(seed, size, &plan);
     if shrink && !outcome.wrong.is_empty() {
@@ -725,16 +903,27 @@
         outcome = seeds::run(seed, size, &plan);
     }
     if let Some(path) = trace {
-        std::fs::write(&path, outcome.trace()).map_err(|e| format!("--trace {}: {e}", path.display()))?;
+        std::fs::write(&path, outcome.trace())
+            .map_err(|e| format!("--trace {}: {e}", path.display()))?;
     }
     for timed in &plan {
-        println!("{}", serde_json::to_string(timed).map_err(|e| e.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string(timed).map_err(|e| e.to_string())?
+        );
     }
     println!("ends: {:?}", outcome.heard);
     let ms = outcome.span / 1_000;
-    println!("digest {:016x} over {} events in {ms} ms of virtual time", outcome.digest, outcome.events);
+    println!(
+        "digest {:016x} over {} events in {ms} ms of virtual time",
+        outcome.digest, outcome.events
+    );
     outcome.wrong.iter().for_each(|line| println!("{line}"));
-    Ok(if outcome.wrong.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if outcome.wrong.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn bad_day(
@@ -744,7 +933,8 @@
     record: Option<PathBuf>,
 ) -> Result<ExitCode, String> {
     if let Some(path) = day {
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("--day {}: {e}", path.display()))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("--day {}: {e}", path.display()))?;
         let (plan, unknown) = Plan::from_day(&text, play.plan.seed, play.plan.length)
             .map_err(|e| format!("--day {}: {e}", path.display()))?;
         for kind in unknown {
@@ -754,13 +944,22 @@
     }
     let report = badday::run(play).map_err(|e| e.to_string())?;
     if let Some(path) = record {
-        std::fs::write(&path, &report.recording).map_err(|e| format!("--record {}: {e}", path.display()))?;
+        std::fs::write(&path, &report.recording)
+            .map_err(|e| format!("--record {}: {e}", path.display()))?;
     }
     match json {
-        true => println!("{}\n{}", report.json().map_err(|e| e.to_string())?, report.verdict()),
+        true => println!(
+            "{}\n{}",
+            report.json().map_err(|e| e.to_string())?,
+            report.verdict()
+        ),
         false => print!("{}", report.text()),
     }
-    Ok(if report.audit.kept() == 5 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if report.audit.kept() == 5 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn measure(streams: &[u64], fleet: &[u64], rounds: usize) -> Result<ExitCode, String> {
@@ -774,8 +973,15 @@
 fn replay(file: &std::path::Path) -> Result<ExitCode, String> {
     let open = std::fs::File::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let done = ivyward::record::replay(std::io::BufReader::new(open)).map_err(|e| e.to_string())?;
-    let cut = if done.cut { "; the recording ends inside an entry" } else { "" };
-    println!("{} events, {} actions, all as recorded{cut}", done.events, done.actions);
+    let cut = if done.cut {
+        "; the recording ends inside an entry"
+    } else {
+        ""
+    };
+    println!(
+        "{} events, {} actions, all as recorded{cut}",
+        done.events, done.actions
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -786,12 +992,20 @@
     keep: Option<PathBuf>,
     daemon: Option<PathBuf>,
 ) -> Result<soak::Options, String> {
-    let beside =
-        std::env::current_exe().map(|me| me.with_file_name("ivywardd")).map_err(|e| e.to_string())?;
+    let beside = std::env::current_exe()
+        .map(|me| me.with_file_name("ivywardd"))
+        .map_err(|e| e.to_string())?;
     let read = |path: PathBuf| {
         let text = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", path.display()))
     };
     let daemon = daemon.unwrap_or(beside);
-    Ok(soak::Options { daemon, nodes: nodes.into(), seeds, seconds, plan: plan.map(read).transpose()?, keep })
+    Ok(soak::Options {
+        daemon,
+        nodes: nodes.into(),
+        seeds,
+        seconds,
+        plan: plan.map(read).transpose()?,
+        keep,
+    })
 }
--- a/crates/ivyward-lab/src/peernet.rs
+++ b/crates/ivyward-lab/src/peernet.rs
@@ -17,7 +17,12 @@
 
 /// How a node announces itself.
 pub fn card(node: usize, start: u64) -> Card {
-    Card { id: PeerId(node as u64 + 1), start, zone: (node % 3) as u8, address: address(node) }
+    Card {
+        id: PeerId(node as u64 + 1),
+        start,
+        zone: (node % 3) as u8,
+        address: address(node),
+    }
 }
 
 /// What a directed link does to a message at that time, from one to another, by a lot: loses it, or how much later it comes.
@@ -67,7 +72,9 @@
 
 /// The same that loses this share.
 pub fn lossy(share: f64) -> Way {
-    Box::new(move |_, _, _, lot| ((lot % 10_000) as f64 >= share * 10_000.0).then_some(200 + lot % 800))
+    Box::new(move |_, _, _, lot| {
+        ((lot % 10_000) as f64 >= share * 10_000.0).then_some(200 + lot % 800)
+    })
 }
 
 impl Net {
@@ -102,11 +109,19 @@
     }
     fn fresh(&self, node: usize, start: u64) -> Peers {
         let seeds = vec![address(0), address(1)];
-        Peers::new(self.now, card(node, start), seeds, self.spans, self.random ^ node as u64)
+        Peers::new(
+            self.now,
+            card(node, start),
+            seeds,
+            self.spans,
+            self.random ^ node as u64,
+        )
     }
     fn lot(&mut self) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.random = self
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         self.random >> 20
     }
     fn at(&mut self, at: Micros, due: Due) {
@@ -126,7 +141,11 @@
                     };
                     let target = usize::from(high) * 256 + usize::from(low);
                     let claims = message.claims.len()
-                        + if let Body::Page { claims, .. } = &message.body { claims.len() } else { 0 };
+                        + if let Body::Page { claims, .. } = &message.body {
+                            claims.len()
+                        } else {
+                            0
+                        };
                     debug_assert!(claims <= MOST_CLAIMS);
                     self.sent[node].0 += 1;
                     self.sent[node].1 += 86 + 46 * claims as u64;
@@ -144,7 +163,9 @@
     pub fn run(&mut self, until: Micros) {
         while let Some(Reverse((at, seq))) = self.heap.peek().copied().filter(|d| d.0 .0 < until) {
             self.heap.pop();
-            let Some(due) = self.due.remove(&seq) else { continue };
+            let Some(due) = self.due.remove(&seq) else {
+                continue;
+            };
             self.now = at;
             let node = match &due {
                 Due::Tick(node, _) => *node,
@@ -188,17 +209,26 @@
     pub fn restart_as(&mut self, node: usize, card: Card) {
         self.starts[node] += 1;
         self.life[node] = Life::Up;
-        self.peers[node] =
-            Peers::new(self.now, card, vec![address(0), address(1)], self.spans, self.random ^ node as u64);
+        self.peers[node] = Peers::new(
+            self.now,
+            card,
+            vec![address(0), address(1)],
+            self.spans,
+            self.random ^ node as u64,
+        );
         self.at(self.now, Due::Tick(node, self.starts[node]));
     }
     /// What one takes another for.
     pub fn standing(&self, at: usize, of: usize) -> Option<Standing> {
-        self.peers[at].peer(PeerId(of as u64 + 1)).map(|p| p.standing)
+        self.peers[at]
+            .peer(PeerId(of as u64 + 1))
+            .map(|p| p.standing)
     }
     /// Who was not killed.
     pub fn live(&self) -> Vec<usize> {
-        (0..self.peers.len()).filter(|n| self.life[*n] != Life::Gone).collect()
+        (0..self.peers.len())
+            .filter(|n| self.life[*n] != Life::Gone)
+            .collect()
     }
     /// Whether each live node takes all live ones for alive, and all others for dead or gone.
     pub fn agreed(&self) -> bool {
@@ -208,7 +238,8 @@
             Some(Standing::Suspected) => false,
             _ => !live.contains(&of),
         };
-        live.iter().all(|at| (0..self.peers.len()).all(|of| of == *at || right(*at, of)))
+        live.iter()
+            .all(|at| (0..self.peers.len()).all(|of| of == *at || right(*at, of)))
     }
     /// Plays until all agree; how long that took, if it came about in time.
     pub fn until_agreed(&mut self, most: Micros) -> Option<Micros> {
@@ -223,7 +254,10 @@
     }
     /// How often somebody was taken for dead from then on.
     pub fn deaths(&self, since: Micros) -> usize {
-        self.changes.iter().filter(|c| c.0 >= since && c.3 == Standing::Dead).count()
+        self.changes
+            .iter()
+            .filter(|c| c.0 >= since && c.3 == Standing::Dead)
+            .count()
     }
 }
 
@@ -263,11 +297,16 @@
 fn rate(net: &Net, before: (u64, u64), seconds: f64) -> (f64, f64) {
     let (datagrams, bytes) = total(net);
     let a_node = seconds * net.peers.len() as f64;
-    ((datagrams - before.0) as f64 / a_node, (bytes - before.1) as f64 / a_node)
+    (
+        (datagrams - before.0) as f64 / a_node,
+        (bytes - before.1) as f64 / a_node,
+    )
 }
 
 fn total(net: &Net) -> (u64, u64) {
-    net.sent.iter().fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1))
+    net.sent
+        .iter()
+        .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1))
 }
 
 /// Plays minutes in which each node is stopped once for up to two seconds; false deaths.
@@ -276,7 +315,13 @@
     for _ in 0..minutes {
         let began = net.now;
         let mut stops: Vec<(Micros, usize, Micros)> = (0..net.peers.len())
-            .map(|node| (began + net.lot() % (55 * SECOND), node, net.lot() % (2 * SECOND)))
+            .map(|node| {
+                (
+                    began + net.lot() % (55 * SECOND),
+                    node,
+                    net.lot() % (2 * SECOND),
+                )
+            })
             .collect();
         stops.sort();
         for (at, node, span) in stops {
@@ -298,11 +343,22 @@
 
 /// Measures for one number of nodes, over so many seeds, on so many threads; with these spans. The same on any number of
 /// threads.
-pub fn measure(nodes: usize, seeds: u64, minutes: u64, spans: PeerSettings, threads: usize) -> Figures {
+pub fn measure(
+    nodes: usize,
+    seeds: u64,
+    minutes: u64,
+    spans: PeerSettings,
+    threads: usize,
+) -> Figures {
     let losses = [0.0, 0.05, 0.2];
-    let mut runs: Vec<Run> =
-        (1..=seeds).flat_map(|seed| [Run::Kill(seed), Run::Herd(seed), Run::Split(seed)]).collect();
-    runs.extend(losses.iter().flat_map(|loss| (1..=seeds).map(|seed| Run::Pauses(*loss, 100 + seed))));
+    let mut runs: Vec<Run> = (1..=seeds)
+        .flat_map(|seed| [Run::Kill(seed), Run::Herd(seed), Run::Split(seed)])
+        .collect();
+    runs.extend(
+        losses
+            .iter()
+            .flat_map(|loss| (1..=seeds).map(|seed| Run::Pauses(*loss, 100 + seed))),
+    );
     let next = std::sync::atomic::AtomicUsize::new(0);
     let parts: std::sync::Mutex<BTreeMap<usize, Figures>> = std::sync::Mutex::default();
     std::thread::scope(|scope| {
@@ -311,12 +367,20 @@
                 let at = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
                 let Some(run) = runs.get(at) else { return };
                 let part = one(nodes, run, minutes, spans);
-                parts.lock().unwrap_or_else(std::sync::PoisonError::into_inner).insert(at, part);
+                parts
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner)
+                    .insert(at, part);
             });
         }
     });
-    let parts = parts.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut figures = Figures { nodes, ..Figures::default() };
+    let parts = parts
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut figures = Figures {
+        nodes,
+        ..Figures::default()
+    };
     figures.false_deaths = losses.iter().map(|loss| (*loss, 0.0, 0)).collect();
     for part in parts.into_values() {
         figures.half.extend(part.half);
@@ -374,7 +438,9 @@
                 let at = (net.lot() % all.len() as u64) as usize;
                 net.kill(all.swap_remove(at));
             }
-            figures.herd.extend(net.until_agreed(60 * SECOND).map(|took| took / 1_000));
+            figures
+                .herd
+                .extend(net.until_agreed(60 * SECOND).map(|took| took / 1_000));
         }
         Run::Split(seed) => {
             let (from, until) = (80 * SECOND, 140 * SECOND);
@@ -384,7 +450,9 @@
             });
             let mut net = settled(nodes, *seed, way, spans);
             net.run(until);
-            figures.healed.extend(net.until_agreed(60 * SECOND).map(|took| took / 1_000));
+            figures
+                .healed
+                .extend(net.until_agreed(60 * SECOND).map(|took| took / 1_000));
         }
         Run::Pauses(loss, seed) => {
             let mut net = settled(nodes, *seed, lossy(*loss), spans);
@@ -393,7 +461,9 @@
             if *loss == 0.0 {
                 figures.paused = rate(&net, before, 60.0 * minutes as f64);
             }
-            figures.false_deaths.push((*loss, minutes as f64 / 60.0, deaths));
+            figures
+                .false_deaths
+                .push((*loss, minutes as f64 / 60.0, deaths));
         }
     }
     figures
@@ -412,10 +482,29 @@
 impl std::fmt::Display for Figures {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "| {} | {} | ", self.nodes, self.all.len() + self.late)?;
-        write!(f, "{} / {} | ", quantile(&self.half, 0.5), quantile(&self.all, 0.5))?;
-        let late = if self.late > 0 { format!(", {} over 10000", self.late) } else { String::new() };
-        write!(f, "{}{late} | {} | ", quantile(&self.all, 1.0), quantile(&self.healed, 1.0))?;
-        write!(f, "{} / {} | ", quantile(&self.herd, 0.5), quantile(&self.herd, 1.0))?;
+        write!(
+            f,
+            "{} / {} | ",
+            quantile(&self.half, 0.5),
+            quantile(&self.all, 0.5)
+        )?;
+        let late = if self.late > 0 {
+            format!(", {} over 10000", self.late)
+        } else {
+            String::new()
+        };
+        write!(
+            f,
+            "{}{late} | {} | ",
+            quantile(&self.all, 1.0),
+            quantile(&self.healed, 1.0)
+        )?;
+        write!(
+            f,
+            "{} / {} | ",
+            quantile(&self.herd, 0.5),
+            quantile(&self.herd, 1.0)
+        )?;
         for (loss, hours, deaths) in &self.false_deaths {
             write!(f, "{:.0}%: {deaths} in {hours:.2} h; ", loss * 100.0)?;
         }
@@ -431,7 +520,12 @@
 pub fn chart(all: &[Figures]) -> String {
     use std::fmt::Write;
     let (left, top, width, height) = (60.0, 30.0, 560.0, 260.0);
-    let longest = all.iter().filter_map(|f| f.known.last()).max().copied().unwrap_or(0);
+    let longest = all
+        .iter()
+        .filter_map(|f| f.known.last())
+        .max()
+        .copied()
+        .unwrap_or(0);
     let seconds = (longest / 1_000 + 1) as f64;
     let x = |ms: f64| left + width * ms / (1_000.0 * seconds);
     let y = |part: f64| top + height * (1.0 - part);
@@ -448,7 +542,12 @@
             "<line x1=\"{left}\" y1=\"{at:.1}\" x2=\"{:.1}\" y2=\"{at:.1}\" stroke=\"#ddd\"/>",
             left + width
         );
-        let _ = writeln!(out, "<text x=\"30\" y=\"{:.1}\">{:.1}</text>", at + 4.0, f64::from(tenth) / 10.0);
+        let _ = writeln!(
+            out,
+            "<text x=\"30\" y=\"{:.1}\">{:.1}</text>",
+            at + 4.0,
+            f64::from(tenth) / 10.0
+        );
     }
     for half in 0..=(2.0 * seconds) as u32 {
         let at = x(f64::from(half) * 500.0);
@@ -466,7 +565,10 @@
         // A few hundred points are as many as can be seen.
         let points = (0..=400).filter_map(|p| {
             let at = (count * p / 400).min(count.saturating_sub(1));
-            figures.known.get(at).map(|ms| format!("{:.1},{:.1}", x(*ms as f64), y(p as f64 / 400.0)))
+            figures
+                .known
+                .get(at)
+                .map(|ms| format!("{:.1},{:.1}", x(*ms as f64), y(p as f64 / 400.0)))
         });
         let points: Vec<String> = points.collect();
         let _ = writeln!(
@@ -474,7 +576,10 @@
             "<polyline fill=\"none\" stroke=\"{colour}\" stroke-width=\"1.5\" points=\"{}\"/>",
             points.join(" ")
         );
-        let (kills, at) = (figures.all.len() + figures.late, top + 20.0 + 18.0 * i as f64);
+        let (kills, at) = (
+            figures.all.len() + figures.late,
+            top + 20.0 + 18.0 * i as f64,
+        );
         let _ = writeln!(
             out,
             "<text x=\"630\" y=\"{at:.1}\" fill=\"{colour}\">{} nodes, {kills} kills</text>",
--- a/crates/ivyward-lab/src/peerscene.rs
+++ b/crates/ivyward-lab/src/peerscene.rs
@@ -40,7 +40,12 @@
     /// # Errors
     /// What the node says.
     pub fn begin(&self, node: &Node, i: usize) -> Result<PeersHandle, String> {
-        let peers = self.announced.iter().copied().filter(|a| *a != self.announced[i]).collect();
+        let peers = self
+            .announced
+            .iter()
+            .copied()
+            .filter(|a| *a != self.announced[i])
+            .collect();
         let options = PeerOptions {
             announce: Some(self.announced[i]),
             peers,
@@ -51,7 +56,12 @@
     }
 }
 
-async fn forward(world: &WorldRef, mut door: Box<dyn Datagrams>, to: SocketAddr, astray: &AtomicU64) {
+async fn forward(
+    world: &WorldRef,
+    mut door: Box<dyn Datagrams>,
+    to: SocketAddr,
+    astray: &AtomicU64,
+) {
     let mut bytes = [0u8; MOST_DATAGRAM + 1];
     loop {
         match door.receive(&mut bytes).await {
@@ -69,13 +79,20 @@
     let mut wrong = Vec::new();
     let all = nodes.len() as u32;
     for (i, node) in nodes.iter().enumerate() {
-        let Some(peers) = node.as_ref().and_then(Node::known_peers) else { continue };
+        let Some(peers) = node.as_ref().and_then(Node::known_peers) else {
+            continue;
+        };
         let (alive, count) = peers.look(|p| {
-            let alive = p.peers().filter(|peer| peer.standing == Standing::Alive).count() as u32;
+            let alive = p
+                .peers()
+                .filter(|peer| peer.standing == Standing::Alive)
+                .count() as u32;
             (alive + 1, p.count())
         });
         if (alive, count) != (all, all) {
-            wrong.push(format!("node {i} takes {alive} of {all} nodes for alive and counts {count}"));
+            wrong.push(format!(
+                "node {i} takes {alive} of {all} nodes for alive and counts {count}"
+            ));
         }
     }
     wrong
@@ -84,7 +101,13 @@
 /// Counts below the number of nodes that are there, each of which may be sending.
 pub fn miscounts(nodes: &[Option<Node>]) -> Option<String> {
     let there = nodes.iter().flatten().count() as u32;
-    let counts = nodes.iter().enumerate().filter_map(|(i, node)| Some((i, node.as_ref()?.known_peers()?)));
-    let mut low = counts.map(|(i, peers)| (i, peers.look(|p| p.count()))).filter(|c| c.1 < there);
-    low.next().map(|(i, count)| format!("node {i} counts {count} of {there} nodes that may be sending"))
+    let counts = nodes
+        .iter()
+        .enumerate()
+        .filter_map(|(i, node)| Some((i, node.as_ref()?.known_peers()?)));
+    let mut low = counts
+        .map(|(i, peers)| (i, peers.look(|p| p.count())))
+        .filter(|c| c.1 < there);
+    low.next()
+        .map(|(i, count)| format!("node {i} counts {count} of {there} nodes that may be sending"))
 }
--- a/crates/ivyward-lab/src/plan.rs
+++ b/crates/ivyward-lab/src/plan.rs
@@ -66,7 +66,10 @@
 impl Trouble {
     /// Its name.
     pub fn name(self) -> String {
-        serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(self)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
     /// The kind of a name.
     ///
@@ -74,7 +77,9 @@
     /// A line that lists the names.
     pub fn named(name: &str) -> Result<Trouble, String> {
         let names = || ALL.map(Trouble::name).join(", ");
-        ALL.into_iter().find(|t| t.name() == name).ok_or_else(|| format!("{name:?} is none of {}", names()))
+        ALL.into_iter()
+            .find(|t| t.name() == name)
+            .ok_or_else(|| format!("{name:?} is none of {}", names()))
     }
 }
 
@@ -138,11 +143,20 @@
         let spell = |kind: &Trouble| {
             let at = (length as f64 * random.random_range(0.05..0.65)) as Micros;
             let len = (length as f64 * random.random_range(0.10..0.33)) as Micros;
-            Spell { kind: *kind, at, len, size: random.random_range(0.2..1.0) }
+            Spell {
+                kind: *kind,
+                at,
+                len,
+                size: random.random_range(0.2..1.0),
+            }
         };
         let mut spells: Vec<Spell> = kinds.iter().map(spell).collect();
         spells.sort_by_key(|s| s.at);
-        Plan { seed, length, spells }
+        Plan {
+            seed,
+            length,
+            spells,
+        }
     }
 
     /// Takes the kinds, times and sizes of trouble from a day file, scaled to another length. Kinds that are not known
@@ -150,7 +164,11 @@
     ///
     /// # Errors
     /// [`DayError`] when the text is no day.
-    pub fn from_day(text: &str, seed: u64, length: Micros) -> Result<(Plan, Vec<String>), DayError> {
+    pub fn from_day(
+        text: &str,
+        seed: u64,
+        length: Micros,
+    ) -> Result<(Plan, Vec<String>), DayError> {
         let day: Day = serde_json::from_str(text)?;
         if day.length == 0 {
             return Err(DayError::Empty);
@@ -162,18 +180,32 @@
                 // Sizes mean shares, multiples or spans by kind; here each is a part of what this machine stands.
                 Ok(kind) => {
                     let size = (t.size / (1.0 + t.size)).clamp(0.2, 1.0);
-                    spells.push(Spell { kind, at: scale(t.at), len: scale(t.len), size });
+                    spells.push(Spell {
+                        kind,
+                        at: scale(t.at),
+                        len: scale(t.len),
+                        size,
+                    });
                 }
                 Err(_) => unknown.push(t.kind.clone()),
             }
         }
         spells.sort_by_key(|s| s.at);
-        Ok((Plan { seed, length, spells }, unknown))
+        Ok((
+            Plan {
+                seed,
+                length,
+                spells,
+            },
+            unknown,
+        ))
     }
 
     /// Whether a kind of trouble is on at a time.
     pub fn on(&self, kind: Trouble, at: Micros) -> Option<&Spell> {
-        self.spells.iter().find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&at))
+        self.spells
+            .iter()
+            .find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&at))
     }
 }
 
