--- a/crates/ivyward-lab/src/plan/tests.rs
+++ b/crates/ivyward-lab/src/plan/tests.rs
@@ -9,10 +9,22 @@
         {"kind": "meteor", "at": 1, "len": 1}, {"kind": "crash", "at": 0, "len": 10}]}"#;
     let (plan, unknown) = Plan::from_day(text, 1, 10_000_000).unwrap();
     let kinds: Vec<Trouble> = plan.spells.iter().map(|s| s.kind).collect();
-    assert_eq!((kinds, unknown), (vec![Trouble::Crash, Trouble::Hang], vec!["meteor".to_string()]));
-    assert_eq!((plan.spells[1].at, plan.spells[1].len), (5_000_000, 1_000_000));
+    assert_eq!(
+        (kinds, unknown),
+        (
+            vec![Trouble::Crash, Trouble::Hang],
+            vec!["meteor".to_string()]
+        )
+    );
+    assert_eq!(
+        (plan.spells[1].at, plan.spells[1].len),
+        (5_000_000, 1_000_000)
+    );
     assert!(Plan::from_day("{}", 1, 1).is_err());
-    assert!(matches!(Plan::from_day(r#"{"length": 0}"#, 1, 1), Err(DayError::Empty)));
+    assert!(matches!(
+        Plan::from_day(r#"{"length": 0}"#, 1, 1),
+        Err(DayError::Empty)
+    ));
 }
 
 #[test]
--- a/crates/ivyward-lab/src/relay.rs
+++ b/crates/ivyward-lab/src/relay.rs
@@ -51,7 +51,11 @@
     settings.rules.fall_multiple = 0.0;
     // A thousand streams at full speed keep one core busy for longer than a dial may take.
     (settings.dial_timeout, settings.rules.drain_grace) = (10_000_000, 10_000_000);
-    (settings.ping_every, settings.resting_checks, settings.stream_stall) = (0, 0, 60_000_000);
+    (
+        settings.ping_every,
+        settings.resting_checks,
+        settings.stream_stall,
+    ) = (0, 0, 60_000_000);
     settings
 }
 
@@ -68,14 +72,25 @@
         let world = SmolWorld::start(1, 1);
         let as_ref: WorldRef = world.clone();
         let host: Arc<dyn Host> = Arc::new(Threads);
-        let spec =
-            Spec { token_gap, slots: 4_096, queue: 4_096, read_rate: 1e12, ..Spec::small(1, Role::Mixed) };
-        let engine = Engine::start(&host, &Log::new(&as_ref), spec).map_err(io("starting an engine"))?;
+        let spec = Spec {
+            token_gap,
+            slots: 4_096,
+            queue: 4_096,
+            read_rate: 1e12,
+            ..Spec::small(1, Role::Mixed)
+        };
+        let engine =
+            Engine::start(&host, &Log::new(&as_ref), spec).map_err(io("starting an engine"))?;
         let node_world = SmolWorld::start(1, 2);
         let node_ref: WorldRef = node_world.clone();
-        let settings = NodeSettings { connections_per_engine: 64, ..relay_settings() };
+        let settings = NodeSettings {
+            connections_per_engine: 64,
+            ..relay_settings()
+        };
         let node = Node::start(node_ref.clone(), settings, None)?;
-        let door = node_ref.listen(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(io("opening a door"))?;
+        let door = node_ref
+            .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .map_err(io("opening a door"))?;
         let address = door.address();
         let entry = ServerEntry {
             id: ServerId(1),
@@ -84,10 +99,18 @@
             weight: 1.0,
             ..ServerEntry::default()
         };
-        let listed = vec![Listed { entry, address: engine.address() }];
+        let listed = vec![Listed {
+            entry,
+            address: engine.address(),
+        }];
         world.block_on(node.fleet(ListKind::Full, listed));
         node_world.run(async move { node.serve(door).await });
-        Ok(Pair { world, engine, node_world, door: address })
+        Ok(Pair {
+            world,
+            engine,
+            node_world,
+            door: address,
+        })
     }
 
     /// Runs streams at once, each in its turn on one of a few connections, straight or through the node. Returns the
@@ -100,7 +123,11 @@
         spread: Us,
     ) -> Result<(Us, Vec<Us>), SceneError> {
         let world: WorldRef = self.world.clone();
-        let to = if node { self.door } else { self.engine.address() };
+        let to = if node {
+            self.door
+        } else {
+            self.engine.address()
+        };
         let firsts: Arc<Mutex<Vec<Us>>> = Arc::default();
         self.world.clone().block_on(async {
             let mut channels = Vec::new();
@@ -112,14 +139,20 @@
             let began = world.now();
             let (done, wait) = async_channel::bounded::<()>(1);
             for i in 0..count {
-                let (channel, firsts, done) =
-                    (channels[i % channels.len()].clone(), firsts.clone(), done.clone());
+                let (channel, firsts, done) = (
+                    channels[i % channels.len()].clone(),
+                    firsts.clone(),
+                    done.clone(),
+                );
                 let world = world.clone();
                 let at = began + spread * i as u64 / count as u64;
                 world.clone().run(async move {
                     world.sleep_until(at).await;
                     let first = one(&world, &channel, node, i as u32, tokens).await;
-                    firsts.lock().unwrap_or_else(PoisonError::into_inner).extend(first);
+                    firsts
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .extend(first);
                     drop(done);
                 });
             }
@@ -128,11 +161,15 @@
             let _ = wait.recv().await;
             let took = world.now() - began;
             channels.iter().for_each(Channel::close);
-            let firsts = std::mem::take(&mut *firsts.lock().unwrap_or_else(PoisonError::into_inner));
+            let firsts =
+                std::mem::take(&mut *firsts.lock().unwrap_or_else(PoisonError::into_inner));
             match firsts.len() == count {
                 true => Ok((took, firsts)),
                 false => {
-                    let lost = format!("{} of {count} streams did not end well", count - firsts.len());
+                    let lost = format!(
+                        "{} of {count} streams did not end well",
+                        count - firsts.len()
+                    );
                     Err(io("relaying")(std::io::Error::other(lost)))
                 }
             }
@@ -146,28 +183,59 @@
     let expected = text::length(text::digest(&prompt), tokens);
     let (path, body) = match node {
         true => {
-            let ask = GenerateRequest { prompt, max_output_tokens: tokens, ..GenerateRequest::default() };
+            let ask = GenerateRequest {
+                prompt,
+                max_output_tokens: tokens,
+                ..GenerateRequest::default()
+            };
             ("/ivyward.front.v1.Front/Generate", encode(&ask))
         }
         false => {
-            let key = Some(pb::AttemptKey { node: 0, request: u64::from(i), attempt: 0 });
-            let header = Some(pb::Header { key, engine: 1, ..pb::Header::default() });
-            let ask =
-                pb::WriteRequest { header, prompt, max_output_tokens: tokens, ..pb::WriteRequest::default() };
+            let key = Some(pb::AttemptKey {
+                node: 0,
+                request: u64::from(i),
+                attempt: 0,
+            });
+            let header = Some(pb::Header {
+                key,
+                engine: 1,
+                ..pb::Header::default()
+            });
+            let ask = pb::WriteRequest {
+                header,
+                prompt,
+                max_output_tokens: tokens,
+                ..pb::WriteRequest::default()
+            };
             ("/ivyward.engine.v1.Engine/Write", encode(&ask))
         }
     };
     let began = world.now();
     let told = |e: CallError| eprintln!("ivyward-lab: a stream broke: {e}");
-    let mut call = channel.call(path, body, http::HeaderMap::new()).await.map_err(told).ok()?;
+    let mut call = channel
+        .call(path, body, http::HeaderMap::new())
+        .await
+        .map_err(told)
+        .ok()?;
     let (mut first, mut got) = (None, 0);
     loop {
         let more = match node {
-            true => call.next::<Tokens>().await.map_err(told).ok()?.map(|run| run.ids.len()),
-            false => call.next::<pb::WriteEvent>().await.map_err(told).ok()?.map(|event| match event.event {
-                Some(pb::write_event::Event::Tokens(run)) => run.ids.len(),
-                _ => 0,
-            }),
+            true => call
+                .next::<Tokens>()
+                .await
+                .map_err(told)
+                .ok()?
+                .map(|run| run.ids.len()),
+            false => {
+                call.next::<pb::WriteEvent>()
+                    .await
+                    .map_err(told)
+                    .ok()?
+                    .map(|event| match event.event {
+                        Some(pb::write_event::Event::Tokens(run)) => run.ids.len(),
+                        _ => 0,
+                    })
+            }
         };
         match more {
             Some(run) => {
@@ -186,7 +254,9 @@
 
 fn ends(values: &[Us]) -> (u64, u64) {
     // The bounds are fixed and right.
-    let Ok(mut h) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else { return (0, 0) };
+    let Ok(mut h) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else {
+        return (0, 0);
+    };
     values.iter().for_each(|v| h.saturating_record((*v).max(1)));
     (h.value_at_percentile(50.0), h.value_at_percentile(99.0))
 }
@@ -255,7 +325,11 @@
         let mut engines = Vec::new();
         for i in 0..fleet {
             let role = [Role::Reader, Role::Mixed, Role::Writer, Role::Writer][i % 4];
-            let spec = Spec { cell: (i / 16) as u16, token_gap: 100, ..Spec::small(i as u64 + 1, role) };
+            let spec = Spec {
+                cell: (i / 16) as u16,
+                token_gap: 100,
+                ..Spec::small(i as u64 + 1, role)
+            };
             engines.push(Engine::start(&host, &log, spec).map_err(io("starting an engine"))?);
         }
         let node_world = SmolWorld::start(1, 2);
@@ -270,10 +344,16 @@
                 weight: 1.0,
                 ..ServerEntry::default()
             };
-            Listed { entry, address: engine.address() }
+            Listed {
+                entry,
+                address: engine.address(),
+            }
         });
         world.block_on(node.fleet(ListKind::Full, listed.collect()));
-        let before = (node.metrics().module_us.get(), node.metrics().driver_us.get());
+        let before = (
+            node.metrics().module_us.get(),
+            node.metrics().driver_us.get(),
+        );
         let lanes = 16;
         world.block_on(async {
             let (done, wait) = async_channel::bounded::<()>(1);
@@ -281,7 +361,11 @@
                 let (node, done) = (node.clone(), done.clone());
                 world.run(async move {
                     for i in 0..requests / lanes {
-                        let words = |n: u32| (0..n).map(|t| t ^ ((lane * 7_919 + i) as u32) << 8).collect();
+                        let words = |n: u32| {
+                            (0..n)
+                                .map(|t| t ^ ((lane * 7_919 + i) as u32) << 8)
+                                .collect()
+                        };
                         let ask = GenerateRequest {
                             prompt: words(200),
                             max_output_tokens: 8,
@@ -299,8 +383,15 @@
         });
         let m = node.metrics();
         let per = |now: u64, then: u64| (now - then) as f64 / m.requests.get().max(1) as f64;
-        let (module, all) = (per(m.module_us.get(), before.0), per(m.driver_us.get(), before.1));
-        out.push(Cost { fleet, module, driver: (all - module).max(0.0) });
+        let (module, all) = (
+            per(m.module_us.get(), before.0),
+            per(m.driver_us.get(), before.1),
+        );
+        out.push(Cost {
+            fleet,
+            module,
+            driver: (all - module).max(0.0),
+        });
         node_world.stop();
         world.stop();
     }
@@ -340,8 +431,14 @@
         "\n| engines | module, us a request | rest of the driver, us | driver over module |\n| --- | --- | --- | --- |"
     );
     for c in costs {
-        let _ =
-            writeln!(out, "| {} | {:.1} | {:.1} | {:.2} |", c.fleet, c.module, c.driver, c.driver / c.module);
+        let _ = writeln!(
+            out,
+            "| {} | {:.1} | {:.1} | {:.2} |",
+            c.fleet,
+            c.module,
+            c.driver,
+            c.driver / c.module
+        );
     }
     out
 }
--- a/crates/ivyward-lab/src/scale/child.rs
+++ b/crates/ivyward-lab/src/scale/child.rs
@@ -37,7 +37,12 @@
         let (Some(orders), Some(replies)) = (child.stdin.take(), child.stdout.take()) else {
             return Err(ScaleError::Process("a hollow process has no pipes".into()));
         };
-        let mut hollow = Hollow { child, orders, replies: BufReader::new(replies), address: None };
+        let mut hollow = Hollow {
+            child,
+            orders,
+            replies: BufReader::new(replies),
+            address: None,
+        };
         match hollow.reply()? {
             Reply::Ready(address) => hollow.address = address,
             other => return Err(unexpected(&other)),
@@ -47,7 +52,9 @@
 
     fn reply(&mut self) -> Result<Reply, ScaleError> {
         let mut line = String::new();
-        self.replies.read_line(&mut line).map_err(ScaleError::io("hearing a hollow process"))?;
+        self.replies
+            .read_line(&mut line)
+            .map_err(ScaleError::io("hearing a hollow process"))?;
         if line.is_empty() {
             return Err(ScaleError::Process("a hollow process ended".into()));
         }
@@ -63,9 +70,12 @@
     /// # Errors
     /// When it ended or could not do that.
     pub fn tell(&mut self, order: &Order) -> Result<Reply, ScaleError> {
-        let mut text = serde_json::to_string(order).map_err(|e| ScaleError::Process(e.to_string()))?;
+        let mut text =
+            serde_json::to_string(order).map_err(|e| ScaleError::Process(e.to_string()))?;
         text.push('\n');
-        self.orders.write_all(text.as_bytes()).map_err(ScaleError::io("telling a hollow process"))?;
+        self.orders
+            .write_all(text.as_bytes())
+            .map_err(ScaleError::io("telling a hollow process"))?;
         self.reply()
     }
 
@@ -92,7 +102,10 @@
     /// # Errors
     /// When it ended.
     pub fn reading(&mut self) -> Result<Reading, ScaleError> {
-        Ok(Reading { proc: Proc::read(self.child.id())?, counters: self.counters()? })
+        Ok(Reading {
+            proc: Proc::read(self.child.id())?,
+            counters: self.counters()?,
+        })
     }
 }
 
--- a/crates/ivyward-lab/src/scale/command.rs
+++ b/crates/ivyward-lab/src/scale/command.rs
@@ -74,7 +74,10 @@
 
     fn programs(&self) -> Result<Programs, ScaleError> {
         let lab = std::env::current_exe().map_err(ScaleError::io("finding this program"))?;
-        let daemon = self.daemon.clone().unwrap_or_else(|| lab.with_file_name("ivywardd"));
+        let daemon = self
+            .daemon
+            .clone()
+            .unwrap_or_else(|| lab.with_file_name("ivywardd"));
         Ok(Programs { lab, daemon })
     }
 
@@ -96,7 +99,9 @@
     }
 
     fn keep(&self, what: &impl Serialize) -> Result<(), ScaleError> {
-        let Some(path) = &self.keep else { return Ok(()) };
+        let Some(path) = &self.keep else {
+            return Ok(());
+        };
         write_json(path, what)
     }
 }
@@ -106,7 +111,8 @@
 /// # Errors
 /// When the file cannot be written.
 pub fn write_json(path: &Path, what: &impl Serialize) -> Result<(), ScaleError> {
-    let text = serde_json::to_string_pretty(what).map_err(|e| ScaleError::Process(e.to_string()))?;
+    let text =
+        serde_json::to_string_pretty(what).map_err(|e| ScaleError::Process(e.to_string()))?;
     std::fs::write(path, text + "\n").map_err(ScaleError::io(path.display().to_string()))
 }
 
--- a/crates/ivyward-lab/src/scale/fit.rs
+++ b/crates/ivyward-lab/src/scale/fit.rs
@@ -37,10 +37,22 @@
     if points.is_empty() || spread == 0.0 {
         return None;
     }
-    let slope = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum::<f64>() / spread;
+    let slope = points
+        .iter()
+        .map(|p| (p.0 - mean_x) * (p.1 - mean_y))
+        .sum::<f64>()
+        / spread;
     let intercept = mean_y - slope * mean_x;
-    let squares = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum::<f64>();
-    Some(Fit { slope, intercept, residual: (squares / count).sqrt(), predictions: Vec::new() })
+    let squares = points
+        .iter()
+        .map(|p| (p.1 - intercept - slope * p.0).powi(2))
+        .sum::<f64>();
+    Some(Fit {
+        slope,
+        intercept,
+        residual: (squares / count).sqrt(),
+        predictions: Vec::new(),
+    })
 }
 
 impl Fit {
@@ -54,18 +66,30 @@
         let mut sizes: Vec<f64> = left_out.iter().map(|p| p.0).collect();
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
-        self.predictions = sizes.into_iter().map(|size| self.prediction(size, left_out)).collect();
+        self.predictions = sizes
+            .into_iter()
+            .map(|size| self.prediction(size, left_out))
+            .collect();
     }
 
     fn prediction(&self, size: f64, left_out: &[(f64, f64)]) -> Prediction {
-        let figures: Vec<f64> = left_out.iter().filter(|p| p.0 == size).map(|p| p.1).collect();
+        let figures: Vec<f64> = left_out
+            .iter()
+            .filter(|p| p.0 == size)
+            .map(|p| p.1)
+            .collect();
         let measured = figures.iter().sum::<f64>() / figures.len().max(1) as f64;
         let predicted = self.at(size);
         let error_percent = match measured == 0.0 {
             true => 0.0,
             false => (predicted - measured) / measured * 100.0,
         };
-        Prediction { size, predicted, measured, error_percent }
+        Prediction {
+            size,
+            predicted,
+            measured,
+            error_percent,
+        }
     }
 }
 
--- a/crates/ivyward-lab/src/scale/fit/tests.rs
+++ b/crates/ivyward-lab/src/scale/fit/tests.rs
@@ -5,7 +5,9 @@
 #[test]
 fn a_line_goes_through_points_that_lie_on_one() {
     let fit = line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
-    assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9 && fit.residual < 1e-9);
+    assert!(
+        (fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9 && fit.residual < 1e-9
+    );
     assert!((fit.at(10.0) - 23.0).abs() < 1e-9);
 }
 
--- a/crates/ivyward-lab/src/scale/hollow.rs
+++ b/crates/ivyward-lab/src/scale/hollow.rs
@@ -42,8 +42,17 @@
 /// The make of a hollow engine.
 pub fn spec(id: u64) -> Spec {
     let reads = id * PREFILL_PERCENT / 100 != (id + 1) * PREFILL_PERCENT / 100;
-    let role = if reads { EngineRole::Reader } else { EngineRole::Writer };
-    Spec { read_rate: 40_000.0, fetch_rate: 400_000.0, token_gap: TOKEN_GAP, ..Spec::small(id, role) }
+    let role = if reads {
+        EngineRole::Reader
+    } else {
+        EngineRole::Writer
+    };
+    Spec {
+        read_rate: 40_000.0,
+        fetch_rate: 400_000.0,
+        token_gap: TOKEN_GAP,
+        ..Spec::small(id, role)
+    }
 }
 
 /// So many tenants without quotas.
@@ -57,8 +66,15 @@
 
 /// So many request classes, all like the first one of the scenes.
 pub fn request_classes(count: u64) -> Vec<Class> {
-    let Some(usual) = classes().into_iter().next() else { return Vec::new() };
-    (0..count).map(|i| Class { name: format!("class-{i}"), settings: usual.settings.clone() }).collect()
+    let Some(usual) = classes().into_iter().next() else {
+        return Vec::new();
+    };
+    (0..count)
+        .map(|i| Class {
+            name: format!("class-{i}"),
+            settings: usual.settings.clone(),
+        })
+        .collect()
 }
 
 /// What the process holds.
@@ -107,7 +123,11 @@
             let store = Store::start(&host, 1).map_err(ScaleError::io("starting the store"))?;
             Ok(Held::Store(Box::new(store)))
         }
-        Role::Engines { first, count, store } => {
+        Role::Engines {
+            first,
+            count,
+            store,
+        } => {
             let host: Arc<dyn Host> = Arc::new(Together(world.clone()));
             let log = Log::forgetful(world);
             let mut engines = Vec::new();
@@ -119,9 +139,19 @@
             }
             Ok(Held::Engines(engines))
         }
-        Role::Nodes { first, count, store, tenants, classes } => {
+        Role::Nodes {
+            first,
+            count,
+            store,
+            tenants,
+            classes,
+        } => {
             let start = |number| node(world, number, store, (tenants, classes));
-            Ok(Held::Nodes((first..first + count).map(start).collect::<Result<_, _>>()?))
+            Ok(Held::Nodes(
+                (first..first + count)
+                    .map(start)
+                    .collect::<Result<_, _>>()?,
+            ))
         }
     }
 }
@@ -141,7 +171,10 @@
         ..NodeSettings::default()
     };
     let node = Node::start(world.clone(), settings, None).map_err(|e| failed(&e))?;
-    let follow = Follow { endpoints: vec![store], ..Follow::default() };
+    let follow = Follow {
+        endpoints: vec![store],
+        ..Follow::default()
+    };
     let following = node.clone();
     world.run(async move { following.follow(follow).await });
     let peer_store = PeerStore {
@@ -151,7 +184,11 @@
         etcd: EtcdOptions::default(),
     };
     let name = Some(format!("hollow-{number}"));
-    let options = PeerOptions { name, store: Some(peer_store), ..PeerOptions::at(local()) };
+    let options = PeerOptions {
+        name,
+        store: Some(peer_store),
+        ..PeerOptions::at(local())
+    };
     node.peers(options).map_err(|e| failed(&e))?;
     Ok(node)
 }
@@ -167,12 +204,18 @@
             }
             Reply::Each(each)
         }
-        (Order::Known, Held::Nodes(nodes)) => {
-            Reply::Each(nodes.iter().map(|node| node.metrics().engines.get()).collect())
-        }
-        (Order::Revision, Held::Nodes(nodes)) => {
-            Reply::Each(nodes.iter().map(|node| node.metrics().list_revision.get()).collect())
-        }
+        (Order::Known, Held::Nodes(nodes)) => Reply::Each(
+            nodes
+                .iter()
+                .map(|node| node.metrics().engines.get())
+                .collect(),
+        ),
+        (Order::Revision, Held::Nodes(nodes)) => Reply::Each(
+            nodes
+                .iter()
+                .map(|node| node.metrics().list_revision.get())
+                .collect(),
+        ),
         (Order::Revision, Held::Store(store)) => Reply::Each(vec![store.revision().unsigned_abs()]),
         (Order::Change(count), Held::Store(store)) => change(store, count),
         (Order::Restart, Held::Store(store)) => {
@@ -189,14 +232,27 @@
 
 /// Writes engines' records anew with another weight, which is a change that every node hears of.
 fn change(store: &Store, count: u64) -> Reply {
-    let keys: Vec<String> =
-        store.keys().into_iter().filter(|k| k.starts_with(ivyward::registration::PREFIX)).collect();
+    let keys: Vec<String> = store
+        .keys()
+        .into_iter()
+        .filter(|k| k.starts_with(ivyward::registration::PREFIX))
+        .collect();
     let start = store.revision() as usize;
     for i in 0..count as usize {
-        let Some(key) = keys.get((start + i) % keys.len().max(1)) else { break };
-        let Some(text) = store.value(key) else { continue };
-        let Ok(mut record) = serde_json::from_str::<serde_json::Value>(&text) else { continue };
-        let weight = if record["weight"].as_f64() == Some(1.0) { 1.25 } else { 1.0 };
+        let Some(key) = keys.get((start + i) % keys.len().max(1)) else {
+            break;
+        };
+        let Some(text) = store.value(key) else {
+            continue;
+        };
+        let Ok(mut record) = serde_json::from_str::<serde_json::Value>(&text) else {
+            continue;
+        };
+        let weight = if record["weight"].as_f64() == Some(1.0) {
+            1.25
+        } else {
+            1.0
+        };
         record["weight"] = weight.into();
         store.put_leased(key, &record.to_string());
     }
--- a/crates/ivyward-lab/src/scale/load.rs
+++ b/crates/ivyward-lab/src/scale/load.rs
@@ -60,13 +60,24 @@
     /// When a daemon cannot be reached.
     pub fn start(stage: &Stage, rate: f64, sessions: u64) -> Result<Load, ScaleError> {
         let world: WorldRef = stage.world.clone();
-        let tally = Arc::new(Mutex::new(Tally { seen: Seen::default(), first: histogram()? }));
+        let tally = Arc::new(Mutex::new(Tally {
+            seen: Seen::default(),
+            first: histogram()?,
+        }));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         for (number, real) in stage.real.iter().enumerate() {
             let log = Log::forgetful(&world);
-            let client = stage.world.block_on(Client::connect(&world, &log, real.door));
+            let client = stage
+                .world
+                .block_on(Client::connect(&world, &log, real.door));
             let client = client.map_err(ScaleError::io("connecting to a daemon"))?;
-            let one = Sender { world: world.clone(), client, tally: tally.clone(), rate, sessions };
+            let one = Sender {
+                world: world.clone(),
+                client,
+                tally: tally.clone(),
+                rate,
+                sessions,
+            };
             let stopped = stopped.clone();
             world.run(async move {
                 let until = async {
@@ -84,10 +95,16 @@
     /// # Errors
     /// When there is no memory for the next figures.
     pub fn take(&self) -> Result<Seen, ScaleError> {
-        let fresh = Tally { seen: Seen::default(), first: histogram()? };
+        let fresh = Tally {
+            seen: Seen::default(),
+            first: histogram()?,
+        };
         let tally = std::mem::replace(&mut *lock(&self.tally), fresh);
         let at = |quantile| tally.first.value_at_quantile(quantile) as f64 / 1e3;
-        Ok(Seen { first_token_ms: [at(0.5), at(0.95)], ..tally.seen })
+        Ok(Seen {
+            first_token_ms: [at(0.5), at(0.95)],
+            ..tally.seen
+        })
     }
 }
 
@@ -105,7 +122,11 @@
         let pause = (1e6 / self.rate) as Micros;
         let mut at = self.world.now();
         for number in 0.. {
-            let (client, tally, ask) = (self.client.clone(), self.tally.clone(), self.ask(node, number));
+            let (client, tally, ask) = (
+                self.client.clone(),
+                self.tally.clone(),
+                self.ask(node, number),
+            );
             self.world.run(async move {
                 let end = client.ask(&ask).await;
                 count(&tally, &end);
@@ -128,8 +149,17 @@
             call_id: call,
             ..GenerateRequest::default()
         };
-        let habit = Habit { patience: PATIENCE, ..Habit::default() };
-        Ask { request, operation: call, effect: Effect::Safe, node: node as usize, habit }
+        let habit = Habit {
+            patience: PATIENCE,
+            ..Habit::default()
+        };
+        Ask {
+            request,
+            operation: call,
+            effect: Effect::Safe,
+            node: node as usize,
+            habit,
+        }
     }
 }
 
--- a/crates/ivyward-lab/src/scale/run.rs
+++ b/crates/ivyward-lab/src/scale/run.rs
@@ -53,7 +53,12 @@
             ("engines".to_owned(), rates(&self.engines, &before.engines)),
             ("store".to_owned(), rates(&self.store, &before.store)),
         ]);
-        let each: Vec<Rates> = self.real.iter().zip(&before.real).map(|(now, b)| rates(now, b)).collect();
+        let each: Vec<Rates> = self
+            .real
+            .iter()
+            .zip(&before.real)
+            .map(|(now, b)| rates(now, b))
+            .collect();
         if !each.is_empty() {
             roles.insert("real".to_owned(), Rates::mean(&each));
         }
@@ -68,8 +73,15 @@
 pub fn run(size: Size, programs: Programs) -> Result<Report, ScaleError> {
     let mut stage = Stage::start(size, programs)?;
     let joined = stage.joined_after;
-    let mut runner = Runner { stage: &mut stage, size, load: None, parts: Vec::new() };
-    runner.play("join", [("all engines".to_owned(), joined)].into(), |_| Ok(()))?;
+    let mut runner = Runner {
+        stage: &mut stage,
+        size,
+        load: None,
+        parts: Vec::new(),
+    };
+    runner.play("join", [("all engines".to_owned(), joined)].into(), |_| {
+        Ok(())
+    })?;
     runner.stage.rest(SETTLE);
     runner.play("quiet", BTreeMap::new(), Runner::wait)?;
     runner.begin_load()?;
@@ -78,7 +90,10 @@
     runner.store()?;
     runner.day()?;
     runner.restart()?;
-    Ok(Report { size, parts: runner.parts })
+    Ok(Report {
+        size,
+        parts: runner.parts,
+    })
 }
 
 struct Runner<'a> {
@@ -129,8 +144,16 @@
         let known = part(self)?;
         let roles = self.stage.readings()?.since(&before);
         let clients = self.clients()?;
-        let took_ms = known.into_iter().map(|(what, took)| (what, took as f64 / 1e3)).collect();
-        self.parts.push(Part { name: name.to_owned(), roles, clients, took_ms });
+        let took_ms = known
+            .into_iter()
+            .map(|(what, took)| (what, took as f64 / 1e3))
+            .collect();
+        self.parts.push(Part {
+            name: name.to_owned(),
+            roles,
+            clients,
+            took_ms,
+        });
         Ok(())
     }
 
@@ -169,11 +192,16 @@
             runner.stage.bring_zone_back()?;
             let arrivals = runner.stage.await_engines(runner.size.engines)?;
             for second in 0..seconds {
-                let due = CHANGES_OF_A_DAY * (second + 1) / seconds - CHANGES_OF_A_DAY * second / seconds;
+                let due =
+                    CHANGES_OF_A_DAY * (second + 1) / seconds - CHANGES_OF_A_DAY * second / seconds;
                 slowest = slowest.max(runner.stage.change(due)?);
                 runner.stage.rest(500_000);
             }
-            Ok([("restarts".to_owned(), arrivals), ("the slowest change".to_owned(), slowest)].into())
+            Ok([
+                ("restarts".to_owned(), arrivals),
+                ("the slowest change".to_owned(), slowest),
+            ]
+            .into())
         })
     }
 
@@ -184,7 +212,11 @@
         }
         self.play_known("daemon restarted", |runner| {
             let (ended, started) = runner.stage.restart_daemon()?;
-            Ok([("its end".to_owned(), ended), ("its start".to_owned(), started)].into())
+            Ok([
+                ("its end".to_owned(), ended),
+                ("its start".to_owned(), started),
+            ]
+            .into())
         })
     }
 }
--- a/crates/ivyward-lab/src/scale/size.rs
+++ b/crates/ivyward-lab/src/scale/size.rs
@@ -78,24 +78,44 @@
             ("seconds", self.seconds),
         ];
         if let Some((flag, value)) = least.into_iter().find(|(_, value)| *value == 0) {
-            return Err(ScaleError::Flag { flag, value, reason: "at least one is needed" });
+            return Err(ScaleError::Flag {
+                flag,
+                value,
+                reason: "at least one is needed",
+            });
         }
         if self.connections > self.engines {
             let reason = "there are not so many engines";
-            return Err(ScaleError::Flag { flag: "connections", value: self.connections, reason });
+            return Err(ScaleError::Flag {
+                flag: "connections",
+                value: self.connections,
+                reason,
+            });
         }
         if !(0.0..=1_000.0).contains(&self.rate) {
             let reason = "from 0 to 1000 requests a second are possible";
-            return Err(ScaleError::Flag { flag: "rate", value: self.rate.max(0.0) as u64, reason });
+            return Err(ScaleError::Flag {
+                flag: "rate",
+                value: self.rate.max(0.0) as u64,
+                reason,
+            });
         }
         let bounds = [
             ("processes", self.processes(), MOST_PROCESSES),
-            ("descriptors of a process", self.descriptors(), MOST_DESCRIPTORS),
+            (
+                "descriptors of a process",
+                self.descriptors(),
+                MOST_DESCRIPTORS,
+            ),
             ("MiB of memory", self.memory_mib(), MOST_MEMORY_MIB),
             ("seconds of a part", self.seconds, MOST_SECONDS),
         ];
         match bounds.into_iter().find(|(_, wanted, most)| wanted > most) {
-            Some((bound, wanted, most)) => Err(ScaleError::Bound { bound, wanted, most }),
+            Some((bound, wanted, most)) => Err(ScaleError::Bound {
+                bound,
+                wanted,
+                most,
+            }),
             None => Ok(()),
         }
     }
@@ -119,7 +139,8 @@
     }
 
     fn memory_mib(&self) -> u64 {
-        let connections = self.connections_in_all() + self.engines + 4 * (self.nodes + self.real_nodes);
+        let connections =
+            self.connections_in_all() + self.engines + 4 * (self.nodes + self.real_nodes);
         (connections * CONNECTION_KIB + self.processes() * PROCESS_KIB) >> 10
     }
 }
--- a/crates/ivyward-lab/src/scale/stage.rs
+++ b/crates/ivyward-lab/src/scale/stage.rs
@@ -76,12 +76,20 @@
         size.check()?;
         let world = SmolWorld::start(1, size.seed);
         let store = Hollow::start(&programs.lab, &Role::Store)?;
-        let store_address =
-            store.address.ok_or_else(|| ScaleError::Process("the store says no address".into()))?;
+        let store_address = store
+            .address
+            .ok_or_else(|| ScaleError::Process("the store says no address".into()))?;
         let lab = &programs.lab;
         let zone_count = size.engines / ZONES;
         let rest = size.engines - zone_count;
-        let engines = Hollow::start(lab, &Role::Engines { first: 1, count: rest, store: store_address })?;
+        let engines = Hollow::start(
+            lab,
+            &Role::Engines {
+                first: 1,
+                count: rest,
+                store: store_address,
+            },
+        )?;
         let nodes = |first, count| Role::Nodes {
             first,
             count,
@@ -113,7 +121,9 @@
             stage.real.push(real);
         }
         stage.joined_after = stage.await_engines(stage.size.engines)?;
-        stage.measured.each(&Order::Connect(stage.size.connections))?;
+        stage
+            .measured
+            .each(&Order::Connect(stage.size.connections))?;
         Ok(stage)
     }
 
@@ -127,7 +137,11 @@
         settings.rules.nodes = nodes;
         let mut flags = ivyward_flags(&settings, &[]);
         let names = tenants(self.size.tenants);
-        flags.extend(names.iter().map(|tenant| format!("--tenant=name={}", tenant.name)));
+        flags.extend(
+            names
+                .iter()
+                .map(|tenant| format!("--tenant=name={}", tenant.name)),
+        );
         flags.push(format!("--etcd-endpoint={}", self.store_address));
         flags.push(format!("--peer-lease={LEASE}"));
         flags.push("--peer-listen=127.0.0.1:0".into());
@@ -143,7 +157,9 @@
     /// # Errors
     /// When it does not come up again.
     pub fn restart_daemon(&mut self) -> Result<(Micros, Micros), ScaleError> {
-        let Some(process) = self.real.pop() else { return Ok((0, 0)) };
+        let Some(process) = self.real.pop() else {
+            return Ok((0, 0));
+        };
         let began = self.world.now();
         if !process.end() {
             return Err(ScaleError::Process("a daemon did not end well".into()));
@@ -173,7 +189,11 @@
         let count = self.zone_count();
         if count > 0 {
             let first = self.size.engines - count + 1;
-            let role = Role::Engines { first, count, store: self.store_address };
+            let role = Role::Engines {
+                first,
+                count,
+                store: self.store_address,
+            };
             self.zone = Some(Hollow::start(&self.programs.lab, &role)?);
         }
         Ok(())
@@ -193,8 +213,15 @@
     /// When it does not come about.
     pub fn change(&mut self, count: u64) -> Result<Micros, ScaleError> {
         self.store.tell(&Order::Change(count))?;
-        let revision = self.store.each(&Order::Revision)?.first().copied().unwrap_or(0);
-        self.await_each(&Order::Revision, "ivyward_list_revision ", |known| known >= revision)
+        let revision = self
+            .store
+            .each(&Order::Revision)?
+            .first()
+            .copied()
+            .unwrap_or(0);
+        self.await_each(&Order::Revision, "ivyward_list_revision ", |known| {
+            known >= revision
+        })
     }
 
     fn await_each(
@@ -211,7 +238,10 @@
                 return Ok(took);
             }
             if took > KNOWN_WITHIN {
-                let text = format!("after {} s nodes answer {each:?} to {order:?}", took / 1_000_000);
+                let text = format!(
+                    "after {} s nodes answer {each:?} to {order:?}",
+                    took / 1_000_000
+                );
                 return Err(ScaleError::Process(text));
             }
             self.rest(LOOK);
@@ -257,10 +287,22 @@
         let mut real = Vec::new();
         for process in &self.real {
             let proc = Proc::read(process.pid())?;
-            real.push(Reading { proc, counters: counters(&self.metrics(process)?) });
+            real.push(Reading {
+                proc,
+                counters: counters(&self.metrics(process)?),
+            });
         }
-        let (node, engines, store) =
-            (self.measured.reading()?, self.engines.reading()?, self.store.reading()?);
-        Ok(Readings { at: self.world.now(), node, real, engines, store })
+        let (node, engines, store) = (
+            self.measured.reading()?,
+            self.engines.reading()?,
+            self.store.reading()?,
+        );
+        Ok(Readings {
+            at: self.world.now(),
+            node,
+            real,
+            engines,
+            store,
+        })
     }
 }
--- a/crates/ivyward-lab/src/scale/sweep.rs
+++ b/crates/ivyward-lab/src/scale/sweep.rs
@@ -18,7 +18,9 @@
 const REQUEST_SECONDS: u64 = 8;
 
 /// A quantity that is varied.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum,
+)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
     /// Nodes that know each other.
@@ -96,17 +98,50 @@
 
     /// The size of a run with so much of it, all else as it is by default.
     pub fn size(self, value: u64, seed: u64) -> Size {
-        let base = Size { seed, ..Size::default() };
-        let with_requests = Size { real_nodes: 1, rate: 4.0, seconds: REQUEST_SECONDS, ..base };
+        let base = Size {
+            seed,
+            ..Size::default()
+        };
+        let with_requests = Size {
+            real_nodes: 1,
+            rate: 4.0,
+            seconds: REQUEST_SECONDS,
+            ..base
+        };
         match self {
-            Quantity::Nodes => Size { nodes: value, ..base },
-            Quantity::Engines => Size { engines: value, ..base },
-            Quantity::Connections => Size { engines: 1_100, connections: value, ..base },
-            Quantity::Tenants => Size { tenants: value, ..base },
-            Quantity::Classes => Size { classes: value, ..base },
-            Quantity::Sessions => Size { sessions: value, ..with_requests },
-            Quantity::Requests => Size { rate: value as f64, ..with_requests },
-            Quantity::Changes => Size { changes: value, ..base },
+            Quantity::Nodes => Size {
+                nodes: value,
+                ..base
+            },
+            Quantity::Engines => Size {
+                engines: value,
+                ..base
+            },
+            Quantity::Connections => Size {
+                engines: 1_100,
+                connections: value,
+                ..base
+            },
+            Quantity::Tenants => Size {
+                tenants: value,
+                ..base
+            },
+            Quantity::Classes => Size {
+                classes: value,
+                ..base
+            },
+            Quantity::Sessions => Size {
+                sessions: value,
+                ..with_requests
+            },
+            Quantity::Requests => Size {
+                rate: value as f64,
+                ..with_requests
+            },
+            Quantity::Changes => Size {
+                changes: value,
+                ..base
+            },
         }
     }
 }
@@ -177,16 +212,29 @@
 ) -> Result<Sweep, ScaleError> {
     let mut points = Vec::new();
     for play in 1..=plays {
-        for (left_out, values) in [(false, &quantity.fitted()[..]), (true, &quantity.left_out()[..])] {
+        for (left_out, values) in [
+            (false, &quantity.fitted()[..]),
+            (true, &quantity.left_out()[..]),
+        ] {
             for &value in values {
                 told(value, play);
                 let roles = measure(quantity.size(value, play), programs.clone())?;
-                points.push(Point { value, play, left_out, roles });
+                points.push(Point {
+                    value,
+                    play,
+                    left_out,
+                    roles,
+                });
             }
         }
     }
     let fits = fits(&points);
-    Ok(Sweep { quantity, base: quantity.size(quantity.fitted()[0], 1), points, fits })
+    Ok(Sweep {
+        quantity,
+        base: quantity.size(quantity.fitted()[0], 1),
+        points,
+        fits,
+    })
 }
 
 /// Sizes with what was measured there: those that a line goes through, and those that are left out of it.
--- a/crates/ivyward-lab/src/scale/usage.rs
+++ b/crates/ivyward-lab/src/scale/usage.rs
@@ -26,17 +26,32 @@
     /// When the process is gone.
     pub fn read(pid: u32) -> Result<Proc, ScaleError> {
         let path = |file: &str| format!("/proc/{pid}/{file}");
-        let text = |file: &str| std::fs::read_to_string(path(file)).map_err(ScaleError::io(path(file)));
-        let odd = || ScaleError::Process(format!("{} says something else than expected", path("stat")));
+        let text =
+            |file: &str| std::fs::read_to_string(path(file)).map_err(ScaleError::io(path(file)));
+        let odd = || {
+            ScaleError::Process(format!(
+                "{} says something else than expected",
+                path("stat")
+            ))
+        };
         let stat = text("stat")?;
         // The name stands in brackets and may hold anything.
         let (_, fields) = stat.rsplit_once(')').ok_or_else(odd)?;
         let fields: Vec<&str> = fields.split_whitespace().collect();
-        let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).ok_or_else(odd);
+        let ticks = |i: usize| {
+            fields
+                .get(i)
+                .and_then(|f| f.parse::<f64>().ok())
+                .ok_or_else(odd)
+        };
         let status = text("status")?;
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let resident = resident.and_then(|r| r.split_whitespace().next()).and_then(|r| r.parse().ok());
-        let descriptors = std::fs::read_dir(path("fd")).map_err(ScaleError::io(path("fd")))?.count();
+        let resident = resident
+            .and_then(|r| r.split_whitespace().next())
+            .and_then(|r| r.parse().ok());
+        let descriptors = std::fs::read_dir(path("fd"))
+            .map_err(ScaleError::io(path("fd")))?
+            .count();
         Ok(Proc {
             // utime and stime, the 14th and 15th fields of the line.
             processor: (ticks(11)? + ticks(12)?) / TICKS,
@@ -80,11 +95,19 @@
 pub fn counters(metrics: &str) -> Counters {
     let mut counters = Counters::new();
     for line in metrics.lines() {
-        let Some((name, value)) = line.rsplit_once(' ') else { continue };
-        let Ok(value) = value.parse::<u64>() else { continue };
+        let Some((name, value)) = line.rsplit_once(' ') else {
+            continue;
+        };
+        let Ok(value) = value.parse::<u64>() else {
+            continue;
+        };
         match name {
-            "ivyward_driver_busy_us_total" => counters.entry("driver".into()).or_default().busy_us = value,
-            "ivyward_module_us_total" => counters.entry("module".into()).or_default().busy_us = value,
+            "ivyward_driver_busy_us_total" => {
+                counters.entry("driver".into()).or_default().busy_us = value
+            }
+            "ivyward_module_us_total" => {
+                counters.entry("module".into()).or_default().busy_us = value
+            }
             _ => traffic(&mut counters, name, value),
         }
     }
@@ -97,10 +120,17 @@
 }
 
 fn traffic(counters: &mut Counters, name: &str, value: u64) {
-    let Some((kind, labels)) = name.strip_prefix("ivyward_traffic_").and_then(|n| n.split_once('{')) else {
+    let Some((kind, labels)) = name
+        .strip_prefix("ivyward_traffic_")
+        .and_then(|n| n.split_once('{'))
+    else {
         return;
     };
-    let label = |key: &str| labels.split_once(&format!("{key}=\"")).and_then(|l| l.1.split('"').next());
+    let label = |key: &str| {
+        labels
+            .split_once(&format!("{key}=\""))
+            .and_then(|l| l.1.split('"').next())
+    };
     let Some(part) = label("part") else { return };
     let counted = counters.entry(part.to_owned()).or_default();
     match (kind, label("way")) {
--- a/crates/ivyward-lab/src/scale/usage/tests.rs
+++ b/crates/ivyward-lab/src/scale/usage/tests.rs
@@ -17,22 +17,42 @@
 fn a_nodes_counters_are_read_by_part() {
     let counters = counters(METRICS);
     let engines = counters["engines"];
-    assert_eq!((engines.bytes_in, engines.bytes_out, engines.messages_out, engines.busy_us), (34, 17, 1, 40));
-    assert_eq!((counters["driver"].busy_us, counters["module"].busy_us), (300, 200));
+    assert_eq!(
+        (
+            engines.bytes_in,
+            engines.bytes_out,
+            engines.messages_out,
+            engines.busy_us
+        ),
+        (34, 17, 1, 40)
+    );
+    assert_eq!(
+        (counters["driver"].busy_us, counters["module"].busy_us),
+        (300, 200)
+    );
     assert_eq!(counters.len(), 3);
 }
 
 #[test]
 fn rates_are_differences_over_the_span_and_their_mean_is_by_figure() {
-    let before = Reading { counters: counters(METRICS), ..Reading::default() };
+    let before = Reading {
+        counters: counters(METRICS),
+        ..Reading::default()
+    };
     let mut after = before.clone();
     after.counters.get_mut("engines").unwrap().bytes_out += 40;
     after.proc.processor = 0.5;
     let rates = after.since(&before, 2.0);
-    assert_eq!((rates.core_percent, rates.parts["engines"].bytes_out), (25.0, 20.0));
+    assert_eq!(
+        (rates.core_percent, rates.parts["engines"].bytes_out),
+        (25.0, 20.0)
+    );
     assert_eq!(rates.parts["driver"].busy_percent, 0.0);
     let mean = Rates::mean(&[rates.clone(), Rates::default()]);
-    assert_eq!((mean.core_percent, mean.parts["engines"].bytes_out), (12.5, 10.0));
+    assert_eq!(
+        (mean.core_percent, mean.parts["engines"].bytes_out),
+        (12.5, 10.0)
+    );
     assert_eq!(Rates::mean(std::slice::from_ref(&rates)), rates);
 }
 
--- a/crates/ivyward-lab/src/scene.rs
+++ b/crates/ivyward-lab/src/scene.rs
@@ -4,7 +4,8 @@
 use crate::enlist;
 use futures_lite::future::block_on;
 use ivyward::core::interface::{
-    Action, ClassSettings, Condition, Effect, ListKind, Micros, RepeatGroup, ServerEntry, ServerId, Settings,
+    Action, ClassSettings, Condition, Effect, ListKind, Micros, RepeatGroup, ServerEntry, ServerId,
+    Settings,
 };
 use ivyward::record::{Reader, RecordError};
 use ivyward::registration::{Record, State, PREFIX};
@@ -13,7 +14,9 @@
 use ivyward_standins::engine::Threads;
 use ivyward_standins::etcd::{Shown, Store, Witness};
 use ivyward_standins::sight::{Effect as Seen, Group};
-use ivyward_standins::{audit, Ask, Audit, Client, End, Engine, Habit, Host, Limits, Log, Role, Sight, Spec};
+use ivyward_standins::{
+    audit, Ask, Audit, Client, End, Engine, Habit, Host, Limits, Log, Role, Sight, Spec,
+};
 use ivyward_world::{SmolWorld, World, WorldExt, WorldRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -78,13 +81,19 @@
 impl Memory {
     /// What was written so far.
     pub fn bytes(&self) -> Vec<u8> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
 impl Write for Memory {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).extend_from_slice(bytes);
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .extend_from_slice(bytes);
         Ok(bytes.len())
     }
     fn flush(&mut self) -> std::io::Result<()> {
@@ -103,9 +112,9 @@
         for action in step.actions {
             match action {
                 Action::SetTimer { .. } => {}
-                Action::Send { request, server, .. } => {
-                    out.push(format!("send {} to {}", request.0, server.0))
-                }
+                Action::Send {
+                    request, server, ..
+                } => out.push(format!("send {} to {}", request.0, server.0)),
                 other => out.push(format!("{other:?}")),
             }
         }
@@ -152,7 +161,10 @@
 
 /// Classes for scenes: two safe ones, one unsafe, one keyed within everything.
 pub fn classes() -> Vec<Class> {
-    let class = |name: &str, settings: ClassSettings| Class { name: name.into(), settings };
+    let class = |name: &str, settings: ClassSettings| Class {
+        name: name.into(),
+        settings,
+    };
     let quick = ClassSettings {
         ttft_aim: 300_000,
         ttft_aim_per_1000: 20_000.0,
@@ -164,10 +176,28 @@
         group: RepeatGroup::All,
         repeat_window: 0,
     };
-    let long = ClassSettings { ttft_aim: 800_000, deadline: 4_000_000, worth: 1.0, ..quick.clone() };
-    let order = ClassSettings { effect: Effect::Unsafe, worth: 5.0, ..quick.clone() };
-    let note = ClassSettings { effect: Effect::Keyed, repeat_window: 5_000_000, ..quick.clone() };
-    vec![class("quick-ask", quick), class("list-review", long), class("order", order), class("note", note)]
+    let long = ClassSettings {
+        ttft_aim: 800_000,
+        deadline: 4_000_000,
+        worth: 1.0,
+        ..quick.clone()
+    };
+    let order = ClassSettings {
+        effect: Effect::Unsafe,
+        worth: 5.0,
+        ..quick.clone()
+    };
+    let note = ClassSettings {
+        effect: Effect::Keyed,
+        repeat_window: 5_000_000,
+        ..quick.clone()
+    };
+    vec![
+        class("quick-ask", quick),
+        class("list-review", long),
+        class("order", order),
+        class("note", note),
+    ]
 }
 
 /// How far a class may be repeated, for the auditor.
@@ -262,7 +292,12 @@
         }
         let place = |_| {
             let address = SocketAddr::from(([127, 0, 0, 1], 0));
-            Mutex::new(Place { address, process: None, client: None, starts: 0 })
+            Mutex::new(Place {
+                address,
+                process: None,
+                client: None,
+                starts: 0,
+            })
         };
         let places = (0..self.nodes).map(place).collect();
         let list = Mutex::new(vec![(Condition::Ready, None); engines.len()]);
@@ -285,11 +320,15 @@
 
 impl Scene {
     fn place(&self, node: usize) -> MutexGuard<'_, Place> {
-        self.places[node].lock().unwrap_or_else(PoisonError::into_inner)
+        self.places[node]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
     /// An engine, by its number in the make.
     pub fn engine(&self, i: usize) -> MutexGuard<'_, Engine> {
-        self.engines[i].lock().unwrap_or_else(PoisonError::into_inner)
+        self.engines[i]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
     /// How many engines.
     pub fn engines(&self) -> usize {
@@ -324,7 +363,13 @@
     /// The engine registers itself in a store. `skew` is how far its clock is ahead of the others, in seconds.
     pub fn enlist(&self, engine: usize, endpoints: &[SocketAddr], seconds: i64, skew: i64) {
         let unix = self.world.unix_micros() as i64 / 1_000 + skew * 1_000;
-        enlist::keep(&self.engine(engine), endpoints.to_vec(), seconds, unix.max(1) as u64, |_| {});
+        enlist::keep(
+            &self.engine(engine),
+            endpoints.to_vec(),
+            seconds,
+            unix.max(1) as u64,
+            |_| {},
+        );
     }
 
     /// Starts a node, again at its old door if it had one, and tells it all engines that are up.
@@ -338,8 +383,15 @@
             (place.address, place.starts)
         };
         let listed = self.listed();
-        let seed = self.make.seed.wrapping_mul(100).wrapping_add(i as u64 * 10 + starts);
-        let settings = NodeSettings { seed, ..self.make.settings.clone() };
+        let seed = self
+            .make
+            .seed
+            .wrapping_mul(100)
+            .wrapping_add(i as u64 * 10 + starts);
+        let settings = NodeSettings {
+            seed,
+            ..self.make.settings.clone()
+        };
         let (address, process) = match &self.make.runs {
             Runs::Inside => {
                 let world = SmolWorld::start(1, seed);
@@ -355,10 +407,12 @@
                 let listener = as_ref.listen(address).map_err(io("opening a door"))?;
                 let address = listener.address();
                 let now = ivyward_world::World::now(&*world);
-                let since =
-                    |at: Option<Micros>| at.map_or(0, |at| now.saturating_sub(self.log.now() - at).max(1));
-                let entries =
-                    listed.into_iter().map(|(e, condition, at)| self.entry(e, condition, since(at)));
+                let since = |at: Option<Micros>| {
+                    at.map_or(0, |at| now.saturating_sub(self.log.now() - at).max(1))
+                };
+                let entries = listed
+                    .into_iter()
+                    .map(|(e, condition, at)| self.entry(e, condition, since(at)));
                 match follow {
                     None => block_on(node.fleet(ListKind::Full, entries.collect())),
                     Some(follow) => {
@@ -371,7 +425,10 @@
                 (address, Process::Inside(world, node))
             }
             Runs::Daemon(path) => {
-                let entries: Vec<Listed> = listed.into_iter().map(|(e, c, _)| self.entry(e, c, 0)).collect();
+                let entries: Vec<Listed> = listed
+                    .into_iter()
+                    .map(|(e, c, _)| self.entry(e, c, 0))
+                    .collect();
                 let (child, address) = daemon(path, &settings, &entries, address)?;
                 (address, Process::Daemon(child))
             }
@@ -408,7 +465,10 @@
     /// What the list says: each engine that is not gone, its condition, and since when it runs.
     fn listed(&self) -> Vec<(usize, Condition, Option<Micros>)> {
         let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        let all = list.iter().enumerate().map(|(i, (condition, since))| (i, *condition, *since));
+        let all = list
+            .iter()
+            .enumerate()
+            .map(|(i, (condition, since))| (i, *condition, *since));
         all.filter(|l| l.1 != Condition::Gone).collect()
     }
 
@@ -421,15 +481,22 @@
     pub async fn tell(&self, node: usize, engine: usize) {
         let (condition, since) = self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine];
         let (handle, now) = match &self.place(node).process {
-            Some(Process::Inside(world, handle)) => (handle.clone(), ivyward_world::World::now(&**world)),
+            Some(Process::Inside(world, handle)) => {
+                (handle.clone(), ivyward_world::World::now(&**world))
+            }
             _ => return,
         };
-        let started = since.map_or(0, |at| now.saturating_sub(self.log.now().saturating_sub(at)).max(1));
+        let started = since.map_or(0, |at| {
+            now.saturating_sub(self.log.now().saturating_sub(at)).max(1)
+        });
         let entry = self.entry(engine, condition, started);
         // The node may be killed before it took that in.
         let took = handle.fleet(ListKind::Changes, vec![entry]);
         let killed = async {
-            while self.node(node).is_some_and(|n| n.incarnation() == handle.incarnation()) {
+            while self
+                .node(node)
+                .is_some_and(|n| n.incarnation() == handle.incarnation())
+            {
                 self.world.sleep(20_000).await;
             }
             false
@@ -443,7 +510,11 @@
         );
         if took.await {
             let ready = condition == Condition::Ready;
-            self.log.add(Sight::Told { node: handle.incarnation(), engine: entry.entry.id.0, ready });
+            self.log.add(Sight::Told {
+                node: handle.incarnation(),
+                engine: entry.entry.id.0,
+                ready,
+            });
         }
     }
 
@@ -466,17 +537,29 @@
         let scene = Arc::downgrade(self);
         let known: Mutex<Vec<BTreeSet<u64>>> = Mutex::new(vec![BTreeSet::new(); self.nodes()]);
         Arc::new(move |door, shown| {
-            let Some((scene, mut known)) = scene.upgrade().zip(known.lock().ok()) else { return };
-            let (Some(node), Some(known)) = (scene.node(door), known.get_mut(door)) else { return };
+            let Some((scene, mut known)) = scene.upgrade().zip(known.lock().ok()) else {
+                return;
+            };
+            let (Some(node), Some(known)) = (scene.node(door), known.get_mut(door)) else {
+                return;
+            };
             for (engine, ready) in notices(&shown, known) {
-                scene.log.add(Sight::Told { node: node.incarnation(), engine, ready });
+                scene.log.add(Sight::Told {
+                    node: node.incarnation(),
+                    engine,
+                    ready,
+                });
             }
         })
     }
 
     /// The store, where there is one.
     pub fn with_store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> Option<T> {
-        self.store.lock().unwrap_or_else(PoisonError::into_inner).as_mut().map(act)
+        self.store
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .as_mut()
+            .map(act)
     }
 
     /// A name for a call that no other has.
@@ -514,8 +597,17 @@
             idempotency_key: format!("op-{call}"),
             ..GenerateRequest::default()
         };
-        let habit = Habit { patience: named.settings.deadline, ..Habit::default() };
-        Ask { request, operation: call, effect: seen_effect(&named.settings), node, habit }
+        let habit = Habit {
+            patience: named.settings.deadline,
+            ..Habit::default()
+        };
+        Ask {
+            request,
+            operation: call,
+            effect: seen_effect(&named.settings),
+            node,
+            habit,
+        }
     }
 
     /// Sends a request and follows it to its end; `None` if the node cannot be reached.
@@ -525,19 +617,32 @@
 
     /// The same; the client leaves as soon as `leave` is over.
     pub async fn send_until(&self, ask: &Ask, leave: impl Future<Output = ()>) -> Option<End> {
-        Some(self.client(ask.node).await.ok()?.ask_until(ask, leave).await)
+        Some(
+            self.client(ask.node)
+                .await
+                .ok()?
+                .ask_until(ask, leave)
+                .await,
+        )
     }
 
     /// What the auditor allows and asks for here.
     pub fn limits(&self) -> Limits {
-        limits(&self.make.settings.rules, self.make.flight, &self.make.engines)
+        limits(
+            &self.make.settings.rules,
+            self.make.flight,
+            &self.make.engines,
+        )
     }
 
     /// Waits until no node has anything in hand and no engine keeps anything for a request, for `span` at most.
     pub async fn settle(&self, span: Micros) {
         let until = self.log.now().saturating_add(span);
         while self.log.now() < until {
-            let open: usize = (0..self.nodes()).filter_map(|n| self.node(n)).map(|n| n.open()).sum();
+            let open: usize = (0..self.nodes())
+                .filter_map(|n| self.node(n))
+                .map(|n| n.open())
+                .sum();
             let kept: usize = (0..self.engines()).map(|e| self.engine(e).kept()).sum();
             if open + kept == 0 {
                 break;
@@ -564,20 +669,31 @@
 /// What a store's showing tells of engines, and whether each may be sent new work; `known` are those it showed before.
 pub(crate) fn notices(shown: &Shown<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
     let id = |key: &[u8]| ivyward::registration::key_id(PREFIX.as_bytes(), key).map(|id| id.0);
-    let ready = |value: &[u8]| serde_json::from_slice::<Record>(value).is_ok_and(|r| r.state == State::Ready);
+    let ready = |value: &[u8]| {
+        serde_json::from_slice::<Record>(value).is_ok_and(|r| r.state == State::Ready)
+    };
     match shown {
         Shown::List(kvs) => {
-            let listed: BTreeMap<u64, bool> =
-                kvs.iter().filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value)))).collect();
-            let gone = known.iter().filter(|e| !listed.contains_key(e)).map(|e| (*e, false));
-            let told = gone.chain(listed.iter().map(|(e, ready)| (*e, *ready))).collect();
+            let listed: BTreeMap<u64, bool> = kvs
+                .iter()
+                .filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value))))
+                .collect();
+            let gone = known
+                .iter()
+                .filter(|e| !listed.contains_key(e))
+                .map(|e| (*e, false));
+            let told = gone
+                .chain(listed.iter().map(|(e, ready)| (*e, *ready)))
+                .collect();
             *known = listed.into_keys().collect();
             told
         }
         Shown::Events(events) => {
             let kvs = events.iter().filter_map(|e| e.kv.as_ref());
             // A deletion's record is empty, and so not ready.
-            let told: Vec<_> = kvs.filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value)))).collect();
+            let told: Vec<_> = kvs
+                .filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value))))
+                .collect();
             known.extend(told.iter().map(|t| t.0));
             told
         }
@@ -608,7 +724,10 @@
         weight: 1.0,
         started,
     };
-    Listed { entry, address: engine.address() }
+    Listed {
+        entry,
+        address: engine.address(),
+    }
 }
 
 /// What the auditor allows and asks for, by the nodes' own rules.
@@ -635,16 +754,32 @@
 ) -> Result<(Child, SocketAddr), SceneError> {
     let mut command = Command::new(path);
     end_with_parent(&mut command);
-    command.args(ivyward_flags(settings, engines)).arg("--listen").arg(at.to_string());
-    command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
+    command
+        .args(ivyward_flags(settings, engines))
+        .arg("--listen")
+        .arg(at.to_string());
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null());
     let what = || format!("starting {}", path.display());
     let mut child = command.spawn().map_err(io(what()))?;
-    let out = child.stdout.take().ok_or_else(|| io(what())(std::io::Error::other("no output")))?;
+    let out = child
+        .stdout
+        .take()
+        .ok_or_else(|| io(what())(std::io::Error::other("no output")))?;
     let mut line = String::new();
-    std::io::BufRead::read_line(&mut std::io::BufReader::new(out), &mut line).map_err(io(what()))?;
-    let told = line.trim().strip_prefix("listening on ").and_then(|a| a.parse().ok());
-    told.map(|address| (child, address))
-        .ok_or_else(|| io(what())(std::io::Error::other(format!("it said {line:?} instead of its address"))))
+    std::io::BufRead::read_line(&mut std::io::BufReader::new(out), &mut line)
+        .map_err(io(what()))?;
+    let told = line
+        .trim()
+        .strip_prefix("listening on ")
+        .and_then(|a| a.parse().ok());
+    told.map(|address| (child, address)).ok_or_else(|| {
+        io(what())(std::io::Error::other(format!(
+            "it said {line:?} instead of its address"
+        )))
+    })
 }
 
 /// The daemon's flags for a node's settings and engines.
@@ -703,7 +838,13 @@
     for engine in engines {
         let role = ROLES[usize::from(engine.entry.kind)];
         let (id, cell, weight) = (engine.entry.id.0, engine.entry.cell, engine.entry.weight);
-        flag("server", format!("id={id},address={},role={role},cell={cell},weight={weight}", engine.address));
+        flag(
+            "server",
+            format!(
+                "id={id},address={},role={role},cell={cell},weight={weight}",
+                engine.address
+            ),
+        );
     }
     flags
 }
--- a/crates/ivyward-lab/src/seeds.rs
+++ b/crates/ivyward-lab/src/seeds.rs
@@ -169,7 +169,14 @@
 
 impl Default for Size {
     fn default() -> Size {
-        Size { racks: 2, nodes: 2, requests: 60, faults: 8, peers: false, rough: 1.0 }
+        Size {
+            racks: 2,
+            nodes: 2,
+            requests: 60,
+            faults: 8,
+            peers: false,
+            rough: 1.0,
+        }
     }
 }
 
@@ -213,13 +220,26 @@
         let node = random.random_range(0..size.nodes);
         let rough = size.rough.max(0.1);
         let fault = match random.random_range(0..if size.peers { 26 } else { 20 }) {
-            0 | 1 => Fault::Die { engine, word: random.random_bool(0.6) },
+            0 | 1 => Fault::Die {
+                engine,
+                word: random.random_bool(0.6),
+            },
             2 | 3 => Fault::Drain { engine },
             4 => Fault::Leave { engine },
             5 => Fault::Hang { engine },
-            6 => Fault::Slow { engine, by: random.random_range(2.0..2.0 + 18.0 * rough) },
-            7 | 8 => Fault::Ill { engine, share: random.random_range(0.05..(0.5 * rough).min(0.95)) },
-            9 | 10 => Fault::Cut { engine, node, back: random.random() },
+            6 => Fault::Slow {
+                engine,
+                by: random.random_range(2.0..2.0 + 18.0 * rough),
+            },
+            7 | 8 => Fault::Ill {
+                engine,
+                share: random.random_range(0.05..(0.5 * rough).min(0.95)),
+            },
+            9 | 10 => Fault::Cut {
+                engine,
+                node,
+                back: random.random(),
+            },
             11 => Fault::NodeKill { node },
             12 => Fault::Pieces,
             13 => Fault::Narrow,
@@ -228,16 +248,31 @@
             16 => Fault::StoreLags,
             17 | 18 => {
                 let how = random.random_range(0..TWISTS.len());
-                Fault::Odd { engine, share: random.random_range(0.05..(0.5 * rough).min(0.95)), how }
+                Fault::Odd {
+                    engine,
+                    share: random.random_range(0.05..(0.5 * rough).min(0.95)),
+                    how,
+                }
             }
             20 | 21 => Fault::NodeKill { node },
-            22 | 23 => Fault::PeerCut { from: node, to: random.random_range(0..size.nodes) },
-            24 | 25 => Fault::PeersRough { lose: random.random_range(0.0..(0.3 * rough).min(0.9)) },
+            22 | 23 => Fault::PeerCut {
+                from: node,
+                to: random.random_range(0..size.nodes),
+            },
+            24 | 25 => Fault::PeersRough {
+                lose: random.random_range(0.0..(0.3 * rough).min(0.9)),
+            },
             // Those with even numbers register themselves.
-            _ => Fault::Lone { engine: engine & !1 },
+            _ => Fault::Lone {
+                engine: engine & !1,
+            },
         };
         // A third of them begin in the same instant as the one before.
-        let at = if random.random_bool(0.33) { last } else { random.random_range(100_000..SPAN) };
+        let at = if random.random_bool(0.33) {
+            last
+        } else {
+            random.random_range(100_000..SPAN)
+        };
         last = at;
         let (longest, ever) = match fault {
             Fault::Cut { .. } => LONGEST_CUT,
@@ -245,7 +280,11 @@
             _ => LONGEST,
         };
         let most = ((longest as f64 * rough) as Micros).clamp(30_000, ever);
-        plan.push(Timed { at, len: random.random_range(20_000..most), fault });
+        plan.push(Timed {
+            at,
+            len: random.random_range(20_000..most),
+            fault,
+        });
     }
     plan.sort_by_key(|t| t.at);
     plan
@@ -299,11 +338,17 @@
             }
         }
         for (node, bytes) in &self.records {
-            let Ok(mut reader) = Reader::begin(&bytes[..]) else { continue };
+            let Ok(mut reader) = Reader::begin(&bytes[..]) else {
+                continue;
+            };
             // What is malformed is told by the replay.
             while let Ok(Some(step)) = reader.step() {
                 lines.push((step.at, format!("node {node}  told {:?}", step.event)));
-                for action in step.actions.iter().filter(|a| !matches!(a, Action::SetTimer { .. })) {
+                for action in step
+                    .actions
+                    .iter()
+                    .filter(|a| !matches!(a, Action::SetTimer { .. }))
+                {
                     lines.push((step.at, format!("node {node}  does {action:?}")));
                 }
             }
@@ -321,7 +366,13 @@
     pub fn last_steps(&self, count: usize) -> Vec<String> {
         let until = self.broke.as_ref().map_or(self.seen.len(), |b| b.seen);
         let from = until.saturating_sub(count);
-        let line = |s: &Seen| format!("{:.3} ms {:?}", s.at.saturating_sub(BEGIN) as f64 / 1e3, s.what);
+        let line = |s: &Seen| {
+            format!(
+                "{:.3} ms {:?}",
+                s.at.saturating_sub(BEGIN) as f64 / 1e3,
+                s.what
+            )
+        };
         self.seen[from..until].iter().map(line).collect()
     }
 }
@@ -340,7 +391,11 @@
 impl Hosts {
     /// Processes of a world.
     pub fn of(sim: &Sim) -> Hosts {
-        Hosts { sim: sim.clone(), silent: Arc::default(), last: Mutex::new(0) }
+        Hosts {
+            sim: sim.clone(),
+            silent: Arc::default(),
+            last: Mutex::new(0),
+        }
     }
     /// The process that was started last.
     pub fn last(&self) -> HostId {
@@ -353,7 +408,10 @@
         let host = self.sim.host(seed);
         let (sim, id, silent) = (self.sim.clone(), host.id(), self.silent.clone());
         *lock(&self.last) = id;
-        (host.world(), Box::new(move || sim.kill(id, !silent.load(Ordering::SeqCst))))
+        (
+            host.world(),
+            Box::new(move || sim.kill(id, !silent.load(Ordering::SeqCst))),
+        )
     }
 }
 
@@ -397,7 +455,9 @@
     /// The engine registers itself.
     fn enlist(&self, engine: usize, started: Micros) {
         let endpoints = lock(&self.store).doors()[self.places.len()..].to_vec();
-        self.engine(engine, |e| enlist::keep(e, endpoints, LEASE, started / 1_000, |_| {}));
+        self.engine(engine, |e| {
+            enlist::keep(e, endpoints, LEASE, started / 1_000, |_| {})
+        });
     }
 
     fn register(&self, engine: usize, started: Micros) {
@@ -410,7 +470,10 @@
     fn start_node(self: &Arc<Self>, i: usize, salt: u64) -> Result<(), String> {
         let host = self.sim.host(salt);
         let world = host.world();
-        let settings = NodeSettings { seed: salt, ..self.settings.clone() };
+        let settings = NodeSettings {
+            seed: salt,
+            ..self.settings.clone()
+        };
         let record = Memory::default();
         let node = Node::start(world.clone(), settings, Some(Box::new(record.clone())));
         let node = node.map_err(|e| e.to_string())?;
@@ -452,7 +515,9 @@
     }
 
     fn nodes(&self) -> Vec<Option<Node>> {
-        (0..self.places.len()).map(|i| self.node(i).map(|n| n.1)).collect()
+        (0..self.places.len())
+            .map(|i| self.node(i).map(|n| n.1))
+            .collect()
     }
 
     fn node(&self, i: usize) -> Option<(HostId, Node)> {
@@ -468,7 +533,10 @@
         let stage = Arc::downgrade(self);
         lock(&self.store).witness(Arc::new(move |door, shown| {
             let Some(stage) = stage.upgrade() else { return };
-            let Some((_, node)) = (door < stage.places.len()).then(|| stage.node(door)).flatten() else {
+            let Some((_, node)) = (door < stage.places.len())
+                .then(|| stage.node(door))
+                .flatten()
+            else {
                 return;
             };
             let (node, now) = (node.incarnation(), stage.world.now());
@@ -478,7 +546,11 @@
                     lately.retain(|n| n.0 + LAST_MOMENT >= now);
                     lately.push((now, node, engine));
                 }
-                stage.log.add(Sight::Told { node, engine, ready });
+                stage.log.add(Sight::Told {
+                    node,
+                    engine,
+                    ready,
+                });
             }
         }));
     }
@@ -494,7 +566,9 @@
         };
         let dial = Client::connect_with(&self.world, &self.log, address, CLIENT_WINDOW);
         let until = self.world.now() + 500_000;
-        let client = ivyward_world::before(&self.world, until, dial).await?.ok()?;
+        let client = ivyward_world::before(&self.world, until, dial)
+            .await?
+            .ok()?;
         lock(&self.places[i]).client = Some(client.clone());
         Some(client)
     }
@@ -502,12 +576,16 @@
     /// One fault from its begin to its end.
     async fn play(self: Arc<Self>, timed: Timed, salt: u64) {
         let (world, len) = (self.world.clone(), timed.len);
-        let fault = |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
+        let fault =
+            |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
         match timed.fault {
             Fault::Die { engine, word } => {
                 let id = self.engine(engine, |e| e.spec().id);
                 if !word {
-                    self.log.add(Sight::Dark { engine: id, on: true });
+                    self.log.add(Sight::Dark {
+                        engine: id,
+                        on: true,
+                    });
                 }
                 self.hosts.silent.store(!word, Ordering::SeqCst);
                 self.engine(engine, Engine::die);
@@ -518,7 +596,10 @@
                 world.sleep(len).await;
                 let up = self.engine(engine, |e| e.come_up(true));
                 if !word {
-                    self.log.add(Sight::Dark { engine: id, on: false });
+                    self.log.add(Sight::Dark {
+                        engine: id,
+                        on: false,
+                    });
                 }
                 if up.is_ok() {
                     let host = self.hosts.last();
@@ -551,18 +632,25 @@
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
                 });
                 world.sleep(len).await;
-                fault(engine, &|f| (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0));
+                fault(engine, &|f| {
+                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
+                });
             }
             Fault::Odd { engine, share, how } => {
                 let how = TWISTS.get(how).copied();
                 fault(engine, &|f| {
-                    (f.twist, f.how, f.stall, f.drop_states) = (share, how, share / 4.0, share > 0.4);
+                    (f.twist, f.how, f.stall, f.drop_states) =
+                        (share, how, share / 4.0, share > 0.4);
                 });
                 world.sleep(len).await;
-                fault(engine, &|f| (f.twist, f.stall, f.drop_states) = (0.0, 0.0, false));
+                fault(engine, &|f| {
+                    (f.twist, f.stall, f.drop_states) = (0.0, 0.0, false)
+                });
             }
             Fault::Cut { engine, node, back } => {
-                let Some((node, _)) = self.node(node) else { return };
+                let Some((node, _)) = self.node(node) else {
+                    return;
+                };
                 let engine = lock(&self.engines[engine]).1;
                 let (from, to) = if back { (engine, node) } else { (node, engine) };
                 self.sim.cut(from, to, true);
@@ -592,11 +680,16 @@
                     return;
                 };
                 // Its datagrams leave towards the forwarders, and come from them.
-                let ways =
-                    if from == to { vec![(a, *host), (*host, a)] } else { vec![(a, *host), (*host, b)] };
-                ways.iter().for_each(|(from, to)| self.sim.cut(*from, *to, true));
+                let ways = if from == to {
+                    vec![(a, *host), (*host, a)]
+                } else {
+                    vec![(a, *host), (*host, b)]
+                };
+                ways.iter()
+                    .for_each(|(from, to)| self.sim.cut(*from, *to, true));
                 world.sleep(len).await;
-                ways.iter().for_each(|(from, to)| self.sim.cut(*from, *to, false));
+                ways.iter()
+                    .for_each(|(from, to)| self.sim.cut(*from, *to, false));
             }
             Fault::PeersRough { lose } => {
                 self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
@@ -611,7 +704,8 @@
             Fault::Narrow => {
                 self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
                 world.sleep(len).await;
-                self.sim.net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
+                self.sim
+                    .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
             }
             Fault::StoreDies => {
                 lock(&self.store).die();
@@ -619,7 +713,11 @@
                 let just = self.world.now().saturating_sub(LAST_MOMENT);
                 for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
                     if at >= just {
-                        self.log.add(Sight::Told { node, engine, ready: true });
+                        self.log.add(Sight::Told {
+                            node,
+                            engine,
+                            ready: true,
+                        });
                     }
                 }
                 world.sleep(len).await;
@@ -656,22 +754,36 @@
             wrong.extend(disagreements(&self.nodes()));
             let astray = addresses.astray.load(Ordering::SeqCst);
             if astray > 0 {
-                wrong.push(format!("{astray} datagrams were answers to where one seemed to come from"));
+                wrong.push(format!(
+                    "{astray} datagrams were answers to where one seemed to come from"
+                ));
             }
         }
         // Every fault ends with its engine ready again: what a node's module was told last must say so.
         let all: BTreeSet<u64> = self.engines.iter().map(|e| lock(e).0.spec().id).collect();
         for i in 0..self.places.len() {
-            let record = lock(&self.records).iter().rev().find(|r| r.0 == i).map(|r| r.1.bytes());
+            let record = lock(&self.records)
+                .iter()
+                .rev()
+                .find(|r| r.0 == i)
+                .map(|r| r.1.bytes());
             let ready = ready_at_last(&record.unwrap_or_default());
             if ready != all {
-                wrong.push(format!("node {i} takes {ready:?} for ready after everything ended, not {all:?}"));
+                wrong.push(format!(
+                    "node {i} takes {ready:?} for ready after everything ended, not {all:?}"
+                ));
             }
         }
-        let failed = OUTCOMES.iter().position(|o| o.1 == "connect_failed").unwrap_or(0);
+        let failed = OUTCOMES
+            .iter()
+            .position(|o| o.1 == "connect_failed")
+            .unwrap_or(0);
         for i in 0..self.places.len() {
             let (Some((_, node)), Some(client)) = (self.node(i), self.client(i).await) else {
-                wrong.push(format!("node {i} is not there, {} s after everything ended", QUIET / 1_000_000));
+                wrong.push(format!(
+                    "node {i} is not there, {} s after everything ended",
+                    QUIET / 1_000_000
+                ));
                 continue;
             };
             let before = node.metrics().outcomes[failed].get();
@@ -684,9 +796,18 @@
                     call_id: call,
                     ..GenerateRequest::default()
                 };
-                let habit = Habit { patience: 2_500_000, ..Habit::default() };
+                let habit = Habit {
+                    patience: 2_500_000,
+                    ..Habit::default()
+                };
                 let effect = ivyward_standins::sight::Effect::Safe;
-                let ask = Ask { request, operation: call, effect, node: i, habit };
+                let ask = Ask {
+                    request,
+                    operation: call,
+                    effect,
+                    node: i,
+                    habit,
+                };
                 let mut end = client.ask(&ask).await;
                 // What was refused a share of work while it went badly forgets that by and by.
                 let until = self.world.now() + LAST_PATIENCE;
@@ -695,12 +816,16 @@
                     end = client.ask(&ask).await;
                 }
                 if end.how != Heard::Served {
-                    wrong.push(format!("a request after everything ended was not served: {end:?}"));
+                    wrong.push(format!(
+                        "a request after everything ended was not served: {end:?}"
+                    ));
                 }
             }
             let failures = node.metrics().outcomes[failed].get() - before;
             if failures > 0 {
-                wrong.push(format!("{failures} attempts of node {i} found nobody after everything ended"));
+                wrong.push(format!(
+                    "{failures} attempts of node {i} found nobody after everything ended"
+                ));
             }
         }
         wrong
@@ -718,12 +843,20 @@
             let node = (first_node + attempt) % self.places.len();
             let share = random.random_range(0.3..1.0);
             let patience = (class.settings.deadline as f64 * share) as Micros;
-            let (mut habit, mut max_output_tokens) = (Habit { patience, ..Habit::default() }, 12);
+            let (mut habit, mut max_output_tokens) = (
+                Habit {
+                    patience,
+                    ..Habit::default()
+                },
+                12,
+            );
             match random.random_range(0..10) {
                 0 => habit.leave_after = Some(random.random_range(1_000..300_000)),
                 1 => habit.leave_at_token = Some(random.random_range(1..5)),
                 // A long answer, taken slowly.
-                2 => (max_output_tokens, habit.read_pause) = (200, random.random_range(3_500..4_500)),
+                2 => {
+                    (max_output_tokens, habit.read_pause) = (200, random.random_range(3_500..4_500))
+                }
                 _ => {}
             }
             let request = GenerateRequest {
@@ -741,7 +874,13 @@
                 self.world.sleep(30_000).await;
                 continue;
             };
-            let ask = Ask { request, operation: no, effect: seen_effect(&class.settings), node, habit };
+            let ask = Ask {
+                request,
+                operation: no,
+                effect: seen_effect(&class.settings),
+                node,
+                habit,
+            };
             let end = client.ask(&ask).await;
             let again = match end.how {
                 Heard::Refused => true,
@@ -764,21 +903,35 @@
     let script = sim.host(0);
     let played = {
         let (sim, size, plan, world) = (sim.clone(), *size, plan.to_vec(), script.world());
-        sim.clone().run(&script, 120_000_000, async move { scene(sim, world, seed, size, plan).await })
+        sim.clone().run(&script, 120_000_000, async move {
+            scene(sim, world, seed, size, plan).await
+        })
     };
     let (digest, events) = sim.digest();
     let span = sim.now();
     let done = match played {
         Ok(Ok(done)) => done,
-        Ok(Err(line)) => {
-            Done { wrong: vec![format!("the scene cannot be set up: {line}")], ..Done::default() }
-        }
-        Err(stuck @ Stuck::Nothing { .. }) => {
-            Done { wrong: vec![format!("deadlock: {stuck}")], ..Done::default() }
-        }
-        Err(stuck) => Done { wrong: vec![stuck.to_string()], ..Done::default() },
+        Ok(Err(line)) => Done {
+            wrong: vec![format!("the scene cannot be set up: {line}")],
+            ..Done::default()
+        },
+        Err(stuck @ Stuck::Nothing { .. }) => Done {
+            wrong: vec![format!("deadlock: {stuck}")],
+            ..Done::default()
+        },
+        Err(stuck) => Done {
+            wrong: vec![stuck.to_string()],
+            ..Done::default()
+        },
     };
-    let Done { mut wrong, heard, mut met, seen, records, broke } = done;
+    let Done {
+        mut wrong,
+        heard,
+        mut met,
+        seen,
+        records,
+        broke,
+    } = done;
     // The module's own replay agrees with what it did in the scene, and its events and actions are in the digest.
     let mut digest = digest;
     for (node, bytes) in &records {
@@ -795,13 +948,25 @@
             wrong.push(format!("node {node}'s record does not play again: {e}"));
         }
     }
-    Outcome { digest, events, wrong, heard, met, span, seen, records, broke }
+    Outcome {
+        digest,
+        events,
+        wrong,
+        heard,
+        met,
+        span,
+        seen,
+        records,
+        broke,
+    }
 }
 
 /// The lists that a node's module was told, in their order. What is malformed is told by the replay.
 fn lists(record: &[u8]) -> Vec<(ListKind, Vec<ServerEntry>)> {
     let mut out = Vec::new();
-    let Ok(mut reader) = Reader::begin(record) else { return out };
+    let Ok(mut reader) = Reader::begin(record) else {
+        return out;
+    };
     while let Ok(Some(step)) = reader.step() {
         if let Event::Fleet { kind, entries } = step.event {
             out.push((kind, entries));
@@ -859,11 +1024,19 @@
     let mut counts = [0u64; 9];
     for Seen { at, what } in log {
         match *what {
-            Sight::Told { node, engine, ready: false } => {
+            Sight::Told {
+                node,
+                engine,
+                ready: false,
+            } => {
                 told.push((*at, node, engine));
                 draining.insert(engine);
             }
-            Sight::Told { node, engine, ready: true } => {
+            Sight::Told {
+                node,
+                engine,
+                ready: true,
+            } => {
                 back.push((*at, node, engine));
                 draining.remove(&engine);
             }
@@ -872,7 +1045,10 @@
             Sight::LetGo { key, .. } => drop(kept.remove(&key)),
             Sight::Killed { run, .. } => counts[3] += u64::from(kept.iter().any(|k| k.node == run)),
             Sight::Began { call } => drop(began.insert(call, *at)),
-            Sight::Heard { call, how: Heard::Left | Heard::GaveUp } => {
+            Sight::Heard {
+                call,
+                how: Heard::Left | Heard::GaveUp,
+            } => {
                 left.push(*at);
                 counts[4] += u64::from(began.get(&call).is_some_and(|b| near(*b, *at, 5_000)));
             }
@@ -884,49 +1060,84 @@
             _ => {}
         }
     }
-    counts[0] =
-        told.iter().filter(|t| retries.iter().any(|r| r.1 == t.1 && near(r.0, t.0, 1_000))).count() as u64;
+    counts[0] = told
+        .iter()
+        .filter(|t| retries.iter().any(|r| r.1 == t.1 && near(r.0, t.0, 1_000)))
+        .count() as u64;
     let soon = |t: &&(Micros, u64, u64)| {
-        back.iter().any(|b| (b.1, b.2) == (t.1, t.2) && b.0 > t.0 && near(b.0, t.0, 50_000))
+        back.iter()
+            .any(|b| (b.1, b.2) == (t.1, t.2) && b.0 > t.0 && near(b.0, t.0, 50_000))
     };
     counts[1] = told.iter().filter(soon).count() as u64;
-    let of =
-        |f: &dyn Fn(&Fault) -> bool| plan.iter().filter(|t| f(&t.fault)).map(|t| t.at).collect::<Vec<_>>();
+    let of = |f: &dyn Fn(&Fault) -> bool| {
+        plan.iter()
+            .filter(|t| f(&t.fault))
+            .map(|t| t.at)
+            .collect::<Vec<_>>()
+    };
     let lags = of(&|f| matches!(f, Fault::StoreLags));
     let cuts = of(&|f| matches!(f, Fault::Cut { .. }));
     // Plans count from the scene's begin, which is the clock's first second.
     let one_second = |l: &&Micros| {
-        cuts.iter().any(|c| near(**l, *c, 1_000_000)) && left.iter().any(|x| near(**l + BEGIN, *x, 1_000_000))
+        cuts.iter().any(|c| near(**l, *c, 1_000_000))
+            && left.iter().any(|x| near(**l + BEGIN, *x, 1_000_000))
     };
     counts[2] = lags.iter().filter(one_second).count() as u64;
-    let (dies, compacts) =
-        (of(&|f| matches!(f, Fault::StoreDies)), of(&|f| matches!(f, Fault::StoreCompacts)));
-    counts[6] = compacts.iter().filter(|c| dies.iter().any(|d| near(**c, *d, 600_000))).count() as u64;
+    let (dies, compacts) = (
+        of(&|f| matches!(f, Fault::StoreDies)),
+        of(&|f| matches!(f, Fault::StoreCompacts)),
+    );
+    counts[6] = compacts
+        .iter()
+        .filter(|c| dies.iter().any(|d| near(**c, *d, 600_000)))
+        .count() as u64;
     // An engine is told to be gone within its lease, or a little later, of a cut that outlasts it.
     for t in plan.iter().filter(|t| t.len > LEASE as Micros * 1_000_000) {
-        let Fault::Lone { engine } = t.fault else { continue };
+        let Fault::Lone { engine } = t.fault else {
+            continue;
+        };
         let id = engines[engine];
         let ends = t.at + BEGIN + 500_000..t.at + BEGIN + t.len + 100_000;
-        counts[8] += u64::from(told.iter().any(|told| told.2 == id && ends.contains(&told.0)));
+        counts[8] += u64::from(
+            told.iter()
+                .any(|told| told.2 == id && ends.contains(&told.0)),
+        );
     }
     counts[7] = plan.windows(2).filter(|w| w[0].at == w[1].at).count() as u64;
-    CATALOGUE.into_iter().zip(counts).filter(|(_, n)| *n > 0).collect()
+    CATALOGUE
+        .into_iter()
+        .zip(counts)
+        .filter(|(_, n)| *n > 0)
+        .collect()
 }
 
-async fn scene(sim: Sim, world: WorldRef, seed: u64, size: Size, plan: Vec<Timed>) -> Result<Done, String> {
+async fn scene(
+    sim: Sim,
+    world: WorldRef,
+    seed: u64,
+    size: Size,
+    plan: Vec<Timed>,
+) -> Result<Done, String> {
     let log = Log::new(&world);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Host> = hosts.clone();
     let mut engines = Vec::new();
     for spec in fleet(size.racks) {
-        let spec = Spec { read_rate: 20_000.0, fetch_rate: 200_000.0, token_gap: 3_000, ..spec };
+        let spec = Spec {
+            read_rate: 20_000.0,
+            fetch_rate: 200_000.0,
+            token_gap: 3_000,
+            ..spec
+        };
         let engine = Engine::start(&host, &log, spec).map_err(|e| e.to_string())?;
         let id = hosts.last();
         engines.push(Mutex::new((engine, id)));
     }
     let mut store = Store::start(&host, 1).map_err(|e| e.to_string())?;
     // One for each node, and one for the engines, so that what was shown to whom is told apart.
-    store.open_doors(size.nodes + 1).map_err(|e| e.to_string())?;
+    store
+        .open_doors(size.nodes + 1)
+        .map_err(|e| e.to_string())?;
     let store_host = Mutex::new(hosts.last());
     let base = settings();
     let settings = NodeSettings {
@@ -951,7 +1162,13 @@
         }
     };
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let place = |_| Mutex::new(Place { node: None, address: free, client: None });
+    let place = |_| {
+        Mutex::new(Place {
+            node: None,
+            address: free,
+            client: None,
+        })
+    };
     let stage = Arc::new(Stage {
         addresses,
         sim,
@@ -986,7 +1203,10 @@
     }
     for no in 1..=size.requests as u64 {
         let (stage, world, done) = (stage.clone(), world.clone(), done.clone());
-        let (at, own) = (random.random_range(20_000..SPAN), SmallRng::seed_from_u64(random.random()));
+        let (at, own) = (
+            random.random_range(20_000..SPAN),
+            SmallRng::seed_from_u64(random.random()),
+        );
         world.clone().run(async move {
             world.sleep(at).await;
             stage.ask(no, own).await;
@@ -995,7 +1215,13 @@
     }
     drop(done);
     // After every step: whatever crossed the sockets is looked at as it does, and the first break ends the scene.
-    let cut = |t: &Timed| if matches!(t.fault, Fault::Cut { .. }) { t.len } else { 0 };
+    let cut = |t: &Timed| {
+        if matches!(t.fault, Fault::Cut { .. }) {
+            t.len
+        } else {
+            0
+        }
+    };
     let held_up = played.iter().map(cut).max().unwrap_or(0);
     let mut limits = limits(&stage.settings.rules, FLIGHT + held_up, &fleet(size.racks));
     limits.notice_flight = limits.flight;
@@ -1005,7 +1231,12 @@
         let (first, stage) = (first.clone(), Arc::downgrade(&stage));
         move |at: Micros, seen: usize, rule: String| {
             let step = stage.upgrade().map_or(0, |s| s.sim.digest().1);
-            lock(&first).get_or_insert(Break { step, at, rule, seen });
+            lock(&first).get_or_insert(Break {
+                step,
+                at,
+                rule,
+                seen,
+            });
             // Full means that it was told already.
             let _ = broken.try_send(());
         }
@@ -1037,8 +1268,10 @@
             loop {
                 clock.sleep(AUDIT_EVERY).await;
                 let seen = log.all();
-                let low =
-                    stage.upgrade().filter(|s| s.addresses.is_some()).and_then(|s| miscounts(&s.nodes()));
+                let low = stage
+                    .upgrade()
+                    .filter(|s| s.addresses.is_some())
+                    .and_then(|s| miscounts(&s.nodes()));
                 if let Some(low) = low {
                     return note(log.now(), seen.len(), low);
                 }
@@ -1054,8 +1287,13 @@
     let _ = or(over, broke.recv()).await;
     // Liveness: what is in hand and what is kept falls to nothing.
     let left = |stage: &Stage| {
-        let open: usize = (0..size.nodes).filter_map(|n| stage.node(n)).map(|n| n.1.open()).sum();
-        let kept: usize = (0..stage.engines.len()).map(|e| stage.engine(e, |e| e.kept())).sum();
+        let open: usize = (0..size.nodes)
+            .filter_map(|n| stage.node(n))
+            .map(|n| n.1.open())
+            .sum();
+        let kept: usize = (0..stage.engines.len())
+            .map(|e| stage.engine(e, |e| e.kept()))
+            .sum();
         (open, kept)
     };
     let until = world.now() + 15_000_000;
@@ -1068,15 +1306,23 @@
         wrong.push(format!("step {step}, {} ms: {rule}", (at - BEGIN) / 1_000));
     } else if left(&stage) != (0, 0) {
         let (open, kept) = left(&stage);
-        wrong.push(format!("{open} requests in hand and {kept} states kept 15 s after everything ended"));
+        wrong.push(format!(
+            "{open} requests in hand and {kept} states kept 15 s after everything ended"
+        ));
     }
     if wrong.is_empty() {
         wrong.extend(stage.come_back().await);
     }
     let buffered = |node: Node| node.metrics().buffered_most.get();
     let nodes = (0..size.nodes).filter_map(|n| stage.node(n));
-    if let Some(most) = nodes.map(|n| buffered(n.1)).max().filter(|most| *most > 2 * STREAM_BUFFER as u64) {
-        wrong.push(format!("{most} tokens waited for one client where {STREAM_BUFFER} are the bound"));
+    if let Some(most) = nodes
+        .map(|n| buffered(n.1))
+        .max()
+        .filter(|most| *most > 2 * STREAM_BUFFER as u64)
+    {
+        wrong.push(format!(
+            "{most} tokens waited for one client where {STREAM_BUFFER} are the bound"
+        ));
     }
     // Where it broke off, much is still under way.
     let audit = match broke {
@@ -1091,16 +1337,34 @@
     for (_, node) in (0..size.nodes).filter_map(|n| stage.node(n)) {
         for (counter, (_, name)) in node.metrics().violations.iter().zip(Rule::ALL) {
             if counter.get() > 0 {
-                wrong.push(format!("invariant {name} did not hold {} times", counter.get()));
+                wrong.push(format!(
+                    "invariant {name} did not hold {} times",
+                    counter.get()
+                ));
             }
         }
-        for (counter, (_, name)) in node.metrics().outcomes.iter().zip(ivyward::metrics::OUTCOMES) {
+        for (counter, (_, name)) in node
+            .metrics()
+            .outcomes
+            .iter()
+            .zip(ivyward::metrics::OUTCOMES)
+        {
             *met.entry(name).or_default() += counter.get();
         }
     }
     let records = std::mem::take(&mut *lock(&stage.records));
-    let records = records.into_iter().map(|(node, memory)| (node, memory.bytes())).collect();
-    Ok(Done { wrong, heard: audit.heard, met, seen: log.all(), records, broke })
+    let records = records
+        .into_iter()
+        .map(|(node, memory)| (node, memory.bytes()))
+        .collect();
+    Ok(Done {
+        wrong,
+        heard: audit.heard,
+        met,
+        seen: log.all(),
+        records,
+        broke,
+    })
 }
 
 /// What came of many seeds.
@@ -1127,7 +1391,13 @@
 }
 
 /// Plays seeds on so many threads. Each has a world of its own, so that they do not touch each other.
-pub fn many(from: u64, count: u64, jobs: usize, size: &Size, told: &(dyn Fn(&Tally) + Sync)) -> Tally {
+pub fn many(
+    from: u64,
+    count: u64,
+    jobs: usize,
+    size: &Size,
+    told: &(dyn Fn(&Tally) + Sync),
+) -> Tally {
     let tally = Mutex::new(Tally::default());
     let next = std::sync::atomic::AtomicU64::new(from);
     std::thread::scope(|scope| {
@@ -1141,9 +1411,16 @@
                 let outcome = run(seed, size, &plan);
                 let mut tally = lock(&tally);
                 tally.played += 1;
-                outcome.met.iter().for_each(|(what, n)| *tally.met.entry(what).or_default() += n);
-                outcome.heard.iter().for_each(|(how, n)| *tally.heard.entry(how).or_default() += n);
-                plan.iter().for_each(|t| *tally.faults.entry(name(&t.fault)).or_default() += 1);
+                outcome
+                    .met
+                    .iter()
+                    .for_each(|(what, n)| *tally.met.entry(what).or_default() += n);
+                outcome
+                    .heard
+                    .iter()
+                    .for_each(|(how, n)| *tally.heard.entry(how).or_default() += n);
+                plan.iter()
+                    .for_each(|t| *tally.faults.entry(name(&t.fault)).or_default() += 1);
                 if !outcome.wrong.is_empty() {
                     let last = outcome.last_steps(6);
                     let mut lines = outcome.wrong;
--- a/crates/ivyward-lab/src/soak/clients.rs
+++ b/crates/ivyward-lab/src/soak/clients.rs
@@ -9,8 +9,11 @@
 use std::sync::Arc;
 
 /// The classes of the run's configuration and what their clients may repeat.
-const CLASSES: [(&str, Effect); 3] =
-    [("draft", Effect::Safe), ("once", Effect::Keyed), ("send", Effect::Unsafe)];
+const CLASSES: [(&str, Effect); 3] = [
+    ("draft", Effect::Safe),
+    ("once", Effect::Keyed),
+    ("send", Effect::Unsafe),
+];
 /// Patience by class, in milliseconds.
 const PATIENCE_MS: u64 = 2_500;
 /// A client waits so much longer for an answer that is late, so that the oracle sees it.
@@ -20,8 +23,7 @@
 const NEW_CONNECTION: u64 = 4;
 /// A client that leaves early does so within this span.
 const LEAVES_WITHIN: Micros = 60_000;
-const BODY: &str =
-    r#"{"model":"chat","stream":true,"messages":[{"role":"user","content":"xxxxxxxxxxxxxxxxxxxxxxxx"}]}"#;
+const BODY: &str = r#"{"model":"chat","stream":true,"messages":[{"role":"user","content":"xxxxxxxxxxxxxxxxxxxxxxxx"}]}"#;
 
 /// One client of one node, until the stage is over.
 pub(super) async fn session(stage: Arc<Stage>, node: usize, number: u64) {
@@ -45,9 +47,13 @@
 
 /// A client that stops in the middle of a request and stays for a while.
 async fn half_request(stage: &Stage, node: usize) {
-    let Some(mut conn) = connect(stage, node).await else { return };
+    let Some(mut conn) = connect(stage, node).await else {
+        return;
+    };
     // The node may close it.
-    let _ = conn.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: half\r\n").await;
+    let _ = conn
+        .write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: half\r\n")
+        .await;
     let world = stage.world.clone();
     stage.world.run(async move {
         world.sleep(LATE).await;
@@ -56,9 +62,14 @@
 }
 
 async fn connect(stage: &Stage, node: usize) -> Option<Conn> {
-    let address = stage.addresses.lock().map_or(None, |addresses| addresses[node])?;
+    let address = stage
+        .addresses
+        .lock()
+        .map_or(None, |addresses| addresses[node])?;
     let until = stage.world.now() + LATE;
-    before(&stage.world, until, stage.world.connect(address)).await?.ok()
+    before(&stage.world, until, stage.world.connect(address))
+        .await?
+        .ok()
 }
 
 /// One request; the connection, if it may be kept. A request that crossed the end of a kept connection is sent once more on
@@ -96,29 +107,62 @@
     mut conn: Conn,
 ) -> Exchange {
     let world = &stage.world;
-    let key = if effect == Effect::Keyed { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
+    let key = if effect == Effect::Keyed {
+        format!("Idempotency-Key: {id}\r\n")
+    } else {
+        String::new()
+    };
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n{key}\
          X-Route-Key: k{id}\r\nX-Timeout-Ms: {PATIENCE_MS}\r\nContent-Length: {}\r\n\r\n{BODY}",
         BODY.len()
     );
     if conn.write_all(head.as_bytes()).await.is_err() {
-        return if new_connection { Exchange::Over } else { Exchange::Crossed };
+        return if new_connection {
+            Exchange::Over
+        } else {
+            Exchange::Crossed
+        };
     }
     let patience = PATIENCE_MS * 1_000;
-    let sent = Observation::Sent { id: id.into(), effect, node, patience, new_connection };
+    let sent = Observation::Sent {
+        id: id.into(),
+        effect,
+        node,
+        patience,
+        new_connection,
+    };
     stage.log.add(world.now(), sent);
     let leaves = stage.clients_leave.load(Ordering::SeqCst) && world.random() % 2 == 0;
-    let waits = if leaves { world.random() % LEAVES_WITHIN } else { patience + LATE };
+    let waits = if leaves {
+        world.random() % LEAVES_WITHIN
+    } else {
+        patience + LATE
+    };
     let until = world.now() + waits;
     let got = before(world, until, read_answer(world, &mut conn)).await;
-    let Some(Got { status, whole, closes, .. }) = got else {
+    let Some(Got {
+        status,
+        whole,
+        closes,
+        ..
+    }) = got
+    else {
         if leaves {
-            stage.log.add(world.now(), Observation::Left { id: id.into() });
+            stage
+                .log
+                .add(world.now(), Observation::Left { id: id.into() });
         }
         return Exchange::Over;
     };
-    stage.log.add(world.now(), Observation::Answered { id: id.into(), status, whole });
+    stage.log.add(
+        world.now(),
+        Observation::Answered {
+            id: id.into(),
+            status,
+            whole,
+        },
+    );
     if status == 0 && !new_connection {
         return Exchange::Crossed;
     }
--- a/crates/ivyward-lab/src/soak/mod.rs
+++ b/crates/ivyward-lab/src/soak/mod.rs
@@ -79,7 +79,10 @@
 pub fn play(options: &Options) -> Result<Report, SoakError> {
     let mut report = Report::default();
     for seed in options.seeds.0..options.seeds.0 + options.seeds.1 {
-        let plan = options.plan.clone().unwrap_or_else(|| Plan::draw(seed, options.seconds));
+        let plan = options
+            .plan
+            .clone()
+            .unwrap_or_else(|| Plan::draw(seed, options.seconds));
         let folder = folder(options, seed)?;
         let played = play_one(options, &folder, plan)?;
         println!("{}", played.line());
@@ -109,18 +112,36 @@
     let (violations, faults) = smol.block_on(run(&stage, &plan, nodes));
     let observed = stage.log.all();
     let broken: Vec<Broken> = oracle::check(&observed, &stage::LIMITS, world.now());
-    let lines: Vec<String> = observed.iter().map(|(at, o)| format!("{at} {o:?}")).collect();
-    std::fs::write(folder.join("observed.log"), lines.join("\n")).map_err(SoakError::io("a log"))?;
-    let answers = stage.answers.lock().map(|answers| answers.clone()).unwrap_or_default();
+    let lines: Vec<String> = observed
+        .iter()
+        .map(|(at, o)| format!("{at} {o:?}"))
+        .collect();
+    std::fs::write(folder.join("observed.log"), lines.join("\n"))
+        .map_err(SoakError::io("a log"))?;
+    let answers = stage
+        .answers
+        .lock()
+        .map(|answers| answers.clone())
+        .unwrap_or_default();
     smol.stop();
-    Ok(SeedReport { plan, folder: folder.to_owned(), answers, broken, violations, faults })
+    Ok(SeedReport {
+        plan,
+        folder: folder.to_owned(),
+        answers,
+        broken,
+        violations,
+        faults,
+    })
 }
 
 async fn run(
     stage: &Arc<Stage>,
     plan: &Plan,
     nodes: usize,
-) -> (u64, std::collections::BTreeMap<ivyward_faults::SystemFault, u64>) {
+) -> (
+    u64,
+    std::collections::BTreeMap<ivyward_faults::SystemFault, u64>,
+) {
     let world = stage.world.clone();
     for node in 0..nodes {
         for number in 0..CLIENTS {
--- a/crates/ivyward-lab/src/soak/node.rs
+++ b/crates/ivyward-lab/src/soak/node.rs
@@ -84,13 +84,24 @@
         let mut line = String::new();
         // An error leaves the line empty.
         let _ = BufReader::new(out).read_line(&mut line);
-        let address = line.trim().strip_prefix("listening on ").and_then(|a| a.parse().ok());
+        let address = line
+            .trim()
+            .strip_prefix("listening on ")
+            .and_then(|a| a.parse().ok());
         let Some(address) = address else {
             let _ = child.kill();
             let _ = child.wait();
-            return Err(SoakError::Start(format!("node {} said {line:?}", files.index)));
+            return Err(SoakError::Start(format!(
+                "node {} said {line:?}",
+                files.index
+            )));
         };
-        Ok(NodeProcess { child, address, control, violations })
+        Ok(NodeProcess {
+            child,
+            address,
+            control,
+            violations,
+        })
     }
 
     /// Sends a signal. It is our own child and was not waited for, so its number is still its own.
@@ -110,7 +121,10 @@
     }
     /// How often each fault really took place.
     pub fn hits(&self) -> Vec<(SystemFault, u64)> {
-        SystemFault::ALL.iter().map(|fault| (*fault, self.control.hits(*fault).unwrap_or(0))).collect()
+        SystemFault::ALL
+            .iter()
+            .map(|fault| (*fault, self.control.hits(*fault).unwrap_or(0)))
+            .collect()
     }
 }
 
@@ -128,7 +142,10 @@
     path: &Path,
     violations: Arc<AtomicU64>,
 ) -> Result<(), SoakError> {
-    let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
+    let file = std::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(path);
     let mut file = std::io::BufWriter::new(file.map_err(SoakError::io("a log"))?);
     std::thread::spawn(move || {
         for line in BufReader::new(errors).lines().map_while(Result::ok) {
--- a/crates/ivyward-lab/src/soak/oracle.rs
+++ b/crates/ivyward-lab/src/soak/oracle.rs
@@ -113,7 +113,11 @@
             record.pinned(request, limits, end),
         ];
         for (rule, seen) in checks.into_iter().flatten() {
-            broken.push(Broken { rule, of: id.clone(), seen });
+            broken.push(Broken {
+                rule,
+                of: id.clone(),
+                seen,
+            });
         }
     }
     broken
@@ -128,7 +132,13 @@
 
     fn add(&mut self, at: Micros, observation: &Observation) {
         match observation {
-            Observation::Sent { id, effect, node, patience, new_connection } => {
+            Observation::Sent {
+                id,
+                effect,
+                node,
+                patience,
+                new_connection,
+            } => {
                 let request = self.request(id);
                 request.effect = Some(*effect);
                 request.sent.push((at, *node, *patience, *new_connection));
@@ -137,7 +147,14 @@
             Observation::Answered { id, status, whole } => {
                 self.request(id).answers.push((at, *status, *whole));
             }
-            Observation::Arrived { id, engine, attempt, reads, timeout, dropped } => {
+            Observation::Arrived {
+                id,
+                engine,
+                attempt,
+                reads,
+                timeout,
+                dropped,
+            } => {
                 let attempt = Attempt {
                     number: *attempt,
                     at,
@@ -171,20 +188,31 @@
                 if let Some(from) = self.drains.remove(engine) {
                     let told = self.told.iter().filter(|((_, e), _)| e == engine);
                     let told = told.map(|((node, _), at)| (*node, *at)).collect();
-                    self.drains_over.push(Drain { engine: *engine, from, until: at, told });
+                    self.drains_over.push(Drain {
+                        engine: *engine,
+                        from,
+                        until: at,
+                        told,
+                    });
                 }
             }
             Observation::EngineEnded { engine } => self.engine_ends.push((*engine, at)),
-            Observation::LinkCut { engine, cut: true } => self.cuts.push((*engine, at, Micros::MAX)),
+            Observation::LinkCut { engine, cut: true } => {
+                self.cuts.push((*engine, at, Micros::MAX))
+            }
             Observation::LinkCut { engine, cut: false } => {
-                let of_engine = |cut: &&mut (usize, Micros, Micros)| cut.0 == *engine && cut.2 == Micros::MAX;
+                let of_engine =
+                    |cut: &&mut (usize, Micros, Micros)| cut.0 == *engine && cut.2 == Micros::MAX;
                 if let Some(cut) = self.cuts.iter_mut().find(of_engine) {
                     cut.2 = at;
                 }
             }
-            Observation::ConnectionsBreak { node, on: true } => self.breaks.push((*node, at, Micros::MAX)),
+            Observation::ConnectionsBreak { node, on: true } => {
+                self.breaks.push((*node, at, Micros::MAX))
+            }
             Observation::ConnectionsBreak { node, on: false } => {
-                let of_node = |span: &&mut (usize, Micros, Micros)| span.0 == *node && span.2 == Micros::MAX;
+                let of_node =
+                    |span: &&mut (usize, Micros, Micros)| span.0 == *node && span.2 == Micros::MAX;
                 if let Some(span) = self.breaks.iter_mut().find(of_node) {
                     span.2 = at;
                 }
@@ -194,35 +222,59 @@
             Observation::NodeEnded { .. } => {}
             Observation::NodeCrashed { node } => {
                 let seen = format!("ended by itself at {at}");
-                self.broken.push(Broken { rule: "crash", of: format!("node {node}"), seen });
+                self.broken.push(Broken {
+                    rule: "crash",
+                    of: format!("node {node}"),
+                    seen,
+                });
             }
         }
     }
 
     /// The request's node was killed before its answer was owed.
     fn killed(&self, node: usize, from: Micros, until: Micros) -> bool {
-        self.killed.iter().any(|(killed, at)| *killed == node && (from..=until).contains(at))
+        self.killed
+            .iter()
+            .any(|(killed, at)| *killed == node && (from..=until).contains(at))
     }
 
     fn lost(&self, request: &Request, end: Micros) -> Found {
         let (sent, node, patience, new_connection) = *request.sent.last()?;
         let by = sent + patience + ANSWER_SLACK + CLOCK_SLACK;
-        let answer = request.answers.last().copied().filter(|(at, ..)| *at >= sent);
+        let answer = request
+            .answers
+            .last()
+            .copied()
+            .filter(|(at, ..)| *at >= sent);
         let ended = answer.map_or(by, |(at, ..)| at.max(sent));
         if request.left.is_some() || by > end || self.killed(node, sent, ended.max(by)) {
             return None;
         }
-        let after_stop = |(stopped, at): &&(usize, Micros)| *stopped == node && sent > at + STOP_TAKES;
-        if self.stops.iter().rev().any(|stop| after_stop(&stop) && sent < stop.1 + patience + STOP_TAKES) {
+        let after_stop =
+            |(stopped, at): &&(usize, Micros)| *stopped == node && sent > at + STOP_TAKES;
+        if self
+            .stops
+            .iter()
+            .rev()
+            .any(|stop| after_stop(&stop) && sent < stop.1 + patience + STOP_TAKES)
+        {
             return None;
         }
         match answer {
             None => Some(("lost", format!("no answer; sent at {sent}, owed by {by}"))),
             // The client's own connection may have been the one that broke.
-            Some((at, 0, _)) if self.breaks.iter().any(|b| b.0 == node && b.1 <= at && sent <= b.2) => None,
-            Some((at, 0, _)) if new_connection => {
-                Some(("lost", format!("closed without an answer at {at}, sent at {sent}")))
+            Some((at, 0, _))
+                if self
+                    .breaks
+                    .iter()
+                    .any(|b| b.0 == node && b.1 <= at && sent <= b.2) =>
+            {
+                None
             }
+            Some((at, 0, _)) if new_connection => Some((
+                "lost",
+                format!("closed without an answer at {at}, sent at {sent}"),
+            )),
             Some((at, status, _)) if at > by && status != 200 => {
                 Some(("lost", format!("answered {status} at {at}, owed by {by}")))
             }
@@ -235,25 +287,50 @@
     fn closed_unanswered(&self, request: &Request) -> Found {
         let closes = request.answers.iter().filter(|(_, status, _)| *status == 0);
         closes.into_iter().find_map(|(at, ..)| {
-            let (sent, node, patience, _) = *request.sent.iter().rev().find(|sent| sent.0 <= *at)?;
-            let came = request.attempts.iter().find(|a| (sent..=*at).contains(&a.at))?;
-            let broke = self.breaks.iter().any(|b| b.0 == node && b.1 <= *at && sent <= b.2);
-            let excused = broke || self.killed(node, sent, at + CLOCK_SLACK) || *at > sent + patience;
-            let text = || format!("sent at {sent}, at an engine at {}, closed at {at}", came.at);
+            let (sent, node, patience, _) =
+                *request.sent.iter().rev().find(|sent| sent.0 <= *at)?;
+            let came = request
+                .attempts
+                .iter()
+                .find(|a| (sent..=*at).contains(&a.at))?;
+            let broke = self
+                .breaks
+                .iter()
+                .any(|b| b.0 == node && b.1 <= *at && sent <= b.2);
+            let excused =
+                broke || self.killed(node, sent, at + CLOCK_SLACK) || *at > sent + patience;
+            let text = || {
+                format!(
+                    "sent at {sent}, at an engine at {}, closed at {at}",
+                    came.at
+                )
+            };
             (!excused).then(|| ("closed_unanswered", text()))
         })
     }
 
     /// A stream that its node cut while its engine wrote.
     fn cut_stream(&self, request: &Request) -> Found {
-        let (at, ..) = *request.answers.iter().find(|(_, status, whole)| *status == 200 && !whole)?;
+        let (at, ..) = *request
+            .answers
+            .iter()
+            .find(|(_, status, whole)| *status == 200 && !whole)?;
         let (sent, node, ..) = *request.sent.iter().rev().find(|sent| sent.0 <= at)?;
-        let write = request.attempts.iter().rev().find(|a| !a.reads && a.at <= at)?;
-        let during =
-            |(engine, when): &(usize, Micros)| *engine == write.engine && (write.at..=at).contains(when);
-        let engine_broke = request.stream_broke || self.engine_ends.iter().chain(&self.resets).any(during);
+        let write = request
+            .attempts
+            .iter()
+            .rev()
+            .find(|a| !a.reads && a.at <= at)?;
+        let during = |(engine, when): &(usize, Micros)| {
+            *engine == write.engine && (write.at..=at).contains(when)
+        };
+        let engine_broke =
+            request.stream_broke || self.engine_ends.iter().chain(&self.resets).any(during);
         let cut = |c: &(usize, Micros, Micros)| c.0 == write.engine && c.1 <= at && c.2 >= write.at;
-        let node_broke = self.breaks.iter().any(|b| b.0 == node && b.1 <= at && sent <= b.2);
+        let node_broke = self
+            .breaks
+            .iter()
+            .any(|b| b.0 == node && b.1 <= at && sent <= b.2);
         let excused = engine_broke
             || node_broke
             || self.cuts.iter().any(cut)
@@ -265,12 +342,18 @@
     fn to_draining(&self, request: &Request, limits: &Limits) -> Found {
         let (_, node, ..) = *request.sent.last()?;
         request.attempts.iter().find_map(|attempt| {
-            let during = |d: &&Drain| d.engine == attempt.engine && (d.from..=d.until).contains(&attempt.at);
+            let during =
+                |d: &&Drain| d.engine == attempt.engine && (d.from..=d.until).contains(&attempt.at);
             let drain = self.drains_over.iter().find(during)?;
             let told = drain.told.get(&node).copied();
             let told = told.unwrap_or(Micros::MAX).min(drain.from + TOLD_WITHIN);
             let late = attempt.at > told + limits.drain_grace + CLOCK_SLACK;
-            let text = || format!("sent to {} at {}, told at {told}", attempt.engine, attempt.at);
+            let text = || {
+                format!(
+                    "sent to {} at {}, told at {told}",
+                    attempt.engine, attempt.at
+                )
+            };
             late.then(|| ("drain", text()))
         })
     }
@@ -286,7 +369,12 @@
             let was_cut = |(engine, from, until): &(usize, Micros, Micros)| {
                 *engine == pair[0].engine && *from <= ended && *until >= pair[0].at
             };
-            let text = || format!("at {} and {}, the first ended at {ended}", pair[0].at, pair[1].at);
+            let text = || {
+                format!(
+                    "at {} and {}, the first ended at {ended}",
+                    pair[0].at, pair[1].at
+                )
+            };
             (both && !self.cuts.iter().any(was_cut)).then(|| ("two_at_once", text()))
         })
     }
@@ -303,7 +391,12 @@
             };
             let over = attempt.timeout > left + TIMEOUT_SLACK + CLOCK_SLACK;
             let excused = self.cuts.iter().any(waited);
-            (over && !excused).then(|| ("timeout_told", format!("told {} with {left} left", attempt.timeout)))
+            (over && !excused).then(|| {
+                (
+                    "timeout_told",
+                    format!("told {} with {left} left", attempt.timeout),
+                )
+            })
         })
     }
 
@@ -314,28 +407,50 @@
         let span = limits.release_within + HELD_SLACK + CLOCK_SLACK;
         let mut attempts: Vec<&Attempt> = request.attempts.iter().collect();
         attempts.sort_by_key(|a| a.at);
-        let engine = attempts.iter().rev().find(|a| a.reads && a.at <= held).map(|a| a.engine);
+        let engine = attempts
+            .iter()
+            .rev()
+            .find(|a| a.reads && a.at <= held)
+            .map(|a| a.engine);
         // Until when an attempt was out, one behind the other.
         let mut out_until = held;
         loop {
-            let beside = attempts.iter().filter(|a| a.at <= out_until).map(|a| a.ended.unwrap_or(end));
+            let beside = attempts
+                .iter()
+                .filter(|a| a.at <= out_until)
+                .map(|a| a.ended.unwrap_or(end));
             let ended = beside.max().unwrap_or(held).max(out_until);
             // An attempt may have come just before the one beside it was seen to end.
             if ended > out_until {
                 out_until = ended;
                 continue;
             }
-            let freed = request.freed.iter().copied().filter(|at| *at >= held).min().unwrap_or(end);
-            let next = attempts.iter().map(|a| a.at).find(|at| *at > out_until).unwrap_or(end);
+            let freed = request
+                .freed
+                .iter()
+                .copied()
+                .filter(|at| *at >= held)
+                .min()
+                .unwrap_or(end);
+            let next = attempts
+                .iter()
+                .map(|a| a.at)
+                .find(|at| *at > out_until)
+                .unwrap_or(end);
             if freed <= out_until + span {
                 return None;
             }
             if next > out_until + span || next == end {
-                let lost =
-                    |(e, at): &(usize, Micros)| Some(*e) == engine && (held..=out_until + span).contains(at);
-                let excused = self.engine_ends.iter().any(lost) || self.killed(node, sent, out_until + span);
-                let text =
-                    || format!("held at {held}, nothing out from {out_until}, freed {freed}, next {next}");
+                let lost = |(e, at): &(usize, Micros)| {
+                    Some(*e) == engine && (held..=out_until + span).contains(at)
+                };
+                let excused =
+                    self.engine_ends.iter().any(lost) || self.killed(node, sent, out_until + span);
+                let text = || {
+                    format!(
+                        "held at {held}, nothing out from {out_until}, freed {freed}, next {next}"
+                    )
+                };
                 return (!excused && out_until + span < end).then(|| ("pinned", text()));
             }
             out_until = next;
@@ -345,22 +460,40 @@
 
 /// An attempt that begins after its client left or had its answer.
 fn after_end(request: &Request) -> Found {
-    let answered = request.answers.iter().filter(|(_, status, _)| *status != 0).map(|a| a.0).min();
+    let answered = request
+        .answers
+        .iter()
+        .filter(|(_, status, _)| *status != 0)
+        .map(|a| a.0)
+        .min();
     let over = [answered, request.left].into_iter().flatten().min()?;
-    let late = request.attempts.iter().find(|a| a.at > over + BEGIN_SLACK + CLOCK_SLACK)?;
-    Some(("after_end", format!("an attempt at {} where all was over at {over}", late.at)))
+    let late = request
+        .attempts
+        .iter()
+        .find(|a| a.at > over + BEGIN_SLACK + CLOCK_SLACK)?;
+    Some((
+        "after_end",
+        format!("an attempt at {} where all was over at {over}", late.at),
+    ))
 }
 
 /// A write that ran twice.
 fn effect_twice(request: &Request, limits: &Limits) -> Found {
-    let ran: Vec<Micros> = request.attempts.iter().filter(|a| !a.reads && !a.dropped).map(|a| a.at).collect();
+    let ran: Vec<Micros> = request
+        .attempts
+        .iter()
+        .filter(|a| !a.reads && !a.dropped)
+        .map(|a| a.at)
+        .collect();
     let twice = match request.effect? {
         Effect::Safe => false,
         Effect::Unsafe => ran.len() > 1,
         Effect::Keyed => {
             let writes = request.attempts.iter().filter(|a| !a.reads);
             let first = ran.first().copied()?;
-            writes.into_iter().any(|a| a.at > first + limits.repeat_window + CLOCK_SLACK)
+            writes
+                .into_iter()
+                .any(|a| a.at > first + limits.repeat_window + CLOCK_SLACK)
         }
     };
     twice.then(|| ("effect_twice", format!("writes arrived at {ran:?}")))
@@ -368,8 +501,16 @@
 
 /// A refusal of something that ran.
 fn false_refusal(request: &Request) -> Found {
-    let refused = request.answers.iter().any(|(_, status, _)| matches!(status, 429 | 503));
+    let refused = request
+        .answers
+        .iter()
+        .any(|(_, status, _)| matches!(status, 429 | 503));
     let ran = request.attempts.iter().any(|a| !a.reads && !a.dropped);
     let promised = refused && ran && request.effect == Some(Effect::Unsafe);
-    promised.then(|| ("false_refusal", "refused, and a write had arrived".to_owned()))
+    promised.then(|| {
+        (
+            "false_refusal",
+            "refused, and a write had arrived".to_owned(),
+        )
+    })
 }
--- a/crates/ivyward-lab/src/soak/plan.rs
+++ b/crates/ivyward-lab/src/soak/plan.rs
@@ -128,9 +128,18 @@
             for _ in 0..random.random_range(2..=3) {
                 let kind = Kind::ALL[random.random_range(0..Kind::ALL.len())];
                 let lasts = random.random_range(LASTS_MS.0..=LASTS_MS.1);
-                let for_ms = if kind == Kind::EngineDrain { lasts.max(DRAIN_MS) } else { lasts };
+                let for_ms = if kind == Kind::EngineDrain {
+                    lasts.max(DRAIN_MS)
+                } else {
+                    lasts
+                };
                 let at_ms = wave + random.random_range(0..=SPREAD_MS);
-                troubles.push(Trouble { at_ms, for_ms, kind, which: random.next_u32() as usize });
+                troubles.push(Trouble {
+                    at_ms,
+                    for_ms,
+                    kind,
+                    which: random.next_u32() as usize,
+                });
             }
             wave += random.random_range(WAVE_MS.0..=WAVE_MS.1);
         }
--- a/crates/ivyward-lab/src/soak/report.rs
+++ b/crates/ivyward-lab/src/soak/report.rs
@@ -32,8 +32,12 @@
     pub fn line(&self) -> String {
         let total: u64 = self.answers.values().sum();
         let served = self.answers.get(&(200, true)).copied().unwrap_or(0);
-        let refused: u64 =
-            self.answers.iter().filter(|((s, _), _)| matches!(s, 429 | 503)).map(|a| a.1).sum();
+        let refused: u64 = self
+            .answers
+            .iter()
+            .filter(|((s, _), _)| matches!(s, 429 | 503))
+            .map(|a| a.1)
+            .sum();
         let mut rules: BTreeMap<&str, u64> = BTreeMap::new();
         for broken in &self.broken {
             *rules.entry(broken.rule).or_default() += 1;
@@ -46,7 +50,11 @@
         );
         if self.is_broken() {
             let folder = self.folder.display();
-            let _ = write!(line, "; BROKEN {rules:?}, guard {}; plan and logs in {folder}", self.violations);
+            let _ = write!(
+                line,
+                "; BROKEN {rules:?}, guard {}; plan and logs in {folder}",
+                self.violations
+            );
             for broken in self.broken.iter().take(4) {
                 let _ = write!(line, "\n    {} {}: {}", broken.rule, broken.of, broken.seen);
             }
@@ -88,8 +96,12 @@
     }
     /// Pairs of different kinds that never met, the lower one first.
     pub fn pairs_never_met(&self) -> Vec<(Kind, Kind)> {
-        let pairs = Kind::ALL.iter().flat_map(|a| Kind::ALL.iter().map(move |b| (*a, *b)));
-        pairs.filter(|(a, b)| a < b && !self.pairs.contains(&(*a, *b))).collect()
+        let pairs = Kind::ALL
+            .iter()
+            .flat_map(|a| Kind::ALL.iter().map(move |b| (*a, *b)));
+        pairs
+            .filter(|(a, b)| a < b && !self.pairs.contains(&(*a, *b)))
+            .collect()
     }
     /// The end of the report.
     pub fn text(&self) -> String {
@@ -99,7 +111,11 @@
             "{} seeds, {} answers; broken: {:?}\ntroubles: {:?}\nfaults of system calls that took place: {:?}\n",
             self.seeds, self.answers, self.broken, self.kinds, self.faults
         );
-        let _ = writeln!(out, "{} of {all} pairs of troubles met; never met: {never:?}", all - never.len());
+        let _ = writeln!(
+            out,
+            "{} of {all} pairs of troubles met; never met: {never:?}",
+            all - never.len()
+        );
         out
     }
 }
--- a/crates/ivyward-lab/src/soak/stage.rs
+++ b/crates/ivyward-lab/src/soak/stage.rs
@@ -78,7 +78,9 @@
             let started = PlatformEngine::start(world, &log, &platform, (index, reads, work));
             let (engine, address) = started.map_err(SoakError::io("an engine"))?;
             let link = Link::default();
-            let near = link.serve(world, address).map_err(SoakError::io("a link"))?;
+            let near = link
+                .serve(world, address)
+                .map_err(SoakError::io("a link"))?;
             entries.push(entry(index, reads, near));
             engines.push(engine);
             links.push(link);
@@ -86,9 +88,17 @@
         let discovery = Discovery::new(entries);
         let (mut agents, mut files) = (Vec::new(), Vec::new());
         for index in 0..nodes {
-            let agent = || discovery.serve(world, &log, index).map_err(SoakError::io("discovery"));
+            let agent = || {
+                discovery
+                    .serve(world, &log, index)
+                    .map_err(SoakError::io("discovery"))
+            };
             agents.push([agent()?, agent()?]);
-            files.push(NodeFiles { daemon: daemon.to_owned(), folder: folder.to_owned(), index });
+            files.push(NodeFiles {
+                daemon: daemon.to_owned(),
+                folder: folder.to_owned(),
+                index,
+            });
         }
         let stage = Arc::new(Stage {
             world: world.clone(),
@@ -120,7 +130,12 @@
     }
 
     fn start_node(&self, node: usize, agent: usize) -> Result<(), SoakError> {
-        let text = configuration(node, self.files.len(), self.agents[node][agent], &self.discovery.text());
+        let text = configuration(
+            node,
+            self.files.len(),
+            self.agents[node][agent],
+            &self.discovery.text(),
+        );
         self.files[node].configure(&text)?;
         let process = NodeProcess::start(&self.files[node], self.seed ^ node as u64)?;
         lock(&self.addresses)[node] = Some(process.address);
@@ -135,7 +150,8 @@
     }
 
     fn keep_counts(&self, process: &NodeProcess) {
-        self.violations.fetch_add(process.violations(), Ordering::SeqCst);
+        self.violations
+            .fetch_add(process.violations(), Ordering::SeqCst);
         let mut hits = lock(&self.hits);
         for (fault, count) in process.hits() {
             *hits.entry(fault).or_default() += count;
@@ -154,7 +170,8 @@
         for (node, process) in nodes.iter_mut().enumerate() {
             if process.as_mut().is_some_and(|p| p.ended().is_some()) {
                 *process = None;
-                self.log.add(self.world.now(), Observation::NodeCrashed { node });
+                self.log
+                    .add(self.world.now(), Observation::NodeCrashed { node });
             }
         }
     }
@@ -173,7 +190,10 @@
             // Ends when the sender is dropped.
             let _ = ended.recv().await;
         }
-        (self.violations.load(Ordering::SeqCst), lock(&self.hits).clone())
+        (
+            self.violations.load(Ordering::SeqCst),
+            lock(&self.hits).clone(),
+        )
     }
 
     /// SIGTERM, and SIGKILL where that is not heeded in time. Clients go on with the connections that they have.
@@ -181,7 +201,8 @@
         let taken = lock(&self.nodes)[node].take();
         let Some(mut process) = taken else { return };
         process.signal(Signal::TERM);
-        self.log.add(self.world.now(), Observation::NodeStops { node });
+        self.log
+            .add(self.world.now(), Observation::NodeStops { node });
         let until = self.world.now() + STOP_LIMIT;
         // The front learns of it late: new connections come for a while.
         self.world.sleep(FRONT_LEARNS).await;
@@ -192,19 +213,26 @@
         let killed = process.ended().is_none();
         self.keep_counts(&process);
         drop(process);
-        self.log.add(self.world.now(), Observation::NodeEnded { node, killed });
+        self.log
+            .add(self.world.now(), Observation::NodeEnded { node, killed });
     }
 
     /// Plays one trouble from its beginning to its end.
     pub(super) async fn trouble(self: Arc<Self>, trouble: Trouble) {
         let span = trouble.for_ms * 1_000;
-        let (node, engine) = (trouble.which % self.files.len(), trouble.which % self.engines.len());
+        let (node, engine) = (
+            trouble.which % self.files.len(),
+            trouble.which % self.engines.len(),
+        );
         match trouble.kind {
             Kind::NodeHeldUp | Kind::NodeRestart | Kind::NodeKilled | Kind::NodeReload => {
                 self.node_trouble(trouble.kind, node, span).await;
             }
             Kind::Interrupted => {
-                let calls = [SystemFault::ReceiveInterrupted, SystemFault::SendInterrupted];
+                let calls = [
+                    SystemFault::ReceiveInterrupted,
+                    SystemFault::SendInterrupted,
+                ];
                 self.calls_fail(node, &calls, OFTEN, span).await;
             }
             Kind::ShortCalls => {
@@ -221,7 +249,10 @@
             }
             Kind::ConnectionsBreak => {
                 let calls = [SystemFault::ReceiveTimedOut, SystemFault::SendUnreachable];
-                let mark = |on| self.log.add(self.world.now(), Observation::ConnectionsBreak { node, on });
+                let mark = |on| {
+                    self.log
+                        .add(self.world.now(), Observation::ConnectionsBreak { node, on })
+                };
                 mark(true);
                 self.calls_fail(node, &calls, SOMETIMES, span).await;
                 mark(false);
@@ -248,9 +279,14 @@
                 self.start_again(node).await;
             }
             Kind::NodeKilled => {
-                let Some(process) = self.take_node(node) else { return };
+                let Some(process) = self.take_node(node) else {
+                    return;
+                };
                 self.keep_counts(&process);
-                self.log.add(self.world.now(), Observation::NodeEnded { node, killed: true });
+                self.log.add(
+                    self.world.now(),
+                    Observation::NodeEnded { node, killed: true },
+                );
                 drop(process);
                 self.world.sleep(span).await;
                 self.start_again(node).await;
@@ -283,7 +319,8 @@
             return;
         }
         if self.start_node(node, 0).is_err() {
-            self.log.add(self.world.now(), Observation::NodeCrashed { node });
+            self.log
+                .add(self.world.now(), Observation::NodeCrashed { node });
         }
     }
 
@@ -322,7 +359,10 @@
         let (engine, link) = (&self.engines[index], &self.links[index]);
         let cut = |cut| {
             link.set_cut(cut);
-            self.log.add(self.world.now(), Observation::LinkCut { engine: index, cut });
+            self.log.add(
+                self.world.now(),
+                Observation::LinkCut { engine: index, cut },
+            );
         };
         match kind {
             Kind::EngineCrash => engine.set(|t| t.down = true),
@@ -332,12 +372,15 @@
             Kind::StreamsBreak => engine.set(|t| t.breaks_percent = BREAKS_PERCENT),
             Kind::LinkCut => cut(true),
             Kind::LinkReset => {
-                self.log.add(self.world.now(), Observation::LinkReset { engine: index });
+                self.log
+                    .add(self.world.now(), Observation::LinkReset { engine: index });
                 link.reset();
             }
             Kind::EngineDrain => {
-                self.log.add(self.world.now(), Observation::Drains { engine: index });
-                self.discovery.change(index, |entry| entry.state = "draining");
+                self.log
+                    .add(self.world.now(), Observation::Drains { engine: index });
+                self.discovery
+                    .change(index, |entry| entry.state = "draining");
             }
             _ => {}
         }
@@ -345,13 +388,15 @@
         match kind {
             Kind::EngineCrash => {
                 let started_ms = self.world.unix_micros() / 1_000;
-                self.discovery.change(index, |entry| entry.started_ms = started_ms);
+                self.discovery
+                    .change(index, |entry| entry.started_ms = started_ms);
                 engine.set(|t| t.down = false);
             }
             Kind::LinkCut => cut(false),
             Kind::EngineDrain => {
                 self.discovery.change(index, |entry| entry.state = "up");
-                self.log.add(self.world.now(), Observation::DrainOver { engine: index });
+                self.log
+                    .add(self.world.now(), Observation::DrainOver { engine: index });
             }
             Kind::EngineHang => engine.set(|t| t.hangs = false),
             Kind::EngineTurnsAway => engine.set(|t| t.turns_away = false),
@@ -376,8 +421,11 @@
 }
 
 /// What is held is let go of within this span, a drain has this grace, and repeats are dropped for this window.
-pub(super) const LIMITS: super::oracle::Limits =
-    super::oracle::Limits { release_within: 300_000, drain_grace: 1_000_000, repeat_window: 1_500_000 };
+pub(super) const LIMITS: super::oracle::Limits = super::oracle::Limits {
+    release_within: 300_000,
+    drain_grace: 1_000_000,
+    repeat_window: 1_500_000,
+};
 
 fn configuration(node: usize, nodes: usize, discovery: SocketAddr, known: &str) -> String {
     let class = |name: &str, semantics: &str| {
@@ -387,7 +435,12 @@
             LIMITS.repeat_window
         )
     };
-    let classes = [class("draft", "retryable"), class("once", "dedup"), class("send", "fragile")].join(",");
+    let classes = [
+        class("draft", "retryable"),
+        class("once", "dedup"),
+        class("send", "fragile"),
+    ]
+    .join(",");
     format!(
         r#"{{"name":"n{node}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{node:x}",
         "limits":{{"memory_mb":64,"sockets":512}},"known":{known},
--- a/crates/ivyward-lab/tests/alone.rs
+++ b/crates/ivyward-lab/tests/alone.rs
@@ -19,9 +19,20 @@
 use std::sync::Arc;
 
 async fn served(client: &Client, request: GenerateRequest) -> u32 {
-    let habit = Habit { patience: 2_000_000, ..Habit::default() };
+    let habit = Habit {
+        patience: 2_000_000,
+        ..Habit::default()
+    };
     let operation = request.call_id;
-    let end = client.ask(&Ask { request, operation, effect: Effect::Safe, node: 0, habit }).await;
+    let end = client
+        .ask(&Ask {
+            request,
+            operation,
+            effect: Effect::Safe,
+            node: 0,
+            habit,
+        })
+        .await;
     assert_eq!(end.how, Heard::Served, "{end:?}");
     end.tokens
 }
@@ -105,7 +116,10 @@
     let played = stage.sim.run(&stage.script, HOUR, async move {
         node.fleet(ListKind::Full, listed).await;
         for call in 1..=5 {
-            let ask = GenerateRequest { max_output_tokens: 1_000, ..request(call, &prompt(1, 40), 1) };
+            let ask = GenerateRequest {
+                max_output_tokens: 1_000,
+                ..request(call, &prompt(1, 40), 1)
+            };
             let mut answer = node.generate(ask, None);
             assert!(matches!(answer.next().await, Part::Tokens(_)));
             drop(answer);
@@ -131,9 +145,14 @@
     }
     let (node, address, _) = stage.node(7);
     let (world, log) = (stage.world.clone(), stage.log.clone());
-    let follow = Follow { endpoints: vec![store.address()], ..Follow::default() };
+    let follow = Follow {
+        endpoints: vec![store.address()],
+        ..Follow::default()
+    };
     let following = node.clone();
-    stage.world.run(async move { following.follow(follow).await });
+    stage
+        .world
+        .run(async move { following.follow(follow).await });
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let until = |what: fn(&Node) -> bool| {
             let (node, world) = (node.clone(), world.clone());
@@ -151,8 +170,18 @@
         let mut call = 0;
         while world.now() < end {
             call += 1;
-            served(&client, request(call, &prompt(call as u32, 60), call as u32)).await;
-            assert_eq!((node.metrics().engines.get(), node.metrics().list_stale.get()), (5, 1));
+            served(
+                &client,
+                request(call, &prompt(call as u32, 60), call as u32),
+            )
+            .await;
+            assert_eq!(
+                (
+                    node.metrics().engines.get(),
+                    node.metrics().list_stale.get()
+                ),
+                (5, 1)
+            );
             world.sleep(500_000).await;
         }
         assert!(call > 80, "{call} requests in the minute");
--- a/crates/ivyward-lab/tests/auditor.rs
+++ b/crates/ivyward-lab/tests/auditor.rs
@@ -41,13 +41,30 @@
     let world: WorldRef = scene.world.clone();
     let address = scene.engine(engine).address();
     let conn = world.connect(address).await.unwrap();
-    Channel::begin(&world, conn, Options::default()).await.unwrap()
+    Channel::begin(&world, conn, Options::default())
+        .await
+        .unwrap()
 }
 
-fn header(scene: &Scene, engine: usize, request: u64, attempt: u32, call: u64) -> Option<pb::Header> {
-    let key = Some(pb::AttemptKey { node: NODE, request, attempt });
+fn header(
+    scene: &Scene,
+    engine: usize,
+    request: u64,
+    attempt: u32,
+    call: u64,
+) -> Option<pb::Header> {
+    let key = Some(pb::AttemptKey {
+        node: NODE,
+        request,
+        attempt,
+    });
     let engine = scene.engine(engine).spec().id;
-    Some(pb::Header { key, engine, call_id: call, ..pb::Header::default() })
+    Some(pb::Header {
+        key,
+        engine,
+        call_id: call,
+        ..pb::Header::default()
+    })
 }
 
 async fn write(scene: &Scene, engine: usize, request: u64, attempt: u32, call: u64) -> Call {
@@ -58,7 +75,14 @@
         ..pb::WriteRequest::default()
     };
     let channel = dial(scene, engine).await;
-    channel.call("/ivyward.engine.v1.Engine/Write", encode(&ask), http::HeaderMap::new()).await.unwrap()
+    channel
+        .call(
+            "/ivyward.engine.v1.Engine/Write",
+            encode(&ask),
+            http::HeaderMap::new(),
+        )
+        .await
+        .unwrap()
 }
 
 async fn read(scene: &Scene, engine: usize, request: u64, attempt: u32) -> Call {
@@ -68,7 +92,14 @@
         ..pb::ReadRequest::default()
     };
     let channel = dial(scene, engine).await;
-    channel.call("/ivyward.engine.v1.Engine/Read", encode(&ask), http::HeaderMap::new()).await.unwrap()
+    channel
+        .call(
+            "/ivyward.engine.v1.Engine/Read",
+            encode(&ask),
+            http::HeaderMap::new(),
+        )
+        .await
+        .unwrap()
 }
 
 async fn to_end<M: prost::Message + Default>(mut call: Call) {
@@ -77,7 +108,13 @@
 
 fn called(scene: &Scene, call: u64, effect: Effect) {
     let until = scene.log.now() + 1_000_000;
-    scene.log.add(Sight::Called { call, operation: call, node: 0, effect, until });
+    scene.log.add(Sight::Called {
+        call,
+        operation: call,
+        node: 0,
+        effect,
+        until,
+    });
 }
 
 fn heard(scene: &Scene, call: u64, how: Heard) {
@@ -86,9 +123,11 @@
 
 #[test]
 fn rule_1_a_request_without_an_answer_and_one_sent_after_its_end() {
-    for (how, late, rule) in
-        [(Heard::Served, false, None), (Heard::GaveUp, false, Some(0)), (Heard::Refused, true, Some(0))]
-    {
+    for (how, late, rule) in [
+        (Heard::Served, false, None),
+        (Heard::GaveUp, false, Some(0)),
+        (Heard::Refused, true, Some(0)),
+    ] {
         let scene = engines(pools(0, 1));
         block_on(async {
             called(&scene, 1, Effect::Safe);
@@ -121,12 +160,17 @@
         block_on(async {
             called(&scene, 1, effect);
             for attempt in 0..runs {
-                to_end::<pb::WriteEvent>(write(&scene, attempt as usize, 1, attempt, 1).await).await;
+                to_end::<pb::WriteEvent>(write(&scene, attempt as usize, 1, attempt, 1).await)
+                    .await;
             }
             scene.settle(1_000_000).await;
             heard(&scene, 1, how);
         });
-        assert_eq!(broken(&scene), rule.map_or([false; 7], only), "{effect:?} run {runs} times, {how:?}");
+        assert_eq!(
+            broken(&scene),
+            rule.map_or([false; 7], only),
+            "{effect:?} run {runs} times, {how:?}"
+        );
     }
 }
 
@@ -136,11 +180,19 @@
         let scene = engines(pools(0, 1));
         block_on(async {
             let engine = scene.engine(0).spec().id;
-            scene.log.add(Sight::Told { node: NODE, engine, ready: false });
+            scene.log.add(Sight::Told {
+                node: NODE,
+                engine,
+                ready: false,
+            });
             scene.world.sleep(wait).await;
             to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
         });
-        assert_eq!(broken(&scene), rule.map_or([false; 7], only), "after {wait} us");
+        assert_eq!(
+            broken(&scene),
+            rule.map_or([false; 7], only),
+            "after {wait} us"
+        );
     }
 }
 
@@ -168,7 +220,11 @@
                 }
             }
         });
-        assert_eq!(broken(&scene), rule.map_or([false; 7], only), "{calls} calls");
+        assert_eq!(
+            broken(&scene),
+            rule.map_or([false; 7], only),
+            "{calls} calls"
+        );
         assert_eq!(scene.engine(0).up(), rule.is_none());
     }
 }
@@ -182,15 +238,27 @@
         block_on(async {
             to_end::<pb::ReadReply>(read(&scene, 0, 1, 0).await).await;
             if release {
-                let key = Some(pb::AttemptKey { node: NODE, request: 1, attempt: 0 });
+                let key = Some(pb::AttemptKey {
+                    node: NODE,
+                    request: 1,
+                    attempt: 0,
+                });
                 let ask = encode(&pb::ReleaseRequest { key, engine: 1 });
                 let path = "/ivyward.engine.v1.Engine/Release";
-                let call = dial(&scene, 0).await.call(path, ask, http::HeaderMap::new()).await.unwrap();
+                let call = dial(&scene, 0)
+                    .await
+                    .call(path, ask, http::HeaderMap::new())
+                    .await
+                    .unwrap();
                 to_end::<pb::ReleaseReply>(call).await;
             }
             seen(&scene, |s| matches!(s, Sight::LetGo { .. })).await;
         });
-        assert_eq!(broken(&scene), rule.map_or([false; 7], only), "released: {release}");
+        assert_eq!(
+            broken(&scene),
+            rule.map_or([false; 7], only),
+            "released: {release}"
+        );
     }
 }
 
@@ -217,9 +285,17 @@
                 let _ = wait.recv().await;
             };
             run.await;
-            seen(&scene, |s| matches!(s, Sight::Ended { key, .. } if key.attempt == 0)).await;
+            seen(
+                &scene,
+                |s| matches!(s, Sight::Ended { key, .. } if key.attempt == 0),
+            )
+            .await;
         });
-        assert_eq!(broken(&scene), rule.map_or([false; 7], only), "beside: {beside}");
+        assert_eq!(
+            broken(&scene),
+            rule.map_or([false; 7], only),
+            "beside: {beside}"
+        );
     }
 }
 
@@ -236,7 +312,11 @@
     assert_eq!(broken(2_000_000), (1, 0), "its client's time is over");
     // An attempt beside one that has not ended.
     for attempt in 0..2 {
-        let key = Key { node: NODE, request: 1, attempt };
+        let key = Key {
+            node: NODE,
+            request: 1,
+            attempt,
+        };
         scene.log.add(Sight::Arrived {
             engine: u64::from(attempt) + 1,
             key,
@@ -263,10 +343,17 @@
             };
             let path = "/ivyward.engine.v1.Engine/Write";
             let deadline = scene.world.now() + 1_000_000 + more;
-            let call = dial(&scene, 0).await.call_before(path, encode(&ask), Some(deadline)).await;
+            let call = dial(&scene, 0)
+                .await
+                .call_before(path, encode(&ask), Some(deadline))
+                .await;
             to_end::<pb::WriteEvent>(call.unwrap()).await;
             heard(&scene, 1, Heard::Served);
         });
-        assert_eq!(broken(&scene), broken_rule.map_or([false; 7], only), "{more} us past its end");
+        assert_eq!(
+            broken(&scene),
+            broken_rule.map_or([false; 7], only),
+            "{more} us past its end"
+        );
     }
 }
--- a/crates/ivyward-lab/tests/byhand.rs
+++ b/crates/ivyward-lab/tests/byhand.rs
@@ -6,7 +6,12 @@
 
 fn lab(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-lab"));
-    command.env_clear().args(args).stdout(Stdio::piped()).stderr(Stdio::piped()).stdin(Stdio::piped());
+    command
+        .env_clear()
+        .args(args)
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .stdin(Stdio::piped());
     command
 }
 
@@ -51,7 +56,9 @@
     ] {
         assert_eq!(order(line).unwrap(), said, "{line}");
     }
-    for line in ["", "dance", "slow", "slow x", "slow -1", "slow NaN", "ill 1.5", "drain 3", "slow 2 3"] {
+    for line in [
+        "", "dance", "slow", "slow x", "slow -1", "slow NaN", "ill 1.5", "drain 3", "slow 2 3",
+    ] {
         let error = order(line).unwrap_err().to_string();
         assert!(error.contains("one of: drain"), "{line:?}: {error}");
     }
@@ -63,27 +70,54 @@
     let mut fleet = Running::start(&["fleet", "--racks=1"]);
     let flags: Vec<String> = (0..4).map(|_| fleet.line()).collect();
     for (flag, role) in flags.iter().zip(["prefill", "mixed", "decode", "decode"]) {
-        assert!(flag.starts_with("--server=id=") && flag.contains(&format!("role={role}")), "{flag}");
+        assert!(
+            flag.starts_with("--server=id=") && flag.contains(&format!("role={role}")),
+            "{flag}"
+        );
         assert!(!flag.contains(":0,"), "{flag}");
     }
-    assert_eq!(fleet.tell("1 show"), "engine 1 is up and keeps 0 states and places");
-    assert_eq!(fleet.tell("2 die"), "engine 2 is down and keeps 0 states and places");
-    assert_eq!(fleet.tell("2 up"), "engine 2 is up and keeps 0 states and places");
+    assert_eq!(
+        fleet.tell("1 show"),
+        "engine 1 is up and keeps 0 states and places"
+    );
+    assert_eq!(
+        fleet.tell("2 die"),
+        "engine 2 is down and keeps 0 states and places"
+    );
+    assert_eq!(
+        fleet.tell("2 up"),
+        "engine 2 is up and keeps 0 states and places"
+    );
     // A bad line changes nothing, and is answered on standard error.
     writeln!(fleet.0.stdin.as_mut().unwrap(), "9 die").unwrap();
     let mut error = String::new();
-    BufReader::new(fleet.0.stderr.take().unwrap()).read_line(&mut error).unwrap();
+    BufReader::new(fleet.0.stderr.take().unwrap())
+        .read_line(&mut error)
+        .unwrap();
     assert!(error.contains("there is no engine 9"), "{error}");
-    assert_eq!(fleet.tell("3 slow 2"), "engine 3 is up and keeps 0 states and places");
+    assert_eq!(
+        fleet.tell("3 slow 2"),
+        "engine 3 is up and keeps 0 states and places"
+    );
 }
 
 /// An engine registers itself in a fleet's store, a node follows it, and one request is told to its end in words.
 #[test]
 fn store_engine_and_one_request() {
     let mut store = Running::start(&["fleet", "--racks=1", "--store=127.0.0.1:0"]);
-    let endpoint = store.line().strip_prefix("--etcd-endpoint=").unwrap().to_owned();
+    let endpoint = store
+        .line()
+        .strip_prefix("--etcd-endpoint=")
+        .unwrap()
+        .to_owned();
     let register = format!("--register-in={endpoint}");
-    let _engine = Running::start(&["engine", "--id=77", "--role=mixed", "--token-gap-ms=1", &register]);
+    let _engine = Running::start(&[
+        "engine",
+        "--id=77",
+        "--role=mixed",
+        "--token-gap-ms=1",
+        &register,
+    ]);
     let world = ivyward_world::SmolWorld::start(1, 1);
     let as_ref: ivyward_world::WorldRef = world.clone();
     let node = ivyward::Node::start(as_ref.clone(), ivyward_lab::scene::settings(), None).unwrap();
@@ -102,15 +136,28 @@
             ivyward_world::WorldExt::sleep(&*as_ref, 5_000).await;
         }
     });
-    let output = lab(&["ask", &door, "--tokens=5", "--class=list-review"]).output().unwrap();
+    let output = lab(&["ask", &door, "--tokens=5", "--class=list-review"])
+        .output()
+        .unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{output:?}");
     let lines: Vec<&str> = text.lines().collect();
-    assert!(lines[0].split_whitespace().all(|t| t.parse::<u32>().is_ok()), "{text}");
+    assert!(
+        lines[0]
+            .split_whitespace()
+            .all(|t| t.parse::<u32>().is_ok()),
+        "{text}"
+    );
     assert!(lines[1].starts_with("served: "), "{text}");
     let bad = lab(&["ask", &door, "--class=no-such"]).output().unwrap();
     let text = String::from_utf8_lossy(&bad.stdout).into_owned();
-    assert!(!bad.status.success() && text.starts_with("failed after") && text.contains("no-such"), "{text}");
+    assert!(
+        !bad.status.success() && text.starts_with("failed after") && text.contains("no-such"),
+        "{text}"
+    );
     let nobody = lab(&["ask", "127.0.0.1:1"]).output().unwrap();
-    assert!(String::from_utf8_lossy(&nobody.stderr).contains("cannot connect"), "{nobody:?}");
+    assert!(
+        String::from_utf8_lossy(&nobody.stderr).contains("cannot connect"),
+        "{nobody:?}"
+    );
 }
--- a/crates/ivyward-lab/tests/capacity.rs
+++ b/crates/ivyward-lab/tests/capacity.rs
@@ -20,9 +20,15 @@
     let (kept, target) = (kept(), Target::default());
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
     let table = markdown(&rows(&kept, &target).unwrap());
-    assert!(page.contains(&table), "docs/CAPACITY.md lacks what `ivyward-lab capacity` prints:\n{table}");
+    assert!(
+        page.contains(&table),
+        "docs/CAPACITY.md lacks what `ivyward-lab capacity` prints:\n{table}"
+    );
     let drawn = chart::svg(&kept, &target).unwrap();
-    assert_eq!(std::fs::read_to_string(docs().join("capacity/cost.svg")).unwrap(), drawn);
+    assert_eq!(
+        std::fs::read_to_string(docs().join("capacity/cost.svg")).unwrap(),
+        drawn
+    );
 }
 
 #[test]
@@ -30,19 +36,40 @@
     let kept = kept();
     let at = |target: Target, role: &str, what: &str| {
         let rows = rows(&kept, &target).unwrap();
-        rows.iter().find(|row| row.role == role && row.what == what).unwrap().value
+        rows.iter()
+            .find(|row| row.role == role && row.what == what)
+            .unwrap()
+            .value
+    };
+    let half = Target {
+        engines: 550.0,
+        ..Target::default()
     };
-    let half = Target { engines: 550.0, ..Target::default() };
     for what in ["memory", "descriptors"] {
-        let (small, large) = (at(half, "node, control", what), at(Target::default(), "node, control", what));
-        assert!(small < large, "{what}: {small} at 550 engines, {large} at 1,100");
+        let (small, large) = (
+            at(half, "node, control", what),
+            at(Target::default(), "node, control", what),
+        );
+        assert!(
+            small < large,
+            "{what}: {small} at 550 engines, {large} at 1,100"
+        );
     }
     // Within the budget of checks these do not grow with connections.
     for what in ["processor", "bytes with headers"] {
-        let (small, large) = (at(half, "node, control", what), at(Target::default(), "node, control", what));
-        assert!(small <= large, "{what}: {small} at 550 engines, {large} at 1,100");
+        let (small, large) = (
+            at(half, "node, control", what),
+            at(Target::default(), "node, control", what),
+        );
+        assert!(
+            small <= large,
+            "{what}: {small} at 550 engines, {large} at 1,100"
+        );
     }
-    let crowded = Target { rate: 7_200.0, ..Target::default() };
+    let crowded = Target {
+        rate: 7_200.0,
+        ..Target::default()
+    };
     let processor = |target| at(target, "node, requests", "processor");
     assert!((processor(crowded) / processor(Target::default()) - 2.0).abs() < 1e-6);
 }
@@ -50,8 +77,11 @@
 #[test]
 fn what_has_no_mechanism_is_said_to_have_none() {
     let rows = rows(&kept(), &Target::default()).unwrap();
-    let missing: Vec<&str> =
-        rows.iter().filter(|row| row.basis == Basis::Missing).map(|row| row.what).collect();
+    let missing: Vec<&str> = rows
+        .iter()
+        .filter(|row| row.basis == Basis::Missing)
+        .map(|row| row.what)
+        .collect();
     assert_eq!(missing.len(), 1);
     assert!(missing[0].starts_with("other settings in force"));
 }
@@ -59,9 +89,27 @@
 #[test]
 fn sizes_and_files_that_cannot_be_are_refused_by_name() {
     for (target, text) in [
-        (Target { nodes: 0.0, ..Target::default() }, "--nodes 0:"),
-        (Target { rate: f64::NAN, ..Target::default() }, "--rate NaN:"),
-        (Target { engines: 1e12, ..Target::default() }, "--engines 1000000000000:"),
+        (
+            Target {
+                nodes: 0.0,
+                ..Target::default()
+            },
+            "--nodes 0:",
+        ),
+        (
+            Target {
+                rate: f64::NAN,
+                ..Target::default()
+            },
+            "--rate NaN:",
+        ),
+        (
+            Target {
+                engines: 1e12,
+                ..Target::default()
+            },
+            "--engines 1000000000000:",
+        ),
     ] {
         let error = rows(&kept(), &target).unwrap_err();
         assert!(error.to_string().starts_with(text), "{error}");
--- a/crates/ivyward-lab/tests/cold.rs
+++ b/crates/ivyward-lab/tests/cold.rs
@@ -36,14 +36,26 @@
     let (world, host): (_, Arc<dyn Host>) = (script.world(), hosts);
     let log = Log::new(&world);
     // Little more than its capacity pushes a cold engine over, and what a node gives a warm one would.
-    let rules = Settings { fall_multiple: 1.2, nodes: 2, ..settings().rules };
+    let rules = Settings {
+        fall_multiple: 1.2,
+        nodes: 2,
+        ..settings().rules
+    };
     let spec = |id| {
         let role = if id <= 2 { Role::Reader } else { Role::Writer };
         let falls = (rules.fall_multiple, rules.fall_window);
-        Spec { cold: (0.3, 4 * SECOND), falls, capacity: 40.0, ..Spec::small(id, role) }
+        Spec {
+            cold: (0.3, 4 * SECOND),
+            falls,
+            capacity: 40.0,
+            ..Spec::small(id, role)
+        }
     };
     let specs: Vec<Spec> = (1..=2 + WARM + COLD.len() as u64).map(spec).collect();
-    let engines: Vec<Engine> = specs.iter().map(|s| Engine::start(&host, &log, s.clone()).unwrap()).collect();
+    let engines: Vec<Engine> = specs
+        .iter()
+        .map(|s| Engine::start(&host, &log, s.clone()).unwrap())
+        .collect();
     let engines = Arc::new(Mutex::new(engines));
     let store = Store::start(&host, 1).unwrap();
     let address = store.address();
@@ -54,12 +66,21 @@
     for seed in 1..=2 {
         let own = sim.host(seed);
         let its_world = own.world();
-        let settings = NodeSettings { seed, rules: rules.clone(), ..settings() };
+        let settings = NodeSettings {
+            seed,
+            rules: rules.clone(),
+            ..settings()
+        };
         let node = Node::start(its_world.clone(), settings, None).unwrap();
-        let listener = its_world.listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let listener = its_world
+            .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .unwrap();
         let (serving, following, door) = (node.clone(), node.clone(), listener.address());
         its_world.run(async move { serving.serve(listener).await });
-        let follow = Follow { endpoints: vec![address], ..Follow::default() };
+        let follow = Follow {
+            endpoints: vec![address],
+            ..Follow::default()
+        };
         its_world.run(async move { following.follow(follow).await });
         nodes.push((node, door));
     }
@@ -93,8 +114,17 @@
                 call_id: call,
                 ..GenerateRequest::default()
             };
-            let habit = Habit { patience: 2_500_000, ..Habit::default() };
-            let ask = Ask { request, operation: call, effect: Effect::Safe, node: words as usize % 2, habit };
+            let habit = Habit {
+                patience: 2_500_000,
+                ..Habit::default()
+            };
+            let ask = Ask {
+                request,
+                operation: call,
+                effect: Effect::Safe,
+                node: words as usize % 2,
+                habit,
+            };
             clock.run(async move { drop(client.ask(&ask).await) });
         }
         assert!(known(2 + WARM + COLD.len() as u64));
--- a/crates/ivyward-lab/tests/common/mod.rs
+++ b/crates/ivyward-lab/tests/common/mod.rs
@@ -20,7 +20,10 @@
 pub fn pools(readers: u64, writers: u64) -> Vec<Spec> {
     let reader = |i| Spec::small(i, Role::Reader);
     let writer = |i| Spec::small(i, Role::Writer);
-    (1..=readers).map(reader).chain((readers + 1..=readers + writers).map(writer)).collect()
+    (1..=readers)
+        .map(reader)
+        .chain((readers + 1..=readers + writers).map(writer))
+        .collect()
 }
 
 pub fn build(make: Make) -> Arc<Scene> {
@@ -62,7 +65,10 @@
     let leave = async {
         seen(scene, what).await;
     };
-    let end = scene.send_until(ask, leave).await.expect("the node is there");
+    let end = scene
+        .send_until(ask, leave)
+        .await
+        .expect("the node is there");
     assert_eq!(end.how, Heard::Left, "{end:?}");
 }
 
@@ -81,7 +87,10 @@
 /// Everything ends, nothing is kept, and all rules held.
 pub async fn clean(scene: &Scene) {
     scene.settle(10_000_000).await;
-    let open: usize = (0..scene.nodes()).filter_map(|n| scene.node(n)).map(|n| n.open()).sum();
+    let open: usize = (0..scene.nodes())
+        .filter_map(|n| scene.node(n))
+        .map(|n| n.open())
+        .sum();
     let kept: usize = (0..scene.engines()).map(|e| scene.engine(e).kept()).sum();
     assert_eq!((open, kept), (0, 0), "requests in hand, states kept");
     let audit = scene.audit();
--- a/crates/ivyward-lab/tests/contract.rs
+++ b/crates/ivyward-lab/tests/contract.rs
@@ -17,21 +17,45 @@
     let played = stage.sim.run(&stage.script, HOUR, async move {
         node.fleet(ListKind::Full, listed).await;
         let conn = world.connect(address).await.unwrap();
-        let channel = Channel::begin(&world, conn, Options::default()).await.unwrap();
+        let channel = Channel::begin(&world, conn, Options::default())
+            .await
+            .unwrap();
         let method = "/ivyward.front.v1.Front/Generate";
-        let large = GenerateRequest { prompt: vec![u32::MAX; 2 << 20], ..GenerateRequest::default() };
+        let large = GenerateRequest {
+            prompt: vec![u32::MAX; 2 << 20],
+            ..GenerateRequest::default()
+        };
         let garbage = bytes::Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]);
         let mut ends = Vec::new();
         for (path, body) in [
-            ("/ivyward.front.v1.Front/NoSuch", encode(&GenerateRequest::default())),
+            (
+                "/ivyward.front.v1.Front/NoSuch",
+                encode(&GenerateRequest::default()),
+            ),
             (method, garbage),
             (method, encode(&large)),
         ] {
-            let mut call = channel.call(path, body, http::HeaderMap::new()).await.unwrap();
-            let Err(error) = call.next::<Tokens>().await else { panic!("{path} was answered") };
-            let Cause::Status(status) = error.cause else { panic!("{path}: {error}") };
-            let text = |name: &str| status.metadata.get(name).map(|v| v.to_str().unwrap().to_owned());
-            ends.push((status.code, text("ivyward-outcome"), text("grpc-retry-pushback-ms")));
+            let mut call = channel
+                .call(path, body, http::HeaderMap::new())
+                .await
+                .unwrap();
+            let Err(error) = call.next::<Tokens>().await else {
+                panic!("{path} was answered")
+            };
+            let Cause::Status(status) = error.cause else {
+                panic!("{path}: {error}")
+            };
+            let text = |name: &str| {
+                status
+                    .metadata
+                    .get(name)
+                    .map(|v| v.to_str().unwrap().to_owned())
+            };
+            ends.push((
+                status.code,
+                text("ivyward-outcome"),
+                text("grpc-retry-pushback-ms"),
+            ));
         }
         (ends, node.open())
     });
@@ -40,6 +64,10 @@
     assert_eq!(ends.len(), 3);
     for (code, outcome, pushback) in ends {
         assert_ne!(code, 0);
-        assert_eq!((outcome.as_deref(), pushback.as_deref()), (Some("failed"), Some("-1")), "code {code}");
+        assert_eq!(
+            (outcome.as_deref(), pushback.as_deref()),
+            (Some("failed"), Some("-1")),
+            "code {code}"
+        );
     }
 }
--- a/crates/ivyward-lab/tests/drains.rs
+++ b/crates/ivyward-lab/tests/drains.rs
@@ -31,7 +31,9 @@
 }
 
 fn rig_of(silence: u64, empty_grace: u64) -> Rig {
-    rig_from(41, 2, 1, |f| (f.silence, f.empty_grace) = (silence, empty_grace))
+    rig_from(41, 2, 1, |f| {
+        (f.silence, f.empty_grace) = (silence, empty_grace)
+    })
 }
 
 /// Nodes that follow a store with so many doors.
@@ -40,12 +42,18 @@
     let mut store = Store::start(&host, 1).unwrap();
     store.open_doors(doors).unwrap();
     let mut make = Make::new(seed, pools(4, 8));
-    let mut follow =
-        Follow { endpoints: store.doors().to_vec(), pauses: (5_000, 100_000), ..Follow::default() };
+    let mut follow = Follow {
+        endpoints: store.doors().to_vec(),
+        pauses: (5_000, 100_000),
+        ..Follow::default()
+    };
     change(&mut follow);
     (make.nodes, make.follow) = (nodes, Some(follow));
     quiet_about_time(&mut make);
-    Rig { scene: build(make), store }
+    Rig {
+        scene: build(make),
+        store,
+    }
 }
 
 impl Rig {
@@ -54,7 +62,8 @@
         self.store.put(&key, &record);
     }
     fn delete(&self, engine: usize) {
-        self.store.delete(&self.scene.registration(engine, State::Ready, 0).0);
+        self.store
+            .delete(&self.scene.registration(engine, State::Ready, 0).0);
     }
     fn put_all(&self) {
         (0..self.scene.engines()).for_each(|e| self.put(e, State::Ready));
@@ -64,7 +73,11 @@
         let id = self.scene.engine(engine).spec().id;
         for node in 0..self.scene.nodes() {
             let node = self.scene.node(node).unwrap().incarnation();
-            self.scene.log.add(Sight::Told { node, engine: id, ready });
+            self.scene.log.add(Sight::Told {
+                node,
+                engine: id,
+                ready,
+            });
         }
     }
     /// An engine's record says that it drains, and all nodes heard it.
@@ -74,7 +87,9 @@
         self.told(engine, false);
     }
     fn engines_known(&self) -> Vec<u64> {
-        (0..self.scene.nodes()).map(|n| self.scene.node(n).unwrap().metrics().engines.get()).collect()
+        (0..self.scene.nodes())
+            .map(|n| self.scene.node(n).unwrap().metrics().engines.get())
+            .collect()
     }
     async fn until(&self, what: impl Fn(&Rig) -> bool) {
         for _ in 0..10_000 {
@@ -84,15 +99,20 @@
             self.scene.world.sleep(1_000).await;
         }
         let m = self.scene.node(0).unwrap().metrics().text(0);
-        panic!("it did not come about within ten seconds: {:?} {m}", self.engines_known());
+        panic!(
+            "it did not come about within ten seconds: {:?} {m}",
+            self.engines_known()
+        );
     }
     /// All nodes heard all that the store holds.
     async fn heard_all(&self) {
         let heard = |n: usize| self.scene.node(n).unwrap().metrics().list_revision.get() as i64;
-        self.until(|rig| (0..rig.scene.nodes()).all(|n| heard(n) >= rig.store.revision())).await;
+        self.until(|rig| (0..rig.scene.nodes()).all(|n| heard(n) >= rig.store.revision()))
+            .await;
     }
     async fn all_known(&self, count: u64) {
-        self.until(|rig| rig.engines_known().iter().all(|n| *n == count)).await;
+        self.until(|rig| rig.engines_known().iter().all(|n| *n == count))
+            .await;
     }
     /// Eight clients that ask again as soon as they are answered, until the sender is dropped: as much as the machine
     /// does, and never more in hand, however busy it is.
@@ -116,7 +136,11 @@
     }
     async fn served(&self, i: u32) {
         for node in 0..2 {
-            let end = self.scene.send(&self.scene.ask(node, QUICK, prompt(i, 40), 4)).await.unwrap();
+            let end = self
+                .scene
+                .send(&self.scene.ask(node, QUICK, prompt(i, 40), 4))
+                .await
+                .unwrap();
             assert_eq!(end.how, Heard::Served, "{end:?}");
         }
     }
@@ -203,11 +227,13 @@
         rig.all_known(12).await;
         rig.drained(4).await;
         rig.store.die();
-        rig.until(|rig| rig.scene.node(0).unwrap().metrics().list_stale.get() == 1).await;
+        rig.until(|rig| rig.scene.node(0).unwrap().metrics().list_stale.get() == 1)
+            .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         rig.served(1).await;
         rig.store.come_up().unwrap();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0)).await;
+        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
+            .await;
         rig.served(2).await;
         rig.told(4, true);
         rig.put(4, State::Ready);
@@ -226,7 +252,8 @@
     block_on(async {
         rig.all_known(12).await;
         rig.store.forget();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_gaps.get() >= 1)).await;
+        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_gaps.get() >= 1))
+            .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         rig.served(1).await;
         (0..6).for_each(|e| rig.put(e, State::Ready));
@@ -235,7 +262,11 @@
         // Empty for good: believed in the end, and refused honestly.
         rig.store.forget();
         rig.all_known(0).await;
-        let end = rig.scene.send(&rig.scene.ask(0, QUICK, prompt(3, 40), 4)).await.unwrap();
+        let end = rig
+            .scene
+            .send(&rig.scene.ask(0, QUICK, prompt(3, 40), 4))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Refused, "{end:?}");
         clean(&rig.scene).await;
     });
@@ -250,8 +281,12 @@
         rig.all_known(12).await;
         rig.store.put("ivyward/engines/4", "{");
         rig.store.put("ivyward/engines/x", "{}");
-        rig.store.put("ivyward/engines/77", &rig.scene.registration(4, State::Ready, 0).1);
-        rig.until(|rig| rig.scene.node(0).unwrap().metrics().records_unread.get() == 3).await;
+        rig.store.put(
+            "ivyward/engines/77",
+            &rig.scene.registration(4, State::Ready, 0).1,
+        );
+        rig.until(|rig| rig.scene.node(0).unwrap().metrics().records_unread.get() == 3)
+            .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         // A long answer runs while all writers are told to be elsewhere, and come back.
         let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 400);
@@ -260,7 +295,11 @@
         rig.scene.world.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
-        seen(&rig.scene, |s| matches!(s, Sight::Began { call: c } if *c == call)).await;
+        seen(
+            &rig.scene,
+            |s| matches!(s, Sight::Began { call: c } if *c == call),
+        )
+        .await;
         for engine in 4..12 {
             let (key, record) = rig.scene.registration(engine, State::Ready, 0);
             let own = rig.scene.engine(engine).address().to_string();
@@ -282,23 +321,34 @@
     let follow = rig.scene.make().follow.clone().unwrap();
     rig.put_all();
     block_on(async {
-        let keeping = Follow { snapshot: Some(path.clone()), ..follow.clone() };
+        let keeping = Follow {
+            snapshot: Some(path.clone()),
+            ..follow.clone()
+        };
         let start = |seed: u64, follow: Follow| {
             let world = ivyward_world::SmolWorld::start(1, seed);
             let as_ref: ivyward_world::WorldRef = world.clone();
-            let node = ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
+            let node =
+                ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
             let following = node.clone();
             world.run(async move { following.follow(follow).await });
             (world, node)
         };
         let (first, node) = start(1, keeping.clone());
-        rig.until(|_| node.metrics().engines.get() == 12 && path.exists()).await;
+        rig.until(|_| node.metrics().engines.get() == 12 && path.exists())
+            .await;
         first.stop();
         rig.store.die();
         let (_second, node) = start(2, keeping);
         rig.until(|_| node.metrics().engines.get() == 12).await;
         let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 4).request;
-        assert_eq!(node.generate(ask.clone(), Some(2_000_000)).collect().await.1, ivyward::Final::Served);
+        assert_eq!(
+            node.generate(ask.clone(), Some(2_000_000))
+                .collect()
+                .await
+                .1,
+            ivyward::Final::Served
+        );
         assert_eq!(node.metrics().list_stale.get(), 1);
         let (_third, node) = start(3, follow);
         let end = node.generate(ask, Some(2_000_000)).collect().await.1;
@@ -320,13 +370,21 @@
         let world = ivyward_world::SmolWorld::start(1, 1);
         let as_ref: ivyward_world::WorldRef = world.clone();
         let node = ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
-        let (following, keeping) = (node.clone(), Follow { snapshot: Some(path.clone()), ..follow });
+        let (following, keeping) = (
+            node.clone(),
+            Follow {
+                snapshot: Some(path.clone()),
+                ..follow
+            },
+        );
         world.run(async move { following.follow(keeping).await });
         rig.until(|_| node.metrics().engines.get() == 12).await;
-        rig.until(|_| node.metrics().list_keep_failures.get() > 0).await;
+        rig.until(|_| node.metrics().list_keep_failures.get() > 0)
+            .await;
         std::fs::create_dir(&folder).unwrap();
         rig.until(|_| path.exists()).await;
-        rig.until(|_| ivyward::snapshot::read(&path).unwrap().unwrap().len() == 12).await;
+        rig.until(|_| ivyward::snapshot::read(&path).unwrap().unwrap().len() == 12)
+            .await;
         assert!(!path.with_extension("new").exists());
         world.stop();
     });
@@ -341,11 +399,14 @@
     let (fleet, burst) = (10_000, 5_000);
     let record = |id: u64, state: &str| {
         let address = format!("127.9.{}.{}:9", id >> 8 & 255, id & 255);
-        format!(r#"{{"version":1,"id":{id},"role":"decode","address":"{address}","state":"{state}"}}"#)
+        format!(
+            r#"{{"version":1,"id":{id},"role":"decode","address":"{address}","state":"{state}"}}"#
+        )
     };
     // Records of engines that drain: known, and never sent anything.
     for id in 1_000..1_000 + fleet {
-        rig.store.put(&format!("ivyward/engines/{id}"), &record(id, "draining"));
+        rig.store
+            .put(&format!("ivyward/engines/{id}"), &record(id, "draining"));
     }
     rig.put_all();
     block_on(async {
@@ -354,7 +415,10 @@
         rig.served(1).await;
         for part in 0..50 {
             for id in 0..burst / 50 {
-                rig.store.delete(&format!("ivyward/engines/{}", 1_000 + part * burst / 50 + id));
+                rig.store.delete(&format!(
+                    "ivyward/engines/{}",
+                    1_000 + part * burst / 50 + id
+                ));
             }
             if part == 25 {
                 rig.drained(4).await;
@@ -371,7 +435,9 @@
 
 /// A store with a door for each node.
 fn rig_of_doors(silence: u64, behind_grace: u64) -> Rig {
-    rig_from(42, 2, 2, |f| (f.silence, f.behind_grace) = (silence, behind_grace))
+    rig_from(42, 2, 2, |f| {
+        (f.silence, f.behind_grace) = (silence, behind_grace)
+    })
 }
 
 /// Watches that lag by different spans: each node heeds a notice within the grace after it was shown to that node, and
@@ -399,7 +465,11 @@
         };
         for engine in 5..9 {
             // Both were told, the second no sooner than its lag after the first.
-            assert!(matches!(told(engine)[..], [a, b] if b >= a + 600_000), "{:?}", told(engine));
+            assert!(
+                matches!(told(engine)[..], [a, b] if b >= a + 600_000),
+                "{:?}",
+                told(engine)
+            );
         }
     });
 }
@@ -409,7 +479,9 @@
 #[test]
 fn endpoints_that_disagree() {
     // One node, which knows both doors.
-    let rig = rig_from(43, 1, 2, |f| (f.silence, f.behind_grace) = (300_000, 60_000_000));
+    let rig = rig_from(43, 1, 2, |f| {
+        (f.silence, f.behind_grace) = (300_000, 60_000_000)
+    });
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
@@ -430,11 +502,16 @@
                     r.scene.node(0).unwrap().metrics().list_gaps.get() > gaps
                 };
                 rig.until(gap).await;
-                rig.until(|r| r.scene.node(0).unwrap().metrics().list_stale.get() == 0).await;
+                rig.until(|r| r.scene.node(0).unwrap().metrics().list_stale.get() == 0)
+                    .await;
                 assert_eq!(rig.engines_known(), [11]);
             }
         }
-        let end = rig.scene.send(&rig.scene.ask(0, QUICK, prompt(1, 40), 4)).await.unwrap();
+        let end = rig
+            .scene
+            .send(&rig.scene.ask(0, QUICK, prompt(1, 40), 4))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Served, "{end:?}");
         clean(&rig.scene).await;
     });
@@ -459,7 +536,11 @@
             rig.heard_all().await;
             let high = rig.store.revision();
             rig.store.die();
-            rig.store.restore(if history { copy } else { copy.without_history() });
+            rig.store.restore(if history {
+                copy
+            } else {
+                copy.without_history()
+            });
             assert!(rig.store.revision() < high);
             rig.store.come_up().unwrap();
             rig.all_known(11).await;
@@ -483,7 +564,9 @@
         rig.store.fault(|f| f.half_open = true);
         rig.delete(4);
         let stale = |on: u64| {
-            move |rig: &Rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == on)
+            move |rig: &Rig| {
+                (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == on)
+            }
         };
         rig.until(stale(1)).await;
         assert_eq!(rig.engines_known(), [12, 12]);
@@ -503,7 +586,8 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.fault(|f| (f.rate, f.batch, f.lag) = (200_000, 30_000, vec![20_000]));
+        rig.store
+            .fault(|f| (f.rate, f.batch, f.lag) = (200_000, 30_000, vec![20_000]));
         let (stop, done) = rig.load();
         for round in 0..3 {
             for id in 0..300 {
@@ -535,7 +619,8 @@
         rig.all_known(12).await;
         rig.drained(4).await;
         rig.store.die();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 1)).await;
+        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 1))
+            .await;
         // Thirty lists in vain at the longest pause of this rig.
         let until = rig.scene.log.now() + 3_000_000;
         let mut i = 0;
@@ -546,7 +631,8 @@
             rig.scene.world.sleep(50_000).await;
         }
         rig.store.come_up().unwrap();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0)).await;
+        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
+            .await;
         rig.served(i).await;
         clean(&rig.scene).await;
     });
--- a/crates/ivyward-lab/tests/drops.rs
+++ b/crates/ivyward-lab/tests/drops.rs
@@ -24,7 +24,10 @@
 }
 
 fn drop_after<F: Future>(polls: u32, future: F) -> DropAfter<F> {
-    DropAfter { future: Some(Box::pin(future)), polls }
+    DropAfter {
+        future: Some(Box::pin(future)),
+        polls,
+    }
 }
 
 impl<F: Future> Future for DropAfter<F> {
@@ -52,11 +55,21 @@
 }
 
 /// Nothing is in hand and nothing is kept, within what a release takes.
-async fn nothing_left(world: &WorldRef, nodes: &[Node], stage_kept: impl Fn() -> usize, what: &str) {
+async fn nothing_left(
+    world: &WorldRef,
+    nodes: &[Node],
+    stage_kept: impl Fn() -> usize,
+    what: &str,
+) {
     let open = || nodes.iter().map(|n| n.open()).sum::<usize>();
     let until = world.now() + 1_000_000;
     while (open(), stage_kept()) != (0, 0) {
-        assert!(world.now() < until, "{what}: {} open, {} kept", open(), stage_kept());
+        assert!(
+            world.now() < until,
+            "{what}: {} open, {} kept",
+            open(),
+            stage_kept()
+        );
         world.sleep(1_000).await;
     }
 }
@@ -85,7 +98,13 @@
             let done = drop_after(polls, whole).await;
             drop(answer);
             let sum = || kept.lock().unwrap().iter().map(|e| e.kept()).sum();
-            nothing_left(&world, std::slice::from_ref(&node), sum, &format!("dropped at poll {polls}")).await;
+            nothing_left(
+                &world,
+                std::slice::from_ref(&node),
+                sum,
+                &format!("dropped at poll {polls}"),
+            )
+            .await;
             if let Some(end) = done {
                 let whole = text::answer(&ask(u64::from(polls) + 1).prompt, 6).len();
                 assert_eq!(end, (whole, Final::Served));
@@ -111,17 +130,36 @@
         let client = Client::connect(&world, &log, address).await.unwrap();
         for polls in 0.. {
             let call = u64::from(polls) + 1;
-            let habit = Habit { patience: 2_000_000, ..Habit::default() };
-            let one = Ask { request: ask(call), operation: call, effect: Effect::Unsafe, node: 0, habit };
+            let habit = Habit {
+                patience: 2_000_000,
+                ..Habit::default()
+            };
+            let one = Ask {
+                request: ask(call),
+                operation: call,
+                effect: Effect::Unsafe,
+                node: 0,
+                habit,
+            };
             let done = drop_after(polls, client.ask(&one)).await;
             let left = world.now();
             let sum = || kept.lock().unwrap().iter().map(|e| e.kept()).sum();
-            nothing_left(&world, std::slice::from_ref(&node), sum, &format!("dropped at poll {polls}")).await;
+            nothing_left(
+                &world,
+                std::slice::from_ref(&node),
+                sum,
+                &format!("dropped at poll {polls}"),
+            )
+            .await;
             // A reset is on its way for less than a millisecond; after it nothing is sent for the call.
             let late = |s: &&ivyward_standins::Seen| {
                 matches!(s.what, Sight::Arrived { call: c, .. } if c == call) && s.at > left + 2_000
             };
-            assert_eq!(log.all().iter().filter(late).count(), 0, "dropped at poll {polls}");
+            assert_eq!(
+                log.all().iter().filter(late).count(),
+                0,
+                "dropped at poll {polls}"
+            );
             if done.is_some() {
                 return polls;
             }
@@ -131,7 +169,8 @@
     assert!(played.as_ref().is_ok_and(|polls| *polls >= 3), "{played:?}");
     // One effect at most for each call, and one for the last.
     let ran = |call: u64| {
-        let of = |s: &&ivyward_standins::Seen| matches!(s.what, Sight::Ran { call: c, .. } if c == call);
+        let of =
+            |s: &&ivyward_standins::Seen| matches!(s.what, Sight::Ran { call: c, .. } if c == call);
         stage.log.all().iter().filter(of).count()
     };
     let last = u64::from(played.unwrap()) + 1;
@@ -154,8 +193,17 @@
             node.fleet(ListKind::Full, listed.clone()).await;
             again.fleet(ListKind::Full, listed).await;
             let client = Client::connect(&world, &log, address).await.unwrap();
-            let habit = Habit { patience: 2_000_000, ..Habit::default() };
-            let one = Ask { request: ask(1), operation: 1, effect: Effect::Safe, node: 0, habit };
+            let habit = Habit {
+                patience: 2_000_000,
+                ..Habit::default()
+            };
+            let one = Ask {
+                request: ask(1),
+                operation: 1,
+                effect: Effect::Safe,
+                node: 0,
+                habit,
+            };
             let (clock, killer) = (world.clone(), sim.clone());
             let at = world.now() + 500 * moment;
             world.run(async move {
@@ -164,17 +212,28 @@
             });
             client.ask(&one).await;
             let client = Client::connect(&world, &log, its_address).await.unwrap();
-            let one = Ask { request: ask(2), operation: 2, node: 1, ..one };
+            let one = Ask {
+                request: ask(2),
+                operation: 2,
+                node: 1,
+                ..one
+            };
             let end = client.ask(&one).await;
             assert_eq!(end.how, ivyward_standins::sight::Heard::Served, "{end:?}");
             // Longer than engines keep anything for a node that is gone.
             world.sleep(60_000_000).await;
-            (again.open(), kept.lock().unwrap().iter().map(|e| e.kept()).sum::<usize>())
+            (
+                again.open(),
+                kept.lock().unwrap().iter().map(|e| e.kept()).sum::<usize>(),
+            )
         });
         assert_eq!(played, Ok((0, 0)), "killed at moment {moment}");
         let log = stage.log.all();
-        let ran =
-            |call| log.iter().filter(|s| matches!(s.what, Sight::Ran { call: c, .. } if c == call)).count();
+        let ran = |call| {
+            log.iter()
+                .filter(|s| matches!(s.what, Sight::Ran { call: c, .. } if c == call))
+                .count()
+        };
         assert!(ran(1) <= 1 && ran(2) == 1, "killed at moment {moment}");
     }
 }
@@ -190,7 +249,10 @@
     }
     let (world, endpoint, store) = (stage.world.clone(), store.address(), Mutex::new(store));
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        let options = ivyward_etcd::EtcdOptions { page: 3, ..Default::default() };
+        let options = ivyward_etcd::EtcdOptions {
+            page: 3,
+            ..Default::default()
+        };
         let client = ivyward_etcd::Client::new(&world, vec![endpoint], options);
         let mut steps = (0, 0);
         for polls in 0.. {
@@ -216,5 +278,10 @@
         }
         steps
     });
-    assert!(played.as_ref().is_ok_and(|steps| steps.0 > 3 && steps.1 >= 1), "{played:?}");
+    assert!(
+        played
+            .as_ref()
+            .is_ok_and(|steps| steps.0 > 3 && steps.1 >= 1),
+        "{played:?}"
+    );
 }
--- a/crates/ivyward-lab/tests/enlist.rs
+++ b/crates/ivyward-lab/tests/enlist.rs
@@ -9,7 +9,10 @@
 
 fn lab(store: &Store, args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-lab"));
-    command.env_clear().args(args).arg(format!("--etcd-endpoint={}", store.address()));
+    command
+        .env_clear()
+        .args(args)
+        .arg(format!("--etcd-endpoint={}", store.address()));
     command
 }
 
@@ -17,16 +20,35 @@
 fn an_engine_registers_drains_and_ends_with_its_lease() {
     let host: Arc<dyn Host> = Arc::new(Threads);
     let store = Store::start(&host, 1).unwrap();
-    let of = ["register", "--id=7", "--address=127.0.0.1:9000", "--role=decode", "--lease=3"];
+    let of = [
+        "register",
+        "--id=7",
+        "--address=127.0.0.1:9000",
+        "--role=decode",
+        "--lease=3",
+    ];
     let mut child = lab(&store, &of).stdout(Stdio::piped()).spawn().unwrap();
     let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    assert!(line.starts_with("registered ivyward/engines/7 under lease"), "{line}");
-    assert!(lab(&store, &["drain", "7"]).output().unwrap().status.success());
+    BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    assert!(
+        line.starts_with("registered ivyward/engines/7 under lease"),
+        "{line}"
+    );
+    assert!(lab(&store, &["drain", "7"])
+        .output()
+        .unwrap()
+        .status
+        .success());
     let record = store.value("ivyward/engines/7").unwrap();
     let member =
-        ivyward::registration::read(ivyward::core::interface::ServerId(7), record.as_bytes(), 1).unwrap();
-    assert_eq!(member.entry.condition, ivyward::core::interface::Condition::Draining);
+        ivyward::registration::read(ivyward::core::interface::ServerId(7), record.as_bytes(), 1)
+            .unwrap();
+    assert_eq!(
+        member.entry.condition,
+        ivyward::core::interface::Condition::Draining
+    );
     // Its keeper dies: the lease ends, and the record with it.
     child.kill().unwrap();
     child.wait().unwrap();
@@ -39,9 +61,18 @@
     let output = lab(&store, &["drain", "7"]).output().unwrap();
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("engine 7 is not registered"));
-    let bad = ["register", "--once", "--id=7", "--address=0.0.0.0:0", "--role=decode"];
+    let bad = [
+        "register",
+        "--once",
+        "--id=7",
+        "--address=0.0.0.0:0",
+        "--role=decode",
+    ];
     let output = lab(&store, &bad).output().unwrap();
-    assert!(String::from_utf8_lossy(&output.stderr).contains("nobody can be reached"), "{output:?}");
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains("nobody can be reached"),
+        "{output:?}"
+    );
 }
 
 async fn pause(host: &Arc<dyn Host>) {
