--- a/crates/ivyward-lab/tests/faults.rs
+++ b/crates/ivyward-lab/tests/faults.rs
@@ -16,12 +16,18 @@
     let scene = build(Make::new(5, pools(2, 2)));
     block_on(async {
         for i in 0..10 {
-            let end = scene.send(&scene.ask(0, QUICK, prompt(i, 50), 5)).await.unwrap();
+            let end = scene
+                .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                .await
+                .unwrap();
             assert_eq!(end.how, Heard::Served);
         }
         scene.engine(0).fault(|f| f.stall = 1.0);
         for i in 0..10 {
-            let end = scene.send(&scene.ask(0, QUICK, prompt(i + 50, 50), 5)).await.unwrap();
+            let end = scene
+                .send(&scene.ask(0, QUICK, prompt(i + 50, 50), 5))
+                .await
+                .unwrap();
             assert_eq!(end.how, Heard::Served, "{end:?}");
         }
         clean(&scene).await;
@@ -36,7 +42,10 @@
         for hung in [0, 2] {
             scene.engine(hung).fault(|f| f.hang = true);
             for i in 0..10 {
-                let end = scene.send(&scene.ask(0, QUICK, prompt(i, 50), 5)).await.unwrap();
+                let end = scene
+                    .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                    .await
+                    .unwrap();
                 assert_eq!(end.how, Heard::Served, "{end:?}");
             }
             scene.engine(hung).fault(|f| f.hang = false);
@@ -71,9 +80,18 @@
             scene.world.run(async move {
                 let _ = tell.send(one.send(&long).await).await;
             });
-            seen(&scene, |s| matches!(s, Sight::Began { call: c } if *c == call)).await;
-            scene.engine(1).fault(|f| (f.twist, f.how) = (1.0, Some(twist)));
-            let end = scene.send(&scene.ask(0, ORDER, prompt(1, 50), 10)).await.unwrap();
+            seen(
+                &scene,
+                |s| matches!(s, Sight::Began { call: c } if *c == call),
+            )
+            .await;
+            scene
+                .engine(1)
+                .fault(|f| (f.twist, f.how) = (1.0, Some(twist)));
+            let end = scene
+                .send(&scene.ask(0, ORDER, prompt(1, 50), 10))
+                .await
+                .unwrap();
             assert_eq!(end.how, Heard::Failed, "{twist:?}: {end:?}");
             assert!(end.message.contains(text), "{twist:?}: {end:?}");
             let beside = wait.recv().await.unwrap().unwrap();
@@ -89,8 +107,13 @@
 fn tokens_after_the_end_go_nowhere() {
     let scene = build(Make::new(5, pools(1, 1)));
     block_on(async {
-        scene.engine(1).fault(|f| (f.twist, f.how) = (1.0, Some(Twist::AfterEnd)));
-        let end = scene.send(&scene.ask(0, QUICK, prompt(1, 50), 10)).await.unwrap();
+        scene
+            .engine(1)
+            .fault(|f| (f.twist, f.how) = (1.0, Some(Twist::AfterEnd)));
+        let end = scene
+            .send(&scene.ask(0, QUICK, prompt(1, 50), 10))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Served, "{end:?}");
         clean(&scene).await;
     });
@@ -103,12 +126,17 @@
     block_on(async {
         for round in 0..5 {
             for i in 0..5 {
-                let end = scene.send(&scene.ask(0, QUICK, prompt(round * 10 + i, 50), 5)).await.unwrap();
+                let end = scene
+                    .send(&scene.ask(0, QUICK, prompt(round * 10 + i, 50), 5))
+                    .await
+                    .unwrap();
                 assert!(matches!(end.how, Heard::Served | Heard::Refused), "{end:?}");
             }
             for e in 0..3 {
                 scene.engine(e).come_up(false).unwrap();
-                scene.tell_all(e, Condition::Ready, Some(scene.log.now())).await;
+                scene
+                    .tell_all(e, Condition::Ready, Some(scene.log.now()))
+                    .await;
             }
         }
         // Cold ones get little at first; once told otherwise they get all.
@@ -117,7 +145,10 @@
         }
         let mut served = 0;
         for i in 0..40 {
-            let end = scene.send(&scene.ask(0, QUICK, prompt(900 + i, 50), 5)).await.unwrap();
+            let end = scene
+                .send(&scene.ask(0, QUICK, prompt(900 + i, 50), 5))
+                .await
+                .unwrap();
             served += usize::from(end.how == Heard::Served);
             scene.world.sleep(20_000).await;
         }
@@ -141,7 +172,9 @@
     let scene = build(make);
     block_on(async {
         // The second request waits for the only slot while its state is kept at the reader.
-        let asks: Vec<_> = (0..2).map(|i| scene.ask(0, QUICK, prompt(i, 50), 5)).collect();
+        let asks: Vec<_> = (0..2)
+            .map(|i| scene.ask(0, QUICK, prompt(i, 50), 5))
+            .collect();
         let (tell, wait) = async_channel::bounded(2);
         for ask in asks {
             let (one, tell) = (scene.clone(), tell.clone());
@@ -149,20 +182,34 @@
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
-        let second =
-            |s: &Sight| matches!(s, Sight::Arrived { kind: Kind::Write, key, .. } if key.request == 2);
+        let second = |s: &Sight| matches!(s, Sight::Arrived { kind: Kind::Write, key, .. } if key.request == 2);
         seen(&scene, second).await;
         scene.kill_node(0);
         for _ in 0..2 {
             assert_eq!(wait.recv().await.unwrap().how, Heard::Unreachable);
         }
-        seen(&scene, |s| matches!(s, Sight::LetGo { how: Gone::Expired, .. })).await;
+        seen(&scene, |s| {
+            matches!(
+                s,
+                Sight::LetGo {
+                    how: Gone::Expired,
+                    ..
+                }
+            )
+        })
+        .await;
         // The other node shares nothing with the dead one and goes on.
-        let end = scene.send(&scene.ask(1, QUICK, prompt(7, 10), 5)).await.unwrap();
+        let end = scene
+            .send(&scene.ask(1, QUICK, prompt(7, 10), 5))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Served, "{end:?}");
         clean(&scene).await;
         scene.start_node(0).unwrap();
-        let end = scene.send(&scene.ask(0, QUICK, prompt(8, 10), 5)).await.unwrap();
+        let end = scene
+            .send(&scene.ask(0, QUICK, prompt(8, 10), 5))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Served, "{end:?}");
     });
 }
@@ -191,8 +238,7 @@
             };
             let _ = tell.send(one.send_until(&ask, leave).await.unwrap()).await;
         });
-        let came =
-            move |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Write, .. } if *c == call);
+        let came = move |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Write, .. } if *c == call);
         seen(&scene, came).await;
         // The reader's connections break and break again while the release is due.
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -207,7 +253,16 @@
         let end = wait.recv().await.unwrap();
         assert_eq!(end.how, Heard::Left, "{end:?}");
         drop(stop);
-        seen(&scene, |s| matches!(s, Sight::LetGo { how: Gone::Released, .. })).await;
+        seen(&scene, |s| {
+            matches!(
+                s,
+                Sight::LetGo {
+                    how: Gone::Released,
+                    ..
+                }
+            )
+        })
+        .await;
         scene.engine(1).fault(|f| f.stall = 0.0);
         clean(&scene).await;
     });
@@ -232,13 +287,21 @@
             });
         }
         for call in calls {
-            seen(&scene, |s| matches!(s, Sight::Began { call: c } if *c == call)).await;
+            seen(
+                &scene,
+                |s| matches!(s, Sight::Began { call: c } if *c == call),
+            )
+            .await;
         }
         let node = scene.node(0).unwrap();
         node.stop(3_000_000).await;
         let mut ends = [wait.recv().await.unwrap(), wait.recv().await.unwrap()];
         ends.sort_by_key(|e| e.tokens);
-        assert_eq!((ends[0].how, ends[1].how), (Heard::Served, Heard::Failed), "{ends:?}");
+        assert_eq!(
+            (ends[0].how, ends[1].how),
+            (Heard::Served, Heard::Failed),
+            "{ends:?}"
+        );
         assert!(ends[1].message.contains("the node stopped"), "{ends:?}");
         assert!(!node.taking());
         clean(&scene).await;
@@ -255,10 +318,18 @@
         // Other tests keep the machine busy beside this one.
         day.flight = 500_000;
         let report = badday::run(day).unwrap();
-        assert_eq!((report.audit.kept(), report.audit.broken()), (5, vec![]), "{}", report.text());
+        assert_eq!(
+            (report.audit.kept(), report.audit.broken()),
+            (5, vec![]),
+            "{}",
+            report.text()
+        );
         let all = report.all();
         assert_eq!(all.broken, 0);
-        assert_eq!(all.requests, all.served + all.refused + all.failed + all.given_up);
+        assert_eq!(
+            all.requests,
+            all.served + all.refused + all.failed + all.given_up
+        );
         assert!(all.requests >= 450, "{all:?}");
         let done = ivyward::record::replay(&report.recording[..]).unwrap();
         assert!(done.events > 500 && done.actions > 200, "{done:?}");
--- a/crates/ivyward-lab/tests/held.rs
+++ b/crates/ivyward-lab/tests/held.rs
@@ -20,16 +20,42 @@
     let scene = build(make);
     block_on(async {
         for i in 0..6 {
-            let end = scene.send(&scene.ask(0, QUICK, prompt(i, 50), 5)).await.unwrap();
+            let end = scene
+                .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                .await
+                .unwrap();
             assert_eq!(end.how, Heard::Served, "{end:?}");
         }
-        let taken = |s: &Sight| matches!(s, Sight::LetGo { place: true, how: Gone::Taken, .. });
+        let taken = |s: &Sight| {
+            matches!(
+                s,
+                Sight::LetGo {
+                    place: true,
+                    how: Gone::Taken,
+                    ..
+                }
+            )
+        };
         seen(&scene, taken).await;
         // A client that leaves during the read: its place is let go at once, long before the engine's own limit.
         let ask = scene.ask(0, QUICK, prompt(50, 50), 5);
-        leaves_when(&scene, &ask, |s| matches!(s, Sight::Kept { place: true, key, .. } if key.request == 7))
-            .await;
-        seen(&scene, |s| matches!(s, Sight::LetGo { place: true, how: Gone::Released, .. })).await;
+        leaves_when(
+            &scene,
+            &ask,
+            |s| matches!(s, Sight::Kept { place: true, key, .. } if key.request == 7),
+        )
+        .await;
+        seen(&scene, |s| {
+            matches!(
+                s,
+                Sight::LetGo {
+                    place: true,
+                    how: Gone::Released,
+                    ..
+                }
+            )
+        })
+        .await;
         // An engine that cannot be asked holds up nothing.
         for e in [1, 2] {
             scene.engine(e).fault(|f| f.hang = true);
@@ -40,7 +66,8 @@
         scene.world.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
-        let came = |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Read, .. } if *c == call);
+        let came =
+            |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Read, .. } if *c == call);
         seen(&scene, came).await;
         for e in [1, 2] {
             scene.engine(e).fault(|f| f.hang = false);
@@ -58,7 +85,10 @@
     make.record = Some(memory.clone());
     let scene = build(make);
     block_on(async {
-        let end = scene.send(&scene.ask(0, QUICK, prompt(1, 50), 5)).await.unwrap();
+        let end = scene
+            .send(&scene.ask(0, QUICK, prompt(1, 50), 5))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Served);
         scene.node(0).unwrap().flush_recording().await;
         clean(&scene).await;
@@ -88,12 +118,18 @@
         let node = scene.node(0).unwrap();
         let long = |i| scene.ask(0, QUICK, prompt(i, 50), 2_000).request;
         let held: Vec<_> = (0..2).map(|i| node.generate(long(i), None)).collect();
-        let end = scene.send(&scene.ask(0, QUICK, prompt(9, 50), 5)).await.unwrap();
+        let end = scene
+            .send(&scene.ask(0, QUICK, prompt(9, 50), 5))
+            .await
+            .unwrap();
         assert_eq!((end.how, end.code), (Heard::Refused, 8), "{end:?}");
         assert!(end.message.contains("this node is full"), "{end:?}");
         drop(held);
         scene.settle(5_000_000).await;
-        let end = scene.send(&scene.ask(0, QUICK, prompt(10, 50), 2)).await.unwrap();
+        let end = scene
+            .send(&scene.ask(0, QUICK, prompt(10, 50), 2))
+            .await
+            .unwrap();
         assert_eq!(end.how, Heard::Served, "{end:?}");
         clean(&scene).await;
     });
@@ -122,7 +158,10 @@
             }
         });
         for i in 0..5 {
-            let end = scene.send(&scene.ask(0, ORDER, prompt(i, 50), 5)).await.unwrap();
+            let end = scene
+                .send(&scene.ask(0, ORDER, prompt(i, 50), 5))
+                .await
+                .unwrap();
             assert!(matches!(end.how, Heard::Refused | Heard::Failed), "{end:?}");
         }
         let dials = dials.load(std::sync::atomic::Ordering::SeqCst);
--- a/crates/ivyward-lab/tests/keepalive.rs
+++ b/crates/ivyward-lab/tests/keepalive.rs
@@ -43,7 +43,13 @@
 }
 
 fn node_settings() -> NodeSettings {
-    NodeSettings { seed: 7, ping_every: SECOND, ping_timeout: SECOND, resting_checks: BUDGET, ..settings() }
+    NodeSettings {
+        seed: 7,
+        ping_every: SECOND,
+        ping_timeout: SECOND,
+        resting_checks: BUDGET,
+        ..settings()
+    }
 }
 
 /// Plays a scene on so many readers and writers, all of which the node has connections to.
@@ -54,7 +60,14 @@
     let stage = stage_of(readers, writers);
     let (node, address, _, node_host) = stage.node_with(node_settings());
     let listed = stage.listed();
-    let Stage { sim, script, world, log, engines, engine_hosts } = stage;
+    let Stage {
+        sim,
+        script,
+        world,
+        log,
+        engines,
+        engine_hosts,
+    } = stage;
     let world_of_scene = sim.clone();
     let all = readers + writers;
     let scene = async move {
@@ -80,12 +93,15 @@
         drop(held);
         wrong
     };
-    sim.run(&script, HOUR, scene).unwrap_or_else(|stuck| Some(format!("{stuck:?}")))
+    sim.run(&script, HOUR, scene)
+        .unwrap_or_else(|stuck| Some(format!("{stuck:?}")))
 }
 
 impl Scene {
     async fn client(&self) -> Client {
-        Client::connect(&self.world, &self.log, self.address).await.unwrap()
+        Client::connect(&self.world, &self.log, self.address)
+            .await
+            .unwrap()
     }
     /// Messages that have gone to engines so far; at rest each is a ping.
     fn sent(&self) -> u64 {
@@ -110,20 +126,39 @@
 fn ask(call: u64, class: usize) -> Ask {
     let mut request = request(call, &prompt(call as u32, 40), call as u32);
     request.class = settings().classes[class].name.clone();
-    let effect = if class == UNSAFE_CLASS { Effect::Unsafe } else { Effect::Safe };
-    let habit = Habit { patience: 2_400 * MS, ..Habit::default() };
-    Ask { request, operation: call, effect, node: 0, habit }
+    let effect = if class == UNSAFE_CLASS {
+        Effect::Unsafe
+    } else {
+        Effect::Safe
+    };
+    let habit = Habit {
+        patience: 2_400 * MS,
+        ..Habit::default()
+    };
+    Ask {
+        request,
+        operation: call,
+        effect,
+        node: 0,
+        habit,
+    }
 }
 
 /// Most of them in ten that follow each other.
 fn most_in_a_second(pings: &[u64]) -> u64 {
-    pings.windows(10).map(|second| second.iter().sum()).max().unwrap_or(0)
+    pings
+        .windows(10)
+        .map(|second| second.iter().sum())
+        .max()
+        .unwrap_or(0)
 }
 
 /// Whether each call was served, and its first token no later than so much after what it takes on a good connection.
 fn late_or_lost(ends: &[End], usual: Micros) -> Wrong {
     let most = usual + A_DIAL;
-    let bad = ends.iter().find(|end| end.how != Heard::Served || end.first.is_none_or(|f| f > most));
+    let bad = ends
+        .iter()
+        .find(|end| end.how != Heard::Served || end.first.is_none_or(|f| f > most));
     bad.map(|end| format!("usual {usual} us: {end:?}"))
 }
 
@@ -137,7 +172,12 @@
 }
 
 /// Sends requests all at once and returns their ends.
-async fn ask_at_once(scene: &Scene, client: &Client, calls: std::ops::Range<u64>, class: usize) -> Vec<End> {
+async fn ask_at_once(
+    scene: &Scene,
+    client: &Client,
+    calls: std::ops::Range<u64>,
+    class: usize,
+) -> Vec<End> {
     let (tell, told) = async_channel::unbounded();
     for call in calls {
         let (client, tell) = (client.clone(), tell.clone());
@@ -166,7 +206,9 @@
         let (most, all) = (most_in_a_second(&pings), pings.iter().sum::<u64>());
         let budget = u64::from(BUDGET) * 200;
         if most > u64::from(BUDGET) + 1 || all > budget {
-            return Some(format!("{most} pings in a second, {all} in all, {budget} allowed"));
+            return Some(format!(
+                "{most} pings in a second, {all} in all, {budget} allowed"
+            ));
         }
         (all < budget * 4 / 10).then(|| format!("{all} pings in all of {budget}"))
     })
@@ -197,11 +239,15 @@
         let pings = scene.pings(100 * SECOND).await;
         let (most, all) = (most_in_a_second(&pings), pings.iter().sum::<u64>());
         if most > u64::from(BUDGET) + 1 || all < u64::from(BUDGET) * 40 {
-            return Some(format!("after a sleep {most} pings in a second, {all} in 100 s"));
+            return Some(format!(
+                "after a sleep {most} pings in a second, {all} in 100 s"
+            ));
         }
         let client = scene.client().await;
         let ends = ask_some(&client, 1..20).await;
-        ends.iter().find(|end| end.how != Heard::Served).map(|end| format!("after a sleep: {end:?}"))
+        ends.iter()
+            .find(|end| end.how != Heard::Served)
+            .map(|end| format!("after a sleep: {end:?}"))
     })
 }
 
@@ -226,7 +272,8 @@
                 return Some(format!("{end:?}"));
             }
         }
-        (opened() > before).then(|| format!("{} connections were opened for nothing", opened() - before))
+        (opened() > before)
+            .then(|| format!("{} connections were opened for nothing", opened() - before))
     })
 }
 
@@ -292,7 +339,9 @@
         let ends = ask_some(&client, 10..20).await;
         // A reader and a writer may both be behind the cut.
         if let Some(wrong) = late_or_lost(&ends, usual + A_DIAL) {
-            return Some(format!("cut to engine {to_engine}, to node {to_node}: {wrong}"));
+            return Some(format!(
+                "cut to engine {to_engine}, to node {to_node}: {wrong}"
+            ));
         }
         cut(false);
         scene.world.sleep(10 * SECOND).await;
@@ -305,9 +354,13 @@
             scene.log.all().iter().any(|s| of(&s.what))
         };
         // Whatever was used before the cut is used again.
-        let unused = [1, 3].into_iter().find(|engine| used(*engine, 0..10) && !used(*engine, 20..60));
+        let unused = [1, 3]
+            .into_iter()
+            .find(|engine| used(*engine, 0..10) && !used(*engine, 20..60));
         let wrong = ends.first().map(|end| format!("after the cut: {end:?}"));
-        wrong.or_else(|| unused.map(|engine| format!("engine {engine} is not used again after the cut")))
+        wrong.or_else(|| {
+            unused.map(|engine| format!("engine {engine} is not used again after the cut"))
+        })
     })
 }
 
@@ -317,12 +370,20 @@
         let client = scene.client().await;
         scene.world.sleep(20 * SECOND).await;
         // Whoever writes hangs as soon as it has the call.
-        let (engines, log, clock) = (scene.engines.clone(), scene.log.clone(), scene.world.clone());
+        let (engines, log, clock) = (
+            scene.engines.clone(),
+            scene.log.clone(),
+            scene.world.clone(),
+        );
         let (hung, when) = async_channel::bounded(1);
         scene.world.run(async move {
             loop {
                 let at = log.all().iter().find_map(|s| match s.what {
-                    Sight::Arrived { engine, kind: Kind::Write, .. } => Some((engine, s.at)),
+                    Sight::Arrived {
+                        engine,
+                        kind: Kind::Write,
+                        ..
+                    } => Some((engine, s.at)),
                     _ => None,
                 });
                 if let Some((engine, at)) = at {
@@ -339,14 +400,20 @@
         let end = client.ask(&one).await;
         let (engine, at) = when.recv().await.unwrap();
         let next = scene.log.all().iter().find_map(|s| match s.what {
-            Sight::Arrived { engine: e, kind: Kind::Write, .. } if e != engine => Some(s.at),
+            Sight::Arrived {
+                engine: e,
+                kind: Kind::Write,
+                ..
+            } if e != engine => Some(s.at),
             _ => None,
         });
         // A silence and a time-out, and the way; the module may have given it up before.
         let most = 2 * SECOND + 100 * MS;
         match next {
             Some(next) if next - at <= most && end.how == Heard::Served => None,
-            other => Some(format!("hung at {at}, the next write at {other:?}: {end:?}")),
+            other => Some(format!(
+                "hung at {at}, the next write at {other:?}: {end:?}"
+            )),
         }
     })
 }
@@ -361,10 +428,19 @@
             scene.world.run(async move {
                 // The request takes 200 us to the node, and as long on to its engine.
                 clock.sleep(offset).await;
-                engines.lock().unwrap().iter().for_each(Engine::drop_connections);
+                engines
+                    .lock()
+                    .unwrap()
+                    .iter()
+                    .for_each(Engine::drop_connections);
             });
             let end = client.ask(&ask(1, UNSAFE_CLASS)).await;
-            let ran = scene.log.all().iter().filter(|s| matches!(s.what, Sight::Ran { .. })).count();
+            let ran = scene
+                .log
+                .all()
+                .iter()
+                .filter(|s| matches!(s.what, Sight::Ran { .. }))
+                .count();
             let fine = match end.how {
                 Heard::Served => ran == 1,
                 Heard::Refused => ran == 0,
@@ -396,7 +472,10 @@
         scene.world.sleep(5 * SECOND).await;
         let open = scene.open();
         if open != 20 - gone.len() as u64 {
-            return Some(format!("{open} connections are open to {} engines", changed.len()));
+            return Some(format!(
+                "{open} connections are open to {} engines",
+                changed.len()
+            ));
         }
         let told = scene.log.now();
         let client = scene.client().await;
@@ -420,7 +499,8 @@
         let usual = usual(&client).await;
         scene.world.sleep(5 * SECOND).await;
         let lost = [0, 1, 8, 9];
-        lost.iter().for_each(|i| scene.sim.kill(scene.engine_hosts[*i], false));
+        lost.iter()
+            .for_each(|i| scene.sim.kill(scene.engine_hosts[*i], false));
         scene.world.sleep(REST).await;
         let ends = ask_some(&client, 10..40).await;
         // A call may meet lost ones twice: where it is read and where it is written.
@@ -442,14 +522,29 @@
     ("rest_within_the_budget", rest_within_the_budget),
     ("rests_after_much_use", rests_after_much_use),
     ("a_node_that_slept", a_node_that_slept),
-    ("a_node_that_pauses_during_a_check", a_node_that_pauses_during_a_check),
+    (
+        "a_node_that_pauses_during_a_check",
+        a_node_that_pauses_during_a_check,
+    ),
     ("all_wake_at_once", all_wake_at_once),
-    ("an_engine_is_replaced", an_engine_is_replaced_while_its_connection_rests),
-    ("a_cut_both_ways", || a_cut_begins_while_connections_rest(true, true)),
-    ("a_cut_to_engines", || a_cut_begins_while_connections_rest(true, false)),
-    ("a_cut_to_the_node", || a_cut_begins_while_connections_rest(false, true)),
+    (
+        "an_engine_is_replaced",
+        an_engine_is_replaced_while_its_connection_rests,
+    ),
+    ("a_cut_both_ways", || {
+        a_cut_begins_while_connections_rest(true, true)
+    }),
+    ("a_cut_to_engines", || {
+        a_cut_begins_while_connections_rest(true, false)
+    }),
+    ("a_cut_to_the_node", || {
+        a_cut_begins_while_connections_rest(false, true)
+    }),
     ("a_hang_with_a_call_in_flight", a_hang_with_a_call_in_flight),
-    ("an_engine_closes_as_a_call_leaves", an_engine_closes_as_a_call_leaves),
+    (
+        "an_engine_closes_as_a_call_leaves",
+        an_engine_closes_as_a_call_leaves,
+    ),
     ("the_list_changes_meanwhile", the_list_changes_meanwhile),
     ("a_zone_is_lost", a_zone_is_lost_while_connections_rest),
 ];
@@ -457,8 +552,10 @@
 #[cfg(not(planted))]
 #[test]
 fn nothing_is_wrong_with_connections_at_rest() {
-    let wrong: Vec<String> =
-        SCENES.iter().filter_map(|(name, scene)| scene().map(|wrong| format!("{name}: {wrong}"))).collect();
+    let wrong: Vec<String> = SCENES
+        .iter()
+        .filter_map(|(name, scene)| scene().map(|wrong| format!("{name}: {wrong}")))
+        .collect();
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
@@ -468,7 +565,9 @@
     use ivyward::core::planted::{plant, KEEPALIVE};
     for defect in KEEPALIVE {
         plant(Some(defect));
-        let found = SCENES.iter().find_map(|(name, scene)| scene().map(|wrong| (name, wrong)));
+        let found = SCENES
+            .iter()
+            .find_map(|(name, scene)| scene().map(|wrong| (name, wrong)));
         plant(None);
         println!("{defect:?}: {found:?}");
         assert!(found.is_some(), "{defect:?} is not found");
--- a/crates/ivyward-lab/tests/known_red.rs
+++ b/crates/ivyward-lab/tests/known_red.rs
@@ -26,8 +26,14 @@
 /// What the check prints, or what it finds wrong.
 fn check(name: &str, text: &str) -> Result<String, String> {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
-    let (file, listed) = (File::new(name, text), File::new(&format!("{name}-listed"), LISTED));
-    let done = Command::new("bash").args([&script, &file.0, &listed.0]).output().unwrap();
+    let (file, listed) = (
+        File::new(name, text),
+        File::new(&format!("{name}-listed"), LISTED),
+    );
+    let done = Command::new("bash")
+        .args([&script, &file.0, &listed.0])
+        .output()
+        .unwrap();
     match done.status.success() {
         true => Ok(String::from_utf8(done.stdout).unwrap()),
         false => Err(String::from_utf8(done.stderr).unwrap()),
@@ -39,7 +45,10 @@
     assert_eq!(check("empty", ""), Ok(String::new()));
     assert_eq!(check("blank", "\n  \n"), Ok(String::new()));
     let two = "a_scene | the clock stops | 12\nmodule::tests::one|two writers|46";
-    assert_eq!(check("two", two), Ok("a_scene\nmodule::tests::one\n".to_owned()));
+    assert_eq!(
+        check("two", two),
+        Ok("a_scene\nmodule::tests::one\n".to_owned())
+    );
 }
 
 #[test]
@@ -48,9 +57,17 @@
     let bad = [
         ("four", line.repeat(4), "more than 3 lines"),
         ("parts", "a_scene | cause".to_owned(), "line 1 is not"),
-        ("more", "a_scene | cause | 1 | 2".to_owned(), "line 1 is not"),
+        (
+            "more",
+            "a_scene | cause | 1 | 2".to_owned(),
+            "line 1 is not",
+        ),
         ("test", " | cause | 1".to_owned(), "no test"),
-        ("cause", format!("{line}a_scene | | 1"), "line 2 names no cause"),
+        (
+            "cause",
+            format!("{line}a_scene | | 1"),
+            "line 2 names no cause",
+        ),
         ("issue", "a_scene | cause | soon".to_owned(), "no issue"),
         ("none", "a_scen | cause | 1".to_owned(), "0 tests"),
         ("bench", "a_bench | cause | 1".to_owned(), "0 tests"),
--- a/crates/ivyward-lab/tests/path.rs
+++ b/crates/ivyward-lab/tests/path.rs
@@ -17,7 +17,10 @@
             let ask = scene.ask(0, QUICK, prompt(i, 400), 20);
             let end = scene.send(&ask).await.unwrap();
             assert_eq!(end.how, Heard::Served, "{end:?}");
-            assert_eq!(end.tokens, text::answer(&ask.request.prompt, 20).len() as u32);
+            assert_eq!(
+                end.tokens,
+                text::answer(&ask.request.prompt, 20).len() as u32
+            );
         }
         clean(&scene).await;
     });
@@ -78,13 +81,34 @@
                 Sight::Arrived { key, .. } => Some(key),
                 _ => None,
             };
-            let keys =
-                || -> Vec<Key> { scene.log.all().iter().filter(|s| arrived(s)).filter_map(key_of).collect() };
+            let keys = || -> Vec<Key> {
+                scene
+                    .log
+                    .all()
+                    .iter()
+                    .filter(|s| arrived(s))
+                    .filter_map(key_of)
+                    .collect()
+            };
             leaves_when(&scene, &ask, |s| match (stage, s) {
                 (0, Sight::Called { call: c, .. }) => *c == call,
-                (1, Sight::Arrived { call: c, kind: Kind::Read, .. }) => *c == call,
+                (
+                    1,
+                    Sight::Arrived {
+                        call: c,
+                        kind: Kind::Read,
+                        ..
+                    },
+                ) => *c == call,
                 (2, Sight::Kept { key, .. }) => keys().contains(key),
-                (3, Sight::Arrived { call: c, kind: Kind::Write, .. }) => *c == call,
+                (
+                    3,
+                    Sight::Arrived {
+                        call: c,
+                        kind: Kind::Write,
+                        ..
+                    },
+                ) => *c == call,
                 (4, Sight::LetGo { key, .. }) => keys().contains(key),
                 (5, Sight::Began { call: c }) => *c == call,
                 _ => false,
@@ -98,7 +122,11 @@
             // All engines that were asked see the end: a stream that nobody reads ends.
             assert!(!keys().is_empty());
             for key in keys() {
-                seen(&scene, |s| matches!(s, Sight::Ended { key: k, .. } if *k == key)).await;
+                seen(
+                    &scene,
+                    |s| matches!(s, Sight::Ended { key: k, .. } if *k == key),
+                )
+                .await;
             }
         }
         // In the very moment of the first token.
@@ -164,7 +192,11 @@
     let scene = build(make);
     block_on(async {
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 12);
-        ask.habit = Habit { patience: 20_000_000, silent_deadline: true, ..Habit::default() };
+        ask.habit = Habit {
+            patience: 20_000_000,
+            silent_deadline: true,
+            ..Habit::default()
+        };
         let end = scene.send(&ask).await.unwrap();
         assert_eq!(end.how, Heard::Served, "{end:?}");
         clean(&scene).await;
@@ -175,7 +207,10 @@
 fn drains_and_departures_are_kept_and_restarts_are_taken_back() {
     let scene = build(Make::new(1, pools(2, 3)));
     block_on(async {
-        for (round, condition) in [Condition::Draining, Condition::Gone].into_iter().enumerate() {
+        for (round, condition) in [Condition::Draining, Condition::Gone]
+            .into_iter()
+            .enumerate()
+        {
             for engine in [0, 2] {
                 scene.tell_all(engine, condition, None).await;
             }
@@ -188,7 +223,10 @@
             }
         }
         let all_seen = scene.log.all();
-        let told = all_seen.iter().filter(|s| matches!(s.what, Sight::Told { .. })).count();
+        let told = all_seen
+            .iter()
+            .filter(|s| matches!(s.what, Sight::Told { .. }))
+            .count();
         assert_eq!(told, 8);
         clean(&scene).await;
     });
@@ -214,12 +252,21 @@
             let leave = async {
                 let _ = left.recv().await;
             };
-            let _ = tell.send(one.send_until(&slow, leave).await.unwrap().how).await;
+            let _ = tell
+                .send(one.send_until(&slow, leave).await.unwrap().how)
+                .await;
         });
-        seen(&scene, |s| matches!(s, Sight::Began { call: c } if *c == call)).await;
+        seen(
+            &scene,
+            |s| matches!(s, Sight::Began { call: c } if *c == call),
+        )
+        .await;
         // Others on the same connection are not held up: each is served while the slow one waits.
         for i in 0..20 {
-            let end = scene.send(&scene.ask(0, QUICK, prompt(i + 2, 50), 20)).await.unwrap();
+            let end = scene
+                .send(&scene.ask(0, QUICK, prompt(i + 2, 50), 20))
+                .await
+                .unwrap();
             assert_eq!(end.how, Heard::Served, "{end:?}");
         }
         drop(leave);
@@ -228,7 +275,10 @@
         // of 64 KiB of messages of at least four bytes for each token.
         let sent = scene.engine(1).tokens();
         let bound = 4 * 64 + 2 * 64 + 3 * (64 << 10) / 4;
-        assert!(sent < bound, "{sent} tokens left the engine, {bound} at most");
+        assert!(
+            sent < bound,
+            "{sent} tokens left the engine, {bound} at most"
+        );
         clean(&scene).await;
     });
 }
--- a/crates/ivyward-lab/tests/peers.rs
+++ b/crates/ivyward-lab/tests/peers.rs
@@ -43,7 +43,11 @@
     let since = net.now;
     net.run(net.now + 10 * SECOND);
     assert!(net.until_agreed(5 * SECOND).is_some());
-    assert!(net.changes.iter().filter(|c| c.0 >= since).all(|c| c.3 != Standing::Dead));
+    assert!(net
+        .changes
+        .iter()
+        .filter(|c| c.0 >= since)
+        .all(|c| c.3 != Standing::Dead));
 }
 
 #[test]
@@ -84,14 +88,18 @@
 /// A node that hears nobody, and is heard: the others are not dead for it at once, and it lives for all.
 #[test]
 fn a_node_that_is_deaf_is_alive_to_the_others() {
-    let way: Way = Box::new(|now, _, to, lot| (!(now > 15 * SECOND && to == 6)).then_some(200 + lot % 800));
+    let way: Way =
+        Box::new(|now, _, to, lot| (!(now > 15 * SECOND && to == 6)).then_some(200 + lot % 800));
     let mut net = Net::new(24, 5, way);
     net.run(22 * SECOND);
     assert!(net.peers[6].alone(net.now));
     assert_eq!(net.deaths(0), 0);
     net.run(60 * SECOND);
     // It answers no question, so it is doubted again and again; but it is heard.
-    assert!(net.changes.iter().all(|c| (c.2, c.3) != (PeerId(7), Standing::Dead)));
+    assert!(net
+        .changes
+        .iter()
+        .all(|c| (c.2, c.3) != (PeerId(7), Standing::Dead)));
 }
 
 #[test]
@@ -104,7 +112,10 @@
     let mut net = Net::new(40, 6, way);
     net.run(until);
     assert_eq!(net.standing(0, 1), Some(Standing::Dead));
-    assert!(net.peers.iter().all(|p| p.count() == 40), "those apart may be sending");
+    assert!(
+        net.peers.iter().all(|p| p.count() == 40),
+        "those apart may be sending"
+    );
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
 
@@ -116,24 +127,41 @@
     assert!(net.until_agreed(3 * SECOND).is_some());
     net.run(net.now + 5 * SECOND);
     assert!(net.peers.iter().all(|p| p.count() == 24));
-    assert!(net.live().iter().all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().card.start == 2));
+    assert!(net
+        .live()
+        .iter()
+        .all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().card.start == 2));
     // A word of the old run brings nothing back, and tells the old one that it is over.
     let before = net.peers[2].dropped().stale;
     let mut out = Vec::new();
-    let old =
-        Message { view: 0, from: card(9, 1), beat: 99_000, body: Body::Ping { seq: 1 }, claims: vec![] };
+    let old = Message {
+        view: 0,
+        from: card(9, 1),
+        beat: 99_000,
+        body: Body::Ping { seq: 1 },
+        claims: vec![],
+    };
     let now = net.now;
     net.peers[2].hear(now, old, &mut out);
     assert!(
-        net.peers[2].dropped().stale == before + 1 && net.peers[2].peer(PeerId(10)).unwrap().card.start == 2
+        net.peers[2].dropped().stale == before + 1
+            && net.peers[2].peer(PeerId(10)).unwrap().card.start == 2
+    );
+    assert!(
+        matches!(&out[..], [Out::Send { to, message }] if *to == address(9)
+        && message.claims.iter().any(|c| c.card.id == PeerId(10) && c.card.start == 2))
     );
-    assert!(matches!(&out[..], [Out::Send { to, message }] if *to == address(9)
-        && message.claims.iter().any(|c| c.card.id == PeerId(10) && c.card.start == 2)));
     out.clear();
     net.run(net.now + 10 * SECOND);
     let (now, new) = (
         net.now,
-        Message { view: 0, from: card(9, 3), beat: 1, body: Body::Ping { seq: 1 }, claims: vec![] },
+        Message {
+            view: 0,
+            from: card(9, 3),
+            beat: 1,
+            body: Body::Ping { seq: 1 },
+            claims: vec![],
+        },
     );
     net.peers[9].hear(now, new, &mut out);
     assert!(net.peers[9].superseded());
@@ -152,9 +180,19 @@
     assert!(net.until_agreed(SECOND).is_some());
     assert!(net.live().iter().all(|n| net.peers[*n].count() == 23));
     // What one other says of a leave is not enough to be sure of.
-    let claim = Claim { card: card(7, 1), beat: 1, ago: 0, about: About::Left };
-    let lie =
-        Message { view: 0, from: card(8, 1), beat: 20_000, body: Body::Nack { seq: 0 }, claims: vec![claim] };
+    let claim = Claim {
+        card: card(7, 1),
+        beat: 1,
+        ago: 0,
+        about: About::Left,
+    };
+    let lie = Message {
+        view: 0,
+        from: card(8, 1),
+        beat: 20_000,
+        body: Body::Nack { seq: 0 },
+        claims: vec![claim],
+    };
     net.peers[2].hear(now, lie, &mut Vec::new());
     assert_eq!(net.standing(2, 7), Some(Standing::Alive));
 }
@@ -171,11 +209,21 @@
             let claims = (1..MOST_CLAIMS)
                 .map(|of| {
                     let beat = if round % 2 == 0 { 1 } else { u64::MAX / 2 };
-                    Claim { card: card(of, 1), beat, ago: 60 * SECOND, about: About::Silent { since: 0 } }
+                    Claim {
+                        card: card(of, 1),
+                        beat,
+                        ago: 60 * SECOND,
+                        about: About::Silent { since: 0 },
+                    }
                 })
                 .collect();
-            let lie =
-                Message { view: 0, from: card(0, 1), beat: now / 1_000, body: Body::Nack { seq: 0 }, claims };
+            let lie = Message {
+                view: 0,
+                from: card(0, 1),
+                beat: now / 1_000,
+                body: Body::Nack { seq: 0 },
+                claims,
+            };
             let mut out = Vec::new();
             net.peers[node].hear(now, lie, &mut out);
             net.carry(node, out);
@@ -193,11 +241,20 @@
     net.kill(5);
     net.run(20 * SECOND);
     assert_eq!(net.standing(0, 5), Some(Standing::Dead));
-    let settings = PeerSettings { most: 8, keep_dead: 30 * SECOND, ..PeerSettings::default() };
+    let settings = PeerSettings {
+        most: 8,
+        keep_dead: 30 * SECOND,
+        ..PeerSettings::default()
+    };
     let mut small = Peers::new(0, card(0, 1), vec![], settings, 1);
     for node in 1..20 {
-        let hello =
-            Message { view: 0, from: card(node, 1), beat: 1, body: Body::Ping { seq: 1 }, claims: vec![] };
+        let hello = Message {
+            view: 0,
+            from: card(node, 1),
+            beat: 1,
+            body: Body::Ping { seq: 1 },
+            claims: vec![],
+        };
         small.hear(1, hello, &mut Vec::new());
     }
     assert_eq!((small.peers().count(), small.dropped().over), (8, 11));
@@ -249,8 +306,16 @@
     let mut net = Net::new(30, 13, way);
     net.run(until);
     assert_eq!(net.standing(1, 3), Some(Standing::Dead));
-    assert_eq!(net.standing(0, 3), Some(Standing::Alive), "inside it all is well");
-    assert_eq!(net.standing(0, 1), Some(Standing::Alive), "it hears the others");
+    assert_eq!(
+        net.standing(0, 3),
+        Some(Standing::Alive),
+        "inside it all is well"
+    );
+    assert_eq!(
+        net.standing(0, 1),
+        Some(Standing::Alive),
+        "it hears the others"
+    );
     assert!(net.peers.iter().all(|p| p.count() == 30));
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
@@ -293,7 +358,13 @@
     // One that has been here for long does not: another process has taken its name.
     net.run(net.now + 15 * SECOND);
     let start = net.peers[9].me().start;
-    let new = Message { view: 0, from: card(9, start + 1), beat: 1, body: Body::Leave, claims: vec![] };
+    let new = Message {
+        view: 0,
+        from: card(9, start + 1),
+        beat: 1,
+        body: Body::Leave,
+        claims: vec![],
+    };
     let now = net.now;
     net.peers[9].hear(now, new, &mut Vec::new());
     assert!(net.peers[9].superseded() && net.peers[9].me().start == start);
@@ -303,12 +374,19 @@
 fn a_new_node_under_an_old_address_does_not_keep_the_old_one_alive() {
     let mut net = Net::new(24, 17, easy());
     net.run(15 * SECOND);
-    let new = Card { id: PeerId(1_000), ..card(9, 1) };
+    let new = Card {
+        id: PeerId(1_000),
+        ..card(9, 1)
+    };
     net.restart_as(9, new);
     net.run(net.now + 6 * SECOND);
     for at in (0..24).filter(|n| *n != 9) {
         assert_eq!(net.standing(at, 9), Some(Standing::Dead), "at {at}");
-        assert_eq!(net.peers[at].peer(new.id).map(|p| p.standing), Some(Standing::Alive), "at {at}");
+        assert_eq!(
+            net.peers[at].peer(new.id).map(|p| p.standing),
+            Some(Standing::Alive),
+            "at {at}"
+        );
     }
 }
 
@@ -319,11 +397,21 @@
     net.run(15 * SECOND);
     // Its place is taken by the node that was the tenth, on another machine.
     net.kill(9);
-    net.restart_as(24, Card { address: address(24), ..card(9, 2) });
+    net.restart_as(
+        24,
+        Card {
+            address: address(24),
+            ..card(9, 2)
+        },
+    );
     net.run(net.now + 6 * SECOND);
     for at in (0..24).filter(|n| *n != 9) {
         let peer = net.peers[at].peer(PeerId(10)).unwrap();
-        assert_eq!((peer.standing, peer.card.address), (Standing::Alive, address(24)), "at {at}");
+        assert_eq!(
+            (peer.standing, peer.card.address),
+            (Standing::Alive, address(24)),
+            "at {at}"
+        );
         assert_eq!(net.peers[at].count(), 24);
     }
 }
@@ -334,7 +422,13 @@
     net.run(SECOND);
     let took = net.until_agreed(10 * SECOND).expect("all know all");
     assert!(took < 5 * SECOND, "{took}");
-    assert_eq!(net.peers.iter().filter(|p| !p.joined() || p.count() != 300).count(), 0);
+    assert_eq!(
+        net.peers
+            .iter()
+            .filter(|p| !p.joined() || p.count() != 300)
+            .count(),
+        0
+    );
     assert_eq!(net.deaths(0), 0);
 }
 
@@ -398,13 +492,27 @@
     net.peers[0].record(now, card(3, 1), &mut out);
     net.peers[0].record_gone(now, PeerId(4));
     net.run(net.now + 20 * SECOND);
-    assert_eq!((net.standing(0, 3), net.peers[0].count()), (Some(Standing::Alive), 8));
+    assert_eq!(
+        (net.standing(0, 3), net.peers[0].count()),
+        (Some(Standing::Alive), 8)
+    );
     // It names one that nobody hears: not alive, but it may be sending.
-    let ghost = Card { id: PeerId(77), start: 5, zone: 0, address: address(200) };
+    let ghost = Card {
+        id: PeerId(77),
+        start: 5,
+        zone: 0,
+        address: address(200),
+    };
     let now = net.now;
     net.peers[0].record(now, ghost, &mut out);
-    assert!(matches!(out.last(), Some(Out::Send { to, .. }) if *to == address(200)), "it is called on");
-    assert_eq!((net.peers[0].peer(ghost.id).is_none(), net.peers[0].count()), (true, 9));
+    assert!(
+        matches!(out.last(), Some(Out::Send { to, .. }) if *to == address(200)),
+        "it is called on"
+    );
+    assert_eq!(
+        (net.peers[0].peer(ghost.id).is_none(), net.peers[0].count()),
+        (true, 9)
+    );
     net.peers[0].record_gone(now, ghost.id);
     assert_eq!(net.peers[0].count(), 8);
     // A record of an earlier run ends with it, and says nothing of the present one.
@@ -415,7 +523,10 @@
     net.peers[0].record_gone(now, PeerId(6));
     net.kill(5);
     net.run(net.now + 20 * SECOND);
-    assert_eq!((net.standing(0, 5), net.peers[0].count()), (Some(Standing::Dead), 8));
+    assert_eq!(
+        (net.standing(0, 5), net.peers[0].count()),
+        (Some(Standing::Dead), 8)
+    );
     // Of the present one: gone for certain when it is silent and the grace is over, and back if it is heard.
     let now = net.now;
     net.peers[0].record(now, card(5, 2), &mut out);
@@ -434,8 +545,13 @@
 fn a_repeated_message_brings_nobody_back_and_an_answer_to_ones_own_question_does() {
     let mut one = Peers::new(0, card(0, 1), vec![], PeerSettings::default(), 1);
     let mut out = Vec::new();
-    let hello =
-        |beat| Message { view: 0, from: card(1, 1), beat, body: Body::Ping { seq: 9 }, claims: vec![] };
+    let hello = |beat| Message {
+        view: 0,
+        from: card(1, 1),
+        beat,
+        body: Body::Ping { seq: 9 },
+        claims: vec![],
+    };
     one.hear(SECOND, hello(1_000), &mut out);
     one.hear(10 * SECOND, hello(10_000), &mut out);
     let mut now = 10 * SECOND;
@@ -447,26 +563,49 @@
     assert_eq!(standing(&one), Some(Standing::Dead));
     one.hear(now, hello(10_000), &mut out);
     one.hear(now, hello(1_000), &mut out);
-    assert_eq!((standing(&one), one.dropped().old), (Some(Standing::Dead), 1));
+    assert_eq!(
+        (standing(&one), one.dropped().old),
+        (Some(Standing::Dead), 1)
+    );
     // Its machine slept and its clock with it, or ours did: far ahead of what can be, unless it answers us.
     one.hear(now, hello(900_000), &mut out);
-    assert_eq!((standing(&one), one.dropped().implausible), (Some(Standing::Dead), 1));
+    assert_eq!(
+        (standing(&one), one.dropped().implausible),
+        (Some(Standing::Dead), 1)
+    );
     out.clear();
     let asked = loop {
         now += one.tick_span();
         one.tick(now, &mut out);
         let sent = out.iter().find_map(|o| match o {
-            Out::Send { message: Message { body: Body::Ping { seq }, .. }, .. } => Some(*seq),
+            Out::Send {
+                message:
+                    Message {
+                        body: Body::Ping { seq },
+                        ..
+                    },
+                ..
+            } => Some(*seq),
             _ => None,
         });
         if let Some(seq) = sent {
             break seq;
         }
     };
-    let answer = |seq, of| Message { body: Body::Ack { seq, of: PeerId(of) }, ..hello(900_000) };
+    let answer = |seq, of| Message {
+        body: Body::Ack {
+            seq,
+            of: PeerId(of),
+        },
+        ..hello(900_000)
+    };
     one.hear(now, answer(asked + 1, 2), &mut out);
     one.hear(now, answer(asked, 3), &mut out);
-    assert_eq!(standing(&one), Some(Standing::Dead), "another number, another name");
+    assert_eq!(
+        standing(&one),
+        Some(Standing::Dead),
+        "another number, another name"
+    );
     one.hear(now, answer(asked, 2), &mut out);
     assert_eq!(standing(&one), Some(Standing::Alive));
 }
--- a/crates/ivyward-lab/tests/planted_peers.rs
+++ b/crates/ivyward-lab/tests/planted_peers.rs
@@ -6,7 +6,10 @@
 
 /// Plays it; what was wrong.
 fn wrong(seed: u64) -> Option<String> {
-    let spans = PeerSettings { keep_dead: 60 * SECOND, ..PeerSettings::default() };
+    let spans = PeerSettings {
+        keep_dead: 60 * SECOND,
+        ..PeerSettings::default()
+    };
     // The ways from 2 to 3 and from 5 to 3 are cut for some time: others hear who is doubted there.
     let way: Way = Box::new(|now, a, b, lot| {
         let cut = (30 * SECOND..60 * SECOND).contains(&now) && b == 3 && a < 12 && a != 3;
@@ -32,20 +35,28 @@
     (0..14).for_each(|n| net.life[n] = Life::Stopped(since + 2 * SECOND));
     net.run(since + 10 * SECOND);
     if net.deaths(since) > 0 {
-        return Some(format!("{} deaths of those that slept for 2 s", net.deaths(since)));
+        return Some(format!(
+            "{} deaths of those that slept for 2 s",
+            net.deaths(since)
+        ));
     }
     (0..8).for_each(|n| net.life[n] = Life::Stopped(since + 18 * SECOND));
     net.run(since + 18 * SECOND);
     let woke = net.now;
     net.run(woke + 10 * SECOND);
-    let by_sleepers = |c: &&(u64, usize, PeerId, Standing)| c.0 >= woke && c.1 < 8 && c.3 == Standing::Dead;
+    let by_sleepers =
+        |c: &&(u64, usize, PeerId, Standing)| c.0 >= woke && c.1 < 8 && c.3 == Standing::Dead;
     let wrongly = net.changes.iter().filter(by_sleepers).count();
     if wrongly > 0 {
         return Some(format!("those that slept took {wrongly} others for dead"));
     }
     net.kill(4);
     net.run(net.now + 100 * SECOND);
-    let stays = net.live().iter().filter(|n| net.peers[**n].peer(PeerId(5)).is_some()).count();
+    let stays = net
+        .live()
+        .iter()
+        .filter(|n| net.peers[**n].peer(PeerId(5)).is_some())
+        .count();
     if stays > 0 {
         return Some(format!("{stays} remember a dead one for too long"));
     }
--- a/crates/ivyward-lab/tests/proofs.rs
+++ b/crates/ivyward-lab/tests/proofs.rs
@@ -23,7 +23,9 @@
     patience: u64,
     trouble: impl Fn(&mut Engine),
 ) -> (Heard, usize, usize) {
-    [1, 2].into_iter().for_each(|e| trouble(&mut scene.engine(e)));
+    [1, 2]
+        .into_iter()
+        .for_each(|e| trouble(&mut scene.engine(e)));
     let mut ask = scene.ask(0, ORDER, prompt(1, 50), 10);
     ask.habit.patience = patience;
     let call = ask.request.call_id;
@@ -36,7 +38,11 @@
         }
     }
     clean(scene).await;
-    (end.how, attempts(scene, call, Kind::Write), runs(scene, call))
+    (
+        end.how,
+        attempts(scene, call, Kind::Write),
+        runs(scene, call),
+    )
 }
 
 fn fault(change: impl Fn(&mut Faults) + Copy) -> impl Fn(&mut Engine) {
@@ -132,7 +138,10 @@
         seen(&scene, came).await;
         [1, 2].into_iter().for_each(|e| scene.engine(e).die());
         let end = wait.recv().await.unwrap().unwrap();
-        assert_eq!((end.how, attempts(&scene, call, Kind::Write)), (Heard::Failed, 1));
+        assert_eq!(
+            (end.how, attempts(&scene, call, Kind::Write)),
+            (Heard::Failed, 1)
+        );
         clean(&scene).await;
     });
 }
@@ -144,13 +153,18 @@
     let scene = scene();
     block_on(async {
         for round in 0..10 {
-            let asks: Vec<_> =
-                (0..12).map(|i| scene.ask(0, ORDER, prompt(round * 100 + i, 50), 10)).collect();
+            let asks: Vec<_> = (0..12)
+                .map(|i| scene.ask(0, ORDER, prompt(round * 100 + i, 50), 10))
+                .collect();
             let calls: Vec<u64> = asks.iter().map(|a| a.request.call_id).collect();
             let (one, first) = (scene.clone(), calls[0]);
             let (told, wait) = async_channel::bounded::<()>(1);
             scene.world.run(async move {
-                seen(&one, |s| matches!(s, Sight::Arrived { call, .. } if *call == first)).await;
+                seen(
+                    &one,
+                    |s| matches!(s, Sight::Arrived { call, .. } if *call == first),
+                )
+                .await;
                 (0..3).for_each(|e| one.engine(e).go_away());
                 drop(told);
             });
@@ -175,7 +189,10 @@
             scene.engine(0).fault(|f| f.reset = 1.0);
             scene.engine(1).fault(|f| f.reset = 0.0);
             for i in 0..6 {
-                let end = scene.send(&scene.ask(0, class, prompt(seed * 100 + i, 50), 5)).await.unwrap();
+                let end = scene
+                    .send(&scene.ask(0, class, prompt(seed * 100 + i, 50), 5))
+                    .await
+                    .unwrap();
                 assert_eq!(end.how, Heard::Served, "class {class}: {end:?}");
             }
         }
--- a/crates/ivyward-lab/tests/scale.rs
+++ b/crates/ivyward-lab/tests/scale.rs
@@ -11,14 +11,23 @@
     let lab = PathBuf::from(env!("CARGO_BIN_EXE_ivyward-lab"));
     let daemon = lab.with_file_name("ivywardd");
     if !daemon.exists() {
-        let built = Command::new(env!("CARGO")).args(["build", "-p", "ivywardd"]).status();
-        assert!(built.is_ok_and(|status| status.success()), "the daemon cannot be built");
+        let built = Command::new(env!("CARGO"))
+            .args(["build", "-p", "ivywardd"])
+            .status();
+        assert!(
+            built.is_ok_and(|status| status.success()),
+            "the daemon cannot be built"
+        );
     }
     Programs { lab, daemon }
 }
 
 fn part<'a>(report: &'a Report, name: &str) -> &'a Part {
-    report.parts.iter().find(|part| part.name == name).unwrap_or_else(|| panic!("no part {name}"))
+    report
+        .parts
+        .iter()
+        .find(|part| part.name == name)
+        .unwrap_or_else(|| panic!("no part {name}"))
 }
 
 #[test]
@@ -48,24 +57,54 @@
     let quiet = part(&report, "quiet");
     let node = &quiet.roles["node"];
     // A descriptor a connection to an engine, and some of its own.
-    assert!((41.0..120.0).contains(&node.descriptors), "{} descriptors", node.descriptors);
-    assert!(node.resident_kib < 256.0 * 1_024.0, "{} KiB", node.resident_kib);
+    assert!(
+        (41.0..120.0).contains(&node.descriptors),
+        "{} descriptors",
+        node.descriptors
+    );
+    assert!(
+        node.resident_kib < 256.0 * 1_024.0,
+        "{} KiB",
+        node.resident_kib
+    );
     let engines = &node.parts["engines"];
-    assert!(engines.bytes_in > 0.0 && engines.bytes_out > 0.0, "connections at rest are looked after");
-    assert!(node.parts["peers"].messages_out > 0.0, "nodes speak to each other");
-    assert!(quiet.roles["store"].parts["all"].bytes_in > 0.0, "leases are kept alive");
+    assert!(
+        engines.bytes_in > 0.0 && engines.bytes_out > 0.0,
+        "connections at rest are looked after"
+    );
+    assert!(
+        node.parts["peers"].messages_out > 0.0,
+        "nodes speak to each other"
+    );
+    assert!(
+        quiet.roles["store"].parts["all"].bytes_in > 0.0,
+        "leases are kept alive"
+    );
     let requests = part(&report, "requests").clients.clone().unwrap();
     assert_eq!(requests.failed, 0, "{requests:?}");
     // Nobody is at rest while an engine's zone is gone: the rest serves.
     let lost = part(&report, "zone lost").clients.clone().unwrap();
     assert!(lost.served > 0, "{lost:?}");
     let text = serde_json::to_string(&report).unwrap();
-    assert_eq!(serde_json::from_str::<Report>(&text).unwrap().parts.len(), report.parts.len());
+    assert_eq!(
+        serde_json::from_str::<Report>(&text).unwrap().parts.len(),
+        report.parts.len()
+    );
 }
 
 #[test]
 fn a_run_beyond_a_bound_is_refused_before_anything_starts() {
-    let programs = Programs { lab: PathBuf::from("/nowhere"), daemon: PathBuf::from("/nowhere") };
-    let error = run(Size { real_nodes: 1_000, ..Size::default() }, programs).unwrap_err();
+    let programs = Programs {
+        lab: PathBuf::from("/nowhere"),
+        daemon: PathBuf::from("/nowhere"),
+    };
+    let error = run(
+        Size {
+            real_nodes: 1_000,
+            ..Size::default()
+        },
+        programs,
+    )
+    .unwrap_err();
     assert!(error.to_string().starts_with("processes:"), "{error}");
 }
--- a/crates/ivyward-lab/tests/seeds.rs
+++ b/crates/ivyward-lab/tests/seeds.rs
@@ -11,14 +11,22 @@
     // Each kind of fault was played, and calls ended in each way.
     assert_eq!(tally.faults.len(), 15, "{:?}", tally.faults);
     for how in ["served", "refused", "failed", "left", "unreachable"] {
-        assert!(tally.heard.get(how).is_some_and(|n| *n > 0), "{how}: {:?}", tally.heard);
+        assert!(
+            tally.heard.get(how).is_some_and(|n| *n > 0),
+            "{how}: {:?}",
+            tally.heard
+        );
     }
 }
 
 /// Nodes that know each other, with their links among the faulty: views and counts hold beside the rules.
 #[test]
 fn seeds_with_peers_keep_all_rules() {
-    let size = Size { peers: true, nodes: 4, ..Size::default() };
+    let size = Size {
+        peers: true,
+        nodes: 4,
+        ..Size::default()
+    };
     let tally = many(1, 200, 4, &size, &|_| {});
     assert_eq!(tally.wrong, Default::default());
     assert_eq!(tally.faults.len(), 17, "{:?}", tally.faults);
@@ -80,7 +88,11 @@
     let size = Size::default();
     for (seed, what, plan) in FOUND {
         let plan: Vec<Timed> = serde_json::from_str(plan).unwrap();
-        assert_eq!(run(*seed, &size, &plan).wrong, Vec::<String>::new(), "seed {seed}: {what}");
+        assert_eq!(
+            run(*seed, &size, &plan).wrong,
+            Vec::<String>::new(),
+            "seed {seed}: {what}"
+        );
     }
 }
 
@@ -88,9 +100,12 @@
 #[test]
 fn a_seed_plays_the_same_run_beside_others() {
     let size = Size::default();
-    let alone: Vec<_> = (1..=6).map(|seed| run(seed, &size, &plan(seed, &size))).collect();
+    let alone: Vec<_> = (1..=6)
+        .map(|seed| run(seed, &size, &plan(seed, &size)))
+        .collect();
     let beside: Vec<_> = std::thread::scope(|scope| {
-        let play = |seed| scope.spawn(move || run(seed, &Size::default(), &plan(seed, &Size::default())));
+        let play =
+            |seed| scope.spawn(move || run(seed, &Size::default(), &plan(seed, &Size::default())));
         let all: Vec<_> = (1..=6).map(play).collect();
         all.into_iter().map(|one| one.join().unwrap()).collect()
     });
@@ -101,11 +116,27 @@
 /// The check can fail, and a plan that makes it fail is cut down to what it takes: here a fault that outlasts the run.
 #[test]
 fn a_scene_that_does_not_end_is_told_and_cut_down() {
-    let size = Size { requests: 5, faults: 0, ..Size::default() };
-    let fine = Timed { at: 200_000, len: 50_000, fault: Fault::Drain { engine: 2 } };
-    let endless = Timed { at: 300_000, len: 500_000_000, fault: Fault::Pieces };
+    let size = Size {
+        requests: 5,
+        faults: 0,
+        ..Size::default()
+    };
+    let fine = Timed {
+        at: 200_000,
+        len: 50_000,
+        fault: Fault::Drain { engine: 2 },
+    };
+    let endless = Timed {
+        at: 300_000,
+        len: 500_000_000,
+        fault: Fault::Pieces,
+    };
     let planted = [fine, endless, fine];
     let outcome = run(3, &size, &planted);
-    assert!(outcome.wrong[0].contains("it was not done by"), "{:?}", outcome.wrong);
+    assert!(
+        outcome.wrong[0].contains("it was not done by"),
+        "{:?}",
+        outcome.wrong
+    );
     assert_eq!(shrink(3, &size, &planted), [endless]);
 }
--- a/crates/ivyward-lab/tests/stage/mod.rs
+++ b/crates/ivyward-lab/tests/stage/mod.rs
@@ -36,22 +36,44 @@
 
 /// The same with so many readers and writers, whose ids follow the readers'.
 pub fn stage_of(readers: u64, writers: u64) -> Stage {
-    let sim = Sim::new(11, Net { jitter: 0, ..Net::default() });
+    let sim = Sim::new(
+        11,
+        Net {
+            jitter: 0,
+            ..Net::default()
+        },
+    );
     let script = sim.host(0);
     let world = script.world();
     let log = Log::new(&world);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Processes> = hosts.clone();
     let spec = |id| {
-        let role = if id <= readers { Role::Reader } else { Role::Writer };
-        Spec { read_rate: 4_000.0, fetch_rate: 8_000.0, token_gap: 3_000, ..Spec::small(id, role) }
+        let role = if id <= readers {
+            Role::Reader
+        } else {
+            Role::Writer
+        };
+        Spec {
+            read_rate: 4_000.0,
+            fetch_rate: 8_000.0,
+            token_gap: 3_000,
+            ..Spec::small(id, role)
+        }
     };
     let (mut engines, mut engine_hosts) = (Vec::new(), Vec::new());
     for id in 1..=readers + writers {
         engines.push(Engine::start(&host, &log, spec(id)).unwrap());
         engine_hosts.push(hosts.last());
     }
-    Stage { sim, script, world, log, engines, engine_hosts }
+    Stage {
+        sim,
+        script,
+        world,
+        log,
+        engines,
+        engine_hosts,
+    }
 }
 
 impl Stage {
@@ -76,7 +98,10 @@
         (node, address, memory, host.id())
     }
     pub fn listed(&self) -> Vec<ivyward::Engine> {
-        self.engines.iter().map(|e| listed(e, Condition::Ready, 0)).collect()
+        self.engines
+            .iter()
+            .map(|e| listed(e, Condition::Ready, 0))
+            .collect()
     }
 }
 
--- a/crates/ivyward-lab/tests/terms.rs
+++ b/crates/ivyward-lab/tests/terms.rs
@@ -39,23 +39,44 @@
 impl Cast {
     async fn client(&self) -> Client {
         self.node.fleet(ListKind::Full, self.listed.clone()).await;
-        Client::connect(&self.world, &self.log, self.address).await.unwrap()
+        Client::connect(&self.world, &self.log, self.address)
+            .await
+            .unwrap()
     }
 }
 
 /// A stage with one node, which may or may not call attempts off.
 fn cast(stage: &Stage, may_cancel: bool) -> Cast {
-    let mut settings = NodeSettings { seed: 7, ..settings() };
+    let mut settings = NodeSettings {
+        seed: 7,
+        ..settings()
+    };
     settings.rules.may_cancel = may_cancel;
     let (node, address, _, node_host) = stage.node_with(settings);
     let (world, log) = (stage.world.clone(), stage.log.clone());
-    Cast { node, address, node_host, listed: stage.listed(), world, log }
+    Cast {
+        node,
+        address,
+        node_host,
+        listed: stage.listed(),
+        world,
+        log,
+    }
 }
 
 fn ask(call: u64, words: u32, patience: Micros) -> Ask {
-    let habit = Habit { patience, ..Habit::default() };
+    let habit = Habit {
+        patience,
+        ..Habit::default()
+    };
     let request = request(call, &prompt(call as u32, words), call as u32);
-    Ask { request, operation: call, effect: Effect::Safe, node: 0, habit }
+    Ask {
+        request,
+        operation: call,
+        effect: Effect::Safe,
+        node: 0,
+        habit,
+    }
 }
 
 /// When the last call of these kinds came to an engine, after a moment.
@@ -64,7 +85,12 @@
         Sight::Arrived { kind, .. } if kinds.contains(&kind) => Some(s.at),
         _ => None,
     };
-    log.all().iter().filter_map(came).max().unwrap_or(0).saturating_sub(since)
+    log.all()
+        .iter()
+        .filter_map(came)
+        .max()
+        .unwrap_or(0)
+        .saturating_sub(since)
 }
 
 /// Sends a request, leaves when `moment` is over, and returns how long after that the last attempt came to an engine.
@@ -128,7 +154,10 @@
             let late = leaves(&cast, &ask(1, 2_000, 4_000 * MS), how, moment).await;
             (late, cast.node.open(), cast.node.owed())
         });
-        assert!(matches!(played, Ok((0, 0, 0))), "{how:?}, may cancel {may_cancel}: {played:?}");
+        assert!(
+            matches!(played, Ok((0, 0, 0))),
+            "{how:?}, may cancel {may_cancel}: {played:?}"
+        );
     }
 }
 
@@ -155,16 +184,23 @@
 #[test]
 fn a_prompt_that_is_still_leaving_stays_here_when_its_client_leaves() {
     for (how, may_cancel) in ways() {
-        assert_eq!(slow_upload(how, may_cancel, 300 * MS), 0, "{how:?}, may cancel {may_cancel}");
+        assert_eq!(
+            slow_upload(how, may_cancel, 300 * MS),
+            0,
+            "{how:?}, may cancel {may_cancel}"
+        );
     }
 }
 
 /// What calls told their engines, as far as their kind is among these: when they came, and the time they stated.
 fn told(log: &Log, call: u64, kinds: &[Kind]) -> Vec<(Micros, Option<Micros>)> {
     let of = |s: &Seen| match s.what {
-        Sight::Arrived { call: c, kind, timeout, .. } if c == call && kinds.contains(&kind) => {
-            Some((s.at, timeout))
-        }
+        Sight::Arrived {
+            call: c,
+            kind,
+            timeout,
+            ..
+        } if c == call && kinds.contains(&kind) => Some((s.at, timeout)),
         _ => None,
     };
     log.all().iter().filter_map(of).collect()
@@ -197,15 +233,22 @@
                 client.ask(&ask(call, 50, patience)).await;
                 let all = told(&log, call, &[Kind::Read, Kind::Write, Kind::Hold]);
                 for (at, timeout) in &all {
-                    let timeout = timeout.unwrap_or_else(|| panic!("call {call}: no deadline was told"));
+                    let timeout =
+                        timeout.unwrap_or_else(|| panic!("call {call}: no deadline was told"));
                     let left = (began + patience).saturating_sub(*at);
-                    assert!(timeout <= left + DEADLINE_SLACK, "call {call}: {timeout} told, {left} left");
+                    assert!(
+                        timeout <= left + DEADLINE_SLACK,
+                        "call {call}: {timeout} told, {left} left"
+                    );
                 }
                 // A writer may take as long as the client waits, less the node's margin.
                 for (at, timeout) in told(&log, call, &[Kind::Write]) {
                     let left = (began + patience).saturating_sub(at);
                     let least = left.saturating_sub(settings().answer_margin + lag + 5 * MS);
-                    assert!(timeout.unwrap() >= least, "call {call}: {timeout:?} told, {left} left");
+                    assert!(
+                        timeout.unwrap() >= least,
+                        "call {call}: {timeout:?} told, {left} left"
+                    );
                     writes += 1;
                 }
                 reads += told(&log, call, &[Kind::Read]).len();
@@ -234,13 +277,25 @@
         let mut one = ask(1, 50, 60_000 * MS);
         one.habit.silent_deadline = true;
         let end = client.ask(&one).await;
-        (end.how, told(&log, 1, &[Kind::Read]), told(&log, 1, &[Kind::Write]))
+        (
+            end.how,
+            told(&log, 1, &[Kind::Read]),
+            told(&log, 1, &[Kind::Write]),
+        )
     });
     let (how, reads, writes) = played.unwrap();
     assert_eq!(how, Heard::Served);
     let deadline = settings().classes[0].settings.deadline;
-    assert!(reads.iter().all(|(_, timeout)| timeout.is_some_and(|t| t <= deadline)), "{reads:?}");
-    assert!(!writes.is_empty() && writes.iter().all(|(_, timeout)| timeout.is_none()), "{writes:?}");
+    assert!(
+        reads
+            .iter()
+            .all(|(_, timeout)| timeout.is_some_and(|t| t <= deadline)),
+        "{reads:?}"
+    );
+    assert!(
+        !writes.is_empty() && writes.iter().all(|(_, timeout)| timeout.is_none()),
+        "{writes:?}"
+    );
 }
 
 /// An engine that its node cannot reach any more ends the work by itself when the client's time is over.
@@ -251,7 +306,11 @@
     stage.engines[4].drain(true);
     stage.engines[3].fault(|f| f.slow = 300.0);
     let cast = cast(&stage, true);
-    let (log, sim, hosts) = (stage.log.clone(), stage.sim.clone(), stage.engine_hosts.clone());
+    let (log, sim, hosts) = (
+        stage.log.clone(),
+        stage.sim.clone(),
+        stage.engine_hosts.clone(),
+    );
     let engines = std::mem::take(&mut stage.engines);
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let client = cast.client().await;
@@ -276,7 +335,11 @@
         });
         ended.map(|at| at.saturating_sub(began + patience))
     });
-    assert_eq!(played, Ok(Some(0)), "the work goes on past the client's end");
+    assert_eq!(
+        played,
+        Ok(Some(0)),
+        "the work goes on past the client's end"
+    );
 }
 
 /// A node is told to stop while clients with slow links read their answers: each gets its whole answer, though the process
@@ -296,7 +359,11 @@
         cast.world.run(async move {
             let _ = done.send(client.ask(&one).await).await;
         });
-        while !log.all().iter().any(|s| matches!(s.what, Sight::Began { .. })) {
+        while !log
+            .all()
+            .iter()
+            .any(|s| matches!(s.what, Sight::Began { .. }))
+        {
             cast.world.sleep(MS).await;
         }
         cast.node.stop(10_000 * MS).await;
--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -26,7 +26,10 @@
 
 impl Budget {
     pub(crate) fn new(most: usize) -> Arc<Budget> {
-        Arc::new(Budget { held: AtomicUsize::new(0), most })
+        Arc::new(Budget {
+            held: AtomicUsize::new(0),
+            most,
+        })
     }
     pub(crate) fn held(&self) -> usize {
         self.held.load(Ordering::Relaxed)
@@ -42,7 +45,10 @@
 
 impl Share {
     pub(crate) fn new(budget: &Arc<Budget>) -> Share {
-        Share { budget: budget.clone(), bytes: 0 }
+        Share {
+            budget: budget.clone(),
+            bytes: 0,
+        }
     }
     /// Takes more; `false` where nothing is left.
     pub(crate) fn grow(&mut self, bytes: usize) -> bool {
--- a/crates/ivyward-platform/src/call/tests.rs
+++ b/crates/ivyward-platform/src/call/tests.rs
@@ -27,9 +27,17 @@
         let theirs = other.connect(at).await.unwrap();
         let (ours, _) = listener.accept().await.unwrap();
         let text = b"POST / HTTP/1.1\r\n\r\n";
-        let limits = ivyward_http1::Limits { head: 1_000, headers: 4, body: 9, chunk: 9 };
+        let limits = ivyward_http1::Limits {
+            head: 1_000,
+            headers: 4,
+            body: 9,
+            chunk: 9,
+        };
         let (request, _) = Request::read(text, &limits).unwrap().unwrap();
-        let prompt = Prompt { bytes: Vec::new(), _share: Share::new(&Budget::new(1)) };
+        let prompt = Prompt {
+            bytes: Vec::new(),
+            _share: Share::new(&Budget::new(1)),
+        };
         let call = PlatformCall::new("x", &request, true, prompt, ours.peer(), 1);
         assert!(!call.left());
         drop(theirs);
--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -125,16 +125,28 @@
 }
 
 /// Bounds on clients' requests, and on engines' and discovery's answers.
-pub(crate) const LIMITS: Limits =
-    Limits { head: 16 << 10, headers: 64, body: MOST_BODY as u64, chunk: MOST_BODY as u64 };
+pub(crate) const LIMITS: Limits = Limits {
+    head: 16 << 10,
+    headers: 64,
+    body: MOST_BODY as u64,
+    chunk: MOST_BODY as u64,
+};
 
 /// The same for lists of engines.
 pub(crate) fn list_limits(bounds: &Bounds) -> Limits {
-    Limits { body: bounds.list as u64, chunk: bounds.list as u64, ..LIMITS }
+    Limits {
+        body: bounds.list as u64,
+        chunk: bounds.list as u64,
+        ..LIMITS
+    }
 }
 
 fn address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Value { field, value: text.into(), reason: "must be IP:PORT" })
+    text.parse().map_err(|_| ConfigError::Value {
+        field,
+        value: text.into(),
+        reason: "must be IP:PORT",
+    })
 }
 
 impl Bounds {
@@ -150,7 +162,11 @@
         }
         if !(16.0..=1e7).contains(&memory) {
             let (field, value) = ("limits.memory_mb", memory.to_string());
-            return Err(ConfigError::Value { field, value, reason: "at least 16 are needed" });
+            return Err(ConfigError::Value {
+                field,
+                value,
+                reason: "at least 16 are needed",
+            });
         }
         let bytes = (memory * 1e6) as usize;
         // Small kernels' figure of a third for clients is a bound on the usual ones; idle ones of others come on top.
@@ -176,7 +192,9 @@
     /// One line that names field, value and reason.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let name = path.display().to_string();
-        let length = std::fs::metadata(path).map_err(|e| ConfigError::File(name.clone(), e))?.len();
+        let length = std::fs::metadata(path)
+            .map_err(|e| ConfigError::File(name.clone(), e))?
+            .len();
         if length > MOST_FILE {
             return Err(ConfigError::Long(name));
         }
@@ -189,7 +207,8 @@
     /// # Errors
     /// As [`Config::read`].
     pub fn parse(name: &str, text: &[u8]) -> Result<Config, ConfigError> {
-        let file: File = serde_json::from_slice(text).map_err(|e| ConfigError::Form(name.into(), e))?;
+        let file: File =
+            serde_json::from_slice(text).map_err(|e| ConfigError::Form(name.into(), e))?;
         let told = ivyward_settings::from_json(&file.settings).map_err(ConfigError::Settings)?;
         let bounds = Bounds::new(&file.limits)?;
         let node = node_settings(&told, &bounds, &file.seed);
@@ -197,7 +216,9 @@
         let known = match file.known {
             serde_json::Value::Null => None,
             value => List::deserialize(value)
-                .inspect_err(|e| warn!("the list as last held cannot be read, and is left out: {e}"))
+                .inspect_err(|e| {
+                    warn!("the list as last held cannot be read, and is left out: {e}")
+                })
                 .ok(),
         };
         Ok(Config {
@@ -236,22 +257,46 @@
     rules.drain_grace = rules.drain_grace.max(LEAST_SPAN);
     rules.fall_window = rules.fall_window.max(LEAST_SPAN);
     let names = told.classes.iter().zip(&rules.classes);
-    let classes = names.map(|(name, s)| Class { name: name.clone(), settings: s.clone() }).collect();
+    let classes = names
+        .map(|(name, s)| Class {
+            name: name.clone(),
+            settings: s.clone(),
+        })
+        .collect();
     let names = told.tenants.iter().zip(&rules.tenants);
-    let tenants = names.map(|(name, s)| Tenant { name: name.clone(), settings: s.clone() }).collect();
+    let tenants = names
+        .map(|(name, s)| Tenant {
+            name: name.clone(),
+            settings: s.clone(),
+        })
+        .collect();
     let usual = NodeSettings::default();
-    let shortest = rules.classes.iter().map(|c| c.deadline).min().unwrap_or(Micros::MAX);
+    let shortest = rules
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .min()
+        .unwrap_or(Micros::MAX);
     NodeSettings {
-        seed: u64::from_str_radix(seed, 16).unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(seed.as_bytes())),
+        seed: u64::from_str_radix(seed, 16)
+            .unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(seed.as_bytes())),
         classes,
         tenants,
         answer_margin: ANSWER_MARGIN.min(shortest / MARGIN_PART).max(LEAST_SPAN),
-        dial_timeout: if told.dial_timeout > 0 { told.dial_timeout } else { usual.dial_timeout }
-            .min(rules.drain_grace)
-            .max(LEAST_SPAN),
+        dial_timeout: if told.dial_timeout > 0 {
+            told.dial_timeout
+        } else {
+            usual.dial_timeout
+        }
+        .min(rules.drain_grace)
+        .max(LEAST_SPAN),
         reset_wait: usual.reset_wait.min(rules.release_within / 2),
         stream_stall: STREAM_STALL,
-        most_open: if told.most_open > 0 { bounds.clients.min(told.most_open) } else { bounds.clients },
+        most_open: if told.most_open > 0 {
+            bounds.clients.min(told.most_open)
+        } else {
+            bounds.clients
+        },
         most_clients: bounds.clients,
         connections_per_engine: bounds.engines.min(1 << 12),
         calls_per_connection: 1,
--- a/crates/ivyward-platform/src/discovery.rs
+++ b/crates/ivyward-platform/src/discovery.rs
@@ -35,7 +35,10 @@
 
 impl Discovery {
     pub(crate) fn new(address: SocketAddr) -> Discovery {
-        Discovery { address: Mutex::new(address), moved: Event::new() }
+        Discovery {
+            address: Mutex::new(address),
+            moved: Event::new(),
+        }
     }
     /// Discovery answers elsewhere from now on.
     pub(crate) fn move_to(&self, address: SocketAddr) {
@@ -63,7 +66,11 @@
             let follows = async {
                 loop {
                     let list = calls.next_list().await;
-                    let kind = if list.full { ListKind::Full } else { ListKind::Changes };
+                    let kind = if list.full {
+                        ListKind::Full
+                    } else {
+                        ListKind::Changes
+                    };
                     let engines = reader.read(&list);
                     if list.full || !engines.is_empty() {
                         node.fleet(kind, engines).await;
@@ -83,7 +90,10 @@
 
 impl Missed {
     fn new(how: Miss, error: impl Into<io::Error>) -> Missed {
-        Missed { how, error: error.into() }
+        Missed {
+            how,
+            error: error.into(),
+        }
     }
 }
 
@@ -224,7 +234,11 @@
     /// Begins a call.
     fn begin(&mut self, asked: Asked) {
         let came = Arc::default();
-        let wait = if let Asked::NewerThan { .. } = &asked { self.pace.wait() } else { 0 };
+        let wait = if let Asked::NewerThan { .. } = &asked {
+            self.pace.wait()
+        } else {
+            0
+        };
         let call = Call {
             world: self.world.clone(),
             address: self.address,
@@ -234,7 +248,13 @@
             came: Arc::clone(&came),
         };
         let answer = Box::pin(call.run(asked));
-        self.pending.push(PendingCall { began: self.world.now(), wait, came, seen: 0, answer });
+        self.pending.push(PendingCall {
+            began: self.world.now(),
+            wait,
+            came,
+            seen: 0,
+            answer,
+        });
     }
 
     /// The first call that ends, whichever way; it is out no longer.
@@ -253,7 +273,10 @@
         match answer {
             Ok((wire, list)) => {
                 let (version, full, entries) = (list.version, list.full, list.servers.len());
-                debug!(took, version, full, entries, "a call for the list was answered");
+                debug!(
+                    took,
+                    version, full, entries, "a call for the list was answered"
+                );
                 // Only a call that waited for news in vain tells how late its answer is.
                 let idle = call.wait > 0 && !list.full && list.servers.is_empty();
                 let late = idle.then(|| took.saturating_sub(call.wait));
@@ -269,12 +292,18 @@
     /// Guards against a change that is undone by an older one: what holds is asked for as a whole.
     fn newer(&mut self, answered: Answered) -> Result<Answered, Missed> {
         let list = &answered.list;
-        let Some(newest) = self.newest.filter(|newest| !list.full && list.version < *newest) else {
+        let Some(newest) = self
+            .newest
+            .filter(|newest| !list.full && list.version < *newest)
+        else {
             return Ok(answered);
         };
         self.newest = None;
         let text = format!("changes of version {} after version {newest}", list.version);
-        Err(Missed::new(Miss::Failed, io::Error::new(io::ErrorKind::InvalidData, text)))
+        Err(Missed::new(
+            Miss::Failed,
+            io::Error::new(io::ErrorKind::InvalidData, text),
+        ))
     }
 }
 
@@ -292,9 +321,10 @@
 impl Call {
     async fn run(self, asked: Asked) -> Result<(Wire, List), Missed> {
         let (wire, target) = match asked {
-            Asked::NewerThan { version, wire } => {
-                (wire, format!("/v1/servers?from={version}&hold_ms={}", self.wait / 1_000))
-            }
+            Asked::NewerThan { version, wire } => (
+                wire,
+                format!("/v1/servers?from={version}&hold_ms={}", self.wait / 1_000),
+            ),
             Asked::Whole => (None, "/v1/servers".to_owned()),
         };
         let mut wire = match wire {
@@ -328,7 +358,9 @@
         loop {
             let now = world.now();
             let silent_at = last.saturating_add(patience);
-            let look = silent_at.min(now.max(last).saturating_add(step)).min(whole_by);
+            let look = silent_at
+                .min(now.max(last).saturating_add(step))
+                .min(whole_by);
             if let Some(list) = before(world, look, asked.as_mut()).await {
                 return list;
             }
@@ -350,23 +382,41 @@
 }
 
 /// One call, and the list that it answers.
-async fn ask(wire: &mut Wire, target: &str, host: SocketAddr, limits: &Limits) -> Result<List, Missed> {
-    let spoilt = |text: String| Missed::new(Miss::Failed, io::Error::new(io::ErrorKind::InvalidData, text));
+async fn ask(
+    wire: &mut Wire,
+    target: &str,
+    host: SocketAddr,
+    limits: &Limits,
+) -> Result<List, Missed> {
+    let spoilt = |text: String| {
+        Missed::new(
+            Miss::Failed,
+            io::Error::new(io::ErrorKind::InvalidData, text),
+        )
+    };
     let mut request = Vec::new();
-    head::write(&mut request, &format!("GET {target} HTTP/1.1"), &[("Host", &host.to_string())]);
-    wire.write(&request, &[]).await.map_err(|error| Missed::new(Miss::Failed, error))?;
+    head::write(
+        &mut request,
+        &format!("GET {target} HTTP/1.1"),
+        &[("Host", &host.to_string())],
+    );
+    wire.write(&request, &[])
+        .await
+        .map_err(|error| Missed::new(Miss::Failed, error))?;
     let answer = answer(wire, limits).await.map_err(|e| match e {
         NoHead::Broken(_) => Missed::new(Miss::Failed, io::ErrorKind::UnexpectedEof),
         NoHead::Bad(text) => spoilt(text),
         NoHead::Unreachable => Missed::new(Miss::Silent, io::ErrorKind::TimedOut),
     })?;
-    let text =
-        rest(wire, &answer, limits).await.ok_or_else(|| spoilt("the list is spoilt or too long".into()))?;
+    let text = rest(wire, &answer, limits)
+        .await
+        .ok_or_else(|| spoilt("the list is spoilt or too long".into()))?;
     match answer.status {
         200 => serde_json::from_slice(&text).map_err(|e| spoilt(e.to_string())),
-        status @ (429 | 503) => {
-            Err(Missed::new(Miss::TurnedAway, io::Error::other(format!("turned away with {status}"))))
-        }
+        status @ (429 | 503) => Err(Missed::new(
+            Miss::TurnedAway,
+            io::Error::other(format!("turned away with {status}")),
+        )),
         status => Err(spoilt(format!("status {status}"))),
     }
 }
--- a/crates/ivyward-platform/src/discovery/list.rs
+++ b/crates/ivyward-platform/src/discovery/list.rs
@@ -105,7 +105,13 @@
 impl ListReader {
     pub(crate) fn new(told: Told, world: &WorldRef) -> ListReader {
         let behind = world.unix_micros().saturating_sub(world.now());
-        ListReader { told, world: world.clone(), behind, known: BTreeMap::new(), starts: Starts::new() }
+        ListReader {
+            told,
+            world: world.clone(),
+            behind,
+            known: BTreeMap::new(),
+            starts: Starts::new(),
+        }
     }
 
     /// The engines of a list that discovery told just now.
@@ -124,7 +130,9 @@
         let mut engines: Vec<Engine> = Vec::with_capacity(list.servers.len());
         let mut indexes = BTreeMap::new();
         for value in &list.servers {
-            let read = self.entry(value).map_or_else(|why| self.as_known(value, &why), Some);
+            let read = self
+                .entry(value)
+                .map_or_else(|why| self.as_known(value, &why), Some);
             let Some(engine) = read else { continue };
             match indexes.entry(engine.entry.id) {
                 // Guards against two entries under one id: the last one counts.
@@ -154,36 +162,79 @@
     /// is removed counts, if that much can be read; that it is up does not.
     fn as_known(&self, value: &serde_json::Value, why: &EntryError) -> Option<Engine> {
         let text: String = value.to_string().chars().take(LOGGED).collect();
-        let id = value.get("id").and_then(serde_json::Value::as_str).map(server_id);
+        let id = value
+            .get("id")
+            .and_then(serde_json::Value::as_str)
+            .map(server_id);
         let Some(known) = id.and_then(|id| self.known.get(&id)) else {
             warn!(entry = text, "an engine is left out: {why}");
             return None;
         };
         warn!(entry = text, "an engine stays as it was known: {why}");
         let state = value.get("state").and_then(serde_json::Value::as_str);
-        let told = state.and_then(condition).filter(|told| *told != Condition::Ready);
+        let told = state
+            .and_then(condition)
+            .filter(|told| *told != Condition::Ready);
         let condition = told.unwrap_or(known.entry.condition);
-        Some(Engine { entry: ServerEntry { condition, ..known.entry }, ..*known })
+        Some(Engine {
+            entry: ServerEntry {
+                condition,
+                ..known.entry
+            },
+            ..*known
+        })
     }
 
     fn entry(&mut self, value: &serde_json::Value) -> Result<Engine, EntryError> {
-        let Entry { id, addr, zone, kind, cell, state, weight, started_ms } = Entry::deserialize(value)?;
+        let Entry {
+            id,
+            addr,
+            zone,
+            kind,
+            cell,
+            state,
+            weight,
+            started_ms,
+        } = Entry::deserialize(value)?;
         let id = server_id(&id);
-        let Some(condition) = condition(&state) else { return Err(EntryError::State(state)) };
+        let Some(condition) = condition(&state) else {
+            return Err(EntryError::State(state));
+        };
         if let (Condition::Gone, Some(known)) = (condition, self.known.get(&id)) {
-            return Ok(Engine { entry: ServerEntry { condition, ..known.entry }, ..*known });
+            return Ok(Engine {
+                entry: ServerEntry {
+                    condition,
+                    ..known.entry
+                },
+                ..*known
+            });
         }
         if !weight.is_finite() || weight <= 0.0 {
             return Err(EntryError::Weight(weight));
         }
-        let Some(zone_index) = index_of(&self.told.zones, &zone) else { return Err(EntryError::Zone(zone)) };
-        let Some(kind_index) = index_of(&self.told.kinds, &kind) else { return Err(EntryError::Kind(kind)) };
-        let Ok(address) = addr.parse::<SocketAddr>() else { return Err(EntryError::Address(addr)) };
+        let Some(zone_index) = index_of(&self.told.zones, &zone) else {
+            return Err(EntryError::Zone(zone));
+        };
+        let Some(kind_index) = index_of(&self.told.kinds, &kind) else {
+            return Err(EntryError::Kind(kind));
+        };
+        let Ok(address) = addr.parse::<SocketAddr>() else {
+            return Err(EntryError::Address(addr));
+        };
         let started = started_ms.saturating_mul(1_000);
-        let mut entry =
-            ServerEntry { id, zone: zone_index, kind: kind_index, cell, condition, weight, started };
+        let mut entry = ServerEntry {
+            id,
+            zone: zone_index,
+            kind: kind_index,
+            cell,
+            condition,
+            weight,
+            started,
+        };
         let now = self.world.now();
-        entry.started = self.starts.listed(&entry, now, now.saturating_add(self.behind));
+        entry.started = self
+            .starts
+            .listed(&entry, now, now.saturating_add(self.behind));
         Ok(Engine { entry, address })
     }
 }
--- a/crates/ivyward-platform/src/discovery/list/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list/tests.rs
@@ -8,7 +8,17 @@
 fn reader() -> (ListReader, WorldRef) {
     let world = Sim::new(1, Net::default()).host(1).world();
     let (zones, kinds) = (vec!["a".to_owned()], vec!["m1".to_owned(), "m2".to_owned()]);
-    (ListReader::new(Told { zones, kinds, ..Told::default() }, &world), world)
+    (
+        ListReader::new(
+            Told {
+                zones,
+                kinds,
+                ..Told::default()
+            },
+            &world,
+        ),
+        world,
+    )
 }
 
 fn entry(id: &str, state: &str) -> Value {
@@ -16,9 +26,20 @@
 }
 
 /// What a list of these entries tells: ids and conditions, in its order.
-fn conditions(reader: &mut ListReader, full: bool, servers: Vec<Value>) -> Vec<(ServerId, Condition)> {
-    let engines = reader.read(&List { version: 1, full, servers });
-    engines.iter().map(|e| (e.entry.id, e.entry.condition)).collect()
+fn conditions(
+    reader: &mut ListReader,
+    full: bool,
+    servers: Vec<Value>,
+) -> Vec<(ServerId, Condition)> {
+    let engines = reader.read(&List {
+        version: 1,
+        full,
+        servers,
+    });
+    engines
+        .iter()
+        .map(|e| (e.entry.id, e.entry.condition))
+        .collect()
 }
 
 /// A whole list in which an entry cannot be read does not take its engine away; a drain in it counts all the same.
@@ -43,12 +64,24 @@
         for full in [true, false] {
             let (mut reader, _) = reader();
             let one = server_id("s-1");
-            assert_eq!(conditions(&mut reader, true, vec![spoil(field, value.clone(), "up")]), []);
+            assert_eq!(
+                conditions(&mut reader, true, vec![spoil(field, value.clone(), "up")]),
+                []
+            );
             conditions(&mut reader, true, vec![entry("s-1", "up")]);
-            let mut told = |state| conditions(&mut reader, full, vec![spoil(field, value.clone(), state)]);
+            let mut told =
+                |state| conditions(&mut reader, full, vec![spoil(field, value.clone(), state)]);
             assert_eq!(told("up"), [(one, Condition::Ready)], "{field} {value}");
-            assert_eq!(told("sleeping"), [(one, Condition::Ready)], "{field} {value}");
-            assert_eq!(told("draining"), [(one, Condition::Draining)], "{field} {value}");
+            assert_eq!(
+                told("sleeping"),
+                [(one, Condition::Ready)],
+                "{field} {value}"
+            );
+            assert_eq!(
+                told("draining"),
+                [(one, Condition::Draining)],
+                "{field} {value}"
+            );
             // It may be up again, or not: that entry cannot be trusted to send something there.
             assert_eq!(told("up"), [(one, Condition::Draining)], "{field} {value}");
             assert_eq!(told("removed"), [(one, Condition::Gone)], "{field} {value}");
@@ -61,11 +94,18 @@
 #[test]
 fn an_id_that_comes_twice_counts_once() {
     let (mut reader, _) = reader();
-    let servers = vec![entry("s-1", "up"), entry("s-2", "up"), entry("s-1", "draining")];
+    let servers = vec![
+        entry("s-1", "up"),
+        entry("s-2", "up"),
+        entry("s-1", "draining"),
+    ];
     let told = conditions(&mut reader, true, servers);
     assert_eq!(
         told,
-        [(server_id("s-1"), Condition::Draining), (server_id("s-2"), Condition::Ready)],
+        [
+            (server_id("s-1"), Condition::Draining),
+            (server_id("s-2"), Condition::Ready)
+        ],
         "in the order of the list"
     );
 }
@@ -74,8 +114,11 @@
 #[test]
 fn changes_of_engines_never_listed() {
     let (mut reader, _) = reader();
-    let told =
-        conditions(&mut reader, false, vec![entry("s-1", "up"), json!({"id": "s-2", "state": "removed"})]);
+    let told = conditions(
+        &mut reader,
+        false,
+        vec![entry("s-1", "up"), json!({"id": "s-2", "state": "removed"})],
+    );
     assert_eq!(told, [(server_id("s-1"), Condition::Ready)]);
 }
 
@@ -103,33 +146,65 @@
     let (mut reader, world) = reader();
     let unix_ms = world.unix_micros() / 1_000;
     let entry = |id: &str, started: u64| serde_json::json!({"id": id, "addr": "10.0.0.1:80", "zone": "a", "kind": "m2", "state": "up", "started_ms": started});
-    let servers = vec![entry("s-1", unix_ms - 500), entry("s-2", 0), entry("s-3", unix_ms - 86_400_000)];
-    let engines = reader.read(&List { version: 1, full: true, servers });
+    let servers = vec![
+        entry("s-1", unix_ms - 500),
+        entry("s-2", 0),
+        entry("s-3", unix_ms - 86_400_000),
+    ];
+    let engines = reader.read(&List {
+        version: 1,
+        full: true,
+        servers,
+    });
     let started: Vec<Micros> = engines.iter().map(|e| e.entry.started).collect();
     assert_eq!(started[0], world.now() - 500_000);
     assert_eq!(started[1], 0, "long ago");
     assert_eq!(started[2], 1, "before the clock's begin");
     // What is removed needs no more than its id.
-    let servers =
-        vec![serde_json::json!({"id": "s-1", "state": "removed"}), serde_json::json!({"id": "s-7"})];
-    let engines = reader.read(&List { version: 2, full: false, servers });
+    let servers = vec![
+        serde_json::json!({"id": "s-1", "state": "removed"}),
+        serde_json::json!({"id": "s-7"}),
+    ];
+    let engines = reader.read(&List {
+        version: 2,
+        full: false,
+        servers,
+    });
     assert_eq!(engines.len(), 1);
-    assert_eq!((engines[0].entry.condition, engines[0].entry.kind), (Condition::Gone, 1));
+    assert_eq!(
+        (engines[0].entry.condition, engines[0].entry.kind),
+        (Condition::Gone, 1)
+    );
 }
 
 /// Guards against a wall clock that is an hour off at the node's start: an engine that has just come would count as warm, or
 /// every engine as cold for an hour.
 #[test]
-fn a_clock_that_is_an_hour_off_makes_nobody_warm_who_has_just_come_and_nobody_start_in_the_future() {
+fn a_clock_that_is_an_hour_off_makes_nobody_warm_who_has_just_come_and_nobody_start_in_the_future()
+{
     const HOUR_MS: u64 = 3_600_000;
     let (mut reader, world) = reader();
     let started = |reader: &mut ListReader, full: bool, id: &str, started_ms: u64| {
         let mut entry = entry(id, "up");
         entry["started_ms"] = json!(started_ms);
-        reader.read(&List { version: 1, full, servers: vec![entry] })[0].entry.started
+        reader.read(&List {
+            version: 1,
+            full,
+            servers: vec![entry],
+        })[0]
+            .entry
+            .started
     };
     let unix_ms = world.unix_micros() / 1_000;
-    assert_eq!(started(&mut reader, true, "s-1", unix_ms + HOUR_MS), world.now(), "an hour behind");
+    assert_eq!(
+        started(&mut reader, true, "s-1", unix_ms + HOUR_MS),
+        world.now(),
+        "an hour behind"
+    );
     let came = started(&mut reader, false, "s-2", unix_ms.saturating_sub(HOUR_MS));
-    assert_eq!(came, world.now(), "an hour ahead: it was not there when the list was read before");
+    assert_eq!(
+        came,
+        world.now(),
+        "an hour ahead: it was not there when the list was read before"
+    );
 }
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -51,7 +51,10 @@
             last_answer: link.last_answer.load(Ordering::Relaxed),
         };
         let reuse = keep::reuse(world.now(), &carried);
-        let mut wire = match job.heed(&mut timer, link.connect(job.leave_by, reuse, 0)).await {
+        let mut wire = match job
+            .heed(&mut timer, link.connect(job.leave_by, reuse, 0))
+            .await
+        {
             Woken::Next(Ok(wire)) => wire,
             // Of an engine that was not asked nothing is known.
             Woken::Next(Err(why @ CallError::Local(_))) => {
@@ -68,8 +71,12 @@
         if link.closing.load(Ordering::Relaxed) {
             return End::new(Outcome::NotSent, "the engine drains or is gone");
         }
-        let Some(prompt) = self.call.prompt() else { return gone() };
-        let left = (job.until.saturating_sub(world.now()) / 1_000).max(1).to_string();
+        let Some(prompt) = self.call.prompt() else {
+            return gone();
+        };
+        let left = (job.until.saturating_sub(world.now()) / 1_000)
+            .max(1)
+            .to_string();
         let (host, length) = (link.address.to_string(), prompt.bytes.len().to_string());
         let mut request = Vec::with_capacity(256);
         let mut headers = vec![
@@ -80,8 +87,17 @@
             ("Content-Length", &length),
         ];
         // Guards against an effect twice: an engine drops the repeats of a request by this key alone.
-        headers.extend(self.call.idempotency_key.as_deref().map(|key| ("Idempotency-Key", key)));
-        head::write(&mut request, &format!("{} {} HTTP/1.1", self.call.method, self.call.target), &headers);
+        headers.extend(
+            self.call
+                .idempotency_key
+                .as_deref()
+                .map(|key| ("Idempotency-Key", key)),
+        );
+        head::write(
+            &mut request,
+            &format!("{} {} HTTP/1.1", self.call.method, self.call.target),
+            &headers,
+        );
         let written = self.while_wanted(self.write(&mut wire, &request, &prompt.bytes));
         match job.heed(&mut timer, written).await {
             Woken::Next(None) => return gone(),
@@ -90,10 +106,19 @@
             Woken::Next(Some(Err(e))) => {
                 link.note_end(wire.idle, true);
                 // A kept connection that its engine had left says nothing of the engine.
-                let outcome = if wire.idle.is_some() { Outcome::NotSent } else { Outcome::ConnectFailed };
+                let outcome = if wire.idle.is_some() {
+                    Outcome::NotSent
+                } else {
+                    Outcome::ConnectFailed
+                };
                 return End::new(outcome, e.to_string());
             }
-            Woken::Late => return End::new(Outcome::ConnectFailed, "the engine does not take the request"),
+            Woken::Late => {
+                return End::new(
+                    Outcome::ConnectFailed,
+                    "the engine does not take the request",
+                )
+            }
             Woken::Stopped(_) => return gone(),
         }
         drop(prompt);
@@ -101,7 +126,10 @@
         timer = world.sleep_until(job.until);
         let check = carried.awaited_within.filter(|_| wire.idle.is_some());
         let check = check.map(|within| keep::arrival_check(world.now(), within));
-        let answer = match job.wait(&mut timer, self.answer_or_cut(&mut wire, check)).await {
+        let answer = match job
+            .wait(&mut timer, self.answer_or_cut(&mut wire, check))
+            .await
+        {
             Woken::Next(Ok(answer)) => {
                 link.note_end(wire.idle, false);
                 link.note_answer();
@@ -114,10 +142,18 @@
             Woken::Next(Err(NoHead::Unreachable)) => {
                 link.note_failure();
                 let text = "the engine cannot be reached any more";
-                return self.abandon_by(wire, UNREACHABLE_TIMEOUT, Outcome::TimedOut, text).await;
+                return self
+                    .abandon_by(wire, UNREACHABLE_TIMEOUT, Outcome::TimedOut, text)
+                    .await;
+            }
+            Woken::Next(Err(NoHead::Bad(text))) => {
+                return self.abandon(wire, Outcome::Error, text).await
+            }
+            Woken::Late => {
+                return self
+                    .abandon(wire, Outcome::TimedOut, "no answer in time")
+                    .await
             }
-            Woken::Next(Err(NoHead::Bad(text))) => return self.abandon(wire, Outcome::Error, text).await,
-            Woken::Late => return self.abandon(wire, Outcome::TimedOut, "no answer in time").await,
             Woken::Stopped(_) => return self.abandon(wire, Outcome::Cancelled, "called off").await,
         };
         let report = link.report(answer.head.text("x-server-load"));
@@ -148,11 +184,18 @@
     ) -> Result<Answer, NoHead> {
         let world = &self.link.engines.world;
         let mut head = pin!(answer(wire, &LIMITS));
-        let Some(check) = check else { return head.await };
+        let Some(check) = check else {
+            return head.await;
+        };
         if let Some(head) = before(world, check.dial_at, head.as_mut()).await {
             return head;
         }
-        let reachable = async { self.link.is_reachable(check.reachable_by).await.then_some(()) };
+        let reachable = async {
+            self.link
+                .is_reachable(check.reachable_by)
+                .await
+                .then_some(())
+        };
         let first = or(async { Some(head.as_mut().await) }, async {
             match reachable.await {
                 Some(()) => std::future::pending().await,
@@ -177,7 +220,12 @@
     /// Gives up what its engine may still be at. Guards against an attempt that reaches another engine before this one's
     /// end reaches the first: for so long there would be two. The engine's own end says that it knows. One that is cut off
     /// or stands still says nothing, and is waited for no longer than for the rest of an answer.
-    async fn abandon(&self, wire: EngineConnection, outcome: Outcome, text: impl Into<String>) -> End {
+    async fn abandon(
+        &self,
+        wire: EngineConnection,
+        outcome: Outcome,
+        text: impl Into<String>,
+    ) -> End {
         self.abandon_by(wire, ABANDON_TIMEOUT, outcome, text).await
     }
 
@@ -204,7 +252,12 @@
     /// Writes the request. Of one that may not be sent again, the last byte is held back for two round trips: a connection
     /// that ends at the first bytes of a request, as kept ones do, or under a busy engine, has then shown it, and nothing
     /// can have run.
-    async fn write(&self, wire: &mut EngineConnection, head: &[u8], body: &[u8]) -> std::io::Result<()> {
+    async fn write(
+        &self,
+        wire: &mut EngineConnection,
+        head: &[u8],
+        body: &[u8],
+    ) -> std::io::Result<()> {
         wire.under_way = true;
         if self.job.reads || self.call.again || body.is_empty() {
             return wire.write(head, body).await;
@@ -229,20 +282,35 @@
         report: Report,
         mut timer: BoxFuture<()>,
     ) -> End {
-        let text = match self.job.wait(&mut timer, rest(&mut wire, &answer, &LIMITS)).await {
+        let text = match self
+            .job
+            .wait(&mut timer, rest(&mut wire, &answer, &LIMITS))
+            .await
+        {
             Woken::Next(text) => text,
             Woken::Late => {
-                return self.abandon(wire, Outcome::TimedOut, "the end of a read did not come").await
+                return self
+                    .abandon(wire, Outcome::TimedOut, "the end of a read did not come")
+                    .await
             }
             Woken::Stopped(_) => return self.abandon(wire, Outcome::Cancelled, "called off").await,
         };
         let Some(text) = text else {
-            return self.abandon(wire, Outcome::Error, "the answer to a read is spoilt").await;
+            return self
+                .abandon(wire, Outcome::Error, "the answer to a read is spoilt")
+                .await;
         };
         self.link.keep_idle(wire, answer.head.keeps());
         let said: serde_json::Value = serde_json::from_slice(&text).unwrap_or_default();
-        let kept = said["cached_tokens"].as_u64().unwrap_or(0).min(u64::from(u32::MAX)) as u32;
-        End { kept, report, ..End::new(Outcome::Read, "read") }
+        let kept = said["cached_tokens"]
+            .as_u64()
+            .unwrap_or(0)
+            .min(u64::from(u32::MAX)) as u32;
+        End {
+            kept,
+            report,
+            ..End::new(Outcome::Read, "read")
+        }
     }
 
     /// Passes a stream's events on as they come whole.
@@ -255,7 +323,12 @@
     ) -> End {
         let world = &self.link.engines.world;
         let mut body = Body::new(answer.framing, &LIMITS);
-        let mut events = Events { pending: Vec::new(), kept: 0, report: None, done: false };
+        let mut events = Events {
+            pending: Vec::new(),
+            kept: 0,
+            report: None,
+            done: false,
+        };
         // Set with the first event: from then on the attempt's own time no longer counts.
         let mut stall: Option<Stall> = None;
         loop {
@@ -287,16 +360,27 @@
                 }
                 Step::Done => {
                     if stall.is_none() || !events.done || !events.pending.is_empty() {
-                        return self.abandon(wire, Outcome::Error, "a stream that is not whole").await;
+                        return self
+                            .abandon(wire, Outcome::Error, "a stream that is not whole")
+                            .await;
                     }
                     self.link.keep_idle(wire, answer.head.keeps());
-                    let report = events.report.as_deref().map_or(report, |t| self.link.report(Some(t)));
-                    return End { kept: events.kept, report, ..End::new(Outcome::Served, "served") };
+                    let report = events
+                        .report
+                        .as_deref()
+                        .map_or(report, |t| self.link.report(Some(t)));
+                    return End {
+                        kept: events.kept,
+                        report,
+                        ..End::new(Outcome::Served, "served")
+                    };
                 }
                 Step::More => {
                     let timer = stall.as_mut().map_or(&mut timer, |s| &mut s.timer);
                     match (self.job.wait(timer, wire.fill()).await, stall.as_mut()) {
-                        (Woken::Next(Ok(0)), _) => return End::new(Outcome::Reset, "the stream ended early"),
+                        (Woken::Next(Ok(0)), _) => {
+                            return End::new(Outcome::Reset, "the stream ended early")
+                        }
                         (Woken::Next(Ok(_)), _) => {}
                         (Woken::Next(Err(e)), _) => return End::new(Outcome::Reset, e.to_string()),
                         // A stream that has begun is not called off.
@@ -310,7 +394,9 @@
                             }
                         }
                         (Woken::Late, None) => {
-                            return self.abandon(wire, Outcome::TimedOut, "no event in time").await
+                            return self
+                                .abandon(wire, Outcome::TimedOut, "no event in time")
+                                .await
                         }
                     }
                 }
--- a/crates/ivyward-platform/src/engine/link.rs
+++ b/crates/ivyward-platform/src/engine/link.rs
@@ -79,14 +79,17 @@
         }
     }
     pub(super) fn note_answer(&self) {
-        let silent = self.last_failure.load(Ordering::Relaxed) > self.last_answer.load(Ordering::Relaxed);
-        self.last_answer.store(self.engines.world.now(), Ordering::Relaxed);
+        let silent =
+            self.last_failure.load(Ordering::Relaxed) > self.last_answer.load(Ordering::Relaxed);
+        self.last_answer
+            .store(self.engines.world.now(), Ordering::Relaxed);
         if silent {
             self.engines.releases.heard();
         }
     }
     pub(super) fn note_failure(&self) {
-        self.last_failure.store(self.engines.world.now(), Ordering::Relaxed);
+        self.last_failure
+            .store(self.engines.world.now(), Ordering::Relaxed);
     }
 
     /// An idle connection that may be used, or a new one.
@@ -128,7 +131,9 @@
     /// Whether a new connection comes up by a time; it is kept for the next request. Where this machine cannot open one,
     /// nothing is known, and the engine is taken for reachable.
     pub(super) async fn is_reachable(&self, until: Micros) -> bool {
-        let Some(permit) = self.engines.permit(0) else { return true };
+        let Some(permit) = self.engines.permit(0) else {
+            return true;
+        };
         match dial(&self.engines.world, self.address, until).await {
             Ok(Dialed { conn, took }) => {
                 let wire = EngineConnection {
@@ -148,8 +153,11 @@
     /// The youngest of the idle connections that may be used. One that its engine closed, or that brought more than its
     /// answer, serves no further.
     fn take_idle(&self, again: bool) -> Option<EngineConnection> {
-        let (now, mut idle, kept_connections) =
-            (self.engines.world.now(), lock(&self.idle), lock(&self.engines.kept_connections));
+        let (now, mut idle, kept_connections) = (
+            self.engines.world.now(),
+            lock(&self.idle),
+            lock(&self.engines.kept_connections),
+        );
         for at in (0..idle.len()).rev() {
             let age = now.saturating_sub(idle[at].1);
             if age >= self.engines.keep || !kept_connections.may_use(now, age, again) {
@@ -188,8 +196,12 @@
         let mut wire = self.connect(until, Reuse::Any, self.engines.spare).await?;
         let ended = |text: String| CallError::Unanswered(text);
         let asked = async {
-            self.ask(&mut wire, method, target).await.map_err(|e| ended(e.to_string()))?;
-            let answer = answer(&mut wire, &LIMITS).await.map_err(|_| ended("no answer".into()))?;
+            self.ask(&mut wire, method, target)
+                .await
+                .map_err(|e| ended(e.to_string()))?;
+            let answer = answer(&mut wire, &LIMITS)
+                .await
+                .map_err(|_| ended("no answer".into()))?;
             self.note_answer();
             let rest = rest(&mut wire, &answer, &LIMITS).await;
             Ok((answer, rest))
@@ -207,12 +219,21 @@
         Ok((answer.status, report))
     }
 
-    async fn ask(&self, wire: &mut EngineConnection, method: &str, target: &str) -> std::io::Result<()> {
+    async fn ask(
+        &self,
+        wire: &mut EngineConnection,
+        method: &str,
+        target: &str,
+    ) -> std::io::Result<()> {
         wire.under_way = true;
         let mut request = Vec::new();
         let host = self.address.to_string();
         let headers = [("Host", host.as_str()), ("Content-Length", "0")];
-        head::write(&mut request, &format!("{method} {target} HTTP/1.1"), &headers);
+        head::write(
+            &mut request,
+            &format!("{method} {target} HTTP/1.1"),
+            &headers,
+        );
         wire.write(&request, &[]).await
     }
 
@@ -246,7 +267,13 @@
                 return End::new(Outcome::NotSent, "a request of another protocol");
             };
             // A connection that is not kept is closed when this returns, so that nothing follows beside the attempt.
-            let end = Attempt { link: &self, job: &job, call }.run().await;
+            let end = Attempt {
+                link: &self,
+                job: &job,
+                call,
+            }
+            .run()
+            .await;
             if !job.reads {
                 call.note_outcome(end.outcome);
             }
@@ -256,7 +283,9 @@
     }
     fn hold(self: Arc<Self>, job: HoldJob) -> BoxFuture<Held> {
         Box::pin(async move {
-            let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else { return Held::No };
+            let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
+                return Held::No;
+            };
             // A hold is known to an engine only beside its read, so it leaves behind the read's last byte.
             let read = or(call.sent(job.attempt), async {
                 job.over().await;
@@ -269,7 +298,9 @@
             let until = world.now().saturating_add(self.engines.hold_wait);
             let mut left = false;
             let asked = async {
-                let Ok(mut wire) = self.connect(until, Reuse::Any, 0).await else { return Held::No };
+                let Ok(mut wire) = self.connect(until, Reuse::Any, 0).await else {
+                    return Held::No;
+                };
                 // Told during the dial: nothing new goes to an engine that drains or is gone.
                 if self.closing.load(Ordering::Relaxed) || job.is_over() || call.left() {
                     return Held::No;
@@ -279,7 +310,9 @@
                 if self.ask(&mut wire, "POST", &target).await.is_err() {
                     return Held::Unknown;
                 }
-                let Ok(answer) = answer(&mut wire, &LIMITS).await else { return Held::Unknown };
+                let Ok(answer) = answer(&mut wire, &LIMITS).await else {
+                    return Held::Unknown;
+                };
                 self.note_answer();
                 let whole = rest(&mut wire, &answer, &LIMITS).await.is_some();
                 self.keep_idle(wire, whole && answer.head.keeps());
@@ -299,11 +332,23 @@
     }
     fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, Report)> {
         Box::pin(async move {
-            let until = shared.world().now().saturating_add(2 * self.engines.dial_timeout);
-            let path = if self.engines.fields.is_empty() { "/healthz" } else { "/load" };
+            let until = shared
+                .world()
+                .now()
+                .saturating_add(2 * self.engines.dial_timeout);
+            let path = if self.engines.fields.is_empty() {
+                "/healthz"
+            } else {
+                "/load"
+            };
             let answer = self.short("GET", path, until).await;
-            let alive = answer.as_ref().is_ok_and(|(status, _)| *status == 200 || *status == 503);
-            (alive, answer.map_or(Report::default(), |(_, report)| report))
+            let alive = answer
+                .as_ref()
+                .is_ok_and(|(status, _)| *status == 200 || *status == 503);
+            (
+                alive,
+                answer.map_or(Report::default(), |(_, report)| report),
+            )
         })
     }
 }
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -44,7 +44,11 @@
         let_go: ReleaseSettings,
     ) -> Arc<EnginePool> {
         let spare = let_go.most_asks;
-        let keep = if keepalive > 0 { (keepalive as f64 * IDLE_FRACTION) as Micros } else { IDLE_TIMEOUT };
+        let keep = if keepalive > 0 {
+            (keepalive as f64 * IDLE_FRACTION) as Micros
+        } else {
+            IDLE_TIMEOUT
+        };
         Arc::new(EnginePool {
             world: world.clone(),
             keep,
@@ -81,7 +85,10 @@
         if self.connections.load(Ordering::Relaxed) >= most {
             let oldest = |l: &Arc<EngineLink>| lock(&l.idle).front().map(|(_, since)| *since);
             let links = self.living();
-            let link = links.iter().filter(|l| oldest(l).is_some()).min_by_key(|l| oldest(l));
+            let link = links
+                .iter()
+                .filter(|l| oldest(l).is_some())
+                .min_by_key(|l| oldest(l));
             drop(link.and_then(|l| lock(&l.idle).pop_front()));
         }
         if self.connections.load(Ordering::Relaxed) >= most {
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -7,12 +7,19 @@
 fn releases_have_connections_to_spare() {
     let world = Sim::new(1, Net::default()).host(1).world();
     const SPARE: usize = 12;
-    let let_go = ReleaseSettings { within: 300_000, most_asks: SPARE, most_owed: 10 };
+    let let_go = ReleaseSettings {
+        within: 300_000,
+        most_asks: SPARE,
+        most_owed: 10,
+    };
     let engines = EnginePool::new(&world, 1, 1, 2, &[], let_go);
-    let taken: Vec<ConnectionPermit> = (0..2).map(|_| engines.permit(0).expect("within the bound")).collect();
+    let taken: Vec<ConnectionPermit> = (0..2)
+        .map(|_| engines.permit(0).expect("within the bound"))
+        .collect();
     assert!(engines.permit(0).is_none());
-    let spared: Vec<ConnectionPermit> =
-        (0..SPARE).map(|_| engines.permit(SPARE).expect("to spare")).collect();
+    let spared: Vec<ConnectionPermit> = (0..SPARE)
+        .map(|_| engines.permit(SPARE).expect("to spare"))
+        .collect();
     assert!(engines.permit(SPARE).is_none());
     drop(spared);
     drop(taken);
--- a/crates/ivyward-platform/src/engine/report.rs
+++ b/crates/ivyward-platform/src/engine/report.rs
@@ -17,11 +17,22 @@
     };
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
-    let pairs: Vec<(&str, &str)> = text.split(',').filter_map(|p| p.trim().split_once('=')).collect();
-    let mut report = Report { len: fields.len().min(4), ..Report::default() };
+    let pairs: Vec<(&str, &str)> = text
+        .split(',')
+        .filter_map(|p| p.trim().split_once('='))
+        .collect();
+    let mut report = Report {
+        len: fields.len().min(4),
+        ..Report::default()
+    };
     for (value, field) in report.values.iter_mut().zip(fields) {
-        let told = pairs.iter().find(|(k, _)| k.trim() == field || k.trim() == spoken(field));
-        match told.and_then(|(_, v)| v.trim().parse::<f32>().ok()).filter(|v| v.is_finite()) {
+        let told = pairs
+            .iter()
+            .find(|(k, _)| k.trim() == field || k.trim() == spoken(field));
+        match told
+            .and_then(|(_, v)| v.trim().parse::<f32>().ok())
+            .filter(|v| v.is_finite())
+        {
             Some(told) => *value = told,
             None => return Report::default(),
         }
--- a/crates/ivyward-platform/src/engine/report/tests.rs
+++ b/crates/ivyward-platform/src/engine/report/tests.rs
@@ -6,11 +6,22 @@
 fn reports_are_read_whole_or_not_at_all() {
     let fields: Vec<String> = ["utilization", "backlog", "x0"].map(str::to_owned).to_vec();
     let values = |text: &str| report(text, &fields).values[..report(text, &fields).len].to_vec();
-    assert_eq!(values("TEXT utilization=0.5, backlog=3, x0=0.25"), [0.5, 3.0, 0.25]);
-    assert_eq!(values("TEXT x0=1, queue=7,util=0.61, more=9"), [0.61, 7.0, 1.0], "as the wire calls them");
-    for bad in
-        ["", "TEXT", "TEXT utilization=0.5, backlog=3", "TEXT utilization=NaN, backlog=3, x0=1", "\u{1}="]
-    {
+    assert_eq!(
+        values("TEXT utilization=0.5, backlog=3, x0=0.25"),
+        [0.5, 3.0, 0.25]
+    );
+    assert_eq!(
+        values("TEXT x0=1, queue=7,util=0.61, more=9"),
+        [0.61, 7.0, 1.0],
+        "as the wire calls them"
+    );
+    for bad in [
+        "",
+        "TEXT",
+        "TEXT utilization=0.5, backlog=3",
+        "TEXT utilization=NaN, backlog=3, x0=1",
+        "\u{1}=",
+    ] {
         assert!(values(bad).is_empty(), "{bad:?}");
     }
 }
--- a/crates/ivyward-platform/src/release.rs
+++ b/crates/ivyward-platform/src/release.rs
@@ -30,29 +30,48 @@
 
 impl Releases {
     pub(crate) fn new(settings: ReleaseSettings) -> Releases {
-        let owing = Owing { decider: ReleaseQueue::new(settings), what: BTreeMap::new() };
-        Releases { owing: Mutex::new(owing), moved: Event::new(), shared: OnceLock::new() }
+        let owing = Owing {
+            decider: ReleaseQueue::new(settings),
+            what: BTreeMap::new(),
+        };
+        Releases {
+            owing: Mutex::new(owing),
+            moved: Event::new(),
+            shared: OnceLock::new(),
+        }
     }
 
     pub(crate) fn owe(engines: &Arc<EnginePool>, shared: &Arc<Shared>, job: ReleaseJob) {
-        let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else { return };
+        let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
+            return;
+        };
         let releases = &engines.releases;
         if releases.shared.set(shared.clone()).is_ok() {
             let (asking, engines) = (releases.clone(), engines.clone());
-            shared.world().run(async move { asking.run(&engines).await });
+            shared
+                .world()
+                .run(async move { asking.run(&engines).await });
         }
         releases.change(|owing, now| {
             let sure = job.kept.iter().all(|k| k.sure);
             let links = job.kept.into_iter().map(|k| k.link).collect();
-            owing.what.insert(job.request, (format!("/v1/holds/{}", call.id).into(), links));
+            owing.what.insert(
+                job.request,
+                (format!("/v1/holds/{}", call.id).into(), links),
+            );
             let left = owing.decider.owe(now, job.request, sure);
-            left_to_engines(shared, left.as_slice(), "more is owed than the bound allows");
+            left_to_engines(
+                shared,
+                left.as_slice(),
+                "more is owed than the bound allows",
+            );
         });
     }
 
     /// See [`ReleaseQueue::needed`].
     pub(crate) fn needed(&self, request: u64) -> bool {
-        self.change(|owing, _| owing.decider.needed(request)).unwrap_or(false)
+        self.change(|owing, _| owing.decider.needed(request))
+            .unwrap_or(false)
     }
 
     /// An engine that had been silent answered.
@@ -88,7 +107,9 @@
 
     /// Asks engines for as long as the node runs.
     async fn run(self: Arc<Self>, engines: &Arc<EnginePool>) {
-        let Some(shared) = self.shared.get().cloned() else { return };
+        let Some(shared) = self.shared.get().cloned() else {
+            return;
+        };
         let world = shared.world();
         loop {
             let listener = self.moved.listen();
@@ -117,10 +138,14 @@
             shared.settled(left.len());
             left_to_engines(shared, &left, "the node ends");
             let asks = owing.decider.act(now, &takers);
-            asks.into_iter().filter_map(|a| Some((a, owing.what.get(&a.request)?.0.clone()))).collect()
+            asks.into_iter()
+                .filter_map(|a| Some((a, owing.what.get(&a.request)?.0.clone())))
+                .collect()
         };
         for (ask, target) in asks {
-            let Some(link) = links.get(&ask.taker).cloned() else { continue };
+            let Some(link) = links.get(&ask.taker).cloned() else {
+                continue;
+            };
             let releases = self.clone();
             shared.metrics().releases.add(1);
             shared.world().run(async move {
@@ -140,6 +165,9 @@
 fn left_to_engines(shared: &Arc<Shared>, requests: &[u64], why: &str) {
     for request in requests {
         shared.metrics().releases_dropped.add(1);
-        warn!(request, "what may be held is left to the engines' own limit: {why}");
+        warn!(
+            request,
+            "what may be held is left to the engines' own limit: {why}"
+        );
     }
 }
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -131,13 +131,22 @@
     }
 
     fn admit(self: Arc<Self>, conn: Conn) {
-        let Some((id, told_to_close)) = self.table.admit(self.world.now()) else { return };
+        let Some((id, told_to_close)) = self.table.admit(self.world.now()) else {
+            return;
+        };
         let world = self.world.clone();
         world.run(async move {
-            let _guard = ConnectionGuard { table: &self.table, id };
+            let _guard = ConnectionGuard {
+                table: &self.table,
+                id,
+            };
             let reason = self.client(Wire::new(conn), id, told_to_close).await;
             self.node.metrics().closed(reason);
-            debug!(connection = id, reason = reason.name(), "a client's connection is closed");
+            debug!(
+                connection = id,
+                reason = reason.name(),
+                "a client's connection is closed"
+            );
         });
     }
 }
--- a/crates/ivyward-platform/src/server/arrival.rs
+++ b/crates/ivyward-platform/src/server/arrival.rs
@@ -19,16 +19,27 @@
     ) -> Result<(String, Arrival), RequestError> {
         let bad = |text: String| RequestError::new(400, text);
         let head = &request.head;
-        let need = |name: &str| head.text(name).ok_or_else(|| bad(format!("{name} is missing")));
+        let need = |name: &str| {
+            head.text(name)
+                .ok_or_else(|| bad(format!("{name} is missing")))
+        };
         let id = need("x-request-id")?;
-        if id.is_empty() || id.len() > MOST_ID || !id.bytes().all(|b| b.is_ascii_graphic() && b != b'/') {
-            return Err(bad(format!("x-request-id must be 1 to {MOST_ID} visible letters")));
+        if id.is_empty()
+            || id.len() > MOST_ID
+            || !id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
+        {
+            return Err(bad(format!(
+                "x-request-id must be 1 to {MOST_ID} visible letters"
+            )));
         }
         let place = |what: &str, names: &[String], name: &str| {
-            ivyward_settings::place(names, name).ok_or_else(|| bad(format!("{what} {name:?} is not known")))
+            ivyward_settings::place(names, name)
+                .ok_or_else(|| bad(format!("{what} {name:?} is not known")))
         };
         // Its engines would take a repeat for something new.
-        if head.get(IDEMPOTENCY_KEY).is_some() && head.text(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+        if head.get(IDEMPOTENCY_KEY).is_some()
+            && head.text(IDEMPOTENCY_KEY).is_none_or(str::is_empty)
+        {
             return Err(bad(format!("{IDEMPOTENCY_KEY} must be visible letters")));
         }
         let class = place("class", &self.told.classes, need("x-priority-class")?)?;
@@ -37,25 +48,37 @@
             false => place("tenant", &self.told.tenants, need("x-tenant-id")?)?,
         };
         let timeout = need("x-timeout-ms")?;
-        let patience = timeout.parse::<u64>().ok().filter(|ms| *ms > 0 && !timeout.starts_with('+'));
-        let patience = patience.ok_or_else(|| bad(format!("x-timeout-ms {timeout:?} must be over 0")))?;
+        let patience = timeout
+            .parse::<u64>()
+            .ok()
+            .filter(|ms| *ms > 0 && !timeout.starts_with('+'));
+        let patience =
+            patience.ok_or_else(|| bad(format!("x-timeout-ms {timeout:?} must be over 0")))?;
         // Nobody waits longer than the class's clients do.
         let longest = self.told.module.classes[class].deadline;
         let patience = patience.saturating_mul(1_000).min(longest);
         // A token is four characters, so a body holds no more tokens than bytes.
         let most = length as f64;
         let attrs = head.text("x-attrs").unwrap_or("");
-        let attr = |name: &str| attrs.split(',').find_map(|a| a.trim().strip_prefix(name)?.strip_prefix('='));
+        let attr = |name: &str| {
+            attrs
+                .split(',')
+                .find_map(|a| a.trim().strip_prefix(name)?.strip_prefix('='))
+        };
         let number = |name: &str, most: f64| match attr(name) {
             None => Ok(None),
             Some(text) => match text.parse::<f64>() {
                 Ok(n) if (0.0..=most).contains(&n) => Ok(Some(n)),
-                _ => Err(bad(format!("x-attrs: {name}={text} must be from 0 to {most}"))),
+                _ => Err(bad(format!(
+                    "x-attrs: {name}={text} must be from 0 to {most}"
+                ))),
             },
         };
         let prompt_tokens = number("prompt_len", most)?.unwrap_or(most / 4.0);
-        let key =
-            |text: Option<&str>| text.filter(|t| !t.is_empty()).map_or(0, |t| xxh3_64(t.as_bytes()).max(1));
+        let key = |text: Option<&str>| {
+            text.filter(|t| !t.is_empty())
+                .map_or(0, |t| xxh3_64(t.as_bytes()).max(1))
+        };
         let arrival = Arrival {
             class,
             tenant,
@@ -63,7 +86,9 @@
             prefix: key(attr("prefix")),
             patience,
             prompt_tokens,
-            prefix_tokens: number("prefix_len", most)?.unwrap_or(0.0).min(prompt_tokens),
+            prefix_tokens: number("prefix_len", most)?
+                .unwrap_or(0.0)
+                .min(prompt_tokens),
             max_output: number("max_out", 1e7)?.unwrap_or(0.0),
             repeat: head.text("x-retried") == Some("1"),
             resumed: head.text("x-retried") == Some("again"),
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -33,10 +33,18 @@
 
 impl RequestError {
     pub(super) fn new(status: u16, text: impl Into<String>) -> RequestError {
-        RequestError { status, text: text.into(), closes: false }
+        RequestError {
+            status,
+            text: text.into(),
+            closes: false,
+        }
     }
     fn closing(status: u16, text: impl Into<String>) -> RequestError {
-        RequestError { status, text: text.into(), closes: true }
+        RequestError {
+            status,
+            text: text.into(),
+            closes: true,
+        }
     }
 }
 
@@ -61,7 +69,11 @@
         let mut first = true;
         loop {
             let now = self.world.now();
-            let by = now.saturating_add(if first { REQUEST_TIMEOUT } else { KEEP_ALIVE_TIMEOUT });
+            let by = now.saturating_add(if first {
+                REQUEST_TIMEOUT
+            } else {
+                KEEP_ALIVE_TIMEOUT
+            });
             first = false;
             if wire.bytes().is_empty() {
                 self.table.set_idle(id, now);
@@ -70,7 +82,12 @@
                     let _ = told_to_close.recv().await;
                     None
                 };
-                let came = before(&self.world, by, or(async { Some(wire.fill().await) }, close)).await;
+                let came = before(
+                    &self.world,
+                    by,
+                    or(async { Some(wire.fill().await) }, close),
+                )
+                .await;
                 match came.flatten() {
                     Some(Ok(n)) if n > 0 => {}
                     Some(_) => return CloseReason::ClientLeft,
@@ -92,13 +109,19 @@
                         Ok(true) if keeps && !self.stops() => None,
                         Ok(true) => return self.unless_stopping(CloseReason::Asked),
                         Ok(false) => return CloseReason::AnswerBroken,
-                        Err(bad) => Some(RequestError { closes: bad.closes || !keeps, ..bad }),
+                        Err(bad) => Some(RequestError {
+                            closes: bad.closes || !keeps,
+                            ..bad
+                        }),
                     }
                 }
             };
             if let Some(bad) = bad {
                 let closes = bad.closes || self.stops();
-                if !self.respond(&mut wire, bad.status, &[], &error_body(&bad.text), closes).await {
+                if !self
+                    .respond(&mut wire, bad.status, &[], &error_body(&bad.text), closes)
+                    .await
+                {
                     return CloseReason::ClientLeft;
                 }
                 if closes {
@@ -138,7 +161,10 @@
     async fn receive(&self, wire: &mut Wire, by: Micros) -> Received {
         match before(&self.world, by, self.read_request(wire)).await {
             Some(came) => came,
-            None => Received::Invalid(RequestError::closing(408, "the request did not come whole in time")),
+            None => Received::Invalid(RequestError::closing(
+                408,
+                "the request did not come whole in time",
+            )),
         }
     }
 
@@ -162,8 +188,14 @@
             }
         };
         wire.used(used);
-        if request.head.text("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
-            && wire.write(b"HTTP/1.1 100 Continue\r\n\r\n", &[]).await.is_err()
+        if request
+            .head
+            .text("expect")
+            .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
+            && wire
+                .write(b"HTTP/1.1 100 Continue\r\n\r\n", &[])
+                .await
+                .is_err()
         {
             return Received::Closed;
         }
@@ -184,7 +216,15 @@
                 ));
             }
             match step {
-                Step::Done => return Received::Request(Box::new(request), Prompt { bytes, _share: share }),
+                Step::Done => {
+                    return Received::Request(
+                        Box::new(request),
+                        Prompt {
+                            bytes,
+                            _share: share,
+                        },
+                    )
+                }
                 _ if bytes.len() > MOST_BODY => {
                     return Received::Invalid(RequestError::closing(413, "the body is too long"));
                 }
@@ -207,10 +247,21 @@
         let path = request.target.split('?').next().unwrap_or("");
         if path == "/healthz" {
             let serves = self.ready.load(Ordering::SeqCst) && !self.stops();
-            return Ok(self.respond(wire, if serves { 200 } else { 503 }, &[], "{}", self.stops()).await);
+            return Ok(self
+                .respond(
+                    wire,
+                    if serves { 200 } else { 503 },
+                    &[],
+                    "{}",
+                    self.stops(),
+                )
+                .await);
         }
         if path != "/v1/chat/completions" {
-            return Err(RequestError::new(404, "POST /v1/chat/completions and GET /healthz are served"));
+            return Err(RequestError::new(
+                404,
+                "POST /v1/chat/completions and GET /healthz are served",
+            ));
         }
         if request.method != "POST" {
             return Err(RequestError::new(405, "POST is taken"));
@@ -219,19 +270,30 @@
         if serde_json::from_slice::<serde::de::IgnoredAny>(&prompt.bytes).is_err() {
             return Err(RequestError::new(400, "the body is no JSON"));
         }
-        let _open_id =
-            OpenId::new(self, &id).ok_or_else(|| RequestError::new(409, "a request with this id is open"))?;
+        let _open_id = OpenId::new(self, &id)
+            .ok_or_else(|| RequestError::new(409, "a request with this id is open"))?;
         let bound = self.bounds.outlet;
         // Guards against work for a client that left while its request waited to be read.
         if wire.ended(PIPELINED_BYTES) {
             return Ok(false);
         }
         let again = self.told.module.classes[arrival.class].effect == Effect::Safe;
-        let call = Arc::new(PlatformCall::new(&id, &request, again, prompt, wire.peer(), bound));
+        let call = Arc::new(PlatformCall::new(
+            &id,
+            &request,
+            again,
+            prompt,
+            wire.peer(),
+            bound,
+        ));
         let first_by = self.world.now().saturating_add(arrival.patience);
         let first_by = first_by.saturating_sub(self.node.settings().answer_margin);
         let taken = match self.node.take(arrival, first_by, call.clone()) {
-            Ok(number) => TakenRequest { node: &self.node, number, call: &call },
+            Ok(number) => TakenRequest {
+                node: &self.node,
+                number,
+                call: &call,
+            },
             Err(why) => {
                 let retry_after = Some(self.node.settings().rules.max_retry_after);
                 return Ok(self.refuse(wire, retry_after, why).await);
--- a/crates/ivyward-platform/src/server/open.rs
+++ b/crates/ivyward-platform/src/server/open.rs
@@ -9,7 +9,9 @@
 
 impl<'a> OpenId<'a> {
     pub(super) fn new(server: &'a Server, id: &str) -> Option<OpenId<'a>> {
-        lock(&server.open).insert(id.to_owned()).then(|| OpenId(server, id.to_owned()))
+        lock(&server.open)
+            .insert(id.to_owned())
+            .then(|| OpenId(server, id.to_owned()))
     }
 }
 
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -30,27 +30,57 @@
         closes: bool,
     ) -> bool {
         let length = text.len().to_string();
-        let mut headers = vec![("Content-Type", "application/json"), ("Content-Length", length.as_str())];
+        let mut headers = vec![
+            ("Content-Type", "application/json"),
+            ("Content-Length", length.as_str()),
+        ];
         headers.extend_from_slice(more);
         if closes {
             headers.push(("Connection", "close"));
         }
         let mut out = Vec::new();
-        head::write(&mut out, &format!("HTTP/1.1 {status} {}", reason(status)), &headers);
+        head::write(
+            &mut out,
+            &format!("HTTP/1.1 {status} {}", reason(status)),
+            &headers,
+        );
         out.extend_from_slice(text.as_bytes());
-        wire.write_slowly(&self.world, WRITE_STALL, &out).await.is_ok()
+        wire.write_slowly(&self.world, WRITE_STALL, &out)
+            .await
+            .is_ok()
     }
 
-    pub(super) async fn refuse(&self, wire: &mut Wire, retry_after: Option<Micros>, why: Refusal) -> bool {
+    pub(super) async fn refuse(
+        &self,
+        wire: &mut Wire,
+        retry_after: Option<Micros>,
+        why: Refusal,
+    ) -> bool {
         let status = if why == Refusal::Shed { 429 } else { 503 };
-        let seconds = retry_after.filter(|r| *r > 0).map(|r| format!("{:.3}", r as f64 / 1e6));
-        let headers: Vec<(&str, &str)> = seconds.iter().map(|s| ("Retry-After", s.as_str())).collect();
-        self.respond(wire, status, &headers, &error_body("refused"), self.stops()).await
+        let seconds = retry_after
+            .filter(|r| *r > 0)
+            .map(|r| format!("{:.3}", r as f64 / 1e6));
+        let headers: Vec<(&str, &str)> = seconds
+            .iter()
+            .map(|s| ("Retry-After", s.as_str()))
+            .collect();
+        self.respond(wire, status, &headers, &error_body("refused"), self.stops())
+            .await
     }
 
     /// Waits for the next part of the answer, or for the client's leaving.
-    async fn next_part(&self, wire: &mut Wire, call: &PlatformCall) -> Option<Result<Vec<u8>, Final>> {
-        let next = async { Some(poll_fn(|cx| call.outlet.poll_items(cx)).await.map(|(_, data)| data)) };
+    async fn next_part(
+        &self,
+        wire: &mut Wire,
+        call: &PlatformCall,
+    ) -> Option<Result<Vec<u8>, Final>> {
+        let next = async {
+            Some(
+                poll_fn(|cx| call.outlet.poll_items(cx))
+                    .await
+                    .map(|(_, data)| data),
+            )
+        };
         or(next, async {
             loop {
                 // Guards against a client whose leaving hides behind a flood: what it sent is read away to its end.
@@ -70,14 +100,18 @@
     pub(super) async fn answer(&self, wire: &mut Wire, taken: &TakenRequest<'_>) -> bool {
         let mut begun = false;
         loop {
-            let Some(part) = self.next_part(wire, taken.call).await else { return false };
+            let Some(part) = self.next_part(wire, taken.call).await else {
+                return false;
+            };
             let mut out = Vec::new();
             match part {
                 Ok(data) => {
                     if !begun {
                         begun = true;
-                        let mut headers =
-                            vec![("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")];
+                        let mut headers = vec![
+                            ("Content-Type", "text/event-stream"),
+                            ("Transfer-Encoding", "chunked"),
+                        ];
                         if self.stops() {
                             headers.push(("Connection", "close"));
                         }
@@ -88,17 +122,25 @@
                 Err(Final::Served) if begun => out.extend_from_slice(body::LAST),
                 // Without the last chunk the client knows that the stream broke.
                 Err(_) if begun => return false,
-                Err(Final::Refused { retry_after, why }) => return self.refuse(wire, retry_after, why).await,
+                Err(Final::Refused { retry_after, why }) => {
+                    return self.refuse(wire, retry_after, why).await
+                }
                 Err(end) => {
                     let (status, text) = match end {
                         Final::Failed(Failure::Deadline) => (504, "the time was over"),
                         _ => (502, "no engine answered"),
                     };
-                    return self.respond(wire, status, &[], &error_body(text), self.stops()).await;
+                    return self
+                        .respond(wire, status, &[], &error_body(text), self.stops())
+                        .await;
                 }
             }
             let last = out.ends_with(body::LAST) && taken.call.outlet.told();
-            if wire.write_slowly(&self.world, WRITE_STALL, &out).await.is_err() {
+            if wire
+                .write_slowly(&self.world, WRITE_STALL, &out)
+                .await
+                .is_err()
+            {
                 return false;
             }
             if last {
--- a/crates/ivyward-platform/src/server/table.rs
+++ b/crates/ivyward-platform/src/server/table.rs
@@ -65,7 +65,13 @@
         if connections.len() >= self.most && !self.evict(&mut connections) {
             return None;
         }
-        connections.insert(id, ClientConnection { state: State::New { since: now }, _close: close });
+        connections.insert(
+            id,
+            ClientConnection {
+                state: State::New { since: now },
+                _close: close,
+            },
+        );
         Some((id, told_to_close))
     }
 
@@ -104,7 +110,13 @@
         if connections.len() >= self.most {
             self.evict(&mut connections);
         }
-        connections.insert(id, ClientConnection { state: State::Busy, _close: close });
+        connections.insert(
+            id,
+            ClientConnection {
+                state: State::Busy,
+                _close: close,
+            },
+        );
         self.note_closed();
     }
 
@@ -120,7 +132,8 @@
         let mut connections = lock(&self.connections);
         let before = connections.len();
         connections.retain(|_, connection| connection.state == State::Busy);
-        self.closing.fetch_add(before - connections.len(), Ordering::SeqCst);
+        self.closing
+            .fetch_add(before - connections.len(), Ordering::SeqCst);
     }
 
     /// Waits until what was told to close has closed. Guards against a crowd that connects faster than others go: each
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -52,7 +52,12 @@
     /// # Errors
     /// When it cannot listen or the node does not start.
     pub async fn start(world: WorldRef, config: Config) -> Result<Service, ServiceError> {
-        let Config { told, bounds, node: settings, .. } = config;
+        let Config {
+            told,
+            bounds,
+            node: settings,
+            ..
+        } = config;
         let costly = told.module.must_subscribe;
         let let_go = ReleaseSettings {
             within: settings.rules.release_within,
@@ -68,7 +73,9 @@
         if let Some(known) = &config.known {
             node.fleet(ListKind::Cached, reader.read_held(known)).await;
         }
-        let listener = world.listen(config.listen).map_err(|e| ServiceError::Listen(config.listen, e))?;
+        let listener = world
+            .listen(config.listen)
+            .map_err(|e| ServiceError::Listen(config.listen, e))?;
         let address = listener.address();
         let server = Server::new(node.clone(), world.clone(), told, bounds);
         let (listening, stopped) = async_channel::bounded::<()>(1);
@@ -81,7 +88,11 @@
         let discovery = Arc::new(Discovery::new(config.discovery));
         let (follows, following, clock) = (discovery.clone(), node.clone(), world.clone());
         let limits = list_limits(&bounds);
-        world.run(async move { follows.follow(&following, &mut reader, &clock, &limits, costly).await });
+        world.run(async move {
+            follows
+                .follow(&following, &mut reader, &clock, &limits, costly)
+                .await
+        });
         let (looks, counted, clock) = (server.clone(), node.clone(), world.clone());
         world.run(async move {
             let mut next = clock.now().saturating_add(REPORT);
--- a/crates/ivyward-platform/src/wire.rs
+++ b/crates/ivyward-platform/src/wire.rs
@@ -28,7 +28,13 @@
 
 impl Wire {
     pub(crate) fn new(conn: Conn) -> Wire {
-        Wire { conn, buf: Vec::new(), at: 0, came: None, dropped: 0 }
+        Wire {
+            conn,
+            buf: Vec::new(),
+            at: 0,
+            came: None,
+            dropped: 0,
+        }
     }
     /// Counts the bytes that come from now on, so that a slow answer can be told from a silent one.
     pub(crate) fn count(&mut self, came: Arc<AtomicU64>) {
@@ -174,7 +180,11 @@
                 }
             }
             None => match wire.fill().await {
-                Ok(0) => return Err(NoHead::Broken("the connection ended without an answer".into())),
+                Ok(0) => {
+                    return Err(NoHead::Broken(
+                        "the connection ended without an answer".into(),
+                    ))
+                }
                 Ok(_) => {}
                 Err(e) => return Err(NoHead::Broken(e.to_string())),
             },
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -17,26 +17,52 @@
     let mut bad: Vec<(&str, Vec<u8>)> = vec![
         (
             "head without end",
-            [b"POST /v1/chat/completions HTTP/1.1\r\nX: ".to_vec(), vec![b'y'; 60_000]].concat(),
+            [
+                b"POST /v1/chat/completions HTTP/1.1\r\nX: ".to_vec(),
+                vec![b'y'; 60_000],
+            ]
+            .concat(),
         ),
         ("noise", vec![0; 300]),
-        ("half a head", b"POST /v1/chat/completions HTTP/1.1\r\nHost: a".to_vec()),
-        ("half a body", request("bad", "draft", 4_800)[..request("bad", "draft", 4_800).len() - 30].to_vec()),
+        (
+            "half a head",
+            b"POST /v1/chat/completions HTTP/1.1\r\nHost: a".to_vec(),
+        ),
+        (
+            "half a body",
+            request("bad", "draft", 4_800)[..request("bad", "draft", 4_800).len() - 30].to_vec(),
+        ),
         ("no byte", Vec::new()),
     ];
     let changes = [
         ("negative length", length.as_str(), "Content-Length: -4"),
         ("signed length", &length, "Content-Length: +4"),
-        ("huge length", &length, "Content-Length: 99999999999999999999999"),
+        (
+            "huge length",
+            &length,
+            "Content-Length: 99999999999999999999999",
+        ),
         ("60 MB", &length, "Content-Length: 60000000"),
-        ("length and coding", "Host: app.svc", "Host: app.svc\r\nTransfer-Encoding: chunked"),
-        ("two lengths", "Host: app.svc", "Host: app.svc\r\nContent-Length: 3"),
+        (
+            "length and coding",
+            "Host: app.svc",
+            "Host: app.svc\r\nTransfer-Encoding: chunked",
+        ),
+        (
+            "two lengths",
+            "Host: app.svc",
+            "Host: app.svc\r\nContent-Length: 3",
+        ),
         ("coding", &length, "Transfer-Encoding: gzip"),
         ("class", "X-Priority-Class: draft", "X-Priority-Class: gold"),
         ("no class", "X-Priority-Class: draft\r\n", ""),
         ("tenant", "X-Tenant-Id: acme", "X-Tenant-Id: nobody"),
         ("deadline", "X-Timeout-Ms: 4800", "X-Timeout-Ms: soon"),
-        ("negative deadline", "X-Timeout-Ms: 4800", "X-Timeout-Ms: -1"),
+        (
+            "negative deadline",
+            "X-Timeout-Ms: 4800",
+            "X-Timeout-Ms: -1",
+        ),
         ("no deadline", "X-Timeout-Ms: 4800\r\n", ""),
         ("no id", "X-Request-ID: bad\r\n", ""),
         ("empty id", "X-Request-ID: bad", "X-Request-ID: "),
@@ -47,7 +73,11 @@
         ("path", "POST /v1/chat/completions", "POST /v1/other"),
         ("method", "POST /v1", "PUT /v1"),
     ];
-    bad.extend(changes.into_iter().map(|(what, from, to)| (what, changed(from, to))));
+    bad.extend(
+        changes
+            .into_iter()
+            .map(|(what, from, to)| (what, changed(from, to))),
+    );
     Rig::new(|_| Play::Usual).play(move |scene| async move {
         for (what, bytes) in bad {
             let begun = scene.client.now();
@@ -55,7 +85,11 @@
             // The peer may close while we still write.
             let _ = conn.write_all(&bytes).await;
             let got = got(&scene.client, &mut conn).await;
-            assert!(got.status == 0 || got.status >= 400, "{what}: {}", got.status);
+            assert!(
+                got.status == 0 || got.status >= 400,
+                "{what}: {}",
+                got.status
+            );
             assert!(got.at - begun < 3_000_000, "{what}: {} us", got.at - begun);
             if !matches!(what, "no byte" | "half a head") {
                 assert!(got.status >= 400, "{what}: an error, not a close");
@@ -76,7 +110,10 @@
 fn a_body_too_long_is_read_away_behind_its_error() {
     Rig::new(|_| Play::Usual).play(|scene| async move {
         let mut conn = scene.connect().await;
-        let head = changed(&format!("Content-Length: {}", BODY.len()), "Content-Length: 4000000");
+        let head = changed(
+            &format!("Content-Length: {}", BODY.len()),
+            "Content-Length: 4000000",
+        );
         conn.write_all(&head).await.unwrap();
         for _ in 0..40 {
             conn.write_all(&vec![b'x'; 99_000]).await.unwrap();
@@ -88,11 +125,23 @@
 /// The id of another client's open request is turned away, and the open one goes on unharmed.
 #[test]
 fn an_id_that_is_open_is_turned_away() {
-    let rig = Rig::new(|seen| if seen.id == "same" { Play::Late(400_000) } else { Play::Usual });
+    let rig = Rig::new(|seen| {
+        if seen.id == "same" {
+            Play::Late(400_000)
+        } else {
+            Play::Usual
+        }
+    });
     rig.play(|scene| async move {
         let mut first = scene.connect().await;
-        first.write_all(&request("same", "send", 4_800)).await.unwrap();
-        until(&scene.world, "an attempt", || !scene.sends("same").is_empty()).await;
+        first
+            .write_all(&request("same", "send", 4_800))
+            .await
+            .unwrap();
+        until(&scene.world, "an attempt", || {
+            !scene.sends("same").is_empty()
+        })
+        .await;
         assert_eq!(scene.ask("same", "send").await.status, 409);
         let got = got(&scene.client, &mut first).await;
         assert_eq!((got.status, got.whole), (200, true));
@@ -110,7 +159,9 @@
     let bound = rig.config().bounds.clients;
     rig.play(move |scene| async move {
         let mut old = scene.connect().await;
-        old.write_all(&request("old0", "draft", 4_800)).await.unwrap();
+        old.write_all(&request("old0", "draft", 4_800))
+            .await
+            .unwrap();
         assert_eq!(got(&scene.client, &mut old).await.status, 200);
         let mut silent: Vec<Conn> = Vec::new();
         for n in 0..5 * bound {
@@ -119,8 +170,14 @@
                 assert_eq!(scene.ask(&format!("new{n}"), "draft").await.status, 200);
             }
         }
-        old.write_all(&request("old1", "draft", 4_800)).await.unwrap();
-        assert_eq!(got(&scene.client, &mut old).await.status, 200, "the silent ones go first");
+        old.write_all(&request("old1", "draft", 4_800))
+            .await
+            .unwrap();
+        assert_eq!(
+            got(&scene.client, &mut old).await.status,
+            200,
+            "the silent ones go first"
+        );
         let mut open = 0;
         for conn in &mut silent {
             let mut byte = [0];
@@ -132,7 +189,11 @@
         scene.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
-            assert!(before(&scene.client, scene.client.now() + 1, conn.read(&mut byte)).await.is_some());
+            assert!(
+                before(&scene.client, scene.client.now() + 1, conn.read(&mut byte))
+                    .await
+                    .is_some()
+            );
         }
     });
 }
@@ -140,7 +201,13 @@
 /// A flood of requests past the bound on what is open: each one gets an answer, and the refusals came of nothing sent.
 #[test]
 fn a_flood_is_answered_to_the_last() {
-    let rig = Rig::with(256, |seen| if seen.engine >= 2 { Play::Late(200_000) } else { Play::Usual });
+    let rig = Rig::with(256, |seen| {
+        if seen.engine >= 2 {
+            Play::Late(200_000)
+        } else {
+            Play::Usual
+        }
+    });
     rig.play(|scene| async move {
         let (done, answers) = async_channel::unbounded();
         for n in 0..300 {
@@ -162,7 +229,10 @@
         while let Ok((id, got)) = answers.recv().await {
             served += usize::from(got.status == 200 && got.whole);
             if got.status == 503 {
-                assert!(scene.sends(&id).is_empty(), "{id} was refused by the door and sent all the same");
+                assert!(
+                    scene.sends(&id).is_empty(),
+                    "{id} was refused by the door and sent all the same"
+                );
             }
             assert!(got.status != 200 || got.whole, "{id} was cut");
         }
@@ -189,10 +259,18 @@
 /// A client that goes away takes its attempt along: the engine's connection ends.
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let rig = Rig::new(|seen| if seen.engine >= 2 { Play::Silent } else { Play::Usual });
+    let rig = Rig::new(|seen| {
+        if seen.engine >= 2 {
+            Play::Silent
+        } else {
+            Play::Usual
+        }
+    });
     rig.play(|scene| async move {
         let mut conn = scene.connect().await;
-        conn.write_all(&request("one", "send", 4_800)).await.unwrap();
+        conn.write_all(&request("one", "send", 4_800))
+            .await
+            .unwrap();
         until(&scene.world, "a write", || scene.sends("one").len() == 2).await;
         let at = scene.sends("one")[1].connection;
         drop(conn);
@@ -207,17 +285,29 @@
 /// The client's time: a request that no engine answers has failed before it ends, and nothing is sent later.
 #[test]
 fn a_request_without_an_answer_fails_in_time() {
-    let rig = Rig::new(|seen| if seen.id.is_empty() { Play::Usual } else { Play::Silent });
+    let rig = Rig::new(|seen| {
+        if seen.id.is_empty() {
+            Play::Usual
+        } else {
+            Play::Silent
+        }
+    });
     rig.play(|scene| async move {
         let begun = scene.client.now();
         let mut conn = scene.connect().await;
-        conn.write_all(&request("one", "send", 2_000)).await.unwrap();
+        conn.write_all(&request("one", "send", 2_000))
+            .await
+            .unwrap();
         let got = got(&scene.client, &mut conn).await;
         assert!(matches!(got.status, 429 | 502 | 504), "{}", got.status);
         assert!(got.at - begun <= 2_010_000, "{} us", got.at - begun);
         let sends = scene.sends("one").len();
         scene.world.sleep(5_000_000).await;
-        assert_eq!(scene.sends("one").len(), sends, "nothing is sent after the answer");
+        assert_eq!(
+            scene.sends("one").len(),
+            sends,
+            "nothing is sent after the answer"
+        );
     });
 }
 
@@ -228,12 +318,17 @@
     let rig = Rig::new(|_| Play::Usual);
     let bound = rig.config().bounds.prompts;
     rig.play(move |scene| async move {
-        let head = changed(&format!("Content-Length: {}", BODY.len()), "Content-Length: 250000");
+        let head = changed(
+            &format!("Content-Length: {}", BODY.len()),
+            "Content-Length: 250000",
+        );
         let mut conns = Vec::new();
         for _ in 0..bound / 240_000 + 12 {
             let mut conn = scene.connect().await;
             // One that is turned away may be closed under our writing.
-            let _ = conn.write_all(&[head.clone(), vec![b'x'; 240_000]].concat()).await;
+            let _ = conn
+                .write_all(&[head.clone(), vec![b'x'; 240_000]].concat())
+                .await;
             conns.push(conn);
         }
         let mut turned_away = 0;
@@ -242,7 +337,10 @@
             assert!(matches!(got.status, 503 | 408), "{}", got.status);
             turned_away += usize::from(got.status == 503);
         }
-        assert!((1..=12).contains(&turned_away), "{turned_away} were turned away");
+        assert!(
+            (1..=12).contains(&turned_away),
+            "{turned_away} were turned away"
+        );
         assert!(scene.seen().is_empty());
         assert_eq!(scene.ask("good", "draft").await.status, 200);
     });
@@ -257,7 +355,11 @@
     for reads_on in [true, false] {
         let event = format!("data: {{\"x\":\"{}\"}}\n\n", "y".repeat(1_000));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-        let rest = format!("{}{:x}\r\n{SERVED}\r\n0\r\n\r\n", chunk.repeat(60), SERVED.len());
+        let rest = format!(
+            "{}{:x}\r\n{SERVED}\r\n0\r\n\r\n",
+            chunk.repeat(60),
+            SERVED.len()
+        );
         let rig = Rig::new(move |seen| match writes(seen) {
             true => Play::AfterFirst(rest.clone().into_bytes()),
             false => Play::Usual,
@@ -265,8 +367,13 @@
         rig.sim.net(|net| net.buffer = 2 << 10);
         rig.play(move |scene| async move {
             let mut conn = scene.connect().await;
-            conn.write_all(&request("slow", "send", 4_800)).await.unwrap();
-            until(&scene.world, "a stream", || scene.sends("slow").iter().any(writes)).await;
+            conn.write_all(&request("slow", "send", 4_800))
+                .await
+                .unwrap();
+            until(&scene.world, "a stream", || {
+                scene.sends("slow").iter().any(writes)
+            })
+            .await;
             if !reads_on {
                 scene.world.sleep(12_000_000).await;
                 assert_eq!(scene.service.node().open(), 0, "nothing waits for it");
@@ -281,7 +388,11 @@
                     _ => break,
                 }
             }
-            assert!(got.len() > 60_000 && got.ends_with(b"0\r\n\r\n"), "{} bytes", got.len());
+            assert!(
+                got.len() > 60_000 && got.ends_with(b"0\r\n\r\n"),
+                "{} bytes",
+                got.len()
+            );
         });
     }
 }
@@ -289,7 +400,13 @@
 #[test]
 fn a_request_that_crosses_its_eviction_holds_up_nobody() {
     for offset in (0..300u64).step_by(10) {
-        let rig = Rig::with(160, |seen| if seen.id == "long" { Play::Late(3_000_000) } else { Play::Usual });
+        let rig = Rig::with(160, |seen| {
+            if seen.id == "long" {
+                Play::Late(3_000_000)
+            } else {
+                Play::Usual
+            }
+        });
         let bound = rig.config().bounds.clients;
         rig.sim.net(|net| net.jitter = 0);
         let (sim, node) = (rig.sim.clone(), rig.node.id());
--- a/crates/ivyward-platform/tests/common/mod.rs
+++ b/crates/ivyward-platform/tests/common/mod.rs
@@ -98,10 +98,15 @@
     /// write that streams lets go of all.
     pub fn held_longest(&self, id: &str, end: Micros) -> Micros {
         let target = format!("/v1/holds/{id}");
-        let (mut spans, mut releases): (Vec<(Micros, Micros, bool)>, Vec<Micros>) = (Vec::new(), Vec::new());
+        let (mut spans, mut releases): (Vec<(Micros, Micros, bool)>, Vec<Micros>) =
+            (Vec::new(), Vec::new());
         for (i, seen) in self.seen.iter().enumerate() {
             if seen.id == id {
-                let closed = self.closed.iter().find(|c| c.1 == seen.connection).map(|c| c.2);
+                let closed = self
+                    .closed
+                    .iter()
+                    .find(|c| c.1 == seen.connection)
+                    .map(|c| c.2);
                 let over = self.answered.get(&i).copied().or(closed).unwrap_or(end);
                 spans.push((seen.at, over, seen.engine < 2));
             } else if seen.target == target {
@@ -117,10 +122,22 @@
         for (i, (_, over, reads)) in spans.iter().enumerate() {
             let streamed = !reads && self.streamed.contains(id);
             let held = spans[..=i].iter().any(|s| s.2) && !streamed;
-            let out = spans.iter().any(|(at, until, _)| at <= over && until > over);
+            let out = spans
+                .iter()
+                .any(|(at, until, _)| at <= over && until > over);
             if held && !out {
-                let next = spans.iter().map(|s| s.0).filter(|at| at > over).min().unwrap_or(end);
-                let release = releases.iter().copied().filter(|at| at >= over).min().unwrap_or(end);
+                let next = spans
+                    .iter()
+                    .map(|s| s.0)
+                    .filter(|at| at > over)
+                    .min()
+                    .unwrap_or(end);
+                let release = releases
+                    .iter()
+                    .copied()
+                    .filter(|at| at >= over)
+                    .min()
+                    .unwrap_or(end);
                 longest = longest.max(next.min(release).saturating_sub(*over));
             }
         }
@@ -157,7 +174,11 @@
 }
 
 pub fn list(states: &[&str]) -> String {
-    let entries: Vec<String> = states.iter().enumerate().map(|(i, s)| entry(i, s)).collect();
+    let entries: Vec<String> = states
+        .iter()
+        .enumerate()
+        .map(|(i, s)| entry(i, s))
+        .collect();
     entries.join(",")
 }
 
@@ -187,7 +208,14 @@
     }
 
     pub fn with(sockets: usize, script: impl Fn(&Seen) -> Play + Send + Sync + 'static) -> Rig {
-        let sim = Sim::new(7, Net { latency: 200, jitter: 50, ..Net::default() });
+        let sim = Sim::new(
+            7,
+            Net {
+                latency: 200,
+                jitter: 50,
+                ..Net::default()
+            },
+        );
         let (node, client, told) = (sim.host(1), sim.host(2), sim.host(3));
         let book = Arc::new(Mutex::new(Book::default()));
         let script: Script = Arc::new(script);
@@ -201,7 +229,18 @@
         let faults = Arc::default();
         discover(&told, discovery, &list, &faults);
         let config = config(discovery, sockets);
-        Rig { sim, world: node.world(), client, book, list, faults, config, engines, discovery, node }
+        Rig {
+            sim,
+            world: node.world(),
+            client,
+            book,
+            list,
+            faults,
+            config,
+            engines,
+            discovery,
+            node,
+        }
     }
 
     pub fn config(&self) -> Config {
@@ -215,7 +254,10 @@
     ) {
         let (world, config, client) = (self.world.clone(), self.config(), self.client.world());
         let (book, list, faults) = (self.book.clone(), self.list.clone(), self.faults.clone());
-        let (sim, hosts) = (self.sim.clone(), self.engines.iter().map(|e| e.id()).collect());
+        let (sim, hosts) = (
+            self.sim.clone(),
+            self.engines.iter().map(|e| e.id()).collect(),
+        );
         let hosts = (self.node.id(), hosts);
         let played = self.sim.run(&self.node, DAY, async move {
             let service = Service::start(world.clone(), config).await.unwrap();
@@ -224,7 +266,18 @@
                 client.sleep(10_000).await;
             }
             let node = service.node().clone();
-            scene(Scene { sim, hosts, service, world, client, address, book, list, faults }).await;
+            scene(Scene {
+                sim,
+                hosts,
+                service,
+                world,
+                client,
+                address,
+                book,
+                list,
+                faults,
+            })
+            .await;
             assert_eq!(
                 node.metrics().all_violations(),
                 0,
@@ -266,7 +319,10 @@
     /// Releases of a request.
     pub fn releases(&self, id: &str) -> Vec<Seen> {
         let target = format!("/v1/holds/{id}");
-        self.seen().into_iter().filter(|s| s.method == "DELETE" && s.target == target).collect()
+        self.seen()
+            .into_iter()
+            .filter(|s| s.method == "DELETE" && s.target == target)
+            .collect()
     }
     /// Gives the list another text.
     pub fn relist(&self, text: String) {
@@ -285,8 +341,12 @@
 }
 
 async fn healthy(world: &WorldRef, address: SocketAddr) -> bool {
-    let Ok(mut conn) = world.connect(address).await else { return false };
-    conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+    let Ok(mut conn) = world.connect(address).await else {
+        return false;
+    };
+    conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
+        .await
+        .unwrap();
     got(world, &mut conn).await.status == 200
 }
 
@@ -358,14 +418,16 @@
             ("POST", _) if request.target.starts_with("/v1/holds/") => {
                 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned()
             }
-            (_, true) => {
-                "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}".to_owned()
-            }
+            (_, true) => "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}"
+                .to_owned(),
             (_, false) => format!("{STREAM}{}0\r\n\r\n", chunk(SERVED)),
         };
         let play = script(&seen);
         // A hold is known beside a read that is out; else its engine waits, and cannot say.
-        if request.target.starts_with("/v1/holds/") && seen.method == "POST" && matches!(play, Play::Usual) {
+        if request.target.starts_with("/v1/holds/")
+            && seen.method == "POST"
+            && matches!(play, Play::Usual)
+        {
             let id = request.target.trim_start_matches("/v1/holds/");
             let unknown = {
                 let book = book.lock().unwrap();
@@ -373,7 +435,11 @@
             };
             if unknown {
                 world.sleep(300_000).await;
-                if conn.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await.is_err() {
+                if conn
+                    .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
+                    .await
+                    .is_err()
+                {
                     return;
                 }
                 continue;
@@ -473,7 +539,9 @@
                 faults.connections
             };
             let (list, world, faults) = (list.clone(), world.clone(), faults.clone());
-            world.clone().run(async move { tell(&world, conn, me, &list, &faults).await });
+            world
+                .clone()
+                .run(async move { tell(&world, conn, me, &list, &faults).await });
         }
     });
 }
@@ -512,11 +580,20 @@
         let (version, servers) = list.lock().unwrap().clone();
         let text = match &does {
             Told::Body(text) => text.clone(),
-            _ if from == Some(version) => format!(r#"{{"version":{version},"full":false,"servers":[]}}"#),
+            _ if from == Some(version) => {
+                format!(r#"{{"version":{version},"full":false,"servers":[]}}"#)
+            }
             _ => format!(r#"{{"version":{version},"full":true,"servers":[{servers}]}}"#),
         };
-        let status = if let Told::Status(status) = does { status } else { 200 };
-        let answer = format!("HTTP/1.1 {status} So\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+        let status = if let Told::Status(status) = does {
+            status
+        } else {
+            200
+        };
+        let answer = format!(
+            "HTTP/1.1 {status} So\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        );
         let answer = answer.as_bytes();
         let sent = match does {
             Told::Silent => 0,
@@ -527,8 +604,11 @@
         if let Told::Late(span) = does {
             world.sleep(span).await;
         }
-        let (piece, pause) =
-            if let Told::Slow(piece, pause) = does { (piece, pause) } else { (usize::MAX, 0) };
+        let (piece, pause) = if let Told::Slow(piece, pause) = does {
+            (piece, pause)
+        } else {
+            (usize::MAX, 0)
+        };
         for piece in answer[..sent].chunks(piece.min(sent.max(1))) {
             if pause > 0 {
                 world.sleep(pause).await;
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -40,7 +40,9 @@
                 scene.world.sleep(3_000 * MS).await;
                 let mut conn = scene.connect().await;
                 let began = scene.world.now();
-                conn.write_all(&request(&id, "draft", timeout_ms)).await.unwrap();
+                conn.write_all(&request(&id, "draft", timeout_ms))
+                    .await
+                    .unwrap();
                 got(&scene.client, &mut conn).await;
                 let sends = scene.sends(&id);
                 for send in &sends {
@@ -76,8 +78,15 @@
             let _ = silent.write_all(&request("crosses", "send", 4_800)).await;
             let answer = got(&scene.client, &mut silent).await;
             scene.world.sleep(2_000 * MS).await;
-            assert_eq!(scene.sends("crosses").is_empty(), answer.status == 0, "{sent_at}: {answer:?}");
-            assert!(answer.status == 0 || answer.status == 200 && answer.whole, "{sent_at}: {answer:?}");
+            assert_eq!(
+                scene.sends("crosses").is_empty(),
+                answer.status == 0,
+                "{sent_at}: {answer:?}"
+            );
+            assert!(
+                answer.status == 0 || answer.status == 200 && answer.whole,
+                "{sent_at}: {answer:?}"
+            );
             tell.send(answer.status).unwrap();
         });
         match told.recv().unwrap() {
@@ -85,5 +94,8 @@
             _ => answered += 1,
         }
     }
-    assert!(answered > 0 && closed > 0, "both sides of the moment: {answered} answered, {closed} closed");
+    assert!(
+        answered > 0 && closed > 0,
+        "both sides of the moment: {answered} answered, {closed} closed"
+    );
 }
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -17,20 +17,35 @@
             assert_eq!(String::from_utf8(got.body).unwrap(), SERVED);
             let sends = scene.sends(id);
             assert_eq!(sends.len(), 2, "{sends:?}");
-            assert!(sends[0].engine < 2 && sends[1].engine >= 2, "read, then written");
+            assert!(
+                sends[0].engine < 2 && sends[1].engine >= 2,
+                "read, then written"
+            );
             for send in &sends {
                 assert_eq!(send.target, "/v1/chat/completions?a=b");
                 assert_eq!(send.body, BODY.as_bytes());
-                assert!((2_500..=4_800).contains(&send.timeout_ms), "{}", send.timeout_ms);
+                assert!(
+                    (2_500..=4_800).contains(&send.timeout_ms),
+                    "{}",
+                    send.timeout_ms
+                );
             }
         }
         // A place is asked for behind the read's last byte, and a connection serves again.
-        let mut holds =
-            scene.seen().into_iter().filter(|s| s.target == "/v1/holds/one" && s.method == "POST");
+        let mut holds = scene
+            .seen()
+            .into_iter()
+            .filter(|s| s.target == "/v1/holds/one" && s.method == "POST");
         let (hold, read) = (holds.next().unwrap(), &scene.sends("one")[0]);
         assert!(hold.at >= read.at && hold.engine >= 2);
-        assert_eq!(scene.sends("one")[0].connection, scene.sends("two")[0].connection);
-        assert!(scene.releases("one").is_empty(), "the stream itself lets go");
+        assert_eq!(
+            scene.sends("one")[0].connection,
+            scene.sends("two")[0].connection
+        );
+        assert!(
+            scene.releases("one").is_empty(),
+            "the stream itself lets go"
+        );
     });
 }
 
@@ -38,7 +53,13 @@
 /// that cannot be passed on is turned away.
 #[test]
 fn an_idempotency_key_reaches_every_attempt_unchanged() {
-    let mut rig = Rig::new(|seen| if writes(seen) && seen.engine == 2 { say(AWAY) } else { Play::Usual });
+    let mut rig = Rig::new(|seen| {
+        if writes(seen) && seen.engine == 2 {
+            say(AWAY)
+        } else {
+            Play::Usual
+        }
+    });
     rig.config = rig.config.replace("\"retryable\"", "\"dedup\"");
     rig.play(|scene| async move {
         for n in 0..4 {
@@ -50,7 +71,10 @@
             conn.write_all(keyed.as_bytes()).await.unwrap();
             assert_eq!(got(&scene.client, &mut conn).await.status, 200);
             let sends = scene.sends(&id);
-            assert!(sends.len() >= 2 && sends.iter().all(|s| s.idempotency_key == key), "{sends:?}");
+            assert!(
+                sends.len() >= 2 && sends.iter().all(|s| s.idempotency_key == key),
+                "{sends:?}"
+            );
         }
         assert!(
             scene.seen().iter().any(|s| writes(s) && s.engine == 2),
@@ -58,8 +82,18 @@
         );
         for value in [&b""[..], b"\xff\xfe"] {
             let text = request("bad", "draft", 4_800);
-            let at = text.windows(14).position(|w| w == b"Content-Length").unwrap();
-            let keyed = [&text[..at], b"Idempotency-Key: ", value, b"\r\n", &text[at..]].concat();
+            let at = text
+                .windows(14)
+                .position(|w| w == b"Content-Length")
+                .unwrap();
+            let keyed = [
+                &text[..at],
+                b"Idempotency-Key: ",
+                value,
+                b"\r\n",
+                &text[at..],
+            ]
+            .concat();
             let mut conn = scene.connect().await;
             conn.write_all(&keyed).await.unwrap();
             assert_eq!(got(&scene.client, &mut conn).await.status, 400);
@@ -98,7 +132,9 @@
             assert_eq!(scene.ask(&id, "send").await.status, 200);
         }
         let mut conn = scene.connect().await;
-        conn.write_all(&request("keyed", "send", 4_800)).await.unwrap();
+        conn.write_all(&request("keyed", "send", 4_800))
+            .await
+            .unwrap();
         until(&scene.world, "a write", || cut.get().is_some()).await;
         let other = *cut.get().unwrap();
         scene.world.sleep(3_000_000).await;
@@ -146,8 +182,15 @@
                 assert_eq!(got.status, want, "spoilt {i}");
                 scene.world.sleep(3_000_000).await;
             }
-            let met = scene.seen().iter().filter(|s| writes(s) && s.engine == 2).count();
-            assert!(met >= 2, "spoilt {i}: the spoilt engine was met {met} times");
+            let met = scene
+                .seen()
+                .iter()
+                .filter(|s| writes(s) && s.engine == 2)
+                .count();
+            assert!(
+                met >= 2,
+                "spoilt {i}: the spoilt engine was met {met} times"
+            );
         });
     }
 }
@@ -158,11 +201,12 @@
     for status in [503, 504, 410] {
         let turned = std::sync::Mutex::new(std::collections::BTreeSet::new());
         let rig = Rig::new(move |seen| {
-            let first = writes(seen) && seen.engine == 2 && turned.lock().unwrap().insert(seen.id.clone());
+            let first =
+                writes(seen) && seen.engine == 2 && turned.lock().unwrap().insert(seen.id.clone());
             match first {
-                true => {
-                    say(&format!("HTTP/1.1 {status} No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
-                }
+                true => say(&format!(
+                    "HTTP/1.1 {status} No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+                )),
                 false => Play::Usual,
             }
         });
@@ -171,7 +215,10 @@
                 let got = scene.ask(&format!("r{n}"), "send").await;
                 assert_eq!((got.status, got.whole), (200, true), "{status}");
             }
-            assert!(scene.seen().iter().any(|s| writes(s) && s.engine == 2), "{status}: never met");
+            assert!(
+                scene.seen().iter().any(|s| writes(s) && s.engine == 2),
+                "{status}: never met"
+            );
         });
     }
     let rig = Rig::new(|_| Play::Usual);
@@ -186,9 +233,14 @@
 /// After the first event the stream is the client's: it ends without its last chunk, and nothing is sent again.
 #[test]
 fn what_is_spoilt_later_breaks_the_clients_stream() {
-    for noise in
-        ["zz\r\n", "5\r\ndata:qq", "bb800000\r\ndata: {}\n\n", "9\r\nnoise!!\n\n\r\n", "0\r\n\r\n", ""]
-    {
+    for noise in [
+        "zz\r\n",
+        "5\r\ndata:qq",
+        "bb800000\r\ndata: {}\n\n",
+        "9\r\nnoise!!\n\n\r\n",
+        "0\r\n\r\n",
+        "",
+    ] {
         let rig = Rig::new(move |seen| match writes(seen) {
             true => Play::AfterFirst(noise.as_bytes().to_vec()),
             false => Play::Usual,
@@ -196,13 +248,32 @@
         rig.play(move |scene| async move {
             let got = scene.ask("one", "draft").await;
             assert_eq!((got.status, got.whole), (200, false), "{noise:?}");
-            assert!(SERVED.as_bytes().starts_with(&got.body) && !got.body.is_empty(), "{noise:?}");
-            assert!(got.at - got.last < 5_000_000, "{noise:?}: left waiting {} us", got.at - got.last);
+            assert!(
+                SERVED.as_bytes().starts_with(&got.body) && !got.body.is_empty(),
+                "{noise:?}"
+            );
+            assert!(
+                got.at - got.last < 5_000_000,
+                "{noise:?}: left waiting {} us",
+                got.at - got.last
+            );
             scene.world.sleep(1_000_000).await;
-            assert_eq!(scene.sends("one").iter().filter(|s| writes(s)).count(), 1, "{noise:?}");
+            assert_eq!(
+                scene.sends("one").iter().filter(|s| writes(s)).count(),
+                1,
+                "{noise:?}"
+            );
             // The engine's connection ended too.
-            let at = scene.sends("one").into_iter().find(writes).unwrap().connection;
-            assert!(scene.book.lock().unwrap().closed.iter().any(|c| c.1 == at), "{noise:?}");
+            let at = scene
+                .sends("one")
+                .into_iter()
+                .find(writes)
+                .unwrap()
+                .connection;
+            assert!(
+                scene.book.lock().unwrap().closed.iter().any(|c| c.1 == at),
+                "{noise:?}"
+            );
         });
     }
 }
@@ -215,18 +286,36 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Server-Load: TEXT inflight=\x7e, util\r\n\r\n";
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhey";
     let extras = [
-        (format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n{head}{body}"), true),
+        (
+            format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\n\r\n{head}{body}"),
+            true,
+        ),
         (format!("{head}{body}{second}"), false),
     ];
     for (extra, again) in extras {
-        let rig = Rig::new(move |seen| if writes(seen) { say(&extra) } else { Play::Usual });
+        let rig = Rig::new(move |seen| {
+            if writes(seen) {
+                say(&extra)
+            } else {
+                Play::Usual
+            }
+        });
         rig.play(move |scene| async move {
             let mut connections = Vec::new();
             for n in 0..8 {
                 let id = format!("r{n}");
                 let got = scene.ask(&id, "draft").await;
-                assert_eq!((got.status, got.whole, got.body.as_slice()), (200, true, SERVED.as_bytes()));
-                connections.extend(scene.sends(&id).iter().filter(|s| writes(s)).map(|s| s.connection));
+                assert_eq!(
+                    (got.status, got.whole, got.body.as_slice()),
+                    (200, true, SERVED.as_bytes())
+                );
+                connections.extend(
+                    scene
+                        .sends(&id)
+                        .iter()
+                        .filter(|s| writes(s))
+                        .map(|s| s.connection),
+                );
                 scene.world.sleep(10_000).await;
             }
             let all = connections.len();
@@ -247,10 +336,22 @@
     rig.play(|scene| async move {
         let got = scene.ask("one", "draft").await;
         assert_eq!(got.status, 429, "refused: nothing ran");
-        assert!(got.retry_after.is_some_and(|r| r.parse::<f64>().is_ok_and(|r| r > 0.0)));
-        until(&scene.world, "a release", || !scene.releases("one").is_empty()).await;
-        let (release, last) = (scene.releases("one")[0].at, scene.sends("one").last().unwrap().at);
-        assert!(release >= last && release - last <= 300_000, "{} us", release - last);
+        assert!(got
+            .retry_after
+            .is_some_and(|r| r.parse::<f64>().is_ok_and(|r| r > 0.0)));
+        until(&scene.world, "a release", || {
+            !scene.releases("one").is_empty()
+        })
+        .await;
+        let (release, last) = (
+            scene.releases("one")[0].at,
+            scene.sends("one").last().unwrap().at,
+        );
+        assert!(
+            release >= last && release - last <= 300_000,
+            "{} us",
+            release - last
+        );
     });
 }
 
@@ -258,9 +359,11 @@
 /// way is: with effects that may not be repeated it would be a second copy.
 #[test]
 fn what_is_given_up_is_over_before_the_next_attempt_comes() {
-    let rig = Rig::new(|seen| match seen.engine < 2 && seen.id.starts_with('h') && seen.timeout_ms > 3_000 {
-        true => Play::Silent,
-        false => Play::Usual,
+    let rig = Rig::new(|seen| {
+        match seen.engine < 2 && seen.id.starts_with('h') && seen.timeout_ms > 3_000 {
+            true => Play::Silent,
+            false => Play::Usual,
+        }
     });
     rig.sim.lag(rig.node.id(), rig.engines[0].id(), 1_500);
     rig.play(|scene| async move {
@@ -275,9 +378,20 @@
             scene.ask(&id, "send").await;
             let sends = scene.sends(&id);
             let book = scene.book.lock().unwrap();
-            for pair in sends.windows(2).filter(|p| p[0].engine == 0 && p[0].timeout_ms > 3_000) {
-                let end = book.closed.iter().find(|c| c.1 == pair[0].connection).map(|c| c.2);
-                assert!(end.is_some_and(|at| at <= pair[1].at), "{id}: {end:?}, next at {}", pair[1].at);
+            for pair in sends
+                .windows(2)
+                .filter(|p| p[0].engine == 0 && p[0].timeout_ms > 3_000)
+            {
+                let end = book
+                    .closed
+                    .iter()
+                    .find(|c| c.1 == pair[0].connection)
+                    .map(|c| c.2);
+                assert!(
+                    end.is_some_and(|at| at <= pair[1].at),
+                    "{id}: {end:?}, next at {}",
+                    pair[1].at
+                );
                 over += 1;
             }
         }
@@ -296,13 +410,23 @@
         rig.play(move |scene| async move {
             let got = scene.ask("one", class).await;
             assert_eq!(got.status, 429, "refused: nothing ran");
-            until(&scene.world, "a release", || !scene.releases("one").is_empty()).await;
+            until(&scene.world, "a release", || {
+                !scene.releases("one").is_empty()
+            })
+            .await;
             let reads = scene.sends("one");
             for (i, read) in reads.iter().enumerate() {
                 let next = reads.get(i + 1).map_or(Micros::MAX, |r| r.at);
-                let release = scene.releases("one").iter().map(|r| r.at).find(|at| *at > read.at);
+                let release = scene
+                    .releases("one")
+                    .iter()
+                    .map(|r| r.at)
+                    .find(|at| *at > read.at);
                 let kept = release.unwrap_or(Micros::MAX).min(next) - read.at;
-                assert!(kept <= 300_000, "{class}: what read {i} left was kept for {kept} us");
+                assert!(
+                    kept <= 300_000,
+                    "{class}: what read {i} left was kept for {kept} us"
+                );
             }
         });
     }
@@ -318,11 +442,19 @@
     });
     rig.play(|scene| async move {
         let mut conn = scene.connect().await;
-        conn.write_all(&request("one", "draft", 4_800)).await.unwrap();
-        until(&scene.world, "a write", || scene.sends("one").iter().any(writes)).await;
+        conn.write_all(&request("one", "draft", 4_800))
+            .await
+            .unwrap();
+        until(&scene.world, "a write", || {
+            scene.sends("one").iter().any(writes)
+        })
+        .await;
         let left = scene.world.now();
         drop(conn);
-        until(&scene.world, "a release", || scene.releases("one").iter().any(|s| s.engine == 3)).await;
+        until(&scene.world, "a release", || {
+            scene.releases("one").iter().any(|s| s.engine == 3)
+        })
+        .await;
         let took = scene.world.now() - left;
         assert!(took < 600_000, "{took} us");
         // Nothing is sent for a client that left.
@@ -344,13 +476,20 @@
             scene.relist(text);
             scene.world.sleep(50_000).await;
             for n in 0..3 {
-                assert_eq!(scene.ask(&format!("q{round}-{n}"), "draft").await.status, 200);
+                assert_eq!(
+                    scene.ask(&format!("q{round}-{n}"), "draft").await.status,
+                    200
+                );
             }
         }
         scene.world.sleep(50_000).await;
         let book = scene.book.lock().unwrap();
         assert!(book.standing <= 6, "{} connections stand", book.standing);
-        assert!(book.connections >= 20, "each new engine had connections of its own: {}", book.connections);
+        assert!(
+            book.connections >= 20,
+            "each new engine had connections of its own: {}",
+            book.connections
+        );
         let metrics = scene.service.node().metrics();
         assert_eq!(
             (metrics.engines.get(), metrics.engines_known.get()),
@@ -383,7 +522,9 @@
         }
     });
     rig.play(move |scene| async move {
-        let breaks = entry(2, "up").replace("s-2", "s-9").replace(&address(2).to_string(), &at.to_string());
+        let breaks = entry(2, "up")
+            .replace("s-2", "s-9")
+            .replace(&address(2).to_string(), &at.to_string());
         scene.relist(format!("{},{breaks}", list(&["up", "up", "up", "removed"])));
         scene.world.sleep(20_000).await;
         for n in 0..12 {
@@ -391,7 +532,10 @@
             assert_eq!((got.status, got.whole), (200, true), "r{n}");
             scene.world.sleep(2_000_000).await;
         }
-        assert!(met.load(std::sync::atomic::Ordering::SeqCst) >= 2, "the engine that breaks was met");
+        assert!(
+            met.load(std::sync::atomic::Ordering::SeqCst) >= 2,
+            "the engine that breaks was met"
+        );
     });
 }
 
@@ -417,6 +561,10 @@
             sends += scene.sends(&id).len();
             scene.world.sleep(250_000).await;
         }
-        assert!(sends <= 2 * 60 + 8, "{} sends were lost to kept connections", sends - 2 * 60);
+        assert!(
+            sends <= 2 * 60 + 8,
+            "{} sends were lost to kept connections",
+            sends - 2 * 60
+        );
     });
 }
--- a/crates/ivyward-platform/tests/gone.rs
+++ b/crates/ivyward-platform/tests/gone.rs
@@ -36,18 +36,27 @@
 }
 
 /// Deployments that allow attempts to be called off, and such that do not.
-fn rigs(script: impl Fn(&Seen) -> Play + Send + Sync + Clone + 'static) -> impl Iterator<Item = (bool, Rig)> {
+fn rigs(
+    script: impl Fn(&Seen) -> Play + Send + Sync + Clone + 'static,
+) -> impl Iterator<Item = (bool, Rig)> {
     [true, false].into_iter().map(move |may| {
         let mut rig = Rig::new(script.clone());
         assert!(rig.config.contains("\"may_cancel\":true"));
-        rig.config = rig.config.replace("\"may_cancel\":true", &format!("\"may_cancel\":{may}"));
+        rig.config = rig
+            .config
+            .replace("\"may_cancel\":true", &format!("\"may_cancel\":{may}"));
         (may, rig)
     })
 }
 
 /// When the last attempt of these requests came to an engine, after `gone`.
 fn latest(scene: &Scene, ids: &[String], gone: Micros) -> Micros {
-    let came = scene.seen().into_iter().filter(|s| ids.contains(&s.id)).map(|s| s.at).max();
+    let came = scene
+        .seen()
+        .into_iter()
+        .filter(|s| ids.contains(&s.id))
+        .map(|s| s.at)
+        .max();
     came.unwrap_or(0).saturating_sub(gone)
 }
 
@@ -62,14 +71,19 @@
             }
             rig.play(move |scene| async move {
                 let mut conn = scene.connect().await;
-                conn.write_all(&request("one", "draft", 4_800)).await.unwrap();
+                conn.write_all(&request("one", "draft", 4_800))
+                    .await
+                    .unwrap();
                 scene.world.sleep(50 * MS).await;
                 let gone = scene.world.now();
                 let _held = leave(conn, how).await;
                 scene.world.sleep(3_000 * MS).await;
                 let late = latest(&scene, &["one".into()], gone);
                 // What had left before is on its way as long.
-                assert!(late <= WITHIN, "{how:?}, may cancel {may}: an attempt {late} us after");
+                assert!(
+                    late <= WITHIN,
+                    "{how:?}, may cancel {may}: an attempt {late} us after"
+                );
             });
         }
     }
@@ -80,11 +94,20 @@
 fn between_read_and_write() {
     for how in WAYS {
         for class in ["draft", "send"] {
-            for (may, rig) in rigs(|seen| if reads(seen) { Play::Late(500 * MS) } else { Play::Usual }) {
+            for (may, rig) in rigs(|seen| {
+                if reads(seen) {
+                    Play::Late(500 * MS)
+                } else {
+                    Play::Usual
+                }
+            }) {
                 rig.play(move |scene| async move {
                     let mut conn = scene.connect().await;
                     conn.write_all(&request("one", class, 4_800)).await.unwrap();
-                    until(&scene.world, "a read", || scene.sends("one").iter().any(reads)).await;
+                    until(&scene.world, "a read", || {
+                        scene.sends("one").iter().any(reads)
+                    })
+                    .await;
                     let gone = scene.world.now();
                     let _held = leave(conn, how).await;
                     scene.world.sleep(3_000 * MS).await;
@@ -93,7 +116,10 @@
                         0,
                         "{how:?}, {class}, may cancel {may}"
                     );
-                    assert_eq!((scene.service.node().open(), scene.service.node().owed()), (0, 0));
+                    assert_eq!(
+                        (scene.service.node().open(), scene.service.node().owed()),
+                        (0, 0)
+                    );
                 });
             }
         }
@@ -106,7 +132,8 @@
     for how in WAYS {
         for (may, rig) in rigs(|_| Play::Usual) {
             // 200 kB at 100 kB a second.
-            rig.sim.net(|net| (net.rate, net.buffer) = (100_000, 8 << 10));
+            rig.sim
+                .net(|net| (net.rate, net.buffer) = (100_000, 8 << 10));
             rig.play(move |scene| async move {
                 scene.sim.net(|net| net.rate = 0);
                 let filler = "x".repeat(200_000);
@@ -118,13 +145,19 @@
                     &format!("Content-Length: {}", body.len()),
                 );
                 let mut conn = scene.connect().await;
-                conn.write_all(format!("{head}\r\n\r\n{body}").as_bytes()).await.unwrap();
+                conn.write_all(format!("{head}\r\n\r\n{body}").as_bytes())
+                    .await
+                    .unwrap();
                 scene.sim.net(|net| net.rate = 100_000);
                 scene.world.sleep(300 * MS).await;
                 let gone = scene.world.now();
                 let _held = leave(conn, how).await;
                 scene.world.sleep(6_000 * MS).await;
-                assert_eq!(latest(&scene, &["long".into()], gone), 0, "{how:?}, may cancel {may}");
+                assert_eq!(
+                    latest(&scene, &["long".into()], gone),
+                    0,
+                    "{how:?}, may cancel {may}"
+                );
             });
         }
     }
@@ -135,20 +168,34 @@
 fn behind_pipelined_bytes() {
     for how in WAYS {
         for more in [100, 20_000, 300_000, 30_000_000] {
-            for (may, rig) in rigs(|seen| if reads(seen) { Play::Late(500 * MS) } else { Play::Usual }) {
+            for (may, rig) in rigs(|seen| {
+                if reads(seen) {
+                    Play::Late(500 * MS)
+                } else {
+                    Play::Usual
+                }
+            }) {
                 rig.play(move |scene| async move {
                     let mut conn = scene.connect().await;
-                    conn.write_all(&request("one", "draft", 4_800)).await.unwrap();
+                    conn.write_all(&request("one", "draft", 4_800))
+                        .await
+                        .unwrap();
                     // A client that is not read any more leaves with a part of it unsent.
                     let by = scene.client.now() + 200 * MS;
                     let sent = before(&scene.client, by, conn.write_all(&vec![b'x'; more])).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
-                    until(&scene.world, "a read", || scene.sends("one").iter().any(reads)).await;
+                    until(&scene.world, "a read", || {
+                        scene.sends("one").iter().any(reads)
+                    })
+                    .await;
                     let gone = scene.world.now();
                     let _held = leave(conn, how).await;
                     scene.world.sleep(3_000 * MS).await;
                     let late = latest(&scene, &["one".into()], gone);
-                    assert!(late <= WITHIN, "{how:?}, {more} behind, may cancel {may}: {late} us");
+                    assert!(
+                        late <= WITHIN,
+                        "{how:?}, {more} behind, may cancel {may}: {late} us"
+                    );
                 });
             }
         }
@@ -159,25 +206,44 @@
 #[test]
 fn much_behind_a_request_ends_the_connection_after_the_answer() {
     for (more, closes) in [(1_000, false), (300_000, true)] {
-        Rig::new(|seen| if writes(seen) { Play::Late(300 * MS) } else { Play::Usual }).play(
-            move |scene| async move {
-                let mut conn = scene.connect().await;
-                conn.write_all(&request("one", "draft", 4_800)).await.unwrap();
-                let next = request("two", "draft", 4_800);
-                let many: Vec<u8> =
-                    next.iter().copied().cycle().take(next.len() * (more / next.len())).collect();
-                conn.write_all(&many).await.unwrap();
-                let first = got(&scene.client, &mut conn).await;
-                assert_eq!((first.status, first.whole), (200, true));
-                let mut rest = Vec::new();
-                if closes {
-                    let end = conn.read_to_end(&mut rest).await;
-                    assert!(end.is_ok() && rest.is_empty(), "an orderly end: {end:?}, {} bytes", rest.len());
-                } else {
-                    assert_eq!(got(&scene.client, &mut conn).await.status, 200, "the next one is read");
-                }
-            },
-        );
+        Rig::new(|seen| {
+            if writes(seen) {
+                Play::Late(300 * MS)
+            } else {
+                Play::Usual
+            }
+        })
+        .play(move |scene| async move {
+            let mut conn = scene.connect().await;
+            conn.write_all(&request("one", "draft", 4_800))
+                .await
+                .unwrap();
+            let next = request("two", "draft", 4_800);
+            let many: Vec<u8> = next
+                .iter()
+                .copied()
+                .cycle()
+                .take(next.len() * (more / next.len()))
+                .collect();
+            conn.write_all(&many).await.unwrap();
+            let first = got(&scene.client, &mut conn).await;
+            assert_eq!((first.status, first.whole), (200, true));
+            let mut rest = Vec::new();
+            if closes {
+                let end = conn.read_to_end(&mut rest).await;
+                assert!(
+                    end.is_ok() && rest.is_empty(),
+                    "an orderly end: {end:?}, {} bytes",
+                    rest.len()
+                );
+            } else {
+                assert_eq!(
+                    got(&scene.client, &mut conn).await.status,
+                    200,
+                    "the next one is read"
+                );
+            }
+        });
     }
 }
 
