--- a/crates/ivyward-platform/tests/held.rs
+++ b/crates/ivyward-platform/tests/held.rs
@@ -12,7 +12,10 @@
 /// Every request's longest time held, once the scene is over.
 fn kept(scene: &Scene, ids: &[String]) -> Micros {
     let (book, now) = (scene.book.lock().unwrap(), scene.world.now());
-    ids.iter().map(|id| book.held_longest(id, now)).max().unwrap_or(0)
+    ids.iter()
+        .map(|id| book.held_longest(id, now))
+        .max()
+        .unwrap_or(0)
 }
 
 /// Nobody can be reached: what is owed stays owed, is asked for without spinning, and is met at the first word.
@@ -24,7 +27,9 @@
         let mut conns = Vec::new();
         for n in 0..20 {
             let mut conn = scene.connect().await;
-            conn.write_all(&request(&format!("a{n}"), "send", 4_800)).await.unwrap();
+            conn.write_all(&request(&format!("a{n}"), "send", 4_800))
+                .await
+                .unwrap();
             conns.push(conn);
         }
         scene.world.sleep(600).await;
@@ -37,7 +42,10 @@
         assert!(asked < 20 * 60, "{asked} asks in half a minute");
         scene.cut(&[3], false);
         let back = scene.world.now();
-        until(&scene.world, "all is let go of", || scene.service.node().owed() == 0).await;
+        until(&scene.world, "all is let go of", || {
+            scene.service.node().owed() == 0
+        })
+        .await;
         let took = scene.world.now() - back;
         // Nothing else is heard here: each of four engines is asked after a pause of eight spans at most.
         assert!(took < (4 * 8 + 2) * WITHIN, "{took} us");
@@ -52,8 +60,13 @@
         let rig = Rig::new(|seen| if writes(seen) { say(AWAY) } else { Play::Usual });
         rig.play(move |mut scene| async move {
             let mut conn = scene.connect().await;
-            conn.write_all(&request("last", "send", 4_800)).await.unwrap();
-            until(&scene.world, "a read", || scene.sends("last").iter().any(reads)).await;
+            conn.write_all(&request("last", "send", 4_800))
+                .await
+                .unwrap();
+            until(&scene.world, "a read", || {
+                scene.sends("last").iter().any(reads)
+            })
+            .await;
             let last = scene.world.now();
             scene.cut(if reachable { &[0, 1, 2] } else { &[0, 1, 2, 3] }, true);
             drop(conn);
@@ -67,7 +80,11 @@
                     assert_eq!(scene.service.node().metrics().releases_dropped.get(), 0);
                 }
                 false => {
-                    assert_eq!(scene.service.node().metrics().releases_dropped.get(), 1, "and it is counted")
+                    assert_eq!(
+                        scene.service.node().metrics().releases_dropped.get(),
+                        1,
+                        "and it is counted"
+                    )
                 }
             }
             assert!(took < 12 * WITHIN + 1_000 * MS, "{took} us");
@@ -82,10 +99,17 @@
     for salt in 0..12u64 {
         let rig = Rig::new(move |seen| {
             let hash = |text: &str| {
-                text.bytes()
-                    .fold(salt, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3).rotate_left(17))
+                text.bytes().fold(salt, |h, b| {
+                    (h ^ u64::from(b))
+                        .wrapping_mul(0x100_0000_01b3)
+                        .rotate_left(17)
+                })
+            };
+            let of = if seen.id.is_empty() {
+                seen.target.trim_start_matches("/v1/holds/")
+            } else {
+                &seen.id
             };
-            let of = if seen.id.is_empty() { seen.target.trim_start_matches("/v1/holds/") } else { &seen.id };
             match (hash(of) ^ (seen.engine as u64 * 7)) % 16 {
                 _ if seen.method == "DELETE" => Play::Usual,
                 // 202 is lost on its way back, or the connection breaks before it.
@@ -110,7 +134,9 @@
                     client.sleep(n as Micros * 25 * MS).await;
                     let class = if n % 3 == 0 { "send" } else { "draft" };
                     let mut conn = client.connect(address).await.unwrap();
-                    conn.write_all(&request(&id, class, 800 + n as u64 * 31)).await.unwrap();
+                    conn.write_all(&request(&id, class, 800 + n as u64 * 31))
+                        .await
+                        .unwrap();
                     if n % 4 == 1 {
                         // Leaves in each moment of a request's life.
                         client.sleep((n as Micros * 37) % 900 * 1_000).await;
@@ -122,7 +148,10 @@
             scene.world.sleep(15_000 * MS).await;
             let kept = kept(&scene, &ids);
             assert!(kept <= WITHIN + 50 * MS, "salt {salt}: kept for {kept} us");
-            assert_eq!((scene.service.node().open(), scene.service.node().owed()), (0, 0));
+            assert_eq!(
+                (scene.service.node().open(), scene.service.node().owed()),
+                (0, 0)
+            );
         });
     }
 }
@@ -131,18 +160,32 @@
 #[test]
 fn the_holder_leaves_the_list() {
     for left in ["removed", "draining"] {
-        let rig = Rig::new(|seen| if writes(seen) { Play::Late(500 * MS) } else { Play::Usual });
+        let rig = Rig::new(|seen| {
+            if writes(seen) {
+                Play::Late(500 * MS)
+            } else {
+                Play::Usual
+            }
+        });
         rig.play(move |scene| async move {
             let mut conn = scene.connect().await;
-            conn.write_all(&request("one", "draft", 4_800)).await.unwrap();
-            until(&scene.world, "a write", || scene.sends("one").iter().any(writes)).await;
+            conn.write_all(&request("one", "draft", 4_800))
+                .await
+                .unwrap();
+            until(&scene.world, "a write", || {
+                scene.sends("one").iter().any(writes)
+            })
+            .await;
             scene.relist(list(&[left, left, "up", "up"]));
             scene.world.sleep(50 * MS).await;
             drop(conn);
             scene.world.sleep(3_000 * MS).await;
             let kept = kept(&scene, &["one".into()]);
             assert!(kept <= WITHIN, "{left}: kept for {kept} us");
-            assert!(scene.releases("one").iter().all(|r| r.engine >= 2), "one that is listed is asked");
+            assert!(
+                scene.releases("one").iter().all(|r| r.engine >= 2),
+                "one that is listed is asked"
+            );
             assert_eq!(scene.service.node().owed(), 0);
         });
     }
@@ -153,8 +196,10 @@
 fn a_short_time_to_let_go_is_kept() {
     for within in [20, 60, 120] {
         let mut rig = Rig::new(|_| Play::Usual);
-        rig.config =
-            rig.config.replace("\"let_go_by_us\":300000", &format!("\"let_go_by_us\":{}", within * MS));
+        rig.config = rig.config.replace(
+            "\"let_go_by_us\":300000",
+            &format!("\"let_go_by_us\":{}", within * MS),
+        );
         for writer in 2..4 {
             rig.sim.cut(rig.node.id(), rig.engines[writer].id(), true);
         }
@@ -206,8 +251,17 @@
 /// A keyed class whose engines remember nothing is served, and nothing of it is repeated.
 #[test]
 fn a_keyed_class_without_a_window_starts_and_repeats_nothing() {
-    let mut rig = Rig::new(|seen| if writes(seen) { Play::SayAndClose(Vec::new()) } else { Play::Usual });
-    rig.config = rig.config.replace("fragile", "dedup").replace("\"key_ttl_us\":5000000", "\"key_ttl_us\":0");
+    let mut rig = Rig::new(|seen| {
+        if writes(seen) {
+            Play::SayAndClose(Vec::new())
+        } else {
+            Play::Usual
+        }
+    });
+    rig.config = rig
+        .config
+        .replace("fragile", "dedup")
+        .replace("\"key_ttl_us\":5000000", "\"key_ttl_us\":0");
     rig.play(|scene| async move {
         assert_ne!(scene.ask("one", "send").await.status, 200);
         assert_eq!(scene.sends("one").iter().filter(|s| writes(s)).count(), 1);
@@ -231,7 +285,10 @@
         }
         let came = || {
             let book = scene.book.lock().unwrap();
-            book.seen.iter().filter(|s| s.method == "POST" && !s.id.is_empty()).count()
+            book.seen
+                .iter()
+                .filter(|s| s.method == "POST" && !s.id.is_empty())
+                .count()
         };
         until(&scene.world, "many are at an engine", || came() >= 100).await;
         drop(conns);
@@ -271,15 +328,25 @@
                     scene.cut(&engines, false);
                     scene.world.sleep(3_000 * MS).await;
                     let what = format!("cut {engines:?} {after} us after, leaves {leaves}");
-                    let of = |s: &&Seen| s.id == "one" || s.target.ends_with("/one") && s.method == "POST";
-                    let late = scene.seen().iter().filter(of).filter(|s| s.at > over).count();
+                    let of = |s: &&Seen| {
+                        s.id == "one" || s.target.ends_with("/one") && s.method == "POST"
+                    };
+                    let late = scene
+                        .seen()
+                        .iter()
+                        .filter(of)
+                        .filter(|s| s.at > over)
+                        .count();
                     assert_eq!(late, 0, "{what}: what was given up landed");
                     // Behind other cuts a write may be lost, or nobody can be asked, for as long as the cut lasts.
                     if engines == [0, 1] {
                         let kept = kept(&scene, &["one".into()]);
                         assert!(kept <= WITHIN, "{what}: {kept} us");
                     }
-                    assert_eq!((scene.service.node().open(), scene.service.node().owed()), (0, 0));
+                    assert_eq!(
+                        (scene.service.node().open(), scene.service.node().owed()),
+                        (0, 0)
+                    );
                 });
             }
         }
@@ -302,12 +369,18 @@
             let mut conns = Vec::new();
             for n in 0..4 {
                 let mut conn = scene.connect().await;
-                conn.write_all(&request(&format!("cut{n}"), class, 4_800)).await.unwrap();
+                conn.write_all(&request(&format!("cut{n}"), class, 4_800))
+                    .await
+                    .unwrap();
                 conns.push(conn);
             }
             scene.world.sleep(3_000 * MS).await;
             let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
-            assert!(kept(&scene, &ids) <= WITHIN, "{class}: held for {} us", kept(&scene, &ids));
+            assert!(
+                kept(&scene, &ids) <= WITHIN,
+                "{class}: held for {} us",
+                kept(&scene, &ids)
+            );
         });
     }
 }
@@ -325,11 +398,17 @@
         let mut conns = Vec::new();
         for n in 0..4 {
             let mut conn = scene.connect().await;
-            conn.write_all(&request(&format!("cut{n}"), "draft", 4_800)).await.unwrap();
+            conn.write_all(&request(&format!("cut{n}"), "draft", 4_800))
+                .await
+                .unwrap();
             conns.push(conn);
         }
         scene.world.sleep(3_000 * MS).await;
         let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
-        assert!(kept(&scene, &ids) <= WITHIN, "held for {} us", kept(&scene, &ids));
+        assert!(
+            kept(&scene, &ids) <= WITHIN,
+            "held for {} us",
+            kept(&scene, &ids)
+        );
     });
 }
--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -57,7 +57,12 @@
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         let (listener, failing) = (self.world.listen(at)?, self.failing.clone());
-        Ok(Box::new(FailingListener { listener, failing, waited: false, failed: false }))
+        Ok(Box::new(FailingListener {
+            listener,
+            failing,
+            waited: false,
+            failed: false,
+        }))
     }
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
         self.world.datagrams(at)
@@ -95,7 +100,9 @@
 async fn healthy(client: &WorldRef, address: SocketAddr) {
     loop {
         let mut conn = client.connect(address).await.unwrap();
-        conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+        conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
+            .await
+            .unwrap();
         if common::got(client, &mut conn).await.status == 200 {
             return;
         }
@@ -109,7 +116,10 @@
 fn an_aborted_connection_at_a_stop_leaves_those_behind_it_their_answers() {
     let rig = Rig::new(|_: &Seen| Play::Usual);
     let failing = Arc::<Failing>::default();
-    let world: WorldRef = Arc::new(FailingWorld { world: rig.world.clone(), failing: failing.clone() });
+    let world: WorldRef = Arc::new(FailingWorld {
+        world: rig.world.clone(),
+        failing: failing.clone(),
+    });
     let (config, client) = (rig.config(), rig.client.world());
     let played = rig.sim.run(&rig.node, common::DAY, async move {
         let mut service = Service::start(world.clone(), config).await.unwrap();
@@ -122,7 +132,9 @@
         let mut queued = Vec::new();
         for n in 0..4 {
             let mut conn = client.connect(address).await.unwrap();
-            conn.write_all(&request(&format!("q{n}"), "draft", 4_800)).await.unwrap();
+            conn.write_all(&request(&format!("q{n}"), "draft", 4_800))
+                .await
+                .unwrap();
             queued.push(conn);
         }
         let (done, ended) = async_channel::bounded::<()>(1);
@@ -132,7 +144,11 @@
         });
         for (n, conn) in queued.iter_mut().enumerate() {
             let got = common::got(&client, conn).await;
-            assert_eq!((got.status, got.whole), (200, true), "request {n} of the queue");
+            assert_eq!(
+                (got.status, got.whole),
+                (200, true),
+                "request {n} of the queue"
+            );
         }
         // Ends when the sender is dropped.
         let _ = ended.recv().await;
@@ -146,7 +162,10 @@
     const DIALS: usize = 8;
     let rig = Rig::new(|_: &Seen| Play::Usual);
     let failing = Arc::<Failing>::default();
-    let world: WorldRef = Arc::new(FailingWorld { world: rig.world.clone(), failing: failing.clone() });
+    let world: WorldRef = Arc::new(FailingWorld {
+        world: rig.world.clone(),
+        failing: failing.clone(),
+    });
     let (config, client) = (rig.config(), rig.client.world());
     let played = rig.sim.run(&rig.node, common::DAY, async move {
         let service = Service::start(world.clone(), config).await.unwrap();
@@ -155,13 +174,17 @@
         failing.dials.store(DIALS, Ordering::SeqCst);
         for n in 0..4 {
             let mut conn = client.connect(address).await.unwrap();
-            conn.write_all(&request(&format!("d{n}"), "draft", 4_800)).await.unwrap();
+            conn.write_all(&request(&format!("d{n}"), "draft", 4_800))
+                .await
+                .unwrap();
             let got = common::got(&client, &mut conn).await;
             assert_eq!((got.status, got.whole), (200, true), "request {n}");
         }
         assert_eq!(failing.failed_dials.load(Ordering::SeqCst), DIALS);
-        let failed =
-            ivyward::metrics::OUTCOMES.iter().position(|(_, name)| *name == "connect_failed").unwrap();
+        let failed = ivyward::metrics::OUTCOMES
+            .iter()
+            .position(|(_, name)| *name == "connect_failed")
+            .unwrap();
         assert_eq!(
             service.node().metrics().outcomes[failed].get(),
             0,
--- a/crates/ivyward-platform/tests/rules.rs
+++ b/crates/ivyward-platform/tests/rules.rs
@@ -14,7 +14,9 @@
 
 fn hash(text: &str, salt: u64) -> u64 {
     let mix = |h: u64, b: u64| (h ^ b).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
-    text.bytes().fold(mix(0xcbf2_9ce4_8422_2325, salt), |h, b| mix(h, u64::from(b)))
+    text.bytes().fold(mix(0xcbf2_9ce4_8422_2325, salt), |h, b| {
+        mix(h, u64::from(b))
+    })
 }
 
 /// What an engine does with a request, drawn from the request's id and its own number.
@@ -69,14 +71,27 @@
                 client.sleep(n * 25_000).await;
                 let mut conn = client.connect(address).await.unwrap();
                 let sent = client.now();
-                conn.write_all(&request(&id, class, timeout / 1_000)).await.unwrap();
+                conn.write_all(&request(&id, class, timeout / 1_000))
+                    .await
+                    .unwrap();
                 let got = match leaves {
                     true => before(&client, sent + 150_000, got(&client, &mut conn)).await,
                     false => Some(got(&client, &mut conn).await),
                 };
                 drop(conn);
                 let over = client.now();
-                let _ = done.send((id, Told { class, sent, timeout, got, over })).await;
+                let _ = done
+                    .send((
+                        id,
+                        Told {
+                            class,
+                            sent,
+                            timeout,
+                            got,
+                            over,
+                        },
+                    ))
+                    .await;
             });
         }
         drop(done);
@@ -108,7 +123,11 @@
                 assert_ne!(got.status, 0, "{id}: no answer");
                 if got.status != 200 {
                     let took = got.at - one.sent;
-                    assert!(took <= one.timeout + MORE, "{id}: answered after {took} us of {}", one.timeout);
+                    assert!(
+                        took <= one.timeout + MORE,
+                        "{id}: answered after {took} us of {}",
+                        one.timeout
+                    );
                 }
                 broken += usize::from(got.status == 200 && !got.whole);
             }
@@ -128,11 +147,16 @@
             // No two attempts at once: one that got no answer is over when its connection is.
             for pair in sends.windows(2).filter(|p| fault(p[0]) == 5) {
                 let over = ended(pair[0].connection);
-                assert!(over.is_some_and(|at| at <= pair[1].at), "{id}: two attempts at once");
+                assert!(
+                    over.is_some_and(|at| at <= pair[1].at),
+                    "{id}: two attempts at once"
+                );
             }
             // Rule 5: what was read and not written is let go.
             let streamed = writes.iter().any(|s| matches!(fault(s), 6..));
-            let held = sends.iter().any(|s| s.engine < 2 && !turned_away(s) && !matches!(fault(s), 0 | 1));
+            let held = sends
+                .iter()
+                .any(|s| s.engine < 2 && !turned_away(s) && !matches!(fault(s), 0 | 1));
             if held && !streamed {
                 let last = sends.iter().map(|s| s.at).max().unwrap_or(0).max(one.over);
                 let let_go = book
@@ -148,7 +172,11 @@
             }
         }
         // Rule 3: drains.
-        for seen in book.seen.iter().filter(|s| matches!(s.engine, 1 | 3) && s.method == "POST") {
+        for seen in book
+            .seen
+            .iter()
+            .filter(|s| matches!(s.engine, 1 | 3) && s.method == "POST")
+        {
             let late = drained + GRACE + MORE..back;
             assert!(
                 !late.contains(&seen.at),
@@ -158,8 +186,14 @@
             );
         }
         // The day was rough enough to mean something.
-        assert!(repeated > 20 && released > 20 && broken > 5, "{repeated} {released} {refused} {broken}");
-        assert!(book.seen.iter().any(|s| s.at > begun && s.engine == 1), "engine 1 was used at all");
+        assert!(
+            repeated > 20 && released > 20 && broken > 5,
+            "{repeated} {released} {refused} {broken}"
+        );
+        assert!(
+            book.seen.iter().any(|s| s.at > begun && s.engine == 1),
+            "engine 1 was used at all"
+        );
         assert_eq!(scene.service.node().open(), 0);
     });
 }
@@ -170,7 +204,9 @@
 fn a_cold_engine_is_not_pushed_over() {
     const WINDOW: Micros = 3_000_000;
     let mut rig = Rig::new(|_| Play::Usual);
-    rig.config = rig.config.replace("\"fall_multiple\":2.5", "\"fall_multiple\":1.0");
+    rig.config = rig
+        .config
+        .replace("\"fall_multiple\":2.5", "\"fall_multiple\":1.0");
     rig.play(|scene| async move {
         let (client, address) = (scene.client.clone(), scene.address);
         scene.relist(list(&["up", "up", "up", "removed"]));
@@ -179,7 +215,9 @@
                 let (client, inner) = (client.clone(), client.clone());
                 inner.run(async move {
                     let mut conn = client.connect(address).await.unwrap();
-                    conn.write_all(&request(&format!("c{n}"), "draft", 4_800)).await.unwrap();
+                    conn.write_all(&request(&format!("c{n}"), "draft", 4_800))
+                        .await
+                        .unwrap();
                     got(&client, &mut conn).await;
                 });
                 inner.sleep(10_000).await;
@@ -194,7 +232,10 @@
         let book = scene.book.lock().unwrap();
         let writes = |engine: usize, from: Micros| {
             let span = from..from + WINDOW;
-            let ours = book.seen.iter().filter(|s| s.engine == engine && !s.id.is_empty());
+            let ours = book
+                .seen
+                .iter()
+                .filter(|s| s.engine == engine && !s.id.is_empty());
             ours.filter(|s| span.contains(&s.at)).count() as f64
         };
         // What one warm writer took for all in such a span, before the other one came.
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -11,11 +11,26 @@
     let good = Rig::new(|_| Play::Usual).config;
     assert!(Config::parse("f", good.as_bytes()).is_ok());
     let bad = [
-        (good.replace("127.0.0.9:8080", "somewhere"), "listen somewhere"),
-        (good.replace("\"sockets\":1024", "\"sockets\":20"), "limits.sockets 20"),
-        (good.replace("\"memory_mb\":64", "\"memory_mb\":1"), "limits.memory_mb 1"),
-        (good.replace("retryable", "sometimes"), "\"sometimes\" of classes.0.semantics"),
-        (good.replace("[\"read\",\"write\"]", "[\"read\",\"sing\"]"), "kind_role"),
+        (
+            good.replace("127.0.0.9:8080", "somewhere"),
+            "listen somewhere",
+        ),
+        (
+            good.replace("\"sockets\":1024", "\"sockets\":20"),
+            "limits.sockets 20",
+        ),
+        (
+            good.replace("\"memory_mb\":64", "\"memory_mb\":1"),
+            "limits.memory_mb 1",
+        ),
+        (
+            good.replace("retryable", "sometimes"),
+            "\"sometimes\" of classes.0.semantics",
+        ),
+        (
+            good.replace("[\"read\",\"write\"]", "[\"read\",\"sing\"]"),
+            "kind_role",
+        ),
         (
             good.replace(
                 "\"target_us\":1500000,\"deadline_us\":7500000,\"importance\":2.0",
@@ -23,12 +38,18 @@
             ),
             "target_us",
         ),
-        (good.replace("\"name\":\"send\"", "\"name\":\"draft\""), "draft"),
+        (
+            good.replace("\"name\":\"send\"", "\"name\":\"draft\""),
+            "draft",
+        ),
         (good[..200].to_owned(), "f: "),
     ];
     for (text, what) in bad {
         let line = Config::parse("f", text.as_bytes()).unwrap_err().to_string();
-        assert!(line.contains(what) && !line.contains('\n'), "{what}: {line}");
+        assert!(
+            line.contains(what) && !line.contains('\n'),
+            "{what}: {line}"
+        );
     }
 }
 
@@ -38,8 +59,14 @@
     for sockets in [160, 256, 512, 1024] {
         let bounds = Rig::with(sockets, |_| Play::Usual).config().bounds;
         assert!(bounds.clients + bounds.engines < sockets, "{bounds:?}");
-        assert!(bounds.clients >= sockets / 3, "usual clients hold a third: {bounds:?}");
-        assert!(bounds.prompts + bounds.outlet * bounds.clients < 64_000_000 / 2, "{bounds:?}");
+        assert!(
+            bounds.clients >= sockets / 3,
+            "usual clients hold a third: {bounds:?}"
+        );
+        assert!(
+            bounds.prompts + bounds.outlet * bounds.clients < 64_000_000 / 2,
+            "{bounds:?}"
+        );
     }
 }
 
@@ -49,14 +76,20 @@
     Rig::new(|_| Play::Usual).play(|scene| async move {
         assert_eq!(scene.ask("before", "draft").await.status, 200);
         let text = list(&["up", "draining", "up", "removed"]);
-        scene.relist(format!("{text},{},{}", r#"{"id":"s-9","addr":"nowhere","state":"up"}"#, "17"));
+        scene.relist(format!(
+            "{text},{},{}",
+            r#"{"id":"s-9","addr":"nowhere","state":"up"}"#, "17"
+        ));
         scene.world.sleep(20_000).await;
         let told = scene.world.now();
         for n in 0..12 {
             assert_eq!(scene.ask(&format!("r{n}"), "draft").await.status, 200);
         }
-        let late: Vec<Seen> =
-            scene.seen().into_iter().filter(|s| s.at > told && matches!(s.engine, 1 | 3)).collect();
+        let late: Vec<Seen> = scene
+            .seen()
+            .into_iter()
+            .filter(|s| s.at > told && matches!(s.engine, 1 | 3))
+            .collect();
         assert!(late.is_empty(), "{late:?}");
         // The one that is up again is used again.
         scene.relist(list(&["draining", "up", "up", "up"]));
@@ -70,8 +103,14 @@
 #[test]
 fn discovery_may_fall_silent_and_move() {
     let rig = Rig::new(|_| Play::Usual);
-    let (other, new) = (rig.sim.host(44), std::net::SocketAddr::from(([127, 0, 2, 2], 8500)));
-    let newer = std::sync::Arc::new(std::sync::Mutex::new((70, list(&["up", "draining", "up", "draining"]))));
+    let (other, new) = (
+        rig.sim.host(44),
+        std::net::SocketAddr::from(([127, 0, 2, 2], 8500)),
+    );
+    let newer = std::sync::Arc::new(std::sync::Mutex::new((
+        70,
+        list(&["up", "draining", "up", "draining"]),
+    )));
     discover(&other, new, &newer, &Default::default());
     let moved = config(new, 1024);
     let sim = rig.sim.clone();
@@ -79,14 +118,24 @@
         // The first discovery dies: host 2 in the order of their making.
         sim.kill(2, false);
         scene.world.sleep(30_000_000).await;
-        assert_eq!(scene.ask("one", "draft").await.status, 200, "the old list stays");
-        scene.service.reload(&Config::parse("f", moved.as_bytes()).unwrap());
+        assert_eq!(
+            scene.ask("one", "draft").await.status,
+            200,
+            "the old list stays"
+        );
+        scene
+            .service
+            .reload(&Config::parse("f", moved.as_bytes()).unwrap());
         scene.world.sleep(1_000_000).await;
         let told = scene.world.now();
         for n in 0..8 {
             assert_eq!(scene.ask(&format!("r{n}"), "draft").await.status, 200);
         }
-        let late = scene.seen().into_iter().filter(|s| s.at > told && matches!(s.engine, 1 | 3)).count();
+        let late = scene
+            .seen()
+            .into_iter()
+            .filter(|s| s.at > told && matches!(s.engine, 1 | 3))
+            .count();
         assert_eq!(late, 0, "drains told by the new address hold");
     });
 }
@@ -94,22 +143,38 @@
 /// SIGTERM: new requests are taken for the stated time, all that was taken is answered, and then the node ends.
 #[test]
 fn a_stop_answers_all_that_was_taken() {
-    let rig = Rig::new(|seen| if seen.engine >= 2 { Play::Late(900_000) } else { Play::Usual });
+    let rig = Rig::new(|seen| {
+        if seen.engine >= 2 {
+            Play::Late(900_000)
+        } else {
+            Play::Usual
+        }
+    });
     rig.play(|mut scene| async move {
         let (client, address) = (scene.client.clone(), scene.address);
         let mut kept = scene.connect().await;
-        kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+        kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
+            .await
+            .unwrap();
         assert_eq!(got(&client, &mut kept).await.status, 200);
         let mut early = scene.connect().await;
-        early.write_all(&request("early", "send", 4_800)).await.unwrap();
-        until(&scene.world, "an attempt", || !scene.sends("early").is_empty()).await;
+        early
+            .write_all(&request("early", "send", 4_800))
+            .await
+            .unwrap();
+        until(&scene.world, "an attempt", || {
+            !scene.sends("early").is_empty()
+        })
+        .await;
         let (done, answers) = async_channel::unbounded();
         for (id, after) in [("late1", 100_000), ("late2", 390_000)] {
             let (client, done) = (client.clone(), done.clone());
             scene.client.run(async move {
                 client.sleep(after).await;
                 let mut conn = client.connect(address).await.unwrap();
-                conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+                conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
+                    .await
+                    .unwrap();
                 assert_eq!(got(&client, &mut conn).await.status, 503);
                 let mut conn = client.connect(address).await.unwrap();
                 conn.write_all(&request(id, "send", 4_800)).await.unwrap();
@@ -123,7 +188,10 @@
             let late = answers.recv().await.unwrap();
             assert_eq!((late.status, late.whole, late.closes), (200, true, true));
         }
-        assert!(client.connect(address).await.is_err(), "it listens no longer");
+        assert!(
+            client.connect(address).await.is_err(),
+            "it listens no longer"
+        );
     });
 }
 
@@ -131,8 +199,14 @@
 #[test]
 fn two_deployments_in_one_process_share_nothing() {
     let rig = Rig::new(|_| Play::Usual);
-    let (host, discovery) = (rig.sim.host(70), std::net::SocketAddr::from(([127, 0, 2, 9], 8500)));
-    let empty = std::sync::Arc::new(std::sync::Mutex::new((5, list(&["up", "removed", "up", "removed"]))));
+    let (host, discovery) = (
+        rig.sim.host(70),
+        std::net::SocketAddr::from(([127, 0, 2, 9], 8500)),
+    );
+    let empty = std::sync::Arc::new(std::sync::Mutex::new((
+        5,
+        list(&["up", "removed", "up", "removed"]),
+    )));
     discover(&host, discovery, &empty, &Default::default());
     let other = config(discovery, 256)
         .replace("127.0.0.9:8080", "127.0.0.8:8080")
@@ -141,18 +215,39 @@
         .replace("\"name\":\"acme\"", "\"name\":\"zeta\"");
     rig.play(move |scene| async move {
         let other = Config::parse("other", other.as_bytes()).unwrap();
-        let second = ivyward_platform::Service::start(scene.world.clone(), other).await.unwrap();
-        until(&scene.world, "the second list", || second.node().metrics().engines.get() == 2).await;
-        assert_eq!(scene.service.node().metrics().engines.get(), 4, "each has its own list");
+        let second = ivyward_platform::Service::start(scene.world.clone(), other)
+            .await
+            .unwrap();
+        until(&scene.world, "the second list", || {
+            second.node().metrics().engines.get() == 2
+        })
+        .await;
+        assert_eq!(
+            scene.service.node().metrics().engines.get(),
+            4,
+            "each has its own list"
+        );
         assert_eq!(scene.ask("one", "draft").await.status, 200);
-        assert_eq!(scene.ask("two", "quote").await.status, 400, "a class of the other deployment");
+        assert_eq!(
+            scene.ask("two", "quote").await.status,
+            400,
+            "a class of the other deployment"
+        );
         let sent = scene.sends("one");
-        assert!(sent[0].timeout_ms > 1_000, "a deadline of the other deployment: {sent:?}");
+        assert!(
+            sent[0].timeout_ms > 1_000,
+            "a deadline of the other deployment: {sent:?}"
+        );
         let mut conn = scene.client.connect(second.address()).await.unwrap();
-        let text = String::from_utf8(request("three", "quote", 4_800)).unwrap().replace("acme", "zeta");
+        let text = String::from_utf8(request("three", "quote", 4_800))
+            .unwrap()
+            .replace("acme", "zeta");
         conn.write_all(text.as_bytes()).await.unwrap();
         assert_eq!(got(&scene.client, &mut conn).await.status, 200);
-        assert!(scene.sends("three").iter().all(|s| s.timeout_ms <= 400 && s.engine % 2 == 0));
+        assert!(scene
+            .sends("three")
+            .iter()
+            .all(|s| s.timeout_ms <= 400 && s.engine % 2 == 0));
         assert_eq!(scene.service.node().metrics().requests.get(), 1);
         assert_eq!(second.node().metrics().requests.get(), 1);
     });
@@ -171,7 +266,10 @@
         rig.play(move |mut scene| async move {
             let client = scene.client.clone();
             let mut resting = scene.connect().await;
-            resting.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+            resting
+                .write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
+                .await
+                .unwrap();
             assert_eq!(got(&client, &mut resting).await.status, 200);
             let (done, answer) = async_channel::bounded(1);
             scene.client.run(async move {
@@ -184,9 +282,16 @@
             let stopped = scene.world.now();
             scene.world.sleep(2_000_000).await;
             let sends = scene.sends("crosses");
-            assert!(sends.iter().all(|s| s.at <= stopped), "{sent_at}: sent on after the end: {sends:?}");
+            assert!(
+                sends.iter().all(|s| s.at <= stopped),
+                "{sent_at}: sent on after the end: {sends:?}"
+            );
             let answer = answer.recv().await.unwrap();
-            assert_eq!(sends.is_empty(), answer.status == 0, "{sent_at}: {answer:?}");
+            assert_eq!(
+                sends.is_empty(),
+                answer.status == 0,
+                "{sent_at}: {answer:?}"
+            );
             assert!(answer.status == 0 || (answer.status == 200 && answer.whole && answer.closes));
             tell.send(answer.status).unwrap();
         });
@@ -195,5 +300,8 @@
             _ => answered += 1,
         }
     }
-    assert!(answered > 0 && closed > 0, "both sides of the moment: {answered} answered, {closed} closed");
+    assert!(
+        answered > 0 && closed > 0,
+        "both sides of the moment: {answered} answered, {closed} closed"
+    );
 }
--- a/crates/ivyward-platform/tests/shutdown.rs
+++ b/crates/ivyward-platform/tests/shutdown.rs
@@ -44,8 +44,9 @@
     let clients: WorldRef = SmolWorld::start(1, 2);
     node.block_on(async {
         let world: WorldRef = node.clone();
-        let mut service =
-            Service::start(world, Config::parse("test", CONFIG.as_bytes()).unwrap()).await.unwrap();
+        let mut service = Service::start(world, Config::parse("test", CONFIG.as_bytes()).unwrap())
+            .await
+            .unwrap();
         let address = service.address();
         // As many resting connections as the node takes: for each further one another is closed first.
         let mut resting = Vec::new();
@@ -81,8 +82,14 @@
         node.stop();
         for (i, conn) in waiting.iter_mut().enumerate() {
             let status = status(conn).await;
-            assert!(status.as_deref().is_some_and(|s| s.contains("503")), "connection {i}: {status:?}");
+            assert!(
+                status.as_deref().is_some_and(|s| s.contains("503")),
+                "connection {i}: {status:?}"
+            );
         }
-        assert!(clients.connect(address).await.is_err(), "it listens no longer");
+        assert!(
+            clients.connect(address).await.is_err(),
+            "it listens no longer"
+        );
     });
 }
--- a/crates/ivyward-platform/tests/told.rs
+++ b/crates/ivyward-platform/tests/told.rs
@@ -36,9 +36,22 @@
                 scene.world.sleep(60 * MS).await;
             }
             let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST";
-            let last = scene.seen().iter().filter(at).map(|s| s.at).max().unwrap_or(0);
-            assert!(last < told + TOLD, "{name}: a send {} us after the change", last - told);
-            assert!(scene.faults.lock().unwrap().calls < 60, "{name}: discovery is not run against");
+            let last = scene
+                .seen()
+                .iter()
+                .filter(at)
+                .map(|s| s.at)
+                .max()
+                .unwrap_or(0);
+            assert!(
+                last < told + TOLD,
+                "{name}: a send {} us after the change",
+                last - told
+            );
+            assert!(
+                scene.faults.lock().unwrap().calls < 60,
+                "{name}: discovery is not run against"
+            );
         });
     }
 }
@@ -50,12 +63,23 @@
 
 #[test]
 fn silent_watch_then_calls_that_are_accepted_and_never_answered() {
-    drained("silent, three more", true, &[Told::Silent, Told::Silent, Told::Silent]);
+    drained(
+        "silent, three more",
+        true,
+        &[Told::Silent, Told::Silent, Told::Silent],
+    );
 }
 
 #[test]
 fn calls_that_fail_quickly_one_after_the_other() {
-    let faults = [Told::Reset, Told::Close, Told::Status(503), Told::Cut(30), Told::Cut(200), Told::Close];
+    let faults = [
+        Told::Reset,
+        Told::Close,
+        Told::Status(503),
+        Told::Cut(30),
+        Told::Cut(200),
+        Told::Close,
+    ];
     drained("quick", false, &faults);
     drained("silent, then quick", true, &faults);
 }
@@ -63,7 +87,11 @@
 #[test]
 fn an_answer_that_stops_in_the_middle_of_its_head_or_body() {
     drained("part", false, &[Told::Part(10), Told::Part(120)]);
-    drained("silent, then part", true, &[Told::Part(10), Told::Part(120)]);
+    drained(
+        "silent, then part",
+        true,
+        &[Told::Part(10), Told::Part(120)],
+    );
 }
 
 #[test]
@@ -84,7 +112,10 @@
 /// Changes of an older version say what was; what is follows with the next call.
 #[test]
 fn versions_that_go_back() {
-    let old = format!(r#"{{"version":0,"full":false,"servers":[{}]}}"#, entry(0, "up"));
+    let old = format!(
+        r#"{{"version":0,"full":false,"servers":[{}]}}"#,
+        entry(0, "up")
+    );
     drained("back", false, &[Told::Body(old.clone()), Told::Body(old)]);
 }
 
@@ -95,8 +126,11 @@
         scene.relist(list(&["draining", "up", "draining", "up"]));
         scene.world.sleep(20 * MS).await;
         let told = scene.world.now();
-        let older =
-            format!(r#"{{"version":1,"full":false,"servers":[{},{}]}}"#, entry(0, "up"), entry(2, "up"));
+        let older = format!(
+            r#"{{"version":1,"full":false,"servers":[{},{}]}}"#,
+            entry(0, "up"),
+            entry(2, "up")
+        );
         {
             let mut faults = scene.faults.lock().unwrap();
             // The next watch is answered so; the list is asked for after it, and that call hangs.
@@ -106,9 +140,16 @@
             scene.ask(&format!("r{n}"), "draft").await;
             scene.world.sleep(50 * MS).await;
         }
-        let late = scene.seen().iter().filter(|s| s.at > told && matches!(s.engine, 0 | 2)).count();
+        let late = scene
+            .seen()
+            .iter()
+            .filter(|s| s.at > told && matches!(s.engine, 0 | 2))
+            .count();
         assert_eq!(late, 0);
-        assert!(scene.faults.lock().unwrap().next.is_empty(), "both were asked for");
+        assert!(
+            scene.faults.lock().unwrap().next.is_empty(),
+            "both were asked for"
+        );
     });
 }
 
@@ -116,7 +157,11 @@
 /// failure the whole list is asked for.
 #[test]
 fn after_a_refusal_the_news_are_asked_for_again() {
-    for (fault, news) in [(Told::Status(503), true), (Told::Status(429), true), (Told::Status(500), false)] {
+    for (fault, news) in [
+        (Told::Status(503), true),
+        (Told::Status(429), true),
+        (Told::Status(500), false),
+    ] {
         Rig::new(|_| Play::Usual).play(move |scene| async move {
             scene.relist(list(&["up"; 4]));
             scene.world.sleep(100 * MS).await;
@@ -125,8 +170,10 @@
                 faults.next = [fault.clone()].into();
                 faults.targets.len()
             };
-            until(&scene.world, "three calls", || scene.faults.lock().unwrap().targets.len() >= asked + 3)
-                .await;
+            until(&scene.world, "three calls", || {
+                scene.faults.lock().unwrap().targets.len() >= asked + 3
+            })
+            .await;
             let targets = scene.faults.lock().unwrap().targets[asked..asked + 3].to_vec();
             // The fault meets the watch that follows the one that is out.
             let again: Vec<bool> = targets.iter().map(|t| t.contains("from=2")).collect();
@@ -154,8 +201,18 @@
             scene.world.sleep(60 * MS).await;
         }
         let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST";
-        let last = scene.seen().iter().filter(at).map(|s| s.at).max().unwrap_or(0);
-        assert!(last < told + TOLD, "a send {} us after the change", last - told);
+        let last = scene
+            .seen()
+            .iter()
+            .filter(at)
+            .map(|s| s.at)
+            .max()
+            .unwrap_or(0);
+        assert!(
+            last < told + TOLD,
+            "a send {} us after the change",
+            last - told
+        );
         let calls = scene.faults.lock().unwrap().calls - calls;
         assert!(calls <= 10, "{calls} calls in 8 s");
     });
@@ -183,8 +240,16 @@
                 scene.ask(&format!("up{n}"), "draft").await;
                 scene.world.sleep(50 * MS).await;
             }
-            let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST" && seen.at > back;
-            let last = scene.seen().iter().filter(at).map(|s| s.at).max().unwrap_or(back);
+            let at = |seen: &&Seen| {
+                matches!(seen.engine, 0 | 2) && seen.method == "POST" && seen.at > back
+            };
+            let last = scene
+                .seen()
+                .iter()
+                .filter(at)
+                .map(|s| s.at)
+                .max()
+                .unwrap_or(back);
             assert!(last - back < 1_200 * MS, "{down:?}: {} us", last - back);
         });
     }
@@ -198,12 +263,16 @@
     let (faults, client) = (rig.faults.clone(), rig.client.world());
     let (world, config) = (rig.world.clone(), rig.config());
     let played = rig.sim.run(&rig.node, DAY, async move {
-        let service = ivyward_platform::Service::start(world.clone(), config).await.unwrap();
+        let service = ivyward_platform::Service::start(world.clone(), config)
+            .await
+            .unwrap();
         world.sleep(8_000 * MS).await;
         faults.lock().unwrap().always = None;
         world.sleep(1_000 * MS).await;
         let mut conn = client.connect(service.address()).await.unwrap();
-        futures_lite::AsyncWriteExt::write_all(&mut conn, b"GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+        futures_lite::AsyncWriteExt::write_all(&mut conn, b"GET /healthz HTTP/1.1\r\n\r\n")
+            .await
+            .unwrap();
         assert_eq!(got(&client, &mut conn).await.status, 200);
     });
     played.unwrap();
@@ -214,7 +283,10 @@
 fn moved_while_a_call_hangs() {
     let rig = Rig::new(|_| Play::Usual);
     let (other, new) = (rig.sim.host(44), SocketAddr::from(([127, 0, 2, 2], 8500)));
-    let newer = std::sync::Arc::new(std::sync::Mutex::new((70, list(&["draining", "up", "draining", "up"]))));
+    let newer = std::sync::Arc::new(std::sync::Mutex::new((
+        70,
+        list(&["draining", "up", "draining", "up"]),
+    )));
     discover(&other, new, &newer, &Default::default());
     let moved = config(new, 1024);
     rig.play(move |scene| async move {
@@ -224,13 +296,19 @@
             told.silence();
         }
         scene.world.sleep(100 * MS).await;
-        scene.service.reload(&Config::parse("f", moved.as_bytes()).unwrap());
+        scene
+            .service
+            .reload(&Config::parse("f", moved.as_bytes()).unwrap());
         scene.world.sleep(50 * MS).await;
         let told = scene.world.now();
         for n in 0..20 {
             scene.ask(&format!("r{n}"), "draft").await;
         }
-        let late = scene.seen().iter().filter(|s| s.at > told && matches!(s.engine, 0 | 2)).count();
+        let late = scene
+            .seen()
+            .iter()
+            .filter(|s| s.at > told && matches!(s.engine, 0 | 2))
+            .count();
         assert_eq!(late, 0);
     });
 }
@@ -262,11 +340,17 @@
 /// One entry that cannot be read, and a list as last held that cannot, keep no node from starting.
 #[test]
 fn a_held_list_that_cannot_be_read_is_left_out() {
-    for known in
-        ["17", "\"x\"", "{\"servers\":3}", "{\"version\":1,\"full\":true,\"servers\":[{},7]}", "null"]
-    {
+    for known in [
+        "17",
+        "\"x\"",
+        "{\"servers\":3}",
+        "{\"version\":1,\"full\":true,\"servers\":[{},7]}",
+        "null",
+    ] {
         let mut rig = Rig::new(|_| Play::Usual);
-        rig.config = rig.config.replacen('{', &format!("{{\"known\":{known},"), 1);
+        rig.config = rig
+            .config
+            .replacen('{', &format!("{{\"known\":{known},"), 1);
         rig.play(|scene| async move {
             assert_eq!(scene.ask("one", "draft").await.status, 200);
         });
--- a/crates/ivyward-proto/build.rs
+++ b/crates/ivyward-proto/build.rs
@@ -10,6 +10,8 @@
     ];
     println!("cargo:rerun-if-changed=proto");
     let set = protox::compile(files, ["proto"])?;
-    tonic_prost_build::configure().build_transport(false).compile_fds(set)?;
+    tonic_prost_build::configure()
+        .build_transport(false)
+        .compile_fds(set)?;
     Ok(())
 }
--- a/crates/ivyward-settings/src/lib.rs
+++ b/crates/ivyward-settings/src/lib.rs
@@ -33,7 +33,9 @@
 
 /// The place of a name among the object's names, which may have spaces and commas replaced by `_`.
 pub fn place(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|n| n == name || *n == name.replace([' ', ','], "_"))
+    names
+        .iter()
+        .position(|n| n == name || *n == name.replace([' ', ','], "_"))
 }
 
 struct Keys(BTreeMap<String, String>);
@@ -42,18 +44,22 @@
     fn get<T: FromStr>(&self, key: &str) -> Result<Option<T>, String> {
         match self.0.get(key) {
             None => Ok(None),
-            Some(text) => {
-                text.parse().map(Some).map_err(|_| format!("settings: impossible value {text:?} of {key}"))
-            }
+            Some(text) => text
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("settings: impossible value {text:?} of {key}")),
         }
     }
     fn need<T: FromStr>(&self, key: &str) -> Result<T, String> {
-        self.get(key)?.ok_or_else(|| format!("settings: {key} is missing"))
+        self.get(key)?
+            .ok_or_else(|| format!("settings: {key} is missing"))
     }
     /// A number that must be finite and not negative; `None` where the key is absent.
     fn number(&self, key: &str) -> Result<Option<f64>, String> {
         match self.get::<f64>(key)? {
-            Some(v) if !v.is_finite() || v < 0.0 => Err(format!("settings: impossible value {v} of {key}")),
+            Some(v) if !v.is_finite() || v < 0.0 => {
+                Err(format!("settings: impossible value {v} of {key}"))
+            }
             other => Ok(other),
         }
     }
@@ -64,7 +70,9 @@
         Ok(self.number_or_zero(key)? as Micros)
     }
     fn need_span(&self, key: &str) -> Result<Micros, String> {
-        Ok(self.number(key)?.ok_or_else(|| format!("settings: {key} is missing"))? as Micros)
+        Ok(self
+            .number(key)?
+            .ok_or_else(|| format!("settings: {key} is missing"))? as Micros)
     }
     fn flag(&self, key: &str) -> Result<bool, String> {
         Ok(self.get(key)?.unwrap_or(false))
@@ -73,14 +81,23 @@
         self.0.get(key).cloned().unwrap_or_default()
     }
     fn list(&self, key: &str) -> Vec<&str> {
-        self.0.get(key).map_or(Vec::new(), |v| v.split(',').filter(|s| !s.is_empty()).collect())
+        self.0.get(key).map_or(Vec::new(), |v| {
+            v.split(',').filter(|s| !s.is_empty()).collect()
+        })
     }
     fn numbers(&self, key: &str) -> Result<Vec<f64>, String> {
         let parse = |t: &str| t.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
         let values = self.list(key).into_iter();
-        values.map(|t| parse(t).ok_or_else(|| format!("settings: impossible value {t:?} in {key}"))).collect()
+        values
+            .map(|t| parse(t).ok_or_else(|| format!("settings: impossible value {t:?} in {key}")))
+            .collect()
     }
-    fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], absent: Option<T>) -> Result<T, String> {
+    fn word<T: Copy>(
+        &self,
+        key: &str,
+        words: &[(&str, T)],
+        absent: Option<T>,
+    ) -> Result<T, String> {
         match (self.0.get(key), absent) {
             (None, Some(value)) => Ok(value),
             (None, None) => Err(format!("settings: {key} is missing")),
@@ -99,7 +116,11 @@
 /// A line that names the key and its impossible value.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let pairs = text.lines().filter_map(|line| line.split_once('='));
-    read(&Keys(pairs.map(|(k, v)| (k.trim().to_owned(), v.trim().to_owned())).collect()))
+    read(&Keys(
+        pairs
+            .map(|(k, v)| (k.trim().to_owned(), v.trim().to_owned()))
+            .collect(),
+    ))
 }
 
 /// The settings as nested JSON: its paths are the text's, lists of plain values are joined by commas.
@@ -111,14 +132,22 @@
     flatten(String::new(), object, &mut flat);
     let keys = Keys(flat);
     let module = read(&keys)?;
-    let names = |list: &str, n: usize| (0..n).map(|i| keys.name(&format!("{list}.{i}.name"))).collect();
+    let names = |list: &str, n: usize| {
+        (0..n)
+            .map(|i| keys.name(&format!("{list}.{i}.name")))
+            .collect()
+    };
     let plain = |key: &str| keys.list(key).into_iter().map(str::to_owned).collect();
     Ok(Told {
         classes: names("classes", module.classes.len()),
         tenants: names("parties", module.tenants.len()),
         zones: plain("failure_domains"),
         kinds: plain("host_types"),
-        report_fields: if module.report_fields.is_empty() { Vec::new() } else { plain("report.fields") },
+        report_fields: if module.report_fields.is_empty() {
+            Vec::new()
+        } else {
+            plain("report.fields")
+        },
         keepalive: keys.span("limits.keepalive_us")?,
         dial_timeout: keys.span("limits.dial_timeout_us")?,
         most_open: keys.get("limits.max_open")?.unwrap_or(0),
@@ -127,17 +156,28 @@
 }
 
 fn flatten(path: String, value: &Value, out: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     let plain = |value: &Value| match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
     };
     match value {
         Value::Null => {}
-        Value::Object(object) => object.iter().for_each(|(name, value)| flatten(below(name), value, out)),
+        Value::Object(object) => object
+            .iter()
+            .for_each(|(name, value)| flatten(below(name), value, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             out.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, value)| flatten(below(&i.to_string()), value, out));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, value)| flatten(below(&i.to_string()), value, out));
         }
         Value::Array(items) => {
             // Commas separate: the text's own rule for names that hold one.
@@ -151,12 +191,17 @@
 }
 
 fn read(keys: &Keys) -> Result<Settings, String> {
-    let roles = keys.list("family_info.kind_role").into_iter().map(|role| match role {
-        "read" => Ok(Role::Prefill),
-        "write" => Ok(Role::Decode),
-        "both" => Ok(Role::Mixed),
-        other => Err(format!("settings: impossible value {other:?} in family_info.kind_role")),
-    });
+    let roles = keys
+        .list("family_info.kind_role")
+        .into_iter()
+        .map(|role| match role {
+            "read" => Ok(Role::Prefill),
+            "write" => Ok(Role::Decode),
+            "both" => Ok(Role::Mixed),
+            other => Err(format!(
+                "settings: impossible value {other:?} in family_info.kind_role"
+            )),
+        });
     let roles = roles.collect::<Result<Vec<_>, _>>()?;
     if roles.is_empty() {
         return Err("settings: family_info.kind_role is missing".into());
@@ -170,8 +215,16 @@
     let mut classes = Vec::new();
     for i in 0..keys.need::<usize>("classes.count")?.min(1 << 16) {
         let key = |name: &str| format!("classes.{i}.{name}");
-        let effects = [("retryable", Effect::Safe), ("dedup", Effect::Keyed), ("fragile", Effect::Unsafe)];
-        let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
+        let effects = [
+            ("retryable", Effect::Safe),
+            ("dedup", Effect::Keyed),
+            ("fragile", Effect::Unsafe),
+        ];
+        let groups = [
+            ("all", RepeatGroup::All),
+            ("zone", RepeatGroup::Zone),
+            ("cell", RepeatGroup::Cell),
+        ];
         classes.push(ClassSettings {
             ttft_aim: keys.need_span(&key("target_us"))?,
             ttft_aim_per_1000: stretch.get(i).copied().unwrap_or(0.0),
@@ -185,13 +238,23 @@
         });
     }
     let mut tenants = Vec::new();
-    for i in 0..keys.get::<usize>("parties.count")?.unwrap_or(0).min(1 << 16) {
-        tenants.push(TenantSettings { quota_per_s: keys.number(&format!("parties.{i}.quota_per_s"))? });
+    for i in 0..keys
+        .get::<usize>("parties.count")?
+        .unwrap_or(0)
+        .min(1 << 16)
+    {
+        tenants.push(TenantSettings {
+            quota_per_s: keys.number(&format!("parties.{i}.quota_per_s"))?,
+        });
     }
     let report_fields = match keys.0.get("report.source") {
         None => Vec::new(),
         Some(source) if source == "none" => Vec::new(),
-        Some(_) => keys.list("report.fields").into_iter().map(|name| report_field(name, keys)).collect(),
+        Some(_) => keys
+            .list("report.fields")
+            .into_iter()
+            .map(|name| report_field(name, keys))
+            .collect(),
     };
     Ok(Settings {
         nodes,
@@ -213,7 +276,11 @@
         fall_window: keys.span("guarantees.fall_us")?,
         start_capacity: keys.number_or_zero("guarantees.start_capacity")?,
         warm_after: keys.span("guarantees.warm_after_us")?,
-        must_subscribe: keys.word("discovery", &[("automatic", false), ("subscribe", true)], Some(false))?,
+        must_subscribe: keys.word(
+            "discovery",
+            &[("automatic", false), ("subscribe", true)],
+            Some(false),
+        )?,
         max_attempts: keys.get("limits.try_limit")?.unwrap_or(1),
         may_cancel: keys.flag("limits.may_cancel")?,
         probes: keys.flag("limits.probes")?,
@@ -233,7 +300,9 @@
         "backlog" => ReportField::Backlog,
         "utilization" => ReportField::Utilization,
         "recent_ms" => ReportField::RecentMs,
-        "x0" if meaning("family_info.report_x0").starts_with("share_of_memory") => ReportField::MemoryShare,
+        "x0" if meaning("family_info.report_x0").starts_with("share_of_memory") => {
+            ReportField::MemoryShare
+        }
         "x1" if meaning("family_info.report_x1").starts_with("thousands_of_prompt") => {
             ReportField::WaitingKTokens
         }
--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -109,7 +109,10 @@
             digest: seed,
             events: 0,
         };
-        Sim(Arc::new(Inner { state: Mutex::new(state), tasks: Tasks::new(seed) }))
+        Sim(Arc::new(Inner {
+            state: Mutex::new(state),
+            tasks: Tasks::new(seed),
+        }))
     }
 
     /// A new process. Its random numbers come from the world's seed, its number and `salt`.
@@ -118,8 +121,16 @@
         let id = state.hosts.len();
         let seed: u64 = state.random.random::<u64>() ^ salt;
         let random = SmallRng::seed_from_u64(seed);
-        state.hosts.push(HostState { alive: true, frozen: false, skew: 0, random });
-        Arc::new(Host { inner: self.0.clone(), id })
+        state.hosts.push(HostState {
+            alive: true,
+            frozen: false,
+            skew: 0,
+            random,
+        });
+        Arc::new(Host {
+            inner: self.0.clone(),
+            id,
+        })
     }
 
     /// Plays the world until a future, run as a task of the host, is done.
@@ -152,7 +163,9 @@
         let mut polls = 0u64;
         loop {
             let frozen = |host: HostId| self.0.lock().hosts[host].frozen;
-            let Some(task) = self.0.tasks.next(frozen) else { return Ok(()) };
+            let Some(task) = self.0.tasks.next(frozen) else {
+                return Ok(());
+            };
             polls += 1;
             if polls > tasks::MOST_POLLS {
                 let (at, host) = (self.now(), task.host);
@@ -168,7 +181,10 @@
         let due = {
             let mut state = self.0.lock();
             let Some(((at, _, id), due)) = state.queue.pop_first() else {
-                return Err(Stuck::Nothing { at: state.now, waiting: self.0.tasks.waiting() });
+                return Err(Stuck::Nothing {
+                    at: state.now,
+                    waiting: self.0.tasks.waiting(),
+                });
             };
             if at > until {
                 return Err(Stuck::Late { at: until });
@@ -267,7 +283,11 @@
         (EPOCH + state.now).saturating_add_signed(skew)
     }
     fn sleep_until(&self, at: Micros) -> BoxFuture<()> {
-        Box::pin(Timer { inner: self.inner.clone(), at, key: None })
+        Box::pin(Timer {
+            inner: self.inner.clone(),
+            at,
+            key: None,
+        })
     }
     fn spawn(&self, task: BoxFuture<()>) {
         if self.inner.lock().alive(self.id) {
--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -2,7 +2,9 @@
 
 use crate::{HostId, Inner, State};
 use futures_lite::{AsyncRead, AsyncWrite};
-use ivyward_world::{BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer};
+use ivyward_world::{
+    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer,
+};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::poll_fn;
@@ -33,7 +35,15 @@
 
 impl Default for Net {
     fn default() -> Net {
-        Net { latency: 200, jitter: 100, rate: 0, buffer: 64 << 10, pieces: 0.0, lose: 0.0, repeat: 0.0 }
+        Net {
+            latency: 200,
+            jitter: 100,
+            rate: 0,
+            buffer: 64 << 10,
+            pieces: 0.0,
+            lose: 0.0,
+            repeat: 0.0,
+        }
     }
 }
 
@@ -144,7 +154,10 @@
             true => drop(self.cuts.insert((from, to))),
             false => drop(self.cuts.remove(&(from, to))),
         }
-        let readers = self.pairs.values_mut().flat_map(|p| p.ways.iter_mut().filter_map(|w| w.reader.take()));
+        let readers = self
+            .pairs
+            .values_mut()
+            .flat_map(|p| p.ways.iter_mut().filter_map(|w| w.reader.take()));
         readers.chain(self.dialing.drain(..)).collect()
     }
 
@@ -181,7 +194,11 @@
 /// Waits for a span, in a way that does not hold the lock.
 fn pause(inner: &Arc<Inner>, span: Micros) -> BoxFuture<()> {
     let at = inner.lock().now.saturating_add(span);
-    Box::pin(crate::Timer { inner: inner.clone(), at, key: None })
+    Box::pin(crate::Timer {
+        inner: inner.clone(),
+        at,
+        key: None,
+    })
 }
 
 pub(crate) fn connect(inner: Arc<Inner>, from: HostId, to: SocketAddr) -> BoxFuture<Result<Conn>> {
@@ -205,7 +222,15 @@
             let id = state.net.next_pair;
             state.net.next_pair += 1;
             let (hosts, ways) = ([from, host], [Way::default(), Way::default()]);
-            state.net.pairs.insert(id, Pair { hosts, ways, closed: [false; 2], door: to });
+            state.net.pairs.insert(
+                id,
+                Pair {
+                    hosts,
+                    ways,
+                    closed: [false; 2],
+                    door: to,
+                },
+            );
             let waker = match state.net.doors.get_mut(&to) {
                 Some(door) if door.waiting.len() < BACKLOG => {
                     door.waiting.push_back(id);
@@ -222,7 +247,12 @@
             Poll::Ready(Ok(id))
         })
         .await?;
-        let stream = Stream { inner: inner.clone(), pair: opened, side: 0, hard: false };
+        let stream = Stream {
+            inner: inner.clone(),
+            pair: opened,
+            side: 0,
+            hard: false,
+        };
         pause(&inner, back).await;
         Ok(Box::new(stream) as Conn)
     })
@@ -234,9 +264,20 @@
     if state.net.doors.contains_key(&address) {
         return Err(ErrorKind::AddrInUse.into());
     }
-    state.net.doors.insert(address, Door { host, waiting: VecDeque::new(), waker: None });
+    state.net.doors.insert(
+        address,
+        Door {
+            host,
+            waiting: VecDeque::new(),
+            waker: None,
+        },
+    );
     drop(state);
-    Ok(Box::new(Opened { inner, address, host }))
+    Ok(Box::new(Opened {
+        inner,
+        address,
+        host,
+    }))
 }
 
 struct Opened {
@@ -256,7 +297,12 @@
                 door.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             };
-            let conn: Conn = Box::new(Stream { inner: self.inner.clone(), pair, side: 1, hard: false });
+            let conn: Conn = Box::new(Stream {
+                inner: self.inner.clone(),
+                pair,
+                side: 1,
+                hard: false,
+            });
             Poll::Ready(Ok((conn, self.address)))
         }))
     }
@@ -269,7 +315,12 @@
     fn drop(&mut self) {
         let mut state = self.inner.lock();
         // A dead host's door is gone, and may be another's by now.
-        if state.net.doors.get(&self.address).is_some_and(|d| d.host == self.host) {
+        if state
+            .net
+            .doors
+            .get(&self.address)
+            .is_some_and(|d| d.host == self.host)
+        {
             let door = state.net.doors.remove(&self.address);
             drop(state);
             drop(door);
@@ -277,15 +328,30 @@
     }
 }
 
-pub(crate) fn datagrams(inner: Arc<Inner>, host: HostId, at: SocketAddr) -> Result<Box<dyn Datagrams>> {
+pub(crate) fn datagrams(
+    inner: Arc<Inner>,
+    host: HostId,
+    at: SocketAddr,
+) -> Result<Box<dyn Datagrams>> {
     let mut state = inner.lock();
     let address = state.net.free(at)?;
     if state.net.posts.contains_key(&address) {
         return Err(ErrorKind::AddrInUse.into());
     }
-    state.net.posts.insert(address, Post { host, waiting: BTreeMap::new(), waker: None });
+    state.net.posts.insert(
+        address,
+        Post {
+            host,
+            waiting: BTreeMap::new(),
+            waker: None,
+        },
+    );
     drop(state);
-    Ok(Box::new(Mail { inner, host, address }))
+    Ok(Box::new(Mail {
+        inner,
+        host,
+        address,
+    }))
 }
 
 struct Mail {
@@ -298,17 +364,29 @@
     fn send(&self, bytes: &[u8], to: SocketAddr) -> Result<()> {
         let mut state = self.inner.lock();
         let (now, ways) = (state.now, state.net.ways);
-        let Some(host) = state.net.posts.get(&to).map(|p| p.host) else { return Ok(()) };
-        if state.net.cuts.contains(&(self.host, host)) || state.random.random_bool(ways.lose.clamp(0.0, 1.0))
+        let Some(host) = state.net.posts.get(&to).map(|p| p.host) else {
+            return Ok(());
+        };
+        if state.net.cuts.contains(&(self.host, host))
+            || state.random.random_bool(ways.lose.clamp(0.0, 1.0))
         {
             return Ok(());
         }
         let copies = 1 + usize::from(state.random.random_bool(ways.repeat.clamp(0.0, 1.0)));
         for _ in 0..copies {
-            let jitter = if ways.jitter > 0 { state.random.random_range(0..=ways.jitter) } else { 0 };
+            let jitter = if ways.jitter > 0 {
+                state.random.random_range(0..=ways.jitter)
+            } else {
+                0
+            };
             state.net.next_datagram += 1;
             let key = (now + ways.latency + jitter, state.net.next_datagram);
-            if let Some(post) = state.net.posts.get_mut(&to).filter(|p| p.waiting.len() < POST) {
+            if let Some(post) = state
+                .net
+                .posts
+                .get_mut(&to)
+                .filter(|p| p.waiting.len() < POST)
+            {
                 post.waiting.insert(key, (bytes.to_vec(), self.address));
             }
         }
@@ -317,7 +395,10 @@
         waker.into_iter().for_each(Waker::wake);
         Ok(())
     }
-    fn receive<'a>(&'a mut self, into: &'a mut [u8]) -> BorrowedFuture<'a, Result<(usize, SocketAddr)>> {
+    fn receive<'a>(
+        &'a mut self,
+        into: &'a mut [u8],
+    ) -> BorrowedFuture<'a, Result<(usize, SocketAddr)>> {
         Box::pin(poll_fn(move |cx| {
             let mut state = self.inner.lock();
             let now = state.now;
@@ -326,7 +407,9 @@
             };
             match post.waiting.first_key_value().map(|(key, _)| key.0) {
                 Some(at) if at <= now => {
-                    let Some((_, (bytes, from))) = post.waiting.pop_first() else { return Poll::Pending };
+                    let Some((_, (bytes, from))) = post.waiting.pop_first() else {
+                        return Poll::Pending;
+                    };
                     let got = bytes.len().min(into.len());
                     into[..got].copy_from_slice(&bytes[..got]);
                     state.note(6, u64::from(from.port()), &into[..got]);
@@ -350,7 +433,12 @@
 impl Drop for Mail {
     fn drop(&mut self) {
         let mut state = self.inner.lock();
-        if state.net.posts.get(&self.address).is_some_and(|p| p.host == self.host) {
+        if state
+            .net
+            .posts
+            .get(&self.address)
+            .is_some_and(|p| p.host == self.host)
+        {
             let post = state.net.posts.remove(&self.address);
             drop(state);
             drop(post);
@@ -372,7 +460,11 @@
         self.hard = true;
     }
     fn peer(&self) -> Arc<dyn Peer> {
-        Arc::new(OtherSide { inner: Arc::downgrade(&self.inner), pair: self.pair, side: self.side })
+        Arc::new(OtherSide {
+            inner: Arc::downgrade(&self.inner),
+            pair: self.pair,
+            side: self.side,
+        })
     }
 }
 
@@ -385,15 +477,25 @@
 
 impl Peer for OtherSide {
     fn left(&self) -> bool {
-        let Some(inner) = self.inner.upgrade() else { return true };
+        let Some(inner) = self.inner.upgrade() else {
+            return true;
+        };
         let state = inner.lock();
-        let Some(pair) = state.net.pairs.get(&self.pair).filter(|p| !p.closed[self.side]) else {
+        let Some(pair) = state
+            .net
+            .pairs
+            .get(&self.pair)
+            .filter(|p| !p.closed[self.side])
+        else {
             return true;
         };
         let peer = 1 - self.side;
         let way = &pair.ways[peer];
         let came = |at: Option<Micros>| at.is_some_and(|at| at <= state.now);
-        let cut = state.net.cuts.contains(&(pair.hosts[peer], pair.hosts[self.side]));
+        let cut = state
+            .net
+            .cuts
+            .contains(&(pair.hosts[peer], pair.hosts[self.side]));
         !cut && (came(way.reset) || way.chunks.is_empty() && came(way.end))
     }
 }
@@ -408,7 +510,11 @@
 }
 
 impl AsyncRead for Stream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<Result<usize>> {
         let mut state = self.inner.lock();
         let now = state.now;
         let most = piece(&mut state, buf.len());
@@ -417,7 +523,9 @@
             return Poll::Ready(Err(broken()));
         };
         let cut = state.net.cuts.contains(&(hosts[peer], hosts[self.side]));
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else { return Poll::Ready(Err(broken())) };
+        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+            return Poll::Ready(Err(broken()));
+        };
         let way = &mut pair.ways[peer];
         // The earliest thing that arrives: bytes, a reset, the end.
         if !cut && way.reset.is_some_and(|at| at <= now) {
@@ -459,10 +567,16 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         let mut state = self.inner.lock();
         let (now, ways) = (state.now, state.net.ways);
-        let jitter = if ways.jitter > 0 { state.random.random_range(0..=ways.jitter) } else { 0 };
+        let jitter = if ways.jitter > 0 {
+            state.random.random_range(0..=ways.jitter)
+        } else {
+            0
+        };
         let most = piece(&mut state, buf.len());
         // The peer's process may have come back: its machine knows nothing of this connection.
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else { return Poll::Ready(Err(broken())) };
+        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+            return Poll::Ready(Err(broken()));
+        };
         let peer = 1 - self.side;
         if pair.ways[peer].reset.is_some_and(|at| at <= now) {
             return Poll::Ready(Err(broken()));
@@ -475,7 +589,9 @@
             return Poll::Ready(Err(broken()));
         };
         let latency = state.net.latency(hosts[self.side], hosts[peer]);
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else { return Poll::Ready(Err(broken())) };
+        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+            return Poll::Ready(Err(broken()));
+        };
         let way = &mut pair.ways[self.side];
         if peer_gone && (!way.deaf || back) {
             // Nobody is there to read: the answer is a reset, a way there and back later.
@@ -512,7 +628,9 @@
             return Poll::Ready(Ok(()));
         };
         let after = state.now + state.net.latency(hosts[self.side], hosts[1 - self.side]);
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else { return Poll::Ready(Ok(())) };
+        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+            return Poll::Ready(Ok(()));
+        };
         let way = &mut pair.ways[self.side];
         way.end.get_or_insert(after.max(way.last));
         let reader = way.reader.take();
@@ -525,9 +643,13 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         let mut state = self.inner.lock();
-        let Some(hosts) = state.net.pairs.get(&self.pair).map(|p| p.hosts) else { return };
+        let Some(hosts) = state.net.pairs.get(&self.pair).map(|p| p.hosts) else {
+            return;
+        };
         let after = state.now + state.net.latency(hosts[self.side], hosts[1 - self.side]);
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else { return };
+        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+            return;
+        };
         let (side, peer) = (self.side, 1 - self.side);
         let mut wakers = Vec::new();
         // A host that died has said what there was to say.
@@ -545,7 +667,11 @@
             wakers.extend(pair.ways[peer].writer.take());
         }
         // The last to go takes the pair along, and with it wakers, which are dropped after the lock.
-        let gone = if pair.closed == [true; 2] { state.net.pairs.remove(&self.pair) } else { None };
+        let gone = if pair.closed == [true; 2] {
+            state.net.pairs.remove(&self.pair)
+        } else {
+            None
+        };
         drop(state);
         drop(gone);
         wakers.into_iter().for_each(Waker::wake);
--- a/crates/ivyward-sim/src/tasks.rs
+++ b/crates/ivyward-sim/src/tasks.rs
@@ -50,7 +50,9 @@
 
 impl Wake for Task {
     fn wake(self: Arc<Self>) {
-        let Some(ready) = self.ready.upgrade() else { return };
+        let Some(ready) = self.ready.upgrade() else {
+            return;
+        };
         if !self.queued.swap(true, Ordering::SeqCst) {
             lock(&ready).push(self);
         }
@@ -75,7 +77,14 @@
 impl Tasks {
     pub(crate) fn new(seed: u64) -> Tasks {
         let random = SmallRng::seed_from_u64(seed ^ 0x7a5c);
-        Tasks { ready: Arc::default(), known: Mutex::new(Known { tasks: BTreeMap::new(), next: 1, random }) }
+        Tasks {
+            ready: Arc::default(),
+            known: Mutex::new(Known {
+                tasks: BTreeMap::new(),
+                next: 1,
+                random,
+            }),
+        }
     }
 
     pub(crate) fn spawn(&self, host: HostId, future: BoxFuture<()>) {
@@ -99,7 +108,9 @@
     /// One of those that are ready and whose host runs.
     pub(crate) fn next(&self, frozen: impl Fn(HostId) -> bool) -> Option<Arc<Task>> {
         let mut ready = lock(&self.ready);
-        let open: Vec<usize> = (0..ready.len()).filter(|i| !frozen(ready[*i].host)).collect();
+        let open: Vec<usize> = (0..ready.len())
+            .filter(|i| !frozen(ready[*i].host))
+            .collect();
         let pick = match open.len() {
             0 => return None,
             1 => 0,
@@ -111,11 +122,14 @@
     }
 
     pub(crate) fn poll(&self, task: &Arc<Task>) {
-        let Some(mut future) = lock(&task.future).take() else { return };
+        let Some(mut future) = lock(&task.future).take() else {
+            return;
+        };
         let waker = Waker::from(task.clone());
         // A task that panics is over; the others go on, as they would beside it.
-        let polled =
-            catch_unwind(AssertUnwindSafe(|| future.as_mut().poll(&mut Context::from_waker(&waker))));
+        let polled = catch_unwind(AssertUnwindSafe(|| {
+            future.as_mut().poll(&mut Context::from_waker(&waker))
+        }));
         // It may have been killed while it ran: then it is not among the known any more, and ends here.
         let pending = matches!(polled, Ok(Poll::Pending));
         if pending && lock(&self.known).tasks.contains_key(&task.id) {
@@ -130,8 +144,15 @@
     pub(crate) fn kill(&self, host: HostId) {
         let gone: Vec<Arc<Task>> = {
             let mut known = lock(&self.known);
-            let ids: Vec<u64> = known.tasks.values().filter(|t| t.host == host).map(|t| t.id).collect();
-            ids.into_iter().filter_map(|id| known.tasks.remove(&id)).collect()
+            let ids: Vec<u64> = known
+                .tasks
+                .values()
+                .filter(|t| t.host == host)
+                .map(|t| t.id)
+                .collect();
+            ids.into_iter()
+                .filter_map(|id| known.tasks.remove(&id))
+                .collect()
         };
         lock(&self.ready).retain(|t| t.host != host);
         for task in gone {
--- a/crates/ivyward-sim/tests/world.rs
+++ b/crates/ivyward-sim/tests/world.rs
@@ -19,12 +19,16 @@
 /// A server that sends back what it reads.
 fn echo(host: &Arc<Host>, port: u16) -> SocketAddr {
     let world: WorldRef = host.world();
-    let mut listener = world.listen(SocketAddr::from(([127, 0, 0, 1], port))).unwrap();
+    let mut listener = world
+        .listen(SocketAddr::from(([127, 0, 0, 1], port)))
+        .unwrap();
     let address = listener.address();
     let inner = world.clone();
     world.run(async move {
         loop {
-            let Ok((mut conn, _)) = listener.accept().await else { return };
+            let Ok((mut conn, _)) = listener.accept().await else {
+                return;
+            };
             inner.run(async move {
                 let mut buf = [0; 1000];
                 while let Ok(got @ 1..) = conn.read(&mut buf).await {
@@ -47,7 +51,12 @@
 
 #[test]
 fn time_jumps_and_bytes_take_theirs() {
-    let (sim, a, b) = two(Net { latency: 1_000, jitter: 0, rate: 1_000_000, ..Net::default() });
+    let (sim, a, b) = two(Net {
+        latency: 1_000,
+        jitter: 0,
+        rate: 1_000_000,
+        ..Net::default()
+    });
     let address = echo(&b, 0);
     let world = a.world();
     let took = sim.run(&a, DAY, async move {
@@ -67,7 +76,14 @@
 #[test]
 fn a_seed_plays_the_same_run_and_another_seed_another() {
     let play = |seed: u64| {
-        let sim = Sim::new(seed, Net { pieces: 0.7, jitter: 5_000, ..Net::default() });
+        let sim = Sim::new(
+            seed,
+            Net {
+                pieces: 0.7,
+                jitter: 5_000,
+                ..Net::default()
+            },
+        );
         let (a, b) = (sim.host(1), sim.host(2));
         let address = echo(&b, 0);
         let world = a.world();
@@ -91,14 +107,20 @@
     };
     assert_eq!(play(1), play(1));
     assert_ne!(play(1).1, play(2).1);
-    assert_ne!(play(1).0, play(2).0, "events at one instant come in an order that the seed draws");
+    assert_ne!(
+        play(1).0,
+        play(2).0,
+        "events at one instant come in an order that the seed draws"
+    );
 }
 
 #[test]
 fn what_waits_for_nothing_is_told() {
     let (sim, a, _) = two(Net::default());
     let stuck = sim.run(&a, DAY, std::future::pending::<()>());
-    assert!(matches!(stuck, Err(Stuck::Nothing { waiting, .. }) if waiting.get(&a.id()) == Some(&1)));
+    assert!(
+        matches!(stuck, Err(Stuck::Nothing { waiting, .. }) if waiting.get(&a.id()) == Some(&1))
+    );
     let world = a.world();
     assert_eq!(
         sim.run(&a, 5_000_000, async move { world.sleep(DAY).await }),
@@ -122,10 +144,15 @@
 fn nobody_listens_and_ports_are_free_again() {
     let (sim, a, b) = two(Net::default());
     let address = echo(&b, 0);
-    assert_eq!(b.listen(address).err().map(|e| e.kind()), Some(ErrorKind::AddrInUse));
+    assert_eq!(
+        b.listen(address).err().map(|e| e.kind()),
+        Some(ErrorKind::AddrInUse)
+    );
     sim.kill(b.id(), true);
     let world = a.world();
-    let refused = sim.run(&a, DAY, async move { world.connect(address).await.err().map(|e| e.kind()) });
+    let refused = sim.run(&a, DAY, async move {
+        world.connect(address).await.err().map(|e| e.kind())
+    });
     assert_eq!(refused, Ok(Some(ErrorKind::ConnectionRefused)));
     let back = sim.host(3);
     assert_eq!(echo(&back, address.port()), address);
@@ -150,7 +177,11 @@
             })
             .await
         });
-        assert_eq!(heard, Ok(word.then_some(ErrorKind::ConnectionReset)), "word: {word}");
+        assert_eq!(
+            heard,
+            Ok(word.then_some(ErrorKind::ConnectionReset)),
+            "word: {word}"
+        );
     }
 }
 
@@ -175,7 +206,10 @@
 /// A way that is cut in one direction: what was said before waits, and arrives when it is mended, once and in order.
 #[test]
 fn a_cut_way_holds_what_is_under_way() {
-    let (sim, a, b) = two(Net { jitter: 0, ..Net::default() });
+    let (sim, a, b) = two(Net {
+        jitter: 0,
+        ..Net::default()
+    });
     let address = echo(&b, 0);
     let (world, all, ids) = (a.world(), sim.clone(), (a.id(), b.id()));
     let done = sim.run(&a, DAY, async move {
@@ -196,10 +230,13 @@
         assert_eq!(&both, b"onetwo");
         // Nobody is dialled over a cut either.
         all.cut(ids.0, ids.1, true);
-        let dial = or(async { Some(world.connect(address).await.is_ok()) }, async {
-            world.sleep(10_000_000).await;
-            None
-        });
+        let dial = or(
+            async { Some(world.connect(address).await.is_ok()) },
+            async {
+                world.sleep(10_000_000).await;
+                None
+            },
+        );
         assert_eq!(dial.await, None);
         all.cut(ids.0, ids.1, false);
         assert!(world.connect(address).await.is_ok());
@@ -210,7 +247,10 @@
 /// A frozen process takes bytes until its buffers are full, answers none, and goes on where it was.
 #[test]
 fn a_frozen_process_and_full_buffers() {
-    let (sim, a, b) = two(Net { buffer: 100, ..Net::default() });
+    let (sim, a, b) = two(Net {
+        buffer: 100,
+        ..Net::default()
+    });
     let address = echo(&b, 0);
     let (world, all, frozen) = (a.world(), sim.clone(), b.id());
     let done = sim.run(&a, DAY, async move {
@@ -237,7 +277,9 @@
     for hard in [false, true] {
         let (sim, a, b) = two(Net::default());
         let (server, world) = (b.world(), a.world());
-        let mut listener = server.listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let mut listener = server
+            .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .unwrap();
         let address = listener.address();
         server.clone().run(async move {
             let (mut conn, _) = listener.accept().await.unwrap();
@@ -253,7 +295,11 @@
             let end = conn.read_to_end(&mut text).await.map_err(|e| e.kind());
             (text, end)
         });
-        let end = if hard { Err(ErrorKind::ConnectionReset) } else { Ok(3) };
+        let end = if hard {
+            Err(ErrorKind::ConnectionReset)
+        } else {
+            Ok(3)
+        };
         assert_eq!(heard, Ok((b"bye".to_vec(), end)));
     }
 }
--- a/crates/ivyward-standins/src/audit.rs
+++ b/crates/ivyward-standins/src/audit.rs
@@ -75,23 +75,47 @@
 }
 
 /// Names of the rules.
-pub const RULES: [&str; 5] =
-    ["no request lost", "no effect twice", "drains kept", "cold not pushed", "nothing pinned"];
+pub const RULES: [&str; 5] = [
+    "no request lost",
+    "no effect twice",
+    "drains kept",
+    "cold not pushed",
+    "nothing pinned",
+];
 
 impl Audit {
     /// Rules that were kept; deadlines past the client's count against the first, attempts side by side against the
     /// second.
     pub fn kept(&self) -> usize {
         let beside = [self.deadlines.count, self.overlap.count, 0, 0, 0];
-        self.rules.iter().zip(beside).filter(|(rule, beside)| rule.count + beside == 0).count()
+        self.rules
+            .iter()
+            .zip(beside)
+            .filter(|(rule, beside)| rule.count + beside == 0)
+            .count()
     }
     /// All that was found broken, in words.
     pub fn broken(&self) -> Vec<String> {
-        let rules =
-            self.rules.iter().zip(RULES).flat_map(|(r, name)| r.broken.iter().map(move |b| (name, b)));
-        let overlap = self.overlap.broken.iter().map(|b| ("attempts side by side", b));
-        let deadlines = self.deadlines.broken.iter().map(|b| ("deadline told to an engine", b));
-        rules.chain(overlap).chain(deadlines).map(|(name, b)| format!("{name}: {b}")).collect()
+        let rules = self
+            .rules
+            .iter()
+            .zip(RULES)
+            .flat_map(|(r, name)| r.broken.iter().map(move |b| (name, b)));
+        let overlap = self
+            .overlap
+            .broken
+            .iter()
+            .map(|b| ("attempts side by side", b));
+        let deadlines = self
+            .deadlines
+            .broken
+            .iter()
+            .map(|b| ("deadline told to an engine", b));
+        rules
+            .chain(overlap)
+            .chain(deadlines)
+            .map(|(name, b)| format!("{name}: {b}"))
+            .collect()
     }
 }
 
@@ -124,17 +148,35 @@
 }
 
 fn check(log: &[Seen], limits: &Limits, end: Micros, goes_on: Option<Micros>) -> Audit {
-    let (mut facts, mut out) = (Facts { goes_on, ..Facts::default() }, Audit::default());
+    let (mut facts, mut out) = (
+        Facts {
+            goes_on,
+            ..Facts::default()
+        },
+        Audit::default(),
+    );
     for seen in log {
         facts.take(seen);
         facts.drains(seen, limits, &mut out);
         facts.cold(seen, limits, &mut out);
         facts.deadline(seen, limits, &mut out);
     }
-    facts.calls.keys().for_each(|call| facts.lost(*call, limits, &mut out));
-    facts.operations.keys().for_each(|operation| facts.twice(*operation, limits, &mut out));
-    facts.kept.iter().for_each(|kept| facts.pinned(kept, limits, end, &mut out));
-    facts.by_call.values().for_each(|keys| facts.overlaps(keys, limits, &mut out));
+    facts
+        .calls
+        .keys()
+        .for_each(|call| facts.lost(*call, limits, &mut out));
+    facts
+        .operations
+        .keys()
+        .for_each(|operation| facts.twice(*operation, limits, &mut out));
+    facts
+        .kept
+        .iter()
+        .for_each(|kept| facts.pinned(kept, limits, end, &mut out));
+    facts
+        .by_call
+        .values()
+        .for_each(|keys| facts.overlaps(keys, limits, &mut out));
     out
 }
 
@@ -148,7 +190,10 @@
 impl Live {
     /// An auditor that has seen nothing.
     pub fn new(limits: Limits) -> Live {
-        Live { facts: Facts::default(), limits }
+        Live {
+            facts: Facts::default(),
+            limits,
+        }
     }
     /// Takes in one more thing seen. What it broke, in words.
     pub fn step(&mut self, seen: &Seen) -> Option<String> {
@@ -172,8 +217,14 @@
             Sight::Arrived { call, .. } | Sight::Ran { call, .. } | Sight::Heard { call, .. } => {
                 of_call(call)
             }
-            Sight::Ended { key, .. } => facts.tries.get(&key).into_iter().for_each(|t| of_call(t.call)),
-            Sight::LetGo { engine, key, place, .. } => {
+            Sight::Ended { key, .. } => facts
+                .tries
+                .get(&key)
+                .into_iter()
+                .for_each(|t| of_call(t.call)),
+            Sight::LetGo {
+                engine, key, place, ..
+            } => {
                 let this = |k: &&KeptThing| (k.0, k.1, k.2) == (engine, key, place);
                 if let Some(kept) = facts.kept.iter().rev().find(this) {
                     facts.pinned(kept, limits, seen.at, &mut out);
@@ -222,12 +273,27 @@
     fn take(&mut self, seen: &Seen) {
         let Seen { at, what } = *seen;
         match what {
-            Sight::Arrived { engine, key, call, kind, .. } => {
+            Sight::Arrived {
+                engine,
+                key,
+                call,
+                kind,
+                ..
+            } => {
                 self.arrivals.entry(engine).or_default().push(at);
                 if kind == Kind::Hold {
                     self.holds.entry(call).or_default().push((at, engine));
                 } else {
-                    self.tries.insert(key, Try { engine, kind, arrived: at, ended: None, call });
+                    self.tries.insert(
+                        key,
+                        Try {
+                            engine,
+                            kind,
+                            arrived: at,
+                            ended: None,
+                            call,
+                        },
+                    );
                     self.by_call.entry(call).or_default().push(key);
                 }
             }
@@ -236,17 +302,28 @@
                     t.ended.get_or_insert(at);
                 }
             }
-            Sight::Ran { engine, key, call } => self.ran.entry(call).or_default().push((at, engine, key)),
+            Sight::Ran { engine, key, call } => {
+                self.ran.entry(call).or_default().push((at, engine, key))
+            }
             Sight::Kept { engine, key, place } => {
                 self.holding.insert((engine, key, place), self.kept.len());
                 self.kept.push((engine, key, place, at, None));
             }
-            Sight::LetGo { engine, key, place, how } => {
+            Sight::LetGo {
+                engine,
+                key,
+                place,
+                how,
+            } => {
                 if let Some(i) = self.holding.remove(&(engine, key, place)) {
                     self.kept[i].4 = Some((at, how));
                 }
             }
-            Sight::Up { engine, cold, capacity } => {
+            Sight::Up {
+                engine,
+                cold,
+                capacity,
+            } => {
                 if let Some(from) = self.open_down.remove(&engine) {
                     self.down.entry(engine).or_default().push((from, at));
                 }
@@ -258,8 +335,24 @@
                     t.ended.get_or_insert(at);
                 }
             }
-            Sight::Called { call, operation, node, effect, until } => {
-                self.calls.insert(call, Call { at, until, operation, node, effect, heard: None });
+            Sight::Called {
+                call,
+                operation,
+                node,
+                effect,
+                until,
+            } => {
+                self.calls.insert(
+                    call,
+                    Call {
+                        at,
+                        until,
+                        operation,
+                        node,
+                        effect,
+                        heard: None,
+                    },
+                );
                 self.operations.entry(operation).or_default().push(call);
             }
             Sight::Heard { call, how } => {
@@ -272,14 +365,23 @@
                 self.open_dark.entry(engine).or_insert(at);
             }
             Sight::Dark { engine, on: false } => {
-                self.dark.extend(self.open_dark.remove(&engine).map(|from| (from, at)));
+                self.dark
+                    .extend(self.open_dark.remove(&engine).map(|from| (from, at)));
             }
             Sight::Killed { node, run } => self.killed_nodes.push((node, run, at)),
             // A notice that says the same again does not begin its time anew.
-            Sight::Told { node, engine, ready: false } => {
+            Sight::Told {
+                node,
+                engine,
+                ready: false,
+            } => {
                 self.told.entry((node, engine)).or_insert(at);
             }
-            Sight::Told { node, engine, ready: true } => drop(self.told.remove(&(node, engine))),
+            Sight::Told {
+                node,
+                engine,
+                ready: true,
+            } => drop(self.told.remove(&(node, engine))),
             Sight::Began { .. } | Sight::Still { .. } => {}
         }
     }
@@ -295,7 +397,9 @@
     }
 
     fn node_killed(&self, node: usize, from: Micros, to: Micros) -> bool {
-        self.killed_nodes.iter().any(|(n, _, at)| *n == node && *at >= from && *at <= to)
+        self.killed_nodes
+            .iter()
+            .any(|(n, _, at)| *n == node && *at >= from && *at <= to)
     }
 
     fn lost(&self, id: u64, limits: &Limits, out: &mut Audit) {
@@ -312,7 +416,10 @@
         };
         *out.heard.entry(name).or_default() += 1;
         let Some((at, how)) = call.heard else {
-            if self.goes_on.is_some_and(|now| now <= call.until.saturating_add(limits.flight)) {
+            if self
+                .goes_on
+                .is_some_and(|now| now <= call.until.saturating_add(limits.flight))
+            {
                 return;
             }
             out.rules[0].check(false, || format!("call {id:x} was never heard of again"));
@@ -322,40 +429,59 @@
         // It may be that the client did not know of it yet when it called.
         let since = call.at.saturating_sub(limits.flight);
         let killed = self.node_killed(call.node, since, at.saturating_add(limits.flight));
-        let answered = matches!(how, Heard::Served | Heard::Refused | Heard::Failed | Heard::Left)
-            || how == Heard::Unreachable && killed
+        let answered = matches!(
+            how,
+            Heard::Served | Heard::Refused | Heard::Failed | Heard::Left
+        ) || how == Heard::Unreachable && killed
             || how == Heard::GaveUp && killed;
         out.rules[0].check(answered, || {
             let wait = (call.until - call.at) / 1000;
-            format!("call {id:x} ended as {name} after {} ms of {wait}", (at - call.at) / 1000)
+            format!(
+                "call {id:x} ended as {name} after {} ms of {wait}",
+                (at - call.at) / 1000
+            )
         });
         // Nothing is sent for it afterwards, a hold neither.
         for (came, engine) in self.holds.get(&id).into_iter().flatten() {
             let late = *came > at.saturating_add(limits.flight);
-            out.rules[0].check(!late || self.blind(*engine, at, *came, limits.flight), || {
-                format!("a hold for call {id:x} came {} ms after its end", (came - at) / 1000)
-            });
+            out.rules[0].check(
+                !late || self.blind(*engine, at, *came, limits.flight),
+                || {
+                    format!(
+                        "a hold for call {id:x} came {} ms after its end",
+                        (came - at) / 1000
+                    )
+                },
+            );
         }
         for key in self.by_call.get(&id).into_iter().flatten() {
             let t = &self.tries[key];
             let late = t.arrived > at.saturating_add(limits.flight);
-            out.rules[0].check(!late || self.blind(t.engine, at, t.arrived, limits.flight), || {
-                format!(
-                    "attempt {} of call {id:x} came {} ms after its end",
-                    key.attempt,
-                    (t.arrived - at) / 1000
-                )
-            });
+            out.rules[0].check(
+                !late || self.blind(t.engine, at, t.arrived, limits.flight),
+                || {
+                    format!(
+                        "attempt {} of call {id:x} came {} ms after its end",
+                        key.attempt,
+                        (t.arrived - at) / 1000
+                    )
+                },
+            );
         }
     }
 
     fn twice(&self, operation: u64, limits: &Limits, out: &mut Audit) {
         let calls = &self.operations[&operation];
         let effect = self.calls[&calls[0]].effect;
-        let mut ran: Vec<(Micros, u64, Key)> =
-            calls.iter().flat_map(|c| self.ran.get(c).into_iter().flatten()).copied().collect();
+        let mut ran: Vec<(Micros, u64, Key)> = calls
+            .iter()
+            .flat_map(|c| self.ran.get(c).into_iter().flatten())
+            .copied()
+            .collect();
         ran.sort();
-        let refused = calls.iter().filter(|c| matches!(self.calls[c].heard, Some((_, Heard::Refused))));
+        let refused = calls
+            .iter()
+            .filter(|c| matches!(self.calls[c].heard, Some((_, Heard::Refused))));
         match effect {
             Effect::Safe => out.rules[1].check(true, String::new),
             Effect::Unsafe => {
@@ -365,7 +491,8 @@
                 // A refusal says that nothing was done.
                 for call in refused {
                     let did = self.ran.contains_key(call);
-                    out.rules[1].check(!did, || format!("unsafe call {call:x} ran and was refused"));
+                    out.rules[1]
+                        .check(!did, || format!("unsafe call {call:x} ran and was refused"));
                 }
             }
             Effect::Keyed(window, group) => {
@@ -377,16 +504,20 @@
                 };
                 // Attempts of one call after one that may have run stay in its group and window.
                 for call in calls {
-                    let Some(first) = self.ran.get(call).and_then(|r| r.first()) else { continue };
+                    let Some(first) = self.ran.get(call).and_then(|r| r.first()) else {
+                        continue;
+                    };
                     let keys = self.by_call.get(call).into_iter().flatten();
                     for key in keys.filter(|k| k.attempt > first.2.attempt) {
                         let t = &self.tries[key];
                         if t.kind == Kind::Write {
                             let sent = self.tries.get(&first.2).map_or(first.0, |t| t.arrived);
                             let inside = same(t.engine, first.1)
-                                && t.arrived.saturating_sub(sent) <= window.saturating_add(limits.flight);
-                            out.rules[1]
-                                .check(inside, || format!("keyed call {call:x} left its group or window"));
+                                && t.arrived.saturating_sub(sent)
+                                    <= window.saturating_add(limits.flight);
+                            out.rules[1].check(inside, || {
+                                format!("keyed call {call:x} left its group or window")
+                            });
                         }
                     }
                     let said_no = matches!(self.calls[call].heard, Some((_, Heard::Refused)));
@@ -403,8 +534,12 @@
             // A notice after which nothing came is a rule kept, too.
             Sight::Told { ready: false, .. } => out.rules[2].check(true, String::new),
             Sight::Arrived { engine, key, .. } => {
-                let Some(since) = self.told.get(&(key.node, engine)) else { return };
-                let by = since.saturating_add(limits.drain_grace).saturating_add(limits.notice_flight);
+                let Some(since) = self.told.get(&(key.node, engine)) else {
+                    return;
+                };
+                let by = since
+                    .saturating_add(limits.drain_grace)
+                    .saturating_add(limits.notice_flight);
                 let blind = self.blind(engine, *since, seen.at, limits.flight);
                 out.rules[2].check(seen.at <= by || blind, || {
                     let late = (seen.at - since) / 1000;
@@ -418,11 +553,16 @@
     fn cold(&self, seen: &Seen, limits: &Limits, out: &mut Audit) {
         let at = seen.at;
         match seen.what {
-            Sight::Down { engine, pushed: true } => {
-                out.rules[3].check(false, || format!("engine {engine:x} was pushed over at {} ms", at / 1000))
-            }
+            Sight::Down {
+                engine,
+                pushed: true,
+            } => out.rules[3].check(false, || {
+                format!("engine {engine:x} was pushed over at {} ms", at / 1000)
+            }),
             Sight::Arrived { engine, .. } => {
-                let Some((up, true, capacity)) = self.up.get(&engine) else { return };
+                let Some((up, true, capacity)) = self.up.get(&engine) else {
+                    return;
+                };
                 if at >= up.saturating_add(limits.warm_after) {
                     return;
                 }
@@ -431,7 +571,8 @@
                 let got = here.rev().take_while(|t| **t >= from).count();
                 let age = (at - up) as f64 / limits.warm_after.max(1) as f64;
                 let share = limits.start_capacity + (1.0 - limits.start_capacity) * age;
-                let most = limits.fall_multiple * share * capacity * limits.fall_window as f64 / 1e6 + 2.0;
+                let most =
+                    limits.fall_multiple * share * capacity * limits.fall_window as f64 / 1e6 + 2.0;
                 out.rules[3].check(limits.fall_multiple <= 0.0 || got as f64 <= most, || {
                     format!("cold engine {engine:x} got {got} calls in a window of {most:.0}")
                 });
@@ -442,8 +583,19 @@
 
     /// The time that a call tells its engine ends with the client's, give or take what is allowed.
     fn deadline(&self, seen: &Seen, limits: &Limits, out: &mut Audit) {
-        let Sight::Arrived { call, timeout: Some(timeout), engine, key, .. } = seen.what else { return };
-        let Some(known) = self.calls.get(&call) else { return };
+        let Sight::Arrived {
+            call,
+            timeout: Some(timeout),
+            engine,
+            key,
+            ..
+        } = seen.what
+        else {
+            return;
+        };
+        let Some(known) = self.calls.get(&call) else {
+            return;
+        };
         let left = known.until.saturating_sub(seen.at);
         // On a busy machine a call may be on its way for longer, and its time was told when it left.
         let slack = DEADLINE_SLACK.max(limits.flight);
@@ -465,9 +617,17 @@
         }
         let to = to.map_or(end, |t| t.0);
         // The request's spans with an attempt out, and the longest time in which it was kept while none was.
-        let (first, last) = (Key { attempt: 0, ..*key }, Key { attempt: u32::MAX, ..*key });
+        let (first, last) = (
+            Key { attempt: 0, ..*key },
+            Key {
+                attempt: u32::MAX,
+                ..*key
+            },
+        );
         let tries = self.tries.range(first..=last);
-        let mut busy: Vec<_> = tries.map(|(_, t)| (t.arrived, t.ended.unwrap_or(end))).collect();
+        let mut busy: Vec<_> = tries
+            .map(|(_, t)| (t.arrived, t.ended.unwrap_or(end)))
+            .collect();
         busy.sort_unstable();
         let (mut free, mut longest) = (*from, 0);
         for (a, b) in busy.into_iter().chain([(to, to)]) {
@@ -477,7 +637,10 @@
         let blind = self.blind(*engine, *from, to, limits.flight + limits.release_within);
         let allowed = limits.release_within.saturating_add(limits.flight);
         // An attempt at a machine that is gone without a word is out until its time is over, and no engine saw it.
-        let unseen = self.dark.iter().any(|(a, b)| *a <= to && b.saturating_add(UNSEEN) >= *from)
+        let unseen = self
+            .dark
+            .iter()
+            .any(|(a, b)| *a <= to && b.saturating_add(UNSEEN) >= *from)
             || self.open_dark.values().any(|a| *a <= to);
         out.rules[4].check(longest <= allowed || blind || unseen, || {
             let what = if *place { "a place" } else { "a state" };
@@ -493,10 +656,19 @@
     /// What the engines saw of a request's attempts, in milliseconds from a moment.
     fn story(&self, key: &Key, zero: Micros) -> String {
         let ms = |at: Micros| (at as f64 - zero as f64) / 1e3;
-        let of = self.tries.iter().filter(|(k, _)| (k.node, k.request) == (key.node, key.request));
+        let of = self
+            .tries
+            .iter()
+            .filter(|(k, _)| (k.node, k.request) == (key.node, key.request));
         let one = |(k, t): (&Key, &Try)| {
             let ended = t.ended.map_or("open".into(), |at| format!("{:.1}", ms(at)));
-            format!("#{} {:?} at {:x} from {:.1} to {ended}", k.attempt, t.kind, t.engine, ms(t.arrived))
+            format!(
+                "#{} {:?} at {:x} from {:.1} to {ended}",
+                k.attempt,
+                t.kind,
+                t.engine,
+                ms(t.arrived)
+            )
         };
         of.map(one).collect::<Vec<_>>().join(", ")
     }
@@ -508,13 +680,20 @@
             let ((_, a), (_, b)) = (pair[0], pair[1]);
             let ended = a.ended.or(self.goes_on).unwrap_or(Micros::MAX);
             let over = ended.saturating_sub(b.arrived);
-            let blind =
-                self.blind(a.engine, a.arrived, b.arrived.saturating_add(limits.flight), limits.flight);
+            let blind = self.blind(
+                a.engine,
+                a.arrived,
+                b.arrived.saturating_add(limits.flight),
+                limits.flight,
+            );
             if !blind && ended != Micros::MAX {
                 out.longest_overlap = out.longest_overlap.max(over);
             }
             out.overlap.check(over <= limits.flight || blind, || {
-                format!("call {:x} was at engine {:x} and {:x} at once", a.call, a.engine, b.engine)
+                format!(
+                    "call {:x} was at engine {:x} and {:x} at once",
+                    a.call, a.engine, b.engine
+                )
             });
         }
     }
--- a/crates/ivyward-standins/src/client.rs
+++ b/crates/ivyward-standins/src/client.rs
@@ -83,7 +83,10 @@
 /// What a final answer says beside its status: its outcome, and when to come back, in milliseconds.
 pub fn last_word(metadata: &HeaderMap) -> (Option<&str>, Option<i64>) {
     let text = |name: &str| metadata.get(name).and_then(|v| v.to_str().ok());
-    (text("ivyward-outcome"), text("grpc-retry-pushback-ms").and_then(|t| t.parse().ok()))
+    (
+        text("ivyward-outcome"),
+        text("grpc-retry-pushback-ms").and_then(|t| t.parse().ok()),
+    )
 }
 
 impl Client {
@@ -105,9 +108,19 @@
         stream_window: u32,
     ) -> std::io::Result<Client> {
         let conn = world.connect(door).await?;
-        let options = Options { streams: 4_096, stream_window, ..Options::default() };
-        let channel = Channel::begin(world, conn, options).await.map_err(std::io::Error::other)?;
-        Ok(Client { world: world.clone(), log: log.clone(), channel: Arc::new(channel) })
+        let options = Options {
+            streams: 4_096,
+            stream_window,
+            ..Options::default()
+        };
+        let channel = Channel::begin(world, conn, options)
+            .await
+            .map_err(std::io::Error::other)?;
+        Ok(Client {
+            world: world.clone(),
+            log: log.clone(),
+            channel: Arc::new(channel),
+        })
     }
     /// Whether it may still be used.
     pub fn usable(&self) -> bool {
@@ -143,15 +156,26 @@
             took: 0,
             tokens: 0,
         };
-        let leave_at = ask.habit.leave_after.map_or(Micros::MAX, |span| began.saturating_add(span));
+        let leave_at = ask
+            .habit
+            .leave_after
+            .map_or(Micros::MAX, |span| began.saturating_add(span));
         let followed = self.follow(ask, began, &mut end);
-        let how =
-            or(async { Some(before(&self.world, until, followed).await.unwrap_or(Heard::GaveUp)) }, async {
+        let how = or(
+            async {
+                Some(
+                    before(&self.world, until, followed)
+                        .await
+                        .unwrap_or(Heard::GaveUp),
+                )
+            },
+            async {
                 or(leave, self.world.sleep_until(leave_at)).await;
                 None
-            })
-            .await
-            .unwrap_or(Heard::Left);
+            },
+        )
+        .await
+        .unwrap_or(Heard::Left);
         end.how = how;
         end.took = self.world.now() - began;
         self.log.add(Sight::Heard { call, how });
@@ -163,7 +187,11 @@
             true => HeaderMap::new(),
             false => deadline(ask.habit.patience),
         };
-        let mut call = match self.channel.call(GENERATE, encode(&ask.request), headers).await {
+        let mut call = match self
+            .channel
+            .call(GENERATE, encode(&ask.request), headers)
+            .await
+        {
             Ok(call) => call,
             Err(e) => {
                 end.message = e.to_string();
@@ -177,10 +205,16 @@
                 Ok(Some(run)) => {
                     if end.first.is_none() {
                         end.first = Some(self.world.now() - began);
-                        self.log.add(Sight::Began { call: ask.request.call_id });
+                        self.log.add(Sight::Began {
+                            call: ask.request.call_id,
+                        });
                     }
                     let right = run.first_index == end.tokens
-                        && run.ids.iter().zip(end.tokens..).all(|(id, i)| *id == text::token(digest, i));
+                        && run
+                            .ids
+                            .iter()
+                            .zip(end.tokens..)
+                            .all(|(id, i)| *id == text::token(digest, i));
                     end.tokens += run.ids.len() as u32;
                     if !right || end.tokens > length {
                         end.message = format!("a run from token {} on is wrong", run.first_index);
@@ -200,12 +234,15 @@
                 }
                 Err(e) => {
                     end.message = e.to_string();
-                    let Cause::Status(status) = e.cause else { return Heard::Unreachable };
+                    let Cause::Status(status) = e.cause else {
+                        return Heard::Unreachable;
+                    };
                     end.code = status.code;
                     let (said, pushback) = last_word(&status.metadata);
                     let detail = status.metadata.contains_key("grpc-status-details-bin");
                     // Told by code and pushback alone, as any client would; the outcome's name must agree.
-                    let refused = matches!(status.code, 8 | 14) && pushback.is_some_and(|p| p >= 0) && detail;
+                    let refused =
+                        matches!(status.code, 8 | 14) && pushback.is_some_and(|p| p >= 0) && detail;
                     end.pushback = pushback.filter(|_| refused).map(|ms| ms as u64 * 1_000);
                     return match (refused, said) {
                         (true, Some("refused")) => Heard::Refused,
--- a/crates/ivyward-standins/src/engine.rs
+++ b/crates/ivyward-standins/src/engine.rs
@@ -71,7 +71,12 @@
     /// One whose times are long beside the pauses of a busy machine, and far enough apart, so that what is learned from
     /// them leads to the same choices in each run: a prompt of 60 tokens takes 150 ms to be read, and 200 ms to be fetched.
     pub fn steady(id: u64, role: Role) -> Spec {
-        Spec { read_rate: 400.0, fetch_rate: 300.0, token_gap: 3_000, ..Spec::small(id, role) }
+        Spec {
+            read_rate: 400.0,
+            fetch_rate: 300.0,
+            token_gap: 3_000,
+            ..Spec::small(id, role)
+        }
     }
 
     /// A small engine with quick answers.
@@ -149,7 +154,10 @@
 
 impl Drop for Open<'_> {
     fn drop(&mut self) {
-        self.inner.log.add(Sight::Ended { engine: self.inner.spec.id, key: self.key });
+        self.inner.log.add(Sight::Ended {
+            engine: self.inner.spec.id,
+            key: self.key,
+        });
     }
 }
 
@@ -209,8 +217,14 @@
         spec: Spec,
         address: SocketAddr,
     ) -> std::io::Result<Engine> {
-        let mut engine =
-            Engine { spec, log: log.clone(), host: host.clone(), address, running: None, starts: 0 };
+        let mut engine = Engine {
+            spec,
+            log: log.clone(),
+            host: host.clone(),
+            address,
+            running: None,
+            starts: 0,
+        };
         engine.come_up(false)?;
         Ok(engine)
     }
@@ -224,14 +238,19 @@
     }
     /// Whether its process runs. One that was pushed over does not, whatever its sockets do.
     pub fn up(&self) -> bool {
-        self.running.as_ref().is_some_and(|(inner, _)| !inner.lock().fallen)
+        self.running
+            .as_ref()
+            .is_some_and(|(inner, _)| !inner.lock().fallen)
     }
     /// Kills its process: sockets are reset, everything kept is lost.
     pub fn die(&mut self) {
         if let Some((inner, kill)) = self.running.take() {
             kill();
             inner.lose_all();
-            self.log.add(Sight::Down { engine: self.spec.id, pushed: false });
+            self.log.add(Sight::Down {
+                engine: self.spec.id,
+                pushed: false,
+            });
         }
     }
     /// Starts its process again, cold or warm, at the old address.
@@ -241,7 +260,9 @@
     pub fn come_up(&mut self, cold: bool) -> std::io::Result<()> {
         self.die();
         self.starts += 1;
-        let (world, kill) = self.host.process(self.spec.id.wrapping_mul(1_000).wrapping_add(self.starts));
+        let (world, kill) = self
+            .host
+            .process(self.spec.id.wrapping_mul(1_000).wrapping_add(self.starts));
         let listener = world.listen(self.address)?;
         self.address = listener.address();
         let inner = Arc::new(Inner {
@@ -251,12 +272,19 @@
             world: world.clone(),
             log: self.log.clone(),
             cold,
-            state: Mutex::new(State { random: self.spec.id ^ self.starts << 32, ..State::default() }),
+            state: Mutex::new(State {
+                random: self.spec.id ^ self.starts << 32,
+                ..State::default()
+            }),
             changed: Event::new(),
             inside: AtomicUsize::new(0),
             close_all: Event::new(),
         });
-        self.log.add(Sight::Up { engine: self.spec.id, cold, capacity: self.spec.capacity });
+        self.log.add(Sight::Up {
+            engine: self.spec.id,
+            cold,
+            capacity: self.spec.capacity,
+        });
         let accepting = inner.clone();
         world.run(async move { accepting.accept(listener).await });
         let expiring = inner.clone();
@@ -266,7 +294,9 @@
     }
     /// Changes what is wrong with it.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
-        let Some((inner, _)) = &self.running else { return };
+        let Some((inner, _)) = &self.running else {
+            return;
+        };
         let (before, now) = {
             let mut state = inner.lock();
             let before = state.faults.hang;
@@ -274,7 +304,10 @@
             (before, state.faults.hang)
         };
         if before != now {
-            self.log.add(Sight::Still { engine: self.spec.id, on: now });
+            self.log.add(Sight::Still {
+                engine: self.spec.id,
+                on: now,
+            });
         }
         inner.changed.notify(usize::MAX);
     }
@@ -298,7 +331,9 @@
     }
     /// Answer tokens that left it since its last start.
     pub fn tokens(&self) -> u64 {
-        self.running.as_ref().map_or(0, |(inner, _)| inner.lock().tokens)
+        self.running
+            .as_ref()
+            .map_or(0, |(inner, _)| inner.lock().tokens)
     }
     /// Tells all callers by GOAWAY that it takes no more streams on their connections.
     pub fn go_away(&self) {
@@ -309,7 +344,9 @@
     }
     /// States and places that it keeps for requests.
     pub fn kept(&self) -> usize {
-        self.running.as_ref().map_or(0, |(inner, _)| inner.lock().held.len())
+        self.running
+            .as_ref()
+            .map_or(0, |(inner, _)| inner.lock().held.len())
     }
 }
 
@@ -336,7 +373,9 @@
 }
 
 fn away(reason: pb::turned_away::Reason) -> pb::TurnedAway {
-    pb::TurnedAway { reason: reason.into() }
+    pb::TurnedAway {
+        reason: reason.into(),
+    }
 }
 
 /// A call's answer on its way out. Shared with the one who looks whether its caller left.
@@ -379,8 +418,10 @@
     }
     fn chance(&self, share: f64) -> bool {
         let mut state = self.lock();
-        state.random =
-            state.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state.random = state
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         ((state.random >> 33) as f64 / (1u64 << 31) as f64) < share
     }
     fn faults(&self) -> Faults {
@@ -389,7 +430,12 @@
     fn lose_all(&self) {
         let lost: Vec<(Key, bool)> = std::mem::take(&mut self.lock().held).into_keys().collect();
         for (key, place) in lost {
-            self.log.add(Sight::LetGo { engine: self.spec.id, key, place, how: Gone::Lost });
+            self.log.add(Sight::LetGo {
+                engine: self.spec.id,
+                key,
+                place,
+                how: Gone::Lost,
+            });
         }
     }
     /// The part of its capacity that it has now.
@@ -422,7 +468,9 @@
     async fn accept(self: Arc<Self>, mut listener: Box<dyn ivyward_world::Listener>) {
         // Also while it hangs: the system accepts for a process that does not.
         loop {
-            let Ok((conn, _)) = listener.accept().await else { continue };
+            let Ok((conn, _)) = listener.accept().await else {
+                continue;
+            };
             if self.lock().fallen {
                 continue;
             }
@@ -435,9 +483,17 @@
         // What dies here dies as a process does.
         conn.reset_on_close();
         let mut builder = h2::server::Builder::new();
-        builder.max_concurrent_streams(self.spec.streams).initial_connection_window_size(4 << 20);
-        let muted = Muted { conn, inner: self.clone(), waiting: BytesMut::new() };
-        let Ok(mut h2) = builder.handshake::<_, Bytes>(Io(muted)).await else { return };
+        builder
+            .max_concurrent_streams(self.spec.streams)
+            .initial_connection_window_size(4 << 20);
+        let muted = Muted {
+            conn,
+            inner: self.clone(),
+            waiting: BytesMut::new(),
+        };
+        let Ok(mut h2) = builder.handshake::<_, Bytes>(Io(muted)).await else {
+            return;
+        };
         let mut goaways = self.lock().goaways;
         // One listener for the whole life, so that no close is missed.
         let mut closing = self.close_all.listen();
@@ -462,14 +518,19 @@
                 None => {}
                 Some(Some(Ok((request, respond)))) => {
                     let me = self.clone();
-                    self.world.run(async move { me.call(request, respond).await });
+                    self.world
+                        .run(async move { me.call(request, respond).await });
                 }
                 Some(Some(Err(_)) | None) => return,
             }
         }
     }
 
-    async fn call(self: Arc<Self>, request: http::Request<RecvStream>, respond: SendResponse<Bytes>) {
+    async fn call(
+        self: Arc<Self>,
+        request: http::Request<RecvStream>,
+        respond: SendResponse<Bytes>,
+    ) {
         let path = request.uri().path().to_owned();
         let timeout = stated_timeout(request.headers());
         let mut body = request.into_body();
@@ -484,17 +545,36 @@
         }
         match method {
             Some("Read") => {
-                self.taken(decoder.pop::<pb::ReadRequest>().ok().flatten(), timeout, respond).await
+                self.taken(
+                    decoder.pop::<pb::ReadRequest>().ok().flatten(),
+                    timeout,
+                    respond,
+                )
+                .await
             }
             Some("Write") => {
-                self.taken(decoder.pop::<pb::WriteRequest>().ok().flatten(), timeout, respond).await
+                self.taken(
+                    decoder.pop::<pb::WriteRequest>().ok().flatten(),
+                    timeout,
+                    respond,
+                )
+                .await
+            }
+            Some("Hold") => {
+                self.hold(decoder.pop().ok().flatten(), timeout, respond)
+                    .await
             }
-            Some("Hold") => self.hold(decoder.pop().ok().flatten(), timeout, respond).await,
             Some("Release") => self.release(decoder.pop().ok().flatten(), respond),
             Some("Fetch") => self.fetched(decoder.pop().ok().flatten(), respond),
             Some("Probe") => {
                 let load = Some(self.load());
-                answer(respond, &pb::ProbeReply { engine: self.spec.id, load });
+                answer(
+                    respond,
+                    &pb::ProbeReply {
+                        engine: self.spec.id,
+                        load,
+                    },
+                );
             }
             _ => refuse(respond, status(12, "no such method")),
         }
@@ -523,12 +603,20 @@
         let Some((ask, header)) = ask.and_then(|a| a.header().cloned().map(|h| (a, h))) else {
             return refuse(respond, status(3, "the request is malformed"));
         };
-        let Some(key) = key(header.key) else { return refuse(respond, status(3, "no attempt key")) };
+        let Some(key) = key(header.key) else {
+            return refuse(respond, status(3, "no attempt key"));
+        };
         if header.engine != self.spec.id {
             return refuse(respond, status(9, "another engine is meant"));
         }
         let (engine, call) = (self.spec.id, header.call_id);
-        self.log.add(Sight::Arrived { engine, key, call, kind: A::KIND, timeout });
+        self.log.add(Sight::Arrived {
+            engine,
+            key,
+            call,
+            kind: A::KIND,
+            timeout,
+        });
         // What its caller no longer waits for is dropped, wherever it stands.
         let due = timeout.map_or(Micros::MAX, |span| self.world.now().saturating_add(span));
         let _open = Open { inner: self, key };
@@ -539,7 +627,10 @@
             return;
         }
         if self.world.now() >= due {
-            return refuse(respond, status(DEADLINE_EXCEEDED, "its time was over before it was begun"));
+            return refuse(
+                respond,
+                status(DEADLINE_EXCEEDED, "its time was over before it was begun"),
+            );
         }
         let faults = self.faults();
         if self.chance(faults.refuse_stream) {
@@ -559,11 +650,19 @@
             return self.turn_away::<A>(respond, pb::turned_away::Reason::Full);
         }
         let twist = faults.how.filter(|_| self.chance(faults.twist));
-        let fate = Fate { lose: self.chance(faults.lose_answer), reset: self.chance(faults.reset), twist };
+        let fate = Fate {
+            lose: self.chance(faults.lose_answer),
+            reset: self.chance(faults.reset),
+            twist,
+        };
         // The work ends when its caller leaves.
-        let response = Response::builder().header("content-type", "application/grpc").body(());
+        let response = Response::builder()
+            .header("content-type", "application/grpc")
+            .body(());
         let Ok(response) = response else { return };
-        let Ok(stream) = respond.send_response(response, false) else { return };
+        let Ok(stream) = respond.send_response(response, false) else {
+            return;
+        };
         let out = Out(Arc::new(Mutex::new(stream)));
         let work = async { Some(ask.run(self, key, &header, &fate, &out).await) };
         let left = async {
@@ -595,7 +694,11 @@
             return false;
         }
         state.arrivals.push_back(now);
-        while state.arrivals.front().is_some_and(|t| now.saturating_sub(*t) > window) {
+        while state
+            .arrivals
+            .front()
+            .is_some_and(|t| now.saturating_sub(*t) > window)
+        {
             state.arrivals.pop_front();
         }
         let most = multiple * self.share() * self.spec.capacity * window as f64 / 1e6;
@@ -605,7 +708,10 @@
         }
         state.fallen = true;
         drop(state);
-        self.log.add(Sight::Down { engine: self.spec.id, pushed: true });
+        self.log.add(Sight::Down {
+            engine: self.spec.id,
+            pushed: true,
+        });
         self.close_all.notify(usize::MAX);
         true
     }
@@ -616,8 +722,10 @@
 
     fn load(&self) -> pb::Load {
         let inside = self.inside.load(Ordering::SeqCst) as f32;
-        let (slots, held) =
-            (self.spec.slots as f32, self.lock().held.values().map(|h| h.tokens).sum::<u64>());
+        let (slots, held) = (
+            self.spec.slots as f32,
+            self.lock().held.values().map(|h| h.tokens).sum::<u64>(),
+        );
         pb::Load {
             outstanding: Some(inside),
             backlog: Some((inside - slots).max(0.0)),
@@ -638,17 +746,38 @@
                 state.held.remove(&oldest);
                 lost.push(oldest);
             }
-            state.held.insert((key, place), Held { tokens, at: self.world.now(), place });
+            state.held.insert(
+                (key, place),
+                Held {
+                    tokens,
+                    at: self.world.now(),
+                    place,
+                },
+            );
         }
         for (key, place) in lost {
-            self.log.add(Sight::LetGo { engine: self.spec.id, key, place, how: Gone::Lost });
+            self.log.add(Sight::LetGo {
+                engine: self.spec.id,
+                key,
+                place,
+                how: Gone::Lost,
+            });
         }
-        self.log.add(Sight::Kept { engine: self.spec.id, key, place });
+        self.log.add(Sight::Kept {
+            engine: self.spec.id,
+            key,
+            place,
+        });
     }
 
     fn let_go(&self, key: Key, place: bool, how: Gone) -> Option<u64> {
         let held = self.lock().held.remove(&(key, place))?;
-        self.log.add(Sight::LetGo { engine: self.spec.id, key, place, how });
+        self.log.add(Sight::LetGo {
+            engine: self.spec.id,
+            key,
+            place,
+            how,
+        });
         Some(held.tokens)
     }
 
@@ -657,8 +786,13 @@
             self.world.sleep(self.spec.keep / 8 + 1).await;
             let now = self.world.now();
             let old = |h: &Held| now.saturating_sub(h.at) >= self.spec.keep;
-            let gone: Vec<(Key, bool)> =
-                self.lock().held.iter().filter(|(_, h)| old(h)).map(|((k, _), h)| (*k, h.place)).collect();
+            let gone: Vec<(Key, bool)> = self
+                .lock()
+                .held
+                .iter()
+                .filter(|(_, h)| old(h))
+                .map(|((k, _), h)| (*k, h.place))
+                .collect();
             for (key, place) in gone {
                 self.let_go(key, place, Gone::Expired);
             }
@@ -672,20 +806,42 @@
         mut respond: SendResponse<Bytes>,
     ) {
         let header = ask.as_ref().and_then(|a| a.header.clone());
-        let (Some(ask), Some(header)) = (ask, header) else { return refuse(respond, status(3, "malformed")) };
-        let Some(key) = key(header.key) else { return refuse(respond, status(3, "no attempt key")) };
+        let (Some(ask), Some(header)) = (ask, header) else {
+            return refuse(respond, status(3, "malformed"));
+        };
+        let Some(key) = key(header.key) else {
+            return refuse(respond, status(3, "no attempt key"));
+        };
         let (engine, call) = (self.spec.id, header.call_id);
-        self.log.add(Sight::Arrived { engine, key, call, kind: Kind::Hold, timeout });
+        self.log.add(Sight::Arrived {
+            engine,
+            key,
+            call,
+            kind: Kind::Hold,
+            timeout,
+        });
         // It crossed the socket; while the engine hangs nothing is done for it, nor after a reset.
         if !self.going_on(&mut respond).await {
-            return self.log.add(Sight::Ended { engine: self.spec.id, key });
+            return self.log.add(Sight::Ended {
+                engine: self.spec.id,
+                key,
+            });
         }
         let held = !self.lock().draining && self.inside.load(Ordering::SeqCst) < self.spec.slots;
         if held {
             self.keep(key, u64::from(ask.prompt_tokens), true);
         }
-        self.log.add(Sight::Ended { engine: self.spec.id, key });
-        answer(respond, &pb::HoldReply { engine: self.spec.id, held });
+        self.log.add(Sight::Ended {
+            engine: self.spec.id,
+            key,
+        });
+        answer(
+            respond,
+            &pb::HoldReply {
+                engine: self.spec.id,
+                held,
+            },
+        );
     }
 
     /// Acts at once also while it hangs: what counts for the rule is that the release crossed the socket.
@@ -701,23 +857,39 @@
     fn fetched(&self, ask: Option<pb::FetchRequest>, respond: SendResponse<Bytes>) {
         let lose = self.lock().faults.drop_states;
         let how = if lose { Gone::Lost } else { Gone::Taken };
-        let tokens = ask.and_then(|a| key(a.key)).and_then(|key| self.let_go(key, false, how));
+        let tokens = ask
+            .and_then(|a| key(a.key))
+            .and_then(|key| self.let_go(key, false, how));
         let found = tokens.filter(|_| !lose);
         // A slow link shows at the one who fetches: it is told how long by the tokens.
         let tokens = found.map_or(0, |t| (t as f64 * self.faults().link_slowness()) as u32);
-        answer(respond, &pb::FetchReply { found: found.is_some(), tokens });
+        answer(
+            respond,
+            &pb::FetchReply {
+                found: found.is_some(),
+                tokens,
+            },
+        );
     }
 
     /// Fetches a state from another engine over a connection of its own.
     async fn fetch(&self, state: &pb::StateRef) -> Option<u64> {
         let address: SocketAddr = state.address.parse().ok()?;
         let until = self.world.now() + 1_000_000;
-        let body = encode(&pb::FetchRequest { key: state.key, engine: state.engine, by: self.spec.id });
+        let body = encode(&pb::FetchRequest {
+            key: state.key,
+            engine: state.engine,
+            by: self.spec.id,
+        });
         let fetch = async {
             let conn = self.world.connect(address).await.ok()?;
-            let channel = Channel::begin(&self.world, conn, Options::default()).await.ok()?;
-            let mut call =
-                channel.call("/ivyward.engine.v1.Engine/Fetch", body, HeaderMap::new()).await.ok()?;
+            let channel = Channel::begin(&self.world, conn, Options::default())
+                .await
+                .ok()?;
+            let mut call = channel
+                .call("/ivyward.engine.v1.Engine/Fetch", body, HeaderMap::new())
+                .await
+                .ok()?;
             let reply = call.next::<pb::FetchReply>().await.ok()??;
             channel.close();
             reply.found.then_some(u64::from(reply.tokens))
@@ -732,8 +904,9 @@
             state.known.clear();
         }
         let of = |state: &State, key: u64| state.known.get(&key).copied().unwrap_or(0);
-        let kept =
-            of(&state, session).min(prompt as u64).max(of(&state, opening.0).min(u64::from(opening.1)));
+        let kept = of(&state, session)
+            .min(prompt as u64)
+            .max(of(&state, opening.0).min(u64::from(opening.1)));
         for (key, tokens) in [(opening.0, u64::from(opening.1)), (session, prompt as u64)] {
             if key != 0 {
                 state.known.insert(key, tokens);
@@ -828,7 +1001,11 @@
 }
 
 fn key(key: Option<pb::AttemptKey>) -> Option<Key> {
-    key.map(|k| Key { node: k.node, request: k.request, attempt: k.attempt })
+    key.map(|k| Key {
+        node: k.node,
+        request: k.request,
+        attempt: k.attempt,
+    })
 }
 
 /// Answers a call with one message.
@@ -837,7 +1014,9 @@
 }
 
 fn answer_bytes(mut respond: SendResponse<Bytes>, bytes: Bytes) {
-    let response = Response::builder().header("content-type", "application/grpc").body(());
+    let response = Response::builder()
+        .header("content-type", "application/grpc")
+        .body(());
     let Ok(response) = response else { return };
     if let Ok(mut stream) = respond.send_response(response, false) {
         // The caller may have left. Small enough for h2 to hold.
@@ -850,7 +1029,9 @@
 fn refuse(mut respond: SendResponse<Bytes>, trailers: HeaderMap) {
     let mut response = Response::new(());
     *response.headers_mut() = trailers;
-    response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
+    response
+        .headers_mut()
+        .insert("content-type", HeaderValue::from_static("application/grpc"));
     let _ = respond.send_response(response, true);
 }
 
@@ -875,7 +1056,11 @@
         self.header.as_ref()
     }
     fn away(engine: u64, away: pb::TurnedAway) -> Bytes {
-        encode(&pb::ReadReply { engine, load: None, result: Some(pb::read_reply::Result::TurnedAway(away)) })
+        encode(&pb::ReadReply {
+            engine,
+            load: None,
+            result: Some(pb::read_reply::Result::TurnedAway(away)),
+        })
     }
     async fn run(
         self,
@@ -886,7 +1071,11 @@
         out: &Out,
     ) -> Result<HeaderMap, Stopped> {
         let _slot = engine.slots.acquire().await;
-        let kept_tokens = engine.known((self.opening, self.opening_tokens), self.session, self.prompt.len());
+        let kept_tokens = engine.known(
+            (self.opening, self.opening_tokens),
+            self.session,
+            self.prompt.len(),
+        );
         let new = self.prompt.len() as f64 - f64::from(kept_tokens);
         engine.work(new * 1e6 / engine.spec.read_rate).await;
         engine.keep(key, self.prompt.len() as u64, false);
@@ -897,15 +1086,22 @@
             return Err(Stopped::Lost);
         }
         let done = pb::read_reply::Result::Done(pb::ReadDone { kept_tokens });
-        let mut reply =
-            pb::ReadReply { engine: engine.spec.id, load: Some(engine.load()), result: Some(done) };
+        let mut reply = pb::ReadReply {
+            engine: engine.spec.id,
+            load: Some(engine.load()),
+            result: Some(done),
+        };
         match fate.twist {
             Some(Twist::WrongId) => reply.engine ^= 1,
             Some(Twist::Malformed) => {
-                out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff])).await?;
+                out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]))
+                    .await?;
                 return Ok(status(0, ""));
             }
-            Some(Twist::Oversized) => out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff])).await?,
+            Some(Twist::Oversized) => {
+                out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff]))
+                    .await?
+            }
             Some(Twist::StatusExhausted) => return Ok(status(8, "slow down")),
             Some(Twist::NoLastWord) => return Ok(status(0, "")),
             _ => {}
@@ -921,7 +1117,10 @@
         self.header.as_ref()
     }
     fn away(engine: u64, away: pb::TurnedAway) -> Bytes {
-        encode(&pb::WriteEvent { engine, event: Some(pb::write_event::Event::TurnedAway(away)) })
+        encode(&pb::WriteEvent {
+            engine,
+            event: Some(pb::write_event::Event::TurnedAway(away)),
+        })
     }
     async fn run(
         self,
@@ -933,33 +1132,62 @@
     ) -> Result<HeaderMap, Stopped> {
         use pb::write_event::Event;
         let id = engine.spec.id;
-        let say = |event| encode(&pb::WriteEvent { engine: id, event: Some(event) });
+        let say = |event| {
+            encode(&pb::WriteEvent {
+                engine: id,
+                event: Some(event),
+            })
+        };
         if let Some(state) = self.state.as_ref().and_then(|s| s.key) {
-            let place = Key { node: state.node, request: state.request, attempt: state.attempt };
+            let place = Key {
+                node: state.node,
+                request: state.request,
+                attempt: state.attempt,
+            };
             engine.let_go(place, true, Gone::Taken);
         }
         let _slot = engine.slots.acquire().await;
         let mut kept_tokens = 0;
         if let Some(state) = &self.state {
             let Some(tokens) = engine.fetch(state).await else {
-                out.send(Self::away(id, away(pb::turned_away::Reason::StateLost))).await?;
+                out.send(Self::away(id, away(pb::turned_away::Reason::StateLost)))
+                    .await?;
                 return Ok(status(0, ""));
             };
-            engine.work(tokens as f64 * 1e6 / engine.spec.fetch_rate).await;
-            engine.known((self.opening, self.opening_tokens), self.session, self.prompt.len());
+            engine
+                .work(tokens as f64 * 1e6 / engine.spec.fetch_rate)
+                .await;
+            engine.known(
+                (self.opening, self.opening_tokens),
+                self.session,
+                self.prompt.len(),
+            );
         } else {
-            kept_tokens = engine.known((self.opening, self.opening_tokens), self.session, self.prompt.len());
+            kept_tokens = engine.known(
+                (self.opening, self.opening_tokens),
+                self.session,
+                self.prompt.len(),
+            );
             let new = self.prompt.len() as f64 - f64::from(kept_tokens);
             // Read between the steps of its answers: slower than a reader.
             engine.work(2.0 * new * 1e6 / engine.spec.read_rate).await;
         }
         let repeat = !header.idempotency_key.is_empty() && {
             let (mut state, now) = (engine.lock(), engine.world.now());
-            state.ran.retain(|_, at| now.saturating_sub(*at) < 60_000_000);
-            state.ran.insert(header.idempotency_key.clone(), now).is_some()
+            state
+                .ran
+                .retain(|_, at| now.saturating_sub(*at) < 60_000_000);
+            state
+                .ran
+                .insert(header.idempotency_key.clone(), now)
+                .is_some()
         };
         if !repeat {
-            engine.log.add(Sight::Ran { engine: id, key, call: header.call_id });
+            engine.log.add(Sight::Ran {
+                engine: id,
+                key,
+                call: header.call_id,
+            });
         }
         if fate.lose {
             return Err(Stopped::Lost);
@@ -970,7 +1198,10 @@
         let digest = text::digest(&self.prompt);
         let length = text::length(digest, self.max_output_tokens);
         let run = |first_index: u32, index: u32| {
-            Event::Tokens(pb::WriteTokens { first_index, ids: vec![text::token(digest, index)] })
+            Event::Tokens(pb::WriteTokens {
+                first_index,
+                ids: vec![text::token(digest, index)],
+            })
         };
         for index in 0..length {
             let span = engine.spec.token_gap as f64 * engine.faults().slowness();
@@ -980,13 +1211,19 @@
             }
             match (fate.twist, index) {
                 (Some(Twist::WrongId), 0) => {
-                    out.send(encode(&pb::WriteEvent { engine: id ^ 1, event: Some(run(0, 0)) })).await?;
+                    out.send(encode(&pb::WriteEvent {
+                        engine: id ^ 1,
+                        event: Some(run(0, 0)),
+                    }))
+                    .await?;
                 }
                 (Some(Twist::Malformed), 0) => {
-                    out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff])).await?;
+                    out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]))
+                        .await?;
                 }
                 (Some(Twist::Oversized), 0) => {
-                    out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff])).await?
+                    out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff]))
+                        .await?
                 }
                 (Some(Twist::OutOfOrder), 0) => out.send(say(run(1, 1))).await?,
                 (Some(Twist::Twice), 1) => out.send(say(run(0, 0))).await?,
@@ -999,7 +1236,11 @@
             out.send(say(run(index, index))).await?;
             engine.lock().tokens += 1;
         }
-        let done = pb::WriteDone { tokens: length, kept_tokens, load: Some(engine.load()) };
+        let done = pb::WriteDone {
+            tokens: length,
+            kept_tokens,
+            load: Some(engine.load()),
+        };
         out.send(say(Event::Done(done))).await?;
         if fate.twist == Some(Twist::AfterEnd) {
             out.send(say(run(length, 0))).await?;
--- a/crates/ivyward-standins/src/etcd.rs
+++ b/crates/ivyward-standins/src/etcd.rs
@@ -92,10 +92,19 @@
     /// # Errors
     /// What the system says.
     pub fn save(&self, path: &Path) -> std::io::Result<()> {
-        let header =
-            |revision| Some(pb::ResponseHeader { cluster_id: self.cluster, revision, ..Default::default() });
+        let header = |revision| {
+            Some(pb::ResponseHeader {
+                cluster_id: self.cluster,
+                revision,
+                ..Default::default()
+            })
+        };
         let kvs: Vec<KeyValue> = self.keys.values().cloned().collect();
-        let keys = pb::RangeResponse { header: header(self.revision), kvs, ..Default::default() };
+        let keys = pb::RangeResponse {
+            header: header(self.revision),
+            kvs,
+            ..Default::default()
+        };
         let history = pb::WatchResponse {
             header: header(self.next_lease),
             compact_revision: self.compacted,
@@ -105,7 +114,9 @@
         let mut bytes = keys.encode_length_delimited_to_vec();
         bytes.extend(history.encode_length_delimited_to_vec());
         for (id, ttl) in &self.leases {
-            bytes.extend(pb::LeaseGrantRequest { id: *id, ttl: *ttl }.encode_length_delimited_to_vec());
+            bytes.extend(
+                pb::LeaseGrantRequest { id: *id, ttl: *ttl }.encode_length_delimited_to_vec(),
+            );
         }
         std::fs::write(path, bytes)
     }
@@ -128,7 +139,11 @@
             cluster: header.cluster_id,
             revision: header.revision,
             compacted: history.compact_revision,
-            keys: keys.kvs.into_iter().map(|kv| (kv.key.clone(), kv)).collect(),
+            keys: keys
+                .kvs
+                .into_iter()
+                .map(|kv| (kv.key.clone(), kv))
+                .collect(),
             history: history.events,
             leases,
             next_lease: history.header.unwrap_or_default().revision,
@@ -181,7 +196,9 @@
         // Backwards from now: whatever changed later is set to what it was before, as the history kept it.
         let mut keys = self.keys.clone();
         for event in self.history.iter().rev() {
-            let Some(kv) = event.kv.as_ref().filter(|kv| kv.mod_revision > revision) else { continue };
+            let Some(kv) = event.kv.as_ref().filter(|kv| kv.mod_revision > revision) else {
+                continue;
+            };
             match &event.prev_kv {
                 Some(before) => drop(keys.insert(kv.key.clone(), before.clone())),
                 None => drop(keys.remove(&kv.key)),
@@ -191,26 +208,48 @@
     }
     fn range(&self, ask: &pb::RangeRequest) -> Result<pb::RangeResponse, Status> {
         if ask.revision > self.revision {
-            return Err(Status::out_of_range("etcdserver: mvcc: required revision is a future revision"));
+            return Err(Status::out_of_range(
+                "etcdserver: mvcc: required revision is a future revision",
+            ));
         }
         if ask.revision > 0 && ask.revision < self.compacted {
-            return Err(Status::out_of_range("etcdserver: mvcc: required revision has been compacted"));
+            return Err(Status::out_of_range(
+                "etcdserver: mvcc: required revision has been compacted",
+            ));
         }
         if ask.key.is_empty() {
             return Err(Status::invalid_argument("etcdserver: key is not provided"));
         }
         let at = self.at(ask.revision);
-        let all: Vec<&KeyValue> =
-            at.values().filter(|kv| Data::inside(&kv.key, &ask.key, &ask.range_end)).collect();
+        let all: Vec<&KeyValue> = at
+            .values()
+            .filter(|kv| Data::inside(&kv.key, &ask.key, &ask.range_end))
+            .collect();
         let count = all.len() as i64;
-        let limit = if ask.limit > 0 { ask.limit as usize } else { usize::MAX };
+        let limit = if ask.limit > 0 {
+            ask.limit as usize
+        } else {
+            usize::MAX
+        };
         let value = |kv: &KeyValue| match ask.keys_only {
-            true => KeyValue { value: vec![], ..kv.clone() },
+            true => KeyValue {
+                value: vec![],
+                ..kv.clone()
+            },
             false => kv.clone(),
         };
-        let kvs = if ask.count_only { vec![] } else { all.into_iter().take(limit).map(value).collect() };
+        let kvs = if ask.count_only {
+            vec![]
+        } else {
+            all.into_iter().take(limit).map(value).collect()
+        };
         let more = !ask.count_only && count as u64 > limit as u64;
-        Ok(pb::RangeResponse { header: self.header(), kvs, more, count })
+        Ok(pb::RangeResponse {
+            header: self.header(),
+            kvs,
+            more,
+            count,
+        })
     }
     fn put(&mut self, ask: &pb::PutRequest, revision: i64) -> Result<pb::PutResponse, Status> {
         if ask.key.is_empty() {
@@ -229,20 +268,39 @@
             create_revision: old.map_or(revision, |kv| kv.create_revision),
             mod_revision: revision,
             version: old.map_or(1, |kv| kv.version + 1),
-            value: old.filter(|_| ask.ignore_value).map_or(ask.value.clone(), |kv| kv.value.clone()),
-            lease: old.filter(|_| ask.ignore_lease).map_or(ask.lease, |kv| kv.lease),
+            value: old
+                .filter(|_| ask.ignore_value)
+                .map_or(ask.value.clone(), |kv| kv.value.clone()),
+            lease: old
+                .filter(|_| ask.ignore_lease)
+                .map_or(ask.lease, |kv| kv.lease),
         };
         self.keys.insert(ask.key.clone(), kv.clone());
-        self.history.push(Event { r#type: EventType::Put.into(), kv: Some(kv), prev_kv: before.clone() });
-        Ok(pb::PutResponse { header: None, prev_kv: before.filter(|_| ask.prev_kv) })
+        self.history.push(Event {
+            r#type: EventType::Put.into(),
+            kv: Some(kv),
+            prev_kv: before.clone(),
+        });
+        Ok(pb::PutResponse {
+            header: None,
+            prev_kv: before.filter(|_| ask.prev_kv),
+        })
     }
     fn delete(&mut self, ask: &pb::DeleteRangeRequest, revision: i64) -> pb::DeleteRangeResponse {
-        let gone: Vec<Vec<u8>> =
-            self.keys.keys().filter(|k| Data::inside(k, &ask.key, &ask.range_end)).cloned().collect();
+        let gone: Vec<Vec<u8>> = self
+            .keys
+            .keys()
+            .filter(|k| Data::inside(k, &ask.key, &ask.range_end))
+            .cloned()
+            .collect();
         let mut prev_kvs = Vec::new();
         for key in &gone {
             let before = self.keys.remove(key);
-            let kv = KeyValue { key: key.clone(), mod_revision: revision, ..KeyValue::default() };
+            let kv = KeyValue {
+                key: key.clone(),
+                mod_revision: revision,
+                ..KeyValue::default()
+            };
             self.history.push(Event {
                 r#type: EventType::Delete.into(),
                 kv: Some(kv),
@@ -250,7 +308,11 @@
             });
             prev_kvs.extend(before.filter(|_| ask.prev_kv));
         }
-        pb::DeleteRangeResponse { header: None, deleted: gone.len() as i64, prev_kvs }
+        pb::DeleteRangeResponse {
+            header: None,
+            deleted: gone.len() as i64,
+            prev_kvs,
+        }
     }
     fn holds(&self, compare: &pb::Compare) -> bool {
         use pb::compare::{CompareResult, TargetUnion};
@@ -282,7 +344,11 @@
         use pb::response_op::Response as Done;
         let succeeded = ask.compare.iter().all(|c| self.holds(c));
         let mut responses = Vec::new();
-        for op in if succeeded { &ask.success } else { &ask.failure } {
+        for op in if succeeded {
+            &ask.success
+        } else {
+            &ask.failure
+        } {
             let done = match &op.request {
                 Some(Op::RequestRange(range)) => Done::ResponseRange(self.range(range)?),
                 Some(Op::RequestPut(put)) => Done::ResponsePut(self.put(put, revision)?),
@@ -292,26 +358,47 @@
                 Some(Op::RequestTxn(txn)) => Done::ResponseTxn(self.txn(txn, revision)?),
                 None => continue,
             };
-            responses.push(pb::ResponseOp { response: Some(done) });
+            responses.push(pb::ResponseOp {
+                response: Some(done),
+            });
         }
-        Ok(pb::TxnResponse { header: None, succeeded, responses })
+        Ok(pb::TxnResponse {
+            header: None,
+            succeeded,
+            responses,
+        })
     }
     /// Ends leases whose time is over; their keys go in one revision each.
     fn expire(&mut self, now: Micros) -> bool {
-        let over: Vec<i64> = self.leases.iter().filter(|(_, l)| l.ends <= now).map(|(id, _)| *id).collect();
+        let over: Vec<i64> = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.ends <= now)
+            .map(|(id, _)| *id)
+            .collect();
         over.iter().for_each(|id| self.revoke(*id));
         !over.is_empty()
     }
     fn revoke(&mut self, id: i64) {
         self.leases.remove(&id);
-        let keys: Vec<Vec<u8>> =
-            self.keys.values().filter(|kv| kv.lease == id).map(|kv| kv.key.clone()).collect();
+        let keys: Vec<Vec<u8>> = self
+            .keys
+            .values()
+            .filter(|kv| kv.lease == id)
+            .map(|kv| kv.key.clone())
+            .collect();
         if keys.is_empty() {
             return;
         }
         self.revision += 1;
         for key in keys {
-            self.delete(&pb::DeleteRangeRequest { key, ..Default::default() }, self.revision);
+            self.delete(
+                &pb::DeleteRangeRequest {
+                    key,
+                    ..Default::default()
+                },
+                self.revision,
+            );
         }
     }
 }
@@ -366,7 +453,11 @@
     ///
     /// # Errors
     /// When the port cannot be taken.
-    pub fn start_at(host: &Arc<dyn Host>, cluster: u64, address: SocketAddr) -> std::io::Result<Store> {
+    pub fn start_at(
+        host: &Arc<dyn Host>,
+        cluster: u64,
+        address: SocketAddr,
+    ) -> std::io::Result<Store> {
         let inner = Arc::new(Inner {
             data: Mutex::new(Data::new(cluster)),
             changed: Changed::new(),
@@ -396,12 +487,17 @@
     /// # Errors
     /// When a port cannot be taken.
     pub fn open_doors(&mut self, count: usize) -> std::io::Result<()> {
-        self.doors.resize(count.max(1), SocketAddr::from(([127, 0, 0, 1], 0)));
+        self.doors
+            .resize(count.max(1), SocketAddr::from(([127, 0, 0, 1], 0)));
         self.come_up()
     }
     /// Who is told of all that it shows.
     pub fn witness(&self, witness: Witness) {
-        *self.inner.witness.lock().unwrap_or_else(PoisonError::into_inner) = Some(witness);
+        *self
+            .inner
+            .witness
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(witness);
     }
     /// Kills its process. What it holds stays.
     pub fn die(&mut self) {
@@ -423,8 +519,14 @@
             let (inner, serving) = (self.inner.clone(), world.clone());
             world.run(async move {
                 loop {
-                    let Ok((conn, _)) = listener.accept().await else { continue };
-                    let node = Serving { inner: inner.clone(), world: serving.clone(), door: no };
+                    let Ok((conn, _)) = listener.accept().await else {
+                        continue;
+                    };
+                    let node = Serving {
+                        inner: inner.clone(),
+                        world: serving.clone(),
+                        door: no,
+                    };
                     let tasks = Tasks(serving.clone());
                     let conn = Link::over(conn, &inner, &serving);
                     serving.run(async move {
@@ -441,7 +543,11 @@
         let (inner, clock) = (self.inner.clone(), world.clone());
         // A restart gives every lease its whole time again, as etcd does.
         let now = world.now();
-        self.inner.lock().leases.values_mut().for_each(|l| l.ends = now + l.ttl as u64 * 1_000_000);
+        self.inner
+            .lock()
+            .leases
+            .values_mut()
+            .for_each(|l| l.ends = now + l.ttl as u64 * 1_000_000);
         world.clone().run(async move {
             loop {
                 clock.sleep(50_000).await;
@@ -459,7 +565,10 @@
         self.inner.change(|data| {
             // Ids of leases are never given twice, whatever was forgotten.
             let next_lease = data.next_lease;
-            *data = Data { next_lease, ..Data::new(data.cluster + 1) };
+            *data = Data {
+                next_lease,
+                ..Data::new(data.cluster + 1)
+            };
         });
     }
     /// What it holds now.
@@ -478,10 +587,23 @@
     /// Holds what a copy holds, under its old name: revisions may go back. Leases have their whole time again, and
     /// watches end.
     pub fn restore(&self, copy: Copy) {
-        let now = self.clock.lock().unwrap_or_else(PoisonError::into_inner).as_ref().map_or(0, |w| w.now());
+        let now = self
+            .clock
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .as_ref()
+            .map_or(0, |w| w.now());
         self.inner.change(|data| {
             let ends = |ttl: i64| now + ttl as u64 * 1_000_000;
-            let leases = copy.leases.iter().map(|(id, ttl)| (*id, Granted { ttl: *ttl, ends: ends(*ttl) }));
+            let leases = copy.leases.iter().map(|(id, ttl)| {
+                (
+                    *id,
+                    Granted {
+                        ttl: *ttl,
+                        ends: ends(*ttl),
+                    },
+                )
+            });
             *data = Data {
                 cluster: copy.cluster,
                 revision: copy.revision,
@@ -505,7 +627,11 @@
     pub fn put(&self, key: &str, value: &str) -> i64 {
         self.inner.change(|data| {
             data.revision += 1;
-            let ask = pb::PutRequest { key: key.into(), value: value.into(), ..Default::default() };
+            let ask = pb::PutRequest {
+                key: key.into(),
+                value: value.into(),
+                ..Default::default()
+            };
             // A key without a lease is always taken.
             let _ = data.put(&ask, data.revision);
             data.revision
@@ -516,7 +642,12 @@
         self.inner.change(|data| {
             data.revision += 1;
             let (key, value) = (key.into(), value.into());
-            let ask = pb::PutRequest { key, value, ignore_lease: true, ..Default::default() };
+            let ask = pb::PutRequest {
+                key,
+                value,
+                ignore_lease: true,
+                ..Default::default()
+            };
             // A key that is not there has no lease: nothing is written.
             let _ = data.put(&ask, data.revision);
             data.revision
@@ -526,7 +657,13 @@
     pub fn delete(&self, key: &str) -> i64 {
         self.inner.change(|data| {
             data.revision += 1;
-            data.delete(&pb::DeleteRangeRequest { key: key.into(), ..Default::default() }, data.revision);
+            data.delete(
+                &pb::DeleteRangeRequest {
+                    key: key.into(),
+                    ..Default::default()
+                },
+                data.revision,
+            );
             data.revision
         })
     }
@@ -549,11 +686,18 @@
     /// A key's value.
     pub fn value(&self, key: &str) -> Option<String> {
         let data = self.inner.lock();
-        data.keys.get(key.as_bytes()).map(|kv| String::from_utf8_lossy(&kv.value).into_owned())
+        data.keys
+            .get(key.as_bytes())
+            .map(|kv| String::from_utf8_lossy(&kv.value).into_owned())
     }
     /// Keys that it holds.
     pub fn keys(&self) -> Vec<String> {
-        self.inner.lock().keys.keys().map(|k| String::from_utf8_lossy(k).into_owned()).collect()
+        self.inner
+            .lock()
+            .keys
+            .keys()
+            .map(|k| String::from_utf8_lossy(k).into_owned())
+            .collect()
     }
 }
 
@@ -565,7 +709,8 @@
 
 fn compact(data: &mut Data, revision: i64) {
     data.compacted = data.compacted.max(revision);
-    data.history.retain(|e| e.kv.as_ref().is_some_and(|kv| kv.mod_revision > revision));
+    data.history
+        .retain(|e| e.kv.as_ref().is_some_and(|kv| kv.mod_revision > revision));
 }
 
 /// Serves one process's calls.
@@ -587,7 +732,13 @@
         Poll::Ready(Ok(()))
     }
     fn call(&mut self, request: http::Request<Incoming>) -> Self::Future {
-        let service = request.uri().path().split('/').nth(1).unwrap_or_default().to_owned();
+        let service = request
+            .uri()
+            .path()
+            .split('/')
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned();
         let me = self.clone();
         Box::pin(async move {
             let hangs = me.inner.lock().faults.hang;
@@ -615,7 +766,12 @@
             // It does not arrive.
             return;
         }
-        let witness = self.inner.witness.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let witness = self
+            .inner
+            .witness
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         if let Some(witness) = witness {
             witness(self.door, shown);
         }
@@ -624,9 +780,12 @@
         let data = self.inner.lock();
         let (wanted, (number, ends)) = (data.faults.login.is_some(), data.token);
         // The API's own name, and the one that its HTTP gateway passes on.
-        let given = headers.get("token").or_else(|| headers.get("authorization"));
+        let given = headers
+            .get("token")
+            .or_else(|| headers.get("authorization"));
         let given = given.and_then(|t| t.to_str().ok());
-        let known = number > 0 && given == Some(&format!("token.{number}")[..]) && self.world.now() < ends;
+        let known =
+            number > 0 && given == Some(&format!("token.{number}")[..]) && self.world.now() < ends;
         match !wanted || service == "etcdserverpb.Auth" || known {
             true => Ok(()),
             false => Err(Status::unauthenticated("etcdserver: invalid auth token")),
@@ -650,13 +809,19 @@
 
 #[tonic::async_trait]
 impl Kv for Serving {
-    async fn range(&self, ask: Request<pb::RangeRequest>) -> Result<Response<pb::RangeResponse>, Status> {
+    async fn range(
+        &self,
+        ask: Request<pb::RangeRequest>,
+    ) -> Result<Response<pb::RangeResponse>, Status> {
         let reply = {
             let data = self.inner.lock();
             let behind = data.faults.behind.get(self.door).copied().unwrap_or(0);
             match ask.get_ref().revision {
                 0 if behind > 0 => {
-                    let asked = pb::RangeRequest { revision: behind, ..ask.get_ref().clone() };
+                    let asked = pb::RangeRequest {
+                        revision: behind,
+                        ..ask.get_ref().clone()
+                    };
                     let mut reply = data.range(&asked)?;
                     reply.header.iter_mut().for_each(|h| h.revision = behind);
                     reply
@@ -689,13 +854,19 @@
         let revision = ask.get_ref().revision;
         self.inner.change(|data| {
             if revision > data.revision {
-                return Err(Status::out_of_range("etcdserver: mvcc: required revision is a future revision"));
+                return Err(Status::out_of_range(
+                    "etcdserver: mvcc: required revision is a future revision",
+                ));
             }
             if revision <= data.compacted {
-                return Err(Status::out_of_range("etcdserver: mvcc: required revision has been compacted"));
+                return Err(Status::out_of_range(
+                    "etcdserver: mvcc: required revision has been compacted",
+                ));
             }
             compact(data, revision);
-            Ok(Response::new(pb::CompactionResponse { header: data.header() }))
+            Ok(Response::new(pb::CompactionResponse {
+                header: data.header(),
+            }))
         })
     }
 }
@@ -720,11 +891,16 @@
                         let id = next_id;
                         next_id += 1;
                         let (one, tell) = (me.clone(), tell.clone());
-                        me.world.run(async move { one.follow(create, id, tell).await });
+                        me.world
+                            .run(async move { one.follow(create, id, tell).await });
                     }
                     Some(RequestUnion::ProgressRequest(_)) => {
                         let header = me.inner.lock().header();
-                        let progress = pb::WatchResponse { header, watch_id: -1, ..Default::default() };
+                        let progress = pb::WatchResponse {
+                            header,
+                            watch_id: -1,
+                            ..Default::default()
+                        };
                         let _ = tell.send(Ok(progress)).await;
                     }
                     // One watch a stream is all that is needed here: its end is the stream's.
@@ -745,11 +921,27 @@
     ) {
         let (mut next, cancels, cluster, first) = {
             let data = self.inner.lock();
-            let next = if create.start_revision > 0 { create.start_revision } else { data.revision + 1 };
+            let next = if create.start_revision > 0 {
+                create.start_revision
+            } else {
+                data.revision + 1
+            };
             (next, data.cancel_watches, data.cluster, data.header())
         };
-        let say = |response: pb::WatchResponse| tell.send(Ok(pb::WatchResponse { watch_id, ..response }));
-        if say(pb::WatchResponse { header: first, created: true, ..Default::default() }).await.is_err() {
+        let say = |response: pb::WatchResponse| {
+            tell.send(Ok(pb::WatchResponse {
+                watch_id,
+                ..response
+            }))
+        };
+        if say(pb::WatchResponse {
+            header: first,
+            created: true,
+            ..Default::default()
+        })
+        .await
+        .is_err()
+        {
             return;
         }
         loop {
@@ -759,15 +951,20 @@
                 let header = data.header();
                 if data.cluster != cluster || data.cancel_watches != cancels {
                     let cancel_reason = "etcdserver: no leader".to_string();
-                    let end =
-                        pb::WatchResponse { header, canceled: true, cancel_reason, ..Default::default() };
+                    let end = pb::WatchResponse {
+                        header,
+                        canceled: true,
+                        cancel_reason,
+                        ..Default::default()
+                    };
                     (header, vec![], Some(end))
                 } else if next <= data.compacted {
                     let end = pb::WatchResponse {
                         header,
                         canceled: true,
                         compact_revision: data.compacted,
-                        cancel_reason: "etcdserver: mvcc: required revision has been compacted".into(),
+                        cancel_reason: "etcdserver: mvcc: required revision has been compacted"
+                            .into(),
                         ..Default::default()
                     };
                     (header, vec![], Some(end))
@@ -781,7 +978,8 @@
                             EventType::Delete => pb::watch_create_request::FilterType::Nodelete,
                         };
                         kv.is_some_and(|kv| {
-                            kv.mod_revision >= next && Data::inside(&kv.key, &create.key, &create.range_end)
+                            kv.mod_revision >= next
+                                && Data::inside(&kv.key, &create.key, &create.range_end)
                         }) && !create.filters.contains(&filter.into())
                     };
                     let show = |e: &Event| Event {
@@ -806,14 +1004,22 @@
                     self.world.sleep(wait).await;
                 }
             }
-            let parts = if create.fragment { FRAGMENT } else { usize::MAX };
+            let parts = if create.fragment {
+                FRAGMENT
+            } else {
+                usize::MAX
+            };
             let count = events.len();
             for (i, part) in events.chunks(parts).enumerate() {
                 let fragment = (i + 1).saturating_mul(parts) < count;
                 // Before it leaves: nobody is told later than this says.
                 self.show(Shown::Events(part));
-                let part =
-                    pb::WatchResponse { header, fragment, events: part.to_vec(), ..Default::default() };
+                let part = pb::WatchResponse {
+                    header,
+                    fragment,
+                    events: part.to_vec(),
+                    ..Default::default()
+                };
                 if say(part).await.is_err() {
                     return;
                 }
@@ -859,7 +1065,14 @@
 impl Link {
     fn over(conn: Conn, inner: &Arc<Inner>, world: &WorldRef) -> Conn {
         let (inner, world) = (inner.clone(), world.clone());
-        Box::new(Link { conn, inner, world, free: 0, timer: None, stuck: 0 })
+        Box::new(Link {
+            conn,
+            inner,
+            world,
+            free: 0,
+            timer: None,
+            stuck: 0,
+        })
     }
 }
 
@@ -895,7 +1108,11 @@
         // Once a byte was lost on the way, nothing after it arrives either.
         if half_open || self.stuck > 0 {
             self.stuck += buf.len();
-            return if self.stuck > MOST_STUCK { Poll::Pending } else { Poll::Ready(Ok(buf.len())) };
+            return if self.stuck > MOST_STUCK {
+                Poll::Pending
+            } else {
+                Poll::Ready(Ok(buf.len()))
+            };
         }
         if rate == 0 {
             return Pin::new(&mut self.conn).poll_write(cx, buf);
@@ -937,10 +1154,23 @@
             data.next_lease += 1;
             let id = if wanted != 0 { wanted } else { data.next_lease };
             if data.leases.contains_key(&id) {
-                return Err(Status::failed_precondition("etcdserver: lease already exists"));
+                return Err(Status::failed_precondition(
+                    "etcdserver: lease already exists",
+                ));
             }
-            data.leases.insert(id, Granted { ttl, ends: now + ttl as u64 * 1_000_000 });
-            Ok(Response::new(pb::LeaseGrantResponse { header: data.header(), id, ttl, error: String::new() }))
+            data.leases.insert(
+                id,
+                Granted {
+                    ttl,
+                    ends: now + ttl as u64 * 1_000_000,
+                },
+            );
+            Ok(Response::new(pb::LeaseGrantResponse {
+                header: data.header(),
+                id,
+                ttl,
+                error: String::new(),
+            }))
         })
     }
     async fn lease_revoke(
@@ -953,7 +1183,9 @@
                 return Err(Status::not_found("etcdserver: requested lease not found"));
             }
             data.revoke(id);
-            Ok(Response::new(pb::LeaseRevokeResponse { header: data.header() }))
+            Ok(Response::new(pb::LeaseRevokeResponse {
+                header: data.header(),
+            }))
         })
     }
     async fn lease_keep_alive(
@@ -987,7 +1219,12 @@
             id,
             ttl: found.map_or(-1, |l| (l.ends.saturating_sub(now) / 1_000_000) as i64),
             granted_ttl: found.map_or(0, |l| l.ttl),
-            keys: data.keys.values().filter(of).map(|kv| kv.key.clone()).collect(),
+            keys: data
+                .keys
+                .values()
+                .filter(of)
+                .map(|kv| kv.key.clone())
+                .collect(),
         }))
     }
 }
@@ -1002,15 +1239,24 @@
         let given = Some((ask.get_ref().name.clone(), ask.get_ref().password.clone()));
         match data.faults.login {
             Some(_) if data.faults.login == given => {
-                let life = if data.faults.token_life > 0 { data.faults.token_life } else { Micros::MAX };
+                let life = if data.faults.token_life > 0 {
+                    data.faults.token_life
+                } else {
+                    Micros::MAX
+                };
                 data.token = (data.token.0 + 1, self.world.now().saturating_add(life));
                 let token = format!("token.{}", data.token.0);
-                Ok(Response::new(pb::AuthenticateResponse { header: data.header(), token }))
+                Ok(Response::new(pb::AuthenticateResponse {
+                    header: data.header(),
+                    token,
+                }))
             }
             Some(_) => Err(Status::invalid_argument(
                 "etcdserver: authentication failed, invalid user ID or password",
             )),
-            None => Err(Status::failed_precondition("etcdserver: authentication is not enabled")),
+            None => Err(Status::failed_precondition(
+                "etcdserver: authentication is not enabled",
+            )),
         }
     }
 }
--- a/crates/ivyward-standins/src/platform/discovery.rs
+++ b/crates/ivyward-standins/src/platform/discovery.rs
@@ -61,7 +61,11 @@
 impl Discovery {
     /// A list with these engines.
     pub fn new(entries: Vec<Entry>) -> Discovery {
-        Discovery(Arc::new(Mutex::new(State { version: 1, entries, ..State::default() })))
+        Discovery(Arc::new(Mutex::new(State {
+            version: 1,
+            entries,
+            ..State::default()
+        })))
     }
     fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -77,7 +81,11 @@
     /// The list's text, as a node may have held it.
     pub fn text(&self) -> String {
         let state = self.lock();
-        let answer = Answer { version: state.version, full: true, servers: &state.entries };
+        let answer = Answer {
+            version: state.version,
+            full: true,
+            servers: &state.entries,
+        };
         serde_json::to_string(&answer).unwrap_or_default()
     }
     /// Whether it answers.
@@ -93,7 +101,12 @@
     ///
     /// # Errors
     /// When it cannot listen.
-    pub fn serve(&self, world: &WorldRef, log: &ObservationLog, node: usize) -> std::io::Result<SocketAddr> {
+    pub fn serve(
+        &self,
+        world: &WorldRef,
+        log: &ObservationLog,
+        node: usize,
+    ) -> std::io::Result<SocketAddr> {
         let mut listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
         let (discovery, world, log) = (self.clone(), world.clone(), log.clone());
@@ -129,7 +142,10 @@
                 }
             }
             let (text, draining) = self.news(from);
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+            let answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+                text.len()
+            );
             if conn.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
@@ -156,9 +172,19 @@
     fn news(&self, from: Option<u64>) -> (String, Vec<usize>) {
         let state = self.lock();
         if from == Some(state.version) {
-            return (format!(r#"{{"version":{},"full":false,"servers":[]}}"#, state.version), Vec::new());
+            return (
+                format!(
+                    r#"{{"version":{},"full":false,"servers":[]}}"#,
+                    state.version
+                ),
+                Vec::new(),
+            );
         }
-        let answer = Answer { version: state.version, full: true, servers: &state.entries };
+        let answer = Answer {
+            version: state.version,
+            full: true,
+            servers: &state.entries,
+        };
         let drain = |(i, entry): (usize, &Entry)| (entry.state == "draining").then_some(i);
         let draining = state.entries.iter().enumerate().filter_map(drain).collect();
         (serde_json::to_string(&answer).unwrap_or_default(), draining)
--- a/crates/ivyward-standins/src/platform/engine.rs
+++ b/crates/ivyward-standins/src/platform/engine.rs
@@ -76,7 +76,10 @@
     ) -> std::io::Result<(PlatformEngine, SocketAddr)> {
         let listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
-        let troubles = Troubles { slower: 1.0, ..Troubles::default() };
+        let troubles = Troubles {
+            slower: 1.0,
+            ..Troubles::default()
+        };
         let state = State { troubles, run: 0 };
         let engine = PlatformEngine {
             world: world.clone(),
@@ -113,7 +116,10 @@
             state.run += 1;
             lock(&self.platform.held).retain(|_, at| *at != self.index);
             drop(state);
-            self.log.add(self.world.now(), Observation::EngineEnded { engine: self.index });
+            self.log.add(
+                self.world.now(),
+                Observation::EngineEnded { engine: self.index },
+            );
         }
     }
 
@@ -178,11 +184,13 @@
         // A release counts when it came.
         if !self.troubles().hangs {
             lock(&self.platform.held).remove(id);
-            self.log.add(self.world.now(), Observation::Freed { id: id.into() });
+            self.log
+                .add(self.world.now(), Observation::Freed { id: id.into() });
         }
         self.work(0).await;
         lock(&self.platform.held).remove(id);
-        self.log.add(self.world.now(), Observation::Freed { id: id.into() });
+        self.log
+            .add(self.world.now(), Observation::Freed { id: id.into() });
         say(conn, "HTTP/1.1 204 No Content\r\n\r\n").await
     }
 
@@ -212,9 +220,16 @@
             dropped,
         };
         self.log.add(self.world.now(), arrived);
-        let _over = Over { engine: self, attempt };
+        let _over = Over {
+            engine: self,
+            attempt,
+        };
         if turned_away {
-            return say(conn, "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n").await;
+            return say(
+                conn,
+                "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
+            )
+            .await;
         }
         let run = async {
             match self.reads {
@@ -228,7 +243,8 @@
         }
         match self.reads {
             true => {
-                let answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}";
+                let answer =
+                    "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}";
                 say(conn, answer).await
             }
             false => self.stream(conn, &id).await,
@@ -238,7 +254,8 @@
     async fn read(&self, id: &str) -> bool {
         self.work(self.work).await;
         lock(&self.platform.held).insert(id.into(), self.index);
-        self.log.add(self.world.now(), Observation::Holds { id: id.into() });
+        self.log
+            .add(self.world.now(), Observation::Holds { id: id.into() });
         true
     }
 
@@ -251,7 +268,8 @@
             return false;
         }
         if lock(&self.platform.held).remove(id).is_some() {
-            self.log.add(self.world.now(), Observation::Freed { id: id.into() });
+            self.log
+                .add(self.world.now(), Observation::Freed { id: id.into() });
         }
         let breaks = self.world.random() % 100 < self.troubles().breaks_percent;
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -264,7 +282,8 @@
                 format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"a{n}\"}},\"finish_reason\":{stop}}}]}}\n\n");
             let said = say(conn, &chunk(&event)).await;
             if said && breaks && n == 1 {
-                self.log.add(self.world.now(), Observation::StreamBroke { id: id.into() });
+                self.log
+                    .add(self.world.now(), Observation::StreamBroke { id: id.into() });
             }
             if !said || (breaks && n == 1) {
                 return false;
@@ -272,7 +291,11 @@
             self.work(self.work / 4).await;
         }
         let usage = "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n";
-        say(conn, &format!("{}{}0\r\n\r\n", chunk(usage), chunk("data: [DONE]\n\n"))).await
+        say(
+            conn,
+            &format!("{}{}0\r\n\r\n", chunk(usage), chunk("data: [DONE]\n\n")),
+        )
+        .await
     }
 }
 
@@ -284,7 +307,12 @@
 
 impl Drop for Over<'_> {
     fn drop(&mut self) {
-        self.engine.log.add(self.engine.world.now(), Observation::Ended { attempt: self.attempt });
+        self.engine.log.add(
+            self.engine.world.now(),
+            Observation::Ended {
+                attempt: self.attempt,
+            },
+        );
     }
 }
 
--- a/crates/ivyward-standins/src/platform/exchange.rs
+++ b/crates/ivyward-standins/src/platform/exchange.rs
@@ -5,7 +5,12 @@
 use ivyward_world::{Conn, Micros, WorldRef};
 
 /// Bounds of what is read.
-pub const LIMITS: Limits = Limits { head: 16 << 10, headers: 64, body: 1 << 20, chunk: 1 << 20 };
+pub const LIMITS: Limits = Limits {
+    head: 16 << 10,
+    headers: 64,
+    body: 1 << 20,
+    chunk: 1 << 20,
+};
 const PIECE: usize = 4_096;
 
 /// An answer as a client sees it.
@@ -32,10 +37,13 @@
 /// # Panics
 /// When what comes is no HTTP: no stand-in goes on from there.
 pub async fn read_answer(world: &WorldRef, conn: &mut Conn) -> Got {
-    let (mut bytes, mut out, mut body): (Vec<u8>, Got, Option<Body>) = (Vec::new(), Got::default(), None);
+    let (mut bytes, mut out, mut body): (Vec<u8>, Got, Option<Body>) =
+        (Vec::new(), Got::default(), None);
     loop {
         if body.is_none() {
-            if let Some((answer, used)) = Answer::read(&bytes, &LIMITS).expect("an answer that can be read") {
+            if let Some((answer, used)) =
+                Answer::read(&bytes, &LIMITS).expect("an answer that can be read")
+            {
                 bytes.drain(..used);
                 out.status = answer.status;
                 out.closes = !answer.head.keeps();
@@ -51,7 +59,13 @@
             }
             bytes.drain(..used);
             match step {
-                Step::Done => return Got { whole: true, at: world.now(), ..out },
+                Step::Done => {
+                    return Got {
+                        whole: true,
+                        at: world.now(),
+                        ..out
+                    }
+                }
                 Step::More => break,
                 Step::Data(_) => {}
             }
@@ -59,7 +73,12 @@
         let mut piece = [0; PIECE];
         match conn.read(&mut piece).await {
             Ok(n) if n > 0 => bytes.extend_from_slice(&piece[..n]),
-            _ => return Got { at: world.now(), ..out },
+            _ => {
+                return Got {
+                    at: world.now(),
+                    ..out
+                }
+            }
         }
     }
 }
--- a/crates/ivyward-standins/src/platform/observe.rs
+++ b/crates/ivyward-standins/src/platform/observe.rs
@@ -146,11 +146,18 @@
 impl ObservationLog {
     /// Adds an observation.
     pub fn add(&self, at: Micros, observation: Observation) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((at, observation));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push((at, observation));
     }
     /// All of them so far, by time.
     pub fn all(&self) -> Vec<(Micros, Observation)> {
-        let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut all = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         all.sort_by_key(|(at, _)| *at);
         all
     }
--- a/crates/ivyward-standins/src/sight.rs
+++ b/crates/ivyward-standins/src/sight.rs
@@ -232,17 +232,28 @@
 
     /// An empty log with a clock.
     pub fn new(world: &WorldRef) -> Log {
-        Log { world: world.clone(), seen: Arc::default(), beside: Arc::default(), most: Log::MOST }
+        Log {
+            world: world.clone(),
+            seen: Arc::default(),
+            beside: Arc::default(),
+            most: Log::MOST,
+        }
     }
     /// A log that keeps nothing, for measurements in which memory counts.
     pub fn forgetful(world: &WorldRef) -> Log {
-        Log { most: 0, ..Log::new(world) }
+        Log {
+            most: 0,
+            ..Log::new(world)
+        }
     }
     /// Adds what is seen now.
     pub fn add(&self, what: Sight) {
         // The clock is read inside the lock, so that entries stand in the order of their times.
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        let one = Seen { at: self.world.now(), what };
+        let one = Seen {
+            at: self.world.now(),
+            what,
+        };
         if seen.len() < self.most {
             seen.push(one);
         }
@@ -259,7 +270,11 @@
     }
     /// Whether it took all that it takes.
     pub fn full(&self) -> bool {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).len() >= self.most
+        self.seen
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .len()
+            >= self.most
     }
     /// The log's clock.
     pub fn now(&self) -> Micros {
@@ -267,6 +282,9 @@
     }
     /// All that was seen so far, in order.
     pub fn all(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.seen
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
--- a/crates/ivyward-standins/src/text.rs
+++ b/crates/ivyward-standins/src/text.rs
@@ -8,9 +8,9 @@
 
 /// A number for a prompt.
 pub fn digest(prompt: &[u32]) -> u64 {
-    prompt
-        .iter()
-        .fold(0x9e37_79b9_7f4a_7c15, |h, t| mix(h ^ u64::from(*t)).wrapping_add(0x1234_5678_9abc_def1))
+    prompt.iter().fold(0x9e37_79b9_7f4a_7c15, |h, t| {
+        mix(h ^ u64::from(*t)).wrapping_add(0x1234_5678_9abc_def1)
+    })
 }
 
 /// Tokens in the answer to a prompt: from half of what may be asked for up to all of it.
@@ -27,5 +27,7 @@
 /// The whole answer.
 pub fn answer(prompt: &[u32], most: u32) -> Vec<u32> {
     let digest = digest(prompt);
-    (0..length(digest, most)).map(|i| token(digest, i)).collect()
+    (0..length(digest, most))
+        .map(|i| token(digest, i))
+        .collect()
 }
--- a/crates/ivyward-wire/src/call.rs
+++ b/crates/ivyward-wire/src/call.rs
@@ -57,10 +57,21 @@
 
 impl Status {
     fn from_headers(headers: HeaderMap) -> Option<Status> {
-        let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
+        let text = |name: &str| {
+            headers
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .map(str::to_owned)
+        };
         let code = text("grpc-status")?.parse().unwrap_or(2);
-        let message = text("grpc-message").map(|m| unescape(&m)).unwrap_or_default();
-        Some(Status { code, message, metadata: headers })
+        let message = text("grpc-message")
+            .map(|m| unescape(&m))
+            .unwrap_or_default();
+        Some(Status {
+            code,
+            message,
+            metadata: headers,
+        })
     }
 }
 
@@ -163,12 +174,16 @@
     fn broken(&mut self, error: &h2::Error) -> CallError {
         self.over = true;
         let trace = &self.channel.trace;
-        let refused = error.is_reset() && error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM);
+        let refused =
+            error.is_reset() && error.is_remote() && error.reason() == Some(Reason::REFUSED_STREAM);
         // Below a GOAWAY's last stream, or once HEADERS left, the server may have worked on it.
         let never_ran = refused || trace.disowned(self.stream) || !trace.left(self.stream);
         let text = error.to_string();
-        let cause =
-            if error.is_reset() && error.is_remote() { Cause::Reset(text) } else { Cause::Broken(text) };
+        let cause = if error.is_reset() && error.is_remote() {
+            Cause::Reset(text)
+        } else {
+            Cause::Broken(text)
+        };
         CallError { cause, never_ran }
     }
 
@@ -177,7 +192,12 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Result<Option<M>, CallError>> {
-        let failed = |cause| Poll::Ready(Err(CallError { cause, never_ran: false }));
+        let failed = |cause| {
+            Poll::Ready(Err(CallError {
+                cause,
+                never_ran: false,
+            }))
+        };
         self.poll_upload(cx);
         loop {
             match &mut self.answer {
@@ -195,9 +215,15 @@
                             };
                         }
                         if head.status != http::StatusCode::OK {
-                            let message =
-                                format!("HTTP status {} instead of a gRPC answer", head.status.as_u16());
-                            return failed(Cause::Status(Status { code: 2, message, ..Status::default() }));
+                            let message = format!(
+                                "HTTP status {} instead of a gRPC answer",
+                                head.status.as_u16()
+                            );
+                            return failed(Cause::Status(Status {
+                                code: 2,
+                                message,
+                                ..Status::default()
+                            }));
                         }
                         self.answer = Answer::Body(body);
                     }
--- a/crates/ivyward-wire/src/channel.rs
+++ b/crates/ivyward-wire/src/channel.rs
@@ -52,7 +52,9 @@
     /// of the smallest frames, which is what bounds the memory then.
     fn frame_budget(&self) -> usize {
         let frames = self.stream_window as usize / LEAST_FRAME + 1;
-        (self.streams as usize).saturating_mul(frames).saturating_mul(FRAME_COST)
+        (self.streams as usize)
+            .saturating_mul(frames)
+            .saturating_mul(FRAME_COST)
     }
 }
 
@@ -90,7 +92,11 @@
     ///
     /// # Errors
     /// When the preface cannot be written.
-    pub async fn begin(world: &WorldRef, conn: Conn, options: Options) -> Result<Channel, h2::Error> {
+    pub async fn begin(
+        world: &WorldRef,
+        conn: Conn,
+        options: Options,
+    ) -> Result<Channel, h2::Error> {
         Channel::begin_resting(world, conn, options, None).await
     }
 
@@ -106,7 +112,10 @@
     ) -> Result<Channel, h2::Error> {
         let trace = Arc::new(Trace::default());
         let watched = Watched::new(conn, trace.clone(), world.clone());
-        let window = options.stream_window.saturating_mul(options.streams).max(1 << 16);
+        let window = options
+            .stream_window
+            .saturating_mul(options.streams)
+            .max(1 << 16);
         let (send, mut connection) = h2::client::Builder::new()
             .initial_window_size(options.stream_window)
             .initial_connection_window_size(window.min((1 << 31) - 1))
@@ -145,7 +154,15 @@
             task_trace.close();
         });
         let unanswered = Arc::new(AtomicU64::new(ALL_ANSWERED));
-        Ok(Channel { send, trace, close, activity, unanswered, options, world: world.clone() })
+        Ok(Channel {
+            send,
+            trace,
+            close,
+            activity,
+            unanswered,
+            options,
+            world: world.clone(),
+        })
     }
 
     /// Whether new calls may be made on it.
@@ -187,7 +204,10 @@
         let seen = self.trace.received();
         self.activity.ask_check();
         let by = self.world.now().saturating_add(within);
-        if before(&self.world, by, self.stirred_since(seen)).await.is_none() {
+        if before(&self.world, by, self.stirred_since(seen))
+            .await
+            .is_none()
+        {
             // Guards against a process that was not scheduled meanwhile: what has come is read before it counts as nothing.
             self.world.sleep(READ_WHAT_CAME).await;
         }
@@ -211,8 +231,21 @@
     ///
     /// # Errors
     /// When the call could not even begin; it never ran then.
-    pub async fn call(&self, path: &'static str, body: Bytes, headers: HeaderMap) -> Result<Call, CallError> {
-        self.begin_call(path, body, Opening { headers, ..Opening::default() }).await
+    pub async fn call(
+        &self,
+        path: &'static str,
+        body: Bytes,
+        headers: HeaderMap,
+    ) -> Result<Call, CallError> {
+        self.begin_call(
+            path,
+            body,
+            Opening {
+                headers,
+                ..Opening::default()
+            },
+        )
+        .await
     }
 
     /// Makes a call with one request message, and tells the server how long its answer is waited for: what is left to
@@ -226,19 +259,49 @@
         body: Bytes,
         deadline: Option<Micros>,
     ) -> Result<Call, CallError> {
-        self.begin_call(path, body, Opening { deadline, ..Opening::default() }).await
+        self.begin_call(
+            path,
+            body,
+            Opening {
+                deadline,
+                ..Opening::default()
+            },
+        )
+        .await
     }
 
     /// Makes a call whose request goes on: more messages follow by [`Call::send`].
     ///
     /// # Errors
     /// When the call could not even begin; it never ran then.
-    pub async fn open(&self, path: &'static str, body: Bytes, headers: HeaderMap) -> Result<Call, CallError> {
-        self.begin_call(path, body, Opening { headers, more: true, ..Opening::default() }).await
+    pub async fn open(
+        &self,
+        path: &'static str,
+        body: Bytes,
+        headers: HeaderMap,
+    ) -> Result<Call, CallError> {
+        self.begin_call(
+            path,
+            body,
+            Opening {
+                headers,
+                more: true,
+                ..Opening::default()
+            },
+        )
+        .await
     }
 
-    async fn begin_call(&self, path: &'static str, body: Bytes, opening: Opening) -> Result<Call, CallError> {
-        let never = |cause| CallError { cause, never_ran: true };
+    async fn begin_call(
+        &self,
+        path: &'static str,
+        body: Bytes,
+        opening: Opening,
+    ) -> Result<Call, CallError> {
+        let never = |cause| CallError {
+            cause,
+            never_ran: true,
+        };
         let broken = |e: h2::Error| never(Cause::Broken(e.to_string()));
         let mut send = self.send.clone().ready().await.map_err(broken)?;
         let mut request = Request::new(());
@@ -258,11 +321,16 @@
             }
             let value = HeaderValue::from_str(&encode_timeout(left));
             let value = value.map_err(|e| never(Cause::Broken(e.to_string())))?;
-            request.headers_mut().insert(HeaderName::from_static(TIMEOUT_HEADER), value);
+            request
+                .headers_mut()
+                .insert(HeaderName::from_static(TIMEOUT_HEADER), value);
         }
         let fixed = [("content-type", "application/grpc"), ("te", "trailers")];
         for (name, value) in fixed {
-            request.headers_mut().insert(HeaderName::from_static(name), HeaderValue::from_static(value));
+            request.headers_mut().insert(
+                HeaderName::from_static(name),
+                HeaderValue::from_static(value),
+            );
         }
         let counted = Counted::begin(&self.activity);
         let streams = send.send_request(request, false).map_err(broken)?;
--- a/crates/ivyward-wire/src/frame.rs
+++ b/crates/ivyward-wire/src/frame.rs
@@ -49,7 +49,10 @@
 impl Decoder {
     /// A decoder that refuses messages of more than `most` bytes.
     pub fn new(most: usize) -> Decoder {
-        Decoder { held: BytesMut::new(), most }
+        Decoder {
+            held: BytesMut::new(),
+            most,
+        }
     }
     /// Takes in a chunk.
     pub fn push(&mut self, chunk: &[u8]) {
@@ -64,20 +67,27 @@
     /// # Errors
     /// [`FrameError`] when the bytes are not what was agreed on; the stream is of no more use.
     pub fn pop<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
-        let Some(prefix) = self.held.get(..PREFIX) else { return Ok(None) };
+        let Some(prefix) = self.held.get(..PREFIX) else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes([prefix[1], prefix[2], prefix[3], prefix[4]]) as usize;
         if prefix[0] != 0 {
             return Err(FrameError::Compressed);
         }
         if length > self.most {
-            return Err(FrameError::TooLarge { got: length, most: self.most });
+            return Err(FrameError::TooLarge {
+                got: length,
+                most: self.most,
+            });
         }
         if self.held.len() < PREFIX + length {
             return Ok(None);
         }
         self.held.advance(PREFIX);
         let body = self.held.split_to(length);
-        M::decode(body).map(Some).map_err(|e| FrameError::Malformed(e.to_string()))
+        M::decode(body)
+            .map(Some)
+            .map_err(|e| FrameError::Malformed(e.to_string()))
     }
 }
 
--- a/crates/ivyward-wire/src/keepalive.rs
+++ b/crates/ivyward-wire/src/keepalive.rs
@@ -104,13 +104,21 @@
 
     async fn ping(&self, pings: &mut h2::PingPong) -> bool {
         let by = self.world.now().saturating_add(self.options.ping_timeout);
-        matches!(before(&self.world, by, pings.ping(h2::Ping::opaque())).await, Some(Ok(_)))
+        matches!(
+            before(&self.world, by, pings.ping(h2::Ping::opaque())).await,
+            Some(Ok(_))
+        )
     }
 
     /// Waits until nothing came in for a whole span, counted from when the connection was taken up.
     async fn in_use(&self) -> Wait {
         let began = self.world.now();
-        let silent_at = || self.trace.heard().max(began).saturating_add(self.options.ping_every);
+        let silent_at = || {
+            self.trace
+                .heard()
+                .max(began)
+                .saturating_add(self.options.ping_every)
+        };
         loop {
             if self.asked_before(silent_at()).await {
                 return Wait::Ping;
--- a/crates/ivyward-wire/src/watch.rs
+++ b/crates/ivyward-wire/src/watch.rs
@@ -178,7 +178,10 @@
             conn,
             trace,
             world,
-            out: Follower { skip: PREFACE, ..Follower::default() },
+            out: Follower {
+                skip: PREFACE,
+                ..Follower::default()
+            },
             back: Follower::default(),
         }
     }
@@ -189,7 +192,11 @@
 }
 
 impl AsyncRead for Watched {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let me = &mut *self;
         let got = ready!(Pin::new(&mut me.conn).poll_read(cx, buf))?;
         let trace = &me.trace;
@@ -206,7 +213,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let put = ready!(Pin::new(&mut self.conn).poll_write(cx, buf))?;
         self.note_out(&buf[..put]);
         Poll::Ready(Ok(put))
