--- a/crates/ivyward-wire/src/watch/tests.rs
+++ b/crates/ivyward-wire/src/watch/tests.rs
@@ -21,12 +21,21 @@
     for size in [1, 2, 3, 8, 9, 10, 13, 100, bytes.len()] {
         let (mut follower, mut got) = (Follower::default(), Vec::new());
         for chunk in bytes.chunks(size) {
-            follower.follow(chunk, |head, body| got.push((head.kind, head.stream, body.to_vec())));
+            follower.follow(chunk, |head, body| {
+                got.push((head.kind, head.stream, body.to_vec()))
+            });
         }
         let kinds: Vec<(u8, u32)> = got.iter().map(|g| (g.0, g.1)).collect();
         assert_eq!(
             kinds,
-            [(4, 0), (HEADERS, 1), (0, 1), (RST_STREAM, 1), (GOAWAY, 0), (6, 0)],
+            [
+                (4, 0),
+                (HEADERS, 1),
+                (0, 1),
+                (RST_STREAM, 1),
+                (GOAWAY, 0),
+                (6, 0)
+            ],
             "chunks of {size}"
         );
         assert_eq!(got[4].2, [0, 0, 0, 5]);
--- a/crates/ivyward-world/src/io.rs
+++ b/crates/ivyward-world/src/io.rs
@@ -38,7 +38,11 @@
 }
 
 impl<C: AsyncWrite + Unpin> tokio::io::AsyncWrite for Io<C> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, buf)
     }
     fn poll_write_vectored(
@@ -73,7 +77,11 @@
 }
 
 impl<C: AsyncWrite + Unpin> hyper::rt::Write for Io<C> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, buf)
     }
     fn poll_write_vectored(
--- a/crates/ivyward-world/src/metered.rs
+++ b/crates/ivyward-world/src/metered.rs
@@ -73,13 +73,19 @@
     /// Counts what crosses a connection.
     pub fn watch(self: &Arc<Self>, conn: Conn) -> Conn {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        Box::new(MeteredConn { conn, meter: self.clone() })
+        Box::new(MeteredConn {
+            conn,
+            meter: self.clone(),
+        })
     }
 }
 
 /// The same world, with what is done through this handle counted.
 pub fn metered(world: &WorldRef, meter: &Arc<Meter>) -> WorldRef {
-    Arc::new(Metered { world: world.clone(), meter: meter.clone() })
+    Arc::new(Metered {
+        world: world.clone(),
+        meter: meter.clone(),
+    })
 }
 
 struct Metered {
@@ -106,10 +112,16 @@
         Box::pin(async move { Ok(meter.watch(connecting.await?)) })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        Ok(Box::new(MeteredListener { listener: self.world.listen(at)?, meter: self.meter.clone() }))
+        Ok(Box::new(MeteredListener {
+            listener: self.world.listen(at)?,
+            meter: self.meter.clone(),
+        }))
     }
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        Ok(Box::new(MeteredDatagrams { socket: self.world.datagrams(at)?, meter: self.meter.clone() }))
+        Ok(Box::new(MeteredDatagrams {
+            socket: self.world.datagrams(at)?,
+            meter: self.meter.clone(),
+        }))
     }
     fn random(&self) -> u64 {
         self.world.random()
@@ -155,7 +167,11 @@
 }
 
 impl AsyncRead for MeteredConn {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.conn).poll_read(cx, buf);
         if let Poll::Ready(Ok(bytes)) = &read {
             self.meter.came(*bytes);
@@ -173,7 +189,11 @@
 }
 
 impl AsyncWrite for MeteredConn {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.conn).poll_write(cx, buf);
         self.wrote(&written);
         written
@@ -204,7 +224,11 @@
     fn accept(&mut self) -> BorrowedFuture<'_, io::Result<(Conn, SocketAddr)>> {
         let meter = self.meter.clone();
         let accepting = self.listener.accept();
-        Box::pin(async move { accepting.await.map(|(conn, peer)| (meter.watch(conn), peer)) })
+        Box::pin(async move {
+            accepting
+                .await
+                .map(|(conn, peer)| (meter.watch(conn), peer))
+        })
     }
     fn address(&self) -> SocketAddr {
         self.listener.address()
@@ -221,7 +245,10 @@
         self.meter.went(bytes.len());
         self.socket.send(bytes, to)
     }
-    fn receive<'a>(&'a mut self, into: &'a mut [u8]) -> BorrowedFuture<'a, io::Result<(usize, SocketAddr)>> {
+    fn receive<'a>(
+        &'a mut self,
+        into: &'a mut [u8],
+    ) -> BorrowedFuture<'a, io::Result<(usize, SocketAddr)>> {
         let meter = self.meter.clone();
         let receiving = self.socket.receive(into);
         Box::pin(async move {
--- a/crates/ivyward-world/src/origin.rs
+++ b/crates/ivyward-world/src/origin.rs
@@ -26,9 +26,10 @@
     /// Classes an error of `accept`, `socket` or `connect`.
     pub fn of(error: &io::Error) -> ErrorOrigin {
         match error.raw_os_error() {
-            Some(ENOMEM | ENFILE | EMFILE | EAGAIN | EADDRNOTAVAIL | ENETDOWN | ENETUNREACH | ENOBUFS) => {
-                ErrorOrigin::Local
-            }
+            Some(
+                ENOMEM | ENFILE | EMFILE | EAGAIN | EADDRNOTAVAIL | ENETDOWN | ENETUNREACH
+                | ENOBUFS,
+            ) => ErrorOrigin::Local,
             _ => ErrorOrigin::Remote,
         }
     }
--- a/crates/ivyward-world/src/origin/tests.rs
+++ b/crates/ivyward-world/src/origin/tests.rs
@@ -4,7 +4,16 @@
 
 #[test]
 fn what_this_machine_lacks_says_nothing_of_the_other_side() {
-    for local in [ENOMEM, ENFILE, EMFILE, EAGAIN, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOBUFS] {
+    for local in [
+        ENOMEM,
+        ENFILE,
+        EMFILE,
+        EAGAIN,
+        EADDRNOTAVAIL,
+        ENETDOWN,
+        ENETUNREACH,
+        ENOBUFS,
+    ] {
         assert_eq!(
             ErrorOrigin::of(&io::Error::from_raw_os_error(local)),
             ErrorOrigin::Local,
@@ -19,5 +28,8 @@
             "errno {remote}"
         );
     }
-    assert_eq!(ErrorOrigin::of(&io::ErrorKind::UnexpectedEof.into()), ErrorOrigin::Remote);
+    assert_eq!(
+        ErrorOrigin::of(&io::ErrorKind::UnexpectedEof.into()),
+        ErrorOrigin::Remote
+    );
 }
--- a/crates/ivyward-world/src/smol.rs
+++ b/crates/ivyward-world/src/smol.rs
@@ -1,7 +1,9 @@
 //! The real surroundings, on async-io and async-executor.
 #![allow(clippy::disallowed_methods, clippy::disallowed_types)] // The one place that may ask the system.
 
-use crate::{BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, World};
+use crate::{
+    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, World,
+};
 use async_executor::Executor;
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
@@ -79,7 +81,8 @@
         let stopped = Arc::new(AtomicBool::new(false));
         let (mut handles, mut wake) = (Vec::new(), Vec::new());
         for i in 0..threads.max(1) {
-            let (executor, stopped, stop) = (executor.clone(), stopped.clone(), Arc::new(Stop::default()));
+            let (executor, stopped, stop) =
+                (executor.clone(), stopped.clone(), Arc::new(Stop::default()));
             wake.push(stop.clone());
             let until = std::future::poll_fn(move |cx: &mut Context<'_>| {
                 *lock(&stop.waker) = Some(cx.waker().clone());
@@ -90,7 +93,9 @@
                 }
             });
             let body = move || async_io::block_on(executor.run(until));
-            let spawned = std::thread::Builder::new().name(format!("world-{i}")).spawn(body);
+            let spawned = std::thread::Builder::new()
+                .name(format!("world-{i}"))
+                .spawn(body);
             if let Ok(handle) = spawned {
                 handles.push(handle);
             }
@@ -99,7 +104,11 @@
             begun: Instant::now(),
             random: Mutex::new(SmallRng::seed_from_u64(seed)),
             executor: Arc::downgrade(&executor),
-            inner: Mutex::new(Inner { executor: Some(executor), threads: handles, wake }),
+            inner: Mutex::new(Inner {
+                executor: Some(executor),
+                threads: handles,
+                wake,
+            }),
             stopped,
         })
     }
@@ -109,7 +118,11 @@
         self.stopped.store(true, Ordering::SeqCst);
         let (executor, threads, wake) = {
             let mut inner = lock(&self.inner);
-            (inner.executor.take(), std::mem::take(&mut inner.threads), std::mem::take(&mut inner.wake))
+            (
+                inner.executor.take(),
+                std::mem::take(&mut inner.threads),
+                std::mem::take(&mut inner.wake),
+            )
         };
         for stop in wake {
             if let Some(waker) = lock(&stop.waker).take() {
@@ -144,7 +157,9 @@
         self.begun.elapsed().as_micros() as Micros + BEFORE
     }
     fn unix_micros(&self) -> Micros {
-        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as Micros)
     }
     fn sleep_until(&self, at: Micros) -> BoxFuture<()> {
         if at == Micros::MAX {
@@ -175,7 +190,11 @@
         })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+        let socket = socket2::Socket::new(
+            socket2::Domain::for_address(at),
+            socket2::Type::STREAM,
+            None,
+        )?;
         // A process that comes back takes its old port at once.
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
@@ -228,7 +247,10 @@
             }
         }
     }
-    fn receive<'a>(&'a mut self, into: &'a mut [u8]) -> BorrowedFuture<'a, io::Result<(usize, SocketAddr)>> {
+    fn receive<'a>(
+        &'a mut self,
+        into: &'a mut [u8],
+    ) -> BorrowedFuture<'a, io::Result<(usize, SocketAddr)>> {
         Box::pin(async move {
             loop {
                 match self.socket.recv_from(into).await {
@@ -270,7 +292,9 @@
 
 impl Peer for TcpPeer {
     fn left(&self) -> bool {
-        let Some(socket) = self.0.upgrade() else { return true };
+        let Some(socket) = self.0.upgrade() else {
+            return true;
+        };
         loop {
             match socket.get_ref().peek(&mut [0]) {
                 Ok(n) => return n == 0,
@@ -282,13 +306,21 @@
 }
 
 impl AsyncRead for Tcp {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         uninterrupted_poll(|| Pin::new(&mut self.stream).poll_read(cx, buf))
     }
 }
 
 impl AsyncWrite for Tcp {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         uninterrupted_poll(|| Pin::new(&mut self.stream).poll_write(cx, buf))
     }
     fn poll_write_vectored(
--- a/crates/ivyward-world/tests/metered.rs
+++ b/crates/ivyward-world/tests/metered.rs
@@ -36,9 +36,19 @@
         let (one, other) = (dialler.usage(), acceptor.usage());
         assert_eq!((one.bytes_out, one.writes, one.bytes_in), (5, 1, 3));
         assert_eq!((other.bytes_in, other.bytes_out, other.writes), (5, 3, 1));
-        assert_eq!((one.opened, one.open, other.opened, other.open), (1, 1, 1, 1));
+        assert_eq!(
+            (one.opened, one.open, other.opened, other.open),
+            (1, 1, 1, 1)
+        );
         drop((conn, held));
-        assert_eq!((dialler.usage().open, dialler.usage().opened, acceptor.usage().open), (0, 1, 0));
+        assert_eq!(
+            (
+                dialler.usage().open,
+                dialler.usage().opened,
+                acceptor.usage().open
+            ),
+            (0, 1, 0)
+        );
     });
 }
 
@@ -49,11 +59,17 @@
     let meter = Arc::new(Meter::default());
     let world = metered(&plain, &meter);
     smol.block_on(async {
-        let (one, mut other) = (world.datagrams(any()).unwrap(), world.datagrams(any()).unwrap());
+        let (one, mut other) = (
+            world.datagrams(any()).unwrap(),
+            world.datagrams(any()).unwrap(),
+        );
         one.send(b"four", other.address()).unwrap();
         let mut into = [0; 16];
         assert_eq!(other.receive(&mut into).await.unwrap().0, 4);
     });
     let usage = meter.usage();
-    assert_eq!((usage.bytes_out, usage.writes, usage.bytes_in, usage.reads), (4, 1, 4, 1));
+    assert_eq!(
+        (usage.bytes_out, usage.writes, usage.bytes_in, usage.reads),
+        (4, 1, 4, 1)
+    );
 }
--- a/crates/ivyward-world/tests/peer.rs
+++ b/crates/ivyward-world/tests/peer.rs
@@ -39,7 +39,12 @@
                     drop(ours);
                     assert!(peer.left());
                     let mut byte = [0];
-                    assert_eq!(futures_lite::AsyncReadExt::read(&mut theirs, &mut byte).await.unwrap(), 0);
+                    assert_eq!(
+                        futures_lite::AsyncReadExt::read(&mut theirs, &mut byte)
+                            .await
+                            .unwrap(),
+                        0
+                    );
                     continue;
                 }
             }
@@ -61,7 +66,9 @@
         let peer = ours.peer();
         assert!(!peer.left());
         let mut bytes = Vec::new();
-        futures_lite::AsyncReadExt::read_to_end(&mut ours, &mut bytes).await.unwrap();
+        futures_lite::AsyncReadExt::read_to_end(&mut ours, &mut bytes)
+            .await
+            .unwrap();
         assert_eq!(bytes, b"ab");
         until_left(&world, &*peer).await;
     });
--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -50,7 +50,12 @@
         match request.parse(&head) {
             Ok(httparse::Status::Complete(_)) => break reply(node, request.method, request.path),
             Ok(httparse::Status::Partial) if head.len() < MOST_HEAD => {}
-            _ => break ("400 Bad Request", "not an HTTP/1 request of a head under 8 KiB\n".to_string()),
+            _ => {
+                break (
+                    "400 Bad Request",
+                    "not an HTTP/1 request of a head under 8 KiB\n".to_string(),
+                )
+            }
         }
     };
     let head = format!(
@@ -75,9 +80,15 @@
         }
         (Some("GET"), Some("/peers")) => match node.known_peers() {
             Some(peers) => ("200 OK", peers.text()),
-            None => ("404 Not Found", "this node knows no peers: see --peer-listen\n".into()),
+            None => (
+                "404 Not Found",
+                "this node knows no peers: see --peer-listen\n".into(),
+            ),
         },
-        (Some("GET"), _) => ("404 Not Found", "there are /healthz, /metrics and /peers\n".into()),
+        (Some("GET"), _) => (
+            "404 Not Found",
+            "there are /healthz, /metrics and /peers\n".into(),
+        ),
         _ => ("405 Method Not Allowed", "only GET\n".into()),
     }
 }
--- a/crates/ivyward/src/answer.rs
+++ b/crates/ivyward/src/answer.rs
@@ -89,8 +89,18 @@
 impl<T: Copy> Buffer<T> {
     /// An empty one.
     pub fn new(bound: usize) -> Buffer<T> {
-        let inner = Inner { given: 0, items: Vec::new(), end: None, told: false, reader: None, writer: None };
-        Buffer { inner: Mutex::new(inner), bound }
+        let inner = Inner {
+            given: 0,
+            items: Vec::new(),
+            end: None,
+            told: false,
+            reader: None,
+            writer: None,
+        };
+        Buffer {
+            inner: Mutex::new(inner),
+            bound,
+        }
     }
     fn lock(&self) -> MutexGuard<'_, Inner<T>> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/ivyward/src/answer/tests.rs
+++ b/crates/ivyward/src/answer/tests.rs
@@ -10,10 +10,16 @@
     assert!(buffer.finish(Final::Served));
     assert!(!buffer.finish(Final::Failed(Failure::Deadline)));
     assert_eq!(buffer.push(&[3]), Err(Over));
-    let run = Part::Tokens(Run { first_index: 0, ids: vec![1, 2] });
+    let run = Part::Tokens(Run {
+        first_index: 0,
+        ids: vec![1, 2],
+    });
     assert_eq!(buffer.poll_part(&mut cx), Poll::Ready(run));
     assert!(!buffer.told());
-    assert_eq!(buffer.poll_part(&mut cx), Poll::Ready(Part::End(Final::Served)));
+    assert_eq!(
+        buffer.poll_part(&mut cx),
+        Poll::Ready(Part::End(Final::Served))
+    );
     assert!(buffer.told());
 }
 
@@ -29,7 +35,10 @@
     assert!(buffer.poll_part(&mut cx).is_ready());
     assert!(buffer.poll_room(&mut cx).is_ready());
     buffer.push(&[5]).unwrap();
-    let run = Part::Tokens(Run { first_index: 4, ids: vec![5] });
+    let run = Part::Tokens(Run {
+        first_index: 4,
+        ids: vec![5],
+    });
     assert_eq!(buffer.poll_part(&mut cx), Poll::Ready(run));
 }
 
@@ -40,6 +49,9 @@
     buffer.push(b"late").unwrap();
     assert!(buffer.finish(Final::Failed(Failure::Deadline)));
     assert_eq!(buffer.push(b"later"), Err(Over));
-    assert_eq!(buffer.poll_items(&mut cx), Poll::Ready(Err(Final::Failed(Failure::Deadline))));
+    assert_eq!(
+        buffer.poll_items(&mut cx),
+        Poll::Ready(Err(Final::Failed(Failure::Deadline)))
+    );
     assert!(buffer.told());
 }
--- a/crates/ivyward/src/engines/dial.rs
+++ b/crates/ivyward/src/engines/dial.rs
@@ -33,11 +33,20 @@
 ///
 /// # Errors
 /// [`DialFailure`], which says whose failure it was.
-pub async fn dial(world: &WorldRef, address: SocketAddr, until: Micros) -> Result<Dialed, DialFailure> {
+pub async fn dial(
+    world: &WorldRef,
+    address: SocketAddr,
+    until: Micros,
+) -> Result<Dialed, DialFailure> {
     loop {
         let began = world.now();
         let error = match before(world, until, world.connect(address)).await {
-            Some(Ok(conn)) => return Ok(Dialed { conn, took: world.now() - began }),
+            Some(Ok(conn)) => {
+                return Ok(Dialed {
+                    conn,
+                    took: world.now() - began,
+                })
+            }
             Some(Err(error)) => error,
             None => return Err(DialFailure::Late),
         };
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -21,7 +21,10 @@
             resting_checks: settings.resting_checks,
             dial_timeout: settings.dial_timeout,
         };
-        Arc::new(EngineKeepalive { decider: Mutex::new(Keepalive::new(settings)), world: world.clone() })
+        Arc::new(EngineKeepalive {
+            decider: Mutex::new(Keepalive::new(settings)),
+            world: world.clone(),
+        })
     }
 
     fn decider(&self) -> MutexGuard<'_, Keepalive> {
--- a/crates/ivyward/src/engines/link.rs
+++ b/crates/ivyward/src/engines/link.rs
@@ -164,11 +164,16 @@
     fn find(&self, may_check: bool) -> Found {
         let mut pool = self.pool();
         let stale = planted::is(Defect::StaleConnection);
-        pool.channels.retain(|c| c.usable() || c.calls() > 0 && !c.closed() || stale);
+        pool.channels
+            .retain(|c| c.usable() || c.calls() > 0 && !c.closed() || stale);
         // Guards against a call that leaves on a connection whose engine did not answer its last check.
         let room = |c: &Channel| c.calls() < self.per_channel.min(c.room().max(1));
         let eligible = |c: &&Channel| (c.usable() || stale) && !c.doubtful() && room(c);
-        let rated = pool.channels.iter().filter(eligible).map(|c| (self.check_before_use(c), c));
+        let rated = pool
+            .channels
+            .iter()
+            .filter(eligible)
+            .map(|c| (self.check_before_use(c), c));
         let best = rated.min_by_key(|(check, c)| (check.is_some(), c.calls()));
         match best.map(|(check, channel)| (check, channel.clone())) {
             Some((None, channel)) => {
@@ -216,7 +221,11 @@
             return Err(DialError::Failed(self.address, pool.error.clone()));
         }
         dials_before.get_or_insert(pool.dials);
-        let needed = if pool.failed > 0 { 1 } else { pool.waiting / self.per_channel + 1 };
+        let needed = if pool.failed > 0 {
+            1
+        } else {
+            pool.waiting / self.per_channel + 1
+        };
         if pool.dialing >= needed || pool.channels.len() + pool.dialing >= self.most {
             return Ok(());
         }
@@ -236,9 +245,12 @@
         }
         let dial = async {
             let until = self.world.now() + self.dial_timeout;
-            let dialed = dial(&self.world, self.address, until).await.map_err(|e| e.to_string())?;
+            let dialed = dial(&self.world, self.address, until)
+                .await
+                .map_err(|e| e.to_string())?;
             let resting: Option<Arc<dyn RestingChecks>> = Some(self.keepalive.clone());
-            let channel = Channel::begin_resting(&self.world, dialed.conn, self.options, resting).await;
+            let channel =
+                Channel::begin_resting(&self.world, dialed.conn, self.options, resting).await;
             channel.map_err(|e| e.to_string())
         };
         let result = before(&self.world, self.world.now() + self.dial_timeout, dial).await;
@@ -253,7 +265,11 @@
         }
         // Also after a success, until a call gets a connection: an engine that closes each one at once is not
         // dialled without end.
-        let pause = self.pauses.0.saturating_mul(1 << pool.failed.min(20)).min(self.pauses.1);
+        let pause = self
+            .pauses
+            .0
+            .saturating_mul(1 << pool.failed.min(20))
+            .min(self.pauses.1);
         pool.failed += 1;
         // Half to whole of the pause, so that many nodes do not come back in one moment.
         let jitter = 0.5 + 0.5 * self.world.unit();
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -52,7 +52,12 @@
 impl End {
     /// An end with nothing kept and nothing reported.
     pub fn new(outcome: Outcome, text: impl Into<String>) -> End {
-        End { outcome, kept: 0, report: Report::default(), text: text.into() }
+        End {
+            outcome,
+            kept: 0,
+            report: Report::default(),
+            text: text.into(),
+        }
     }
 }
 
@@ -140,7 +145,11 @@
         self.stop.recv().await.unwrap_or(Stop::GiveUp)
     }
     /// Waits for what comes next, a word from the driver, or the timer.
-    pub async fn wait<T>(&self, timer: &mut BoxFuture<()>, next: impl Future<Output = T>) -> Woken<T> {
+    pub async fn wait<T>(
+        &self,
+        timer: &mut BoxFuture<()>,
+        next: impl Future<Output = T>,
+    ) -> Woken<T> {
         or(async { Woken::Next(next.await) }, async {
             or(async { Woken::Stopped(self.stopped().await) }, async {
                 timer.await;
@@ -151,8 +160,16 @@
         .await
     }
     /// The same, where the driver's word goes first: nothing that can still be left undone is done after it.
-    pub async fn heed<T>(&self, timer: &mut BoxFuture<()>, next: impl Future<Output = T>) -> Woken<T> {
-        or(async { Woken::Stopped(self.stopped().await) }, self.wait(timer, next)).await
+    pub async fn heed<T>(
+        &self,
+        timer: &mut BoxFuture<()>,
+        next: impl Future<Output = T>,
+    ) -> Woken<T> {
+        or(
+            async { Woken::Stopped(self.stopped().await) },
+            self.wait(timer, next),
+        )
+        .await
     }
     /// Waits until the client has room, or nobody wants the answer any more.
     ///
@@ -191,7 +208,11 @@
     /// A stream of which something came just now.
     pub fn new(world: &WorldRef, span: Micros) -> Stall {
         let last = world.now();
-        Stall { span, last, timer: world.sleep_until(last.saturating_add(span)) }
+        Stall {
+            span,
+            last,
+            timer: world.sleep_until(last.saturating_add(span)),
+        }
     }
     /// After the timer fired: whether the span is over, else the timer is set anew.
     pub fn over(&mut self, world: &WorldRef) -> bool {
--- a/crates/ivyward/src/membership/follow.rs
+++ b/crates/ivyward/src/membership/follow.rs
@@ -83,12 +83,20 @@
             ("--etcd-behind-grace", self.behind_grace),
         ] {
             if !(1_000..=3_600_000_000).contains(&span) {
-                return Err(SettingsError::new(flag, format!("{span}us"), "must be from 1ms to an hour"));
+                return Err(SettingsError::new(
+                    flag,
+                    format!("{span}us"),
+                    "must be from 1ms to an hour",
+                ));
             }
         }
         let mut seen = BTreeSet::new();
         match self.endpoints.iter().find(|e| !seen.insert(**e)) {
-            Some(twice) => Err(SettingsError::new("--etcd-endpoint", twice, "is given twice")),
+            Some(twice) => Err(SettingsError::new(
+                "--etcd-endpoint",
+                twice,
+                "is given twice",
+            )),
             None => Ok(()),
         }
     }
@@ -188,7 +196,13 @@
                 Ok(list) => {
                     let (members, unread) = self.members(&list.kvs);
                     let (cluster, revision) = (list.cluster, list.revision);
-                    self.hear(Heard::List { cluster, revision, members, unread }).await
+                    self.hear(Heard::List {
+                        cluster,
+                        revision,
+                        members,
+                        unread,
+                    })
+                    .await
                 }
                 Err(e) => {
                     warn!(error = %e, "the list of engines cannot be read; the last one stands");
@@ -210,7 +224,10 @@
             self.node.metrics().list_stale.set(0);
             match self.watch().await {
                 Left::Gap(why) => {
-                    info!(why, "the watch of engines has a gap; the list is read again");
+                    info!(
+                        why,
+                        "the watch of engines has a gap; the list is read again"
+                    );
                     self.node.metrics().list_gaps.add(1);
                     self.hear(Heard::Gap).await;
                     self.rest().await;
@@ -229,8 +246,16 @@
 
     async fn watch(&mut self) -> Left {
         let prefix = self.follow.prefix.clone().into_bytes();
-        let next = if planted::is(Defect::WatchSkips) { 2 } else { 1 };
-        let mut watch = match self.client.watch(&prefix, self.decider.revision() + next).await {
+        let next = if planted::is(Defect::WatchSkips) {
+            2
+        } else {
+            1
+        };
+        let mut watch = match self
+            .client
+            .watch(&prefix, self.decider.revision() + next)
+            .await
+        {
             Ok(watch) => watch,
             Err(e) => return Left::Gap(e.to_string()),
         };
@@ -242,7 +267,10 @@
             let passing = batch.since.map(|since| self.pace.due(since, batch.urgent));
             let keeping = self.unkept.then_some(self.keep_from);
             let silence = silent_from.saturating_add(self.follow.silence);
-            let until = [passing, keeping].into_iter().flatten().fold(silence, Micros::min);
+            let until = [passing, keeping]
+                .into_iter()
+                .flatten()
+                .fold(silence, Micros::min);
             let notice = match before(&self.world, until, watch.next()).await {
                 Some(Ok(notice)) => notice,
                 Some(Err(e)) => {
@@ -262,7 +290,9 @@
                     }
                     if asked {
                         self.client.leave_endpoint();
-                        return self.left(batch, Left::Gap("the watch is silent".into())).await;
+                        return self
+                            .left(batch, Left::Gap("the watch is silent".into()))
+                            .await;
                     }
                     (asked, silent_from) = (true, self.world.now());
                     watch.ask_progress();
@@ -285,20 +315,33 @@
                     self.hear(Heard::Progress(revision)).await;
                 }
                 Notice::Compacted(revision) => {
-                    return self.left(batch, Left::Gap(format!("compacted up to {revision}"))).await;
+                    return self
+                        .left(batch, Left::Gap(format!("compacted up to {revision}")))
+                        .await;
                 }
                 Notice::Cancelled(reason) => {
-                    return self.left(batch, Left::Gap(format!("cancelled: {reason}"))).await;
+                    return self
+                        .left(batch, Left::Gap(format!("cancelled: {reason}")))
+                        .await;
                 }
                 Notice::Events { events, .. } => {
                     // Not the response's own revision: a watch that catches up is sent in parts, each with the store's
                     // newest, and what is still to come would be passed over after a break.
-                    let last = events.iter().filter_map(|e| e.kv.as_ref()).map(|kv| kv.mod_revision).max();
-                    let heard = events.into_iter().filter_map(|e| self.event(e)).collect::<Vec<Heard>>();
+                    let last = events
+                        .iter()
+                        .filter_map(|e| e.kv.as_ref())
+                        .map(|kv| kv.mod_revision)
+                        .max();
+                    let heard = events
+                        .into_iter()
+                        .filter_map(|e| self.event(e))
+                        .collect::<Vec<Heard>>();
                     batch.add(self.world.now(), heard);
                     // What was left out moves the watch on as well.
                     batch.heard.push(Heard::Progress(last.unwrap_or(0)));
-                    let due = batch.since.map_or(Micros::MAX, |since| self.pace.due(since, batch.urgent));
+                    let due = batch
+                        .since
+                        .map_or(Micros::MAX, |since| self.pace.due(since, batch.urgent));
                     if due <= self.world.now() || batch.heard.len() >= MOST_WAITING {
                         if let Some(at) = self.pass_batch(&mut batch).await {
                             return Left::Relist(at);
@@ -340,8 +383,14 @@
         for told in all {
             match (out.last_mut(), told) {
                 (
-                    Some(Told::Fleet { kind: ListKind::Changes, entries }),
-                    Told::Fleet { kind: ListKind::Changes, entries: more },
+                    Some(Told::Fleet {
+                        kind: ListKind::Changes,
+                        entries,
+                    }),
+                    Told::Fleet {
+                        kind: ListKind::Changes,
+                        entries: more,
+                    },
                 ) => {
                     entries.extend(more);
                 }
@@ -359,7 +408,10 @@
             }
         }
         // Here, so that it is right whenever what waited for its time was passed on.
-        self.node.metrics().list_revision.set(self.decider.revision().max(0) as u64);
+        self.node
+            .metrics()
+            .list_revision
+            .set(self.decider.revision().max(0) as u64);
         self.keep_in_time();
         again
     }
@@ -395,8 +447,13 @@
                 engines.push(Engine { entry, address });
                 continue;
             }
-            let started = self.starts.here(&entry, now, unix, self.node.settings().rules.warm_after);
-            engines.push(Engine { entry: ServerEntry { started, ..entry }, address });
+            let started =
+                self.starts
+                    .here(&entry, now, unix, self.node.settings().rules.warm_after);
+            engines.push(Engine {
+                entry: ServerEntry { started, ..entry },
+                address,
+            });
         }
         if kind == ListKind::Full {
             let named: BTreeSet<ServerId> = engines.iter().map(|e| e.entry.id).collect();
@@ -420,7 +477,11 @@
     /// The member that a record names; else the engine whose record cannot be read, if the key names one.
     fn member(&mut self, kv: &mvccpb::KeyValue) -> Result<Member, Option<ServerId>> {
         let Some(id) = key_id(self.follow.prefix.as_bytes(), &kv.key) else {
-            self.complain(ServerId(u64::MAX), kv, "the key does not end in an engine's id");
+            self.complain(
+                ServerId(u64::MAX),
+                kv,
+                "the key does not end in an engine's id",
+            );
             return Err(None);
         };
         read(id, &kv.value, kv.mod_revision).map_err(|problem| {
@@ -447,7 +508,10 @@
         let kv = event.kv?;
         if deleted {
             let id = key_id(self.follow.prefix.as_bytes(), &kv.key)?;
-            return Some(Heard::Deleted { id, revision: kv.mod_revision });
+            return Some(Heard::Deleted {
+                id,
+                revision: kv.mod_revision,
+            });
         }
         // An engine whose new record cannot be read stays as it was known.
         self.member(&kv).ok().map(Heard::Put)
--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -97,7 +97,10 @@
 pub fn key_id(prefix: &[u8], key: &[u8]) -> Option<ServerId> {
     let name = std::str::from_utf8(key.strip_prefix(prefix)?).ok()?;
     // Only one way of writing a number, so that two keys never name one engine.
-    name.parse().ok().filter(|id: &u64| id.to_string() == name).map(ServerId)
+    name.parse()
+        .ok()
+        .filter(|id: &u64| id.to_string() == name)
+        .map(ServerId)
 }
 
 /// Reads the record of an engine.
@@ -110,16 +113,23 @@
     }
     let record: Record =
         serde_json::from_slice(value).map_err(|e| RecordProblem::Malformed(e.to_string()))?;
-    record.validate().map_err(|e| RecordProblem::Malformed(e.to_string().trim().replace('\n', "; ")))?;
+    record
+        .validate()
+        .map_err(|e| RecordProblem::Malformed(e.to_string().trim().replace('\n', "; ")))?;
     if record.id != id.0 {
-        return Err(RecordProblem::Contradiction(format!("id {} below the key of {}", record.id, id.0)));
+        return Err(RecordProblem::Contradiction(format!(
+            "id {} below the key of {}",
+            record.id, id.0
+        )));
     }
     let address: SocketAddr = record
         .address
         .parse()
         .map_err(|_| RecordProblem::Malformed(format!("{:?} is not IP:PORT", record.address)))?;
     if address.port() == 0 || address.ip().is_unspecified() {
-        return Err(RecordProblem::Contradiction(format!("nobody can be reached at {address}")));
+        return Err(RecordProblem::Contradiction(format!(
+            "nobody can be reached at {address}"
+        )));
     }
     let kind = match record.role {
         Role::Prefill => 0,
@@ -139,7 +149,11 @@
         weight: record.weight,
         started: record.started_ms.saturating_mul(1_000),
     };
-    Ok(Member { entry, address, revision })
+    Ok(Member {
+        entry,
+        address,
+        revision,
+    })
 }
 
 /// The JSON schema of records.
--- a/crates/ivyward/src/membership/registration/tests.rs
+++ b/crates/ivyward/src/membership/registration/tests.rs
@@ -3,14 +3,26 @@
 use super::*;
 
 fn text(more: &str) -> String {
-    format!(r#"{{"version":1,"id":7,"role":"decode","address":"127.0.0.1:9000","state":"ready"{more}}}"#)
+    format!(
+        r#"{{"version":1,"id":7,"role":"decode","address":"127.0.0.1:9000","state":"ready"{more}}}"#
+    )
 }
 
 #[test]
 fn a_record_is_read_and_unknown_fields_are_passed_over() {
-    let member = read(ServerId(7), text(r#","cell":3,"colour":"red","started_ms":5"#).as_bytes(), 9).unwrap();
+    let member = read(
+        ServerId(7),
+        text(r#","cell":3,"colour":"red","started_ms":5"#).as_bytes(),
+        9,
+    )
+    .unwrap();
     assert_eq!(
-        (member.entry.kind, member.entry.cell, member.entry.started, member.revision),
+        (
+            member.entry.kind,
+            member.entry.cell,
+            member.entry.started,
+            member.revision
+        ),
         (1, 3, 5_000, 9)
     );
     assert!(schema().contains("started_ms"));
@@ -23,14 +35,22 @@
         (text(r#","weight":"heavy""#), "malformed"),
         (text("").replace(":1,", ":2,"), "version"),
         (text("").replace(":7", ":8"), "id 8 below the key of 7"),
-        (text("").replace("127.0.0.1:9000", "somewhere"), "not IP:PORT"),
-        (text("").replace("127.0.0.1:9000", "0.0.0.0:9000"), "nobody can be reached"),
+        (
+            text("").replace("127.0.0.1:9000", "somewhere"),
+            "not IP:PORT",
+        ),
+        (
+            text("").replace("127.0.0.1:9000", "0.0.0.0:9000"),
+            "nobody can be reached",
+        ),
         (text("").replace("ready", "asleep"), "malformed"),
         ("{".into(), "malformed"),
         (format!("{}{}", text(""), " ".repeat(MOST_RECORD)), "bytes"),
     ];
     for (text, what) in bad {
-        let problem = read(ServerId(7), text.as_bytes(), 1).unwrap_err().to_string();
+        let problem = read(ServerId(7), text.as_bytes(), 1)
+            .unwrap_err()
+            .to_string();
         assert!(problem.contains(what), "{text}: {problem}");
     }
     assert_eq!(key_id(b"e/", b"e/7"), Some(ServerId(7)));
--- a/crates/ivyward/src/membership/snapshot.rs
+++ b/crates/ivyward/src/membership/snapshot.rs
@@ -40,7 +40,11 @@
         cell: e.cell,
         weight: e.weight,
         started_ms: e.started / 1_000,
-        state: if e.condition == Condition::Ready { State::Ready } else { State::Draining },
+        state: if e.condition == Condition::Ready {
+            State::Ready
+        } else {
+            State::Draining
+        },
     }
 }
 
@@ -59,14 +63,21 @@
         return Err(e.into());
     }
     // The new name is in the folder, which is a file of its own.
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()?;
     Ok(())
 }
 
 fn write_whole(path: &Path, body: &[u8]) -> io::Result<()> {
     let mut file = File::create(path)?;
-    writeln!(file, "{TITLE} {VERSION} {} {:08x}", body.len(), crc32fast::hash(body))?;
+    writeln!(
+        file,
+        "{TITLE} {VERSION} {} {:08x}",
+        body.len(),
+        crc32fast::hash(body)
+    )?;
     file.write_all(body)?;
     file.sync_all()
 }
@@ -83,10 +94,16 @@
     };
     let mut bytes = Vec::new();
     file.take(MOST).read_to_end(&mut bytes)?;
-    let end = bytes.iter().take(200).position(|b| *b == b'\n').ok_or(SnapshotError::Foreign)?;
+    let end = bytes
+        .iter()
+        .take(200)
+        .position(|b| *b == b'\n')
+        .ok_or(SnapshotError::Foreign)?;
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
     let parts: Vec<&str> = head.split(' ').collect();
-    let [title, version, length, sum] = parts[..] else { return Err(SnapshotError::Foreign) };
+    let [title, version, length, sum] = parts[..] else {
+        return Err(SnapshotError::Foreign);
+    };
     if title != TITLE || version != VERSION.to_string() {
         return Err(SnapshotError::Foreign);
     }
@@ -103,7 +120,11 @@
         let text = serde_json::to_vec(&r).map_err(io::Error::other)?;
         registration::read(ServerId(r.id), &text, 0).map_err(|_| SnapshotError::Torn("a record"))
     };
-    records.into_iter().map(member).collect::<Result<_, _>>().map(Some)
+    records
+        .into_iter()
+        .map(member)
+        .collect::<Result<_, _>>()
+        .map(Some)
 }
 
 #[cfg(test)]
--- a/crates/ivyward/src/membership/snapshot/tests.rs
+++ b/crates/ivyward/src/membership/snapshot/tests.rs
@@ -14,16 +14,27 @@
     let whole = std::fs::read(&path).unwrap();
     for cut in [whole.len() - 1, whole.len() / 2, 40] {
         std::fs::write(&path, &whole[..cut]).unwrap();
-        assert!(matches!(read(&path), Err(SnapshotError::Torn(_))), "cut at {cut}");
+        assert!(
+            matches!(read(&path), Err(SnapshotError::Torn(_))),
+            "cut at {cut}"
+        );
     }
     let mut changed = whole.clone();
     let last = changed.len() - 5;
     changed[last] ^= 1;
     std::fs::write(&path, &changed).unwrap();
     assert!(matches!(read(&path), Err(SnapshotError::Torn(_))));
-    for foreign in [&b""[..], b"ivyward-engines 2 0 0\n", b"#!/bin/sh\n", &[0xff; 300]] {
+    for foreign in [
+        &b""[..],
+        b"ivyward-engines 2 0 0\n",
+        b"#!/bin/sh\n",
+        &[0xff; 300],
+    ] {
         std::fs::write(&path, foreign).unwrap();
-        assert!(matches!(read(&path), Err(SnapshotError::Foreign)), "{foreign:?}");
+        assert!(
+            matches!(read(&path), Err(SnapshotError::Foreign)),
+            "{foreign:?}"
+        );
     }
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -120,8 +120,11 @@
 ];
 
 /// Why requests are refused, as the metrics name it.
-pub const REFUSALS: [(Refusal, &str); 3] =
-    [(Refusal::Shed, "overload"), (Refusal::NodeFull, "node_full"), (Refusal::Stopping, "stopping")];
+pub const REFUSALS: [(Refusal, &str); 3] = [
+    (Refusal::Shed, "overload"),
+    (Refusal::NodeFull, "node_full"),
+    (Refusal::Stopping, "stopping"),
+];
 
 impl Metrics {
     /// Counts a client connection that was closed.
@@ -161,16 +164,34 @@
             ("ivyward_invalid_total", self.invalid.get()),
             ("ivyward_attempts_total", self.attempts.get()),
             ("ivyward_releases_total", self.releases.get()),
-            ("ivyward_releases_dropped_total", self.releases_dropped.get()),
-            ("ivyward_clients_turned_away_total", self.clients_turned_away.get()),
-            ("ivyward_peer_datagrams_sent_total", self.peer_datagrams_sent.get()),
+            (
+                "ivyward_releases_dropped_total",
+                self.releases_dropped.get(),
+            ),
+            (
+                "ivyward_clients_turned_away_total",
+                self.clients_turned_away.get(),
+            ),
+            (
+                "ivyward_peer_datagrams_sent_total",
+                self.peer_datagrams_sent.get(),
+            ),
             ("ivyward_peer_bytes_sent_total", self.peer_bytes_sent.get()),
-            ("ivyward_peer_datagrams_taken_total", self.peer_datagrams_taken.get()),
-            ("ivyward_peer_datagrams_unread_total", self.peer_datagrams_unread.get()),
+            (
+                "ivyward_peer_datagrams_taken_total",
+                self.peer_datagrams_taken.get(),
+            ),
+            (
+                "ivyward_peer_datagrams_unread_total",
+                self.peer_datagrams_unread.get(),
+            ),
             ("ivyward_peer_changes_total", self.peer_changes.get()),
             ("ivyward_list_stale", self.list_stale.get()),
             ("ivyward_list_revision", self.list_revision.get()),
-            ("ivyward_list_keep_failures_total", self.list_keep_failures.get()),
+            (
+                "ivyward_list_keep_failures_total",
+                self.list_keep_failures.get(),
+            ),
             ("ivyward_list_gaps_total", self.list_gaps.get()),
             ("ivyward_records_unread_total", self.records_unread.get()),
             ("ivyward_driver_busy_us_total", self.driver_us.get()),
@@ -185,16 +206,32 @@
             let _ = writeln!(out, "{name} {value}");
         }
         for (name, counter) in finals {
-            let _ = writeln!(out, "ivyward_answers_total{{final=\"{name}\"}} {}", counter.get());
+            let _ = writeln!(
+                out,
+                "ivyward_answers_total{{final=\"{name}\"}} {}",
+                counter.get()
+            );
         }
         for (counter, (_, name)) in self.outcomes.iter().zip(OUTCOMES) {
-            let _ = writeln!(out, "ivyward_attempt_ends_total{{outcome=\"{name}\"}} {}", counter.get());
+            let _ = writeln!(
+                out,
+                "ivyward_attempt_ends_total{{outcome=\"{name}\"}} {}",
+                counter.get()
+            );
         }
         for (counter, (_, name)) in self.retries.iter().zip(OUTCOMES) {
-            let _ = writeln!(out, "ivyward_retries_total{{after=\"{name}\"}} {}", counter.get());
+            let _ = writeln!(
+                out,
+                "ivyward_retries_total{{after=\"{name}\"}} {}",
+                counter.get()
+            );
         }
         for (counter, (_, name)) in self.refusals.iter().zip(REFUSALS) {
-            let _ = writeln!(out, "ivyward_refusals_total{{reason=\"{name}\"}} {}", counter.get());
+            let _ = writeln!(
+                out,
+                "ivyward_refusals_total{{reason=\"{name}\"}} {}",
+                counter.get()
+            );
         }
         for (counter, reason) in self.closes.iter().zip(CloseReason::ALL) {
             let _ = writeln!(
@@ -205,7 +242,11 @@
             );
         }
         for (counter, (_, name)) in self.violations.iter().zip(Rule::ALL) {
-            let _ = writeln!(out, "ivyward_invariant_violations_total{{rule=\"{name}\"}} {}", counter.get());
+            let _ = writeln!(
+                out,
+                "ivyward_invariant_violations_total{{rule=\"{name}\"}} {}",
+                counter.get()
+            );
         }
         self.traffic_text(&mut out);
         out
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -76,8 +76,9 @@
     ) -> Result<Node, StartError> {
         settings.check()?;
         let router_settings = settings.router();
-        let recorder =
-            recording.map(|out| Recorder::begin(out, &router_settings, settings.seed)).transpose()?;
+        let recorder = recording
+            .map(|out| Recorder::begin(out, &router_settings, settings.seed))
+            .transpose()?;
         let (inbox, told) = Inbox::new();
         let shared = Arc::new(Shared {
             incarnation: world.random(),
@@ -98,14 +99,24 @@
             driver.run().await;
             drop(finished);
         });
-        Ok(Node { shared, clients: Arc::default(), peers: Arc::default(), inbox, done })
+        Ok(Node {
+            shared,
+            clients: Arc::default(),
+            peers: Arc::default(),
+            inbox,
+            done,
+        })
     }
 
     /// Tells the node of engines, and returns when it took that in: from then on nothing new goes to one that
     /// drains or is gone.
     pub async fn fleet(&self, kind: ListKind, engines: Vec<Engine>) {
         let (done, wait) = async_channel::bounded(1);
-        self.inbox.tell(Notice::Fleet { kind, engines, done });
+        self.inbox.tell(Notice::Fleet {
+            kind,
+            engines,
+            done,
+        });
         // An error means that the node ended.
         let _ = wait.recv().await;
     }
@@ -115,7 +126,11 @@
     pub fn generate(&self, request: GenerateRequest, patience: Option<Micros>) -> Answer {
         let shared = &self.shared;
         let buffer = Arc::new(Buffer::new(shared.settings.stream_buffer));
-        let mut answer = Answer { buffer: buffer.clone(), id: None, inbox: self.inbox.clone() };
+        let mut answer = Answer {
+            buffer: buffer.clone(),
+            id: None,
+            inbox: self.inbox.clone(),
+        };
         let over = |end| {
             buffer.finish(end);
         };
@@ -129,9 +144,10 @@
         };
         match self.enter(taken) {
             Ok(id) => answer.id = Some(id),
-            Err(why) => {
-                over(Final::Refused { retry_after: Some(shared.router_settings.max_retry_after), why })
-            }
+            Err(why) => over(Final::Refused {
+                retry_after: Some(shared.router_settings.max_retry_after),
+                why,
+            }),
         }
         answer
     }
@@ -141,10 +157,23 @@
     ///
     /// # Errors
     /// Why it is refused: nothing was done, and nothing is told later.
-    pub fn take(&self, arrival: Arrival, first_by: Micros, call: Arc<dyn Call>) -> Result<u64, Refusal> {
+    pub fn take(
+        &self,
+        arrival: Arrival,
+        first_by: Micros,
+        call: Arc<dyn Call>,
+    ) -> Result<u64, Refusal> {
         let id = self.shared.next_id.fetch_add(1, Ordering::Relaxed);
-        let arrival = Arrival { id: RequestId(id), ..arrival };
-        self.enter(Taken { arrival, first_by, end_by: None, call })
+        let arrival = Arrival {
+            id: RequestId(id),
+            ..arrival
+        };
+        self.enter(Taken {
+            arrival,
+            first_by,
+            end_by: None,
+            call,
+        })
     }
 
     /// The client of a request left before its answer's end.
@@ -180,37 +209,57 @@
     ) -> Result<Taken, String> {
         let settings = &self.shared.settings;
         let named = |what: &str, name: &str, names: Vec<&str>| {
-            let found = names.iter().position(|n| *n == name).or(name.is_empty().then_some(0));
+            let found = names
+                .iter()
+                .position(|n| *n == name)
+                .or(name.is_empty().then_some(0));
             found.ok_or_else(|| format!("{what} {name:?} is none of: {}", names.join(", ")))
         };
-        let class =
-            named("class", &request.class, settings.classes.iter().map(|c| c.name.as_str()).collect())?;
+        let class = named(
+            "class",
+            &request.class,
+            settings.classes.iter().map(|c| c.name.as_str()).collect(),
+        )?;
         let tenant = match settings.tenants.is_empty() {
             true => 0,
-            false => {
-                named("tenant", &request.tenant, settings.tenants.iter().map(|t| t.name.as_str()).collect())?
-            }
+            false => named(
+                "tenant",
+                &request.tenant,
+                settings.tenants.iter().map(|t| t.name.as_str()).collect(),
+            )?,
         };
         let (length, most) = (request.prompt.len(), settings.most_prompt);
         if !(1..=most).contains(&length) {
-            return Err(format!("a prompt of {length} tokens; 1 to {most} are taken"));
+            return Err(format!(
+                "a prompt of {length} tokens; 1 to {most} are taken"
+            ));
         }
         let (output, most) = (request.max_output_tokens as usize, settings.most_output);
         if !(1..=most).contains(&output) {
-            return Err(format!("max_output_tokens {output} must be from 1 to {most}"));
+            return Err(format!(
+                "max_output_tokens {output} must be from 1 to {most}"
+            ));
         }
         let opening = request.shared_opening_tokens as usize;
         if opening > length {
-            return Err(format!("shared_opening_tokens {opening} is over the prompt's {length}"));
+            return Err(format!(
+                "shared_opening_tokens {opening} is over the prompt's {length}"
+            ));
         }
         let named_class = &settings.classes[class];
         if named_class.settings.effect == Effect::Keyed && request.idempotency_key.is_empty() {
-            return Err(format!("class {:?} needs an idempotency_key", named_class.name));
+            return Err(format!(
+                "class {:?} needs an idempotency_key",
+                named_class.name
+            ));
         }
         let prefix = match opening {
             0 => 0,
             _ => {
-                let bytes: Vec<u8> = request.prompt[..opening].iter().flat_map(|t| t.to_le_bytes()).collect();
+                let bytes: Vec<u8> = request.prompt[..opening]
+                    .iter()
+                    .flat_map(|t| t.to_le_bytes())
+                    .collect();
                 xxh3_64(&bytes).max(1)
             }
         };
@@ -219,7 +268,11 @@
             false => xxh3_64(request.session.as_bytes()).max(1),
         };
         let now = self.shared.world.now();
-        let late = if planted::is(Defect::TimeoutLate) { 2 * settings.answer_margin } else { 0 };
+        let late = if planted::is(Defect::TimeoutLate) {
+            2 * settings.answer_margin
+        } else {
+            0
+        };
         let (now, margin) = (now + late, settings.answer_margin);
         let end_by = patience.map(|p| now.saturating_add(p).saturating_sub(margin));
         let first = match request.first_token_patience_ms {
@@ -251,7 +304,12 @@
             key: request.idempotency_key,
             buffer,
         };
-        Ok(Taken { arrival, first_by, end_by, call: Arc::new(call) })
+        Ok(Taken {
+            arrival,
+            first_by,
+            end_by,
+            call: Arc::new(call),
+        })
     }
 
     /// Takes nothing new, lets what is under way end for `within` microseconds at most, fails the rest, and returns
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -95,7 +95,10 @@
         } else {
             let announce = self.announce.map(|a| ("--peer-announce", a));
             let peers = self.peers.iter().map(|p| ("--peer", *p));
-            let mut all = [("--peer-listen", self.listen)].into_iter().chain(announce).chain(peers);
+            let mut all = [("--peer-listen", self.listen)]
+                .into_iter()
+                .chain(announce)
+                .chain(peers);
             if let Some((flag, address)) = all.find(|(_, a)| !a.ip().is_loopback()) {
                 return bad(
                     flag,
@@ -107,9 +110,16 @@
         let death_after = self.spans.death_after;
         if !(500_000..=600_000_000).contains(&death_after) {
             let value = format!("{}ms", death_after / 1_000);
-            return bad("--peer-death-after", &value, "from 500ms to 10m: probes need a few tries");
+            return bad(
+                "--peer-death-after",
+                &value,
+                "from 500ms to 10m: probes need a few tries",
+            );
         }
-        if let Some(announce) = self.announce.filter(|a| a.port() == 0 || a.ip().is_unspecified()) {
+        if let Some(announce) = self
+            .announce
+            .filter(|a| a.port() == 0 || a.ip().is_unspecified())
+        {
             return bad("--peer-announce", &announce, "nobody can be reached there");
         }
         if self.announce.is_none() && self.listen.ip().is_unspecified() {
@@ -119,13 +129,25 @@
                 "with it --peer-announce says where others reach this node",
             );
         }
-        if let Some(peer) = self.peers.iter().find(|p| p.port() == 0 || p.ip().is_unspecified()) {
+        if let Some(peer) = self
+            .peers
+            .iter()
+            .find(|p| p.port() == 0 || p.ip().is_unspecified())
+        {
             return bad("--peer", peer, "nobody can be reached there");
         }
         if self.peers.len() > MOST_GIVEN {
-            return bad("--peer", &self.peers.len(), "64 at most; a few that are up are enough");
+            return bad(
+                "--peer",
+                &self.peers.len(),
+                "64 at most; a few that are up are enough",
+            );
         }
-        if let Some(store) = self.store.as_ref().filter(|s| !(2..=3_600).contains(&s.lease)) {
+        if let Some(store) = self
+            .store
+            .as_ref()
+            .filter(|s| !(2..=3_600).contains(&s.lease))
+        {
             return bad("--peer-lease", &store.lease, "from 2 to 3600 seconds");
         }
         Ok(())
@@ -229,7 +251,10 @@
         self.look(|peers| {
             let states = ["alive", "unheard", "suspected", "dead", "left"];
             for state in states {
-                let count = peers.peers().filter(|p| word(p.standing, p.unheard) == state).count();
+                let count = peers
+                    .peers()
+                    .filter(|p| word(p.standing, p.unheard) == state)
+                    .count();
                 let _ = writeln!(out, "ivyward_peers{{state=\"{state}\"}} {count}");
             }
             let _ = writeln!(out, "ivyward_nodes {}", peers.count());
@@ -241,7 +266,10 @@
                 ("over", dropped.over),
             ];
             for (reason, count) in reasons {
-                let _ = writeln!(out, "ivyward_peer_words_dropped_total{{reason=\"{reason}\"}} {count}");
+                let _ = writeln!(
+                    out,
+                    "ivyward_peer_words_dropped_total{{reason=\"{reason}\"}} {count}"
+                );
             }
         });
     }
@@ -274,7 +302,10 @@
         options.check()?;
         let world = metered(&self.shared.world, &self.shared.metrics.peer_traffic);
         let listen = options.listen;
-        let socket = world.datagrams(listen).map_err(|error| PeerError::Listen { address: listen, error })?;
+        let socket = world.datagrams(listen).map_err(|error| PeerError::Listen {
+            address: listen,
+            error,
+        })?;
         let address = socket.address();
         let announce = options.announce.unwrap_or(address);
         let name = options.name.clone().unwrap_or_else(|| announce.to_string());
@@ -285,11 +316,21 @@
             zone: rules.zone,
             address: announce,
         };
-        let mut decider = Peers::new(world.now(), me, options.peers.clone(), options.spans, world.random());
+        let mut decider = Peers::new(
+            world.now(),
+            me,
+            options.peers.clone(),
+            options.spans,
+            world.random(),
+        );
         decider.expect(rules.nodes);
         let decider = Arc::new(Mutex::new(decider));
         let (orders, told) = async_channel::bounded(ORDERS);
-        let handle = PeersHandle { decider: decider.clone(), orders: orders.clone(), address };
+        let handle = PeersHandle {
+            decider: decider.clone(),
+            orders: orders.clone(),
+            address,
+        };
         info!(id = %format_args!("{:016x}", me.id.0), address = %announce, name, "peers are listened for");
         let speaker = Speaker {
             node: self.clone(),
@@ -321,9 +362,10 @@
         let mut last_refused = 0;
         loop {
             let came = or(
-                or(async { Came::Datagram(self.socket.receive(&mut bytes).await) }, async {
-                    self.orders.recv().await.map_or(Came::End, Came::Order)
-                }),
+                or(
+                    async { Came::Datagram(self.socket.receive(&mut bytes).await) },
+                    async { self.orders.recv().await.map_or(Came::End, Came::Order) },
+                ),
                 async {
                     world.sleep_until(tick_at).await;
                     Came::Tick
@@ -347,7 +389,9 @@
                     world.sleep(10_000).await;
                 }
                 Came::Tick => {}
-                Came::Order(Order::Record(card)) => self.decide(|peers, out| peers.record(now, card, out)),
+                Came::Order(Order::Record(card)) => {
+                    self.decide(|peers, out| peers.record(now, card, out))
+                }
                 Came::Order(Order::Gone(id)) => self.decide(|peers, _| peers.record_gone(now, id)),
                 Came::Order(Order::Leave { done }) => {
                     self.decide(|peers, out| peers.leave(now, out));
@@ -372,7 +416,9 @@
                 peers.hear(now, message, out);
                 for one in &mut out[had..] {
                     match one {
-                        Out::Send { to, .. } if planted::is(Defect::AnswersToSource) && *to == from => {
+                        Out::Send { to, .. }
+                            if planted::is(Defect::AnswersToSource) && *to == from =>
+                        {
                             *to = source
                         }
                         _ => {}
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -74,7 +74,9 @@
 
     /// The node that a key names.
     fn named(prefix: &str, key: &[u8]) -> Result<PeerId, RecordError> {
-        let name = key.strip_prefix(prefix.as_bytes()).and_then(|k| std::str::from_utf8(k).ok());
+        let name = key
+            .strip_prefix(prefix.as_bytes())
+            .and_then(|k| std::str::from_utf8(k).ok());
         let name = name.ok_or(RecordError::Key)?;
         let id = u64::from_str_radix(name, 16).map_err(|_| RecordError::Key)?;
         // Only one way of writing a number, so that two keys never name one node.
@@ -92,24 +94,42 @@
         let id = NodeRecord::named(prefix, key)?;
         let malformed = |e: String| RecordError::Malformed(e);
         if value.len() > MOST_RECORD {
-            return Err(malformed(format!("{} bytes; {MOST_RECORD} at most", value.len())));
+            return Err(malformed(format!(
+                "{} bytes; {MOST_RECORD} at most",
+                value.len()
+            )));
         }
-        let record: NodeRecord = serde_json::from_slice(value).map_err(|e| malformed(e.to_string()))?;
-        record.validate().map_err(|e| malformed(e.to_string().trim().replace('\n', "; ")))?;
+        let record: NodeRecord =
+            serde_json::from_slice(value).map_err(|e| malformed(e.to_string()))?;
+        record
+            .validate()
+            .map_err(|e| malformed(e.to_string().trim().replace('\n', "; ")))?;
         if record.id != id.0 {
             return Err(RecordError::Contradiction(record.id));
         }
-        let address: SocketAddr =
-            record.address.parse().map_err(|_| malformed(format!("{:?} is not IP:PORT", record.address)))?;
+        let address: SocketAddr = record
+            .address
+            .parse()
+            .map_err(|_| malformed(format!("{:?} is not IP:PORT", record.address)))?;
         if address.port() == 0 || address.ip().is_unspecified() {
             return Err(malformed(format!("nobody can be reached at {address}")));
         }
-        Ok(Card { id, start: record.start, zone: record.zone, address })
+        Ok(Card {
+            id,
+            start: record.start,
+            zone: record.zone,
+            address,
+        })
     }
 }
 
 /// Writes this node's record and follows those of the others, until the node ends.
-pub(crate) fn begin(node: &Node, store: &PeerStore, me: Card, orders: async_channel::Sender<Order>) {
+pub(crate) fn begin(
+    node: &Node,
+    store: &PeerStore,
+    me: Card,
+    orders: async_channel::Sender<Order>,
+) {
     let world = metered(&node.shared.world, &node.shared.metrics.peer_traffic);
     let client = |world: &WorldRef| Client::new(world, store.endpoints.clone(), store.etcd.clone());
     let keeper = client(&world);
--- a/crates/ivyward/src/peers/records/tests.rs
+++ b/crates/ivyward/src/peers/records/tests.rs
@@ -5,24 +5,58 @@
 #[test]
 fn a_record_is_read_as_it_is_written_and_bad_ones_say_why() {
     let address = "127.0.0.1:7431".parse().unwrap();
-    let card = Card { id: PeerId(0xab), start: 7, zone: 3, address };
+    let card = Card {
+        id: PeerId(0xab),
+        start: 7,
+        zone: 3,
+        address,
+    };
     let key = NodeRecord::key(NODES, card.id);
     assert_eq!(key, "ivyward/nodes/00000000000000ab");
     let text = serde_json::to_string(&NodeRecord::of(&card)).unwrap();
-    assert_eq!(NodeRecord::read(NODES, key.as_bytes(), text.as_bytes()), Ok(card));
+    assert_eq!(
+        NodeRecord::read(NODES, key.as_bytes(), text.as_bytes()),
+        Ok(card)
+    );
     let bad = [
-        (key.as_str(), text.replace("7431", "0"), "nobody can be reached"),
-        (key.as_str(), text.replace("127.0.0.1:7431", "there"), "not IP:PORT"),
-        (key.as_str(), text.replace("\"version\":1", "\"version\":2"), "version"),
-        (key.as_str(), text.replace("171", "172"), "not of its key's node"),
+        (
+            key.as_str(),
+            text.replace("7431", "0"),
+            "nobody can be reached",
+        ),
+        (
+            key.as_str(),
+            text.replace("127.0.0.1:7431", "there"),
+            "not IP:PORT",
+        ),
+        (
+            key.as_str(),
+            text.replace("\"version\":1", "\"version\":2"),
+            "version",
+        ),
+        (
+            key.as_str(),
+            text.replace("171", "172"),
+            "not of its key's node",
+        ),
         (key.as_str(), "{".into(), "malformed"),
-        (key.as_str(), format!("{text}{}", " ".repeat(MOST_RECORD)), "bytes"),
+        (
+            key.as_str(),
+            format!("{text}{}", " ".repeat(MOST_RECORD)),
+            "bytes",
+        ),
         ("ivyward/nodes/ab", text.clone(), "16 hexadecimal"),
-        ("ivyward/nodes/00000000000000AB", text.clone(), "16 hexadecimal"),
+        (
+            "ivyward/nodes/00000000000000AB",
+            text.clone(),
+            "16 hexadecimal",
+        ),
         ("elsewhere/00000000000000ab", text.clone(), "16 hexadecimal"),
     ];
     for (key, text, what) in bad {
-        let problem = NodeRecord::read(NODES, key.as_bytes(), text.as_bytes()).unwrap_err().to_string();
+        let problem = NodeRecord::read(NODES, key.as_bytes(), text.as_bytes())
+            .unwrap_err()
+            .to_string();
         assert!(problem.contains(what), "{text}: {problem}");
     }
 }
--- a/crates/ivyward/src/peers/wire.rs
+++ b/crates/ivyward/src/peers/wire.rs
@@ -38,7 +38,10 @@
     /// By the words of the owner, or without any.
     pub fn new(words: Option<&str>) -> Seal {
         let key = blake3::derive_key(CONTEXT, words.unwrap_or_default().as_bytes());
-        Seal { key, loopback_only: words.is_none() }
+        Seal {
+            key,
+            loopback_only: words.is_none(),
+        }
     }
 
     /// A message as a datagram.
@@ -78,7 +81,10 @@
                 Body::Relay { to, .. } => Some(to.address),
                 _ => None,
             };
-            let all = [source, message.from.address].into_iter().chain(named).chain(relayed);
+            let all = [source, message.from.address]
+                .into_iter()
+                .chain(named)
+                .chain(relayed);
             let mut all = all.chain(paged.iter().map(|c| c.card.address));
             if let Some(foreign) = all.find(|a| !a.ip().is_loopback()) {
                 return Err(Unread::Foreign(foreign));
@@ -94,7 +100,12 @@
         IpAddr::V6(ip) => ip.octets().to_vec(),
     };
     address.extend_from_slice(&card.address.port().to_be_bytes());
-    pb::Card { id: card.id.0, start: card.start, zone: u32::from(card.zone), address }
+    pb::Card {
+        id: card.id.0,
+        start: card.start,
+        zone: u32::from(card.zone),
+        address,
+    }
 }
 
 fn card_in(card: Option<pb::Card>) -> Result<Card, &'static str> {
@@ -111,7 +122,12 @@
         return Err("an address that nobody has");
     }
     let zone = u8::try_from(card.zone).map_err(|_| "a zone over 255")?;
-    Ok(Card { id: PeerId(card.id), start: card.start, zone, address })
+    Ok(Card {
+        id: PeerId(card.id),
+        start: card.start,
+        zone,
+        address,
+    })
 }
 
 fn claim_out(claim: &Claim) -> pb::Claim {
@@ -121,18 +137,31 @@
         About::Left => (2, 0),
     };
     let ago = claim.ago.div_ceil(1_000);
-    pb::Claim { card: Some(card_out(&claim.card)), beat: claim.beat, ago, about, since }
+    pb::Claim {
+        card: Some(card_out(&claim.card)),
+        beat: claim.beat,
+        ago,
+        about,
+        since,
+    }
 }
 
 fn claim_in(claim: pb::Claim) -> Result<Claim, &'static str> {
     let about = match claim.about {
         0 => About::Here,
-        1 => About::Silent { since: claim.since.saturating_mul(1_000) },
+        1 => About::Silent {
+            since: claim.since.saturating_mul(1_000),
+        },
         2 => About::Left,
         _ => return Err("a claim of an unknown kind"),
     };
     let ago = claim.ago.saturating_mul(1_000);
-    Ok(Claim { card: card_in(claim.card)?, beat: claim.beat, ago, about })
+    Ok(Claim {
+        card: card_in(claim.card)?,
+        beat: claim.beat,
+        ago,
+        about,
+    })
 }
 
 fn claims_in(claims: Vec<pb::Claim>) -> Result<Vec<Claim>, &'static str> {
@@ -146,13 +175,32 @@
     use pb::message::Body as Out;
     let body = match &message.body {
         Body::Ping { seq } => Out::Ping(*seq),
-        Body::Ack { seq, of } => Out::Ack(pb::Ack { seq: *seq, of: of.0 }),
-        Body::Relay { seq, to } => Out::Relay(pb::Relay { seq: *seq, to: Some(card_out(to)) }),
+        Body::Ack { seq, of } => Out::Ack(pb::Ack {
+            seq: *seq,
+            of: of.0,
+        }),
+        Body::Relay { seq, to } => Out::Relay(pb::Relay {
+            seq: *seq,
+            to: Some(card_out(to)),
+        }),
         Body::Nack { seq } => Out::Nack(*seq),
-        Body::Ask { after, whole } => Out::Ask(pb::Ask { after: after.map(|a| a.0), whole: *whole }),
-        Body::Page { claims, next, last, sure } => {
+        Body::Ask { after, whole } => Out::Ask(pb::Ask {
+            after: after.map(|a| a.0),
+            whole: *whole,
+        }),
+        Body::Page {
+            claims,
+            next,
+            last,
+            sure,
+        } => {
             let claims = claims.iter().map(claim_out).collect();
-            Out::Page(pb::Page { claims, next: next.map(|n| n.0), last: *last, sure: *sure })
+            Out::Page(pb::Page {
+                claims,
+                next: next.map(|n| n.0),
+                last: *last,
+                sure: *sure,
+            })
         }
         Body::Leave => Out::Leave(true),
         Body::Gossip => Out::Gossip(true),
@@ -170,19 +218,39 @@
     use pb::message::Body as In;
     let body = match message.body.ok_or("no body, or one of a later version")? {
         In::Ping(seq) => Body::Ping { seq },
-        In::Ack(ack) => Body::Ack { seq: ack.seq, of: PeerId(ack.of) },
-        In::Relay(relay) => Body::Relay { seq: relay.seq, to: card_in(relay.to)? },
+        In::Ack(ack) => Body::Ack {
+            seq: ack.seq,
+            of: PeerId(ack.of),
+        },
+        In::Relay(relay) => Body::Relay {
+            seq: relay.seq,
+            to: card_in(relay.to)?,
+        },
         In::Nack(seq) => Body::Nack { seq },
-        In::Ask(ask) => Body::Ask { after: ask.after.map(PeerId), whole: ask.whole },
+        In::Ask(ask) => Body::Ask {
+            after: ask.after.map(PeerId),
+            whole: ask.whole,
+        },
         In::Page(page) => {
             let claims = claims_in(page.claims)?;
-            Body::Page { claims, next: page.next.map(PeerId), last: page.last, sure: page.sure }
+            Body::Page {
+                claims,
+                next: page.next.map(PeerId),
+                last: page.last,
+                sure: page.sure,
+            }
         }
         In::Leave(_) => Body::Leave,
         In::Gossip(_) => Body::Gossip,
     };
     let (from, claims) = (card_in(message.from)?, claims_in(message.claims)?);
-    Ok(Message { from, beat: message.beat, view: message.view, body, claims })
+    Ok(Message {
+        from,
+        beat: message.beat,
+        view: message.view,
+        body,
+        claims,
+    })
 }
 
 #[cfg(test)]
--- a/crates/ivyward/src/record/mod.rs
+++ b/crates/ivyward/src/record/mod.rs
@@ -54,10 +54,23 @@
     ///
     /// # Errors
     /// When the first entry cannot be written.
-    pub fn begin(out: Box<dyn Write + Send>, settings: &core::Settings, seed: u64) -> io::Result<Recorder> {
-        let mut recorder = Recorder { out, scratch: Vec::new() };
-        let start = pb::Start { version: VERSION, seed, settings: Some(settings_out(settings)) };
-        recorder.write(&pb::Entry { entry: Some(pb::entry::Entry::Start(start)) })?;
+    pub fn begin(
+        out: Box<dyn Write + Send>,
+        settings: &core::Settings,
+        seed: u64,
+    ) -> io::Result<Recorder> {
+        let mut recorder = Recorder {
+            out,
+            scratch: Vec::new(),
+        };
+        let start = pb::Start {
+            version: VERSION,
+            seed,
+            settings: Some(settings_out(settings)),
+        };
+        recorder.write(&pb::Entry {
+            entry: Some(pb::entry::Entry::Start(start)),
+        })?;
         recorder.out.flush()?;
         Ok(recorder)
     }
@@ -67,8 +80,14 @@
     /// When it cannot be written.
     pub fn step(&mut self, at: Micros, event: &Event, actions: &[Action]) -> io::Result<()> {
         let actions = actions.iter().map(action_out).collect();
-        let step = pb::Step { at, event: Some(event_out(event)), actions };
-        self.write(&pb::Entry { entry: Some(pb::entry::Entry::Step(step)) })
+        let step = pb::Step {
+            at,
+            event: Some(event_out(event)),
+            actions,
+        };
+        self.write(&pb::Entry {
+            entry: Some(pb::entry::Entry::Step(step)),
+        })
     }
     /// Hands what was written so far to the system.
     ///
@@ -79,7 +98,9 @@
     }
     fn write(&mut self, entry: &pb::Entry) -> io::Result<()> {
         self.scratch.clear();
-        entry.encode_length_delimited(&mut self.scratch).map_err(io::Error::other)?;
+        entry
+            .encode_length_delimited(&mut self.scratch)
+            .map_err(io::Error::other)?;
         self.out.write_all(&self.scratch)
     }
 }
@@ -132,7 +153,13 @@
             return Err(RecordError::Version(start.version));
         }
         let settings = settings_in(&start.settings.unwrap_or_default()).map_err(bad)?;
-        Ok(Reader { input, settings, seed: start.seed, read: 0, cut: false })
+        Ok(Reader {
+            input,
+            settings,
+            seed: start.seed,
+            read: 0,
+            cut: false,
+        })
     }
     /// The next step, or `None` at the end, which may lie inside an entry: see [`Reader::cut`].
     ///
@@ -152,10 +179,21 @@
             }
             Err(e) => return Err(e),
         };
-        let event = step.event.ok_or_else(|| bad("a step without an event".into()))?;
+        let event = step
+            .event
+            .ok_or_else(|| bad("a step without an event".into()))?;
         let event = event_in(event).map_err(bad)?;
-        let actions = step.actions.into_iter().map(action_in).collect::<Result<_, _>>().map_err(bad)?;
-        Ok(Some(Step { at: step.at, event, actions }))
+        let actions = step
+            .actions
+            .into_iter()
+            .map(action_in)
+            .collect::<Result<_, _>>()
+            .map_err(bad)?;
+        Ok(Some(Step {
+            at: step.at,
+            event,
+            actions,
+        }))
     }
     /// Whether the recording ended inside an entry, as a killed node leaves it.
     pub fn cut(&self) -> bool {
@@ -171,11 +209,21 @@
     let mut reader = Reader::begin(input)?;
     let mut router = Router::new(reader.settings.clone(), reader.seed);
     let mut done = Replayed::default();
-    while let Some(Step { at, event, actions: recorded }) = reader.step()? {
+    while let Some(Step {
+        at,
+        event,
+        actions: recorded,
+    }) = reader.step()?
+    {
         let mut replayed = Vec::new();
         router.handle(at, event, &mut replayed);
         if recorded != replayed {
-            return Err(RecordError::Differs { step: done.events, at, recorded, replayed });
+            return Err(RecordError::Differs {
+                step: done.events,
+                at,
+                recorded,
+                replayed,
+            });
         }
         done.events += 1;
         done.actions += replayed.len();
@@ -198,17 +246,28 @@
             break;
         }
         if shift > 28 {
-            return Err(RecordError::Malformed { entry: no, what: "its length is no length".into() });
+            return Err(RecordError::Malformed {
+                entry: no,
+                what: "its length is no length".into(),
+            });
         }
     }
     if length > MOST_ENTRY {
-        return Err(RecordError::Malformed { entry: no, what: format!("{length} bytes are too long") });
+        return Err(RecordError::Malformed {
+            entry: no,
+            what: format!("{length} bytes are too long"),
+        });
     }
     let mut body = vec![0; length as usize];
     input.read_exact(&mut body)?;
-    let entry = pb::Entry::decode(&body[..])
-        .map_err(|e| RecordError::Malformed { entry: no, what: e.to_string() })?;
-    entry.entry.map(Some).ok_or_else(|| RecordError::Malformed { entry: no, what: "it is empty".into() })
+    let entry = pb::Entry::decode(&body[..]).map_err(|e| RecordError::Malformed {
+        entry: no,
+        what: e.to_string(),
+    })?;
+    entry.entry.map(Some).ok_or_else(|| RecordError::Malformed {
+        entry: no,
+        what: "it is empty".into(),
+    })
 }
 
 /// Numbers for the words of the interface, both ways from one table.
@@ -226,11 +285,47 @@
     };
 }
 
-words!(role_out, role_in, core::Role, Prefill = 0, Decode = 1, Mixed = 2);
-words!(effect_out, effect_in, core::Effect, Safe = 0, Keyed = 1, Unsafe = 2);
-words!(group_out, group_in, core::RepeatGroup, All = 0, Zone = 1, Cell = 2);
-words!(condition_out, condition_in, core::Condition, Ready = 0, Draining = 1, Gone = 2);
-words!(list_out, list_in, core::ListKind, Changes = 0, Full = 1, Cached = 2, Failed = 3);
+words!(
+    role_out,
+    role_in,
+    core::Role,
+    Prefill = 0,
+    Decode = 1,
+    Mixed = 2
+);
+words!(
+    effect_out,
+    effect_in,
+    core::Effect,
+    Safe = 0,
+    Keyed = 1,
+    Unsafe = 2
+);
+words!(
+    group_out,
+    group_in,
+    core::RepeatGroup,
+    All = 0,
+    Zone = 1,
+    Cell = 2
+);
+words!(
+    condition_out,
+    condition_in,
+    core::Condition,
+    Ready = 0,
+    Draining = 1,
+    Gone = 2
+);
+words!(
+    list_out,
+    list_in,
+    core::ListKind,
+    Changes = 0,
+    Full = 1,
+    Cached = 2,
+    Failed = 3
+);
 words!(
     field_out,
     field_in,
@@ -281,7 +376,13 @@
         roles: s.roles.iter().map(|r| role_out(*r)).collect(),
         memory_tokens: s.memory_tokens.clone(),
         classes: s.classes.iter().map(class).collect(),
-        tenants: s.tenants.iter().map(|t| pb::Tenant { quota_per_s: t.quota_per_s }).collect(),
+        tenants: s
+            .tenants
+            .iter()
+            .map(|t| pb::Tenant {
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         over_share_worth: s.over_share_worth,
         decode_may_prefill: s.decode_may_prefill,
         hold_ahead: s.hold_ahead,
@@ -321,10 +422,20 @@
     Ok(core::Settings {
         nodes: s.nodes,
         zone: narrow(s.zone, "zone")?,
-        roles: s.roles.iter().map(|r| role_in(*r)).collect::<Result<_, _>>()?,
+        roles: s
+            .roles
+            .iter()
+            .map(|r| role_in(*r))
+            .collect::<Result<_, _>>()?,
         memory_tokens: s.memory_tokens.clone(),
         classes: s.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: s.tenants.iter().map(|t| core::TenantSettings { quota_per_s: t.quota_per_s }).collect(),
+        tenants: s
+            .tenants
+            .iter()
+            .map(|t| core::TenantSettings {
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         over_share_worth: s.over_share_worth,
         decode_may_prefill: s.decode_may_prefill,
         hold_ahead: s.hold_ahead,
@@ -343,7 +454,11 @@
         probes: s.probes,
         second_copies: s.second_copies,
         max_retry_after: s.max_retry_after,
-        report_fields: s.report_fields.iter().map(|f| field_in(*f)).collect::<Result<_, _>>()?,
+        report_fields: s
+            .report_fields
+            .iter()
+            .map(|f| field_in(*f))
+            .collect::<Result<_, _>>()?,
     })
 }
 
@@ -352,8 +467,15 @@
 }
 
 fn report_in(values: &[f32]) -> Result<core::Report, String> {
-    let mut report = core::Report { len: values.len(), ..core::Report::default() };
-    report.values.get_mut(..values.len()).ok_or("a report has four values at most")?.copy_from_slice(values);
+    let mut report = core::Report {
+        len: values.len(),
+        ..core::Report::default()
+    };
+    report
+        .values
+        .get_mut(..values.len())
+        .ok_or("a report has four values at most")?
+        .copy_from_slice(values);
     Ok(report)
 }
 
@@ -384,9 +506,10 @@
 fn event_out(event: &Event) -> pb::Event {
     use pb::event::Event as Out;
     let event = match event {
-        Event::Fleet { kind, entries } => {
-            Out::Fleet(pb::Fleet { kind: list_out(*kind), engines: entries.iter().map(engine_out).collect() })
-        }
+        Event::Fleet { kind, entries } => Out::Fleet(pb::Fleet {
+            kind: list_out(*kind),
+            engines: entries.iter().map(engine_out).collect(),
+        }),
         Event::Request(a) => Out::Arrival(pb::Arrival {
             id: a.id.0,
             class: a.class as u32,
@@ -401,27 +524,45 @@
             repeat: a.repeat,
             resumed: a.resumed,
         }),
-        Event::FirstToken { request, attempt } => {
-            Out::FirstToken(pb::FirstToken { request: request.0, attempt: u32::from(*attempt) })
-        }
-        Event::PlaceAnswer { request, server, held } => {
-            Out::PlaceAnswer(pb::PlaceAnswer { request: request.0, engine: server.0, held: *held })
-        }
-        Event::AttemptEnded { request, attempt, outcome, kept_tokens, finished, report } => {
-            Out::AttemptEnded(pb::AttemptEnded {
-                request: request.0,
-                attempt: u32::from(*attempt),
-                outcome: outcome_out(*outcome),
-                kept_tokens: *kept_tokens,
-                finished: *finished,
-                report: report_out(report),
-            })
-        }
+        Event::FirstToken { request, attempt } => Out::FirstToken(pb::FirstToken {
+            request: request.0,
+            attempt: u32::from(*attempt),
+        }),
+        Event::PlaceAnswer {
+            request,
+            server,
+            held,
+        } => Out::PlaceAnswer(pb::PlaceAnswer {
+            request: request.0,
+            engine: server.0,
+            held: *held,
+        }),
+        Event::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            kept_tokens,
+            finished,
+            report,
+        } => Out::AttemptEnded(pb::AttemptEnded {
+            request: request.0,
+            attempt: u32::from(*attempt),
+            outcome: outcome_out(*outcome),
+            kept_tokens: *kept_tokens,
+            finished: *finished,
+            report: report_out(report),
+        }),
         Event::ClientGone(request) => Out::ClientGone(request.0),
         Event::Timer(token) => Out::Timer(*token),
-        Event::Probed { server, alive, report } => {
-            Out::Probed(pb::Probed { engine: server.0, alive: *alive, report: report_out(report) })
-        }
+        Event::Probed {
+            server,
+            alive,
+            report,
+        } => Out::Probed(pb::Probed {
+            engine: server.0,
+            alive: *alive,
+            report: report_out(report),
+        }),
         Event::Nodes(nodes) => Out::Nodes(*nodes),
     };
     pb::Event { event: Some(event) }
@@ -448,12 +589,15 @@
             repeat: a.repeat,
             resumed: a.resumed,
         }),
-        In::FirstToken(f) => {
-            Event::FirstToken { request: RequestId(f.request), attempt: narrow(f.attempt, "attempt")? }
-        }
-        In::PlaceAnswer(p) => {
-            Event::PlaceAnswer { request: RequestId(p.request), server: ServerId(p.engine), held: p.held }
-        }
+        In::FirstToken(f) => Event::FirstToken {
+            request: RequestId(f.request),
+            attempt: narrow(f.attempt, "attempt")?,
+        },
+        In::PlaceAnswer(p) => Event::PlaceAnswer {
+            request: RequestId(p.request),
+            server: ServerId(p.engine),
+            held: p.held,
+        },
         In::AttemptEnded(e) => Event::AttemptEnded {
             request: RequestId(e.request),
             attempt: narrow(e.attempt, "attempt")?,
@@ -464,9 +608,11 @@
         },
         In::ClientGone(id) => Event::ClientGone(RequestId(id)),
         In::Timer(token) => Event::Timer(token),
-        In::Probed(p) => {
-            Event::Probed { server: ServerId(p.engine), alive: p.alive, report: report_in(&p.report)? }
-        }
+        In::Probed(p) => Event::Probed {
+            server: ServerId(p.engine),
+            alive: p.alive,
+            report: report_in(&p.report)?,
+        },
         In::Nodes(nodes) => Event::Nodes(nodes),
     })
 }
@@ -474,27 +620,45 @@
 fn action_out(action: &Action) -> pb::Action {
     use pb::action::Action as Out;
     let action = match action {
-        Action::Send { request, server, timeout, leave_by } => Out::Send(pb::Send {
+        Action::Send {
+            request,
+            server,
+            timeout,
+            leave_by,
+        } => Out::Send(pb::Send {
             request: request.0,
             engine: server.0,
             timeout: *timeout,
             leave_by: *leave_by,
         }),
-        Action::Cancel { request, attempt } => {
-            Out::Cancel(pb::Cancel { request: request.0, attempt: u32::from(*attempt) })
-        }
-        Action::Refuse { request, retry_after } => {
-            Out::Refuse(pb::Refuse { request: request.0, retry_after: *retry_after })
-        }
+        Action::Cancel { request, attempt } => Out::Cancel(pb::Cancel {
+            request: request.0,
+            attempt: u32::from(*attempt),
+        }),
+        Action::Refuse {
+            request,
+            retry_after,
+        } => Out::Refuse(pb::Refuse {
+            request: request.0,
+            retry_after: *retry_after,
+        }),
         Action::Fail(request) => Out::Fail(request.0),
         Action::Release(request) => Out::Release(request.0),
-        Action::HoldAhead { request, server } => Out::Hold(pb::Hold { request: request.0, engine: server.0 }),
-        Action::SetTimer { at, token } => Out::SetTimer(pb::SetTimer { at: *at, token: *token }),
+        Action::HoldAhead { request, server } => Out::Hold(pb::Hold {
+            request: request.0,
+            engine: server.0,
+        }),
+        Action::SetTimer { at, token } => Out::SetTimer(pb::SetTimer {
+            at: *at,
+            token: *token,
+        }),
         Action::Probe(server) => Out::Probe(server.0),
         Action::Subscribe => Out::Subscribe(true),
         Action::Log(line) => Out::Log(line.clone()),
     };
-    pb::Action { action: Some(action) }
+    pb::Action {
+        action: Some(action),
+    }
 }
 
 fn action_in(action: pb::Action) -> Result<Action, String> {
@@ -506,14 +670,24 @@
             timeout: s.timeout,
             leave_by: s.leave_by,
         },
-        In::Cancel(c) => {
-            Action::Cancel { request: RequestId(c.request), attempt: narrow(c.attempt, "attempt")? }
-        }
-        In::Refuse(r) => Action::Refuse { request: RequestId(r.request), retry_after: r.retry_after },
+        In::Cancel(c) => Action::Cancel {
+            request: RequestId(c.request),
+            attempt: narrow(c.attempt, "attempt")?,
+        },
+        In::Refuse(r) => Action::Refuse {
+            request: RequestId(r.request),
+            retry_after: r.retry_after,
+        },
         In::Fail(id) => Action::Fail(RequestId(id)),
         In::Release(id) => Action::Release(RequestId(id)),
-        In::Hold(h) => Action::HoldAhead { request: RequestId(h.request), server: ServerId(h.engine) },
-        In::SetTimer(t) => Action::SetTimer { at: t.at, token: t.token },
+        In::Hold(h) => Action::HoldAhead {
+            request: RequestId(h.request),
+            server: ServerId(h.engine),
+        },
+        In::SetTimer(t) => Action::SetTimer {
+            at: t.at,
+            token: t.token,
+        },
         In::Probe(id) => Action::Probe(ServerId(id)),
         In::Subscribe(_) => Action::Subscribe,
         In::Log(line) => Action::Log(line),
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -72,7 +72,10 @@
 
 /// Waits for what comes next, or the driver's word.
 async fn heeding<T>(job: &Work, next: impl Future<Output = T>) -> Woken<T> {
-    or(async { Woken::Next(next.await) }, async { Woken::Stopped(job.stopped().await) }).await
+    or(async { Woken::Next(next.await) }, async {
+        Woken::Stopped(job.stopped().await)
+    })
+    .await
 }
 
 /// What a failed call counts as. Proofs that it never ran: it did not leave the socket (a failed connection),
@@ -102,8 +105,13 @@
 
 /// The values of a load report in the order that the module was told.
 pub(crate) fn report(load: Option<&pb::Load>, fields: &[ReportField]) -> Report {
-    let Some(load) = load else { return Report::default() };
-    let mut report = Report { len: fields.len().min(4), ..Report::default() };
+    let Some(load) = load else {
+        return Report::default();
+    };
+    let mut report = Report {
+        len: fields.len().min(4),
+        ..Report::default()
+    };
     for (value, field) in report.values.iter_mut().zip(fields) {
         let told = match field {
             ReportField::Outstanding => load.outstanding,
@@ -115,7 +123,9 @@
             ReportField::Other => None,
         };
         // A missing value, or one that is no number, makes the report worthless rather than wrong.
-        let Some(told) = told.filter(|v| v.is_finite()) else { return Report::default() };
+        let Some(told) = told.filter(|v| v.is_finite()) else {
+            return Report::default();
+        };
         *value = told;
     }
     report
@@ -152,7 +162,9 @@
     let deadline = job.deadline();
     let mut call = match unless_over(job, channel.call_before(path, body.clone(), deadline)).await {
         Some(Ok(call)) => call,
-        Some(Err(CallError { cause: Cause::Late, .. })) => return End::new(Outcome::NotSent, "no time left"),
+        Some(Err(CallError {
+            cause: Cause::Late, ..
+        })) => return End::new(Outcome::NotSent, "no time left"),
         Some(Err(e)) => return End::new(Outcome::ConnectFailed, e.to_string()),
         None => return End::new(Outcome::NotSent, "the client left before it was sent"),
     };
@@ -160,7 +172,9 @@
         Ask::Read(_) => read(job, &mut call).await,
         Ask::Write(_) => write(job, &mut call).await,
     };
-    if planted::is(Defect::SentTwice) && matches!((&job.ask, end.outcome), (Ask::Write(_), Outcome::Reset)) {
+    if planted::is(Defect::SentTwice)
+        && matches!((&job.ask, end.outcome), (Ask::Write(_), Outcome::Reset))
+    {
         if let Ok(again) = channel.call_before(path, body, deadline).await {
             call = again;
             end = write(job, &mut call).await;
@@ -205,9 +219,10 @@
 fn same_engine(job: &Work, got: u64) -> Result<(), End> {
     match job.link.id.0 == got {
         true => Ok(()),
-        false => {
-            Err(End::new(Outcome::Error, format!("engine {:x} answered as engine {got:x}", job.link.id.0)))
-        }
+        false => Err(End::new(
+            Outcome::Error,
+            format!("engine {:x} answered as engine {got:x}", job.link.id.0),
+        )),
     }
 }
 
@@ -220,13 +235,17 @@
         return end;
     }
     let mut end = match reply.result {
-        Some(pb::read_reply::Result::Done(done)) => {
-            End { kept: done.kept_tokens, ..End::new(Outcome::Read, "read") }
-        }
+        Some(pb::read_reply::Result::Done(done)) => End {
+            kept: done.kept_tokens,
+            ..End::new(Outcome::Read, "read")
+        },
         Some(pb::read_reply::Result::TurnedAway(away)) => turned_away(&away),
         None => End::new(Outcome::Error, "a read's reply says nothing"),
     };
-    end.report = report(reply.load.as_ref(), &job.shared.router_settings.report_fields);
+    end.report = report(
+        reply.load.as_ref(),
+        &job.shared.router_settings.report_fields,
+    );
     end
 }
 
@@ -253,8 +272,13 @@
     loop {
         let taken = match event.take() {
             Some(event) => event,
-            None => match job.wait(&mut stall.timer, call.next::<pb::WriteEvent>()).await {
-                Woken::Stopped(Stop::GiveUp) => return Err(End::new(Outcome::Cancelled, "given up")),
+            None => match job
+                .wait(&mut stall.timer, call.next::<pb::WriteEvent>())
+                .await
+            {
+                Woken::Stopped(Stop::GiveUp) => {
+                    return Err(End::new(Outcome::Cancelled, "given up"))
+                }
                 // A stream that has begun is not called off.
                 Woken::Stopped(Stop::CallOff) => continue,
                 Woken::Late if stall.over(world) => {
@@ -262,7 +286,9 @@
                 }
                 Woken::Late => continue,
                 Woken::Next(Err(e)) => return Err(End::new(streaming(&e), e.to_string())),
-                Woken::Next(Ok(None)) => return Err(bad("a stream ended without its last word".into())),
+                Woken::Next(Ok(None)) => {
+                    return Err(bad("a stream ended without its last word".into()))
+                }
                 Woken::Next(Ok(Some(event))) => event,
             },
         };
@@ -277,32 +303,51 @@
                 }
                 let bound = job.buffer.bound();
                 if run.ids.is_empty() || run.ids.len() > bound {
-                    return Err(bad(format!("a run of {} tokens; 1 to {bound} are taken", run.ids.len())));
+                    return Err(bad(format!(
+                        "a run of {} tokens; 1 to {bound} are taken",
+                        run.ids.len()
+                    )));
                 }
                 expected = expected.saturating_add(run.ids.len() as u32);
                 if expected > most {
-                    return Err(bad(format!("more than the {most} tokens that were asked for")));
+                    return Err(bad(format!(
+                        "more than the {most} tokens that were asked for"
+                    )));
                 }
-                let waiting =
-                    job.buffer.push(&run.ids).map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
+                let waiting = job
+                    .buffer
+                    .push(&run.ids)
+                    .map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
                 job.shared.metrics.buffered_most.most(waiting as u64);
                 if !told {
                     told = true;
                     job.first();
                 }
                 // A slow client holds up its own stream alone: its engine is read on when there is room.
-                job.room(&job.buffer).await.map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
+                job.room(&job.buffer)
+                    .await
+                    .map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
                 stall.last = world.now();
             }
             Some(pb::write_event::Event::Done(done)) => {
                 if done.tokens != expected {
-                    return Err(bad(format!("the engine counts {} tokens, {expected} came", done.tokens)));
+                    return Err(bad(format!(
+                        "the engine counts {} tokens, {expected} came",
+                        done.tokens
+                    )));
                 }
                 if !told {
                     job.first();
                 }
-                let report = report(done.load.as_ref(), &job.shared.router_settings.report_fields);
-                return Ok(End { kept: done.kept_tokens, report, ..End::new(Outcome::Served, "served") });
+                let report = report(
+                    done.load.as_ref(),
+                    &job.shared.router_settings.report_fields,
+                );
+                return Ok(End {
+                    kept: done.kept_tokens,
+                    report,
+                    ..End::new(Outcome::Served, "served")
+                });
             }
             Some(pb::write_event::Event::TurnedAway(_)) => {
                 return Err(bad("turned away after the stream had begun".into()));
--- a/crates/ivyward/src/request/clients.rs
+++ b/crates/ivyward/src/request/clients.rs
@@ -14,8 +14,11 @@
 impl ClientConnections {
     /// Counts one more, unless `most` are open.
     pub(crate) fn admit(self: &Arc<Self>, most: usize) -> Option<ClientConnection> {
-        let admitted =
-            self.open.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| (n < most).then_some(n + 1));
+        let admitted = self
+            .open
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| {
+                (n < most).then_some(n + 1)
+            });
         admitted.ok().map(|_| ClientConnection(self.clone()))
     }
 
--- a/crates/ivyward/src/request/door.rs
+++ b/crates/ivyward/src/request/door.rs
@@ -27,8 +27,12 @@
 
 /// The patience that a call's `grpc-timeout` states.
 fn grpc_timeout(metadata: &MetadataMap) -> Result<Option<Micros>, String> {
-    let Some(value) = metadata.get(TIMEOUT_HEADER) else { return Ok(None) };
-    let text = value.to_str().map_err(|_| "grpc-timeout is not text".to_string())?;
+    let Some(value) = metadata.get(TIMEOUT_HEADER) else {
+        return Ok(None);
+    };
+    let text = value
+        .to_str()
+        .map_err(|_| "grpc-timeout is not text".to_string())?;
     parse_timeout(text).map(Some).map_err(|e| e.to_string())
 }
 
@@ -48,9 +52,18 @@
         Final::Served => Status::with_metadata(Code::Ok, "", metadata),
         Final::Refused { retry_after, why } => {
             let (code, text) = match why {
-                Refusal::Shed => (Code::ResourceExhausted, "refused for overload; trying again is harmless"),
-                Refusal::NodeFull => (Code::ResourceExhausted, "this node is full; trying again is harmless"),
-                Refusal::Stopping => (Code::Unavailable, "this node is stopping; trying again is harmless"),
+                Refusal::Shed => (
+                    Code::ResourceExhausted,
+                    "refused for overload; trying again is harmless",
+                ),
+                Refusal::NodeFull => (
+                    Code::ResourceExhausted,
+                    "this node is full; trying again is harmless",
+                ),
+                Refusal::Stopping => (
+                    Code::Unavailable,
+                    "this node is stopping; trying again is harmless",
+                ),
             };
             let after = Duration::from_micros(retry_after.unwrap_or(0));
             // Rounded up: nobody is to come back too soon.
@@ -61,12 +74,19 @@
         }
         Final::Failed(why) => {
             let (code, text) = match why {
-                Failure::Deadline => (Code::DeadlineExceeded, "no answer in the time given".to_string()),
-                Failure::Attempts(text) => {
-                    (Code::Internal, format!("no attempt led to an answer; the last: {text}"))
-                }
+                Failure::Deadline => (
+                    Code::DeadlineExceeded,
+                    "no answer in the time given".to_string(),
+                ),
+                Failure::Attempts(text) => (
+                    Code::Internal,
+                    format!("no attempt led to an answer; the last: {text}"),
+                ),
                 Failure::Broken(text) => (Code::Internal, format!("the stream broke: {text}")),
-                Failure::Stopped => (Code::Internal, "the node stopped before the answer's end".to_string()),
+                Failure::Stopped => (
+                    Code::Internal,
+                    "the node stopped before the answer's end".to_string(),
+                ),
                 Failure::Invalid(text) => (Code::InvalidArgument, text.clone()),
             };
             metadata.insert("grpc-retry-pushback-ms", MetadataValue::from_static("-1"));
@@ -79,10 +99,15 @@
 /// by the same contract as all others: nothing is promised, and it says so.
 fn by_contract<B>(mut response: http::Response<B>) -> http::Response<B> {
     let headers = response.headers_mut();
-    let ended = headers.get("grpc-status").is_some_and(|status| status != "0");
+    let ended = headers
+        .get("grpc-status")
+        .is_some_and(|status| status != "0");
     if ended && !headers.contains_key("ivyward-outcome") {
         headers.insert("ivyward-outcome", http::HeaderValue::from_static("failed"));
-        headers.insert("grpc-retry-pushback-ms", http::HeaderValue::from_static("-1"));
+        headers.insert(
+            "grpc-retry-pushback-ms",
+            http::HeaderValue::from_static("-1"),
+        );
     }
     response
 }
@@ -95,12 +120,15 @@
 impl Stream for Tell {
     type Item = Result<Tokens, Status>;
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        let Some(answer) = self.answer.as_mut() else { return Poll::Ready(None) };
+        let Some(answer) = self.answer.as_mut() else {
+            return Poll::Ready(None);
+        };
         match answer.poll_part(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Part::Tokens(run)) => {
-                Poll::Ready(Some(Ok(Tokens { first_index: run.first_index, ids: run.ids })))
-            }
+            Poll::Ready(Part::Tokens(run)) => Poll::Ready(Some(Ok(Tokens {
+                first_index: run.first_index,
+                ids: run.ids,
+            }))),
             Poll::Ready(Part::End(end)) => {
                 self.answer = None;
                 Poll::Ready(Some(Err(status(&end))))
@@ -124,7 +152,12 @@
             Err(text) => return Err(status(&Final::Failed(Failure::Invalid(text)))),
         };
         let answer = self.0.generate(request.into_inner(), patience);
-        Ok(Response::new(Tell { answer: Some(answer) }.boxed()))
+        Ok(Response::new(
+            Tell {
+                answer: Some(answer),
+            }
+            .boxed(),
+        ))
     }
 }
 
@@ -137,10 +170,11 @@
         let most = self.shared.settings.most_prompt * TOKEN_BYTES + (64 << 10);
         let service = FrontServer::new(Service(self.clone())).max_decoding_message_size(most);
         loop {
-            let accepted = futures_lite::future::or(async { Some(listener.accept().await) }, async {
-                self.closed().await;
-                None
-            });
+            let accepted =
+                futures_lite::future::or(async { Some(listener.accept().await) }, async {
+                    self.closed().await;
+                    None
+                });
             let conn = match accepted.await {
                 None => return,
                 Some(Ok((conn, _))) => traffic.watch(conn),
@@ -170,10 +204,11 @@
                     async move { answered.await.map(by_contract) }
                 });
                 let mut connection = std::pin::pin!(builder.serve_connection(Io(conn), service));
-                let stopped = futures_lite::future::or(async { Some(connection.as_mut().await) }, async {
-                    node.closed().await;
-                    None
-                });
+                let stopped =
+                    futures_lite::future::or(async { Some(connection.as_mut().await) }, async {
+                        node.closed().await;
+                        None
+                    });
                 if stopped.await.is_none() {
                     connection.as_mut().graceful_shutdown();
                     // Errors concern this client alone.
--- a/crates/ivyward/src/request/door/tests.rs
+++ b/crates/ivyward/src/request/door/tests.rs
@@ -9,11 +9,26 @@
         metadata.insert("grpc-timeout", MetadataValue::from_static(text));
         grpc_timeout(&metadata)
     };
-    for (text, micros) in [("1H", 3_600_000_000), ("2M", 120_000_000), ("3S", 3_000_000), ("4m", 4_000)] {
+    for (text, micros) in [
+        ("1H", 3_600_000_000),
+        ("2M", 120_000_000),
+        ("3S", 3_000_000),
+        ("4m", 4_000),
+    ] {
         assert_eq!(read(text), Ok(Some(micros)), "{text}");
     }
     assert_eq!(read("99999999n"), Ok(Some(99_999)));
-    for text in ["", "S", "1", "123456789S", "-1S", "+1S", "1s", "1.5S", "1 S"] {
+    for text in [
+        "",
+        "S",
+        "1",
+        "123456789S",
+        "-1S",
+        "+1S",
+        "1s",
+        "1.5S",
+        "1 S",
+    ] {
         assert!(read(text).is_err(), "{text:?}");
     }
     assert_eq!(grpc_timeout(&MetadataMap::new()), Ok(None));
@@ -23,9 +38,18 @@
 fn a_failure_never_looks_like_a_refusal() {
     let refusals = [Refusal::Shed, Refusal::NodeFull, Refusal::Stopping];
     for why in refusals {
-        let status = status(&Final::Refused { retry_after: Some(1_500), why });
-        assert!(matches!(status.code(), Code::ResourceExhausted | Code::Unavailable));
-        assert_eq!(status.metadata().get("grpc-retry-pushback-ms").unwrap(), "2");
+        let status = status(&Final::Refused {
+            retry_after: Some(1_500),
+            why,
+        });
+        assert!(matches!(
+            status.code(),
+            Code::ResourceExhausted | Code::Unavailable
+        ));
+        assert_eq!(
+            status.metadata().get("grpc-retry-pushback-ms").unwrap(),
+            "2"
+        );
         let retry = status.get_details_retry_info().unwrap();
         assert_eq!(retry.retry_delay, Some(Duration::from_micros(1_500)));
     }
@@ -39,8 +63,14 @@
     ];
     for why in failures {
         let status = status(&Final::Failed(why));
-        assert!(!matches!(status.code(), Code::ResourceExhausted | Code::Unavailable | Code::Ok));
-        assert_eq!(status.metadata().get("grpc-retry-pushback-ms").unwrap(), "-1");
+        assert!(!matches!(
+            status.code(),
+            Code::ResourceExhausted | Code::Unavailable | Code::Ok
+        ));
+        assert_eq!(
+            status.metadata().get("grpc-retry-pushback-ms").unwrap(),
+            "-1"
+        );
         assert!(status.get_details_retry_info().is_none());
     }
 }
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -4,7 +4,9 @@
 //! [`Driver::carry_out`]; both are what a recording holds.
 
 use crate::answer::{Failure, Final, Refusal};
-use crate::engines::{Call, End, Engine, Held, HoldJob, Job, Kept, LinkRef, Protocol, ReleaseJob, Stop};
+use crate::engines::{
+    Call, End, Engine, Held, HoldJob, Job, Kept, LinkRef, Protocol, ReleaseJob, Stop,
+};
 use crate::record::Recorder;
 use crate::request::notices::{Ended, Inbox, Notice, Taken};
 use crate::shared::Shared;
@@ -52,7 +54,9 @@
 impl Open {
     /// Whether this attempt is out.
     fn out(&self, attempt: u16) -> bool {
-        self.attempts.get(usize::from(attempt)).is_some_and(|a| a.out)
+        self.attempts
+            .get(usize::from(attempt))
+            .is_some_and(|a| a.out)
     }
 }
 
@@ -169,14 +173,22 @@
         let timers = self.timers.first().map(|t| t.0);
         let deadlines = self.deadlines.first().map(|d| d.0);
         let stop = self.stop_by.filter(|_| !self.stop_over);
-        let look = self.stop_by.filter(|_| self.open.is_empty()).map(|_| self.shared.world.now() + LOOK);
-        [timers, deadlines, stop, look].into_iter().flatten().min().unwrap_or(Micros::MAX)
+        let look = self
+            .stop_by
+            .filter(|_| self.open.is_empty())
+            .map(|_| self.shared.world.now() + LOOK);
+        [timers, deadlines, stop, look]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// Whether a node that is to stop is done. One that ended before its releases would leave what it held pinned.
     fn over(&self, now: Micros) -> bool {
         let settled = self.shared.owed.load(Ordering::SeqCst) == 0;
-        self.stop_by.is_some_and(|by| self.open.is_empty() && (settled || now >= by))
+        self.stop_by
+            .is_some_and(|by| self.open.is_empty() && (settled || now >= by))
     }
 
     fn fire(&mut self, now: Micros) {
@@ -185,7 +197,10 @@
         }
         let began = self.shared.world.now();
         self.fire_due(now);
-        self.shared.metrics.driver_us.add(self.shared.world.now() - began);
+        self.shared
+            .metrics
+            .driver_us
+            .add(self.shared.world.now() - began);
     }
 
     fn fire_due(&mut self, now: Micros) {
@@ -215,7 +230,10 @@
         };
         let counter = &self.shared.metrics.violations[violation.rule as usize];
         counter.add(1);
-        let name = self.open.get(&request).map_or("", |open| open.taken.call.name());
+        let name = self
+            .open
+            .get(&request)
+            .map_or("", |open| open.taken.call.name());
         if counter.get() == 1 {
             error!(request, name, %violation, "an invariant does not hold; the step is left out");
         } else {
@@ -226,7 +244,9 @@
 
     /// The client's time, or the node's, is over: it gets its answer now, whatever is out.
     fn end_now(&mut self, id: u64, why: Failure) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         if !open.answered {
             open.answered = true;
             open.holds.clear();
@@ -242,7 +262,9 @@
     }
 
     fn give_up_attempts(&mut self, id: u64) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         for attempt in open.attempts.iter().filter(|a| a.out) {
             // Full means that it was told already; what it was told first was no less.
             let _ = attempt.stop.try_send(Stop::GiveUp);
@@ -255,11 +277,27 @@
             Notice::Gone(id) => self.on_gone(id),
             Notice::First(id, attempt) => self.on_first(id, attempt),
             Notice::Ended(ended) => self.on_ended(ended),
-            Notice::Place { request, attempt, link, call, held } => {
-                self.on_place(request, attempt, (link, call), held)
-            }
-            Notice::Probed { server, alive, report } => self.tell(Event::Probed { server, alive, report }),
-            Notice::Fleet { kind, engines, done } => {
+            Notice::Place {
+                request,
+                attempt,
+                link,
+                call,
+                held,
+            } => self.on_place(request, attempt, (link, call), held),
+            Notice::Probed {
+                server,
+                alive,
+                report,
+            } => self.tell(Event::Probed {
+                server,
+                alive,
+                report,
+            }),
+            Notice::Fleet {
+                kind,
+                engines,
+                done,
+            } => {
                 self.on_fleet(kind, engines);
                 // The one who told may have left.
                 let _ = done.try_send(());
@@ -291,7 +329,10 @@
         let kept = self.recorder.is_some().then(|| event.clone());
         let began = self.shared.world.now();
         self.router.handle(now, event, &mut actions);
-        self.shared.metrics.module_us.add(self.shared.world.now() - began);
+        self.shared
+            .metrics
+            .module_us
+            .add(self.shared.world.now() - began);
         if let (Some(recorder), Some(event)) = (self.recorder.as_mut(), kept) {
             if let Err(e) = recorder.step(now, &event, &actions) {
                 warn!(error = %e, "the recording ends here: it cannot be written");
@@ -307,18 +348,35 @@
     /// Does what the module asks for: the only way out.
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { request, server, timeout, leave_by } => {
+            Action::Send {
+                request,
+                server,
+                timeout,
+                leave_by,
+            } => {
                 self.send(now, request.0, server, (timeout, leave_by));
             }
             Action::Cancel { request, attempt } => {
                 let open = self.open.get(&request.0);
-                if let Some(a) = open.and_then(|o| o.attempts.get(usize::from(attempt))).filter(|a| a.out) {
+                if let Some(a) = open
+                    .and_then(|o| o.attempts.get(usize::from(attempt)))
+                    .filter(|a| a.out)
+                {
                     let _ = a.stop.try_send(Stop::CallOff);
                 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 let retry_after = (retry_after > 0).then_some(retry_after);
-                self.answer(request.0, Final::Refused { retry_after, why: Refusal::Shed });
+                self.answer(
+                    request.0,
+                    Final::Refused {
+                        retry_after,
+                        why: Refusal::Shed,
+                    },
+                );
             }
             Action::Fail(request) => {
                 let late = self.open.get(&request.0).filter(|o| now < o.taken.first_by);
@@ -343,14 +401,21 @@
             return;
         }
         let end = self.permitted(id, end);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.answered = true;
         let counter = match end {
             Final::Served => &self.shared.metrics.served,
             Final::Refused { .. } => &self.shared.metrics.refused,
             Final::Failed(_) => &self.shared.metrics.failed,
         };
-        debug!(request = id, name = open.taken.call.name(), ?end, "answered");
+        debug!(
+            request = id,
+            name = open.taken.call.name(),
+            ?end,
+            "answered"
+        );
         if let Final::Refused { why, .. } = end {
             self.shared.metrics.refused_for(why);
         }
@@ -374,12 +439,20 @@
         }
         let failed = self.guard.answer(RequestId(id), AnswerKind::Failed);
         self.checked(id, failed);
-        Final::Failed(Failure::Attempts(self.open.get(&id).map_or(String::new(), |open| open.last.clone())))
+        Final::Failed(Failure::Attempts(
+            self.open
+                .get(&id)
+                .map_or(String::new(), |open| open.last.clone()),
+        ))
     }
 
     /// Forgets a request that is answered and has no attempt out.
     fn sweep(&mut self, id: u64) {
-        if self.open.get(&id).is_none_or(|o| !o.answered || o.attempts.iter().any(|a| a.out)) {
+        if self
+            .open
+            .get(&id)
+            .is_none_or(|o| !o.answered || o.attempts.iter().any(|a| a.out))
+        {
             return;
         }
         self.release(id);
@@ -423,7 +496,9 @@
     }
 
     fn on_gone(&mut self, id: u64) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else { return };
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
+            return;
+        };
         if planted::is(Defect::LeavingIgnored) && !open.streaming && id % 4 == 0 {
             return;
         }
@@ -435,9 +510,13 @@
         self.shared.metrics.gone.add(1);
         let left = self.guard.answer(RequestId(id), AnswerKind::ClientGone);
         self.checked(id, left);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         // Tokens that an attempt still has in hand go nowhere.
-        open.taken.call.finish(Final::Failed(Failure::Broken("the client left".into())));
+        open.taken
+            .call
+            .finish(Final::Failed(Failure::Broken("the client left".into())));
         let streaming = open.streaming;
         self.tell(Event::ClientGone(RequestId(id)));
         if streaming {
@@ -447,12 +526,17 @@
     }
 
     fn on_first(&mut self, id: u64, attempt: u16) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else { return };
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
+            return;
+        };
         open.streaming = true;
         open.holds.clear();
         self.deadlines.remove(&(open.deadline, id));
         // From now on only the call's own deadline counts; first_by is that less the margin.
-        open.deadline = open.taken.end_by.map_or(Micros::MAX, |by| final_deadline(&self.shared, by));
+        open.deadline = open
+            .taken
+            .end_by
+            .map_or(Micros::MAX, |by| final_deadline(&self.shared, by));
         if open.deadline != Micros::MAX {
             self.deadlines.insert((open.deadline, id));
         }
@@ -466,21 +550,34 @@
         for kept in rest {
             let used_here = match kept.place {
                 true => kept.used_by == Some(attempt),
-                false => used.as_ref().is_some_and(|u| Arc::ptr_eq(&u.0, &kept.link) && u.1 == kept.attempt),
+                false => used
+                    .as_ref()
+                    .is_some_and(|u| Arc::ptr_eq(&u.0, &kept.link) && u.1 == kept.attempt),
             };
             if !used_here {
                 self.let_go(id, call.clone(), vec![kept]);
             }
         }
-        self.tell(Event::FirstToken { request: RequestId(id), attempt });
+        self.tell(Event::FirstToken {
+            request: RequestId(id),
+            attempt,
+        });
     }
 
     fn on_ended(&mut self, ended: Ended) {
-        let Ended { request: id, attempt: no, end } = ended;
+        let Ended {
+            request: id,
+            attempt: no,
+            end,
+        } = ended;
         self.shared.metrics.outcome(end.outcome);
         self.guard.ended(RequestId(id), no, end.outcome);
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(attempt) = open.attempts.get_mut(usize::from(no)).filter(|a| a.out) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = open.attempts.get_mut(usize::from(no)).filter(|a| a.out) else {
+            return;
+        };
         attempt.out = false;
         let (reads, link) = (attempt.reads, attempt.link.clone());
         let engine = link.as_ref().map_or(0, |l| l.id().0);
@@ -492,13 +589,23 @@
         }
         let unknown = !matches!(
             end.outcome,
-            Outcome::ConnectFailed | Outcome::NotSent | Outcome::Full | Outcome::StateLost | Outcome::Read
+            Outcome::ConnectFailed
+                | Outcome::NotSent
+                | Outcome::Full
+                | Outcome::StateLost
+                | Outcome::Read
         );
         let (call, mut over) = (open.taken.call.clone(), Vec::new());
         let one_by_one = self.protocol.one_by_one();
         if let Some(link) = link {
             let sure = end.outcome == Outcome::Read;
-            let kept = Kept { link: link.clone(), attempt: no, place: false, sure, used_by: None };
+            let kept = Kept {
+                link: link.clone(),
+                attempt: no,
+                place: false,
+                sure,
+                used_by: None,
+            };
             if reads && sure {
                 // What a release of before still has to do is done with this one's.
                 let all = !self.protocol.needed(id);
@@ -506,22 +613,33 @@
                 open.state = Some((link, no));
             } else if reads && unknown && !planted::is(Defect::ReadForgotten) {
                 // A read whose end is not known may have left a state that nobody will fetch.
-                if one_by_one { &mut over } else { &mut open.kept }.push(kept);
+                if one_by_one {
+                    &mut over
+                } else {
+                    &mut open.kept
+                }
+                .push(kept);
             }
         }
         if end.outcome == Outcome::StateLost {
             open.state = None;
             if one_by_one {
                 // A writer that could not reach the state says the same, and then it is still there.
-                let (places, states): (Vec<Kept>, Vec<Kept>) = open.kept.drain(..).partition(|k| k.place);
+                let (places, states): (Vec<Kept>, Vec<Kept>) =
+                    open.kept.drain(..).partition(|k| k.place);
                 open.kept = places;
                 over.extend(states);
             }
         }
-        over.into_iter().for_each(|kept| self.let_go(id, call.clone(), vec![kept]));
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let (broke, served) =
-            (open.streaming && end.outcome != Outcome::Served, end.outcome == Outcome::Served);
+        over.into_iter()
+            .for_each(|kept| self.let_go(id, call.clone(), vec![kept]));
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let (broke, served) = (
+            open.streaming && end.outcome != Outcome::Served,
+            end.outcome == Outcome::Served,
+        );
         let finished = open.answered || open.streaming || served;
         let event = Event::AttemptEnded {
             request: RequestId(id),
@@ -543,12 +661,29 @@
     fn on_place(&mut self, id: u64, attempt: u16, from: (LinkRef, Arc<dyn Call>), held: Held) {
         let (link, call) = from;
         let (server, may_be) = (link.id(), held != Held::No);
-        debug!(request = id, name = call.name(), attempt, engine = server.0, ?held, "place answered");
-        let kept = Kept { link, attempt, place: true, sure: held == Held::Yes, used_by: None };
+        debug!(
+            request = id,
+            name = call.name(),
+            attempt,
+            engine = server.0,
+            ?held,
+            "place answered"
+        );
+        let kept = Kept {
+            link,
+            attempt,
+            place: true,
+            sure: held == Held::Yes,
+            used_by: None,
+        };
         // What is not sure is let go of at once, or with all that the request leaves.
         let stays = held == Held::Yes || !self.protocol.one_by_one();
         self.shared.settled(1);
-        match self.open.get_mut(&id).filter(|o| !o.answered && !o.streaming) {
+        match self
+            .open
+            .get_mut(&id)
+            .filter(|o| !o.answered && !o.streaming)
+        {
             // Guards against a place that was asked for before a release and lands after it: nobody waits for that one.
             // Guards against a place that was asked for beside a read which a cut keeps from its engine: nobody knows of an
             // attempt there, so its time runs, and the read's own end may be seconds away. The read leaves nothing yet that
@@ -563,7 +698,11 @@
             None if may_be => return self.let_go(id, call, vec![kept]),
             None => return,
         }
-        self.tell(Event::PlaceAnswer { request: RequestId(id), server, held: held == Held::Yes });
+        self.tell(Event::PlaceAnswer {
+            request: RequestId(id),
+            server,
+            held: held == Held::Yes,
+        });
     }
 
     fn on_fleet(&mut self, kind: ListKind, engines: Vec<Engine>) {
@@ -589,7 +728,10 @@
                 continue;
             };
             debug!(engine = entry.id.0, ?role, condition = ?entry.condition, %address, "listed");
-            let moved = self.links.get(&entry.id).is_some_and(|(link, _)| link.address() != address);
+            let moved = self
+                .links
+                .get(&entry.id)
+                .is_some_and(|(link, _)| link.address() != address);
             if moved || entry.condition == Condition::Gone {
                 if let Some((link, _)) = self.links.remove(&entry.id) {
                     link.set_closing(true);
@@ -613,25 +755,44 @@
             self.checked(0, serving);
         }
         self.tell(Event::Fleet { kind, entries });
-        self.shared.metrics.engines_known.set(self.router.known() as u64);
+        self.shared
+            .metrics
+            .engines_known
+            .set(self.router.known() as u64);
     }
 
     fn role(&self, kind: u8) -> Option<Role> {
-        self.shared.router_settings.roles.get(usize::from(kind)).copied()
+        self.shared
+            .router_settings
+            .roles
+            .get(usize::from(kind))
+            .copied()
     }
 
-    fn send(&mut self, now: Micros, id: u64, server: ServerId, (timeout, leave_by): (Micros, Micros)) {
+    fn send(
+        &mut self,
+        now: Micros,
+        id: u64,
+        server: ServerId,
+        (timeout, leave_by): (Micros, Micros),
+    ) {
         let shared = self.shared.clone();
         let found = self.links.get(&server).cloned();
-        let reads = found.as_ref().is_some_and(|(_, kind)| self.role(*kind) == Some(Role::Prefill));
-        let Some(open) = self.open.get(&id) else { return };
+        let reads = found
+            .as_ref()
+            .is_some_and(|(_, kind)| self.role(*kind) == Some(Role::Prefill));
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let no = open.attempts.len() as u16;
         let check = self.guard.send(now, RequestId(id), no, (server, reads));
         let reason = self.checked(id, check);
         if let Some(AttemptReason::Retry(outcome)) = reason {
             shared.metrics.retry_after(outcome);
         }
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let a = &open.taken.arrival;
         debug!(
             request = id,
@@ -651,13 +812,26 @@
             "attempt begins"
         );
         let (stop_tx, stop) = async_channel::bounded(1);
-        let attempt = Attempt { link: found.clone().map(|f| f.0), reads, out: true, stop: stop_tx };
+        let attempt = Attempt {
+            link: found.clone().map(|f| f.0),
+            reads,
+            out: true,
+            stop: stop_tx,
+        };
         let job = found.filter(|_| reason.is_some()).map(|(link, _)| {
             let first_by = open.taken.first_by;
             // The engine is told when this node will end the stream, so that it never does so first.
             let end_by = open.taken.end_by.map(|by| final_deadline(&shared, by));
-            let until = if timeout == 0 { first_by } else { first_by.min(now.saturating_add(timeout)) };
-            let leave_by = if leave_by == 0 { until } else { until.min(leave_by) };
+            let until = if timeout == 0 {
+                first_by
+            } else {
+                first_by.min(now.saturating_add(timeout))
+            };
+            let leave_by = if leave_by == 0 {
+                until
+            } else {
+                until.min(leave_by)
+            };
             let (shared, call) = (shared.clone(), open.taken.call.clone());
             let state = open.state.clone().filter(|_| !reads);
             let inbox = self.inbox.clone();
@@ -681,13 +855,23 @@
         // state it fetches. It knows nothing of one held beside a read that failed, and a hold whose answer is not
         // here yet may reach it after the write.
         let read = open.state.as_ref().map(|s| s.1);
-        for kept in open.kept.iter_mut().filter(|k| k.place && !reads && k.link.id() == server) {
+        for kept in open
+            .kept
+            .iter_mut()
+            .filter(|k| k.place && !reads && k.link.id() == server)
+        {
             let fetched = Some(kept.attempt) == read || planted::is(Defect::PlaceForgotten);
             kept.used_by = fetched.then_some(no);
         }
         open.attempts.push(attempt);
         let inbox = self.inbox.clone();
-        let tell = move |end| inbox.tell(Notice::Ended(Ended { request: id, attempt: no, end }));
+        let tell = move |end| {
+            inbox.tell(Notice::Ended(Ended {
+                request: id,
+                attempt: no,
+                end,
+            }))
+        };
         match job {
             Some((link, job)) => {
                 shared.metrics.attempts.add(1);
@@ -703,7 +887,9 @@
     /// Lets go of everything that may be kept for a request.
     fn release(&mut self, id: u64) {
         let one_by_one = self.protocol.one_by_one();
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.holds.clear();
         // Guards against letting go of what an attempt still needs, or is about to leave: its end comes here again.
         if !one_by_one && open.attempts.iter().any(|a| a.out) {
@@ -722,34 +908,69 @@
 
     /// Asks engines to let go. The first try leaves at once.
     fn let_go(&self, request: u64, call: Arc<dyn Call>, kept: Vec<Kept>) {
-        let what = || kept.iter().map(|k| (k.link.id().0, k.attempt, k.place, k.sure)).collect::<Vec<_>>();
+        let what = || {
+            kept.iter()
+                .map(|k| (k.link.id().0, k.attempt, k.place, k.sure))
+                .collect::<Vec<_>>()
+        };
         debug!(request, name = call.name(), kept = ?what(), "let go");
-        self.protocol.release(&self.shared, ReleaseJob { call, request, kept });
+        self.protocol.release(
+            &self.shared,
+            ReleaseJob {
+                call,
+                request,
+                kept,
+            },
+        );
     }
 
     fn hold(&mut self, id: u64, server: ServerId) {
         let link = self.links.get(&server).map(|(link, _)| link.clone());
-        let (Some(open), Some(link)) = (self.open.get_mut(&id), link) else { return };
+        let (Some(open), Some(link)) = (self.open.get_mut(&id), link) else {
+            return;
+        };
         let attempt = (open.attempts.len() as u16).saturating_sub(1);
         let (stop, stopped) = async_channel::bounded(1);
         open.holds.push(stop);
         self.shared.owe(1);
-        let (shared, call, inbox) = (self.shared.clone(), open.taken.call.clone(), self.inbox.clone());
+        let (shared, call, inbox) = (
+            self.shared.clone(),
+            open.taken.call.clone(),
+            self.inbox.clone(),
+        );
         let until = open.taken.first_by;
         shared.world.clone().run(async move {
-            let job =
-                HoldJob { shared: shared.clone(), call: call.clone(), request: id, attempt, until, stopped };
+            let job = HoldJob {
+                shared: shared.clone(),
+                call: call.clone(),
+                request: id,
+                attempt,
+                until,
+                stopped,
+            };
             let held = link.clone().hold(job).await;
-            inbox.tell(Notice::Place { request: id, attempt, link, call, held });
+            inbox.tell(Notice::Place {
+                request: id,
+                attempt,
+                link,
+                call,
+                held,
+            });
         });
     }
 
     fn probe(&mut self, server: ServerId) {
-        let Some((link, _)) = self.links.get(&server).cloned() else { return };
+        let Some((link, _)) = self.links.get(&server).cloned() else {
+            return;
+        };
         let (shared, inbox) = (self.shared.clone(), self.inbox.clone());
         shared.world.clone().run(async move {
             let (alive, report) = link.probe(shared.clone()).await;
-            inbox.tell(Notice::Probed { server, alive, report });
+            inbox.tell(Notice::Probed {
+                server,
+                alive,
+                report,
+            });
         });
     }
 }
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -47,14 +47,22 @@
 
 impl Grpc {
     pub(crate) fn new(world: &WorldRef, settings: &NodeSettings) -> Grpc {
-        Grpc { keepalive: EngineKeepalive::new(world, settings) }
+        Grpc {
+            keepalive: EngineKeepalive::new(world, settings),
+        }
     }
 }
 
 impl Protocol for Grpc {
     fn link(&self, shared: &Arc<Shared>, engine: &Engine) -> LinkRef {
         let world = metered(&shared.world, &shared.metrics.engine_traffic);
-        GrpcLink::new(&world, engine.entry.id, engine.address, &shared.settings, &self.keepalive)
+        GrpcLink::new(
+            &world,
+            engine.entry.id,
+            engine.address,
+            &shared.settings,
+            &self.keepalive,
+        )
     }
     fn one_by_one(&self) -> bool {
         true
@@ -70,7 +78,11 @@
 
 /// An attempt as engines know it.
 fn key(shared: &Shared, request: u64, attempt: u16) -> Option<pb::AttemptKey> {
-    Some(pb::AttemptKey { node: shared.incarnation, request, attempt: u32::from(attempt) })
+    Some(pb::AttemptKey {
+        node: shared.incarnation,
+        request,
+        attempt: u32::from(attempt),
+    })
 }
 
 fn header(shared: &Shared, call: &GrpcCall, attempt: u16, server: ServerId) -> Option<pb::Header> {
@@ -84,11 +96,20 @@
 }
 
 fn ask(job: &Job, call: &GrpcCall, server: ServerId) -> Ask {
-    let (a, header) = (&call.arrival, header(&job.shared, call, job.attempt, server));
+    let (a, header) = (
+        &call.arrival,
+        header(&job.shared, call, job.attempt, server),
+    );
     let (opening, opening_tokens) = (a.prefix, a.prefix_tokens as u32);
     let (prompt, session) = (call.prompt.to_vec(), a.session);
     if job.reads {
-        return Ask::Read(pb::ReadRequest { header, prompt, opening, opening_tokens, session });
+        return Ask::Read(pb::ReadRequest {
+            header,
+            prompt,
+            opening,
+            opening_tokens,
+            session,
+        });
     }
     let state = job.state.as_ref().map(|(at, attempt)| pb::StateRef {
         key: key(&job.shared, job.request, *attempt),
@@ -129,15 +150,31 @@
                 return End::new(Outcome::NotSent, "a request of another protocol");
             };
             let (ask, buffer) = (ask(&job, call, self.id), call.buffer.clone());
-            attempt::run(Work { job, link: self, ask, buffer }).await
+            attempt::run(Work {
+                job,
+                link: self,
+                ask,
+                buffer,
+            })
+            .await
         })
     }
     fn hold(self: Arc<Self>, job: HoldJob) -> BoxFuture<Held> {
         Box::pin(async move {
-            let Some(call) = job.call.as_any().downcast_ref::<GrpcCall>() else { return Held::No };
+            let Some(call) = job.call.as_any().downcast_ref::<GrpcCall>() else {
+                return Held::No;
+            };
             let prompt_tokens = call.prompt.len() as u32;
             let header = header(&job.shared, call, job.attempt, self.id);
-            hold(&self, encode(&pb::HoldRequest { header, prompt_tokens }), &job).await
+            hold(
+                &self,
+                encode(&pb::HoldRequest {
+                    header,
+                    prompt_tokens,
+                }),
+                &job,
+            )
+            .await
         })
     }
     fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, Report)> {
@@ -147,7 +184,10 @@
             let reply = unary::<pb::ProbeReply>(&shared.world, &self, path, body, &shared).await;
             let alive = reply.as_ref().is_some_and(|r| r.engine == self.id.0);
             let load = reply.and_then(|r| r.load);
-            (alive, attempt::report(load.as_ref(), &shared.router_settings.report_fields))
+            (
+                alive,
+                attempt::report(load.as_ref(), &shared.router_settings.report_fields),
+            )
         })
     }
 }
@@ -158,15 +198,21 @@
     let (shared, link) = (shared.clone(), link.clone());
     let place = shared.begin_release();
     shared.metrics.releases.add(1);
-    let body = encode(&pb::ReleaseRequest { key: key(&shared, id, attempt), engine: link.id.0 });
+    let body = encode(&pb::ReleaseRequest {
+        key: key(&shared, id, attempt),
+        engine: link.id.0,
+    });
     let world = shared.world.clone();
     world.clone().run(async move {
         let give_up = world.now().saturating_add(shared.settings.release_tries);
-        let look_until = world.now().saturating_add(shared.router_settings.release_within);
+        let look_until = world
+            .now()
+            .saturating_add(shared.router_settings.release_within);
         let mut pause = shared.settings.redial_first;
         let asking = async {
             loop {
-                let reply = unary::<pb::ReleaseReply>(&world, &link, RELEASE, body.clone(), &shared).await;
+                let reply =
+                    unary::<pb::ReleaseReply>(&world, &link, RELEASE, body.clone(), &shared).await;
                 let next = world.now().saturating_add(pause);
                 match reply {
                     Some(reply) if reply.released || sure || next > look_until => return true,
@@ -191,22 +237,34 @@
 /// for a connection is never sent, one that has left is let go of at once.
 async fn hold(link: &Arc<GrpcLink>, body: bytes::Bytes, job: &HoldJob) -> Held {
     let shared = &job.shared;
-    let until = job.until.min(shared.world.now().saturating_add(2 * shared.settings.dial_timeout));
+    let until = job.until.min(
+        shared
+            .world
+            .now()
+            .saturating_add(2 * shared.settings.dial_timeout),
+    );
     let dialed = or(async { link.channel(until).await.ok() }, async {
         job.over().await;
         None
     });
-    let Some(channel) = dialed.await else { return Held::No };
+    let Some(channel) = dialed.await else {
+        return Held::No;
+    };
     // Told during the dial: nothing new goes to an engine that drains or is gone.
     if link.closing() && !planted::is(Defect::ClosingIgnored) || job.is_over() {
         return Held::No;
     }
     let path = "/ivyward.engine.v1.Engine/Hold";
-    let Ok(mut call) = channel.call_before(path, body, Some(until)).await else { return Held::No };
-    let reply = or(async { before(&shared.world, until, call.next::<pb::HoldReply>()).await }, async {
-        job.over().await;
-        None
-    });
+    let Ok(mut call) = channel.call_before(path, body, Some(until)).await else {
+        return Held::No;
+    };
+    let reply = or(
+        async { before(&shared.world, until, call.next::<pb::HoldReply>()).await },
+        async {
+            job.over().await;
+            None
+        },
+    );
     let reply = reply.await;
     // Its reset goes ahead of the release, so that an engine that hangs never takes the hold up after it.
     let left = call.abandon(shared.settings.reset_wait).await;
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -137,8 +137,16 @@
 
 impl SettingsError {
     /// An error about a flag.
-    pub fn new(flag: impl Into<String>, value: impl ToString, reason: impl Into<String>) -> SettingsError {
-        SettingsError { flag: flag.into(), value: value.to_string(), reason: reason.into() }
+    pub fn new(
+        flag: impl Into<String>,
+        value: impl ToString,
+        reason: impl Into<String>,
+    ) -> SettingsError {
+        SettingsError {
+            flag: flag.into(),
+            value: value.to_string(),
+            reason: reason.into(),
+        }
     }
 }
 
@@ -151,7 +159,11 @@
     /// The module's settings, with classes, tenants and roles filled in.
     pub fn router(&self) -> core::Settings {
         core::Settings {
-            roles: if self.rules.roles.is_empty() { KINDS.to_vec() } else { self.rules.roles.clone() },
+            roles: if self.rules.roles.is_empty() {
+                KINDS.to_vec()
+            } else {
+                self.rules.roles.clone()
+            },
             classes: self.classes.iter().map(|c| c.settings.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.settings.clone()).collect(),
             // On sockets an engine knows nothing of an attempt that is still connecting.
@@ -169,7 +181,11 @@
         self.check_bounds()?;
         self.check_rules()?;
         if self.classes.is_empty() {
-            return Err(SettingsError::new("--class", "(none)", "at least one class is needed"));
+            return Err(SettingsError::new(
+                "--class",
+                "(none)",
+                "at least one class is needed",
+            ));
         }
         for (i, class) in self.classes.iter().enumerate() {
             self.check_class(i, class)?;
@@ -182,7 +198,11 @@
             if self.tenants[..i].iter().any(|t| t.name == tenant.name) {
                 return bad("the name is given twice");
             }
-            if tenant.settings.quota_per_s.is_some_and(|q| !q.is_finite() || q <= 0.0) {
+            if tenant
+                .settings
+                .quota_per_s
+                .is_some_and(|q| !q.is_finite() || q <= 0.0)
+            {
                 return bad("quota must be over 0");
             }
         }
@@ -209,34 +229,67 @@
         ];
         for (flag, span, least) in spans {
             if span < least {
-                return Err(SettingsError::new(flag, ms(span), format!("at least {} is needed", ms(least))));
+                return Err(SettingsError::new(
+                    flag,
+                    ms(span),
+                    format!("at least {} is needed", ms(least)),
+                ));
             }
             if span > hour {
                 return Err(SettingsError::new(flag, ms(span), "an hour at most"));
             }
         }
         if self.ping_every == 0 && self.resting_checks > 0 {
-            let reason = "connections at rest cannot be checked where --ping-every is 0: set one of them";
-            return Err(SettingsError::new("--resting-checks", self.resting_checks, reason));
+            let reason =
+                "connections at rest cannot be checked where --ping-every is 0: set one of them";
+            return Err(SettingsError::new(
+                "--resting-checks",
+                self.resting_checks,
+                reason,
+            ));
         }
         if self.resting_checks > MOST_RESTING_CHECKS {
             let reason = format!("{MOST_RESTING_CHECKS} a second at most");
-            return Err(SettingsError::new("--resting-checks", self.resting_checks, reason));
+            return Err(SettingsError::new(
+                "--resting-checks",
+                self.resting_checks,
+                reason,
+            ));
         }
         if self.redial_first > self.redial_most {
-            let reason = format!("longer than --redial-most, which is {}", ms(self.redial_most));
-            return Err(SettingsError::new("--redial-first", ms(self.redial_first), reason));
+            let reason = format!(
+                "longer than --redial-most, which is {}",
+                ms(self.redial_most)
+            );
+            return Err(SettingsError::new(
+                "--redial-first",
+                ms(self.redial_first),
+                reason,
+            ));
         }
         // A dial that outlasts the grace would send to an engine that drains.
         if self.dial_timeout > self.rules.drain_grace {
-            let reason = format!("longer than --drain-grace, which is {}", ms(self.rules.drain_grace));
-            return Err(SettingsError::new("--dial-timeout", ms(self.dial_timeout), reason));
+            let reason = format!(
+                "longer than --drain-grace, which is {}",
+                ms(self.rules.drain_grace)
+            );
+            return Err(SettingsError::new(
+                "--dial-timeout",
+                ms(self.dial_timeout),
+                reason,
+            ));
         }
         // A given-up read must be over before what it may have left behind is to be let go.
         if self.reset_wait >= self.rules.release_within {
-            let reason =
-                format!("must be under --release-within, which is {}", ms(self.rules.release_within));
-            return Err(SettingsError::new("--reset-wait", ms(self.reset_wait), reason));
+            let reason = format!(
+                "must be under --release-within, which is {}",
+                ms(self.rules.release_within)
+            );
+            return Err(SettingsError::new(
+                "--reset-wait",
+                ms(self.reset_wait),
+                reason,
+            ));
         }
         Ok(())
     }
@@ -245,7 +298,11 @@
         let bounds = [
             ("--stream-buffer", self.stream_buffer, 1 << 20),
             ("--calls-per-connection", self.calls_per_connection, 1 << 16),
-            ("--connections-per-engine", self.connections_per_engine, 1 << 12),
+            (
+                "--connections-per-engine",
+                self.connections_per_engine,
+                1 << 12,
+            ),
             ("--most-open", self.most_open, 1 << 20),
             ("--most-clients", self.most_clients, 1 << 20),
             ("--most-prompt", self.most_prompt, 1 << 22),
@@ -254,7 +311,11 @@
         ];
         for (flag, value, most) in bounds {
             if !(1..=most).contains(&value) {
-                return Err(SettingsError::new(flag, value, format!("must be from 1 to {most}")));
+                return Err(SettingsError::new(
+                    flag,
+                    value,
+                    format!("must be from 1 to {most}"),
+                ));
             }
         }
         Ok(())
@@ -266,7 +327,11 @@
             if value.is_finite() && (from..=to).contains(&value) {
                 return Ok(());
             }
-            Err(SettingsError::new(flag, value, format!("must be from {from} to {to}")))
+            Err(SettingsError::new(
+                flag,
+                value,
+                format!("must be from {from} to {to}"),
+            ))
         };
         number("--fall-multiple", r.fall_multiple, 0.0, 1e6)?;
         number("--start-capacity", r.start_capacity, 0.0, 1.0)?;
@@ -282,11 +347,23 @@
                 "this node has one attempt out at a time",
             ));
         }
-        if let Some(tokens) = r.memory_tokens.iter().find(|t| !t.is_finite() || **t <= 0.0) {
-            return Err(SettingsError::new("--memory-tokens", tokens, "must be over 0"));
+        if let Some(tokens) = r
+            .memory_tokens
+            .iter()
+            .find(|t| !t.is_finite() || **t <= 0.0)
+        {
+            return Err(SettingsError::new(
+                "--memory-tokens",
+                tokens,
+                "must be over 0",
+            ));
         }
         if r.report_fields.len() > 4 {
-            return Err(SettingsError::new("--report", r.report_fields.len(), "four values at most"));
+            return Err(SettingsError::new(
+                "--report",
+                r.report_fields.len(),
+                "four values at most",
+            ));
         }
         Ok(())
     }
@@ -315,7 +392,10 @@
             return bad(format!("ttft-aim={} must be at least 1ms", ms(s.ttft_aim)));
         }
         if s.deadline > 3_600_000_000 {
-            return bad(format!("deadline={} must be an hour at most", ms(s.deadline)));
+            return bad(format!(
+                "deadline={} must be an hour at most",
+                ms(s.deadline)
+            ));
         }
         // Rule 1: the final answer comes before the client gives up.
         if s.deadline <= 2 * self.answer_margin {
@@ -326,11 +406,17 @@
             ));
         }
         if s.ttft_aim > s.deadline {
-            return bad(format!("ttft-aim={} is over deadline={}", ms(s.ttft_aim), ms(s.deadline)));
+            return bad(format!(
+                "ttft-aim={} is over deadline={}",
+                ms(s.ttft_aim),
+                ms(s.deadline)
+            ));
         }
         // Rule 2: keyed requests are sent again only inside a window in which repeats are dropped.
         if s.effect == Effect::Keyed && s.repeat_window == 0 {
-            return bad("effect=keyed needs repeat-window, the time in which engines drop repeats".into());
+            return bad(
+                "effect=keyed needs repeat-window, the time in which engines drop repeats".into(),
+            );
         }
         if s.effect != Effect::Keyed && s.repeat_window != 0 {
             return bad("repeat-window goes with effect=keyed".into());
--- a/crates/ivyward/src/shared.rs
+++ b/crates/ivyward/src/shared.rs
@@ -54,7 +54,11 @@
         }
         releases.push_back((no, stop));
         self.owe(1);
-        Release { shared: self.clone(), no, stopped }
+        Release {
+            shared: self.clone(),
+            no,
+            stopped,
+        }
     }
     fn releases(&self) -> MutexGuard<'_, VecDeque<(u64, async_channel::Sender<()>)>> {
         self.releases.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -4,8 +4,8 @@
 use clap::error::ErrorKind;
 use clap::Parser;
 use ivyward::core::interface::{
-    ClassSettings, Condition, Effect, Micros, RepeatGroup, ReportField, ServerEntry, ServerId, Settings,
-    TenantSettings,
+    ClassSettings, Condition, Effect, Micros, RepeatGroup, ReportField, ServerEntry, ServerId,
+    Settings, TenantSettings,
 };
 use ivyward::core::peers::PeerSettings;
 use ivyward::follow::{EtcdOptions, Follow};
@@ -27,7 +27,12 @@
 #[command(name = "ivywardd", version, max_term_width = 110)]
 pub struct Flags {
     /// Where clients call (gRPC over HTTP/2 without TLS). Port 0 takes a free one.
-    #[arg(long, env = "IVYWARD_LISTEN", value_name = "ADDRESS", default_value = "127.0.0.1:7430")]
+    #[arg(
+        long,
+        env = "IVYWARD_LISTEN",
+        value_name = "ADDRESS",
+        default_value = "127.0.0.1:7430"
+    )]
     pub listen: SocketAddr,
     /// Where /healthz and /metrics are served; not served if left out.
     #[arg(long, env = "IVYWARD_ADMIN", value_name = "ADDRESS")]
@@ -53,7 +58,12 @@
     #[arg(long, env = "IVYWARD_ETCD_USER", requires = "etcd_password")]
     pub etcd_user: Option<String>,
     /// Password at the store; better given by the environment.
-    #[arg(long, env = "IVYWARD_ETCD_PASSWORD", hide_env_values = true, requires = "etcd_user")]
+    #[arg(
+        long,
+        env = "IVYWARD_ETCD_PASSWORD",
+        hide_env_values = true,
+        requires = "etcd_user"
+    )]
     pub etcd_password: Option<String>,
     /// A watch without a word for this span is asked whether it is whole, and after as long again counts as broken.
     #[arg(long, env = "IVYWARD_ETCD_SILENCE", value_name = "SPAN", default_value = "2s", value_parser = span)]
@@ -65,7 +75,12 @@
     #[arg(long, env = "IVYWARD_ETCD_BEHIND_GRACE", value_name = "SPAN", default_value = "10s", value_parser = span)]
     pub etcd_behind_grace: Micros,
     /// Keeps the last list of engines in this file, for starts while the store is down.
-    #[arg(long, env = "IVYWARD_SNAPSHOT", value_name = "FILE", requires = "etcd_endpoints")]
+    #[arg(
+        long,
+        env = "IVYWARD_SNAPSHOT",
+        value_name = "FILE",
+        requires = "etcd_endpoints"
+    )]
     pub snapshot: Option<PathBuf>,
     /// A request class: name=..,ttft-aim=SPAN,deadline=SPAN and, if wanted, ttft-aim-per-1000=SPAN,tpot-aim=SPAN,
     /// worth=X,late-share=X,effect=safe|keyed|unsafe,group=all|zone|cell,repeat-window=SPAN. The first is the usual one.
@@ -79,7 +94,12 @@
     #[arg(long, env = "IVYWARD_PEER_LISTEN", value_name = "ADDRESS")]
     pub peer_listen: Option<SocketAddr>,
     /// The address at which other nodes reach this one; the one listened at if left out.
-    #[arg(long, env = "IVYWARD_PEER_ANNOUNCE", value_name = "IP:PORT", requires = "peer_listen")]
+    #[arg(
+        long,
+        env = "IVYWARD_PEER_ANNOUNCE",
+        value_name = "IP:PORT",
+        requires = "peer_listen"
+    )]
     pub peer_announce: Option<SocketAddr>,
     /// Announced address of another node; may be given several times. One that is up is enough.
     #[arg(
@@ -91,7 +111,12 @@
     )]
     pub peers: Vec<SocketAddr>,
     /// This node's name, the same after a restart; the announced address if left out.
-    #[arg(long, env = "IVYWARD_PEER_NAME", value_name = "NAME", requires = "peer_listen")]
+    #[arg(
+        long,
+        env = "IVYWARD_PEER_NAME",
+        value_name = "NAME",
+        requires = "peer_listen"
+    )]
     pub peer_name: Option<String>,
     /// Seals what nodes say to each other; the same at all. Without it only loopback addresses are taken. Better given by
     /// the environment, where it may stand for nodes that know nobody as well.
@@ -123,7 +148,13 @@
     #[arg(long, env = "IVYWARD_SEED")]
     pub seed: Option<u64>,
     /// Memory of each kind of engine for KV state, in tokens: PREFILL,DECODE,MIXED. Not limited if left out.
-    #[arg(long, env = "IVYWARD_MEMORY_TOKENS", value_delimiter = ',', num_args = 3, value_name = "TOKENS")]
+    #[arg(
+        long,
+        env = "IVYWARD_MEMORY_TOKENS",
+        value_delimiter = ',',
+        num_args = 3,
+        value_name = "TOKENS"
+    )]
     pub memory_tokens: Vec<f64>,
     /// Decode engines read prompts themselves when there is no state to fetch.
     #[arg(long, env = "IVYWARD_DECODE_MAY_PREFILL", default_value_t = true, action = clap::ArgAction::Set)]
@@ -249,10 +280,13 @@
 
 /// A span like 250ms, 2s, 1.5s or 500us, in microseconds.
 pub fn span(text: &str) -> Result<Micros, String> {
-    let unit_at =
-        text.find(|c: char| !c.is_ascii_digit() && c != '.').ok_or("a unit is missing: us, ms, s or m")?;
+    let unit_at = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .ok_or("a unit is missing: us, ms, s or m")?;
     let (number, unit) = text.split_at(unit_at);
-    let number: f64 = number.parse().map_err(|_| format!("{number:?} is no number"))?;
+    let number: f64 = number
+        .parse()
+        .map_err(|_| format!("{number:?} is no number"))?;
     let scale = match unit {
         "us" => 1.0,
         "ms" => 1e3,
@@ -274,7 +308,9 @@
     fn read(text: &'a str, known: &[&str]) -> Result<Pairs<'a>, String> {
         let mut pairs = BTreeMap::new();
         for part in text.split(',') {
-            let (key, value) = part.split_once('=').ok_or_else(|| format!("{part:?} is not key=value"))?;
+            let (key, value) = part
+                .split_once('=')
+                .ok_or_else(|| format!("{part:?} is not key=value"))?;
             if !known.contains(&key) {
                 return Err(format!("{key:?} is none of {}", known.join(", ")));
             }
@@ -287,28 +323,49 @@
         }
         Ok(Pairs(pairs))
     }
-    fn get<T>(&self, key: &str, read: impl Fn(&str) -> Result<T, String>) -> Result<Option<T>, String> {
-        self.0.get(key).map(|v| read(v).map_err(|e| format!("{key}={v}: {e}"))).transpose()
+    fn get<T>(
+        &self,
+        key: &str,
+        read: impl Fn(&str) -> Result<T, String>,
+    ) -> Result<Option<T>, String> {
+        self.0
+            .get(key)
+            .map(|v| read(v).map_err(|e| format!("{key}={v}: {e}")))
+            .transpose()
     }
     fn need<T>(&self, key: &str, read: impl Fn(&str) -> Result<T, String>) -> Result<T, String> {
-        self.get(key, read)?.ok_or_else(|| format!("{key} is missing"))
+        self.get(key, read)?
+            .ok_or_else(|| format!("{key} is missing"))
     }
     fn number<T: std::str::FromStr>(&self, key: &str, absent: T) -> Result<T, String> {
-        let read = |text: &str| text.parse::<T>().map_err(|_| "no number that fits".to_string());
+        let read = |text: &str| {
+            text.parse::<T>()
+                .map_err(|_| "no number that fits".to_string())
+        };
         Ok(self.get(key, read)?.unwrap_or(absent))
     }
 }
 
 fn word<T: Copy>(text: &str, words: &[(&str, T)]) -> Result<T, String> {
     let names = || words.iter().map(|w| w.0).collect::<Vec<_>>().join(", ");
-    words.iter().find(|w| w.0 == text).map(|w| w.1).ok_or_else(|| format!("must be one of {}", names()))
+    words
+        .iter()
+        .find(|w| w.0 == text)
+        .map(|w| w.1)
+        .ok_or_else(|| format!("must be one of {}", names()))
 }
 
 fn server(text: &str) -> Result<Engine, String> {
     let pairs = Pairs::read(text, &["id", "address", "role", "zone", "cell", "weight"])?;
-    let id = pairs.need("id", |t| t.parse::<u64>().map_err(|_| "no whole number".into()))?;
-    let address = pairs.need("address", |t| t.parse().map_err(|_| "not IP:PORT".to_string()))?;
-    let kind = pairs.need("role", |t| word(t, &[("prefill", 0), ("decode", 1), ("mixed", 2)]))?;
+    let id = pairs.need("id", |t| {
+        t.parse::<u64>().map_err(|_| "no whole number".into())
+    })?;
+    let address = pairs.need("address", |t| {
+        t.parse().map_err(|_| "not IP:PORT".to_string())
+    })?;
+    let kind = pairs.need("role", |t| {
+        word(t, &[("prefill", 0), ("decode", 1), ("mixed", 2)])
+    })?;
     let weight: f64 = pairs.number("weight", 1.0)?;
     if !weight.is_finite() || weight <= 0.0 {
         return Err(format!("weight={weight} must be over 0"));
@@ -341,8 +398,16 @@
             "repeat-window",
         ],
     )?;
-    let effects = [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
-    let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
+    let effects = [
+        ("safe", Effect::Safe),
+        ("keyed", Effect::Keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
+    let groups = [
+        ("all", RepeatGroup::All),
+        ("zone", RepeatGroup::Zone),
+        ("cell", RepeatGroup::Cell),
+    ];
     let settings = ClassSettings {
         ttft_aim: pairs.need("ttft-aim", span)?,
         ttft_aim_per_1000: pairs.get("ttft-aim-per-1000", span)?.unwrap_or(0) as f64,
@@ -350,17 +415,29 @@
         deadline: pairs.need("deadline", span)?,
         worth: pairs.number("worth", 1.0)?,
         late_share: pairs.number("late-share", 0.0)?,
-        effect: pairs.get("effect", |t| word(t, &effects))?.unwrap_or(Effect::Safe),
-        group: pairs.get("group", |t| word(t, &groups))?.unwrap_or(RepeatGroup::All),
+        effect: pairs
+            .get("effect", |t| word(t, &effects))?
+            .unwrap_or(Effect::Safe),
+        group: pairs
+            .get("group", |t| word(t, &groups))?
+            .unwrap_or(RepeatGroup::All),
         repeat_window: pairs.get("repeat-window", span)?.unwrap_or(0),
     };
-    Ok(Class { name: pairs.need("name", |t| Ok(t.to_owned()))?, settings })
+    Ok(Class {
+        name: pairs.need("name", |t| Ok(t.to_owned()))?,
+        settings,
+    })
 }
 
 fn tenant(text: &str) -> Result<Tenant, String> {
     let pairs = Pairs::read(text, &["name", "quota"])?;
-    let quota_per_s = pairs.get("quota", |t| t.parse::<f64>().map_err(|_| "no number".into()))?;
-    Ok(Tenant { name: pairs.need("name", |t| Ok(t.to_owned()))?, settings: TenantSettings { quota_per_s } })
+    let quota_per_s = pairs.get("quota", |t| {
+        t.parse::<f64>().map_err(|_| "no number".into())
+    })?;
+    Ok(Tenant {
+        name: pairs.need("name", |t| Ok(t.to_owned()))?,
+        settings: TenantSettings { quota_per_s },
+    })
 }
 
 fn report(text: &str) -> Result<ReportField, String> {
@@ -399,22 +476,32 @@
 fn expand(args: impl IntoIterator<Item = OsString>) -> Result<Vec<OsString>, String> {
     let mut out = Vec::new();
     for arg in args {
-        let Some(path) = arg.to_str().and_then(|a| a.strip_prefix('@')).map(str::to_owned) else {
+        let Some(path) = arg
+            .to_str()
+            .and_then(|a| a.strip_prefix('@'))
+            .map(str::to_owned)
+        else {
             out.push(arg);
             continue;
         };
-        let size = std::fs::metadata(&path).map_err(|e| format!("@{path}: cannot be read: {e}"))?.len();
+        let size = std::fs::metadata(&path)
+            .map_err(|e| format!("@{path}: cannot be read: {e}"))?
+            .len();
         if size > MOST_FILE {
             return Err(format!("@{path}: {size} bytes; {MOST_FILE} at most"));
         }
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("@{path}: cannot be read: {e}"))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("@{path}: cannot be read: {e}"))?;
         for (no, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
             if !line.starts_with("--") {
-                return Err(format!("@{path}: line {}: {line:?} is not a flag like --name=value", no + 1));
+                return Err(format!(
+                    "@{path}: line {}: {line:?} is not a flag like --name=value",
+                    no + 1
+                ));
             }
             out.push(line.into());
         }
@@ -430,7 +517,10 @@
         // What stands before the first blank line names flag, value and reason; the rest is advice.
         _ => {
             let text = e.to_string();
-            let lines = text.lines().map(str::trim).take_while(|line| !line.is_empty());
+            let lines = text
+                .lines()
+                .map(str::trim)
+                .take_while(|line| !line.is_empty());
             let line = lines.collect::<Vec<_>>().join(" ");
             Stop::Bad(line.strip_prefix("error: ").unwrap_or(&line).to_owned())
         }
@@ -442,7 +532,11 @@
 impl Flags {
     /// Checks of connections at rest: as many as usual, or none where there are no pings.
     fn resting_checks(&self) -> u32 {
-        let usual = if self.ping_every == 0 { 0 } else { RESTING_CHECKS };
+        let usual = if self.ping_every == 0 {
+            0
+        } else {
+            RESTING_CHECKS
+        };
         self.resting_checks.unwrap_or(usual)
     }
     /// Where and how to follow the engines; without endpoints nobody is followed.
@@ -451,7 +545,10 @@
         Follow {
             endpoints: self.etcd_endpoints.clone(),
             prefix: self.etcd_prefix.clone(),
-            etcd: EtcdOptions { login, ..EtcdOptions::default() },
+            etcd: EtcdOptions {
+                login,
+                ..EtcdOptions::default()
+            },
             empty_grace: self.etcd_empty_grace,
             behind_grace: self.etcd_behind_grace,
             silence: self.etcd_silence,
@@ -475,7 +572,10 @@
             name: self.peer_name.clone(),
             key: self.peer_key.clone(),
             store,
-            spans: PeerSettings { death_after: self.peer_death_after, ..PeerSettings::default() },
+            spans: PeerSettings {
+                death_after: self.peer_death_after,
+                ..PeerSettings::default()
+            },
             ..PeerOptions::at(listen)
         })
     }
@@ -563,7 +663,11 @@
             }
         }
         if self.admin == Some(self.listen) && self.listen.port() != 0 {
-            return Err(SettingsError::new("--admin", self.listen, "is the same as --listen"));
+            return Err(SettingsError::new(
+                "--admin",
+                self.listen,
+                "is the same as --listen",
+            ));
         }
         if self.stop_within > 3_600_000_000 {
             return Err(SettingsError::new(
@@ -573,7 +677,11 @@
             ));
         }
         if self.threads > 1_024 {
-            return Err(SettingsError::new("--threads", self.threads, "1024 at most"));
+            return Err(SettingsError::new(
+                "--threads",
+                self.threads,
+                "1024 at most",
+            ));
         }
         Ok(settings)
     }
--- a/crates/ivywardd/src/main.rs
+++ b/crates/ivywardd/src/main.rs
@@ -15,7 +15,10 @@
 use tracing_subscriber::EnvFilter;
 
 fn main() -> ExitCode {
-    if std::env::args_os().nth(1).is_some_and(|first| first == platform::COMMAND) {
+    if std::env::args_os()
+        .nth(1)
+        .is_some_and(|first| first == platform::COMMAND)
+    {
         return platform::main(std::env::args_os().skip(1));
     }
     let start = match flags::read(std::env::args_os()) {
@@ -49,7 +52,9 @@
 /// Sets up the logs on standard error: what `--log` asks for, as text, with or without colours, or as JSON.
 fn logs(log: &str, format: &str, colours: bool) -> Result<(), String> {
     let filter = EnvFilter::try_new(log).map_err(|e| format!("--log {log}: {e}"))?;
-    let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let logs = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     let set = match format {
         "json" => logs.json().try_init(),
         _ if colours => logs.try_init(),
@@ -62,7 +67,11 @@
     logs(&start.flags.log, &start.flags.log_format, true)?;
     let mut requests = Requests::listen()?;
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let threads = if start.flags.threads == 0 { cores } else { start.flags.threads };
+    let threads = if start.flags.threads == 0 {
+        cores
+    } else {
+        start.flags.threads
+    };
     let own = u64::from(std::process::id()) << 32 ^ clock();
     let seed = start.flags.seed.unwrap_or(own);
     start.settings.seed = seed;
@@ -72,13 +81,14 @@
     let record = match &start.flags.record {
         None => None,
         Some(path) => {
-            let file =
-                std::fs::File::create(path).map_err(|e| format!("--record {}: {e}", path.display()))?;
+            let file = std::fs::File::create(path)
+                .map_err(|e| format!("--record {}: {e}", path.display()))?;
             Some(Box::new(BufWriter::with_capacity(64 << 10, file)) as Box<dyn Write + Send>)
         }
     };
     let recording = record.is_some();
-    let node = Node::start(world.clone(), start.settings.clone(), record).map_err(|e| e.to_string())?;
+    let node =
+        Node::start(world.clone(), start.settings.clone(), record).map_err(|e| e.to_string())?;
     let flags = &start.flags;
     match flags.etcd_endpoints.is_empty() {
         true => smol.block_on(node.fleet(ListKind::Full, flags.servers.clone())),
@@ -90,7 +100,9 @@
     if let Some(options) = flags.peers() {
         node.peers(options).map_err(|e| e.to_string())?;
     }
-    let door = world.listen(flags.listen).map_err(|e| format!("--listen {}: {e}", flags.listen))?;
+    let door = world
+        .listen(flags.listen)
+        .map_err(|e| format!("--listen {}: {e}", flags.listen))?;
     let address = door.address();
     if let Some(at) = flags.admin {
         let admin = world.listen(at).map_err(|e| format!("--admin {at}: {e}"))?;
@@ -110,7 +122,8 @@
                 world.sleep(1_000_000).await;
                 None
             };
-            match futures_lite::future::or(async { Some(requests.next(&world).await) }, tick).await {
+            match futures_lite::future::or(async { Some(requests.next(&world).await) }, tick).await
+            {
                 // What was recorded is in the file a second later, also when the process is killed.
                 None if recording => node.flush_recording().await,
                 None => {}
@@ -121,7 +134,11 @@
                 Some(Request::Stop) => break,
             }
         }
-        info!(open = node.open(), within_us = flags.stop_within, "stopping");
+        info!(
+            open = node.open(),
+            within_us = flags.stop_within,
+            "stopping"
+        );
         node.stop(flags.stop_within).await;
     });
     info!("stopped");
@@ -138,10 +155,15 @@
 async fn reload(node: &Node) {
     match flags::read(std::env::args_os()) {
         Ok(start) => {
-            info!(engines = start.flags.servers.len(), "engines read again; other settings need a restart");
+            info!(
+                engines = start.flags.servers.len(),
+                "engines read again; other settings need a restart"
+            );
             node.fleet(ListKind::Full, start.flags.servers).await;
         }
-        Err(Stop::Bad(line)) => error!("the settings do not hold and nothing was taken over: {line}"),
+        Err(Stop::Bad(line)) => {
+            error!("the settings do not hold and nothing was taken over: {line}")
+        }
         Err(Stop::Page(_)) => warn!("nothing to take over"),
     }
 }
--- a/crates/ivywardd/src/platform.rs
+++ b/crates/ivywardd/src/platform.rs
@@ -48,13 +48,19 @@
     crate::logs(&flags.log, "text", false)?;
     let config = Config::read(&flags.config).map_err(|e| e.to_string())?;
     if flags.check {
-        println!("the configuration holds: {} classes, {:?}", config.told.classes.len(), config.bounds);
+        println!(
+            "the configuration holds: {} classes, {:?}",
+            config.told.classes.len(),
+            config.bounds
+        );
         return Ok(());
     }
     let smol = SmolWorld::start(1, config.node.seed);
     let world: WorldRef = smol.clone();
     smol.block_on(async {
-        let mut service = Service::start(world.clone(), config).await.map_err(|e| e.to_string())?;
+        let mut service = Service::start(world.clone(), config)
+            .await
+            .map_err(|e| e.to_string())?;
         // Scripts wait for this line.
         println!("listening on {}", service.address());
         until_told_to_end(&mut requests, flags, &service, &world).await;
@@ -69,7 +75,12 @@
 
 /// Serves until SIGTERM or SIGINT comes. Guards against a file that cannot be read holding up the word to end: a
 /// signal goes before the reading of the one before it.
-async fn until_told_to_end(requests: &mut Requests, flags: &Flags, service: &Service, world: &WorldRef) {
+async fn until_told_to_end(
+    requests: &mut Requests,
+    flags: &Flags,
+    service: &Service,
+    world: &WorldRef,
+) {
     let mut told_to_reload = false;
     loop {
         let reloading = async {
--- a/crates/ivywardd/src/signals.rs
+++ b/crates/ivywardd/src/signals.rs
@@ -50,7 +50,11 @@
         signal_hook::flag::register(SIGINT, stop.clone())?;
         signal_hook::flag::register(SIGHUP, reload.clone())?;
         let wake_ups = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
-        Ok(Requests { stop, reload, wake_ups })
+        Ok(Requests {
+            stop,
+            reload,
+            wake_ups,
+        })
     }
 
     /// The next request. Guards against an interrupted wait that is taken for SIGTERM, and against a signal that is lost
@@ -67,7 +71,11 @@
                 world.sleep(LOOK_EVERY).await;
                 Some(Ok(()))
             };
-            let woken = or(async { self.wake_ups.next().await.map(|w| w.map(drop)) }, look).await;
+            let woken = or(
+                async { self.wake_ups.next().await.map(|w| w.map(drop)) },
+                look,
+            )
+            .await;
             if let Some(Err(error)) = woken {
                 if error.kind() != io::ErrorKind::Interrupted {
                     warn!(%error, "waiting for signals failed and is begun again");
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -37,17 +37,27 @@
 
 fn deaths(cluster: &Cluster, at: usize, of: usize) -> usize {
     let name = format!("\"peer\":\"{:016x}\"", id(of));
-    cluster.process(at).unwrap().said(&["a peer changed", &name, "\"is\":\"dead\""])
+    cluster
+        .process(at)
+        .unwrap()
+        .said(&["a peer changed", &name, "\"is\":\"dead\""])
 }
 
 fn all_deaths(cluster: &Cluster, nodes: usize) -> usize {
-    (0..nodes).flat_map(|at| (0..nodes).map(move |of| (at, of))).map(|(at, of)| deaths(cluster, at, of)).sum()
+    (0..nodes)
+        .flat_map(|at| (0..nodes).map(move |of| (at, of)))
+        .map(|(at, of)| deaths(cluster, at, of))
+        .sum()
 }
 
 /// All that run count so many.
 fn counted(views: &BTreeMap<usize, View>, count: u32) -> Vec<String> {
-    let wrong = views.iter().filter(|(_, view)| view.count != count || !view.joined);
-    wrong.map(|(node, view)| format!("node {node} counts {}, joined {}", view.count, view.joined)).collect()
+    let wrong = views
+        .iter()
+        .filter(|(_, view)| view.count != count || !view.joined);
+    wrong
+        .map(|(node, view)| format!("node {node} counts {}, joined {}", view.count, view.joined))
+        .collect()
 }
 
 fn state(views: &BTreeMap<usize, View>, at: usize, of: usize) -> String {
@@ -85,19 +95,37 @@
     cluster.rest(2 * SECOND);
     stopped.iter().for_each(|n| cluster.stop(*n, false));
     cluster.until_agreed(NEVER).unwrap();
-    for (at, of) in stopped.iter().flat_map(|at| running.iter().map(move |of| (*at, *of))) {
-        assert_eq!(deaths(&cluster, at, of), 0, "node {at} took node {of} for dead");
+    for (at, of) in stopped
+        .iter()
+        .flat_map(|at| running.iter().map(move |of| (*at, *of)))
+    {
+        assert_eq!(
+            deaths(&cluster, at, of),
+            0,
+            "node {at} took node {of} for dead"
+        );
     }
 }
 
 #[test]
 fn a_short_stop_loss_repeats_and_overtaking_kill_nobody() {
-    let mut cluster = rig(Size { death_after: 12 * SECOND, ..size(5) });
+    let mut cluster = rig(Size {
+        death_after: 12 * SECOND,
+        ..size(5)
+    });
     let sent = |cluster: &Cluster| cluster.links().total().0;
-    let rough = Fault { lose: 0.2, repeat: 0.3, jitter_ms: 50, ..Fault::default() };
+    let rough = Fault {
+        lose: 0.2,
+        repeat: 0.3,
+        jitter_ms: 50,
+        ..Fault::default()
+    };
     cluster.links().everywhere(rough);
     for other in 0..4 {
-        let rougher = Fault { lose: 0.6, ..Fault::default() };
+        let rougher = Fault {
+            lose: 0.6,
+            ..Fault::default()
+        };
         cluster.links().set(End::Node(4), End::Node(other), rougher);
         cluster.links().set(End::Node(other), End::Node(4), rougher);
     }
@@ -115,8 +143,14 @@
 
 #[test]
 fn a_cut_of_one_direction_is_a_fact_of_the_link() {
-    let cluster = rig(Size { death_after: 12 * SECOND, ..size(4) });
-    let cut = Fault { cut: true, ..Fault::default() };
+    let cluster = rig(Size {
+        death_after: 12 * SECOND,
+        ..size(4)
+    });
+    let cut = Fault {
+        cut: true,
+        ..Fault::default()
+    };
     cluster.links().set(End::Node(1), End::Node(2), cut);
     let unheard = |views: &BTreeMap<usize, View>| match state(views, 2, 1).as_str() {
         "unheard" => vec![],
@@ -136,9 +170,14 @@
 #[test]
 fn parts_that_were_apart_find_each_other_and_count_each_other_all_along() {
     let cluster = rig(size(6));
-    for parts in [vec![vec![0, 1, 2], vec![3, 4, 5]], vec![vec![0, 3], vec![1, 4], vec![2, 5]]] {
+    for parts in [
+        vec![vec![0, 1, 2], vec![3, 4, 5]],
+        vec![vec![0, 3], vec![1, 4], vec![2, 5]],
+    ] {
         for (i, some) in parts.iter().enumerate() {
-            parts[i + 1..].iter().for_each(|others| cluster.links().part(some, others));
+            parts[i + 1..]
+                .iter()
+                .for_each(|others| cluster.links().part(some, others));
         }
         let apart = |_: &Cluster, views: &BTreeMap<usize, View>| {
             let pairs = parts.iter().flat_map(|some| {
@@ -148,7 +187,8 @@
                     .collect::<Vec<_>>()
             });
             let here = pairs.filter(|(at, of)| state(views, *at, *of) != "dead");
-            here.map(|(at, of)| format!("{of} is not yet dead to {at}")).collect::<Vec<String>>()
+            here.map(|(at, of)| format!("{of} is not yet dead to {at}"))
+                .collect::<Vec<String>>()
         };
         cluster.until(NEVER, apart).unwrap();
         assert_eq!(counted(&cluster.views(), 6), Vec::<String>::new());
@@ -163,19 +203,31 @@
 fn a_part_that_nobody_beyond_it_hears_is_back_when_it_is_mended() {
     let cluster = rig(size(5));
     let (mute, others) = ([0, 1], [2, 3, 4]);
-    let cut = Fault { cut: true, ..Fault::default() };
-    for (from, to) in mute.iter().flat_map(|m| others.iter().map(move |o| (*m, *o))) {
+    let cut = Fault {
+        cut: true,
+        ..Fault::default()
+    };
+    for (from, to) in mute
+        .iter()
+        .flat_map(|m| others.iter().map(move |o| (*m, *o)))
+    {
         cluster.links().set(End::Node(from), End::Node(to), cut);
     }
     let apart = |_: &Cluster, views: &BTreeMap<usize, View>| {
-        let pairs = others.iter().flat_map(|at| mute.iter().map(move |of| (*at, *of)));
+        let pairs = others
+            .iter()
+            .flat_map(|at| mute.iter().map(move |of| (*at, *of)));
         let here = pairs.filter(|(at, of)| state(views, *at, *of) != "dead");
-        here.map(|(at, of)| format!("{of} is not yet dead to {at}")).collect::<Vec<String>>()
+        here.map(|(at, of)| format!("{of} is not yet dead to {at}"))
+            .collect::<Vec<String>>()
     };
     cluster.until(NEVER, apart).unwrap();
     let views = cluster.views();
     assert_eq!(counted(&views, 5), Vec::<String>::new());
-    assert_eq!((state(&views, 0, 1).as_str(), state(&views, 1, 0).as_str()), ("alive", "alive"));
+    assert_eq!(
+        (state(&views, 0, 1).as_str(), state(&views, 1, 0).as_str()),
+        ("alive", "alive")
+    );
     cluster.links().mend();
     cluster.until_agreed(NEVER).unwrap();
 }
@@ -203,10 +255,17 @@
 /// Nodes find each other by the store's records alone, and the count falls when lease and grace of a silent one are over.
 #[test]
 fn records_in_the_store_are_a_way_in_and_an_end() {
-    let mut cluster = rig(Size { store: true, seeds: 0, ..size(4) });
+    let mut cluster = rig(Size {
+        store: true,
+        seeds: 0,
+        ..size(4)
+    });
     cluster.until(NEVER, |_, views| counted(views, 4)).unwrap();
     // Cut off from the store alone: its lease ends, and it is heard.
-    let cut = Fault { cut: true, ..Fault::default() };
+    let cut = Fault {
+        cut: true,
+        ..Fault::default()
+    };
     cluster.links().set(End::Node(1), End::Store, cut);
     cluster.links().set(End::Store, End::Node(1), cut);
     let key = format!("ivyward/nodes/{:016x}", id(1));
@@ -215,13 +274,23 @@
     }
     cluster.kill(2);
     let gone = |views: &BTreeMap<usize, View>| {
-        let wrong = views.iter().filter(|(_, v)| v.count != 3 || !v.peers[&id(2)].certain);
-        wrong.map(|(node, view)| format!("node {node} counts {}", view.count)).collect::<Vec<String>>()
+        let wrong = views
+            .iter()
+            .filter(|(_, v)| v.count != 3 || !v.peers[&id(2)].certain);
+        wrong
+            .map(|(node, view)| format!("node {node} counts {}", view.count))
+            .collect::<Vec<String>>()
     };
     let others = |views: &BTreeMap<usize, View>| {
-        views.iter().filter(|v| *v.0 != 1).map(|(node, view)| (*node, view.clone())).collect()
+        views
+            .iter()
+            .filter(|v| *v.0 != 1)
+            .map(|(node, view)| (*node, view.clone()))
+            .collect()
     };
-    cluster.until(NEVER, |_, views| gone(&others(views))).unwrap();
+    cluster
+        .until(NEVER, |_, views| gone(&others(views)))
+        .unwrap();
     let views = cluster.views();
     assert_eq!(state(&views, 0, 1), "alive");
     assert_eq!(views[&1].count, 4, "it was not told, and may not guess");
@@ -234,7 +303,12 @@
 
 #[test]
 fn nodes_join_by_addresses_while_the_store_is_down() {
-    let mut cluster = Cluster::start(Size { store: true, engines: 2, ..size(4) }).unwrap();
+    let mut cluster = Cluster::start(Size {
+        store: true,
+        engines: 2,
+        ..size(4)
+    })
+    .unwrap();
     cluster.until_agreed(NEVER).unwrap();
     cluster.store().unwrap().die();
     cluster.kill(3);
@@ -250,8 +324,11 @@
     let cluster = rig(size(2));
     let world: WorldRef = cluster.world().clone();
     let ask = |path: &str| world_ask(&cluster, path);
-    let line =
-        ask("/metrics").lines().find(|l| l.starts_with("ivyward_peer_datagrams_unread")).unwrap().to_owned();
+    let line = ask("/metrics")
+        .lines()
+        .find(|l| l.starts_with("ivyward_peer_datagrams_unread"))
+        .unwrap()
+        .to_owned();
     assert!(line.ends_with(" 0"), "{line}");
     let socket = world.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
     let real = cluster.real(0);
@@ -263,13 +340,22 @@
         address: socket.address(),
     };
     let body = ivyward::core::peers::Body::Leave;
-    let forged = ivyward::core::peers::Message { view: 0, from, beat: 1, body, claims: vec![] };
+    let forged = ivyward::core::peers::Message {
+        view: 0,
+        from,
+        beat: 1,
+        body,
+        claims: vec![],
+    };
     for bytes in [other.close(&forged), vec![], vec![1; 1_300]] {
         socket.send(&bytes, real).unwrap();
     }
     loop {
         let text = ask("/metrics");
-        if text.lines().any(|l| l == "ivyward_peer_datagrams_unread_total 3") {
+        if text
+            .lines()
+            .any(|l| l == "ivyward_peer_datagrams_unread_total 3")
+        {
             break;
         }
         cluster.rest(20_000);
@@ -279,13 +365,20 @@
 
 fn world_ask(cluster: &Cluster, path: &str) -> String {
     let world: WorldRef = cluster.world().clone();
-    cluster.world().block_on(cluster.process(0).unwrap().ask(&world, path)).unwrap()
+    cluster
+        .world()
+        .block_on(cluster.process(0).unwrap().ask(&world, path))
+        .unwrap()
 }
 
 /// A drawn plan under a load: the five rules, the counts and the views hold.
 #[test]
 fn a_plan_is_played_and_the_rules_hold() {
-    let mut cluster = Cluster::start(Size { engines: 5, ..size(4) }).unwrap();
+    let mut cluster = Cluster::start(Size {
+        engines: 5,
+        ..size(4)
+    })
+    .unwrap();
     let fault = |fault, lasts_ms| Episode { fault, lasts_ms };
     let episodes = vec![
         fault(Trouble::Kill(vec![3]), 500),
@@ -293,7 +386,11 @@
         fault(Trouble::Mute(vec![0]), 4_000),
         fault(Trouble::Flap(0, 1, 300), 3_000),
     ];
-    let plan = Plan { seed: 5, nodes: 4, episodes };
+    let plan = Plan {
+        seed: 5,
+        nodes: 4,
+        episodes,
+    };
     plan.check().unwrap();
     let report = play(&mut cluster, &plan, |_| {}).unwrap();
     assert_eq!(report.wrong(), Vec::<String>::new());
--- a/crates/ivywardd/tests/common/mod.rs
+++ b/crates/ivywardd/tests/common/mod.rs
@@ -44,7 +44,11 @@
 
 impl Running {
     pub fn signal(&self, name: &str) {
-        assert!(Command::new("kill").args([name, &self.0.id().to_string()]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &self.0.id().to_string()])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
@@ -75,7 +79,9 @@
                     bytes.extend_from_slice(&piece[..n]);
                     let text = String::from_utf8_lossy(&bytes).into_owned();
                     // A head, and the body of the one request that has one.
-                    let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
+                    let Some((head, body)) = text.split_once("\r\n\r\n") else {
+                        continue;
+                    };
                     if head.starts_with("POST /v1/chat") && body.len() < BODY.len() {
                         continue;
                     }
@@ -97,7 +103,9 @@
 pub fn with_faults(command: &mut Command, control: &ControlFile) {
     let test = std::env::current_exe().expect("this test's own path");
     let library = library_beside(&test).expect("the library that Cargo built beside this test");
-    command.env("LD_PRELOAD", library).env(PATH_VARIABLE, control.path());
+    command
+        .env("LD_PRELOAD", library)
+        .env(PATH_VARIABLE, control.path());
 }
 
 /// A control file of this process's own.
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -27,7 +27,9 @@
 
 impl Daemon {
     fn start(scene: &Scene, more: &[String]) -> Daemon {
-        let listed: Vec<_> = (0..scene.engines()).map(|e| scene.entry(e, Condition::Ready, 0)).collect();
+        let listed: Vec<_> = (0..scene.engines())
+            .map(|e| scene.entry(e, Condition::Ready, 0))
+            .collect();
         let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
             .env_clear()
             .args(ivyward_flags(&scene.make().settings, &listed))
@@ -38,12 +40,22 @@
             .spawn()
             .unwrap();
         let mut line = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-        let address = line.trim().strip_prefix("listening on ").expect("its address").parse().unwrap();
+        BufReader::new(child.stdout.take().unwrap())
+            .read_line(&mut line)
+            .unwrap();
+        let address = line
+            .trim()
+            .strip_prefix("listening on ")
+            .expect("its address")
+            .parse()
+            .unwrap();
         Daemon { child, address }
     }
     fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        let done = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(done.success());
     }
 }
@@ -104,7 +116,10 @@
     assert!(daemon.child.wait().unwrap().success());
     let outside = std::fs::read(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
-    let (inside, outside) = (decisions(&memory.bytes()).unwrap(), decisions(&outside).unwrap());
+    let (inside, outside) = (
+        decisions(&memory.bytes()).unwrap(),
+        decisions(&outside).unwrap(),
+    );
     assert!(inside.len() >= 20, "{inside:?}");
     assert_eq!(inside, outside);
 }
@@ -114,7 +129,10 @@
 fn a_foreign_client_is_served_refused_and_failed_in_grpcs_terms() {
     let scene = Make::new(22, engines()).build().unwrap();
     let daemon = Daemon::start(&scene, &[]);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let channel = tonic::transport::Endpoint::from_shared(format!("http://{}", daemon.address));
         let channel = channel.unwrap().connect().await.unwrap();
@@ -131,17 +149,26 @@
         let trailers = stream.trailers().await.unwrap().unwrap();
         assert_eq!(trailers.get("ivyward-outcome").unwrap(), "served");
         // Failed: a bad request.
-        let bad = GenerateRequest { prompt: vec![], ..ask(2) };
+        let bad = GenerateRequest {
+            prompt: vec![],
+            ..ask(2)
+        };
         let mut stream = client.generate(bad).await.unwrap().into_inner();
         let failed = stream.message().await.unwrap_err();
         assert_eq!(failed.code(), Code::InvalidArgument);
-        assert_eq!(failed.metadata().get("grpc-retry-pushback-ms").unwrap(), "-1");
+        assert_eq!(
+            failed.metadata().get("grpc-retry-pushback-ms").unwrap(),
+            "-1"
+        );
         // Refused: every engine is full.
         (0..scene.engines()).for_each(|e| scene.engine(e).fault(|f| f.full = 1.0));
         let mut stream = client.generate(ask(3)).await.unwrap().into_inner();
         let refused = stream.message().await.unwrap_err();
         assert_eq!(refused.code(), Code::ResourceExhausted);
-        assert_eq!(refused.metadata().get("grpc-retry-pushback-ms").unwrap(), "300");
+        assert_eq!(
+            refused.metadata().get("grpc-retry-pushback-ms").unwrap(),
+            "300"
+        );
         let delay = refused.get_details_retry_info().unwrap().retry_delay;
         assert_eq!(delay, Some(Duration::from_millis(300)));
     });
@@ -155,23 +182,42 @@
     make.patient();
     let scene = make.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-engines-{}", std::process::id()));
-    let listed: Vec<_> = (0..6).map(|e| scene.entry(e, Condition::Ready, 0)).collect();
+    let listed: Vec<_> = (0..6)
+        .map(|e| scene.entry(e, Condition::Ready, 0))
+        .collect();
     let servers = |of: &[usize]| {
-        let flags = ivyward_flags(&scene.make().settings, &of.iter().map(|e| listed[*e]).collect::<Vec<_>>());
-        flags.into_iter().filter(|f| f.starts_with("--server")).collect::<Vec<_>>().join("\n")
+        let flags = ivyward_flags(
+            &scene.make().settings,
+            &of.iter().map(|e| listed[*e]).collect::<Vec<_>>(),
+        );
+        flags
+            .into_iter()
+            .filter(|f| f.starts_with("--server"))
+            .collect::<Vec<_>>()
+            .join("\n")
     };
     std::fs::write(&path, servers(&[0, 3])).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
         .env_clear()
         .args(ivyward_flags(&scene.make().settings, &[]))
-        .args(["--listen=127.0.0.1:0".to_string(), format!("@{}", path.display())])
+        .args([
+            "--listen=127.0.0.1:0".to_string(),
+            format!("@{}", path.display()),
+        ])
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
     let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let address = line.trim().strip_prefix("listening on ").unwrap().parse().unwrap();
+    BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let address = line
+        .trim()
+        .strip_prefix("listening on ")
+        .unwrap()
+        .parse()
+        .unwrap();
     let mut logs = BufReader::new(child.stderr.take().unwrap()).lines();
     let daemon = Daemon { child, address };
     let mut wait_for = |text: &str| logs.by_ref().any(|l| l.is_ok_and(|l| l.contains(text)));
@@ -184,7 +230,9 @@
     assert!(wait_for("engines read again"));
     let world: WorldRef = scene.world.clone();
     block_on(async {
-        let client = Client::connect(&world, &scene.log, daemon.address).await.unwrap();
+        let client = Client::connect(&world, &scene.log, daemon.address)
+            .await
+            .unwrap();
         // The new ones are told a moment after the line above; the old ones are gone then.
         scene.engine(0).die();
         scene.engine(3).die();
@@ -198,7 +246,10 @@
                 break;
             }
         }
-        let first = ends.iter().position(|served| *served).expect("the new engines serve");
+        let first = ends
+            .iter()
+            .position(|served| *served)
+            .expect("the new engines serve");
         assert!(ends[first..].iter().all(|served| *served), "{ends:?}");
     });
     std::fs::remove_file(&path).unwrap();
