--- a/crates/ivywardd/tests/flags.rs
+++ b/crates/ivywardd/tests/flags.rs
@@ -10,7 +10,11 @@
 ];
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_ivywardd")).env_clear().args(args).output().expect("the daemon runs")
+    Command::new(env!("CARGO_BIN_EXE_ivywardd"))
+        .env_clear()
+        .args(args)
+        .output()
+        .expect("the daemon runs")
 }
 
 fn refused(args: &[&str], names: &[&str]) {
@@ -19,7 +23,10 @@
     assert!(!output.status.success(), "{args:?} was taken");
     assert_eq!(text.lines().count(), 1, "{args:?}: {text}");
     for name in names {
-        assert!(text.contains(name), "{args:?}: {text:?} does not name {name:?}");
+        assert!(
+            text.contains(name),
+            "{args:?}: {text:?} does not name {name:?}"
+        );
     }
 }
 
@@ -27,7 +34,10 @@
 fn good_settings_hold() {
     let output = run(&GOOD);
     assert!(output.status.success(), "{output:?}");
-    assert_eq!(String::from_utf8_lossy(&output.stdout), "the settings hold: 2 engines, 1 classes\n");
+    assert_eq!(
+        String::from_utf8_lossy(&output.stdout),
+        "the settings hold: 2 engines, 1 classes\n"
+    );
 }
 
 #[test]
@@ -45,7 +55,10 @@
         ("--probes=x", "--probes"),
         ("--may-cancel=x", "--may-cancel"),
         ("--report=mood", "mood"),
-        ("--report=outstanding,outstanding,outstanding,outstanding,outstanding", "four values at most"),
+        (
+            "--report=outstanding,outstanding,outstanding,outstanding,outstanding",
+            "four values at most",
+        ),
         ("--over-share-worth=2", "--over-share-worth"),
         ("--transfer-price=-1", "--transfer-price"),
         ("--cross-zone-price=inf", "--cross-zone-price"),
@@ -58,11 +71,23 @@
         ("--start-capacity=1.5", "--start-capacity"),
         ("--warm-after=90m", "an hour at most"),
         ("--answer-margin=0ms", "--answer-margin"),
-        ("--answer-margin=3s", "leaves no time beside --answer-margin 3000ms"),
-        ("--dial-timeout=300ms", "longer than --drain-grace, which is 250ms"),
-        ("--redial-first=2s", "longer than --redial-most, which is 1000ms"),
+        (
+            "--answer-margin=3s",
+            "leaves no time beside --answer-margin 3000ms",
+        ),
+        (
+            "--dial-timeout=300ms",
+            "longer than --drain-grace, which is 250ms",
+        ),
+        (
+            "--redial-first=2s",
+            "longer than --redial-most, which is 1000ms",
+        ),
         ("--redial-most=0s", "--redial-most"),
-        ("--reset-wait=500ms", "must be under --release-within, which is 500ms"),
+        (
+            "--reset-wait=500ms",
+            "must be under --release-within, which is 500ms",
+        ),
         ("--stream-stall=0s", "--stream-stall"),
         ("--release-tries=61m", "--release-tries"),
         ("--ping-every=61m", "--ping-every"),
@@ -80,26 +105,65 @@
         ("--log-format=xml", "xml"),
         ("--bogus=1", "--bogus"),
         ("@/nowhere/flags", "@/nowhere/flags"),
-        ("--server=id=1,address=127.0.0.1:9,role=decode", "--server id=1: is given twice"),
+        (
+            "--server=id=1,address=127.0.0.1:9,role=decode",
+            "--server id=1: is given twice",
+        ),
         (
             "--server=id=3,address=127.0.0.1:7001,role=decode",
             "--server address=127.0.0.1:7001: is given twice",
         ),
         ("--server=id=3,role=decode", "address is missing"),
         ("--server=id=3,address=localhost,role=decode", "not IP:PORT"),
-        ("--server=id=3,address=127.0.0.1:9,role=poet", "must be one of prefill, decode, mixed"),
-        ("--server=id=3,address=127.0.0.1:9,role=decode,weight=0", "weight=0 must be over 0"),
-        ("--server=id=3,address=127.0.0.1:9,role=decode,colour=red", "colour"),
-        ("--class=name=a,ttft-aim=1s,deadline=4s", "--class a: the name is given twice"),
+        (
+            "--server=id=3,address=127.0.0.1:9,role=poet",
+            "must be one of prefill, decode, mixed",
+        ),
+        (
+            "--server=id=3,address=127.0.0.1:9,role=decode,weight=0",
+            "weight=0 must be over 0",
+        ),
+        (
+            "--server=id=3,address=127.0.0.1:9,role=decode,colour=red",
+            "colour",
+        ),
+        (
+            "--class=name=a,ttft-aim=1s,deadline=4s",
+            "--class a: the name is given twice",
+        ),
         ("--class=name=b,ttft-aim=1s", "deadline is missing"),
-        ("--class=name=b,ttft-aim=5s,deadline=4s", "ttft-aim=5000ms is over deadline=4000ms"),
-        ("--class=name=b,ttft-aim=10ms,deadline=50ms", "leaves no time beside --answer-margin"),
-        ("--class=name=b,ttft-aim=1s,deadline=4s,effect=keyed", "effect=keyed needs repeat-window"),
-        ("--class=name=b,ttft-aim=1s,deadline=4s,repeat-window=1s", "repeat-window goes with effect=keyed"),
-        ("--class=name=b,ttft-aim=1s,deadline=4s,worth=-1", "worth=-1"),
-        ("--class=name=b,ttft-aim=1s,deadline=4s,late-share=2", "late-share=2"),
-        ("--class=name=b,ttft-aim=1s,deadline=4s,deadline=5s", "deadline is given twice"),
-        ("--etcd-endpoint=127.0.0.1:2379", "--etcd-endpoint 127.0.0.1:2379: goes with no --server"),
+        (
+            "--class=name=b,ttft-aim=5s,deadline=4s",
+            "ttft-aim=5000ms is over deadline=4000ms",
+        ),
+        (
+            "--class=name=b,ttft-aim=10ms,deadline=50ms",
+            "leaves no time beside --answer-margin",
+        ),
+        (
+            "--class=name=b,ttft-aim=1s,deadline=4s,effect=keyed",
+            "effect=keyed needs repeat-window",
+        ),
+        (
+            "--class=name=b,ttft-aim=1s,deadline=4s,repeat-window=1s",
+            "repeat-window goes with effect=keyed",
+        ),
+        (
+            "--class=name=b,ttft-aim=1s,deadline=4s,worth=-1",
+            "worth=-1",
+        ),
+        (
+            "--class=name=b,ttft-aim=1s,deadline=4s,late-share=2",
+            "late-share=2",
+        ),
+        (
+            "--class=name=b,ttft-aim=1s,deadline=4s,deadline=5s",
+            "deadline is given twice",
+        ),
+        (
+            "--etcd-endpoint=127.0.0.1:2379",
+            "--etcd-endpoint 127.0.0.1:2379: goes with no --server",
+        ),
         ("--etcd-endpoint=store", "store"),
         ("--etcd-prefix=", "--etcd-prefix"),
         ("--etcd-silence=0s", "--etcd-silence"),
@@ -127,7 +191,10 @@
     let file = format!("@{}", path.display());
     let output = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
         .env_clear()
-        .env("IVYWARD_CLASSES", "name=a,ttft-aim=1s,deadline=4s;name=b,ttft-aim=1s,deadline=4s")
+        .env(
+            "IVYWARD_CLASSES",
+            "name=a,ttft-aim=1s,deadline=4s;name=b,ttft-aim=1s,deadline=4s",
+        )
         .args(["--check", &file])
         .output()
         .unwrap();
@@ -145,11 +212,18 @@
 #[test]
 fn checks_at_rest_need_pings_and_have_a_bound() {
     let with = |more: &[&'static str]| [&GOOD[..], more].concat();
-    for good in [&["--resting-checks=0"][..], &["--resting-checks=10000"], &["--ping-every=0us"]] {
+    for good in [
+        &["--resting-checks=0"][..],
+        &["--resting-checks=10000"],
+        &["--ping-every=0us"],
+    ] {
         let output = run(&with(good));
         assert!(output.status.success(), "{good:?}: {output:?}");
     }
-    refused(&with(&["--resting-checks=10001"]), &["--resting-checks", "10001", "10000 a second at most"]);
+    refused(
+        &with(&["--resting-checks=10001"]),
+        &["--resting-checks", "10001", "10000 a second at most"],
+    );
     refused(
         &with(&["--resting-checks=5", "--ping-every=0us"]),
         &["--resting-checks", "5", "--ping-every is 0"],
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -19,13 +19,24 @@
 
 /// A daemon that follows a store; ends with the test. It has a key and no peers, as where one environment is all nodes'.
 fn start(flags: &[String], store: SocketAddr) -> Process {
-    let flags: Vec<String> = flags.iter().cloned().chain([format!("--etcd-endpoint={store}")]).collect();
-    Process::start(Path::new(env!("CARGO_BIN_EXE_ivywardd")), &flags, "a key that nobody needs here").unwrap()
+    let flags: Vec<String> = flags
+        .iter()
+        .cloned()
+        .chain([format!("--etcd-endpoint={store}")])
+        .collect();
+    Process::start(
+        Path::new(env!("CARGO_BIN_EXE_ivywardd")),
+        &flags,
+        "a key that nobody needs here",
+    )
+    .unwrap()
 }
 
 async fn engines(daemon: &Process, world: &WorldRef) -> u64 {
     let text = daemon.ask(world, "/metrics").await.unwrap();
-    let line = text.lines().find_map(|l| l.strip_prefix("ivyward_engines "));
+    let line = text
+        .lines()
+        .find_map(|l| l.strip_prefix("ivyward_engines "));
     line.and_then(|n| n.trim().parse().ok()).unwrap_or(0)
 }
 
@@ -42,7 +53,10 @@
         operation: call,
         effect: Effect::Safe,
         node,
-        habit: Habit { patience: 20 * SECOND, ..Habit::default() },
+        habit: Habit {
+            patience: 20 * SECOND,
+            ..Habit::default()
+        },
     }
 }
 
@@ -56,10 +70,18 @@
     let host: Arc<dyn Host> = Arc::new(Threads);
     // They stay cold for longer than the test takes.
     let cold = (0.3, 600 * SECOND);
-    let rules = Settings { nodes: 3, warm_after: cold.1, ..settings().rules };
+    let rules = Settings {
+        nodes: 3,
+        warm_after: cold.1,
+        ..settings().rules
+    };
     let spec = |id: u64| {
         let role = if id <= 4 { Role::Reader } else { Role::Writer };
-        Spec { cold, falls: (rules.fall_multiple, rules.fall_window), ..Spec::small(id, role) }
+        Spec {
+            cold,
+            falls: (rules.fall_multiple, rules.fall_window),
+            ..Spec::small(id, role)
+        }
     };
     let specs: Vec<Spec> = (1..=8).map(spec).collect();
     let store = Store::start(&host, 1).unwrap();
@@ -68,12 +90,21 @@
         let mut engine = Engine::start(&host, &log, spec.clone()).unwrap();
         engine.die();
         if engine.come_up(true).is_ok() {
-            keep(&engine, vec![store.address()], 60, world.unix_micros() / 1_000, |_| {});
+            keep(
+                &engine,
+                vec![store.address()],
+                60,
+                world.unix_micros() / 1_000,
+                |_| {},
+            );
             return engine;
         }
     };
     let fleet: Vec<Engine> = specs.iter().map(cold_one).collect();
-    let mut settings = ivyward::NodeSettings { rules: rules.clone(), ..settings() };
+    let mut settings = ivyward::NodeSettings {
+        rules: rules.clone(),
+        ..settings()
+    };
     for class in &mut settings.classes {
         class.settings.deadline = 20 * SECOND;
     }
@@ -115,8 +146,12 @@
     let host: Arc<dyn Host> = Arc::new(Threads);
     let spec = |id: u64| Spec::small(id, if id <= 4 { Role::Reader } else { Role::Writer });
     let store = Store::start(&host, 1).unwrap();
-    let fleet: Vec<Engine> = (1..=8).map(|id| Engine::start(&host, &log, spec(id)).unwrap()).collect();
-    fleet.iter().for_each(|e| keep(e, vec![store.address()], 60, 0, |_| {}));
+    let fleet: Vec<Engine> = (1..=8)
+        .map(|id| Engine::start(&host, &log, spec(id)).unwrap())
+        .collect();
+    fleet
+        .iter()
+        .for_each(|e| keep(e, vec![store.address()], 60, 0, |_| {}));
     let mut settings = settings();
     for class in &mut settings.classes {
         class.settings.deadline = 20 * SECOND;
@@ -136,7 +171,9 @@
                 let _ = told.send(end.how);
             });
         }
-        (0..60).filter(|_| ends.recv().unwrap() != Heard::Served).count()
+        (0..60)
+            .filter(|_| ends.recv().unwrap() != Heard::Served)
+            .count()
     });
     assert_eq!(refused, 0);
     drop(daemon);
--- a/crates/ivywardd/tests/platform.rs
+++ b/crates/ivywardd/tests/platform.rs
@@ -11,14 +11,23 @@
 
 fn start(file: &File) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivywardd"));
-    command.env_clear().arg("platform").env("BALANCER_CONFIG", &file.0);
-    command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap()
+    command
+        .env_clear()
+        .arg("platform")
+        .env("BALANCER_CONFIG", &file.0);
+    command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
 }
 
 fn health(world: &SmolWorld, address: SocketAddr) -> u16 {
     world.block_on(async {
         let mut conn = world.connect(address).await.unwrap();
-        conn.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").await.unwrap();
+        conn.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .await
+            .unwrap();
         let mut text = [0; 12];
         conn.read_exact(&mut text).await.unwrap();
         std::str::from_utf8(&text[9..]).unwrap().parse().unwrap()
@@ -30,8 +39,15 @@
     let file = File::new("serves", &config("127.0.0.1:0"));
     let mut child = Running(start(&file));
     let mut line = String::new();
-    BufReader::new(child.0.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let address = line.trim().strip_prefix("listening on ").expect("its address").parse().unwrap();
+    BufReader::new(child.0.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let address = line
+        .trim()
+        .strip_prefix("listening on ")
+        .expect("its address")
+        .parse()
+        .unwrap();
     let world = SmolWorld::start(1, 1);
     while health(&world, address) != 200 {}
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
@@ -39,7 +55,10 @@
         let mut line = String::new();
         while !line.contains(word) {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "the log ended before {word:?}");
+            assert!(
+                log.read_line(&mut line).unwrap() > 0,
+                "the log ended before {word:?}"
+            );
         }
     };
     // A file that cannot be read changes nothing; one that can be is taken over, without another signal.
@@ -47,13 +66,20 @@
     child.signal("-HUP");
     until("nothing is taken over yet");
     assert_eq!(health(&world, address), 200);
-    std::fs::write(&file.0, config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:10\",\"seed"))
-        .unwrap();
+    std::fs::write(
+        &file.0,
+        config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:10\",\"seed"),
+    )
+    .unwrap();
     until("discovery moved");
     assert_eq!(health(&world, address), 200);
     child.signal("-TERM");
     until("stopping");
-    assert_eq!(health(&world, address), 503, "it goes on accepting, and says that it ends");
+    assert_eq!(
+        health(&world, address),
+        503,
+        "it goes on accepting, and says that it ends"
+    );
     assert_eq!(child.0.wait().unwrap().code(), Some(0));
 }
 
@@ -64,23 +90,37 @@
     let file = File::new("signals", &config("127.0.0.1:0"));
     let mut process = Running(start(&file));
     let mut listening = String::new();
-    BufReader::new(process.0.stdout.take().unwrap()).read_line(&mut listening).unwrap();
+    BufReader::new(process.0.stdout.take().unwrap())
+        .read_line(&mut listening)
+        .unwrap();
     assert!(listening.starts_with("listening on"), "{listening}");
-    let mut log = BufReader::new(process.0.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let mut log = BufReader::new(process.0.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     std::fs::write(&file.0, "{").unwrap();
     process.signal("-HUP");
     assert!(log.any(|line| line.contains("nothing is taken over yet")));
-    std::fs::write(&file.0, config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:19\",\"seed"))
-        .unwrap();
+    std::fs::write(
+        &file.0,
+        config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:19\",\"seed"),
+    )
+    .unwrap();
     process.signal("-HUP");
-    let line = log.find(|line| line.contains("discovery moved") || line.contains("stays as it was"));
-    assert!(line.as_deref().is_some_and(|l| l.contains("moved")), "{line:?}");
+    let line =
+        log.find(|line| line.contains("discovery moved") || line.contains("stays as it was"));
+    assert!(
+        line.as_deref().is_some_and(|l| l.contains("moved")),
+        "{line:?}"
+    );
     std::fs::write(&file.0, "{").unwrap();
     process.signal("-HUP");
     assert!(log.any(|line| line.contains("nothing is taken over yet")));
     process.signal("-TERM");
     let line = log.find(|line| line.contains("stopping") || line.contains("stays as it was"));
-    assert!(line.as_deref().is_some_and(|l| l.contains("stopping")), "{line:?}");
+    assert!(
+        line.as_deref().is_some_and(|l| l.contains("stopping")),
+        "{line:?}"
+    );
     assert!(process.0.wait().unwrap().success());
 }
 
@@ -90,16 +130,27 @@
 fn a_node_that_waits_for_its_first_list_heeds_its_signals() {
     let world = SmolWorld::start(1, 1);
     let discovery = answers(&world, |_| None);
-    let text = config("127.0.0.1:0")
-        .replace("\"discovery\":\"127.0.0.1:9\"", &format!("\"discovery\":\"{discovery}\""));
+    let text = config("127.0.0.1:0").replace(
+        "\"discovery\":\"127.0.0.1:9\"",
+        &format!("\"discovery\":\"{discovery}\""),
+    );
     let (before, known) = text.split_once("\"known\":").unwrap();
     let (_, settings) = known.split_once("\"settings\":").unwrap();
     let file = File::new("first-list", &format!("{before}\"settings\":{settings}"));
     let mut process = Running(start(&file));
     let mut line = String::new();
-    BufReader::new(process.0.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let address = line.trim().strip_prefix("listening on ").expect("its address").parse().unwrap();
-    let mut log = BufReader::new(process.0.stderr.take().unwrap()).lines().map_while(Result::ok);
+    BufReader::new(process.0.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let address = line
+        .trim()
+        .strip_prefix("listening on ")
+        .expect("its address")
+        .parse()
+        .unwrap();
+    let mut log = BufReader::new(process.0.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     assert_eq!(health(&world, address), 503, "it holds no list");
     for _ in 0..2 {
         process.signal("-HUP");
@@ -115,16 +166,29 @@
 #[test]
 fn a_configuration_that_cannot_hold_ends_the_start_in_one_line() {
     for (from, to, what) in [
-        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\"", "listen here: must be IP:PORT"),
+        (
+            "\"listen\":\"127.0.0.1:0\"",
+            "\"listen\":\"here\"",
+            "listen here: must be IP:PORT",
+        ),
         ("\"sockets\":256", "\"sockets\":9", "limits.sockets 9"),
         ("retryable", "often", "\"often\" of classes.0.semantics"),
     ] {
         let file = File::new("bad", &config("127.0.0.1:0").replace(from, to));
         let mut child = Running(start(&file));
         let mut text = String::new();
-        child.0.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+        child
+            .0
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut text)
+            .unwrap();
         assert!(!child.0.wait().unwrap().success());
-        assert!(text.contains(what) && text.trim().lines().count() == 1, "{text}");
+        assert!(
+            text.contains(what) && text.trim().lines().count() == 1,
+            "{text}"
+        );
     }
 }
 
@@ -144,9 +208,15 @@
         event("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n"),
         event("data: [DONE]\n\n")
     );
-    let reader = answers(&world, |_| Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into()));
+    let reader = answers(&world, |_| {
+        Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into())
+    });
     let writer = answers(&world, move |line| {
-        Some(if line.starts_with("POST /v1/chat") { stream.clone() } else { "HTTP/1.1 204 N\r\n\r\n".into() })
+        Some(if line.starts_with("POST /v1/chat") {
+            stream.clone()
+        } else {
+            "HTTP/1.1 204 N\r\n\r\n".into()
+        })
     });
     let up = std::sync::Arc::new(AtomicBool::new(false));
     let (is_up, asked) = (up.clone(), std::sync::Arc::new(AtomicBool::new(false)));
@@ -161,25 +231,50 @@
             entry("s-2", "prefill", reader),
             entry("s-3", "decode", writer)
         );
-        is_up
-            .load(Ordering::SeqCst)
-            .then(|| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()))
+        is_up.load(Ordering::SeqCst).then(|| {
+            format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                list.len()
+            )
+        })
     });
     const LIMIT: usize = 160;
     let text = config("127.0.0.1:0").replace("\"sockets\":256", &format!("\"sockets\":{LIMIT}"));
     let file = File::new(
         "idle",
-        &text.replace("\"discovery\":\"127.0.0.1:9\"", &format!("\"discovery\":\"{discovery}\"")),
+        &text.replace(
+            "\"discovery\":\"127.0.0.1:9\"",
+            &format!("\"discovery\":\"{discovery}\""),
+        ),
     );
     // The limit itself, so that the system says no where the node's own bounds are wrong.
     let mut command = Command::new("sh");
-    command.args(["-c", &format!("ulimit -n {LIMIT}; exec \"$0\" platform"), env!("CARGO_BIN_EXE_ivywardd")]);
-    command.env_clear().env("BALANCER_CONFIG", &file.0).env("IVYWARD_LOG", "debug");
-    let mut child = Running(command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap());
+    command.args([
+        "-c",
+        &format!("ulimit -n {LIMIT}; exec \"$0\" platform"),
+        env!("CARGO_BIN_EXE_ivywardd"),
+    ]);
+    command
+        .env_clear()
+        .env("BALANCER_CONFIG", &file.0)
+        .env("IVYWARD_LOG", "debug");
+    let mut child = Running(
+        command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap(),
+    );
     let mut line = String::new();
-    BufReader::new(child.0.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let address: SocketAddr =
-        line.trim().strip_prefix("listening on ").expect("its address").parse().unwrap();
+    BufReader::new(child.0.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let address: SocketAddr = line
+        .trim()
+        .strip_prefix("listening on ")
+        .expect("its address")
+        .parse()
+        .unwrap();
     // Its log is read as it comes, so that it never waits for us.
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
     let (told, lines) = std::sync::mpsc::channel();
@@ -236,6 +331,14 @@
     }
     assert!(served.contains("[DONE]"), "{served}");
     assert!(most < LIMIT, "{most} descriptors");
-    let refused: Vec<String> = lines.try_iter().filter(|l| l.contains("Too many open files")).collect();
-    assert!(refused.is_empty(), "{} times without a descriptor: {}", refused.len(), refused[0]);
+    let refused: Vec<String> = lines
+        .try_iter()
+        .filter(|l| l.contains("Too many open files"))
+        .collect();
+    assert!(
+        refused.is_empty(),
+        "{} times without a descriptor: {}",
+        refused.len(),
+        refused[0]
+    );
 }
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -36,14 +36,27 @@
 impl Daemon {
     fn start(control: &ControlFile, arguments: &[String], environment: &[(&str, &str)]) -> Daemon {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivywardd"));
-        command.env_clear().env("IVYWARD_LOG", "debug").envs(environment.iter().copied()).args(arguments);
+        command
+            .env_clear()
+            .env("IVYWARD_LOG", "debug")
+            .envs(environment.iter().copied())
+            .args(arguments);
         with_faults(&mut command, control);
-        let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
+        let mut child = command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         let (out, errors) = (child.stdout.take().unwrap(), child.stderr.take().unwrap());
         let process = Running(child);
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line).unwrap();
-        let address = line.trim().strip_prefix("listening on ").expect("its address").parse().unwrap();
+        let address = line
+            .trim()
+            .strip_prefix("listening on ")
+            .expect("its address")
+            .parse()
+            .unwrap();
         let (said, log) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
@@ -51,21 +64,31 @@
                 let _ = said.send(line);
             }
         });
-        Daemon { process, address, log }
+        Daemon {
+            process,
+            address,
+            log,
+        }
     }
     fn platform(control: &ControlFile, file: &File) -> Daemon {
         let path = file.0.to_str().expect("a path of letters");
         Daemon::start(control, &["platform".into()], &[("BALANCER_CONFIG", path)])
     }
     fn grpc(control: &ControlFile, scene: &Scene) -> Daemon {
-        let listed: Vec<_> = (0..scene.engines()).map(|e| scene.entry(e, Condition::Ready, 0)).collect();
+        let listed: Vec<_> = (0..scene.engines())
+            .map(|e| scene.entry(e, Condition::Ready, 0))
+            .collect();
         let mut flags = ivyward_flags(&scene.make().settings, &listed);
-        flags.extend(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"].map(String::from));
+        flags
+            .extend(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"].map(String::from));
         Daemon::start(control, &flags, &[])
     }
     /// Waits for a line of its log; fails where the process ends before.
     fn says(&mut self, word: &str) {
-        assert!(self.log.iter().any(|line| line.contains(word)), "the daemon ended before it said {word:?}");
+        assert!(
+            self.log.iter().any(|line| line.contains(word)),
+            "the daemon ended before it said {word:?}"
+        );
     }
     fn ends_at_sigterm(&mut self) {
         self.process.signal("-TERM");
@@ -98,7 +121,9 @@
     );
     let attempts = Arc::new(AtomicUsize::new(0));
     let counted = attempts.clone();
-    let reader = answers(&world, |_| Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into()));
+    let reader = answers(&world, |_| {
+        Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into())
+    });
     let writer = answers(&world, move |line| {
         if !line.starts_with("POST /v1/chat") {
             return Some("HTTP/1.1 204 N\r\n\r\n".into());
@@ -106,8 +131,9 @@
         counted.fetch_add(1, Ordering::SeqCst);
         Some(stream.clone())
     });
-    let entry =
-        |id, kind, at| format!(r#"{{"id":"{id}","addr":"{at}","zone":"a","kind":"{kind}","state":"up"}}"#);
+    let entry = |id, kind, at| {
+        format!(r#"{{"id":"{id}","addr":"{at}","zone":"a","kind":"{kind}","state":"up"}}"#)
+    };
     let list = format!(
         r#"{{"version":2,"full":true,"servers":[{},{}]}}"#,
         entry("s-2", "prefill", reader),
@@ -117,11 +143,18 @@
     let text = config("127.0.0.1:0");
     let (before, after) = text.split_once("\"known\":").unwrap();
     let settings = after.split_once("\"settings\"").unwrap().1;
-    let file = File::new("interrupted", &format!("{before}\"known\":{list},\"settings\"{settings}"));
+    let file = File::new(
+        "interrupted",
+        &format!("{before}\"known\":{list},\"settings\"{settings}"),
+    );
     let control = control("interrupted");
     let mut daemon = Daemon::platform(&control, &file);
-    control.set_rate(SystemFault::ReceiveInterrupted, OFTEN).unwrap();
-    control.set_rate(SystemFault::SendInterrupted, OFTEN).unwrap();
+    control
+        .set_rate(SystemFault::ReceiveInterrupted, OFTEN)
+        .unwrap();
+    control
+        .set_rate(SystemFault::SendInterrupted, OFTEN)
+        .unwrap();
     world.block_on(async {
         let mut conn = world.connect(daemon.address).await.unwrap();
         for n in 0..REQUESTS {
@@ -135,7 +168,11 @@
             assert!(text.starts_with("HTTP/1.1 200") && text.contains("[DONE]"), "request {n}: {text:?}");
         }
     });
-    assert_eq!(attempts.load(Ordering::SeqCst), REQUESTS, "one write each: none was taken for a failed one");
+    assert_eq!(
+        attempts.load(Ordering::SeqCst),
+        REQUESTS,
+        "one write each: none was taken for a failed one"
+    );
     assert!(control.hits(SystemFault::ReceiveInterrupted).unwrap() > 0);
     assert!(control.hits(SystemFault::SendInterrupted).unwrap() > 0);
     daemon.ends_at_sigterm();
@@ -149,8 +186,12 @@
     let scene = make.build().unwrap();
     let control = control("grpc");
     let mut daemon = Daemon::grpc(&control, &scene);
-    control.set_rate(SystemFault::ReceiveInterrupted, OFTEN).unwrap();
-    control.set_rate(SystemFault::SendInterrupted, OFTEN).unwrap();
+    control
+        .set_rate(SystemFault::ReceiveInterrupted, OFTEN)
+        .unwrap();
+    control
+        .set_rate(SystemFault::SendInterrupted, OFTEN)
+        .unwrap();
     let world: WorldRef = scene.world.clone();
     let log = Log::new(&world);
     futures_lite::future::block_on(async {
@@ -176,12 +217,17 @@
     let file = File::new("waits", &config("127.0.0.1:0"));
     let control_platform = control("waits-platform");
     let mut platform = Daemon::platform(&control_platform, &file);
-    let scene = Make::new(24, vec![Spec::steady(1, Role::Reader), Spec::steady(2, Role::Writer)]);
+    let scene = Make::new(
+        24,
+        vec![Spec::steady(1, Role::Reader), Spec::steady(2, Role::Writer)],
+    );
     let scene = scene.build().unwrap();
     let control_grpc = control("waits-grpc");
     let mut grpc = Daemon::grpc(&control_grpc, &scene);
     for control in [&control_platform, &control_grpc] {
-        control.set_rate(SystemFault::ReceiveInterrupted, HALF).unwrap();
+        control
+            .set_rate(SystemFault::ReceiveInterrupted, HALF)
+            .unwrap();
     }
     for _ in 0..RELOADS {
         platform.process.signal("-HUP");
