--- a/crates/ivyward-etcd/src/keep.rs
+++ b/crates/ivyward-etcd/src/keep.rs
@@ -1,7 +1,7 @@
 //! Holds a key under a lease for as long as its process lives: what a registration is.
 
 use crate::{rpc, Client, EtcdError};
-use ivyward_world::{Micros, WorldExt, WorldRef};
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 
 /// What became of the key.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,7 +32,7 @@
     /// the value that it had last: who was told to drain does not come back as ready.
     pub async fn keep(
         &self,
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         key: &[u8],
         value: Vec<u8>,
         seconds: i64,
@@ -54,8 +54,8 @@
                 }
             };
             first &= lease == 0;
-            world
-                .sleep((pause as f64 * (0.9 + 0.2 * world.unit())) as Micros)
+            runtime
+                .sleep((pause as f64 * (0.9 + 0.2 * runtime.unit())) as Micros)
                 .await;
         }
     }
--- a/crates/ivyward-etcd/src/lib.rs
+++ b/crates/ivyward-etcd/src/lib.rs
@@ -13,8 +13,8 @@
 pub use watch::{Notice, Watcher};
 
 use http::{HeaderMap, HeaderValue};
-use ivyward_wire::{encode, CallError, Cause, Channel, Options};
-use ivyward_world::{before, Micros, WorldRef};
+use ivyward_grpc::{encode, CallError, Cause, Channel, Options};
+use ivyward_runtime::{before, Micros, RuntimeRef};
 use prost::Message;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -104,7 +104,7 @@
 
 /// A client of one store. Calls go to one endpoint until it fails, then to the next.
 pub struct Client {
-    world: WorldRef,
+    runtime: RuntimeRef,
     endpoints: Vec<SocketAddr>,
     options: EtcdOptions,
     current: Mutex<Current>,
@@ -125,9 +125,9 @@
 
 impl Client {
     /// A client of the store at these endpoints; connects when first asked.
-    pub fn new(world: &WorldRef, endpoints: Vec<SocketAddr>, options: EtcdOptions) -> Client {
+    pub fn new(runtime: &RuntimeRef, endpoints: Vec<SocketAddr>, options: EtcdOptions) -> Client {
         Client {
-            world: world.clone(),
+            runtime: runtime.clone(),
             endpoints,
             options,
             current: Mutex::default(),
@@ -167,16 +167,16 @@
             let address = self.endpoints[endpoint % self.endpoints.len()];
             let dial = async {
                 let conn = self
-                    .world
+                    .runtime
                     .connect(address)
                     .await
                     .map_err(|e| e.to_string())?;
-                Channel::begin(&self.world, conn, self.options.wire)
+                Channel::begin(&self.runtime, conn, self.options.wire)
                     .await
                     .map_err(|e| e.to_string())
             };
-            let until = self.world.now().saturating_add(self.options.dial_timeout);
-            match before(&self.world, until, dial).await {
+            let until = self.runtime.now().saturating_add(self.options.dial_timeout);
+            match before(&self.runtime, until, dial).await {
                 Some(Ok(channel)) => {
                     self.current().channel = Some(channel.clone());
                     return Ok(channel);
@@ -228,7 +228,7 @@
         ask: &impl Message,
         headers: HeaderMap,
     ) -> Result<M, EtcdError> {
-        let until = self.world.now().saturating_add(self.options.call_timeout);
+        let until = self.runtime.now().saturating_add(self.options.call_timeout);
         let call = async {
             let mut call = channel
                 .call(path, encode(ask), headers)
@@ -239,7 +239,7 @@
                 .map_err(told)?
                 .ok_or_else(|| EtcdError::Nonsense("an empty answer".into()))
         };
-        before(&self.world, until, call)
+        before(&self.runtime, until, call)
             .await
             .unwrap_or(Err(EtcdError::Late))
     }
--- a/crates/ivyward-etcd/src/watch.rs
+++ b/crates/ivyward-etcd/src/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::{mvccpb, prefix_end, rpc, told, EtcdError};
 use http::HeaderMap;
-use ivyward_wire::{encode, Call, Channel};
+use ivyward_grpc::{encode, Call, Channel};
 
 /// Most events that fragments of one response may add up to.
 const MOST_EVENTS: usize = 1 << 20;
--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -2,10 +2,10 @@
 
 use futures_lite::future::block_on;
 use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, Kept, Notice};
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::Host;
-use ivyward_world::{SmolWorld, WorldExt, WorldRef};
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::Host;
+use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -22,10 +22,10 @@
     }
 }
 
-fn client(at: &[SocketAddr], options: EtcdOptions) -> (Arc<SmolWorld>, Client) {
-    let world = SmolWorld::start(1, 1);
-    let as_ref: WorldRef = world.clone();
-    (world, Client::new(&as_ref, at.to_vec(), options))
+fn client(at: &[SocketAddr], options: EtcdOptions) -> (Arc<SmolRuntime>, Client) {
+    let runtime = SmolRuntime::start(1, 1);
+    let as_ref: RuntimeRef = runtime.clone();
+    (runtime, Client::new(&as_ref, at.to_vec(), options))
 }
 
 fn keys(notice: &Notice) -> Vec<String> {
@@ -42,7 +42,7 @@
 #[test]
 fn lists_come_in_pages_at_one_revision() {
     let store = store(1);
-    let (_world, client) = client(&[store.address()], options());
+    let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
         for i in 0..40 {
             client
@@ -81,7 +81,7 @@
 #[test]
 fn a_watch_tells_all_that_happened_after_a_revision() {
     let store = store(1);
-    let (_world, client) = client(&[store.address()], options());
+    let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
         let from = store.put("a/1", "x");
         store.put("b/1", "beside");
@@ -126,7 +126,7 @@
 #[test]
 fn a_watch_breaks_with_its_store() {
     let mut store = store(1);
-    let (_world, client) = client(&[store.address()], options());
+    let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
         let mut watch = client.watch(b"a/", 1).await.unwrap();
         store.put("a/1", "x");
@@ -145,7 +145,7 @@
 #[test]
 fn reads_go_on_at_the_next_endpoint_and_writes_are_not_done_twice() {
     let (mut first, second) = (store(1), store(1));
-    let (_world, client) = client(&[first.address(), second.address()], options());
+    let (_runtime, client) = client(&[first.address(), second.address()], options());
     block_on(async {
         client.put(b"a", b"1", 0).await.unwrap();
         first.fault(|f| f.hang = true);
@@ -166,7 +166,7 @@
 #[test]
 fn leases_end_and_take_their_keys_along() {
     let store = store(1);
-    let (_world, client) = client(&[store.address()], options());
+    let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
         let lease = client.grant(2).await.unwrap();
         client.put(b"a/1", b"x", lease).await.unwrap();
@@ -199,18 +199,18 @@
     let login = |password: &str| Some(("ivy".to_string(), password.to_string()));
     let with = |login| client(&[store.address()], EtcdOptions { login, ..options() });
     block_on(async {
-        let (_world, nobody) = with(None);
+        let (_runtime, nobody) = with(None);
         assert!(matches!(
             nobody.list(b"a").await,
             Err(EtcdError::Status { code: 16, .. })
         ));
-        let (_world, wrong) = with(login("guess"));
+        let (_runtime, wrong) = with(login("guess"));
         let told = wrong.list(b"a").await.unwrap_err();
         assert!(
             told.to_string().contains("invalid user ID or password"),
             "{told}"
         );
-        let (_world, right) = with(login("secret"));
+        let (_runtime, right) = with(login("secret"));
         right.put(b"a", b"x", 0).await.unwrap();
         assert_eq!(right.list(b"a").await.unwrap().kvs.len(), 1);
     });
@@ -223,7 +223,7 @@
     let store = store(1);
     store.fault(|f| (f.login, f.token_life) = (Some(("ivy".into(), "secret".into())), 1));
     let login = Some(("ivy".to_string(), "secret".to_string()));
-    let (_world, client) = client(&[store.address()], EtcdOptions { login, ..options() });
+    let (_runtime, client) = client(&[store.address()], EtcdOptions { login, ..options() });
     block_on(async {
         // Each token is over before it is used: the store's no is told, not tried for ever.
         assert!(matches!(
@@ -253,13 +253,13 @@
 #[test]
 fn a_key_is_kept_under_its_lease() {
     let store = store(1);
-    let (world, client) = client(&[store.address()], options());
+    let (runtime, client) = client(&[store.address()], options());
     let client = Arc::new(client);
-    let as_ref: WorldRef = world.clone();
+    let as_ref: RuntimeRef = runtime.clone();
     let keep = |key: &'static str| {
         let (tell, told) = async_channel::unbounded();
         let (client, on) = (client.clone(), as_ref.clone());
-        world.run(async move {
+        runtime.run(async move {
             let told = |kept| drop(tell.try_send(kept));
             client
                 .keep(&on, key.as_bytes(), b"ready".to_vec(), 1, told)
--- a/crates/ivyward-etcd/tests/foreign.rs
+++ b/crates/ivyward-etcd/tests/foreign.rs
@@ -5,9 +5,9 @@
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
     Txn, TxnOp, TxnOpResponse, WatchFilterType, WatchOptions,
 };
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::Host;
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::Host;
 use std::future::Future;
 use std::sync::Arc;
 
--- a/crates/ivyward-standins/src/audit.rs
+++ b/crates/ivyward-fakes/src/audit.rs
@@ -1,7 +1,7 @@
 //! The five rules, checked from what engines, clients and the script saw. A node's own word counts for nothing.
 
 use crate::sight::{Effect, Gone, Group, Heard, Key, Kind, Seen, Sight};
-use ivyward_world::Micros;
+use ivyward_runtime::Micros;
 use std::collections::BTreeMap;
 
 /// The rules' figures, and what the auditor allows for things in flight. Times are microseconds.
--- a/crates/ivyward-standins/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -4,9 +4,9 @@
 use crate::text;
 use futures_lite::future::or;
 use http::{HeaderMap, HeaderValue};
+use ivyward_grpc::{encode, encode_timeout, Cause, Channel, Options, TIMEOUT_HEADER};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_wire::{encode, encode_timeout, Cause, Channel, Options, TIMEOUT_HEADER};
-use ivyward_world::{before, Micros, WorldExt, WorldRef};
+use ivyward_runtime::{before, Micros, RuntimeExt, RuntimeRef};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
 /// A connection to a node's door.
 #[derive(Clone)]
 pub struct Client {
-    world: WorldRef,
+    runtime: RuntimeRef,
     log: Log,
     channel: Arc<Channel>,
 }
@@ -94,30 +94,34 @@
     ///
     /// # Errors
     /// What the network says.
-    pub async fn connect(world: &WorldRef, log: &Log, door: SocketAddr) -> std::io::Result<Client> {
-        Client::connect_with(world, log, door, Options::default().stream_window).await
+    pub async fn connect(
+        runtime: &RuntimeRef,
+        log: &Log,
+        door: SocketAddr,
+    ) -> std::io::Result<Client> {
+        Client::connect_with(runtime, log, door, Options::default().stream_window).await
     }
     /// The same, with so many bytes of each answer that may come before they are read.
     ///
     /// # Errors
     /// What the network says.
     pub async fn connect_with(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         log: &Log,
         door: SocketAddr,
         stream_window: u32,
     ) -> std::io::Result<Client> {
-        let conn = world.connect(door).await?;
+        let conn = runtime.connect(door).await?;
         let options = Options {
             streams: 4_096,
             stream_window,
             ..Options::default()
         };
-        let channel = Channel::begin(world, conn, options)
+        let channel = Channel::begin(runtime, conn, options)
             .await
             .map_err(std::io::Error::other)?;
         Ok(Client {
-            world: world.clone(),
+            runtime: runtime.clone(),
             log: log.clone(),
             channel: Arc::new(channel),
         })
@@ -138,7 +142,7 @@
 
     /// The same; the client leaves without a word as soon as `leave` is over: at an event instead of a time.
     pub async fn ask_until(&self, ask: &Ask, leave: impl Future<Output = ()>) -> End {
-        let (call, began) = (ask.request.call_id, self.world.now());
+        let (call, began) = (ask.request.call_id, self.runtime.now());
         let until = began.saturating_add(ask.habit.patience);
         self.log.add(Sight::Called {
             call,
@@ -164,20 +168,20 @@
         let how = or(
             async {
                 Some(
-                    before(&self.world, until, followed)
+                    before(&self.runtime, until, followed)
                         .await
                         .unwrap_or(Heard::GaveUp),
                 )
             },
             async {
-                or(leave, self.world.sleep_until(leave_at)).await;
+                or(leave, self.runtime.sleep_until(leave_at)).await;
                 None
             },
         )
         .await
         .unwrap_or(Heard::Left);
         end.how = how;
-        end.took = self.world.now() - began;
+        end.took = self.runtime.now() - began;
         self.log.add(Sight::Heard { call, how });
         end
     }
@@ -204,7 +208,7 @@
             match call.next::<Tokens>().await {
                 Ok(Some(run)) => {
                     if end.first.is_none() {
-                        end.first = Some(self.world.now() - began);
+                        end.first = Some(self.runtime.now() - began);
                         self.log.add(Sight::Began {
                             call: ask.request.call_id,
                         });
@@ -224,7 +228,7 @@
                         return Heard::Left;
                     }
                     if ask.habit.read_pause > 0 {
-                        self.world.sleep(ask.habit.read_pause).await;
+                        self.runtime.sleep(ask.habit.read_pause).await;
                     }
                 }
                 Ok(None) if end.tokens == length => return Heard::Served,
--- a/crates/ivyward-standins/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -11,10 +11,10 @@
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Response};
+use ivyward_grpc::{encode, parse_timeout, Channel, Decoder, Options, TIMEOUT_HEADER};
 use ivyward_proto::engine as pb;
-use ivyward_wire::{encode, parse_timeout, Channel, Decoder, Options, TIMEOUT_HEADER};
-use ivyward_world::io::Io;
-use ivyward_world::{before, Conn, Micros, SmolWorld, WorldExt, WorldRef};
+use ivyward_runtime::io::Io;
+use ivyward_runtime::{before, Conn, Micros, RuntimeExt, RuntimeRef, SmolRuntime};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
 /// An engine's inside, for as long as its process lives.
 struct Inner {
     spec: Spec,
-    world: WorldRef,
+    runtime: RuntimeRef,
     log: Log,
     started: Micros,
     cold: bool,
@@ -167,24 +167,24 @@
 /// The processes of engines: who gives an engine its world and takes it away.
 pub trait Host: Send + Sync {
     /// A new process's world, and what kills it.
-    fn process(&self, seed: u64) -> (WorldRef, Kill);
+    fn process(&self, seed: u64) -> (RuntimeRef, Kill);
 }
 
 /// Each process has a thread of its own here.
 pub struct Threads;
 
 impl Host for Threads {
-    fn process(&self, seed: u64) -> (WorldRef, Kill) {
-        let world = SmolWorld::start(1, seed);
-        (world.clone(), Box::new(move || world.stop()))
+    fn process(&self, seed: u64) -> (RuntimeRef, Kill) {
+        let runtime = SmolRuntime::start(1, seed);
+        (runtime.clone(), Box::new(move || runtime.stop()))
     }
 }
 
 /// All processes share one world and cannot be killed: for large fleets that are only to be there.
-pub struct Together(pub WorldRef);
+pub struct Together(pub RuntimeRef);
 
 impl Host for Together {
-    fn process(&self, _: u64) -> (WorldRef, Kill) {
+    fn process(&self, _: u64) -> (RuntimeRef, Kill) {
         (self.0.clone(), Box::new(|| {}))
     }
 }
@@ -260,16 +260,16 @@
     pub fn come_up(&mut self, cold: bool) -> std::io::Result<()> {
         self.die();
         self.starts += 1;
-        let (world, kill) = self
+        let (runtime, kill) = self
             .host
             .process(self.spec.id.wrapping_mul(1_000).wrapping_add(self.starts));
-        let listener = world.listen(self.address)?;
+        let listener = runtime.listen(self.address)?;
         self.address = listener.address();
         let inner = Arc::new(Inner {
             slots: Semaphore::new(self.spec.slots),
             spec: self.spec.clone(),
-            started: world.now(),
-            world: world.clone(),
+            started: runtime.now(),
+            runtime: runtime.clone(),
             log: self.log.clone(),
             cold,
             state: Mutex::new(State {
@@ -286,9 +286,9 @@
             capacity: self.spec.capacity,
         });
         let accepting = inner.clone();
-        world.run(async move { accepting.accept(listener).await });
+        runtime.run(async move { accepting.accept(listener).await });
         let expiring = inner.clone();
-        world.run(async move { expiring.expire().await });
+        runtime.run(async move { expiring.expire().await });
         self.running = Some((inner, kill));
         Ok(())
     }
@@ -312,9 +312,9 @@
         inner.changed.notify(usize::MAX);
     }
     /// Runs a task in its process, which ends with it: a registration, for one.
-    pub fn beside(&self, task: impl FnOnce(WorldRef) -> ivyward_world::BoxFuture<()>) {
+    pub fn beside(&self, task: impl FnOnce(RuntimeRef) -> ivyward_runtime::BoxFuture<()>) {
         if let Some((inner, _)) = &self.running {
-            inner.world.spawn(task(inner.world.clone()));
+            inner.runtime.spawn(task(inner.runtime.clone()));
         }
     }
     /// It takes nothing new from now on, or takes work again.
@@ -441,7 +441,7 @@
     /// The part of its capacity that it has now.
     fn share(&self) -> f64 {
         let (start, warm) = self.spec.cold;
-        let age = self.world.now().saturating_sub(self.started);
+        let age = self.runtime.now().saturating_sub(self.started);
         if !self.cold || age >= warm {
             return 1.0;
         }
@@ -450,7 +450,7 @@
     async fn work(&self, span: f64) {
         let span = span * self.faults().slowness() / self.share();
         if span >= 1.0 {
-            self.world.sleep(span as Micros).await;
+            self.runtime.sleep(span as Micros).await;
         }
         self.going().await;
     }
@@ -465,7 +465,7 @@
         }
     }
 
-    async fn accept(self: Arc<Self>, mut listener: Box<dyn ivyward_world::Listener>) {
+    async fn accept(self: Arc<Self>, mut listener: Box<dyn ivyward_runtime::Listener>) {
         // Also while it hangs: the system accepts for a process that does not.
         loop {
             let Ok((conn, _)) = listener.accept().await else {
@@ -475,7 +475,7 @@
                 continue;
             }
             let me = self.clone();
-            self.world.run(async move { me.connection(conn).await });
+            self.runtime.run(async move { me.connection(conn).await });
         }
     }
 
@@ -518,7 +518,7 @@
                 None => {}
                 Some(Some(Ok((request, respond)))) => {
                     let me = self.clone();
-                    self.world
+                    self.runtime
                         .run(async move { me.call(request, respond).await });
                 }
                 Some(Some(Err(_)) | None) => return,
@@ -618,7 +618,7 @@
             timeout,
         });
         // What its caller no longer waits for is dropped, wherever it stands.
-        let due = timeout.map_or(Micros::MAX, |span| self.world.now().saturating_add(span));
+        let due = timeout.map_or(Micros::MAX, |span| self.runtime.now().saturating_add(span));
         let _open = Open { inner: self, key };
         if self.pushed() {
             return;
@@ -626,7 +626,7 @@
         if !self.going_on(&mut respond).await {
             return;
         }
-        if self.world.now() >= due {
+        if self.runtime.now() >= due {
             return refuse(
                 respond,
                 status(DEADLINE_EXCEEDED, "its time was over before it was begun"),
@@ -670,7 +670,7 @@
             None
         };
         let over = async {
-            self.world.sleep_until(due).await;
+            self.runtime.sleep_until(due).await;
             Some(Ok(status(DEADLINE_EXCEEDED, "its time is over")))
         };
         let done = or(work, or(left, over)).await;
@@ -685,7 +685,7 @@
     /// Counts a call against what a cold engine stands; too many and it falls over.
     fn pushed(&self) -> bool {
         let (multiple, window) = self.spec.falls;
-        let now = self.world.now();
+        let now = self.runtime.now();
         let mut state = self.lock();
         if state.fallen {
             return true;
@@ -750,7 +750,7 @@
                 (key, place),
                 Held {
                     tokens,
-                    at: self.world.now(),
+                    at: self.runtime.now(),
                     place,
                 },
             );
@@ -783,8 +783,8 @@
 
     async fn expire(self: Arc<Self>) {
         loop {
-            self.world.sleep(self.spec.keep / 8 + 1).await;
-            let now = self.world.now();
+            self.runtime.sleep(self.spec.keep / 8 + 1).await;
+            let now = self.runtime.now();
             let old = |h: &Held| now.saturating_sub(h.at) >= self.spec.keep;
             let gone: Vec<(Key, bool)> = self
                 .lock()
@@ -875,15 +875,15 @@
     /// Fetches a state from another engine over a connection of its own.
     async fn fetch(&self, state: &pb::StateRef) -> Option<u64> {
         let address: SocketAddr = state.address.parse().ok()?;
-        let until = self.world.now() + 1_000_000;
+        let until = self.runtime.now() + 1_000_000;
         let body = encode(&pb::FetchRequest {
             key: state.key,
             engine: state.engine,
             by: self.spec.id,
         });
         let fetch = async {
-            let conn = self.world.connect(address).await.ok()?;
-            let channel = Channel::begin(&self.world, conn, Options::default())
+            let conn = self.runtime.connect(address).await.ok()?;
+            let channel = Channel::begin(&self.runtime, conn, Options::default())
                 .await
                 .ok()?;
             let mut call = channel
@@ -894,7 +894,7 @@
             channel.close();
             reply.found.then_some(u64::from(reply.tokens))
         };
-        before(&self.world, until, fetch).await?
+        before(&self.runtime, until, fetch).await?
     }
 
     /// Prompt tokens that it knows already, and remembers the prompt.
@@ -1173,7 +1173,7 @@
             engine.work(2.0 * new * 1e6 / engine.spec.read_rate).await;
         }
         let repeat = !header.idempotency_key.is_empty() && {
-            let (mut state, now) = (engine.lock(), engine.world.now());
+            let (mut state, now) = (engine.lock(), engine.runtime.now());
             state
                 .ran
                 .retain(|_, at| now.saturating_sub(*at) < 60_000_000);
@@ -1206,7 +1206,7 @@
         for index in 0..length {
             let span = engine.spec.token_gap as f64 * engine.faults().slowness();
             if span >= 1.0 {
-                engine.world.sleep(span as Micros).await;
+                engine.runtime.sleep(span as Micros).await;
                 engine.going().await;
             }
             match (fate.twist, index) {
--- a/crates/ivyward-standins/src/etcd.rs
+++ b/crates/ivyward-fakes/src/etcd.rs
@@ -8,8 +8,8 @@
 use hyper_util::service::TowerToHyperService;
 use ivyward_proto::etcd::etcdserverpb as pb;
 use ivyward_proto::etcd::mvccpb::{event::EventType, Event, KeyValue};
-use ivyward_world::io::{Io, Tasks};
-use ivyward_world::{Conn, Connection, Micros, Peer, WorldExt, WorldRef};
+use ivyward_runtime::io::{Io, Tasks};
+use ivyward_runtime::{Conn, Connection, Micros, Peer, RuntimeExt, RuntimeRef};
 use pb::auth_server::{Auth, AuthServer};
 use pb::kv_server::{Kv, KvServer};
 use pb::lease_server::{Lease, LeaseServer};
@@ -437,7 +437,7 @@
     host: Arc<dyn Host>,
     doors: Vec<SocketAddr>,
     kill: Option<Kill>,
-    clock: Mutex<Option<WorldRef>>,
+    clock: Mutex<Option<RuntimeRef>>,
     starts: u64,
 }
 
@@ -512,19 +512,19 @@
     pub fn come_up(&mut self) -> std::io::Result<()> {
         self.die();
         self.starts += 1;
-        let (world, kill) = self.host.process(self.starts);
+        let (runtime, kill) = self.host.process(self.starts);
         for (no, door) in self.doors.iter_mut().enumerate() {
-            let mut listener = world.listen(*door)?;
+            let mut listener = runtime.listen(*door)?;
             *door = listener.address();
-            let (inner, serving) = (self.inner.clone(), world.clone());
-            world.run(async move {
+            let (inner, serving) = (self.inner.clone(), runtime.clone());
+            runtime.run(async move {
                 loop {
                     let Ok((conn, _)) = listener.accept().await else {
                         continue;
                     };
                     let node = Serving {
                         inner: inner.clone(),
-                        world: serving.clone(),
+                        runtime: serving.clone(),
                         door: no,
                     };
                     let tasks = Tasks(serving.clone());
@@ -540,15 +540,15 @@
                 }
             });
         }
-        let (inner, clock) = (self.inner.clone(), world.clone());
+        let (inner, clock) = (self.inner.clone(), runtime.clone());
         // A restart gives every lease its whole time again, as etcd does.
-        let now = world.now();
+        let now = runtime.now();
         self.inner
             .lock()
             .leases
             .values_mut()
             .for_each(|l| l.ends = now + l.ttl as u64 * 1_000_000);
-        world.clone().run(async move {
+        runtime.clone().run(async move {
             loop {
                 clock.sleep(50_000).await;
                 if inner.lock().expire(clock.now()) {
@@ -557,7 +557,7 @@
             }
         });
         self.kill = Some(kill);
-        *self.clock.lock().unwrap_or_else(PoisonError::into_inner) = Some(world);
+        *self.clock.lock().unwrap_or_else(PoisonError::into_inner) = Some(runtime);
         Ok(())
     }
     /// Forgets everything, as a store that was restored empty: another cluster, revisions from 1 on.
@@ -717,7 +717,7 @@
 #[derive(Clone)]
 struct Serving {
     inner: Arc<Inner>,
-    world: WorldRef,
+    runtime: RuntimeRef,
     door: usize,
 }
 
@@ -784,8 +784,9 @@
             .get("token")
             .or_else(|| headers.get("authorization"));
         let given = given.and_then(|t| t.to_str().ok());
-        let known =
-            number > 0 && given == Some(&format!("token.{number}")[..]) && self.world.now() < ends;
+        let known = number > 0
+            && given == Some(&format!("token.{number}")[..])
+            && self.runtime.now() < ends;
         match !wanted || service == "etcdserverpb.Auth" || known {
             true => Ok(()),
             false => Err(Status::unauthenticated("etcdserver: invalid auth token")),
@@ -882,7 +883,7 @@
     ) -> Result<Response<Self::WatchStream>, Status> {
         let (tell, told) = async_channel::bounded(64);
         let (me, mut asks) = (self.clone(), ask.into_inner());
-        self.world.run(async move {
+        self.runtime.run(async move {
             let mut next_id = 0;
             while let Some(Ok(ask)) = asks.next().await {
                 use pb::watch_request::RequestUnion;
@@ -891,7 +892,7 @@
                         let id = next_id;
                         next_id += 1;
                         let (one, tell) = (me.clone(), tell.clone());
-                        me.world
+                        me.runtime
                             .run(async move { one.follow(create, id, tell).await });
                     }
                     Some(RequestUnion::ProgressRequest(_)) => {
@@ -1001,7 +1002,7 @@
                     faults.lag.get(self.door).copied().unwrap_or(0)
                 };
                 if wait > 0 {
-                    self.world.sleep(wait).await;
+                    self.runtime.sleep(wait).await;
                 }
             }
             let parts = if create.fragment {
@@ -1032,7 +1033,7 @@
                 async {
                     // The client left.
                     while !tell.is_closed() {
-                        self.world.sleep(100_000).await;
+                        self.runtime.sleep(100_000).await;
                     }
                     true
                 },
@@ -1043,7 +1044,7 @@
             let batch = self.inner.lock().faults.batch;
             if batch > 0 {
                 // What comes meanwhile is told with it.
-                self.world.sleep(batch).await;
+                self.runtime.sleep(batch).await;
             }
         }
     }
@@ -1053,22 +1054,22 @@
 struct Link {
     conn: Conn,
     inner: Arc<Inner>,
-    world: WorldRef,
+    runtime: RuntimeRef,
     /// Nothing is written before this time.
     free: Micros,
-    timer: Option<ivyward_world::BoxFuture<()>>,
+    timer: Option<ivyward_runtime::BoxFuture<()>>,
     stuck: usize,
 }
 
 const MOST_STUCK: usize = 1 << 20;
 
 impl Link {
-    fn over(conn: Conn, inner: &Arc<Inner>, world: &WorldRef) -> Conn {
-        let (inner, world) = (inner.clone(), world.clone());
+    fn over(conn: Conn, inner: &Arc<Inner>, runtime: &RuntimeRef) -> Conn {
+        let (inner, runtime) = (inner.clone(), runtime.clone());
         Box::new(Link {
             conn,
             inner,
-            world,
+            runtime,
             free: 0,
             timer: None,
             stuck: 0,
@@ -1117,17 +1118,17 @@
         if rate == 0 {
             return Pin::new(&mut self.conn).poll_write(cx, buf);
         }
-        let now = self.world.now();
+        let now = self.runtime.now();
         if self.free > now {
-            let (world, free) = (self.world.clone(), self.free);
-            let timer = self.timer.get_or_insert_with(|| world.sleep_until(free));
+            let (runtime, free) = (self.runtime.clone(), self.free);
+            let timer = self.timer.get_or_insert_with(|| runtime.sleep_until(free));
             std::task::ready!(timer.as_mut().poll(cx));
         }
         self.timer = None;
         // A tenth of a second's bytes at once.
         let part = buf.len().min((rate / 10).max(1) as usize);
         let put = std::task::ready!(Pin::new(&mut self.conn).poll_write(cx, &buf[..part]))?;
-        self.free = self.world.now() + put as u64 * 1_000_000 / rate;
+        self.free = self.runtime.now() + put as u64 * 1_000_000 / rate;
         Poll::Ready(Ok(put))
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
@@ -1149,7 +1150,7 @@
         if ttl <= 0 {
             return Err(Status::out_of_range("etcdserver: too large lease TTL"));
         }
-        let now = self.world.now();
+        let now = self.runtime.now();
         self.inner.change(|data| {
             data.next_lease += 1;
             let id = if wanted != 0 { wanted } else { data.next_lease };
@@ -1194,7 +1195,7 @@
     ) -> Result<Response<Self::LeaseKeepAliveStream>, Status> {
         let me = self.clone();
         let answers = ask.into_inner().map(move |ask| {
-            let (id, now) = (ask?.id, me.world.now());
+            let (id, now) = (ask?.id, me.runtime.now());
             let mut data = me.inner.lock();
             let header = data.header();
             data.renewals += 1;
@@ -1211,7 +1212,7 @@
         &self,
         ask: Request<pb::LeaseTimeToLiveRequest>,
     ) -> Result<Response<pb::LeaseTimeToLiveResponse>, Status> {
-        let (id, now, data) = (ask.get_ref().id, self.world.now(), self.inner.lock());
+        let (id, now, data) = (ask.get_ref().id, self.runtime.now(), self.inner.lock());
         let found = data.leases.get(&id);
         let of = |kv: &&KeyValue| ask.get_ref().keys && kv.lease == id;
         Ok(Response::new(pb::LeaseTimeToLiveResponse {
@@ -1244,7 +1245,7 @@
                 } else {
                     Micros::MAX
                 };
-                data.token = (data.token.0 + 1, self.world.now().saturating_add(life));
+                data.token = (data.token.0 + 1, self.runtime.now().saturating_add(life));
                 let token = format!("token.{}", data.token.0);
                 Ok(Response::new(pb::AuthenticateResponse {
                     header: data.header(),
--- a/crates/ivyward-standins/src/platform/discovery.rs
+++ b/crates/ivyward-fakes/src/platform/discovery.rs
@@ -3,7 +3,7 @@
 use crate::platform::exchange::read_request;
 use crate::platform::observe::{Observation, ObservationLog};
 use futures_lite::AsyncWriteExt;
-use ivyward_world::{Conn, Micros, WorldExt, WorldRef};
+use ivyward_runtime::{Conn, Micros, RuntimeExt, RuntimeRef};
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -103,28 +103,34 @@
     /// When it cannot listen.
     pub fn serve(
         &self,
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         log: &ObservationLog,
         node: usize,
     ) -> std::io::Result<SocketAddr> {
-        let mut listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let mut listener = runtime.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
-        let (discovery, world, log) = (self.clone(), world.clone(), log.clone());
-        let accepting = world.clone();
+        let (discovery, runtime, log) = (self.clone(), runtime.clone(), log.clone());
+        let accepting = runtime.clone();
         accepting.run(async move {
             loop {
                 let Ok((conn, _)) = listener.accept().await else {
-                    world.sleep(LOOK).await;
+                    runtime.sleep(LOOK).await;
                     continue;
                 };
-                let (discovery, of, log) = (discovery.clone(), world.clone(), log.clone());
-                world.run(async move { discovery.answer(&of, conn, &log, node).await });
+                let (discovery, of, log) = (discovery.clone(), runtime.clone(), log.clone());
+                runtime.run(async move { discovery.answer(&of, conn, &log, node).await });
             }
         });
         Ok(address)
     }
 
-    async fn answer(&self, world: &WorldRef, mut conn: Conn, log: &ObservationLog, node: usize) {
+    async fn answer(
+        &self,
+        runtime: &RuntimeRef,
+        mut conn: Conn,
+        log: &ObservationLog,
+        node: usize,
+    ) {
         let began = self.lock().resets;
         let mut bytes = Vec::new();
         while let Some((request, _)) = read_request(&mut conn, &mut bytes).await {
@@ -133,12 +139,12 @@
                 request.target[at..].split('&').next()?.parse::<u64>().ok()
             };
             let from = query("from");
-            let until = world.now() + query("hold_ms").unwrap_or(0) * 1_000;
+            let until = runtime.now() + query("hold_ms").unwrap_or(0) * 1_000;
             loop {
-                match self.look(from, world.now() >= until, began) {
+                match self.look(from, runtime.now() >= until, began) {
                     Look::Answer => break,
                     Look::Reset => return conn.reset_on_close(),
-                    Look::Wait => world.sleep(LOOK).await,
+                    Look::Wait => runtime.sleep(LOOK).await,
                 }
             }
             let (text, draining) = self.news(from);
@@ -150,7 +156,7 @@
                 return;
             }
             for engine in draining {
-                log.add(world.now(), Observation::ToldDrain { node, engine });
+                log.add(runtime.now(), Observation::ToldDrain { node, engine });
             }
         }
     }
--- a/crates/ivyward-standins/src/platform/engine.rs
+++ b/crates/ivyward-fakes/src/platform/engine.rs
@@ -5,7 +5,7 @@
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_http1::Request;
-use ivyward_world::{Conn, Micros, WorldExt, WorldRef};
+use ivyward_runtime::{Conn, Micros, RuntimeExt, RuntimeRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -49,7 +49,7 @@
 /// One engine. Clones are handles to the same one.
 #[derive(Clone)]
 pub struct PlatformEngine {
-    world: WorldRef,
+    runtime: RuntimeRef,
     log: ObservationLog,
     index: usize,
     reads: bool,
@@ -69,12 +69,12 @@
     /// # Errors
     /// When it cannot listen.
     pub fn start(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         log: &ObservationLog,
         platform: &Arc<Platform>,
         (index, reads, work): (usize, bool, Micros),
     ) -> std::io::Result<(PlatformEngine, SocketAddr)> {
-        let listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let listener = runtime.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
         let troubles = Troubles {
             slower: 1.0,
@@ -82,7 +82,7 @@
         };
         let state = State { troubles, run: 0 };
         let engine = PlatformEngine {
-            world: world.clone(),
+            runtime: runtime.clone(),
             log: log.clone(),
             index,
             reads,
@@ -91,11 +91,11 @@
             work,
         };
         let (accepting, mut listener) = (engine.clone(), listener);
-        world.run(async move {
+        runtime.run(async move {
             loop {
                 match listener.accept().await {
                     Ok((conn, _)) => accepting.admit(conn),
-                    Err(_) => accepting.world.sleep(LOOK).await,
+                    Err(_) => accepting.runtime.sleep(LOOK).await,
                 }
             }
         });
@@ -117,7 +117,7 @@
             lock(&self.platform.held).retain(|_, at| *at != self.index);
             drop(state);
             self.log.add(
-                self.world.now(),
+                self.runtime.now(),
                 Observation::EngineEnded { engine: self.index },
             );
         }
@@ -134,10 +134,10 @@
         }
         let engine = self.clone();
         let run = lock(&self.state).run;
-        self.world.run(async move {
+        self.runtime.run(async move {
             let crashed = async {
                 while lock(&engine.state).run == run {
-                    engine.world.sleep(LOOK).await;
+                    engine.runtime.sleep(LOOK).await;
                 }
                 true
             };
@@ -154,10 +154,10 @@
 
     /// Waits for a span of its own work, which stands still while the process hangs.
     async fn work(&self, span: Micros) {
-        let until = self.world.now() + (span as f64 * self.troubles().slower) as Micros;
-        while self.world.now() < until || self.troubles().hangs {
-            let left = until.saturating_sub(self.world.now()).max(LOOK);
-            self.world.sleep(left.min(20 * LOOK)).await;
+        let until = self.runtime.now() + (span as f64 * self.troubles().slower) as Micros;
+        while self.runtime.now() < until || self.troubles().hangs {
+            let left = until.saturating_sub(self.runtime.now()).max(LOOK);
+            self.runtime.sleep(left.min(20 * LOOK)).await;
         }
     }
 
@@ -185,12 +185,12 @@
         if !self.troubles().hangs {
             lock(&self.platform.held).remove(id);
             self.log
-                .add(self.world.now(), Observation::Freed { id: id.into() });
+                .add(self.runtime.now(), Observation::Freed { id: id.into() });
         }
         self.work(0).await;
         lock(&self.platform.held).remove(id);
         self.log
-            .add(self.world.now(), Observation::Freed { id: id.into() });
+            .add(self.runtime.now(), Observation::Freed { id: id.into() });
         say(conn, "HTTP/1.1 204 No Content\r\n\r\n").await
     }
 
@@ -199,7 +199,7 @@
         if lock(&self.platform.held).contains_key(id) {
             return say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
         }
-        self.world.sleep(UNKNOWN_HOLD).await;
+        self.runtime.sleep(UNKNOWN_HOLD).await;
         say(conn, "HTTP/1.1 204 No Content\r\n\r\n").await
     }
 
@@ -219,7 +219,7 @@
             timeout,
             dropped,
         };
-        self.log.add(self.world.now(), arrived);
+        self.log.add(self.runtime.now(), arrived);
         let _over = Over {
             engine: self,
             attempt,
@@ -255,7 +255,7 @@
         self.work(self.work).await;
         lock(&self.platform.held).insert(id.into(), self.index);
         self.log
-            .add(self.world.now(), Observation::Holds { id: id.into() });
+            .add(self.runtime.now(), Observation::Holds { id: id.into() });
         true
     }
 
@@ -269,9 +269,9 @@
         }
         if lock(&self.platform.held).remove(id).is_some() {
             self.log
-                .add(self.world.now(), Observation::Freed { id: id.into() });
+                .add(self.runtime.now(), Observation::Freed { id: id.into() });
         }
-        let breaks = self.world.random() % 100 < self.troubles().breaks_percent;
+        let breaks = self.runtime.random() % 100 < self.troubles().breaks_percent;
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         if !say(conn, head).await {
             return false;
@@ -282,8 +282,10 @@
                 format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"a{n}\"}},\"finish_reason\":{stop}}}]}}\n\n");
             let said = say(conn, &chunk(&event)).await;
             if said && breaks && n == 1 {
-                self.log
-                    .add(self.world.now(), Observation::StreamBroke { id: id.into() });
+                self.log.add(
+                    self.runtime.now(),
+                    Observation::StreamBroke { id: id.into() },
+                );
             }
             if !said || (breaks && n == 1) {
                 return false;
@@ -308,7 +310,7 @@
 impl Drop for Over<'_> {
     fn drop(&mut self) {
         self.engine.log.add(
-            self.engine.world.now(),
+            self.engine.runtime.now(),
             Observation::Ended {
                 attempt: self.attempt,
             },
--- a/crates/ivyward-standins/src/platform/exchange.rs
+++ b/crates/ivyward-fakes/src/platform/exchange.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::AsyncReadExt;
 use ivyward_http1::{Answer, Body, Limits, Request, Step};
-use ivyward_world::{Conn, Micros, WorldRef};
+use ivyward_runtime::{Conn, Micros, RuntimeRef};
 
 /// Bounds of what is read.
 pub const LIMITS: Limits = Limits {
@@ -36,7 +36,7 @@
 ///
 /// # Panics
 /// When what comes is no HTTP: no stand-in goes on from there.
-pub async fn read_answer(world: &WorldRef, conn: &mut Conn) -> Got {
+pub async fn read_answer(runtime: &RuntimeRef, conn: &mut Conn) -> Got {
     let (mut bytes, mut out, mut body): (Vec<u8>, Got, Option<Body>) =
         (Vec::new(), Got::default(), None);
     loop {
@@ -55,14 +55,14 @@
             let (step, used) = body.step(&bytes).expect("a body that can be read");
             if let Step::Data(range) = &step {
                 out.body.extend_from_slice(&bytes[range.clone()]);
-                out.last = world.now();
+                out.last = runtime.now();
             }
             bytes.drain(..used);
             match step {
                 Step::Done => {
                     return Got {
                         whole: true,
-                        at: world.now(),
+                        at: runtime.now(),
                         ..out
                     }
                 }
@@ -75,7 +75,7 @@
             Ok(n) if n > 0 => bytes.extend_from_slice(&piece[..n]),
             _ => {
                 return Got {
-                    at: world.now(),
+                    at: runtime.now(),
                     ..out
                 }
             }
--- a/crates/ivyward-standins/src/platform/observe.rs
+++ b/crates/ivyward-fakes/src/platform/observe.rs
@@ -1,6 +1,6 @@
 //! What engines, clients and discovery observed, in one log on one clock.
 
-use ivyward_world::Micros;
+use ivyward_runtime::Micros;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// How far a request of the class may be repeated.
--- a/crates/ivyward-standins/src/sight.rs
+++ b/crates/ivyward-fakes/src/sight.rs
@@ -1,6 +1,6 @@
 //! What engines, clients and the script saw, in one log with one clock.
 
-use ivyward_world::{Micros, WorldRef};
+use ivyward_runtime::{Micros, RuntimeRef};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 
 /// An attempt, as nodes name it to engines.
@@ -220,7 +220,7 @@
 /// is cut short by [`Log::full`].
 #[derive(Clone)]
 pub struct Log {
-    world: WorldRef,
+    runtime: RuntimeRef,
     seen: Arc<Mutex<Vec<Seen>>>,
     beside: Arc<OnceLock<Beside>>,
     most: usize,
@@ -231,19 +231,19 @@
     pub const MOST: usize = 4 << 20;
 
     /// An empty log with a clock.
-    pub fn new(world: &WorldRef) -> Log {
+    pub fn new(runtime: &RuntimeRef) -> Log {
         Log {
-            world: world.clone(),
+            runtime: runtime.clone(),
             seen: Arc::default(),
             beside: Arc::default(),
             most: Log::MOST,
         }
     }
     /// A log that keeps nothing, for measurements in which memory counts.
-    pub fn forgetful(world: &WorldRef) -> Log {
+    pub fn forgetful(runtime: &RuntimeRef) -> Log {
         Log {
             most: 0,
-            ..Log::new(world)
+            ..Log::new(runtime)
         }
     }
     /// Adds what is seen now.
@@ -251,7 +251,7 @@
         // The clock is read inside the lock, so that entries stand in the order of their times.
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         let one = Seen {
-            at: self.world.now(),
+            at: self.runtime.now(),
             what,
         };
         if seen.len() < self.most {
@@ -278,7 +278,7 @@
     }
     /// The log's clock.
     pub fn now(&self) -> Micros {
-        self.world.now()
+        self.runtime.now()
     }
     /// All that was seen so far, in order.
     pub fn all(&self) -> Vec<Seen> {
--- a/crates/ivyward-faults-preload/src/lib.rs
+++ b/crates/ivyward-fault-injection-preload/src/lib.rs
@@ -1,10 +1,12 @@
 //! Wrappers of libc functions for `LD_PRELOAD`: each calls the real function, unless the control file of
-//! [`ivyward_faults`] makes the call fail.
+//! [`ivyward_fault_injection`] makes the call fail.
 //!
 //! Errors have the meanings of the manual pages: a failed call has done nothing, a broken connection stays broken.
 #![cfg(target_os = "linux")]
 
-use ivyward_faults::{meets, SystemFault, CLOCK_SLOT, FILE_BYTES, MAGIC, PATH_VARIABLE, SEED_SLOT};
+use ivyward_fault_injection::{
+    meets, SystemFault, CLOCK_SLOT, FILE_BYTES, MAGIC, PATH_VARIABLE, SEED_SLOT,
+};
 use libc::{c_char, c_int, c_void, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
--- a/crates/ivyward-faults/src/lib.rs
+++ b/crates/ivyward-fault-injection/src/lib.rs
@@ -171,7 +171,7 @@
 
 /// The preloaded library beside a program that Cargo built: in the program's folder or in its `deps`.
 pub fn library_beside(program: &Path) -> Option<PathBuf> {
-    const NAME: &str = "libivyward_faults_preload.so";
+    const NAME: &str = "libivyward_fault_injection_preload.so";
     let folder = program.parent()?;
     [folder.join("deps").join(NAME), folder.join(NAME)]
         .into_iter()
--- a/crates/ivyward-wire/src/call.rs
+++ b/crates/ivyward-grpc/src/call.rs
@@ -8,7 +8,7 @@
 use h2::client::ResponseFuture;
 use h2::{Reason, RecvStream, SendStream};
 use http::HeaderMap;
-use ivyward_world::{before, Micros};
+use ivyward_runtime::{before, Micros};
 use prost::Message;
 use std::future::Future;
 use std::sync::Arc;
@@ -333,8 +333,13 @@
         }
         let written = self.channel.trace.await_reset(self.stream);
         self.upload.send_reset(Reason::CANCEL);
-        let world = self.channel.world.clone();
-        let wait = before(&world, world.now().saturating_add(within), written.recv()).await;
+        let runtime = self.channel.runtime.clone();
+        let wait = before(
+            &runtime,
+            runtime.now().saturating_add(within),
+            written.recv(),
+        )
+        .await;
         // Nor does a call whose HEADERS never left, nor one that ended in the moment of its reset.
         if wait.is_none() && self.left() && !poll_fn(|cx| Poll::Ready(self.ended_well(cx))).await {
             self.channel.close();
--- a/crates/ivyward-wire/src/channel.rs
+++ b/crates/ivyward-grpc/src/channel.rs
@@ -8,8 +8,8 @@
 use futures_lite::future::or;
 use h2::client::SendRequest;
 use http::{HeaderMap, HeaderName, HeaderValue, Request};
-use ivyward_world::io::Io;
-use ivyward_world::{before, Conn, Micros, WorldExt, WorldRef};
+use ivyward_runtime::io::Io;
+use ivyward_runtime::{before, Conn, Micros, RuntimeExt, RuntimeRef};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
@@ -68,7 +68,7 @@
     /// How many bytes had come in when a check was not answered in time; none more since: it may be gone.
     unanswered: Arc<AtomicU64>,
     pub(crate) options: Options,
-    pub(crate) world: WorldRef,
+    pub(crate) runtime: RuntimeRef,
 }
 
 /// How a call begins.
@@ -93,11 +93,11 @@
     /// # Errors
     /// When the preface cannot be written.
     pub async fn begin(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         conn: Conn,
         options: Options,
     ) -> Result<Channel, h2::Error> {
-        Channel::begin_resting(world, conn, options, None).await
+        Channel::begin_resting(runtime, conn, options, None).await
     }
 
     /// The same, where `resting` decides when the connection is checked while no call is in flight on it.
@@ -105,13 +105,13 @@
     /// # Errors
     /// When the preface cannot be written.
     pub async fn begin_resting(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         conn: Conn,
         options: Options,
         resting: Option<Arc<dyn RestingChecks>>,
     ) -> Result<Channel, h2::Error> {
         let trace = Arc::new(Trace::default());
-        let watched = Watched::new(conn, trace.clone(), world.clone());
+        let watched = Watched::new(conn, trace.clone(), runtime.clone());
         let window = options
             .stream_window
             .saturating_mul(options.streams)
@@ -126,15 +126,15 @@
         let (close, closed) = async_channel::bounded::<()>(1);
         let pings = connection.ping_pong();
         let activity = Arc::new(Activity::default());
-        let (task_trace, world_ref) = (trace.clone(), world.clone());
+        let (task_trace, runtime_ref) = (trace.clone(), runtime.clone());
         let keepalive = Keepalive {
-            world: world_ref,
+            runtime: runtime_ref,
             options,
             trace: trace.clone(),
             activity: activity.clone(),
             resting,
         };
-        world.run(async move {
+        runtime.run(async move {
             let frames = async {
                 // Errors reach the calls by themselves.
                 let _ = connection.await;
@@ -161,7 +161,7 @@
             activity,
             unanswered,
             options,
-            world: world.clone(),
+            runtime: runtime.clone(),
         })
     }
 
@@ -203,13 +203,13 @@
     pub async fn check(&self, within: Micros) -> bool {
         let seen = self.trace.received();
         self.activity.ask_check();
-        let by = self.world.now().saturating_add(within);
-        if before(&self.world, by, self.stirred_since(seen))
+        let by = self.runtime.now().saturating_add(within);
+        if before(&self.runtime, by, self.stirred_since(seen))
             .await
             .is_none()
         {
             // Guards against a process that was not scheduled meanwhile: what has come is read before it counts as nothing.
-            self.world.sleep(READ_WHAT_CAME).await;
+            self.runtime.sleep(READ_WHAT_CAME).await;
         }
         let answered = self.trace.received() != seen;
         if !answered {
@@ -315,7 +315,7 @@
             .map_err(|e| never(Cause::Broken(e.to_string())))?;
         *request.headers_mut() = opening.headers;
         if let Some(deadline) = opening.deadline {
-            let left = deadline.saturating_sub(self.world.now());
+            let left = deadline.saturating_sub(self.runtime.now());
             if left == 0 {
                 return Err(never(Cause::Late));
             }
--- a/crates/ivyward-wire/src/keepalive.rs
+++ b/crates/ivyward-grpc/src/keepalive.rs
@@ -5,7 +5,7 @@
 use crate::watch::Trace;
 use event_listener::Event;
 use futures_lite::future::or;
-use ivyward_world::{before, Micros, WorldRef};
+use ivyward_runtime::{before, Micros, RuntimeRef};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
@@ -80,7 +80,7 @@
 
 /// Keeps one connection alive.
 pub(crate) struct Keepalive {
-    pub(crate) world: WorldRef,
+    pub(crate) runtime: RuntimeRef,
     pub(crate) options: Options,
     pub(crate) trace: Arc<Trace>,
     pub(crate) activity: Arc<Activity>,
@@ -103,16 +103,16 @@
     }
 
     async fn ping(&self, pings: &mut h2::PingPong) -> bool {
-        let by = self.world.now().saturating_add(self.options.ping_timeout);
+        let by = self.runtime.now().saturating_add(self.options.ping_timeout);
         matches!(
-            before(&self.world, by, pings.ping(h2::Ping::opaque())).await,
+            before(&self.runtime, by, pings.ping(h2::Ping::opaque())).await,
             Some(Ok(_))
         )
     }
 
     /// Waits until nothing came in for a whole span, counted from when the connection was taken up.
     async fn in_use(&self) -> Wait {
-        let began = self.world.now();
+        let began = self.runtime.now();
         let silent_at = || {
             self.trace
                 .heard()
@@ -126,7 +126,7 @@
             if self.resting.is_some() && !self.activity.in_use() {
                 return Wait::Changed;
             }
-            if self.world.now() >= silent_at() {
+            if self.runtime.now() >= silent_at() {
                 return Wait::Ping;
             }
         }
@@ -143,18 +143,18 @@
                 changed.await;
             }
         };
-        before(&self.world, until, asked).await.is_some()
+        before(&self.runtime, until, asked).await.is_some()
     }
 
     /// Waits until the connection is taken up, or its check is granted.
     async fn at_rest(&self, checks: &dyn RestingChecks) -> Wait {
         let _rest = Rest::begin(checks);
-        let mut asks_at = checks.next_check(self.world.now()).unwrap_or(Micros::MAX);
+        let mut asks_at = checks.next_check(self.runtime.now()).unwrap_or(Micros::MAX);
         loop {
             if let Some(wait) = self.stirred_before(asks_at).await {
                 return wait;
             }
-            match checks.ask_again(self.world.now()) {
+            match checks.ask_again(self.runtime.now()) {
                 None => return Wait::Ping,
                 Some(at) => asks_at = at,
             }
@@ -176,7 +176,7 @@
             }
         };
         let asks = async {
-            self.world.sleep_until(until).await;
+            self.runtime.sleep_until(until).await;
             None
         };
         or(stirred, asks).await
--- a/crates/ivyward-wire/src/timeout.rs
+++ b/crates/ivyward-grpc/src/timeout.rs
@@ -1,6 +1,6 @@
 //! The `grpc-timeout` header: at most eight digits and one of the units `H`, `M`, `S`, `m`, `u` and `n`.
 
-use ivyward_world::Micros;
+use ivyward_runtime::Micros;
 
 /// The header's name.
 pub const TIMEOUT_HEADER: &str = "grpc-timeout";
--- a/crates/ivyward-wire/src/watch.rs
+++ b/crates/ivyward-grpc/src/watch.rs
@@ -6,7 +6,7 @@
 
 use event_listener::{Event, EventListener};
 use futures_lite::{AsyncRead, AsyncWrite};
-use ivyward_world::{Conn, Micros, WorldRef};
+use ivyward_runtime::{Conn, Micros, RuntimeRef};
 use std::collections::BTreeMap;
 use std::io;
 use std::pin::Pin;
@@ -165,19 +165,19 @@
 pub struct Watched {
     conn: Conn,
     trace: Arc<Trace>,
-    world: WorldRef,
+    runtime: RuntimeRef,
     out: Follower,
     back: Follower,
 }
 
 impl Watched {
     /// Notes the frames of a client's connection from its first byte on.
-    pub fn new(conn: Conn, trace: Arc<Trace>, world: WorldRef) -> Watched {
-        trace.hear(0, world.now());
+    pub fn new(conn: Conn, trace: Arc<Trace>, runtime: RuntimeRef) -> Watched {
+        trace.hear(0, runtime.now());
         Watched {
             conn,
             trace,
-            world,
+            runtime,
             out: Follower {
                 skip: PREFACE,
                 ..Follower::default()
@@ -200,7 +200,7 @@
         let me = &mut *self;
         let got = ready!(Pin::new(&mut me.conn).poll_read(cx, buf))?;
         let trace = &me.trace;
-        trace.hear(got, me.world.now());
+        trace.hear(got, me.runtime.now());
         me.back.follow(&buf[..got], |head, body| {
             if head.kind == GOAWAY && body.len() == 4 {
                 let last = u32::from_be_bytes([body[0], body[1], body[2], body[3]]) & 0x7fff_ffff;
--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -4,7 +4,7 @@
 use ivyward::answer::{Buffer, Final};
 use ivyward::core::interface::Outcome;
 use ivyward::engines::Call;
-use ivyward::world::Peer;
+use ivyward::runtime::Peer;
 use ivyward_http1::Request;
 use std::any::Any;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/ivyward-platform/src/call/tests.rs
+++ b/crates/ivyward-platform/src/call/tests.rs
@@ -16,14 +16,14 @@
 /// The client's end counts when its machine says so, before the task that reads its connection comes to it.
 #[test]
 fn a_client_that_closed_has_left_though_nobody_read_it() {
-    use ivyward::world::WorldExt;
+    use ivyward::runtime::RuntimeExt;
     use ivyward_sim::{Net, Sim};
     let sim = Sim::new(1, Net::default());
     let (node, client) = (sim.host(1), sim.host(2));
-    let (world, other) = (node.world(), client.world());
+    let (runtime, other) = (node.runtime(), client.runtime());
     let at = std::net::SocketAddr::from(([127, 0, 0, 9], 80));
     let played = sim.run(&node, 60_000_000, async move {
-        let mut listener = world.listen(at).unwrap();
+        let mut listener = runtime.listen(at).unwrap();
         let theirs = other.connect(at).await.unwrap();
         let (ours, _) = listener.accept().await.unwrap();
         let text = b"POST / HTTP/1.1\r\n\r\n";
@@ -41,7 +41,7 @@
         let call = PlatformCall::new("x", &request, true, prompt, ours.peer(), 1);
         assert!(!call.left());
         drop(theirs);
-        world.sleep(1_000).await;
+        runtime.sleep(1_000).await;
         assert!(call.left(), "its end has come");
         drop(ours);
     });
--- a/crates/ivyward-platform/src/discovery.rs
+++ b/crates/ivyward-platform/src/discovery.rs
@@ -8,7 +8,7 @@
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::{ListKind, Micros};
 use ivyward::core::watch::{Miss, Watch};
-use ivyward::world::{before, BoxFuture, WorldRef};
+use ivyward::runtime::{before, BoxFuture, RuntimeRef};
 use ivyward::Node;
 use ivyward_http1::{head, Limits};
 use std::io;
@@ -55,14 +55,14 @@
         &self,
         node: &Node,
         reader: &mut ListReader,
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         limits: &Limits,
         costly: bool,
     ) {
         loop {
             let moved = self.moved.listen();
             // What another address did says nothing of this one.
-            let mut calls = Calls::new(world, *lock(&self.address), limits, costly);
+            let mut calls = Calls::new(runtime, *lock(&self.address), limits, costly);
             let follows = async {
                 loop {
                     let list = calls.next_list().await;
@@ -126,7 +126,7 @@
 
 /// Calls to discovery at one address.
 struct Calls {
-    world: WorldRef,
+    runtime: RuntimeRef,
     address: SocketAddr,
     limits: Limits,
     pace: Watch,
@@ -140,12 +140,12 @@
 }
 
 impl Calls {
-    fn new(world: &WorldRef, address: SocketAddr, limits: &Limits, costly: bool) -> Calls {
+    fn new(runtime: &RuntimeRef, address: SocketAddr, limits: &Limits, costly: bool) -> Calls {
         Calls {
-            world: world.clone(),
+            runtime: runtime.clone(),
             address,
             limits: *limits,
-            pace: Watch::new(TOLD_WITHIN, costly, world.random()),
+            pace: Watch::new(TOLD_WITHIN, costly, runtime.random()),
             newest: None,
             wire: None,
             pending: Vec::new(),
@@ -155,12 +155,12 @@
 
     /// The next list that any call brings: news of the watch, or the whole list.
     async fn next_list(&mut self) -> List {
-        let world = self.world.clone();
+        let runtime = self.runtime.clone();
         let mut next_at = self.begin_news();
         let mut turned_away = false;
         loop {
-            let answered = before(&world, next_at, self.answered()).await;
-            let now = world.now();
+            let answered = before(&runtime, next_at, self.answered()).await;
+            let now = runtime.now();
             match answered.map(|answer| answer.and_then(|a| self.newer(a))) {
                 Some(Ok(Answered { wire, list, late })) => {
                     match late {
@@ -217,7 +217,7 @@
     /// Asks for what is newer than the list as it is held, or for the whole list where there is none; when the next call
     /// begins beside it.
     fn begin_news(&mut self) -> Micros {
-        let now = self.world.now();
+        let now = self.runtime.now();
         match self.newest {
             Some(version) => {
                 let wire = self.wire.take();
@@ -240,7 +240,7 @@
             0
         };
         let call = Call {
-            world: self.world.clone(),
+            runtime: self.runtime.clone(),
             address: self.address,
             limits: self.limits,
             pace: self.pace.clone(),
@@ -249,7 +249,7 @@
         };
         let answer = Box::pin(call.run(asked));
         self.pending.push(PendingCall {
-            began: self.world.now(),
+            began: self.runtime.now(),
             wait,
             came,
             seen: 0,
@@ -269,7 +269,7 @@
         })
         .await;
         let call = self.pending.remove(index);
-        let took = self.world.now() - call.began;
+        let took = self.runtime.now() - call.began;
         match answer {
             Ok((wire, list)) => {
                 let (version, full, entries) = (list.version, list.full, list.servers.len());
@@ -309,7 +309,7 @@
 
 /// What one call needs.
 struct Call {
-    world: WorldRef,
+    runtime: RuntimeRef,
     address: SocketAddr,
     limits: Limits,
     pace: Watch,
@@ -337,8 +337,8 @@
     }
 
     async fn dial(&self) -> Result<Wire, Missed> {
-        let until = self.world.now().saturating_add(self.pace.dial());
-        match before(&self.world, until, self.world.connect(self.address)).await {
+        let until = self.runtime.now().saturating_add(self.pace.dial());
+        match before(&self.runtime, until, self.runtime.connect(self.address)).await {
             Some(Ok(conn)) => Ok(Wire::new(conn)),
             Some(Err(error)) => Err(Missed::new(Miss::Failed, error)),
             None => Err(Missed::new(Miss::Silent, io::ErrorKind::TimedOut)),
@@ -347,24 +347,24 @@
 
     /// One call, given up when nothing of its answer comes for too long, or when it comes for too long.
     async fn list(&self, wire: &mut Wire, target: &str) -> Result<List, Missed> {
-        let world = &self.world;
+        let runtime = &self.runtime;
         let late = |how| Err(Missed::new(how, io::ErrorKind::TimedOut));
         let mut asked = pin!(ask(wire, target, self.address, &self.limits));
         let step = self.pace.silence() / LOOKS;
         // Nothing has come: the answer's first byte is waited for beyond the time that discovery may wait itself.
-        let (mut last, mut seen) = (world.now().saturating_add(self.wait), 0);
+        let (mut last, mut seen) = (runtime.now().saturating_add(self.wait), 0);
         let mut patience = self.pace.patience();
         let mut whole_by = Micros::MAX;
         loop {
-            let now = world.now();
+            let now = runtime.now();
             let silent_at = last.saturating_add(patience);
             let look = silent_at
                 .min(now.max(last).saturating_add(step))
                 .min(whole_by);
-            if let Some(list) = before(world, look, asked.as_mut()).await {
+            if let Some(list) = before(runtime, look, asked.as_mut()).await {
                 return list;
             }
-            let (now, bytes) = (world.now(), self.came.load(Ordering::Relaxed));
+            let (now, bytes) = (runtime.now(), self.came.load(Ordering::Relaxed));
             if bytes != seen {
                 (last, seen) = (now, bytes);
                 // An answer that has begun does not stop for long.
--- a/crates/ivyward-platform/src/discovery/list.rs
+++ b/crates/ivyward-platform/src/discovery/list.rs
@@ -2,7 +2,7 @@
 
 use ivyward::core::interface::{Condition, Micros, ServerEntry, ServerId};
 use ivyward::core::starts::Starts;
-use ivyward::world::WorldRef;
+use ivyward::runtime::RuntimeRef;
 use ivyward::Engine;
 use ivyward_settings::Told;
 use serde::Deserialize;
@@ -94,7 +94,7 @@
 /// Reads lists on this node's clock, and remembers what the last ones said.
 pub(crate) struct ListReader {
     told: Told,
-    world: WorldRef,
+    runtime: RuntimeRef,
     /// What this node's clock shows less than Unix time, as it was at the start: steps of the wall clock after it change
     /// nothing.
     behind: Micros,
@@ -103,11 +103,11 @@
 }
 
 impl ListReader {
-    pub(crate) fn new(told: Told, world: &WorldRef) -> ListReader {
-        let behind = world.unix_micros().saturating_sub(world.now());
+    pub(crate) fn new(told: Told, runtime: &RuntimeRef) -> ListReader {
+        let behind = runtime.unix_micros().saturating_sub(runtime.now());
         ListReader {
             told,
-            world: world.clone(),
+            runtime: runtime.clone(),
             behind,
             known: BTreeMap::new(),
             starts: Starts::new(),
@@ -121,7 +121,7 @@
             let known = &self.known;
             self.starts.whole(|id| known.contains_key(&id));
         }
-        self.starts.heard(self.world.now());
+        self.starts.heard(self.runtime.now());
         engines
     }
 
@@ -231,7 +231,7 @@
             weight,
             started,
         };
-        let now = self.world.now();
+        let now = self.runtime.now();
         entry.started = self
             .starts
             .listed(&entry, now, now.saturating_add(self.behind));
--- a/crates/ivyward-platform/src/discovery/list/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list/tests.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-fn reader() -> (ListReader, WorldRef) {
-    let world = Sim::new(1, Net::default()).host(1).world();
+fn reader() -> (ListReader, RuntimeRef) {
+    let runtime = Sim::new(1, Net::default()).host(1).runtime();
     let (zones, kinds) = (vec!["a".to_owned()], vec!["m1".to_owned(), "m2".to_owned()]);
     (
         ListReader::new(
@@ -15,9 +15,9 @@
                 kinds,
                 ..Told::default()
             },
-            &world,
+            &runtime,
         ),
-        world,
+        runtime,
     )
 }
 
@@ -143,8 +143,8 @@
 /// is not.
 #[test]
 fn starts_are_told_on_this_nodes_clock() {
-    let (mut reader, world) = reader();
-    let unix_ms = world.unix_micros() / 1_000;
+    let (mut reader, runtime) = reader();
+    let unix_ms = runtime.unix_micros() / 1_000;
     let entry = |id: &str, started: u64| serde_json::json!({"id": id, "addr": "10.0.0.1:80", "zone": "a", "kind": "m2", "state": "up", "started_ms": started});
     let servers = vec![
         entry("s-1", unix_ms - 500),
@@ -157,7 +157,7 @@
         servers,
     });
     let started: Vec<Micros> = engines.iter().map(|e| e.entry.started).collect();
-    assert_eq!(started[0], world.now() - 500_000);
+    assert_eq!(started[0], runtime.now() - 500_000);
     assert_eq!(started[1], 0, "long ago");
     assert_eq!(started[2], 1, "before the clock's begin");
     // What is removed needs no more than its id.
@@ -183,7 +183,7 @@
 fn a_clock_that_is_an_hour_off_makes_nobody_warm_who_has_just_come_and_nobody_start_in_the_future()
 {
     const HOUR_MS: u64 = 3_600_000;
-    let (mut reader, world) = reader();
+    let (mut reader, runtime) = reader();
     let started = |reader: &mut ListReader, full: bool, id: &str, started_ms: u64| {
         let mut entry = entry(id, "up");
         entry["started_ms"] = json!(started_ms);
@@ -195,16 +195,16 @@
             .entry
             .started
     };
-    let unix_ms = world.unix_micros() / 1_000;
+    let unix_ms = runtime.unix_micros() / 1_000;
     assert_eq!(
         started(&mut reader, true, "s-1", unix_ms + HOUR_MS),
-        world.now(),
+        runtime.now(),
         "an hour behind"
     );
     let came = started(&mut reader, false, "s-2", unix_ms.saturating_sub(HOUR_MS));
     assert_eq!(
         came,
-        world.now(),
+        runtime.now(),
         "an hour ahead: it was not there when the list was read before"
     );
 }
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -10,7 +10,7 @@
 use ivyward::core::interface::{Micros, Outcome, Report};
 use ivyward::core::keep::{self, ArrivalCheck, Carried};
 use ivyward::engines::{End, Job, Stall, Stop, Woken};
-use ivyward::world::{before, BoxFuture};
+use ivyward::runtime::{before, BoxFuture};
 use ivyward_http1::{head, Answer, Body, Step};
 use std::future::Future;
 use std::pin::pin;
@@ -34,15 +34,15 @@
 
 impl Attempt<'_> {
     pub(super) async fn run(&self) -> End {
-        let (link, job, world) = (self.link, self.job, &self.link.engines.world);
+        let (link, job, runtime) = (self.link, self.job, &self.link.engines.runtime);
         let gone = || End::new(Outcome::NotSent, "called off before it was sent");
         if self.call.left() {
             return gone();
         }
-        if job.until <= world.now() {
+        if job.until <= runtime.now() {
             return End::new(Outcome::NotSent, "no time left");
         }
-        let mut timer = world.sleep_until(job.leave_by);
+        let mut timer = runtime.sleep_until(job.leave_by);
         let release_within = job.shared.settings().rules.release_within;
         let carried = Carried {
             repeatable: job.reads || self.call.again,
@@ -50,7 +50,7 @@
             awaited_within: job.state.as_ref().map(|_| release_within),
             last_answer: link.last_answer.load(Ordering::Relaxed),
         };
-        let reuse = keep::reuse(world.now(), &carried);
+        let reuse = keep::reuse(runtime.now(), &carried);
         let mut wire = match job
             .heed(&mut timer, link.connect(job.leave_by, reuse, 0))
             .await
@@ -74,7 +74,7 @@
         let Some(prompt) = self.call.prompt() else {
             return gone();
         };
-        let left = (job.until.saturating_sub(world.now()) / 1_000)
+        let left = (job.until.saturating_sub(runtime.now()) / 1_000)
             .max(1)
             .to_string();
         let (host, length) = (link.address.to_string(), prompt.bytes.len().to_string());
@@ -123,9 +123,9 @@
         }
         drop(prompt);
         self.call.mark(Progress::Sent(job.attempt));
-        timer = world.sleep_until(job.until);
+        timer = runtime.sleep_until(job.until);
         let check = carried.awaited_within.filter(|_| wire.idle.is_some());
-        let check = check.map(|within| keep::arrival_check(world.now(), within));
+        let check = check.map(|within| keep::arrival_check(runtime.now(), within));
         let answer = match job
             .wait(&mut timer, self.answer_or_cut(&mut wire, check))
             .await
@@ -168,8 +168,8 @@
             (status, _) => End::new(Outcome::Error, format!("status {status}")),
         };
         end.report = report;
-        let soon = world.now().saturating_add(ABANDON_TIMEOUT);
-        if let Some(Some(_)) = before(world, soon, rest(&mut wire, &answer, &LIMITS)).await {
+        let soon = runtime.now().saturating_add(ABANDON_TIMEOUT);
+        if let Some(Some(_)) = before(runtime, soon, rest(&mut wire, &answer, &LIMITS)).await {
             link.keep_idle(wire, answer.head.keeps());
         }
         end
@@ -182,12 +182,12 @@
         wire: &mut EngineConnection,
         check: Option<ArrivalCheck>,
     ) -> Result<Answer, NoHead> {
-        let world = &self.link.engines.world;
+        let runtime = &self.link.engines.runtime;
         let mut head = pin!(answer(wire, &LIMITS));
         let Some(check) = check else {
             return head.await;
         };
-        if let Some(head) = before(world, check.dial_at, head.as_mut()).await {
+        if let Some(head) = before(runtime, check.dial_at, head.as_mut()).await {
             return head;
         }
         let reachable = async {
@@ -236,8 +236,8 @@
         outcome: Outcome,
         text: impl Into<String>,
     ) -> End {
-        let world = &self.link.engines.world;
-        let known = world.now().saturating_add(timeout);
+        let runtime = &self.link.engines.runtime;
+        let known = runtime.now().saturating_add(timeout);
         let ended = async {
             wire.end_sending().await;
             while wire.fill().await.is_ok_and(|n| n > 0) {
@@ -245,7 +245,7 @@
                 wire.used(n);
             }
         };
-        before(world, known, ended).await;
+        before(runtime, known, ended).await;
         End::new(outcome, text)
     }
 
@@ -262,11 +262,11 @@
         if self.job.reads || self.call.again || body.is_empty() {
             return wire.write(head, body).await;
         }
-        let world = &self.link.engines.world;
+        let runtime = &self.link.engines.runtime;
         let (most, last) = body.split_at(body.len() - 1);
         wire.write(head, most).await?;
-        let shown = world.now().saturating_add(2 * wire.round_trip);
-        match before(world, shown, wire.fill()).await {
+        let shown = runtime.now().saturating_add(2 * wire.round_trip);
+        match before(runtime, shown, wire.fill()).await {
             // Silence is what an engine that takes the request says.
             None => wire.write(last, &[]).await,
             Some(Ok(n)) if n > 0 => wire.write(last, &[]).await,
@@ -321,7 +321,7 @@
         report: Report,
         mut timer: BoxFuture<()>,
     ) -> End {
-        let world = &self.link.engines.world;
+        let runtime = &self.link.engines.runtime;
         let mut body = Body::new(answer.framing, &LIMITS);
         let mut events = Events {
             pending: Vec::new(),
@@ -356,7 +356,7 @@
                         return End::new(Outcome::Cancelled, "given up");
                     }
                     let span = self.job.shared.settings().stream_stall;
-                    stall.get_or_insert_with(|| Stall::new(world, span)).last = world.now();
+                    stall.get_or_insert_with(|| Stall::new(runtime, span)).last = runtime.now();
                 }
                 Step::Done => {
                     if stall.is_none() || !events.done || !events.pending.is_empty() {
@@ -389,7 +389,7 @@
                             return self.abandon(wire, Outcome::Cancelled, "called off").await
                         }
                         (Woken::Late, Some(stall)) => {
-                            if stall.over(world) {
+                            if stall.over(runtime) {
                                 return End::new(Outcome::Reset, "no event for too long");
                             }
                         }
--- a/crates/ivyward-platform/src/engine/link.rs
+++ b/crates/ivyward-platform/src/engine/link.rs
@@ -12,7 +12,7 @@
 use ivyward::core::release::Taker;
 use ivyward::engines::dial::{dial, DialFailure, Dialed};
 use ivyward::engines::{End, Held, HoldJob, Job, Link};
-use ivyward::world::{before, BoxFuture};
+use ivyward::runtime::{before, BoxFuture};
 use ivyward::{Engine, Shared};
 use ivyward_http1::head;
 use std::any::Any;
@@ -82,14 +82,14 @@
         let silent =
             self.last_failure.load(Ordering::Relaxed) > self.last_answer.load(Ordering::Relaxed);
         self.last_answer
-            .store(self.engines.world.now(), Ordering::Relaxed);
+            .store(self.engines.runtime.now(), Ordering::Relaxed);
         if silent {
             self.engines.releases.heard();
         }
     }
     pub(super) fn note_failure(&self) {
         self.last_failure
-            .store(self.engines.world.now(), Ordering::Relaxed);
+            .store(self.engines.runtime.now(), Ordering::Relaxed);
     }
 
     /// An idle connection that may be used, or a new one.
@@ -99,7 +99,7 @@
         reuse: Reuse,
         spare: usize,
     ) -> Result<EngineConnection, CallError> {
-        let world = &self.engines.world;
+        let runtime = &self.engines.runtime;
         let idle = match reuse {
             Reuse::Any => self.take_idle(true),
             Reuse::ProvenSafe => self.take_idle(false),
@@ -110,8 +110,8 @@
         }
         let no_descriptor = || CallError::Local("no descriptor is left".into());
         let permit = self.engines.permit(spare).ok_or_else(no_descriptor)?;
-        let until = until.min(world.now().saturating_add(self.engines.dial_timeout));
-        let failed = match dial(world, self.address, until).await {
+        let until = until.min(runtime.now().saturating_add(self.engines.dial_timeout));
+        let failed = match dial(runtime, self.address, until).await {
             Ok(Dialed { conn, took }) => {
                 return Ok(EngineConnection {
                     wire: Wire::new(conn),
@@ -134,7 +134,7 @@
         let Some(permit) = self.engines.permit(0) else {
             return true;
         };
-        match dial(&self.engines.world, self.address, until).await {
+        match dial(&self.engines.runtime, self.address, until).await {
             Ok(Dialed { conn, took }) => {
                 let wire = EngineConnection {
                     wire: Wire::new(conn),
@@ -154,7 +154,7 @@
     /// answer, serves no further.
     fn take_idle(&self, again: bool) -> Option<EngineConnection> {
         let (now, mut idle, kept_connections) = (
-            self.engines.world.now(),
+            self.engines.runtime.now(),
             lock(&self.idle),
             lock(&self.engines.kept_connections),
         );
@@ -175,14 +175,14 @@
 
     /// Takes note of how a connection fared under a request.
     pub(super) fn note_end(&self, idle: Option<Micros>, ended: bool) {
-        lock(&self.engines.kept_connections).seen(self.engines.world.now(), idle, ended);
+        lock(&self.engines.kept_connections).seen(self.engines.runtime.now(), idle, ended);
     }
 
     /// Keeps a connection whose answer was whole.
     pub(super) fn keep_idle(&self, mut wire: EngineConnection, keeps: bool) {
         wire.under_way = false;
         if keeps && !self.closing.load(Ordering::Relaxed) && wire.quiet() {
-            lock(&self.idle).push_back((wire, self.engines.world.now()));
+            lock(&self.idle).push_back((wire, self.engines.runtime.now()));
         }
     }
 
@@ -206,7 +206,7 @@
             let rest = rest(&mut wire, &answer, &LIMITS).await;
             Ok((answer, rest))
         };
-        let Some(asked) = before(&self.engines.world, until, asked).await else {
+        let Some(asked) = before(&self.engines.runtime, until, asked).await else {
             self.note_failure();
             return Err(ended(format!("no answer from {} in time", self.address)));
         };
@@ -294,8 +294,8 @@
             if !read.await {
                 return Held::No;
             }
-            let world = &self.engines.world;
-            let until = world.now().saturating_add(self.engines.hold_wait);
+            let runtime = &self.engines.runtime;
+            let until = runtime.now().saturating_add(self.engines.hold_wait);
             let mut left = false;
             let asked = async {
                 let Ok(mut wire) = self.connect(until, Reuse::Any, 0).await else {
@@ -322,7 +322,7 @@
                     _ => Held::Unknown,
                 }
             };
-            let ended = or(before(world, until, asked), async {
+            let ended = or(before(runtime, until, asked), async {
                 job.over().await;
                 None
             });
@@ -333,7 +333,7 @@
     fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, Report)> {
         Box::pin(async move {
             let until = shared
-                .world()
+                .runtime()
                 .now()
                 .saturating_add(2 * self.engines.dial_timeout);
             let path = if self.engines.fields.is_empty() {
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -7,7 +7,7 @@
 use ivyward::core::interface::Micros;
 use ivyward::core::keep::Keep;
 use ivyward::core::release::ReleaseSettings;
-use ivyward::world::WorldRef;
+use ivyward::runtime::RuntimeRef;
 use std::ops::{Deref, DerefMut};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, Weak};
@@ -19,7 +19,7 @@
 
 /// What all links of a node share.
 pub(crate) struct EnginePool {
-    pub(super) world: WorldRef,
+    pub(super) runtime: RuntimeRef,
     pub(super) keep: Micros,
     pub(super) dial_timeout: Micros,
     /// Connections there are, and may be.
@@ -36,7 +36,7 @@
 
 impl EnginePool {
     pub(crate) fn new(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         dial_timeout: Micros,
         keepalive: Micros,
         most: usize,
@@ -50,7 +50,7 @@
             IDLE_TIMEOUT
         };
         Arc::new(EnginePool {
-            world: world.clone(),
+            runtime: runtime.clone(),
             keep,
             dial_timeout,
             connections: AtomicUsize::new(0),
@@ -72,7 +72,7 @@
     /// Closes what was idle too long, and forgets links that are gone.
     pub(crate) fn sweep(&self) {
         lock(&self.links).retain(|l| l.strong_count() > 0);
-        let oldest = self.world.now().saturating_sub(self.keep);
+        let oldest = self.runtime.now().saturating_sub(self.keep);
         for link in self.living() {
             // One that its engine closed holds a descriptor for nothing.
             lock(&link.idle).retain_mut(|(wire, since)| *since > oldest && wire.quiet());
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn releases_have_connections_to_spare() {
-    let world = Sim::new(1, Net::default()).host(1).world();
+    let runtime = Sim::new(1, Net::default()).host(1).runtime();
     const SPARE: usize = 12;
     let let_go = ReleaseSettings {
         within: 300_000,
         most_asks: SPARE,
         most_owed: 10,
     };
-    let engines = EnginePool::new(&world, 1, 1, 2, &[], let_go);
+    let engines = EnginePool::new(&runtime, 1, 1, 2, &[], let_go);
     let taken: Vec<ConnectionPermit> = (0..2)
         .map(|_| engines.permit(0).expect("within the bound"))
         .collect();
--- a/crates/ivyward-platform/src/release.rs
+++ b/crates/ivyward-platform/src/release.rs
@@ -7,7 +7,7 @@
 use ivyward::core::interface::{Micros, ServerId};
 use ivyward::core::release::{Answer, Ask, ReleaseQueue, ReleaseSettings};
 use ivyward::engines::{LinkRef, ReleaseJob};
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 use ivyward::Shared;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -49,7 +49,7 @@
         if releases.shared.set(shared.clone()).is_ok() {
             let (asking, engines) = (releases.clone(), engines.clone());
             shared
-                .world()
+                .runtime()
                 .run(async move { asking.run(&engines).await });
         }
         releases.change(|owing, now| {
@@ -89,7 +89,7 @@
         let shared = self.shared.get()?;
         let mut owing = lock(&self.owing);
         let before = owing.decider.owed();
-        let out = how(&mut owing, shared.world().now());
+        let out = how(&mut owing, shared.runtime().now());
         let after = owing.decider.owed();
         shared.owe(after.saturating_sub(before));
         shared.settled(before.saturating_sub(after));
@@ -110,13 +110,13 @@
         let Some(shared) = self.shared.get().cloned() else {
             return;
         };
-        let world = shared.world();
+        let runtime = shared.runtime();
         loop {
             let listener = self.moved.listen();
             let due = lock(&self.owing).decider.due();
             match due {
-                Some(at) if at <= world.now() => self.act(&shared, engines),
-                Some(at) => or(listener, world.sleep_until(at)).await,
+                Some(at) if at <= runtime.now() => self.act(&shared, engines),
+                Some(at) => or(listener, runtime.sleep_until(at)).await,
                 None => listener.await,
             }
         }
@@ -133,7 +133,7 @@
         let takers: Vec<_> = links.values().map(|l| l.taker()).collect();
         let asks: Vec<(Ask, Arc<str>)> = {
             let mut owing = lock(&self.owing);
-            let now = shared.world().now();
+            let now = shared.runtime().now();
             let left = owing.decider.left(now);
             shared.settled(left.len());
             left_to_engines(shared, &left, "the node ends");
@@ -148,7 +148,7 @@
             };
             let releases = self.clone();
             shared.metrics().releases.add(1);
-            shared.world().run(async move {
+            shared.runtime().run(async move {
                 let short = link.short("DELETE", &target, ask.until).await;
                 debug!(request = ask.request, %target, engine = link.id.0, ?short, "asked to let go");
                 let answer = match short {
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -14,7 +14,7 @@
 use crate::wire::Wire;
 use futures_lite::future::{or, poll_once};
 use ivyward::core::interface::Micros;
-use ivyward::world::{Conn, ErrorOrigin, Listener, WorldExt, WorldRef};
+use ivyward::runtime::{Conn, ErrorOrigin, Listener, RuntimeExt, RuntimeRef};
 use ivyward::Node;
 use ivyward_settings::Told;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
 /// The server of one node.
 pub(crate) struct Server {
     node: Node,
-    world: WorldRef,
+    runtime: RuntimeRef,
     told: Told,
     bounds: Bounds,
     budget: Arc<Budget>,
@@ -45,10 +45,10 @@
 }
 
 impl Server {
-    pub(crate) fn new(node: Node, world: WorldRef, told: Told, bounds: Bounds) -> Arc<Server> {
+    pub(crate) fn new(node: Node, runtime: RuntimeRef, told: Told, bounds: Bounds) -> Arc<Server> {
         Arc::new(Server {
             node,
-            world,
+            runtime,
             told,
             budget: Budget::new(bounds.prompts),
             bounds,
@@ -109,7 +109,7 @@
     async fn accept_failed(&self, error: &std::io::Error, in_a_row: usize) {
         debug!(%error, "a connection is not taken");
         if ErrorOrigin::of(error) == ErrorOrigin::Local || in_a_row > FAILED_AT_ONCE {
-            self.world.sleep(ACCEPT_PAUSE).await;
+            self.runtime.sleep(ACCEPT_PAUSE).await;
         }
     }
 
@@ -131,11 +131,11 @@
     }
 
     fn admit(self: Arc<Self>, conn: Conn) {
-        let Some((id, told_to_close)) = self.table.admit(self.world.now()) else {
+        let Some((id, told_to_close)) = self.table.admit(self.runtime.now()) else {
             return;
         };
-        let world = self.world.clone();
-        world.run(async move {
+        let runtime = self.runtime.clone();
+        runtime.run(async move {
             let _guard = ConnectionGuard {
                 table: &self.table,
                 id,
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -8,7 +8,7 @@
 use crate::wire::Wire;
 use futures_lite::future::or;
 use ivyward::core::interface::{Effect, Micros};
-use ivyward::world::before;
+use ivyward::runtime::before;
 use ivyward::CloseReason;
 use ivyward_http1::{Body, Request, Step};
 use std::sync::atomic::Ordering;
@@ -68,7 +68,7 @@
     ) -> CloseReason {
         let mut first = true;
         loop {
-            let now = self.world.now();
+            let now = self.runtime.now();
             let by = now.saturating_add(if first {
                 REQUEST_TIMEOUT
             } else {
@@ -83,7 +83,7 @@
                     None
                 };
                 let came = before(
-                    &self.world,
+                    &self.runtime,
                     by,
                     or(async { Some(wire.fill().await) }, close),
                 )
@@ -95,7 +95,7 @@
                 }
             }
             self.table.set_busy(id);
-            let by = self.world.now().saturating_add(REQUEST_TIMEOUT);
+            let by = self.runtime.now().saturating_add(REQUEST_TIMEOUT);
             let bad = match self.receive(&mut wire, by).await {
                 Received::Closed => return CloseReason::ClientLeft,
                 Received::Invalid(bad) => Some(bad),
@@ -142,7 +142,7 @@
     /// Ends our sending, and reads away what still comes.
     async fn linger(&self, mut wire: Wire) {
         wire.end_sending().await;
-        let until = self.world.now().saturating_add(LINGER_TIMEOUT);
+        let until = self.runtime.now().saturating_add(LINGER_TIMEOUT);
         let all = async {
             let mut left = LINGER_BYTES;
             wire.used(wire.bytes().len());
@@ -154,12 +154,12 @@
                 }
             }
         };
-        before(&self.world, until, all).await;
+        before(&self.runtime, until, all).await;
     }
 
     /// Waits for a whole request.
     async fn receive(&self, wire: &mut Wire, by: Micros) -> Received {
-        match before(&self.world, by, self.read_request(wire)).await {
+        match before(&self.runtime, by, self.read_request(wire)).await {
             Some(came) => came,
             None => Received::Invalid(RequestError::closing(
                 408,
@@ -286,7 +286,7 @@
             wire.peer(),
             bound,
         ));
-        let first_by = self.world.now().saturating_add(arrival.patience);
+        let first_by = self.runtime.now().saturating_add(arrival.patience);
         let first_by = first_by.saturating_sub(self.node.settings().answer_margin);
         let taken = match self.node.take(arrival, first_by, call.clone()) {
             Ok(number) => TakenRequest {
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -6,7 +6,7 @@
 use crate::wire::Wire;
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::Micros;
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 use ivyward::{Failure, Final, Refusal};
 use ivyward_http1::{body, head};
 
@@ -45,7 +45,7 @@
             &headers,
         );
         out.extend_from_slice(text.as_bytes());
-        wire.write_slowly(&self.world, WRITE_STALL, &out)
+        wire.write_slowly(&self.runtime, WRITE_STALL, &out)
             .await
             .is_ok()
     }
@@ -85,7 +85,7 @@
             loop {
                 // Guards against a client whose leaving hides behind a flood: what it sent is read away to its end.
                 if wire.dropped() >= UNPACED_BYTES {
-                    self.world.sleep(FLOOD_PAUSE).await;
+                    self.runtime.sleep(FLOOD_PAUSE).await;
                 }
                 match wire.fill().await {
                     Ok(n) if n > 0 => wire.keep(PIPELINED_BYTES),
@@ -137,7 +137,7 @@
             }
             let last = out.ends_with(body::LAST) && taken.call.outlet.told();
             if wire
-                .write_slowly(&self.world, WRITE_STALL, &out)
+                .write_slowly(&self.runtime, WRITE_STALL, &out)
                 .await
                 .is_err()
             {
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -7,7 +7,7 @@
 use crate::server::Server;
 use ivyward::core::interface::{ListKind, Micros};
 use ivyward::core::release::ReleaseSettings;
-use ivyward::world::{WorldExt, WorldRef};
+use ivyward::runtime::{RuntimeExt, RuntimeRef};
 use ivyward::{Node, StartError};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -35,7 +35,7 @@
 /// A node in service.
 pub struct Service {
     node: Node,
-    world: WorldRef,
+    runtime: RuntimeRef,
     server: Arc<Server>,
     discovery: Arc<Discovery>,
     releases: Arc<Releases>,
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// When it cannot listen or the node does not start.
-    pub async fn start(world: WorldRef, config: Config) -> Result<Service, ServiceError> {
+    pub async fn start(runtime: RuntimeRef, config: Config) -> Result<Service, ServiceError> {
         let Config {
             told,
             bounds,
@@ -65,36 +65,43 @@
             most_owed: bounds.releases,
         };
         let (dial, fields) = (settings.dial_timeout, &told.report_fields);
-        let engines = EnginePool::new(&world, dial, told.keepalive, bounds.engines, fields, let_go);
+        let engines = EnginePool::new(
+            &runtime,
+            dial,
+            told.keepalive,
+            bounds.engines,
+            fields,
+            let_go,
+        );
         let releases = engines.releases.clone();
         let protocol = Arc::new(Platform(engines.clone()));
-        let node = Node::start_with(world.clone(), settings, None, protocol)?;
-        let mut reader = ListReader::new(told.clone(), &world);
+        let node = Node::start_with(runtime.clone(), settings, None, protocol)?;
+        let mut reader = ListReader::new(told.clone(), &runtime);
         if let Some(known) = &config.known {
             node.fleet(ListKind::Cached, reader.read_held(known)).await;
         }
-        let listener = world
+        let listener = runtime
             .listen(config.listen)
             .map_err(|e| ServiceError::Listen(config.listen, e))?;
         let address = listener.address();
-        let server = Server::new(node.clone(), world.clone(), told, bounds);
+        let server = Server::new(node.clone(), runtime.clone(), told, bounds);
         let (listening, stopped) = async_channel::bounded::<()>(1);
         let accepting = server.clone();
         let (accepts, accepting_ends) = async_channel::bounded::<()>(1);
-        world.run(async move {
+        runtime.run(async move {
             let _accepts = accepts;
             accepting.serve(listener, stopped).await;
         });
         let discovery = Arc::new(Discovery::new(config.discovery));
-        let (follows, following, clock) = (discovery.clone(), node.clone(), world.clone());
+        let (follows, following, clock) = (discovery.clone(), node.clone(), runtime.clone());
         let limits = list_limits(&bounds);
-        world.run(async move {
+        runtime.run(async move {
             follows
                 .follow(&following, &mut reader, &clock, &limits, costly)
                 .await
         });
-        let (looks, counted, clock) = (server.clone(), node.clone(), world.clone());
-        world.run(async move {
+        let (looks, counted, clock) = (server.clone(), node.clone(), runtime.clone());
+        runtime.run(async move {
             let mut next = clock.now().saturating_add(REPORT);
             loop {
                 if counted.metrics().engines.get() > 0 {
@@ -131,7 +138,7 @@
         info!(name = config.name, %address, discovery = %config.discovery, ?bounds, "taking requests");
         Ok(Service {
             node,
-            world,
+            runtime,
             server,
             discovery,
             releases,
@@ -158,7 +165,7 @@
     pub async fn stop(&mut self) {
         self.server.stopping.store(true, Ordering::SeqCst);
         info!(open = self.node.open(), "stopping");
-        self.world.sleep(ACCEPTS).await;
+        self.runtime.sleep(ACCEPTS).await;
         self.listening = None;
         // Guards against an end before the last connections are looked at. Ends when the sender is dropped.
         let _ = self.accepting.recv().await;
@@ -170,7 +177,7 @@
             if self.node.open() == 0 && !std::mem::replace(&mut told, true) {
                 self.releases.ends();
             }
-            self.world.sleep(5_000).await;
+            self.runtime.sleep(5_000).await;
             self.server.close_idle();
         }
         info!("stopped");
--- a/crates/ivyward-platform/src/wire.rs
+++ b/crates/ivyward-platform/src/wire.rs
@@ -3,7 +3,7 @@
 use futures_lite::future::poll_fn;
 use futures_lite::{AsyncRead, AsyncWrite};
 use ivyward::core::interface::Micros;
-use ivyward::world::{before, Conn, Peer, WorldRef};
+use ivyward::runtime::{before, Conn, Peer, RuntimeRef};
 use ivyward_http1::{Answer, Body, BodyError, Limits, Step};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -126,13 +126,13 @@
     /// Writes to a peer that may be slow: it has gone away when it takes no byte for `stall`.
     pub(crate) async fn write_slowly(
         &mut self,
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         stall: Micros,
         mut bytes: &[u8],
     ) -> io::Result<()> {
         while !bytes.is_empty() {
-            let until = world.now().saturating_add(stall);
-            let wrote = before(world, until, self.write_some(bytes, &[])).await;
+            let until = runtime.now().saturating_add(stall);
+            let wrote = before(runtime, until, self.write_some(bytes, &[])).await;
             let n = wrote.unwrap_or(Err(io::ErrorKind::TimedOut.into()))?;
             bytes = &bytes[n..];
         }
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward::world::{before, Conn, WorldExt};
+use ivyward::runtime::{before, Conn, RuntimeExt};
 
 fn changed(from: &str, to: &str) -> Vec<u8> {
     let text = String::from_utf8(request("bad", "draft", 4_800)).unwrap();
@@ -138,7 +138,7 @@
             .write_all(&request("same", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.world, "an attempt", || {
+        until(&scene.runtime, "an attempt", || {
             !scene.sends("same").is_empty()
         })
         .await;
@@ -271,13 +271,13 @@
         conn.write_all(&request("one", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.world, "a write", || scene.sends("one").len() == 2).await;
+        until(&scene.runtime, "a write", || scene.sends("one").len() == 2).await;
         let at = scene.sends("one")[1].connection;
         drop(conn);
         let closed = || scene.book.lock().unwrap().closed.iter().any(|c| c.1 == at);
-        let left = scene.world.now();
-        until(&scene.world, "a close", closed).await;
-        assert!(scene.world.now() - left < 50_000);
+        let left = scene.runtime.now();
+        until(&scene.runtime, "a close", closed).await;
+        assert!(scene.runtime.now() - left < 50_000);
         assert_eq!(scene.service.node().open(), 0);
     });
 }
@@ -302,7 +302,7 @@
         assert!(matches!(got.status, 429 | 502 | 504), "{}", got.status);
         assert!(got.at - begun <= 2_010_000, "{} us", got.at - begun);
         let sends = scene.sends("one").len();
-        scene.world.sleep(5_000_000).await;
+        scene.runtime.sleep(5_000_000).await;
         assert_eq!(
             scene.sends("one").len(),
             sends,
@@ -370,12 +370,12 @@
             conn.write_all(&request("slow", "send", 4_800))
                 .await
                 .unwrap();
-            until(&scene.world, "a stream", || {
+            until(&scene.runtime, "a stream", || {
                 scene.sends("slow").iter().any(writes)
             })
             .await;
             if !reads_on {
-                scene.world.sleep(12_000_000).await;
+                scene.runtime.sleep(12_000_000).await;
                 assert_eq!(scene.service.node().open(), 0, "nothing waits for it");
                 return;
             }
--- a/crates/ivyward-platform/tests/common/mod.rs
+++ b/crates/ivyward-platform/tests/common/mod.rs
@@ -3,11 +3,11 @@
 
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::world::{before, Conn, WorldExt, WorldRef};
+use ivyward::runtime::{before, Conn, RuntimeExt, RuntimeRef};
+use ivyward_fakes::platform::exchange::read_request as whole;
+pub use ivyward_fakes::platform::exchange::{read_answer as got, Got};
 use ivyward_platform::{Config, Service};
 use ivyward_sim::{Host, HostId, Net, Sim};
-use ivyward_standins::platform::exchange::read_request as whole;
-pub use ivyward_standins::platform::exchange::{read_answer as got, Got};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
@@ -150,7 +150,7 @@
 /// The whole scene: engine 0 and 1 read, engine 2 and 3 write.
 pub struct Rig {
     pub sim: Sim,
-    pub world: WorldRef,
+    pub runtime: RuntimeRef,
     pub client: Arc<Host>,
     pub book: Arc<Mutex<Book>>,
     pub list: Arc<Mutex<(u64, String)>>,
@@ -231,7 +231,7 @@
         let config = config(discovery, sockets);
         Rig {
             sim,
-            world: node.world(),
+            runtime: node.runtime(),
             client,
             book,
             list,
@@ -252,7 +252,8 @@
         &self,
         scene: impl FnOnce(Scene) -> F + Send + 'static,
     ) {
-        let (world, config, client) = (self.world.clone(), self.config(), self.client.world());
+        let (runtime, config, client) =
+            (self.runtime.clone(), self.config(), self.client.runtime());
         let (book, list, faults) = (self.book.clone(), self.list.clone(), self.faults.clone());
         let (sim, hosts) = (
             self.sim.clone(),
@@ -260,7 +261,7 @@
         );
         let hosts = (self.node.id(), hosts);
         let played = self.sim.run(&self.node, DAY, async move {
-            let service = Service::start(world.clone(), config).await.unwrap();
+            let service = Service::start(runtime.clone(), config).await.unwrap();
             let address = service.address();
             while !healthy(&client, address).await {
                 client.sleep(10_000).await;
@@ -270,7 +271,7 @@
                 sim,
                 hosts,
                 service,
-                world,
+                runtime,
                 client,
                 address,
                 book,
@@ -293,8 +294,8 @@
     /// The node's host and the engines'.
     pub hosts: (HostId, Vec<HostId>),
     pub service: Service,
-    pub world: WorldRef,
-    pub client: WorldRef,
+    pub runtime: RuntimeRef,
+    pub client: RuntimeRef,
     pub address: SocketAddr,
     pub book: Arc<Mutex<Book>>,
     pub list: Arc<Mutex<(u64, String)>>,
@@ -340,14 +341,14 @@
     }
 }
 
-async fn healthy(world: &WorldRef, address: SocketAddr) -> bool {
-    let Ok(mut conn) = world.connect(address).await else {
+async fn healthy(runtime: &RuntimeRef, address: SocketAddr) -> bool {
+    let Ok(mut conn) = runtime.connect(address).await else {
         return false;
     };
     conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
         .await
         .unwrap();
-    got(world, &mut conn).await.status == 200
+    got(runtime, &mut conn).await.status == 200
 }
 
 pub const BODY: &str = r#"{"model":"chat","stream":true,"max_tokens":80,"messages":[{"role":"user","content":"xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"}]}"#;
@@ -363,12 +364,12 @@
 }
 
 fn engine(host: &Arc<Host>, me: usize, book: &Arc<Mutex<Book>>, script: &Script) {
-    let world = host.world();
-    let mut listener = world.listen(address(me)).unwrap();
+    let runtime = host.runtime();
+    let mut listener = runtime.listen(address(me)).unwrap();
     let (book, script) = (book.clone(), script.clone());
-    world.clone().run(async move {
+    runtime.clone().run(async move {
         while let Ok((conn, _)) = listener.accept().await {
-            let (book, script, world) = (book.clone(), script.clone(), world.clone());
+            let (book, script, runtime) = (book.clone(), script.clone(), runtime.clone());
             let connection = {
                 let mut book = book.lock().unwrap();
                 book.connections += 1;
@@ -376,18 +377,18 @@
                 book.most_standing = book.most_standing.max(book.standing);
                 book.connections
             };
-            world.clone().run(async move {
-                serve(&world, conn, (me, connection), &book, &script).await;
+            runtime.clone().run(async move {
+                serve(&runtime, conn, (me, connection), &book, &script).await;
                 let mut book = book.lock().unwrap();
                 book.standing -= 1;
-                book.closed.push((me, connection, world.now()));
+                book.closed.push((me, connection, runtime.now()));
             });
         }
     });
 }
 
 async fn serve(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     mut conn: Conn,
     (me, connection): (usize, usize),
     book: &Mutex<Book>,
@@ -397,7 +398,7 @@
     while let Some((request, body)) = whole(&mut conn, &mut bytes).await {
         let text = |name: &str| request.head.text(name).unwrap_or("").to_owned();
         let seen = Seen {
-            at: world.now(),
+            at: runtime.now(),
             engine: me,
             connection,
             method: request.method.clone(),
@@ -434,7 +435,7 @@
                 book.holds_need_reads && !book.reading(id)
             };
             if unknown {
-                world.sleep(300_000).await;
+                runtime.sleep(300_000).await;
                 if conn
                     .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
                     .await
@@ -455,18 +456,18 @@
                 if conn.write_all(opening.as_bytes()).await.is_err() {
                     return;
                 }
-                world.sleep(300_000).await;
+                runtime.sleep(300_000).await;
                 (bytes, false)
             }
             Play::Late(span) => {
-                world.sleep(span).await;
+                runtime.sleep(span).await;
                 (usual.into_bytes(), false)
             }
             Play::Silent => (Vec::new(), false),
         };
         if !said.is_empty() {
             let mut book = book.lock().unwrap();
-            book.answered.insert(place, world.now());
+            book.answered.insert(place, runtime.now());
             if me >= 2 && !seen.id.is_empty() && said.starts_with(b"HTTP/1.1 200") {
                 book.streamed.insert(seen.id.clone());
             }
@@ -528,26 +529,26 @@
     list: &Arc<Mutex<(u64, String)>>,
     faults: &Arc<Mutex<Faults>>,
 ) {
-    let world = host.world();
-    let mut listener = world.listen(at).unwrap();
+    let runtime = host.runtime();
+    let mut listener = runtime.listen(at).unwrap();
     let (list, faults) = (list.clone(), faults.clone());
-    world.clone().run(async move {
+    runtime.clone().run(async move {
         while let Ok((conn, _)) = listener.accept().await {
             let me = {
                 let mut faults = faults.lock().unwrap();
                 faults.connections += 1;
                 faults.connections
             };
-            let (list, world, faults) = (list.clone(), world.clone(), faults.clone());
-            world
+            let (list, runtime, faults) = (list.clone(), runtime.clone(), faults.clone());
+            runtime
                 .clone()
-                .run(async move { tell(&world, conn, me, &list, &faults).await });
+                .run(async move { tell(&runtime, conn, me, &list, &faults).await });
         }
     });
 }
 
 async fn tell(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     mut conn: Conn,
     me: usize,
     list: &Mutex<(u64, String)>,
@@ -569,10 +570,10 @@
             does.or(faults.always.clone()).unwrap_or(Told::Usual)
         };
         let from = query("from");
-        let until = world.now() + query("hold_ms").unwrap_or(0) * 1_000;
+        let until = runtime.now() + query("hold_ms").unwrap_or(0) * 1_000;
         let waits = matches!(does, Told::Usual | Told::Slow(..) | Told::Late(_));
-        while waits && from == Some(list.lock().unwrap().0) && world.now() < until && !silent() {
-            world.sleep(1_000).await;
+        while waits && from == Some(list.lock().unwrap().0) && runtime.now() < until && !silent() {
+            runtime.sleep(1_000).await;
         }
         if silent() {
             return std::future::pending().await;
@@ -602,7 +603,7 @@
             _ => answer.len(),
         };
         if let Told::Late(span) = does {
-            world.sleep(span).await;
+            runtime.sleep(span).await;
         }
         let (piece, pause) = if let Told::Slow(piece, pause) = does {
             (piece, pause)
@@ -611,7 +612,7 @@
         };
         for piece in answer[..sent].chunks(piece.min(sent.max(1))) {
             if pause > 0 {
-                world.sleep(pause).await;
+                runtime.sleep(pause).await;
             }
             if conn.write_all(piece).await.is_err() {
                 return;
@@ -627,10 +628,10 @@
 }
 
 /// Waits for something to hold, for a virtual minute at most.
-pub async fn until(world: &WorldRef, what: &str, holds: impl Fn() -> bool) {
-    let waited = before(world, world.now() + 60_000_000, async {
+pub async fn until(runtime: &RuntimeRef, what: &str, holds: impl Fn() -> bool) {
+    let waited = before(runtime, runtime.now() + 60_000_000, async {
         while !holds() {
-            world.sleep(1_000).await;
+            runtime.sleep(1_000).await;
         }
     });
     assert!(waited.await.is_some(), "{what}");
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -5,7 +5,7 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 const MS: Micros = 1_000;
@@ -37,9 +37,9 @@
             for n in 0..40_u64 {
                 let (id, timeout_ms) = (format!("r{n}"), 1_200 + 100 * n);
                 // Long enough for engines that failed to be tried again.
-                scene.world.sleep(3_000 * MS).await;
+                scene.runtime.sleep(3_000 * MS).await;
                 let mut conn = scene.connect().await;
-                let began = scene.world.now();
+                let began = scene.runtime.now();
                 conn.write_all(&request(&id, "draft", timeout_ms))
                     .await
                     .unwrap();
@@ -77,7 +77,7 @@
             // It may be closed by now.
             let _ = silent.write_all(&request("crosses", "send", 4_800)).await;
             let answer = got(&scene.client, &mut silent).await;
-            scene.world.sleep(2_000 * MS).await;
+            scene.runtime.sleep(2_000 * MS).await;
             assert_eq!(
                 scene.sends("crosses").is_empty(),
                 answer.status == 0,
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -4,7 +4,7 @@
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::Micros;
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 use ivyward_sim::{HostId, Sim};
 use std::sync::{Arc, OnceLock};
 
@@ -135,12 +135,12 @@
         conn.write_all(&request("keyed", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.world, "a write", || cut.get().is_some()).await;
+        until(&scene.runtime, "a write", || cut.get().is_some()).await;
         let other = *cut.get().unwrap();
-        scene.world.sleep(3_000_000).await;
+        scene.runtime.sleep(3_000_000).await;
         scene.cut(&[other], false);
         got(&scene.client, &mut conn).await;
-        scene.world.sleep(2_000_000).await;
+        scene.runtime.sleep(2_000_000).await;
         let writes: Vec<Seen> = scene.sends("keyed").into_iter().filter(writes).collect();
         assert_eq!(writes.len(), 1, "{writes:?}");
     });
@@ -180,7 +180,7 @@
                 assert_eq!(sends.len(), 1, "spoilt {i}: no effect twice");
                 let want = if sends[0].engine == 2 { 502 } else { 200 };
                 assert_eq!(got.status, want, "spoilt {i}");
-                scene.world.sleep(3_000_000).await;
+                scene.runtime.sleep(3_000_000).await;
             }
             let met = scene
                 .seen()
@@ -257,7 +257,7 @@
                 "{noise:?}: left waiting {} us",
                 got.at - got.last
             );
-            scene.world.sleep(1_000_000).await;
+            scene.runtime.sleep(1_000_000).await;
             assert_eq!(
                 scene.sends("one").iter().filter(|s| writes(s)).count(),
                 1,
@@ -316,7 +316,7 @@
                         .filter(|s| writes(s))
                         .map(|s| s.connection),
                 );
-                scene.world.sleep(10_000).await;
+                scene.runtime.sleep(10_000).await;
             }
             let all = connections.len();
             connections.sort_unstable();
@@ -339,7 +339,7 @@
         assert!(got
             .retry_after
             .is_some_and(|r| r.parse::<f64>().is_ok_and(|r| r > 0.0)));
-        until(&scene.world, "a release", || {
+        until(&scene.runtime, "a release", || {
             !scene.releases("one").is_empty()
         })
         .await;
@@ -372,7 +372,7 @@
             // Both readers are usual ones again for the node.
             for usual in 0..4 {
                 scene.ask(&format!("u{n}-{usual}"), "draft").await;
-                scene.world.sleep(1_000_000).await;
+                scene.runtime.sleep(1_000_000).await;
             }
             let id = format!("h{n}");
             scene.ask(&id, "send").await;
@@ -410,7 +410,7 @@
         rig.play(move |scene| async move {
             let got = scene.ask("one", class).await;
             assert_eq!(got.status, 429, "refused: nothing ran");
-            until(&scene.world, "a release", || {
+            until(&scene.runtime, "a release", || {
                 !scene.releases("one").is_empty()
             })
             .await;
@@ -445,21 +445,21 @@
         conn.write_all(&request("one", "draft", 4_800))
             .await
             .unwrap();
-        until(&scene.world, "a write", || {
+        until(&scene.runtime, "a write", || {
             scene.sends("one").iter().any(writes)
         })
         .await;
-        let left = scene.world.now();
+        let left = scene.runtime.now();
         drop(conn);
-        until(&scene.world, "a release", || {
+        until(&scene.runtime, "a release", || {
             scene.releases("one").iter().any(|s| s.engine == 3)
         })
         .await;
-        let took = scene.world.now() - left;
+        let took = scene.runtime.now() - left;
         assert!(took < 600_000, "{took} us");
         // Nothing is sent for a client that left.
         let sends = scene.sends("one").len();
-        scene.world.sleep(2_000_000).await;
+        scene.runtime.sleep(2_000_000).await;
         assert_eq!(scene.sends("one").len(), sends);
     });
 }
@@ -474,7 +474,7 @@
             // The same four addresses under ids that were never there before.
             let text = list(&["up"; 4]).replace("\"s-", &format!("\"r{round}-"));
             scene.relist(text);
-            scene.world.sleep(50_000).await;
+            scene.runtime.sleep(50_000).await;
             for n in 0..3 {
                 assert_eq!(
                     scene.ask(&format!("q{round}-{n}"), "draft").await.status,
@@ -482,7 +482,7 @@
                 );
             }
         }
-        scene.world.sleep(50_000).await;
+        scene.runtime.sleep(50_000).await;
         let book = scene.book.lock().unwrap();
         assert!(book.standing <= 6, "{} connections stand", book.standing);
         assert!(
@@ -505,11 +505,11 @@
 fn a_connection_that_ends_under_a_coming_request_ran_nothing() {
     let rig = Rig::new(|_| Play::Usual);
     let (host, at) = (rig.sim.host(50), address(9));
-    let world = host.world();
-    let mut listener = world.listen(at).unwrap();
+    let runtime = host.runtime();
+    let mut listener = runtime.listen(at).unwrap();
     let met = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let (meets, inner) = (met.clone(), world.clone());
-    world.run(async move {
+    let (meets, inner) = (met.clone(), runtime.clone());
+    runtime.run(async move {
         while let Ok((mut conn, _)) = listener.accept().await {
             let meets = meets.clone();
             inner.run(async move {
@@ -526,11 +526,11 @@
             .replace("s-2", "s-9")
             .replace(&address(2).to_string(), &at.to_string());
         scene.relist(format!("{},{breaks}", list(&["up", "up", "up", "removed"])));
-        scene.world.sleep(20_000).await;
+        scene.runtime.sleep(20_000).await;
         for n in 0..12 {
             let got = scene.ask(&format!("r{n}"), "send").await;
             assert_eq!((got.status, got.whole), (200, true), "r{n}");
-            scene.world.sleep(2_000_000).await;
+            scene.runtime.sleep(2_000_000).await;
         }
         assert!(
             met.load(std::sync::atomic::Ordering::SeqCst) >= 2,
@@ -559,7 +559,7 @@
             let got = scene.ask(&id, class).await;
             assert_eq!((got.status, got.whole), (200, true), "{id}");
             sends += scene.sends(&id).len();
-            scene.world.sleep(250_000).await;
+            scene.runtime.sleep(250_000).await;
         }
         assert!(
             sends <= 2 * 60 + 8,
--- a/crates/ivyward-platform/tests/gone.rs
+++ b/crates/ivyward-platform/tests/gone.rs
@@ -4,7 +4,7 @@
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::Micros;
-use ivyward::world::{before, Conn, WorldExt};
+use ivyward::runtime::{before, Conn, RuntimeExt};
 
 const MS: Micros = 1_000;
 const WITHIN: Micros = 100 * MS;
@@ -74,10 +74,10 @@
                 conn.write_all(&request("one", "draft", 4_800))
                     .await
                     .unwrap();
-                scene.world.sleep(50 * MS).await;
-                let gone = scene.world.now();
+                scene.runtime.sleep(50 * MS).await;
+                let gone = scene.runtime.now();
                 let _held = leave(conn, how).await;
-                scene.world.sleep(3_000 * MS).await;
+                scene.runtime.sleep(3_000 * MS).await;
                 let late = latest(&scene, &["one".into()], gone);
                 // What had left before is on its way as long.
                 assert!(
@@ -104,13 +104,13 @@
                 rig.play(move |scene| async move {
                     let mut conn = scene.connect().await;
                     conn.write_all(&request("one", class, 4_800)).await.unwrap();
-                    until(&scene.world, "a read", || {
+                    until(&scene.runtime, "a read", || {
                         scene.sends("one").iter().any(reads)
                     })
                     .await;
-                    let gone = scene.world.now();
+                    let gone = scene.runtime.now();
                     let _held = leave(conn, how).await;
-                    scene.world.sleep(3_000 * MS).await;
+                    scene.runtime.sleep(3_000 * MS).await;
                     assert_eq!(
                         latest(&scene, &["one".into()], gone),
                         0,
@@ -149,10 +149,10 @@
                     .await
                     .unwrap();
                 scene.sim.net(|net| net.rate = 100_000);
-                scene.world.sleep(300 * MS).await;
-                let gone = scene.world.now();
+                scene.runtime.sleep(300 * MS).await;
+                let gone = scene.runtime.now();
                 let _held = leave(conn, how).await;
-                scene.world.sleep(6_000 * MS).await;
+                scene.runtime.sleep(6_000 * MS).await;
                 assert_eq!(
                     latest(&scene, &["long".into()], gone),
                     0,
@@ -184,13 +184,13 @@
                     let by = scene.client.now() + 200 * MS;
                     let sent = before(&scene.client, by, conn.write_all(&vec![b'x'; more])).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
-                    until(&scene.world, "a read", || {
+                    until(&scene.runtime, "a read", || {
                         scene.sends("one").iter().any(reads)
                     })
                     .await;
-                    let gone = scene.world.now();
+                    let gone = scene.runtime.now();
                     let _held = leave(conn, how).await;
-                    scene.world.sleep(3_000 * MS).await;
+                    scene.runtime.sleep(3_000 * MS).await;
                     let late = latest(&scene, &["one".into()], gone);
                     assert!(
                         late <= WITHIN,
--- a/crates/ivyward-platform/tests/held.rs
+++ b/crates/ivyward-platform/tests/held.rs
@@ -4,14 +4,14 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 
 const WITHIN: Micros = 300_000;
 const MS: Micros = 1_000;
 
 /// Every request's longest time held, once the scene is over.
 fn kept(scene: &Scene, ids: &[String]) -> Micros {
-    let (book, now) = (scene.book.lock().unwrap(), scene.world.now());
+    let (book, now) = (scene.book.lock().unwrap(), scene.runtime.now());
     ids.iter()
         .map(|id| book.held_longest(id, now))
         .max()
@@ -32,21 +32,21 @@
                 .unwrap();
             conns.push(conn);
         }
-        scene.world.sleep(600).await;
+        scene.runtime.sleep(600).await;
         scene.cut(&[0, 1, 2, 3], true);
         drop(conns);
-        scene.world.sleep(30_000 * MS).await;
+        scene.runtime.sleep(30_000 * MS).await;
         let owed = scene.service.node().owed();
         assert!(owed > 0, "what they may have left is owed");
         let asked = scene.service.node().metrics().releases.get();
         assert!(asked < 20 * 60, "{asked} asks in half a minute");
         scene.cut(&[3], false);
-        let back = scene.world.now();
-        until(&scene.world, "all is let go of", || {
+        let back = scene.runtime.now();
+        until(&scene.runtime, "all is let go of", || {
             scene.service.node().owed() == 0
         })
         .await;
-        let took = scene.world.now() - back;
+        let took = scene.runtime.now() - back;
         // Nothing else is heard here: each of four engines is asked after a pause of eight spans at most.
         assert!(took < (4 * 8 + 2) * WITHIN, "{took} us");
         assert_eq!(scene.service.node().metrics().releases_dropped.get(), 0);
@@ -63,20 +63,20 @@
             conn.write_all(&request("last", "send", 4_800))
                 .await
                 .unwrap();
-            until(&scene.world, "a read", || {
+            until(&scene.runtime, "a read", || {
                 scene.sends("last").iter().any(reads)
             })
             .await;
-            let last = scene.world.now();
+            let last = scene.runtime.now();
             scene.cut(if reachable { &[0, 1, 2] } else { &[0, 1, 2, 3] }, true);
             drop(conn);
             scene.service.stop().await;
-            let took = scene.world.now() - last;
+            let took = scene.runtime.now() - last;
             assert_eq!(scene.service.node().open(), 0);
             match reachable {
                 true => {
                     let book = scene.book.lock().unwrap();
-                    assert!(book.held_longest("last", scene.world.now()) <= WITHIN);
+                    assert!(book.held_longest("last", scene.runtime.now()) <= WITHIN);
                     assert_eq!(scene.service.node().metrics().releases_dropped.get(), 0);
                 }
                 false => {
@@ -145,7 +145,7 @@
                     }
                 });
             }
-            scene.world.sleep(15_000 * MS).await;
+            scene.runtime.sleep(15_000 * MS).await;
             let kept = kept(&scene, &ids);
             assert!(kept <= WITHIN + 50 * MS, "salt {salt}: kept for {kept} us");
             assert_eq!(
@@ -172,14 +172,14 @@
             conn.write_all(&request("one", "draft", 4_800))
                 .await
                 .unwrap();
-            until(&scene.world, "a write", || {
+            until(&scene.runtime, "a write", || {
                 scene.sends("one").iter().any(writes)
             })
             .await;
             scene.relist(list(&[left, left, "up", "up"]));
-            scene.world.sleep(50 * MS).await;
+            scene.runtime.sleep(50 * MS).await;
             drop(conn);
-            scene.world.sleep(3_000 * MS).await;
+            scene.runtime.sleep(3_000 * MS).await;
             let kept = kept(&scene, &["one".into()]);
             assert!(kept <= WITHIN, "{left}: kept for {kept} us");
             assert!(
@@ -208,7 +208,7 @@
             for id in &ids {
                 scene.ask(id, "send").await;
             }
-            scene.world.sleep(2_000 * MS).await;
+            scene.runtime.sleep(2_000 * MS).await;
             let kept = kept(&scene, &ids);
             assert!(kept <= within * MS, "{within} ms told: kept for {kept} us");
         });
@@ -290,9 +290,9 @@
                 .filter(|s| s.method == "POST" && !s.id.is_empty())
                 .count()
         };
-        until(&scene.world, "many are at an engine", || came() >= 100).await;
+        until(&scene.runtime, "many are at an engine", || came() >= 100).await;
         drop(conns);
-        scene.world.sleep(3_000 * MS).await;
+        scene.runtime.sleep(3_000 * MS).await;
         let kept = kept(&scene, &ids);
         assert!(kept <= WITHIN, "kept for {kept} us");
         assert_eq!(scene.service.node().owed(), 0);
@@ -315,18 +315,18 @@
                     }
                     let mut conn = scene.connect().await;
                     conn.write_all(&request("one", "draft", 700)).await.unwrap();
-                    scene.world.sleep(after).await;
+                    scene.runtime.sleep(after).await;
                     scene.cut(&engines, true);
                     if leaves {
-                        scene.world.sleep(100 * MS).await;
+                        scene.runtime.sleep(100 * MS).await;
                         drop(conn);
                     } else {
                         got(&scene.client, &mut conn).await;
                     }
-                    scene.world.sleep(5_000 * MS).await;
-                    let over = scene.world.now();
+                    scene.runtime.sleep(5_000 * MS).await;
+                    let over = scene.runtime.now();
                     scene.cut(&engines, false);
-                    scene.world.sleep(3_000 * MS).await;
+                    scene.runtime.sleep(3_000 * MS).await;
                     let what = format!("cut {engines:?} {after} us after, leaves {leaves}");
                     let of = |s: &&Seen| {
                         s.id == "one" || s.target.ends_with("/one") && s.method == "POST"
@@ -364,7 +364,7 @@
             for n in 0..8 {
                 assert_eq!(scene.ask(&format!("warm{n}"), class).await.status, 200);
             }
-            scene.world.sleep(1_500 * MS).await;
+            scene.runtime.sleep(1_500 * MS).await;
             scene.cut(&[2, 3], true);
             let mut conns = Vec::new();
             for n in 0..4 {
@@ -374,7 +374,7 @@
                     .unwrap();
                 conns.push(conn);
             }
-            scene.world.sleep(3_000 * MS).await;
+            scene.runtime.sleep(3_000 * MS).await;
             let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
             assert!(
                 kept(&scene, &ids) <= WITHIN,
@@ -393,7 +393,7 @@
         for n in 0..8 {
             assert_eq!(scene.ask(&format!("warm{n}"), "draft").await.status, 200);
         }
-        scene.world.sleep(20 * MS).await;
+        scene.runtime.sleep(20 * MS).await;
         scene.cut(&[2, 3], true);
         let mut conns = Vec::new();
         for n in 0..4 {
@@ -403,7 +403,7 @@
                 .unwrap();
             conns.push(conn);
         }
-        scene.world.sleep(3_000 * MS).await;
+        scene.runtime.sleep(3_000 * MS).await;
         let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
         assert!(
             kept(&scene, &ids) <= WITHIN,
--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -4,8 +4,8 @@
 
 use common::{request, Play, Rig, Seen};
 use futures_lite::AsyncWriteExt;
-use ivyward::world::{
-    BorrowedFuture, BoxFuture, Conn, Datagrams, Listener, Micros, World, WorldExt, WorldRef,
+use ivyward::runtime::{
+    BorrowedFuture, BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeExt, RuntimeRef,
 };
 use ivyward_platform::Service;
 use std::io;
@@ -27,23 +27,23 @@
     failed_dials: AtomicUsize,
 }
 
-struct FailingWorld {
-    world: WorldRef,
+struct FailingRuntime {
+    runtime: RuntimeRef,
     failing: Arc<Failing>,
 }
 
-impl World for FailingWorld {
+impl Runtime for FailingRuntime {
     fn now(&self) -> Micros {
-        self.world.now()
+        self.runtime.now()
     }
     fn unix_micros(&self) -> Micros {
-        self.world.unix_micros()
+        self.runtime.unix_micros()
     }
     fn sleep_until(&self, at: Micros) -> BoxFuture<()> {
-        self.world.sleep_until(at)
+        self.runtime.sleep_until(at)
     }
     fn spawn(&self, task: BoxFuture<()>) {
-        self.world.spawn(task);
+        self.runtime.spawn(task);
     }
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Conn>> {
         let engine = to.port() == 8080;
@@ -53,10 +53,10 @@
             self.failing.failed_dials.fetch_add(1, order);
             return Box::pin(async { Err(io::Error::from_raw_os_error(EADDRNOTAVAIL)) });
         }
-        self.world.connect(to)
+        self.runtime.connect(to)
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let (listener, failing) = (self.world.listen(at)?, self.failing.clone());
+        let (listener, failing) = (self.runtime.listen(at)?, self.failing.clone());
         Ok(Box::new(FailingListener {
             listener,
             failing,
@@ -65,10 +65,10 @@
         }))
     }
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        self.world.datagrams(at)
+        self.runtime.datagrams(at)
     }
     fn random(&self) -> u64 {
-        self.world.random()
+        self.runtime.random()
     }
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-async fn healthy(client: &WorldRef, address: SocketAddr) {
+async fn healthy(client: &RuntimeRef, address: SocketAddr) {
     loop {
         let mut conn = client.connect(address).await.unwrap();
         conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -116,13 +116,13 @@
 fn an_aborted_connection_at_a_stop_leaves_those_behind_it_their_answers() {
     let rig = Rig::new(|_: &Seen| Play::Usual);
     let failing = Arc::<Failing>::default();
-    let world: WorldRef = Arc::new(FailingWorld {
-        world: rig.world.clone(),
+    let runtime: RuntimeRef = Arc::new(FailingRuntime {
+        runtime: rig.runtime.clone(),
         failing: failing.clone(),
     });
-    let (config, client) = (rig.config(), rig.client.world());
+    let (config, client) = (rig.config(), rig.client.runtime());
     let played = rig.sim.run(&rig.node, common::DAY, async move {
-        let mut service = Service::start(world.clone(), config).await.unwrap();
+        let mut service = Service::start(runtime.clone(), config).await.unwrap();
         let address = service.address();
         healthy(&client, address).await;
         failing.accepts.store(true, Ordering::SeqCst);
@@ -138,7 +138,7 @@
             queued.push(conn);
         }
         let (done, ended) = async_channel::bounded::<()>(1);
-        world.run(async move {
+        runtime.run(async move {
             service.stop().await;
             drop(done);
         });
@@ -162,13 +162,13 @@
     const DIALS: usize = 8;
     let rig = Rig::new(|_: &Seen| Play::Usual);
     let failing = Arc::<Failing>::default();
-    let world: WorldRef = Arc::new(FailingWorld {
-        world: rig.world.clone(),
+    let runtime: RuntimeRef = Arc::new(FailingRuntime {
+        runtime: rig.runtime.clone(),
         failing: failing.clone(),
     });
-    let (config, client) = (rig.config(), rig.client.world());
+    let (config, client) = (rig.config(), rig.client.runtime());
     let played = rig.sim.run(&rig.node, common::DAY, async move {
-        let service = Service::start(world.clone(), config).await.unwrap();
+        let service = Service::start(runtime.clone(), config).await.unwrap();
         let address = service.address();
         healthy(&client, address).await;
         failing.dials.store(DIALS, Ordering::SeqCst);
--- a/crates/ivyward-platform/tests/rules.rs
+++ b/crates/ivyward-platform/tests/rules.rs
@@ -4,7 +4,7 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::world::{before, WorldExt};
+use ivyward::runtime::{before, RuntimeExt};
 use std::collections::BTreeMap;
 
 const GRACE: Micros = 1_000_000;
@@ -60,7 +60,7 @@
     let rig = Rig::new(play);
     rig.play(|scene| async move {
         let (done, answers) = async_channel::unbounded();
-        let begun = scene.world.now();
+        let begun = scene.runtime.now();
         for n in 0..400u64 {
             let (client, address, done) = (scene.client.clone(), scene.address, done.clone());
             let id = format!("q{n}");
@@ -95,17 +95,17 @@
             });
         }
         drop(done);
-        scene.world.sleep(3_000_000).await;
+        scene.runtime.sleep(3_000_000).await;
         scene.relist(list(&["up", "draining", "up", "draining"]));
-        let drained = scene.world.now();
-        scene.world.sleep(3_000_000).await;
+        let drained = scene.runtime.now();
+        scene.runtime.sleep(3_000_000).await;
         scene.relist(list(&["up"; 4]));
-        let back = scene.world.now();
+        let back = scene.runtime.now();
         let mut told = BTreeMap::new();
         while let Ok((id, one)) = answers.recv().await {
             told.insert(id, one);
         }
-        scene.world.sleep(3_000_000).await;
+        scene.runtime.sleep(3_000_000).await;
         assert_eq!(told.len(), 400);
         let book = scene.book.lock().unwrap();
         let mut sends: BTreeMap<&str, Vec<&Seen>> = BTreeMap::new();
@@ -223,12 +223,12 @@
                 inner.sleep(10_000).await;
             }
         });
-        scene.world.sleep(5_000_000).await;
-        let started = scene.world.unix_micros() / 1_000;
+        scene.runtime.sleep(5_000_000).await;
+        let started = scene.runtime.unix_micros() / 1_000;
         let cold = entry(3, "up").replace("\"started_ms\":0", &format!("\"started_ms\":{started}"));
         scene.relist(format!("{},{cold}", list(&["up", "up", "draining"])));
-        let told = scene.world.now();
-        scene.world.sleep(6_000_000).await;
+        let told = scene.runtime.now();
+        scene.runtime.sleep(6_000_000).await;
         let book = scene.book.lock().unwrap();
         let writes = |engine: usize, from: Micros| {
             let span = from..from + WINDOW;
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use futures_lite::AsyncWriteExt;
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 use ivyward_platform::Config;
 
 #[test]
@@ -80,8 +80,8 @@
             "{text},{},{}",
             r#"{"id":"s-9","addr":"nowhere","state":"up"}"#, "17"
         ));
-        scene.world.sleep(20_000).await;
-        let told = scene.world.now();
+        scene.runtime.sleep(20_000).await;
+        let told = scene.runtime.now();
         for n in 0..12 {
             assert_eq!(scene.ask(&format!("r{n}"), "draft").await.status, 200);
         }
@@ -93,7 +93,7 @@
         assert!(late.is_empty(), "{late:?}");
         // The one that is up again is used again.
         scene.relist(list(&["draining", "up", "up", "up"]));
-        scene.world.sleep(20_000).await;
+        scene.runtime.sleep(20_000).await;
         assert_eq!(scene.ask("after", "draft").await.status, 200);
         assert_eq!(scene.sends("after")[0].engine, 1);
     });
@@ -117,7 +117,7 @@
     rig.play(move |scene| async move {
         // The first discovery dies: host 2 in the order of their making.
         sim.kill(2, false);
-        scene.world.sleep(30_000_000).await;
+        scene.runtime.sleep(30_000_000).await;
         assert_eq!(
             scene.ask("one", "draft").await.status,
             200,
@@ -126,8 +126,8 @@
         scene
             .service
             .reload(&Config::parse("f", moved.as_bytes()).unwrap());
-        scene.world.sleep(1_000_000).await;
-        let told = scene.world.now();
+        scene.runtime.sleep(1_000_000).await;
+        let told = scene.runtime.now();
         for n in 0..8 {
             assert_eq!(scene.ask(&format!("r{n}"), "draft").await.status, 200);
         }
@@ -162,7 +162,7 @@
             .write_all(&request("early", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.world, "an attempt", || {
+        until(&scene.runtime, "an attempt", || {
             !scene.sends("early").is_empty()
         })
         .await;
@@ -215,10 +215,10 @@
         .replace("\"name\":\"acme\"", "\"name\":\"zeta\"");
     rig.play(move |scene| async move {
         let other = Config::parse("other", other.as_bytes()).unwrap();
-        let second = ivyward_platform::Service::start(scene.world.clone(), other)
+        let second = ivyward_platform::Service::start(scene.runtime.clone(), other)
             .await
             .unwrap();
-        until(&scene.world, "the second list", || {
+        until(&scene.runtime, "the second list", || {
             second.node().metrics().engines.get() == 2
         })
         .await;
@@ -279,8 +279,8 @@
                 done.send(got(&client, &mut resting).await).await.unwrap();
             });
             scene.service.stop().await;
-            let stopped = scene.world.now();
-            scene.world.sleep(2_000_000).await;
+            let stopped = scene.runtime.now();
+            scene.runtime.sleep(2_000_000).await;
             let sends = scene.sends("crosses");
             assert!(
                 sends.iter().all(|s| s.at <= stopped),
--- a/crates/ivyward-platform/tests/shutdown.rs
+++ b/crates/ivyward-platform/tests/shutdown.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward::world::{Conn, SmolWorld, WorldExt, WorldRef};
+use ivyward::runtime::{Conn, RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward_platform::{Config, Service};
 use std::sync::mpsc;
 
@@ -40,13 +40,14 @@
 /// close have not yet: with the listener they would be reset.
 #[test]
 fn what_the_system_accepted_before_the_listener_went_is_answered() {
-    let node = SmolWorld::start(1, 1);
-    let clients: WorldRef = SmolWorld::start(1, 2);
+    let node = SmolRuntime::start(1, 1);
+    let clients: RuntimeRef = SmolRuntime::start(1, 2);
     node.block_on(async {
-        let world: WorldRef = node.clone();
-        let mut service = Service::start(world, Config::parse("test", CONFIG.as_bytes()).unwrap())
-            .await
-            .unwrap();
+        let runtime: RuntimeRef = node.clone();
+        let mut service =
+            Service::start(runtime, Config::parse("test", CONFIG.as_bytes()).unwrap())
+                .await
+                .unwrap();
         let address = service.address();
         // As many resting connections as the node takes: for each further one another is closed first.
         let mut resting = Vec::new();
--- a/crates/ivyward-platform/tests/told.rs
+++ b/crates/ivyward-platform/tests/told.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use ivyward::core::interface::Micros;
-use ivyward::world::WorldExt;
+use ivyward::runtime::RuntimeExt;
 use ivyward_platform::Config;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
         Rig::new(|_| Play::Usual).play(move |scene| async move {
             // From the begin of a watch's wait on.
             scene.relist(list(&["up"; 4]));
-            scene.world.sleep(after * MS).await;
+            scene.runtime.sleep(after * MS).await;
             {
                 let mut told = scene.faults.lock().unwrap();
                 told.next = faults.into();
@@ -30,10 +30,10 @@
                 }
             }
             scene.relist(list(&["draining", "up", "draining", "up"]));
-            let told = scene.world.now();
+            let told = scene.runtime.now();
             for n in 0..100 {
                 scene.ask(&format!("r{n}"), "draft").await;
-                scene.world.sleep(60 * MS).await;
+                scene.runtime.sleep(60 * MS).await;
             }
             let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST";
             let last = scene
@@ -124,8 +124,8 @@
 fn changes_of_an_older_version_undo_no_drain() {
     Rig::new(|_| Play::Usual).play(|scene| async move {
         scene.relist(list(&["draining", "up", "draining", "up"]));
-        scene.world.sleep(20 * MS).await;
-        let told = scene.world.now();
+        scene.runtime.sleep(20 * MS).await;
+        let told = scene.runtime.now();
         let older = format!(
             r#"{{"version":1,"full":false,"servers":[{},{}]}}"#,
             entry(0, "up"),
@@ -138,7 +138,7 @@
         }
         for n in 0..60 {
             scene.ask(&format!("r{n}"), "draft").await;
-            scene.world.sleep(50 * MS).await;
+            scene.runtime.sleep(50 * MS).await;
         }
         let late = scene
             .seen()
@@ -164,13 +164,13 @@
     ] {
         Rig::new(|_| Play::Usual).play(move |scene| async move {
             scene.relist(list(&["up"; 4]));
-            scene.world.sleep(100 * MS).await;
+            scene.runtime.sleep(100 * MS).await;
             let asked = {
                 let mut faults = scene.faults.lock().unwrap();
                 faults.next = [fault.clone()].into();
                 faults.targets.len()
             };
-            until(&scene.world, "three calls", || {
+            until(&scene.runtime, "three calls", || {
                 scene.faults.lock().unwrap().targets.len() >= asked + 3
             })
             .await;
@@ -195,10 +195,10 @@
             told.silence();
         }
         scene.relist(list(&["draining", "up", "draining", "up"]));
-        let (told, calls) = (scene.world.now(), scene.faults.lock().unwrap().calls);
+        let (told, calls) = (scene.runtime.now(), scene.faults.lock().unwrap().calls);
         for n in 0..140 {
             scene.ask(&format!("r{n}"), "draft").await;
-            scene.world.sleep(60 * MS).await;
+            scene.runtime.sleep(60 * MS).await;
         }
         let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST";
         let last = scene
@@ -232,13 +232,13 @@
             scene.relist(list(&["draining", "up", "draining", "up"]));
             for n in 0..80 {
                 assert_eq!(scene.ask(&format!("down{n}"), "draft").await.status, 200);
-                scene.world.sleep(100 * MS).await;
+                scene.runtime.sleep(100 * MS).await;
             }
             scene.faults.lock().unwrap().always = None;
-            let back = scene.world.now();
+            let back = scene.runtime.now();
             for n in 0..60 {
                 scene.ask(&format!("up{n}"), "draft").await;
-                scene.world.sleep(50 * MS).await;
+                scene.runtime.sleep(50 * MS).await;
             }
             let at = |seen: &&Seen| {
                 matches!(seen.engine, 0 | 2) && seen.method == "POST" && seen.at > back
@@ -260,15 +260,15 @@
 fn a_start_without_discovery_is_ready_soon_after_its_return() {
     let rig = Rig::new(|_| Play::Usual);
     rig.faults.lock().unwrap().always = Some(Told::Silent);
-    let (faults, client) = (rig.faults.clone(), rig.client.world());
-    let (world, config) = (rig.world.clone(), rig.config());
+    let (faults, client) = (rig.faults.clone(), rig.client.runtime());
+    let (runtime, config) = (rig.runtime.clone(), rig.config());
     let played = rig.sim.run(&rig.node, DAY, async move {
-        let service = ivyward_platform::Service::start(world.clone(), config)
+        let service = ivyward_platform::Service::start(runtime.clone(), config)
             .await
             .unwrap();
-        world.sleep(8_000 * MS).await;
+        runtime.sleep(8_000 * MS).await;
         faults.lock().unwrap().always = None;
-        world.sleep(1_000 * MS).await;
+        runtime.sleep(1_000 * MS).await;
         let mut conn = client.connect(service.address()).await.unwrap();
         futures_lite::AsyncWriteExt::write_all(&mut conn, b"GET /healthz HTTP/1.1\r\n\r\n")
             .await
@@ -295,12 +295,12 @@
             told.always = Some(Told::Silent);
             told.silence();
         }
-        scene.world.sleep(100 * MS).await;
+        scene.runtime.sleep(100 * MS).await;
         scene
             .service
             .reload(&Config::parse("f", moved.as_bytes()).unwrap());
-        scene.world.sleep(50 * MS).await;
-        let told = scene.world.now();
+        scene.runtime.sleep(50 * MS).await;
+        let told = scene.runtime.now();
         for n in 0..20 {
             scene.ask(&format!("r{n}"), "draft").await;
         }
--- a/crates/ivyward-world/src/io.rs
+++ b/crates/ivyward-runtime/src/io.rs
@@ -1,6 +1,6 @@
 //! Connections under the I/O traits that h2 and hyper expect. Only the traits are used; no runtime runs.
 
-use crate::{BoxFuture, WorldRef};
+use crate::{BoxFuture, RuntimeRef};
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::future::Future;
 use std::io::{self, IoSlice};
@@ -104,7 +104,7 @@
 
 /// Runs hyper's tasks in a world.
 #[derive(Clone)]
-pub struct Tasks(pub WorldRef);
+pub struct Tasks(pub RuntimeRef);
 
 impl<F: Future + Send + 'static> hyper::rt::Executor<F> for Tasks
 where
--- a/crates/ivyward-world/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clock, timers, tasks, sockets and randomness behind one small trait.
 //!
-//! - [`World`]: what a node, an engine stand-in or a client may ask of its surroundings.
-//! - [`SmolWorld`]: the real surroundings, on async-io and async-executor.
+//! - [`Runtime`]: what a node, an engine stand-in or a client may ask of its surroundings.
+//! - [`SmolRuntime`]: the real surroundings, on async-io and async-executor.
 //! - [`metered`]: the same world, with what goes through a handle counted.
 //! - [`io`]: the same connections under the I/O traits of hyper and h2.
 //!
@@ -15,7 +15,7 @@
 
 pub use metered::{metered, Meter, Usage};
 pub use origin::ErrorOrigin;
-pub use smol::SmolWorld;
+pub use smol::SmolRuntime;
 
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::future::Future;
@@ -78,7 +78,7 @@
 pub type Conn = Box<dyn Connection>;
 
 /// The surroundings of one process: a node, an engine stand-in, a client.
-pub trait World: Send + Sync + 'static {
+pub trait Runtime: Send + Sync + 'static {
     /// Microseconds since some fixed moment before this process began. Never goes back.
     fn now(&self) -> Micros;
     /// Microseconds since the Unix epoch, by a clock that may jump. Only for times that are shown or exchanged.
@@ -98,10 +98,10 @@
 }
 
 /// A world as it is handed around.
-pub type WorldRef = Arc<dyn World>;
+pub type RuntimeRef = Arc<dyn Runtime>;
 
 /// What most code asks for in one word; for every world.
-pub trait WorldExt {
+pub trait RuntimeExt {
     /// Waits for a span of microseconds.
     fn sleep(&self, span: Micros) -> BoxFuture<()>;
     /// Spawns a task given as a plain future.
@@ -110,7 +110,7 @@
     fn unit(&self) -> f64;
 }
 
-impl<W: World + ?Sized> WorldExt for W {
+impl<W: Runtime + ?Sized> RuntimeExt for W {
     fn sleep(&self, span: Micros) -> BoxFuture<()> {
         self.sleep_until(self.now().saturating_add(span))
     }
@@ -123,9 +123,13 @@
 }
 
 /// The result of a future, or `None` if the clock shows `at` first.
-pub async fn before<T>(world: &WorldRef, at: Micros, future: impl Future<Output = T>) -> Option<T> {
+pub async fn before<T>(
+    runtime: &RuntimeRef,
+    at: Micros,
+    future: impl Future<Output = T>,
+) -> Option<T> {
     futures_lite::future::or(async { Some(future.await) }, async {
-        world.sleep_until(at).await;
+        runtime.sleep_until(at).await;
         None
     })
     .await
--- a/crates/ivyward-world/src/metered.rs
+++ b/crates/ivyward-runtime/src/metered.rs
@@ -1,7 +1,8 @@
 //! A world that counts what goes through it: bytes, reads and writes of its connections, and the time its tasks run.
 
 use crate::{
-    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, World, WorldRef,
+    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, Runtime,
+    RuntimeRef,
 };
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::future::Future;
@@ -81,66 +82,70 @@
 }
 
 /// The same world, with what is done through this handle counted.
-pub fn metered(world: &WorldRef, meter: &Arc<Meter>) -> WorldRef {
+pub fn metered(runtime: &RuntimeRef, meter: &Arc<Meter>) -> RuntimeRef {
     Arc::new(Metered {
-        world: world.clone(),
+        runtime: runtime.clone(),
         meter: meter.clone(),
     })
 }
 
 struct Metered {
-    world: WorldRef,
+    runtime: RuntimeRef,
     meter: Arc<Meter>,
 }
 
-impl World for Metered {
+impl Runtime for Metered {
     fn now(&self) -> Micros {
-        self.world.now()
+        self.runtime.now()
     }
     fn unix_micros(&self) -> Micros {
-        self.world.unix_micros()
+        self.runtime.unix_micros()
     }
     fn sleep_until(&self, at: Micros) -> BoxFuture<()> {
-        self.world.sleep_until(at)
+        self.runtime.sleep_until(at)
     }
     fn spawn(&self, task: BoxFuture<()>) {
-        let (world, meter) = (self.world.clone(), self.meter.clone());
-        self.world.spawn(Box::pin(Timed { task, world, meter }));
+        let (runtime, meter) = (self.runtime.clone(), self.meter.clone());
+        self.runtime.spawn(Box::pin(Timed {
+            task,
+            runtime,
+            meter,
+        }));
     }
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Conn>> {
-        let (connecting, meter) = (self.world.connect(to), self.meter.clone());
+        let (connecting, meter) = (self.runtime.connect(to), self.meter.clone());
         Box::pin(async move { Ok(meter.watch(connecting.await?)) })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         Ok(Box::new(MeteredListener {
-            listener: self.world.listen(at)?,
+            listener: self.runtime.listen(at)?,
             meter: self.meter.clone(),
         }))
     }
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
         Ok(Box::new(MeteredDatagrams {
-            socket: self.world.datagrams(at)?,
+            socket: self.runtime.datagrams(at)?,
             meter: self.meter.clone(),
         }))
     }
     fn random(&self) -> u64 {
-        self.world.random()
+        self.runtime.random()
     }
 }
 
 /// A task whose polls are timed.
 struct Timed {
     task: BoxFuture<()>,
-    world: WorldRef,
+    runtime: RuntimeRef,
     meter: Arc<Meter>,
 }
 
 impl Future for Timed {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        let began = self.world.now();
+        let began = self.runtime.now();
         let polled = self.task.as_mut().poll(cx);
-        let took = self.world.now().saturating_sub(began);
+        let took = self.runtime.now().saturating_sub(began);
         self.meter.busy.fetch_add(took, Ordering::Relaxed);
         polled
     }
--- a/crates/ivyward-world/src/smol.rs
+++ b/crates/ivyward-runtime/src/smol.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::disallowed_methods, clippy::disallowed_types)] // The one place that may ask the system.
 
 use crate::{
-    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, World,
+    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, Runtime,
 };
 use async_executor::Executor;
 use async_net::{TcpListener, TcpStream};
@@ -24,9 +24,9 @@
 /// How many connections may wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// An executor with threads of its own, the system's clock and sockets. [`SmolWorld::stop`], or dropping the
+/// An executor with threads of its own, the system's clock and sockets. [`SmolRuntime::stop`], or dropping the
 /// last handle, ends its tasks and closes their sockets, as the death of a process would.
-pub struct SmolWorld {
+pub struct SmolRuntime {
     begun: Instant,
     random: Mutex<SmallRng>,
     executor: Weak<Executor<'static>>,
@@ -74,9 +74,9 @@
     }
 }
 
-impl SmolWorld {
-    /// Starts `threads` threads (at least one). `seed` feeds [`World::random`].
-    pub fn start(threads: usize, seed: u64) -> Arc<SmolWorld> {
+impl SmolRuntime {
+    /// Starts `threads` threads (at least one). `seed` feeds [`Runtime::random`].
+    pub fn start(threads: usize, seed: u64) -> Arc<SmolRuntime> {
         let executor = Arc::new(Executor::new());
         let stopped = Arc::new(AtomicBool::new(false));
         let (mut handles, mut wake) = (Vec::new(), Vec::new());
@@ -100,7 +100,7 @@
                 handles.push(handle);
             }
         }
-        Arc::new(SmolWorld {
+        Arc::new(SmolRuntime {
             begun: Instant::now(),
             random: Mutex::new(SmallRng::seed_from_u64(seed)),
             executor: Arc::downgrade(&executor),
@@ -146,13 +146,13 @@
     }
 }
 
-impl Drop for SmolWorld {
+impl Drop for SmolRuntime {
     fn drop(&mut self) {
         self.stop();
     }
 }
 
-impl World for SmolWorld {
+impl Runtime for SmolRuntime {
     fn now(&self) -> Micros {
         self.begun.elapsed().as_micros() as Micros + BEFORE
     }
--- a/crates/ivyward-world/tests/metered.rs
+++ b/crates/ivyward-runtime/tests/metered.rs
@@ -1,7 +1,7 @@
 //! What a metered world counts.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_world::{metered, Meter, SmolWorld, WorldRef};
+use ivyward_runtime::{metered, Meter, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 
 #[test]
 fn bytes_and_connections_are_counted_on_both_sides() {
-    let smol = SmolWorld::start(1, 1);
-    let plain: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(1, 1);
+    let plain: RuntimeRef = smol.clone();
     let (dialler, acceptor) = (Arc::new(Meter::default()), Arc::new(Meter::default()));
     let (dialling, accepting) = (metered(&plain, &dialler), metered(&plain, &acceptor));
     smol.block_on(async {
@@ -54,14 +54,14 @@
 
 #[test]
 fn datagrams_are_counted() {
-    let smol = SmolWorld::start(1, 1);
-    let plain: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(1, 1);
+    let plain: RuntimeRef = smol.clone();
     let meter = Arc::new(Meter::default());
-    let world = metered(&plain, &meter);
+    let runtime = metered(&plain, &meter);
     smol.block_on(async {
         let (one, mut other) = (
-            world.datagrams(any()).unwrap(),
-            world.datagrams(any()).unwrap(),
+            runtime.datagrams(any()).unwrap(),
+            runtime.datagrams(any()).unwrap(),
         );
         one.send(b"four", other.address()).unwrap();
         let mut into = [0; 16];
--- a/crates/ivyward-world/tests/peer.rs
+++ b/crates/ivyward-runtime/tests/peer.rs
@@ -1,30 +1,32 @@
 //! The other side of a connection, looked at from beside it, on loopback sockets.
 
 use futures_lite::AsyncWriteExt;
-use ivyward_world::{Conn, SmolWorld, WorldExt, WorldRef};
+use ivyward_runtime::{Conn, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
 
-async fn pair(world: &WorldRef) -> (Conn, Conn) {
-    let mut listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-    let theirs = world.connect(listener.address()).await.unwrap();
+async fn pair(runtime: &RuntimeRef) -> (Conn, Conn) {
+    let mut listener = runtime
+        .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
+        .unwrap();
+    let theirs = runtime.connect(listener.address()).await.unwrap();
     let (ours, _) = listener.accept().await.unwrap();
     (ours, theirs)
 }
 
 /// A loopback close is there at once or soon: waits for it, for as long as the test runner lets it.
-async fn until_left(world: &WorldRef, peer: &dyn ivyward_world::Peer) {
+async fn until_left(runtime: &RuntimeRef, peer: &dyn ivyward_runtime::Peer) {
     while !peer.left() {
-        world.sleep(1_000).await;
+        runtime.sleep(1_000).await;
     }
 }
 
 #[test]
 fn closed_reset_half_closed_and_dropped_here() {
-    let smol = SmolWorld::start(1, 1);
-    let world: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(1, 1);
+    let runtime: RuntimeRef = smol.clone();
     smol.block_on(async {
         for how in 0..4 {
-            let (ours, mut theirs) = pair(&world).await;
+            let (ours, mut theirs) = pair(&runtime).await;
             let peer = ours.peer();
             assert!(!peer.left());
             match how {
@@ -48,7 +50,7 @@
                     continue;
                 }
             }
-            until_left(&world, &*peer).await;
+            until_left(&runtime, &*peer).await;
         }
     });
     smol.stop();
@@ -57,10 +59,10 @@
 /// Looking takes nothing of what came, and bytes that wait hide the end.
 #[test]
 fn looking_takes_nothing() {
-    let smol = SmolWorld::start(1, 1);
-    let world: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(1, 1);
+    let runtime: RuntimeRef = smol.clone();
     smol.block_on(async {
-        let (mut ours, mut theirs) = pair(&world).await;
+        let (mut ours, mut theirs) = pair(&runtime).await;
         theirs.write_all(b"ab").await.unwrap();
         drop(theirs);
         let peer = ours.peer();
@@ -70,7 +72,7 @@
             .await
             .unwrap();
         assert_eq!(bytes, b"ab");
-        until_left(&world, &*peer).await;
+        until_left(&runtime, &*peer).await;
     });
     smol.stop();
 }
--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -1,7 +1,7 @@
 //! A virtual world from one seed.
 //!
 //! - [`Sim`]: the whole of it; [`Sim::run`] plays it until a future is done, and says so when it cannot go on.
-//! - [`Host`]: a process in it, which implements [`ivyward_world::World`]; it can die, freeze and have a wrong clock.
+//! - [`Host`]: a process in it, which implements [`ivyward_runtime::Runtime`]; it can die, freeze and have a wrong clock.
 //! - [`Net`]: what the network does between hosts, and [`Sim::cut`] for partitions.
 //!
 //! One thread polls one task at a time. Which of several ready tasks is next, and which of several events at one instant,
@@ -13,7 +13,7 @@
 pub use net::Net;
 pub use tasks::Stuck;
 
-use ivyward_world::{BoxFuture, Conn, Datagrams, Listener, Micros, World, WorldRef};
+use ivyward_runtime::{BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeRef};
 use net::Network;
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -268,12 +268,12 @@
         self.id
     }
     /// It, as the rest of the program holds a world.
-    pub fn world(self: &Arc<Self>) -> WorldRef {
+    pub fn runtime(self: &Arc<Self>) -> RuntimeRef {
         self.clone()
     }
 }
 
-impl World for Host {
+impl Runtime for Host {
     fn now(&self) -> Micros {
         self.inner.lock().now
     }
--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -2,7 +2,7 @@
 
 use crate::{HostId, Inner, State};
 use futures_lite::{AsyncRead, AsyncWrite};
-use ivyward_world::{
+use ivyward_runtime::{
     BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer,
 };
 use rand::RngExt;
--- a/crates/ivyward-sim/src/tasks.rs
+++ b/crates/ivyward-sim/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Tasks of all hosts, polled one at a time in an order that the seed draws.
 
 use crate::HostId;
-use ivyward_world::{BoxFuture, Micros};
+use ivyward_runtime::{BoxFuture, Micros};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/ivyward-sim/tests/world.rs
+++ b/crates/ivyward-sim/tests/virtual_runtime.rs
@@ -2,8 +2,8 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use ivyward_runtime::{Conn, Runtime, RuntimeExt, RuntimeRef};
 use ivyward_sim::{Host, Net, Sim, Stuck};
-use ivyward_world::{Conn, World, WorldExt, WorldRef};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 
 /// A server that sends back what it reads.
 fn echo(host: &Arc<Host>, port: u16) -> SocketAddr {
-    let world: WorldRef = host.world();
-    let mut listener = world
+    let runtime: RuntimeRef = host.runtime();
+    let mut listener = runtime
         .listen(SocketAddr::from(([127, 0, 0, 1], port)))
         .unwrap();
     let address = listener.address();
-    let inner = world.clone();
-    world.run(async move {
+    let inner = runtime.clone();
+    runtime.run(async move {
         loop {
             let Ok((mut conn, _)) = listener.accept().await else {
                 return;
@@ -58,16 +58,16 @@
         ..Net::default()
     });
     let address = echo(&b, 0);
-    let world = a.world();
+    let runtime = a.runtime();
     let took = sim.run(&a, DAY, async move {
-        let begun = world.now();
-        world.sleep(3_600_000_000).await;
-        assert_eq!(world.now() - begun, 3_600_000_000);
-        let mut conn = world.connect(address).await.unwrap();
-        let opened = world.now();
+        let begun = runtime.now();
+        runtime.sleep(3_600_000_000).await;
+        assert_eq!(runtime.now() - begun, 3_600_000_000);
+        let mut conn = runtime.connect(address).await.unwrap();
+        let opened = runtime.now();
         assert_eq!(opened - begun, 3_600_002_000, "there and back");
         assert_eq!(say(&mut conn, &[7; 500]).await.unwrap(), [7; 500]);
-        world.now() - opened
+        runtime.now() - opened
     });
     // A way each and half a millisecond of bytes each.
     assert_eq!(took, Ok(3_000));
@@ -86,12 +86,12 @@
         );
         let (a, b) = (sim.host(1), sim.host(2));
         let address = echo(&b, 0);
-        let world = a.world();
+        let runtime = a.runtime();
         let order = sim.run(&a, DAY, async move {
             let (tell, told) = async_channel::unbounded();
             for i in 0..20u8 {
-                let (one, tell) = (world.clone(), tell.clone());
-                world.run(async move {
+                let (one, tell) = (runtime.clone(), tell.clone());
+                runtime.run(async move {
                     let mut conn = one.connect(address).await.unwrap();
                     assert_eq!(say(&mut conn, &[i; 300]).await.unwrap(), [i; 300]);
                     tell.try_send(i).unwrap();
@@ -121,9 +121,9 @@
     assert!(
         matches!(stuck, Err(Stuck::Nothing { waiting, .. }) if waiting.get(&a.id()) == Some(&1))
     );
-    let world = a.world();
+    let runtime = a.runtime();
     assert_eq!(
-        sim.run(&a, 5_000_000, async move { world.sleep(DAY).await }),
+        sim.run(&a, 5_000_000, async move { runtime.sleep(DAY).await }),
         Err(Stuck::Late { at: 5_000_000 })
     );
 }
@@ -149,9 +149,9 @@
         Some(ErrorKind::AddrInUse)
     );
     sim.kill(b.id(), true);
-    let world = a.world();
+    let runtime = a.runtime();
     let refused = sim.run(&a, DAY, async move {
-        world.connect(address).await.err().map(|e| e.kind())
+        runtime.connect(address).await.err().map(|e| e.kind())
     });
     assert_eq!(refused, Ok(Some(ErrorKind::ConnectionRefused)));
     let back = sim.host(3);
@@ -165,14 +165,14 @@
     for word in [true, false] {
         let (sim, a, b) = two(Net::default());
         let address = echo(&b, 0);
-        let (world, all, dead) = (a.world(), sim.clone(), b.id());
+        let (runtime, all, dead) = (a.runtime(), sim.clone(), b.id());
         let heard = sim.run(&a, DAY, async move {
-            let mut conn = world.connect(address).await.unwrap();
+            let mut conn = runtime.connect(address).await.unwrap();
             say(&mut conn, b"x").await.unwrap();
             all.kill(dead, word);
             let read = async { say(&mut conn, b"y").await.err().map(|e| e.kind()) };
             or(read, async {
-                world.sleep(60_000_000).await;
+                runtime.sleep(60_000_000).await;
                 None
             })
             .await
@@ -190,13 +190,13 @@
 fn a_machine_that_is_back_knows_no_old_connection() {
     let (sim, a, b) = two(Net::default());
     let address = echo(&b, 0);
-    let (world, all, dead) = (a.world(), sim.clone(), b.id());
+    let (runtime, all, dead) = (a.runtime(), sim.clone(), b.id());
     let heard = sim.run(&a, DAY, async move {
-        let mut conn = world.connect(address).await.unwrap();
+        let mut conn = runtime.connect(address).await.unwrap();
         say(&mut conn, b"x").await.unwrap();
         all.kill(dead, false);
         conn.write_all(b"lost").await.unwrap();
-        world.sleep(1_000_000).await;
+        runtime.sleep(1_000_000).await;
         echo(&all.host(3), address.port());
         say(&mut conn, b"y").await.err().map(|e| e.kind())
     });
@@ -211,15 +211,15 @@
         ..Net::default()
     });
     let address = echo(&b, 0);
-    let (world, all, ids) = (a.world(), sim.clone(), (a.id(), b.id()));
+    let (runtime, all, ids) = (a.runtime(), sim.clone(), (a.id(), b.id()));
     let done = sim.run(&a, DAY, async move {
-        let mut conn = world.connect(address).await.unwrap();
+        let mut conn = runtime.connect(address).await.unwrap();
         // The answer's way, not the question's.
         all.cut(ids.1, ids.0, true);
         conn.write_all(b"one").await.unwrap();
         let mut buf = [0; 3];
         let early = or(async { Some(conn.read_exact(&mut buf).await) }, async {
-            world.sleep(10_000_000).await;
+            runtime.sleep(10_000_000).await;
             None
         });
         assert!(early.await.is_none());
@@ -231,15 +231,15 @@
         // Nobody is dialled over a cut either.
         all.cut(ids.0, ids.1, true);
         let dial = or(
-            async { Some(world.connect(address).await.is_ok()) },
+            async { Some(runtime.connect(address).await.is_ok()) },
             async {
-                world.sleep(10_000_000).await;
+                runtime.sleep(10_000_000).await;
                 None
             },
         );
         assert_eq!(dial.await, None);
         all.cut(ids.0, ids.1, false);
-        assert!(world.connect(address).await.is_ok());
+        assert!(runtime.connect(address).await.is_ok());
     });
     assert_eq!(done, Ok(()));
 }
@@ -252,9 +252,9 @@
         ..Net::default()
     });
     let address = echo(&b, 0);
-    let (world, all, frozen) = (a.world(), sim.clone(), b.id());
+    let (runtime, all, frozen) = (a.runtime(), sim.clone(), b.id());
     let done = sim.run(&a, DAY, async move {
-        let mut conn = world.connect(address).await.unwrap();
+        let mut conn = runtime.connect(address).await.unwrap();
         say(&mut conn, b"x").await.unwrap();
         all.freeze(frozen, true);
         let mut wrote = 0;
@@ -263,7 +263,7 @@
                 wrote += conn.write(&[1; 30]).await.unwrap();
             }
         };
-        or(fill, world.sleep(1_000_000)).await;
+        or(fill, runtime.sleep(1_000_000)).await;
         assert_eq!(wrote, 100);
         all.freeze(frozen, false);
         let mut back = [0; 100];
@@ -276,7 +276,7 @@
 fn an_orderly_end_comes_after_the_bytes_and_a_hard_one_instead() {
     for hard in [false, true] {
         let (sim, a, b) = two(Net::default());
-        let (server, world) = (b.world(), a.world());
+        let (server, runtime) = (b.runtime(), a.runtime());
         let mut listener = server
             .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
             .unwrap();
@@ -290,7 +290,7 @@
             server.sleep(1_000_000).await;
         });
         let heard = sim.run(&a, DAY, async move {
-            let mut conn = world.connect(address).await.unwrap();
+            let mut conn = runtime.connect(address).await.unwrap();
             let mut text = Vec::new();
             let end = conn.read_to_end(&mut text).await.map_err(|e| e.kind());
             (text, end)
@@ -312,7 +312,7 @@
     assert_eq!(a.unix_micros() - b.unix_micros(), 3_600_000_000);
     assert_eq!(a.now(), b.now());
     let (tell, told) = async_channel::bounded::<()>(1);
-    let late = b.world();
+    let late = b.runtime();
     b.run(async move {
         late.sleep(10).await;
         tell.try_send(()).unwrap();
--- a/crates/ivyward-lab/src/badday.rs
+++ b/crates/ivyward-testbed/src/badday.rs
@@ -8,12 +8,12 @@
 use ivyward::follow::Follow;
 use ivyward::registration::State;
 use ivyward::NodeSettings;
-use ivyward_standins::audit::RULES;
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::Heard;
-use ivyward_standins::{Audit, Host, Role, Spec, Twist};
-use ivyward_world::{World, WorldExt};
+use ivyward_fakes::audit::RULES;
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::Heard;
+use ivyward_fakes::{Audit, Host, Role, Spec, Twist};
+use ivyward_runtime::{Runtime, RuntimeExt};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -144,7 +144,7 @@
         for engine in 0..scene.engines() {
             write_record(&scene, engine, Condition::Ready, None);
         }
-        scene.world.clone().block_on(async {
+        scene.runtime.clone().block_on(async {
             let all = scene.engines() as u64;
             let knows = |n: usize| {
                 scene
@@ -152,18 +152,18 @@
                     .is_none_or(|n| n.metrics().engines.get() == all)
             };
             while !(0..scene.nodes()).all(knows) {
-                scene.world.sleep(5_000).await;
+                scene.runtime.sleep(5_000).await;
             }
         });
     }
     let plan = Arc::new(day.plan.clone());
-    let tries = scene.world.clone().block_on(async {
+    let tries = scene.runtime.clone().block_on(async {
         let (done, wait) = async_channel::bounded::<()>(1);
         for (i, spell) in plan.spells.iter().enumerate() {
             let (scene, plan, spell, done) =
                 (scene.clone(), plan.clone(), spell.clone(), done.clone());
-            scene.world.clone().run(async move {
-                scene.world.sleep(spell.at).await;
+            scene.runtime.clone().run(async move {
+                scene.runtime.sleep(spell.at).await;
                 trouble(&scene, &plan, &spell, i).await;
                 drop(done);
             });
@@ -199,7 +199,7 @@
 
 /// Writes what the list says of an engine into the store, as the engine would.
 fn write_record(scene: &Scene, engine: usize, condition: Condition, since: Option<Micros>) -> bool {
-    let unix = scene.world.unix_micros();
+    let unix = scene.runtime.unix_micros();
     let started_ms = since.map_or(0, |at| {
         unix.saturating_sub(scene.log.now().saturating_sub(at)) / 1_000
     });
@@ -220,24 +220,24 @@
 async fn store_trouble(scene: &Arc<Scene>, spell: &Spell) {
     let part = spell.len / 6;
     scene.with_store(|s| s.fault(|f| f.mute_watches = true));
-    scene.world.sleep(part).await;
+    scene.runtime.sleep(part).await;
     scene.with_store(|s| {
         s.compact();
         s.fault(|f| f.mute_watches = false);
     });
-    scene.world.sleep(part).await;
+    scene.runtime.sleep(part).await;
     scene.with_store(Store::die);
-    scene.world.sleep(part).await;
+    scene.runtime.sleep(part).await;
     for _ in 0..50 {
         if scene.with_store(Store::come_up).is_none_or(|up| up.is_ok()) {
             break;
         }
-        scene.world.sleep(20_000).await;
+        scene.runtime.sleep(20_000).await;
     }
-    scene.world.sleep(part).await;
+    scene.runtime.sleep(part).await;
     scene.with_store(|s| s.cancel_watches());
     scene.with_store(|s| s.fault(|f| f.hang = true));
-    scene.world.sleep(part).await;
+    scene.runtime.sleep(part).await;
     scene.with_store(|s| s.fault(|f| f.hang = false));
 }
 
@@ -259,7 +259,7 @@
     for node in 0..scene.nodes() {
         // Nodes hear of it one after the other.
         scene
-            .world
+            .runtime
             .sleep((LIST_BEHIND + late) / scene.nodes() as u64)
             .await;
         scene.tell(node, engine).await;
@@ -270,7 +270,7 @@
 async fn crash(scene: &Arc<Scene>, plan: &Plan, engine: usize, spell: &Spell) {
     scene.engine(engine).die();
     list(scene, plan, engine, Condition::Gone, None, spell.at).await;
-    scene.world.sleep(spell.len / 2).await;
+    scene.runtime.sleep(spell.len / 2).await;
     come_back(scene, plan, engine, spell).await;
 }
 
@@ -280,7 +280,7 @@
         if scene.engine(engine).come_up(true).is_ok() {
             break;
         }
-        scene.world.sleep(20_000).await;
+        scene.runtime.sleep(20_000).await;
     }
     let since = Some(scene.log.now());
     list(
@@ -296,9 +296,9 @@
 
 async fn trouble(scene: &Arc<Scene>, plan: &Plan, spell: &Spell, no: usize) {
     let mut random = SmallRng::seed_from_u64(plan.seed.wrapping_mul(31).wrapping_add(no as u64));
-    let world = scene.world.clone();
+    let runtime = scene.runtime.clone();
     let size = spell.size;
-    let all = |engines: &[usize], change: &dyn Fn(&mut ivyward_standins::Faults)| {
+    let all = |engines: &[usize], change: &dyn Fn(&mut ivyward_fakes::Faults)| {
         engines.iter().for_each(|e| scene.engine(*e).fault(change));
     };
     match spell.kind {
@@ -310,13 +310,13 @@
         Trouble::Hang => {
             let hung = some(scene, &mut random, 0.2 * size, None);
             all(&hung, &|f| f.hang = true);
-            world.sleep(spell.len).await;
+            runtime.sleep(spell.len).await;
             all(&hung, &|f| f.hang = false);
         }
         Trouble::Slow => {
             let slow = some(scene, &mut random, 0.25, None);
             all(&slow, &|f| f.slow = 2.0 + 6.0 * size);
-            world.sleep(spell.len).await;
+            runtime.sleep(spell.len).await;
             all(&slow, &|f| f.slow = 1.0);
         }
         Trouble::Pauses => {
@@ -326,26 +326,26 @@
                 let one = engines[random.random_range(0..engines.len())];
                 let span = random.random_range(80_000..250_000);
                 scene.engine(one).fault(|f| f.hang = true);
-                world.sleep(span).await;
+                runtime.sleep(span).await;
                 scene.engine(one).fault(|f| f.hang = false);
-                world.sleep(span).await;
+                runtime.sleep(span).await;
             }
         }
         Trouble::BalancerCrash => {
             let node = random.random_range(0..scene.nodes());
             scene.kill_node(node);
-            world.sleep(spell.len / 2).await;
+            runtime.sleep(spell.len / 2).await;
             for _ in 0..50 {
                 if scene.start_node(node).is_ok() {
                     break;
                 }
-                world.sleep(20_000).await;
+                runtime.sleep(20_000).await;
             }
         }
         Trouble::OriginSlow => {
             let readers = some(scene, &mut random, 0.5, Some(Role::Reader));
             all(&readers, &|f| f.slow_link = 2.0 + 18.0 * size);
-            world.sleep(spell.len).await;
+            runtime.sleep(spell.len).await;
             all(&readers, &|f| f.slow_link = 1.0);
         }
         Trouble::AnswerLost => {
@@ -353,7 +353,7 @@
             all(&engines, &|f| {
                 (f.lose_answer, f.reset) = (0.06 * size, 0.06 * size)
             });
-            world.sleep(spell.len).await;
+            runtime.sleep(spell.len).await;
             all(&engines, &|f| (f.lose_answer, f.reset) = (0.0, 0.0));
         }
         Trouble::Ageing => {
@@ -362,7 +362,7 @@
                 all(&engines, &|f| {
                     f.slow = 1.0 + 5.0 * size * f64::from(step) / 10.0
                 });
-                world.sleep(spell.len / 10).await;
+                runtime.sleep(spell.len / 10).await;
             }
             let first = engines[0];
             all(&engines, &|f| f.slow = 1.0);
@@ -381,7 +381,7 @@
             for engine in some(scene, &mut random, 0.15 * size, None) {
                 scene.engine(engine).drain(true);
                 list(scene, plan, engine, Condition::Draining, None, spell.at).await;
-                world.sleep(spell.len / 2).await;
+                runtime.sleep(spell.len / 2).await;
                 scene.engine(engine).die();
                 list(scene, plan, engine, Condition::Gone, None, spell.at).await;
                 come_back(scene, plan, engine, spell).await;
@@ -408,7 +408,7 @@
                     (f.how, f.twist) = (Some(twist), 0.2 * size);
                     (f.refuse_stream, f.full, f.stall) = (0.1 * size, 0.1 * size, 0.02 * size);
                 });
-                world.sleep(spell.len / 8).await;
+                runtime.sleep(spell.len / 8).await;
                 scene.engine(engine).fault(|f| {
                     (f.twist, f.refuse_stream, f.full, f.stall) = (0.0, 0.0, 0.0, 0.0);
                 });
@@ -416,14 +416,14 @@
         }
         Trouble::DiscoveryStale => {
             store_trouble(scene, spell).await;
-            world.sleep(spell.len / 6).await;
+            runtime.sleep(spell.len / 6).await;
         }
         // These are the load's.
         Trouble::Burst
         | Trouble::HotKey
         | Trouble::HeavyTail
         | Trouble::GiveUp
-        | Trouble::RetryAbuse => world.sleep(spell.len).await,
+        | Trouble::RetryAbuse => runtime.sleep(spell.len).await,
     }
 }
 
--- a/crates/ivyward-lab/src/byhand.rs
+++ b/crates/ivyward-testbed/src/byhand.rs
@@ -4,13 +4,13 @@
 use crate::scene::{kind, ROLES};
 use futures_lite::future::or;
 use ivyward::registration::State;
+use ivyward_fakes::client::{deadline, last_word, GENERATE};
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::{Engine, Host, Log, Spec};
+use ivyward_grpc::{encode, Cause, Channel, Options};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_standins::client::{deadline, last_word, GENERATE};
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::{Engine, Host, Log, Spec};
-use ivyward_wire::{encode, Cause, Channel, Options};
-use ivyward_world::{SmolWorld, World, WorldRef};
+use ivyward_runtime::{Runtime, RuntimeRef, SmolRuntime};
 use std::io::{BufRead, Write};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -141,7 +141,7 @@
     engines: Vec<Mutex<Engine>>,
     store: Option<Store>,
     /// The log's clock.
-    world: Arc<SmolWorld>,
+    runtime: Arc<SmolRuntime>,
 }
 
 /// Specs of so many racks of one prefill, one mixed and two decode engines, at the pace of small models: 20,000 prompt
@@ -169,8 +169,8 @@
         port: u16,
         store: Option<SocketAddr>,
     ) -> Result<Fleet, ByHandError> {
-        let world = SmolWorld::start(1, 1);
-        let as_ref: WorldRef = world.clone();
+        let runtime = SmolRuntime::start(1, 1);
+        let as_ref: RuntimeRef = runtime.clone();
         let (log, host): (_, Arc<dyn Host>) = (Log::new(&as_ref), Arc::new(Threads));
         let mut engines = Vec::new();
         for (i, spec) in specs.into_iter().enumerate() {
@@ -188,7 +188,7 @@
         let mut fleet = Fleet {
             engines,
             store: None,
-            world,
+            runtime,
         };
         if let Some(address) = store {
             let store = Store::start_at(&host, 1, address)
@@ -265,7 +265,7 @@
             }
             match self.obey(&line) {
                 Ok(said) => println!("{said}"),
-                Err(e) => eprintln!("ivyward-lab: {e}"),
+                Err(e) => eprintln!("ivyward-testbed: {e}"),
             }
         }
         loop {
@@ -280,14 +280,14 @@
         let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
         let told = |kept| {
             if let ivyward_etcd::Kept::Trouble(e) = kept {
-                eprintln!("ivyward-lab: {e}; tried again");
+                eprintln!("ivyward-testbed: {e}; tried again");
             }
         };
         enlist::keep(
             &engine,
             endpoints.to_vec(),
             seconds,
-            fleet.world.unix_micros() / 1_000,
+            fleet.runtime.unix_micros() / 1_000,
             told,
         );
     }
@@ -303,11 +303,11 @@
     patience: std::time::Duration,
     out: &mut impl Write,
 ) -> Result<(bool, String), ByHandError> {
-    let world = SmolWorld::start(1, 1);
-    let as_ref: WorldRef = world.clone();
-    world.block_on(async {
+    let runtime = SmolRuntime::start(1, 1);
+    let as_ref: RuntimeRef = runtime.clone();
+    runtime.block_on(async {
         let error = |what: &str, e: &dyn std::fmt::Display| ByHandError::Ask(format!("{door}: {what}: {e}"));
-        let began = world.now();
+        let began = runtime.now();
         let conn = as_ref.connect(door).await.map_err(|e| error("cannot connect", &e))?;
         let channel = Channel::begin(&as_ref, conn, Options::default())
             .await
@@ -317,12 +317,12 @@
             .call(GENERATE, encode(&request), headers)
             .await
             .map_err(|e| error("the call broke", &e))?;
-        let ms = || (world.now() - began) as f64 / 1e3;
+        let ms = || (runtime.now() - began) as f64 / 1e3;
         let (mut tokens, mut first) = (0, None);
         let end = loop {
             let next = async { Some(call.next::<Tokens>().await) };
             let late = async {
-                world.sleep_until(began + patience.as_micros() as u64).await;
+                runtime.sleep_until(began + patience.as_micros() as u64).await;
                 None
             };
             match or(next, late).await {
--- a/crates/ivyward-lab/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_world::{Conn, Datagrams, Listener, Micros, WorldExt, WorldRef, MOST_DATAGRAM};
+use ivyward_runtime::{Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
 
 /// Passes on the datagrams for one node that come to its announced address, until the world ends.
 pub async fn datagrams(
-    world: WorldRef,
+    runtime: RuntimeRef,
     links: Links,
     mut door: Box<dyn Datagrams>,
     node: usize,
@@ -142,12 +142,12 @@
             .first_key_value()
             .map_or(Micros::MAX, |(key, _)| key.0);
         let came = or(async { Some(door.receive(&mut bytes).await) }, async {
-            world.sleep_until(due).await;
+            runtime.sleep_until(due).await;
             None
         });
         match came.await {
             None => {}
-            Some(Err(_)) => world.sleep(1_000).await,
+            Some(Err(_)) => runtime.sleep(1_000).await,
             Some(Ok((got, source))) => {
                 let from = {
                     let mut state = links.lock();
@@ -163,7 +163,7 @@
                     }
                 };
                 let fault = links.fault(from, me);
-                let lot = |share: f64| world.unit() < share;
+                let lot = |share: f64| runtime.unit() < share;
                 let lost = fault.cut || lot(fault.lose) || waiting.len() >= MOST_WAITING;
                 {
                     let mut state = links.lock();
@@ -173,18 +173,18 @@
                 if lost {
                     continue;
                 }
-                let jitter = (world.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
-                let at = world.now() + fault.delay_ms * 1_000 + jitter;
+                let jitter = (runtime.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
+                let at = runtime.now() + fault.delay_ms * 1_000 + jitter;
                 count += 1;
                 waiting.insert((at, count), bytes[..got].to_vec());
                 if lot(fault.repeat) {
                     count += 1;
-                    let again = at + (world.unit() * 1e6) as Micros;
+                    let again = at + (runtime.unit() * 1e6) as Micros;
                     waiting.insert((again, count), bytes[..got].to_vec());
                 }
             }
         }
-        let now = world.now();
+        let now = runtime.now();
         while let Some(entry) = waiting.first_entry().filter(|e| e.key().0 <= now) {
             // What the system does not take is lost, as on any way.
             let _ = door.send(&entry.remove(), to);
@@ -194,7 +194,7 @@
 
 /// Passes on the connections that one end opens to another, until the world ends.
 pub async fn streams(
-    world: WorldRef,
+    runtime: RuntimeRef,
     links: Links,
     mut door: Box<dyn Listener>,
     ends: (End, End),
@@ -203,14 +203,14 @@
     let open = Arc::new(());
     loop {
         let Ok((conn, _)) = door.accept().await else {
-            world.sleep(1_000).await;
+            runtime.sleep(1_000).await;
             continue;
         };
         if Arc::strong_count(&open) > MOST_STREAMS {
             continue;
         }
-        let (as_ref, links, place) = (world.clone(), links.clone(), open.clone());
-        world.run(async move {
+        let (as_ref, links, place) = (runtime.clone(), links.clone(), open.clone());
+        runtime.run(async move {
             stream(&as_ref, &links, conn, ends, to).await;
             drop(place);
         });
@@ -218,7 +218,7 @@
 }
 
 async fn stream(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     links: &Links,
     conn: Conn,
     (from, to): (End, End),
@@ -227,33 +227,33 @@
     let began = links.broken(from, to);
     let broken = async {
         while links.broken(from, to) == began {
-            world.sleep(5_000).await;
+            runtime.sleep(5_000).await;
         }
     };
     let both = async {
-        passable(world, links, from, to).await;
-        let Ok(target) = world.connect(address).await else {
+        passable(runtime, links, from, to).await;
+        let Ok(target) = runtime.connect(address).await else {
             return;
         };
         let (read, write) = futures_lite::io::split(conn);
         let (read_back, write_back) = futures_lite::io::split(target);
         // An end of one direction is passed on; the other goes on until its own.
-        let there = one_way(world, links, (from, to), read, write_back);
-        let back = one_way(world, links, (to, from), read_back, write);
+        let there = one_way(runtime, links, (from, to), read, write_back);
+        let back = one_way(runtime, links, (to, from), read_back, write);
         futures_lite::future::zip(there, back).await;
     };
     or(both, broken).await;
 }
 
 /// Waits until a link is not cut.
-async fn passable(world: &WorldRef, links: &Links, from: End, to: End) {
+async fn passable(runtime: &RuntimeRef, links: &Links, from: End, to: End) {
     while links.fault(from, to).cut {
-        world.sleep(5_000).await;
+        runtime.sleep(5_000).await;
     }
 }
 
 async fn one_way(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     links: &Links,
     (from, to): (End, End),
     mut read: impl futures_lite::AsyncRead + Unpin,
@@ -265,10 +265,10 @@
             Ok(got) if got > 0 => got,
             _ => break,
         };
-        passable(world, links, from, to).await;
+        passable(runtime, links, from, to).await;
         let delay = links.fault(from, to).delay_ms * 1_000;
         if delay > 0 {
-            world.sleep(delay).await;
+            runtime.sleep(delay).await;
         }
         if write.write_all(&chunk[..got]).await.is_err() || write.flush().await.is_err() {
             break;
--- a/crates/ivyward-lab/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -17,11 +17,11 @@
 use ivyward::core::interface::Settings;
 use ivyward::registration::State;
 use ivyward::NodeSettings;
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::Sight;
-use ivyward_standins::{audit, Audit, Engine, Host, Log, Role, Spec};
-use ivyward_world::{Micros, SmolWorld, World, WorldExt, WorldRef};
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::Sight;
+use ivyward_fakes::{audit, Audit, Engine, Host, Log, Role, Spec};
+use ivyward_runtime::{Micros, Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
 use links::{End, Links};
 use process::{Process, View};
 use std::collections::{BTreeMap, BTreeSet};
@@ -102,7 +102,7 @@
 
 /// A running rig.
 pub struct Cluster {
-    world: Arc<SmolWorld>,
+    runtime: Arc<SmolRuntime>,
     links: Links,
     log: Log,
     size: Size,
@@ -133,8 +133,8 @@
     /// [`ClusterError`].
     pub fn start(size: Size) -> Result<Cluster, ClusterError> {
         // The relays of hundreds of processes take more than one core; a late relay would look like a late node.
-        let world = SmolWorld::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
-        let as_ref: WorldRef = world.clone();
+        let runtime = SmolRuntime::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
+        let as_ref: RuntimeRef = runtime.clone();
         let (log, host): (Log, Arc<dyn Host>) = (Log::new(&as_ref), Arc::new(Threads));
         let rules = Settings {
             nodes: size.nodes as u32,
@@ -163,7 +163,7 @@
         let links = Links::default();
         let places = Vec::new();
         let mut cluster = Cluster {
-            world,
+            runtime,
             links,
             log,
             size,
@@ -182,22 +182,22 @@
 
     /// Opens the relays and works out each node's flags.
     fn wire_up(&mut self) -> Result<(), ClusterError> {
-        let world: WorldRef = self.world.clone();
+        let runtime: RuntimeRef = self.runtime.clone();
         let mut doors = Vec::new();
         for _ in 0..self.size.nodes {
-            doors.push(world.datagrams(local()).map_err(io("opening a relay"))?);
+            doors.push(runtime.datagrams(local()).map_err(io("opening a relay"))?);
         }
         let announced: Vec<SocketAddr> = doors.iter().map(|d| d.address()).collect();
         let mut held = Vec::new();
         for (node, door) in doors.into_iter().enumerate() {
             // A port that was free a moment ago; the node takes it.
-            let socket = world.datagrams(local()).map_err(io("finding a port"))?;
+            let socket = runtime.datagrams(local()).map_err(io("finding a port"))?;
             let real = socket.address();
             // Held until all are found: one that is free again is found twice.
             held.push(socket);
             self.links.source(real, node);
-            world.run(links::datagrams(
-                world.clone(),
+            runtime.run(links::datagrams(
+                runtime.clone(),
                 self.links.clone(),
                 door,
                 node,
@@ -255,11 +255,11 @@
     }
 
     fn relay(&self, from: End, to: End, address: SocketAddr) -> Result<SocketAddr, ClusterError> {
-        let world: WorldRef = self.world.clone();
-        let door = world.listen(local()).map_err(io("opening a relay"))?;
+        let runtime: RuntimeRef = self.runtime.clone();
+        let door = runtime.listen(local()).map_err(io("opening a relay"))?;
         let through = door.address();
-        world.run(links::streams(
-            world.clone(),
+        runtime.run(links::streams(
+            runtime.clone(),
             self.links.clone(),
             door,
             (from, to),
@@ -273,8 +273,8 @@
         &self.links
     }
     /// Its clock and tasks.
-    pub fn world(&self) -> &Arc<SmolWorld> {
-        &self.world
+    pub fn runtime(&self) -> &Arc<SmolRuntime> {
+        &self.runtime
     }
     /// What engines, clients and the script saw.
     pub fn log(&self) -> &Log {
@@ -347,12 +347,12 @@
 
     /// The views of all that run, by node.
     pub fn views(&self) -> BTreeMap<usize, View> {
-        let world: WorldRef = self.world.clone();
-        self.world.block_on(async {
+        let runtime: RuntimeRef = self.runtime.clone();
+        self.runtime.block_on(async {
             let mut views = BTreeMap::new();
             for node in self.running() {
                 if let Some(process) = self.process(node) {
-                    if let Some(view) = process.view(&world).await {
+                    if let Some(view) = process.view(&runtime).await {
                         views.insert(node, view);
                     }
                 }
@@ -405,14 +405,14 @@
         most: Micros,
         what: impl Fn(&Cluster, &BTreeMap<usize, View>) -> Vec<String>,
     ) -> Result<Micros, ClusterError> {
-        let began = self.world.now();
+        let began = self.runtime.now();
         loop {
             let views = self.views();
             let mut wrong = what(self, &views);
             if wrong.is_empty() {
-                return Ok(self.world.now() - began);
+                return Ok(self.runtime.now() - began);
             }
-            if self.world.now() - began > most {
+            if self.runtime.now() - began > most {
                 wrong.truncate(8);
                 return Err(ClusterError::Never(format!(
                     "after {} s: {}",
@@ -432,8 +432,8 @@
     }
     /// Lets a span go by.
     pub fn rest(&self, span: Micros) {
-        let world: WorldRef = self.world.clone();
-        self.world.block_on(world.sleep(span));
+        let runtime: RuntimeRef = self.runtime.clone();
+        self.runtime.block_on(runtime.sleep(span));
     }
 
     /// The five rules, from what engines and clients saw.
@@ -452,6 +452,6 @@
         self.places.clear();
         self.engines.clear();
         self.store = None;
-        self.world.stop();
+        self.runtime.stop();
     }
 }
