--- a/crates/ivyward-lab/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -3,10 +3,10 @@
 use crate::cluster::links::{End, Fault};
 use crate::cluster::plan::{Plan, Trouble};
 use crate::cluster::{id, Cluster, ClusterError};
+use ivyward_fakes::sight::{Effect, Heard};
+use ivyward_fakes::{Ask, Client, Habit};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::sight::{Effect, Heard};
-use ivyward_standins::{Ask, Client, Habit};
-use ivyward_world::{Micros, World, WorldExt, WorldRef};
+use ivyward_runtime::{Micros, Runtime, RuntimeExt, RuntimeRef};
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -99,32 +99,32 @@
             served: Arc::default(),
             at_work: Arc::new(()),
         };
-        let world: WorldRef = cluster.world().clone();
+        let runtime: RuntimeRef = cluster.runtime().clone();
         let nodes: Vec<usize> = nodes.collect();
         let pause = PAUSE.max(1_000_000 * nodes.len() as Micros / CALLS_S);
         for node in nodes {
             let Some(door) = cluster.process(node).map(|p| p.door) else {
                 continue;
             };
-            let (world, log) = (world.clone(), cluster.log().clone());
+            let (runtime, log) = (runtime.clone(), cluster.log().clone());
             let (over, made, served) = (load.over.clone(), load.made.clone(), load.served.clone());
             let place = load.at_work.clone();
-            world.clone().run(async move {
+            runtime.clone().run(async move {
                 // Not all in one moment.
-                world
-                    .sleep((world.unit() * 20.0 * pause as f64) as Micros)
+                runtime
+                    .sleep((runtime.unit() * 20.0 * pause as f64) as Micros)
                     .await;
                 let mut client: Option<Client> = None;
                 while !over.load(Ordering::SeqCst) {
                     if client.as_ref().is_none_or(|c| !c.usable()) {
-                        client = Client::connect(&world, &log, door).await.ok();
+                        client = Client::connect(&runtime, &log, door).await.ok();
                     }
                     if let Some(client) = &client {
                         let call = made.fetch_add(1, Ordering::SeqCst) + 1;
                         let end = client.ask(&ask(node, call)).await;
                         served.fetch_add(u64::from(end.how == Heard::Served), Ordering::SeqCst);
                     }
-                    world.sleep(pause).await;
+                    runtime.sleep(pause).await;
                 }
                 drop(place);
             });
@@ -167,7 +167,7 @@
     plan: &Plan,
     mut told: impl FnMut(&Came),
 ) -> Result<Report, ClusterError> {
-    let began = cluster.world().now();
+    let began = cluster.runtime().now();
     let joined = cluster.until_agreed(MOST_HEALING)?;
     let touched: BTreeSet<usize> = plan
         .episodes
@@ -184,7 +184,7 @@
     load.end(cluster);
     // What engines keep for a while is let go by then, or pinned.
     cluster.rest(1_000_000);
-    let seconds = (cluster.world().now() - began) as f64 / 1e6;
+    let seconds = (cluster.runtime().now() - began) as f64 / 1e6;
     let (datagrams, bytes) = cluster.links().total();
     let a_node = seconds * plan.nodes as f64;
     let audit = cluster.audit();
@@ -287,10 +287,10 @@
             }
         }
     }
-    let began = cluster.world().now();
+    let began = cluster.runtime().now();
     let (mut on, mut turned) = (true, began);
-    while cluster.world().now() < began + lasts_ms * 1_000 {
-        let now = cluster.world().now();
+    while cluster.runtime().now() < began + lasts_ms * 1_000 {
+        let now = cluster.runtime().now();
         if let Trouble::Flap(from, to, each) = fault {
             if now >= turned + each * 1_000 {
                 (on, turned) = (!on, now);
--- a/crates/ivyward-lab/src/cluster/process.rs
+++ b/crates/ivyward-testbed/src/cluster/process.rs
@@ -3,7 +3,7 @@
 use crate::child_process::end_with_parent;
 use crate::cluster::ClusterError;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_world::{before, WorldRef};
+use ivyward_runtime::{before, RuntimeRef};
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader};
@@ -220,9 +220,9 @@
     ///
     /// # Errors
     /// When it does not answer in time.
-    pub async fn ask(&self, world: &WorldRef, path: &str) -> std::io::Result<String> {
+    pub async fn ask(&self, runtime: &RuntimeRef, path: &str) -> std::io::Result<String> {
         let asking = async {
-            let mut conn = world.connect(self.admin).await?;
+            let mut conn = runtime.connect(self.admin).await?;
             let head = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
             conn.write_all(head.as_bytes()).await?;
             let mut text = String::new();
@@ -233,13 +233,13 @@
                 .unwrap_or_default())
         };
         let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-        before(world, world.now() + ASKING, asking)
+        before(runtime, runtime.now() + ASKING, asking)
             .await
             .unwrap_or_else(|| Err(late()))
     }
     /// Its view, if it answers.
-    pub async fn view(&self, world: &WorldRef) -> Option<View> {
-        View::read(&self.ask(world, "/peers").await.ok()?)
+    pub async fn view(&self, runtime: &RuntimeRef) -> Option<View> {
+        View::read(&self.ask(runtime, "/peers").await.ok()?)
     }
 }
 
--- a/crates/ivyward-lab/src/drains.rs
+++ b/crates/ivyward-testbed/src/drains.rs
@@ -8,11 +8,11 @@
 use ivyward::follow::Follow;
 use ivyward::registration::State;
 use ivyward::{Node, NodeSettings};
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::{Store, StoreFaults};
-use ivyward_standins::sight::Sight;
-use ivyward_standins::Host;
-use ivyward_world::{SmolWorld, WorldExt, WorldRef};
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::{Store, StoreFaults};
+use ivyward_fakes::sight::Sight;
+use ivyward_fakes::Host;
+use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -59,7 +59,7 @@
         "half open" => set(&|f| f.half_open = true),
         _ => set(&|f| f.rate = 60_000),
     };
-    scene.world.sleep(300_000).await;
+    scene.runtime.sleep(300_000).await;
     match kind {
         "mute and compacted" => {
             scene.with_store(|s| s.compact());
@@ -70,7 +70,7 @@
                 .with_store(Store::come_up)
                 .is_some_and(|up| up.is_err())
             {
-                scene.world.sleep(20_000).await;
+                scene.runtime.sleep(20_000).await;
             }
         }
         _ => {}
@@ -130,8 +130,8 @@
         drains,
         ..Followed::default()
     };
-    scene.world.clone().block_on(async {
-        scene.world.sleep(300_000).await;
+    scene.runtime.clone().block_on(async {
+        scene.runtime.sleep(300_000).await;
         let load = Load {
             requests: drains * 2 * span as usize / 5_000,
             rate: 200.0,
@@ -144,7 +144,7 @@
         });
         let (done, wait) = async_channel::bounded::<()>(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             for drain in 0..drains {
                 let engine = drain * 5 % one.engines();
                 match drain % 2 {
@@ -154,16 +154,16 @@
                         one.with_store(|s| s.delete(&key));
                     }
                 }
-                one.world.sleep(span).await;
+                one.runtime.sleep(span).await;
                 put(&one, engine, State::Ready);
-                one.world.sleep(span).await;
+                one.runtime.sleep(span).await;
             }
             drop(done);
         });
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let (tell, played) = async_channel::bounded(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let mut counts = BTreeMap::new();
             for kind in FAULTS
                 .iter()
@@ -172,7 +172,7 @@
             {
                 fault(&one, kind).await;
                 *counts.entry(*kind).or_insert(0) += 1;
-                one.world.sleep(250_000).await;
+                one.runtime.sleep(250_000).await;
             }
             let _ = tell.send(counts).await;
         });
@@ -251,31 +251,31 @@
         for i in 1..=fleet {
             store.put(&key(i), &record(i, "ready"));
         }
-        let world = SmolWorld::start(1, 1);
-        let as_ref: WorldRef = world.clone();
+        let runtime = SmolRuntime::start(1, 1);
+        let as_ref: RuntimeRef = runtime.clone();
         let node = Node::start(as_ref.clone(), NodeSettings { ..settings() }, None)?;
         let follow = Follow {
             endpoints: vec![store.address()],
             ..Follow::default()
         };
         let (following, began) = (node.clone(), as_ref.now());
-        world.run(async move { following.follow(follow).await });
+        runtime.run(async move { following.follow(follow).await });
         let known = |at_least: i64| {
-            let (node, world) = (node.clone(), as_ref.clone());
+            let (node, runtime) = (node.clone(), as_ref.clone());
             async move {
                 let m = node.metrics();
                 while m.engines.get() < fleet as u64 || (m.list_revision.get() as i64) < at_least {
-                    world.sleep(500).await;
+                    runtime.sleep(500).await;
                 }
             }
         };
-        let load = world.block_on(async {
+        let load = runtime.block_on(async {
             known(0).await;
             as_ref.now() - began
         });
         // A first change, so that the watch stands before the others are timed.
         let first = store.put(&key(1), &record(1, "draining"));
-        world.block_on(known(first));
+        runtime.block_on(known(first));
         let m = node.metrics();
         let (module, driver) = (m.module_us.get(), m.driver_us.get());
         for i in 0..count {
@@ -285,7 +285,7 @@
                 "ready"
             };
             let last = store.put(&key(i % fleet + 1), &record(i % fleet + 1, state));
-            world.block_on(known(last));
+            runtime.block_on(known(last));
         }
         let (module, driver) = (m.module_us.get() - module, m.driver_us.get() - driver);
         out.push(Change {
@@ -295,7 +295,7 @@
             driver: driver.saturating_sub(module) as f64 / count as f64,
             memory: memory().saturating_sub(before),
         });
-        world.stop();
+        runtime.stop();
     }
     Ok(out)
 }
--- a/crates/ivyward-lab/src/enlist.rs
+++ b/crates/ivyward-testbed/src/enlist.rs
@@ -4,8 +4,8 @@
 use ivyward::core::interface::ServerId;
 use ivyward::registration::{read, Record, Role, State, PREFIX, VERSION};
 use ivyward_etcd::{rpc, Client, EtcdOptions, Kept};
-use ivyward_standins::Engine;
-use ivyward_world::{SmolWorld, World, WorldRef};
+use ivyward_fakes::Engine;
+use ivyward_runtime::{Runtime, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -41,21 +41,21 @@
     told: impl FnMut(Kept) + Send + 'static,
 ) {
     let (key, record) = record(engine, State::Ready, started_ms);
-    engine.beside(move |world| {
+    engine.beside(move |runtime| {
         Box::pin(async move {
-            let client = Client::new(&world, endpoints, EtcdOptions::default());
+            let client = Client::new(&runtime, endpoints, EtcdOptions::default());
             client
-                .keep(&world, key.as_bytes(), record.into_bytes(), seconds, told)
+                .keep(&runtime, key.as_bytes(), record.into_bytes(), seconds, told)
                 .await;
         })
     });
 }
 
-fn client(endpoints: &[SocketAddr]) -> (Arc<SmolWorld>, Client) {
-    let world = SmolWorld::start(1, 1);
-    let as_ref: WorldRef = world.clone();
+fn client(endpoints: &[SocketAddr]) -> (Arc<SmolRuntime>, Client) {
+    let runtime = SmolRuntime::start(1, 1);
+    let as_ref: RuntimeRef = runtime.clone();
     (
-        world,
+        runtime,
         Client::new(&as_ref, endpoints.to_vec(), EtcdOptions::default()),
     )
 }
@@ -70,28 +70,28 @@
     mut record: serde_json::Value,
     lease: Option<i64>,
 ) -> Result<ExitCode, String> {
-    let (world, client) = client(endpoints);
-    record["started_ms"] = (world.unix_micros() / 1_000).into();
+    let (runtime, client) = client(endpoints);
+    record["started_ms"] = (runtime.unix_micros() / 1_000).into();
     let id = record["id"].as_u64().unwrap_or_default();
     let text = record.to_string();
     // What nodes would leave out is not written.
     read(ServerId(id), text.as_bytes(), 0).map_err(|e| e.to_string())?;
     let key = format!("{prefix}{id}");
-    world.clone().block_on(async {
+    runtime.clone().block_on(async {
         let Some(seconds) = lease else {
             client.put(key.as_bytes(), text.as_bytes(), 0).await.map_err(|e| e.to_string())?;
             return Ok(ExitCode::SUCCESS);
         };
-        let as_ref: WorldRef = world.clone();
+        let as_ref: RuntimeRef = runtime.clone();
         let mut end = ExitCode::SUCCESS;
         let told = |kept| match kept {
             Kept::Written(lease) => println!("registered {key} under lease {lease:x}"),
             Kept::Changed => println!("{key} was changed; the new record is kept"),
-            Kept::Trouble(e) => eprintln!("ivyward-lab: {e}; tried again"),
+            Kept::Trouble(e) => eprintln!("ivyward-testbed: {e}; tried again"),
             Kept::Deleted => println!("{key} was deleted; it is left so"),
             Kept::Taken(lease) => {
                 eprintln!(
-                    "ivyward-lab: {key} is held under another lease, {lease:x}: a later process of this id"
+                    "ivyward-testbed: {key} is held under another lease, {lease:x}: a later process of this id"
                 );
                 end = ExitCode::FAILURE;
             }
@@ -106,9 +106,9 @@
 /// # Errors
 /// A line that says why not.
 pub fn drain(endpoints: &[SocketAddr], prefix: &str, id: u64) -> Result<ExitCode, String> {
-    let (world, client) = client(endpoints);
+    let (runtime, client) = client(endpoints);
     let key = format!("{prefix}{id}").into_bytes();
-    world.block_on(async {
+    runtime.block_on(async {
         let ask = rpc::RangeRequest {
             key: key.clone(),
             ..rpc::RangeRequest::default()
--- a/crates/ivyward-lab/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -3,10 +3,10 @@
 use crate::plan::{Plan, Trouble};
 use crate::scene::{seen_effect, Scene};
 use ivyward::core::interface::Micros;
+use ivyward_fakes::sight::{Effect, Heard};
+use ivyward_fakes::{text, Ask, End, Habit};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::sight::{Effect, Heard};
-use ivyward_standins::{text, Ask, End, Habit};
-use ivyward_world::WorldExt;
+use ivyward_runtime::RuntimeExt;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -84,13 +84,13 @@
     let classes = scene.make().settings.classes.len();
     for session in draw(plan, load, scene.nodes(), classes) {
         scene
-            .world
+            .runtime
             .sleep((begun + session.begins).saturating_sub(scene.log.now()))
             .await;
         let (scene, plan, tries, done) = (scene.clone(), plan.clone(), tries.clone(), done.clone());
-        let world = scene.world.clone();
+        let runtime = scene.runtime.clone();
         let load = *load;
-        world.run(async move {
+        runtime.run(async move {
             follow(&scene, &plan, &load, &session, begun, &tries).await;
             drop(done);
         });
@@ -155,7 +155,7 @@
         .await;
         prompt.extend(text::answer(&prompt, output));
         let think = random.random_range(50_000..400_000);
-        scene.world.sleep(think).await;
+        scene.runtime.sleep(think).await;
     }
 }
 
@@ -214,7 +214,7 @@
         };
         let Some(end) = scene.send(&ask).await else {
             // Nobody there: nothing was sent.
-            scene.world.sleep(20_000).await;
+            scene.runtime.sleep(20_000).await;
             continue;
         };
         let how = end.how;
@@ -241,6 +241,6 @@
         if !again {
             return;
         }
-        scene.world.sleep(pause).await;
+        scene.runtime.sleep(pause).await;
     }
 }
--- a/crates/ivyward-lab/src/main.rs
+++ b/crates/ivyward-testbed/src/main.rs
@@ -1,25 +1,25 @@
 //! Scenarios, load and reports on loopback.
 
 use clap::{Parser, Subcommand};
-use ivyward_lab::badday::{self, Day};
-use ivyward_lab::byhand;
-use ivyward_lab::cluster;
-use ivyward_lab::drains;
-use ivyward_lab::enlist;
-use ivyward_lab::peernet;
-use ivyward_lab::plan::{Plan, Trouble};
-use ivyward_lab::relay;
-use ivyward_lab::scene::Runs;
-use ivyward_lab::seeds::{self, Size};
-use ivyward_lab::soak;
+use ivyward_fakes::{Role, Spec};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::{Role, Spec};
+use ivyward_testbed::badday::{self, Day};
+use ivyward_testbed::byhand;
+use ivyward_testbed::cluster;
+use ivyward_testbed::drains;
+use ivyward_testbed::enlist;
+use ivyward_testbed::peernet;
+use ivyward_testbed::plan::{Plan, Trouble};
+use ivyward_testbed::relay;
+use ivyward_testbed::scene::Runs;
+use ivyward_testbed::seeds::{self, Size};
+use ivyward_testbed::soak;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "ivyward-lab", version, about, max_term_width = 110)]
+#[command(name = "ivyward-testbed", version, about, max_term_width = 110)]
 struct Flags {
     #[command(subcommand)]
     what: What,
@@ -30,19 +30,19 @@
     /// Plays a bad day against real nodes and stand-in engines, and checks the five rules from what crossed the sockets.
     BadDay {
         /// Draws the day.
-        #[arg(long, env = "IVYWARD_LAB_SEED", default_value_t = 1)]
+        #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
         seed: u64,
         /// First tries.
-        #[arg(long, env = "IVYWARD_LAB_REQUESTS", default_value_t = 3_000, value_parser = clap::value_parser!(u64).range(1..=200_000))]
+        #[arg(long, env = "IVYWARD_TESTBED_REQUESTS", default_value_t = 3_000, value_parser = clap::value_parser!(u64).range(1..=200_000))]
         requests: u64,
         /// First tries a second, on the mean.
-        #[arg(long, env = "IVYWARD_LAB_RATE", default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=5_000))]
+        #[arg(long, env = "IVYWARD_TESTBED_RATE", default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=5_000))]
         rate: u64,
         /// Nodes.
-        #[arg(long, env = "IVYWARD_LAB_NODES", default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=32))]
+        #[arg(long, env = "IVYWARD_TESTBED_NODES", default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=32))]
         nodes: u64,
         /// Racks of one reader, one mixed engine and two writers.
-        #[arg(long, env = "IVYWARD_LAB_RACKS", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=32))]
+        #[arg(long, env = "IVYWARD_TESTBED_RACKS", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=32))]
         racks: u16,
         /// Only these kinds of trouble; may be given several times.
         #[arg(long, value_parser = Trouble::named)]
@@ -159,7 +159,7 @@
         #[arg(long, value_name = "PATH")]
         daemon: PathBuf,
         /// Draws the plan.
-        #[arg(long, env = "IVYWARD_LAB_SEED", default_value_t = 1)]
+        #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
         seed: u64,
         /// Node processes.
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=300))]
@@ -184,20 +184,20 @@
     /// what each role uses. Or, with --vary, one quantity alone at several sizes.
     Scale {
         #[command(flatten)]
-        flags: ivyward_lab::scale::command::ScaleFlags,
+        flags: ivyward_testbed::scale::command::ScaleFlags,
     },
     /// Works out what a deployment of a size takes, from slopes that scale runs kept; without flags, of the size to plan for.
     Capacity {
         #[command(flatten)]
-        flags: ivyward_lab::capacity::command::CapacityFlags,
+        flags: ivyward_testbed::capacity::command::CapacityFlags,
     },
     /// Plays one node's decisions among all engines of a fleet, in synthetic time, and says how far states are handed over.
     Handover {
         #[command(flatten)]
-        flags: ivyward_lab::handover::HandoverFlags,
+        flags: ivyward_testbed::handover::HandoverFlags,
     },
     /// A hollow process of a scale run, which starts it.
-    #[command(name = ivyward_lab::scale::child::SUBCOMMAND, hide = true)]
+    #[command(name = ivyward_testbed::scale::child::SUBCOMMAND, hide = true)]
     Hollow {
         /// What it is, as JSON.
         role: String,
@@ -355,7 +355,7 @@
 /// Runs a hollow process of a scale run.
 fn hollow(role: &str) -> Result<(), String> {
     let role = serde_json::from_str(role).map_err(|e| format!("{role:?}: {e}"))?;
-    ivyward_lab::scale::hollow::run(role).map_err(|e| e.to_string())
+    ivyward_testbed::scale::hollow::run(role).map_err(|e| e.to_string())
 }
 
 /// Where the store is.
@@ -454,7 +454,7 @@
             play.etcd = discovery == "etcd";
             if play.etcd && daemon.is_some() {
                 eprintln!(
-                    "ivyward-lab: --discovery etcd: goes with nodes in this process, not with --daemon"
+                    "ivyward-testbed: --discovery etcd: goes with nodes in this process, not with --daemon"
                 );
                 return ExitCode::FAILURE;
             }
@@ -572,7 +572,7 @@
             })
         }
         What::Handover { flags } => {
-            print!("{}", ivyward_lab::handover::play(flags).text());
+            print!("{}", ivyward_testbed::handover::play(flags).text());
             Ok(ExitCode::SUCCESS)
         }
         What::Hollow { role } => hollow(&role).map(|()| ExitCode::SUCCESS),
@@ -718,7 +718,7 @@
     match result {
         Ok(code) => code,
         Err(line) => {
-            eprintln!("ivyward-lab: {line}");
+            eprintln!("ivyward-testbed: {line}");
             ExitCode::FAILURE
         }
     }
@@ -938,7 +938,7 @@
         let (plan, unknown) = Plan::from_day(&text, play.plan.seed, play.plan.length)
             .map_err(|e| format!("--day {}: {e}", path.display()))?;
         for kind in unknown {
-            eprintln!("ivyward-lab: trouble {kind:?} is not known here and is left out");
+            eprintln!("ivyward-testbed: trouble {kind:?} is not known here and is left out");
         }
         play.plan = plan;
     }
--- a/crates/ivyward-lab/src/peerscene.rs
+++ b/crates/ivyward-testbed/src/peerscene.rs
@@ -3,7 +3,7 @@
 
 use ivyward::core::peers::Standing;
 use ivyward::{Node, PeerOptions, PeersHandle};
-use ivyward_world::{Datagrams, WorldExt, WorldRef, MOST_DATAGRAM};
+use ivyward_runtime::{Datagrams, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -22,15 +22,15 @@
     ///
     /// # Errors
     /// When a port cannot be taken.
-    pub fn open(world: &WorldRef, nodes: usize) -> std::io::Result<Addresses> {
+    pub fn open(runtime: &RuntimeRef, nodes: usize) -> std::io::Result<Addresses> {
         let mut addresses = Addresses::default();
         for node in 0..nodes {
-            let door = world.datagrams(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+            let door = runtime.datagrams(SocketAddr::from(([127, 0, 0, 1], 0)))?;
             let real = SocketAddr::from(([127, 0, 0, 1], 10_000 + node as u16));
             addresses.announced.push(door.address());
             addresses.real.push(real);
-            let (as_ref, astray) = (world.clone(), addresses.astray.clone());
-            world.run(async move { forward(&as_ref, door, real, &astray).await });
+            let (as_ref, astray) = (runtime.clone(), addresses.astray.clone());
+            runtime.run(async move { forward(&as_ref, door, real, &astray).await });
         }
         Ok(addresses)
     }
@@ -57,7 +57,7 @@
 }
 
 async fn forward(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     mut door: Box<dyn Datagrams>,
     to: SocketAddr,
     astray: &AtomicU64,
@@ -69,7 +69,7 @@
             Ok((got, _)) => {
                 let _ = door.send(&bytes[..got], to);
             }
-            Err(_) => world.sleep(1_000).await,
+            Err(_) => runtime.sleep(1_000).await,
         }
     }
 }
--- a/crates/ivyward-lab/src/relay.rs
+++ b/crates/ivyward-testbed/src/relay.rs
@@ -5,12 +5,12 @@
 use hdrhistogram::Histogram;
 use ivyward::core::interface::{Condition, ListKind, ServerEntry, ServerId};
 use ivyward::{Engine as Listed, Node, NodeSettings};
+use ivyward_fakes::engine::{Threads, Together};
+use ivyward_fakes::{text, Engine, Host, Log, Role, Spec};
+use ivyward_grpc::{encode, CallError, Channel, Options};
 use ivyward_proto::engine as pb;
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_standins::engine::{Threads, Together};
-use ivyward_standins::{text, Engine, Host, Log, Role, Spec};
-use ivyward_wire::{encode, CallError, Channel, Options};
-use ivyward_world::{Micros as Us, SmolWorld, WorldExt, WorldRef};
+use ivyward_runtime::{Micros as Us, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -61,16 +61,16 @@
 
 /// One engine that reads and writes, and one node in front of it, each with a thread of its own.
 struct Pair {
-    world: Arc<SmolWorld>,
+    runtime: Arc<SmolRuntime>,
     engine: Engine,
-    node_world: Arc<SmolWorld>,
+    node_runtime: Arc<SmolRuntime>,
     door: SocketAddr,
 }
 
 impl Pair {
     fn start(token_gap: Us) -> Result<Pair, SceneError> {
-        let world = SmolWorld::start(1, 1);
-        let as_ref: WorldRef = world.clone();
+        let runtime = SmolRuntime::start(1, 1);
+        let as_ref: RuntimeRef = runtime.clone();
         let host: Arc<dyn Host> = Arc::new(Threads);
         let spec = Spec {
             token_gap,
@@ -81,8 +81,8 @@
         };
         let engine =
             Engine::start(&host, &Log::new(&as_ref), spec).map_err(io("starting an engine"))?;
-        let node_world = SmolWorld::start(1, 2);
-        let node_ref: WorldRef = node_world.clone();
+        let node_runtime = SmolRuntime::start(1, 2);
+        let node_ref: RuntimeRef = node_runtime.clone();
         let settings = NodeSettings {
             connections_per_engine: 64,
             ..relay_settings()
@@ -103,12 +103,12 @@
             entry,
             address: engine.address(),
         }];
-        world.block_on(node.fleet(ListKind::Full, listed));
-        node_world.run(async move { node.serve(door).await });
+        runtime.block_on(node.fleet(ListKind::Full, listed));
+        node_runtime.run(async move { node.serve(door).await });
         Ok(Pair {
-            world,
+            runtime,
             engine,
-            node_world,
+            node_runtime,
             door: address,
         })
     }
@@ -122,21 +122,21 @@
         tokens: u32,
         spread: Us,
     ) -> Result<(Us, Vec<Us>), SceneError> {
-        let world: WorldRef = self.world.clone();
+        let runtime: RuntimeRef = self.runtime.clone();
         let to = if node {
             self.door
         } else {
             self.engine.address()
         };
         let firsts: Arc<Mutex<Vec<Us>>> = Arc::default();
-        self.world.clone().block_on(async {
+        self.runtime.clone().block_on(async {
             let mut channels = Vec::new();
             for _ in 0..count.div_ceil(PER_CONNECTION) {
-                let conn = world.connect(to).await.map_err(io("connecting"))?;
-                let channel = Channel::begin(&world, conn, Options::default()).await;
+                let conn = runtime.connect(to).await.map_err(io("connecting"))?;
+                let channel = Channel::begin(&runtime, conn, Options::default()).await;
                 channels.push(channel.map_err(|e| io("connecting")(std::io::Error::other(e)))?);
             }
-            let began = world.now();
+            let began = runtime.now();
             let (done, wait) = async_channel::bounded::<()>(1);
             for i in 0..count {
                 let (channel, firsts, done) = (
@@ -144,11 +144,11 @@
                     firsts.clone(),
                     done.clone(),
                 );
-                let world = world.clone();
+                let runtime = runtime.clone();
                 let at = began + spread * i as u64 / count as u64;
-                world.clone().run(async move {
-                    world.sleep_until(at).await;
-                    let first = one(&world, &channel, node, i as u32, tokens).await;
+                runtime.clone().run(async move {
+                    runtime.sleep_until(at).await;
+                    let first = one(&runtime, &channel, node, i as u32, tokens).await;
                     firsts
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
@@ -159,7 +159,7 @@
             drop(done);
             // Ends with an error when the last stream is over.
             let _ = wait.recv().await;
-            let took = world.now() - began;
+            let took = runtime.now() - began;
             channels.iter().for_each(Channel::close);
             let firsts =
                 std::mem::take(&mut *firsts.lock().unwrap_or_else(PoisonError::into_inner));
@@ -178,7 +178,13 @@
 }
 
 /// One stream to its end: the time to its first token, if all of it came.
-async fn one(world: &WorldRef, channel: &Channel, node: bool, i: u32, tokens: u32) -> Option<Us> {
+async fn one(
+    runtime: &RuntimeRef,
+    channel: &Channel,
+    node: bool,
+    i: u32,
+    tokens: u32,
+) -> Option<Us> {
     let prompt: Vec<u32> = (0..32).map(|t| t ^ (i << 8)).collect();
     let expected = text::length(text::digest(&prompt), tokens);
     let (path, body) = match node {
@@ -210,8 +216,8 @@
             ("/ivyward.engine.v1.Engine/Write", encode(&ask))
         }
     };
-    let began = world.now();
-    let told = |e: CallError| eprintln!("ivyward-lab: a stream broke: {e}");
+    let began = runtime.now();
+    let told = |e: CallError| eprintln!("ivyward-testbed: a stream broke: {e}");
     let mut call = channel
         .call(path, body, http::HeaderMap::new())
         .await
@@ -239,7 +245,7 @@
         };
         match more {
             Some(run) => {
-                first.get_or_insert_with(|| world.now() - began);
+                first.get_or_insert_with(|| runtime.now() - began);
                 got += run;
             }
             None => return first.filter(|_| got == expected as usize),
@@ -304,8 +310,8 @@
             ended: (ended_direct, ended_through),
             first: [ends(&firsts[0]), ends(&firsts[1])],
         });
-        fast.node_world.stop();
-        paced.node_world.stop();
+        fast.node_runtime.stop();
+        paced.node_runtime.stop();
     }
     Ok(rows)
 }
@@ -318,8 +324,8 @@
 pub fn costs(fleets: &[usize], requests: usize) -> Result<Vec<Cost>, SceneError> {
     let mut out = Vec::new();
     for &fleet in fleets {
-        let world = SmolWorld::start(2, 1);
-        let as_ref: WorldRef = world.clone();
+        let runtime = SmolRuntime::start(2, 1);
+        let as_ref: RuntimeRef = runtime.clone();
         let host: Arc<dyn Host> = Arc::new(Together(as_ref.clone()));
         let log = Log::new(&as_ref);
         let mut engines = Vec::new();
@@ -332,8 +338,8 @@
             };
             engines.push(Engine::start(&host, &log, spec).map_err(io("starting an engine"))?);
         }
-        let node_world = SmolWorld::start(1, 2);
-        let node_ref: WorldRef = node_world.clone();
+        let node_runtime = SmolRuntime::start(1, 2);
+        let node_ref: RuntimeRef = node_runtime.clone();
         let node = Node::start(node_ref, relay_settings(), None)?;
         let listed = engines.iter().enumerate().map(|(i, engine)| {
             let entry = ServerEntry {
@@ -349,17 +355,17 @@
                 address: engine.address(),
             }
         });
-        world.block_on(node.fleet(ListKind::Full, listed.collect()));
+        runtime.block_on(node.fleet(ListKind::Full, listed.collect()));
         let before = (
             node.metrics().module_us.get(),
             node.metrics().driver_us.get(),
         );
         let lanes = 16;
-        world.block_on(async {
+        runtime.block_on(async {
             let (done, wait) = async_channel::bounded::<()>(1);
             for lane in 0..lanes {
                 let (node, done) = (node.clone(), done.clone());
-                world.run(async move {
+                runtime.run(async move {
                     for i in 0..requests / lanes {
                         let words = |n: u32| {
                             (0..n)
@@ -392,8 +398,8 @@
             module,
             driver: (all - module).max(0.0),
         });
-        node_world.stop();
-        world.stop();
+        node_runtime.stop();
+        runtime.stop();
     }
     Ok(out)
 }
--- a/crates/ivyward-lab/src/scale/child.rs
+++ b/crates/ivyward-testbed/src/scale/child.rs
@@ -22,7 +22,7 @@
 }
 
 impl Hollow {
-    /// Starts one and waits until it runs. `program` is `ivyward-lab` itself.
+    /// Starts one and waits until it runs. `program` is `ivyward-testbed` itself.
     ///
     /// # Errors
     /// When it does not come up.
--- a/crates/ivyward-lab/src/scale/command.rs
+++ b/crates/ivyward-testbed/src/scale/command.rs
@@ -39,7 +39,7 @@
     #[arg(long, default_value_t = 5)]
     seconds: u64,
     /// Feeds all choices.
-    #[arg(long, env = "IVYWARD_LAB_SEED", default_value_t = 1)]
+    #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
     seed: u64,
     /// Varies one quantity alone instead, at sizes of its own, and draws lines through what each role used.
     #[arg(long)]
--- a/crates/ivyward-lab/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -7,10 +7,10 @@
 use crate::scene::classes;
 use ivyward::follow::{EtcdOptions, Follow};
 use ivyward::{Class, Node, NodeSettings, PeerOptions, PeerStore, Tenant};
-use ivyward_standins::engine::{Kill, Together};
-use ivyward_standins::etcd::Store;
-use ivyward_standins::{Engine, Host, Log, Role as EngineRole, Spec};
-use ivyward_world::{metered, Meter, SmolWorld, WorldExt, WorldRef};
+use ivyward_fakes::engine::{Kill, Together};
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::{Engine, Host, Log, Role as EngineRole, Spec};
+use ivyward_runtime::{metered, Meter, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,9 +28,9 @@
 struct MeteredThreads(Arc<Meter>);
 
 impl Host for MeteredThreads {
-    fn process(&self, seed: u64) -> (WorldRef, Kill) {
-        let smol = SmolWorld::start(THREADS, seed);
-        let plain: WorldRef = smol.clone();
+    fn process(&self, seed: u64) -> (RuntimeRef, Kill) {
+        let smol = SmolRuntime::start(THREADS, seed);
+        let plain: RuntimeRef = smol.clone();
         (metered(&plain, &self.0), Box::new(move || smol.stop()))
     }
 }
@@ -90,17 +90,17 @@
 /// # Errors
 /// When what it is to hold does not come up.
 pub fn run(role: Role) -> Result<(), ScaleError> {
-    let smol = SmolWorld::start(THREADS, u64::from(std::process::id()));
-    let (plain, meter): (WorldRef, Arc<Meter>) = (smol.clone(), Arc::default());
-    let world = metered(&plain, &meter);
-    let mut held = hold(role, &world, &meter)?;
+    let smol = SmolRuntime::start(THREADS, u64::from(std::process::id()));
+    let (plain, meter): (RuntimeRef, Arc<Meter>) = (smol.clone(), Arc::default());
+    let runtime = metered(&plain, &meter);
+    let mut held = hold(role, &runtime, &meter)?;
     say(&Reply::Ready(match &held {
         Held::Store(store) => Some(store.address()),
         _ => None,
     }));
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let reply = match serde_json::from_str::<Order>(&line) {
-            Ok(order) => smol.block_on(obey(&mut held, order, &meter, &world)),
+            Ok(order) => smol.block_on(obey(&mut held, order, &meter, &runtime)),
             Err(e) => Reply::Failed(format!("{line:?}: {e}")),
         };
         say(&reply);
@@ -116,7 +116,7 @@
     let _ = out.flush();
 }
 
-fn hold(role: Role, world: &WorldRef, meter: &Arc<Meter>) -> Result<Held, ScaleError> {
+fn hold(role: Role, runtime: &RuntimeRef, meter: &Arc<Meter>) -> Result<Held, ScaleError> {
     match role {
         Role::Store => {
             let host: Arc<dyn Host> = Arc::new(MeteredThreads(meter.clone()));
@@ -128,8 +128,8 @@
             count,
             store,
         } => {
-            let host: Arc<dyn Host> = Arc::new(Together(world.clone()));
-            let log = Log::forgetful(world);
+            let host: Arc<dyn Host> = Arc::new(Together(runtime.clone()));
+            let log = Log::forgetful(runtime);
             let mut engines = Vec::new();
             for id in first..first + count {
                 let engine = Engine::start(&host, &log, spec(id));
@@ -146,7 +146,7 @@
             tenants,
             classes,
         } => {
-            let start = |number| node(world, number, store, (tenants, classes));
+            let start = |number| node(runtime, number, store, (tenants, classes));
             Ok(Held::Nodes(
                 (first..first + count)
                     .map(start)
@@ -158,7 +158,7 @@
 
 /// A node that takes no requests.
 fn node(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     number: u64,
     store: SocketAddr,
     (tenant_count, class_count): (u64, u64),
@@ -170,13 +170,13 @@
         tenants: tenants(tenant_count),
         ..NodeSettings::default()
     };
-    let node = Node::start(world.clone(), settings, None).map_err(|e| failed(&e))?;
+    let node = Node::start(runtime.clone(), settings, None).map_err(|e| failed(&e))?;
     let follow = Follow {
         endpoints: vec![store],
         ..Follow::default()
     };
     let following = node.clone();
-    world.run(async move { following.follow(follow).await });
+    runtime.run(async move { following.follow(follow).await });
     let peer_store = PeerStore {
         endpoints: vec![store],
         prefix: ivyward::peers::NODES.into(),
@@ -193,7 +193,7 @@
     Ok(node)
 }
 
-async fn obey(held: &mut Held, order: Order, meter: &Meter, world: &WorldRef) -> Reply {
+async fn obey(held: &mut Held, order: Order, meter: &Meter, runtime: &RuntimeRef) -> Reply {
     match (order, held) {
         (Order::Count, Held::Nodes(nodes)) => Reply::Counted(node_counters(nodes)),
         (Order::Count, _) => Reply::Counted([("all".to_owned(), meter.usage().into())].into()),
@@ -220,7 +220,7 @@
         (Order::Change(count), Held::Store(store)) => change(store, count),
         (Order::Restart, Held::Store(store)) => {
             store.die();
-            world.sleep(500_000).await;
+            runtime.sleep(500_000).await;
             match store.come_up() {
                 Ok(()) => Reply::Done,
                 Err(e) => Reply::Failed(e.to_string()),
--- a/crates/ivyward-lab/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -3,10 +3,10 @@
 use crate::scale::stage::Stage;
 use crate::scale::ScaleError;
 use hdrhistogram::Histogram;
+use ivyward_fakes::sight::{Effect, Heard};
+use ivyward_fakes::{Ask, Client, End, Habit, Log};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::sight::{Effect, Heard};
-use ivyward_standins::{Ask, Client, End, Habit, Log};
-use ivyward_world::{Micros, WorldExt, WorldRef};
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -59,27 +59,27 @@
     /// # Errors
     /// When a daemon cannot be reached.
     pub fn start(stage: &Stage, rate: f64, sessions: u64) -> Result<Load, ScaleError> {
-        let world: WorldRef = stage.world.clone();
+        let runtime: RuntimeRef = stage.runtime.clone();
         let tally = Arc::new(Mutex::new(Tally {
             seen: Seen::default(),
             first: histogram()?,
         }));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         for (number, real) in stage.real.iter().enumerate() {
-            let log = Log::forgetful(&world);
+            let log = Log::forgetful(&runtime);
             let client = stage
-                .world
-                .block_on(Client::connect(&world, &log, real.door));
+                .runtime
+                .block_on(Client::connect(&runtime, &log, real.door));
             let client = client.map_err(ScaleError::io("connecting to a daemon"))?;
             let one = Sender {
-                world: world.clone(),
+                runtime: runtime.clone(),
                 client,
                 tally: tally.clone(),
                 rate,
                 sessions,
             };
             let stopped = stopped.clone();
-            world.run(async move {
+            runtime.run(async move {
                 let until = async {
                     // Ends when the load is dropped.
                     let _ = stopped.recv().await;
@@ -109,7 +109,7 @@
 }
 
 struct Sender {
-    world: WorldRef,
+    runtime: RuntimeRef,
     client: Client,
     tally: Arc<Mutex<Tally>>,
     rate: f64,
@@ -120,19 +120,19 @@
     /// Sends at even pauses, whatever becomes of what was sent before.
     async fn send_all(&self, node: u64) {
         let pause = (1e6 / self.rate) as Micros;
-        let mut at = self.world.now();
+        let mut at = self.runtime.now();
         for number in 0.. {
             let (client, tally, ask) = (
                 self.client.clone(),
                 self.tally.clone(),
                 self.ask(node, number),
             );
-            self.world.run(async move {
+            self.runtime.run(async move {
                 let end = client.ask(&ask).await;
                 count(&tally, &end);
             });
             at += pause;
-            self.world.sleep_until(at).await;
+            self.runtime.sleep_until(at).await;
         }
     }
 
--- a/crates/ivyward-lab/src/scale/stage.rs
+++ b/crates/ivyward-testbed/src/scale/stage.rs
@@ -9,7 +9,7 @@
 use crate::scale::ScaleError;
 use crate::scene::ivyward_flags;
 use ivyward::NodeSettings;
-use ivyward_world::{Micros, SmolWorld, World, WorldExt, WorldRef};
+use ivyward_runtime::{Micros, Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 /// The programs that a run starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `ivyward-lab`, for hollow processes.
+    /// `ivyward-testbed`, for hollow processes.
     pub lab: PathBuf,
     /// `ivywardd`.
     pub daemon: PathBuf,
@@ -32,7 +32,7 @@
 
 /// The processes of a run. All end with it.
 pub struct Stage {
-    pub(crate) world: Arc<SmolWorld>,
+    pub(crate) runtime: Arc<SmolRuntime>,
     size: Size,
     programs: Programs,
     store_address: SocketAddr,
@@ -74,7 +74,7 @@
     /// When the size is out of bounds, or a process does not come up.
     pub fn start(size: Size, programs: Programs) -> Result<Stage, ScaleError> {
         size.check()?;
-        let world = SmolWorld::start(1, size.seed);
+        let runtime = SmolRuntime::start(1, size.seed);
         let store = Hollow::start(&programs.lab, &Role::Store)?;
         let store_address = store
             .address
@@ -103,7 +103,7 @@
             more => Some(Hollow::start(lab, &nodes(2, more - 1))?),
         };
         let mut stage = Stage {
-            world,
+            runtime,
             size,
             programs,
             store_address,
@@ -160,15 +160,15 @@
         let Some(process) = self.real.pop() else {
             return Ok((0, 0));
         };
-        let began = self.world.now();
+        let began = self.runtime.now();
         if !process.end() {
             return Err(ScaleError::Process("a daemon did not end well".into()));
         }
-        let ended = self.world.now();
+        let ended = self.runtime.now();
         let again = self.daemon(self.real.len() as u64)?;
         self.real.push(again);
         self.await_engines(self.size.engines)?;
-        Ok((ended - began, self.world.now() - ended))
+        Ok((ended - began, self.runtime.now() - ended))
     }
 
     /// How many engines stand in the zone that may be lost.
@@ -230,10 +230,10 @@
         metric: &str,
         holds: impl Fn(u64) -> bool,
     ) -> Result<Micros, ScaleError> {
-        let began = self.world.now();
+        let began = self.runtime.now();
         loop {
             let each = self.each_node(order, metric)?;
-            let took = self.world.now() - began;
+            let took = self.runtime.now() - began;
             if each.iter().all(|value| holds(*value)) {
                 return Ok(took);
             }
@@ -264,19 +264,19 @@
 
     /// What a daemon tells of itself.
     fn metrics(&self, daemon: &Process) -> Result<String, ScaleError> {
-        let world: WorldRef = self.world.clone();
-        let text = self.world.block_on(daemon.ask(&world, "/metrics"));
+        let runtime: RuntimeRef = self.runtime.clone();
+        let text = self.runtime.block_on(daemon.ask(&runtime, "/metrics"));
         text.map_err(ScaleError::io("asking a daemon"))
     }
 
     /// The run's clock.
     pub fn now(&self) -> Micros {
-        self.world.now()
+        self.runtime.now()
     }
 
     /// Lets a span go by.
     pub fn rest(&self, span: Micros) {
-        self.world.block_on(self.world.sleep(span));
+        self.runtime.block_on(self.runtime.sleep(span));
     }
 
     /// What each role has used so far.
@@ -298,7 +298,7 @@
             self.store.reading()?,
         );
         Ok(Readings {
-            at: self.world.now(),
+            at: self.runtime.now(),
             node,
             real,
             engines,
--- a/crates/ivyward-lab/src/scale/sweep.rs
+++ b/crates/ivyward-testbed/src/scale/sweep.rs
@@ -6,7 +6,7 @@
 use crate::scale::size::Size;
 use crate::scale::stage::{Programs, Stage};
 use crate::scale::ScaleError;
-use ivyward_world::Micros;
+use ivyward_runtime::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/ivyward-lab/src/scale/usage.rs
+++ b/crates/ivyward-testbed/src/scale/usage.rs
@@ -1,7 +1,7 @@
 //! What a process uses: by /proc, and by the counters that it tells of itself.
 
 use crate::scale::ScaleError;
-use ivyward_world::Usage as Traffic;
+use ivyward_runtime::Usage as Traffic;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/ivyward-lab/src/scene.rs
+++ b/crates/ivyward-testbed/src/scene.rs
@@ -10,14 +10,14 @@
 use ivyward::record::{Reader, RecordError};
 use ivyward::registration::{Record, State, PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
-use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::{Shown, Store, Witness};
-use ivyward_standins::sight::{Effect as Seen, Group};
-use ivyward_standins::{
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::{Shown, Store, Witness};
+use ivyward_fakes::sight::{Effect as Seen, Group};
+use ivyward_fakes::{
     audit, Ask, Audit, Client, End, Engine, Habit, Host, Limits, Log, Role, Sight, Spec,
 };
-use ivyward_world::{SmolWorld, World, WorldExt, WorldRef};
+use ivyward_proto::front::GenerateRequest;
+use ivyward_runtime::{Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
 use std::io::Write;
@@ -62,7 +62,7 @@
 }
 
 enum Process {
-    Inside(Arc<SmolWorld>, Node),
+    Inside(Arc<SmolRuntime>, Node),
     Daemon(Child),
 }
 
@@ -146,7 +146,7 @@
 /// Nodes, engines and clients on loopback.
 pub struct Scene {
     /// The clients' and the script's world.
-    pub world: Arc<SmolWorld>,
+    pub runtime: Arc<SmolRuntime>,
     /// What was seen.
     pub log: Log,
     make: Make,
@@ -280,8 +280,8 @@
     /// # Errors
     /// When a socket or a process cannot be had, or the settings do not hold.
     pub fn build(self) -> Result<Scene, SceneError> {
-        let world = SmolWorld::start(2, self.seed);
-        let as_ref: WorldRef = world.clone();
+        let runtime = SmolRuntime::start(2, self.seed);
+        let as_ref: RuntimeRef = runtime.clone();
         let log = Log::new(&as_ref);
         let host: Arc<dyn Host> = Arc::new(Threads);
         let mut engines = Vec::new();
@@ -302,7 +302,7 @@
         let places = (0..self.nodes).map(place).collect();
         let list = Mutex::new(vec![(Condition::Ready, None); engines.len()]);
         let scene = Scene {
-            world,
+            runtime,
             log,
             make: self,
             engines,
@@ -362,7 +362,7 @@
 
     /// The engine registers itself in a store. `skew` is how far its clock is ahead of the others, in seconds.
     pub fn enlist(&self, engine: usize, endpoints: &[SocketAddr], seconds: i64, skew: i64) {
-        let unix = self.world.unix_micros() as i64 / 1_000 + skew * 1_000;
+        let unix = self.runtime.unix_micros() as i64 / 1_000 + skew * 1_000;
         enlist::keep(
             &self.engine(engine),
             endpoints.to_vec(),
@@ -394,8 +394,8 @@
         };
         let (address, process) = match &self.make.runs {
             Runs::Inside => {
-                let world = SmolWorld::start(1, seed);
-                let as_ref: WorldRef = world.clone();
+                let runtime = SmolRuntime::start(1, seed);
+                let as_ref: RuntimeRef = runtime.clone();
                 let mut follow = self.make.follow.clone();
                 if let Some(follow) = follow.as_mut().filter(|_| self.nodes() > 1) {
                     // A door of the store for each node, so that what was shown to whom is told apart.
@@ -406,7 +406,7 @@
                 let node = Node::start(as_ref.clone(), settings, record)?;
                 let listener = as_ref.listen(address).map_err(io("opening a door"))?;
                 let address = listener.address();
-                let now = ivyward_world::World::now(&*world);
+                let now = ivyward_runtime::Runtime::now(&*runtime);
                 let since = |at: Option<Micros>| {
                     at.map_or(0, |at| now.saturating_sub(self.log.now() - at).max(1))
                 };
@@ -417,12 +417,12 @@
                     None => block_on(node.fleet(ListKind::Full, entries.collect())),
                     Some(follow) => {
                         let following = node.clone();
-                        world.run(async move { following.follow(follow).await });
+                        runtime.run(async move { following.follow(follow).await });
                     }
                 }
                 let serving = node.clone();
-                world.run(async move { serving.serve(listener).await });
-                (address, Process::Inside(world, node))
+                runtime.run(async move { serving.serve(listener).await });
+                (address, Process::Inside(runtime, node))
             }
             Runs::Daemon(path) => {
                 let entries: Vec<Listed> = listed
@@ -442,11 +442,11 @@
     pub fn kill_node(&self, i: usize) {
         let process = self.place(i).process.take();
         let run = match process {
-            Some(Process::Inside(world, node)) => {
+            Some(Process::Inside(runtime, node)) => {
                 let run = node.incarnation();
                 // Noted before and after: what breaks while it dies is its death's doing.
                 self.log.add(Sight::Killed { node: i, run });
-                world.stop();
+                runtime.stop();
                 run
             }
             Some(Process::Daemon(mut child)) => {
@@ -481,8 +481,8 @@
     pub async fn tell(&self, node: usize, engine: usize) {
         let (condition, since) = self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine];
         let (handle, now) = match &self.place(node).process {
-            Some(Process::Inside(world, handle)) => {
-                (handle.clone(), ivyward_world::World::now(&**world))
+            Some(Process::Inside(runtime, handle)) => {
+                (handle.clone(), ivyward_runtime::Runtime::now(&**runtime))
             }
             _ => return,
         };
@@ -497,7 +497,7 @@
                 .node(node)
                 .is_some_and(|n| n.incarnation() == handle.incarnation())
             {
-                self.world.sleep(20_000).await;
+                self.runtime.sleep(20_000).await;
             }
             false
         };
@@ -579,8 +579,8 @@
             }
             place.address
         };
-        let world: WorldRef = self.world.clone();
-        let client = Client::connect(&world, &self.log, address).await?;
+        let runtime: RuntimeRef = self.runtime.clone();
+        let client = Client::connect(&runtime, &self.log, address).await?;
         self.place(node).client = Some(client.clone());
         Ok(client)
     }
@@ -647,7 +647,7 @@
             if open + kept == 0 {
                 break;
             }
-            self.world.sleep(5_000).await;
+            self.runtime.sleep(5_000).await;
         }
     }
 
@@ -662,7 +662,7 @@
         for i in 0..self.nodes() {
             self.kill_node(i);
         }
-        self.world.stop();
+        self.runtime.stop();
     }
 }
 
--- a/crates/ivyward-lab/src/seeds.rs
+++ b/crates/ivyward-testbed/src/seeds.rs
@@ -14,15 +14,15 @@
 use ivyward::record::{replay, Reader};
 use ivyward::registration::{State, PREFIX};
 use ivyward::{Node, NodeSettings};
-use ivyward_proto::front::GenerateRequest;
-use ivyward_sim::{HostId, Net, Sim, Stuck};
-use ivyward_standins::engine::Kill;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::{Heard, Seen};
-use ivyward_standins::{
+use ivyward_fakes::engine::Kill;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::{Heard, Seen};
+use ivyward_fakes::{
     audit, audit_so_far, Ask, Client, Engine, Faults, Habit, Host, Live, Log, Sight, Spec, Twist,
 };
-use ivyward_world::{WorldExt, WorldRef};
+use ivyward_proto::front::GenerateRequest;
+use ivyward_runtime::{RuntimeExt, RuntimeRef};
+use ivyward_sim::{HostId, Net, Sim, Stuck};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -404,12 +404,12 @@
 }
 
 impl Host for Hosts {
-    fn process(&self, seed: u64) -> (WorldRef, Kill) {
+    fn process(&self, seed: u64) -> (RuntimeRef, Kill) {
         let host = self.sim.host(seed);
         let (sim, id, silent) = (self.sim.clone(), host.id(), self.silent.clone());
         *lock(&self.last) = id;
         (
-            host.world(),
+            host.runtime(),
             Box::new(move || sim.kill(id, !silent.load(Ordering::SeqCst))),
         )
     }
@@ -427,7 +427,7 @@
     sim: Sim,
     hosts: Arc<Hosts>,
     log: Log,
-    world: WorldRef,
+    runtime: RuntimeRef,
     settings: NodeSettings,
     engines: Vec<Mutex<(Engine, HostId)>>,
     places: Vec<Mutex<Place>>,
@@ -469,22 +469,22 @@
 
     fn start_node(self: &Arc<Self>, i: usize, salt: u64) -> Result<(), String> {
         let host = self.sim.host(salt);
-        let world = host.world();
+        let runtime = host.runtime();
         let settings = NodeSettings {
             seed: salt,
             ..self.settings.clone()
         };
         let record = Memory::default();
-        let node = Node::start(world.clone(), settings, Some(Box::new(record.clone())));
+        let node = Node::start(runtime.clone(), settings, Some(Box::new(record.clone())));
         let node = node.map_err(|e| e.to_string())?;
         if let Some((addresses, _)) = &self.addresses {
             addresses.begin(&node, i)?;
         }
         let mut place = lock(&self.places[i]);
-        let listener = world.listen(place.address).map_err(|e| e.to_string())?;
+        let listener = runtime.listen(place.address).map_err(|e| e.to_string())?;
         place.address = listener.address();
         let (serving, following) = (node.clone(), node.clone());
-        world.run(async move { serving.serve(listener).await });
+        runtime.run(async move { serving.serve(listener).await });
         let follow = Follow {
             endpoints: lock(&self.store).doors()[i..=i].to_vec(),
             silence: 400_000,
@@ -492,7 +492,7 @@
             pauses: (10_000, 200_000),
             ..Follow::default()
         };
-        world.run(async move { following.follow(follow).await });
+        runtime.run(async move { following.follow(follow).await });
         lock(&self.records).push((i, record));
         place.node = Some((host.id(), node));
         place.client = None;
@@ -539,7 +539,7 @@
             else {
                 return;
             };
-            let (node, now) = (node.incarnation(), stage.world.now());
+            let (node, now) = (node.incarnation(), stage.runtime.now());
             for (engine, ready) in notices(&shown, &mut lock(&stage.shown)[door]) {
                 if !ready {
                     let mut lately = lock(&stage.notices);
@@ -564,9 +564,9 @@
             place.node.as_ref()?;
             place.address
         };
-        let dial = Client::connect_with(&self.world, &self.log, address, CLIENT_WINDOW);
-        let until = self.world.now() + 500_000;
-        let client = ivyward_world::before(&self.world, until, dial)
+        let dial = Client::connect_with(&self.runtime, &self.log, address, CLIENT_WINDOW);
+        let until = self.runtime.now() + 500_000;
+        let client = ivyward_runtime::before(&self.runtime, until, dial)
             .await?
             .ok()?;
         lock(&self.places[i]).client = Some(client.clone());
@@ -575,7 +575,7 @@
 
     /// One fault from its begin to its end.
     async fn play(self: Arc<Self>, timed: Timed, salt: u64) {
-        let (world, len) = (self.world.clone(), timed.len);
+        let (runtime, len) = (self.runtime.clone(), timed.len);
         let fault =
             |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
         match timed.fault {
@@ -590,10 +590,10 @@
                 self.hosts.silent.store(!word, Ordering::SeqCst);
                 self.engine(engine, Engine::die);
                 self.hosts.silent.store(false, Ordering::SeqCst);
-                world.sleep(len / 4).await;
+                runtime.sleep(len / 4).await;
                 // The list learns of it late, or not before it is back.
                 lock(&self.store).delete(&self.key(engine));
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 let up = self.engine(engine, |e| e.come_up(true));
                 if !word {
                     self.log.add(Sight::Dark {
@@ -604,34 +604,34 @@
                 if up.is_ok() {
                     let host = self.hosts.last();
                     lock(&self.engines[engine]).1 = host;
-                    self.register(engine, self.world.unix_micros());
+                    self.register(engine, self.runtime.unix_micros());
                 }
             }
             Fault::Drain { engine } => {
                 self.put(engine, State::Draining, 0);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 self.put(engine, State::Ready, 0);
             }
             Fault::Leave { engine } => {
                 lock(&self.store).delete(&self.key(engine));
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 self.put(engine, State::Ready, 0);
             }
             Fault::Hang { engine } => {
                 fault(engine, &|f| f.hang = true);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 fault(engine, &|f| f.hang = false);
             }
             Fault::Slow { engine, by } => {
                 fault(engine, &|f| f.slow = by);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 fault(engine, &|f| f.slow = 1.0);
             }
             Fault::Ill { engine, share } => {
                 fault(engine, &|f| {
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
                 });
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 fault(engine, &|f| {
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
                 });
@@ -642,7 +642,7 @@
                     (f.twist, f.how, f.stall, f.drop_states) =
                         (share, how, share / 4.0, share > 0.4);
                 });
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 fault(engine, &|f| {
                     (f.twist, f.stall, f.drop_states) = (0.0, 0.0, false)
                 });
@@ -654,7 +654,7 @@
                 let engine = lock(&self.engines[engine]).1;
                 let (from, to) = if back { (engine, node) } else { (node, engine) };
                 self.sim.cut(from, to, true);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 self.sim.cut(from, to, false);
             }
             Fault::Lone { engine } => {
@@ -664,12 +664,12 @@
                 };
                 let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
                 ways(true, hosts);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 ways(false, hosts);
             }
             Fault::NodeKill { node } => {
                 self.kill_node(node);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 // It cannot fail but for a port that another fault's node has taken again.
                 let _ = self.start_node(node, salt);
             }
@@ -687,30 +687,30 @@
                 };
                 ways.iter()
                     .for_each(|(from, to)| self.sim.cut(*from, *to, true));
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 ways.iter()
                     .for_each(|(from, to)| self.sim.cut(*from, *to, false));
             }
             Fault::PeersRough { lose } => {
                 self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
             }
             Fault::Pieces => {
                 self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
             }
             Fault::Narrow => {
                 self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 self.sim
                     .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
             }
             Fault::StoreDies => {
                 lock(&self.store).die();
                 // What it handed to its sockets in its last moment never left them: nobody was told.
-                let just = self.world.now().saturating_sub(LAST_MOMENT);
+                let just = self.runtime.now().saturating_sub(LAST_MOMENT);
                 for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
                     if at >= just {
                         self.log.add(Sight::Told {
@@ -720,7 +720,7 @@
                         });
                     }
                 }
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 // Another fault may have brought it back.
                 let up = lock(&self.store).come_up();
                 if up.is_ok() {
@@ -729,14 +729,14 @@
             }
             Fault::StoreCompacts => {
                 lock(&self.store).fault(|f| f.mute_watches = true);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 let store = lock(&self.store);
                 store.compact();
                 store.fault(|f| f.mute_watches = false);
             }
             Fault::StoreLags => {
                 lock(&self.store).fault(|f| f.lag = vec![100_000, 20_000]);
-                world.sleep(len).await;
+                runtime.sleep(len).await;
                 lock(&self.store).fault(|f| f.lag = vec![]);
             }
         }
@@ -744,12 +744,12 @@
 
     /// When all is over, connections come back: a request is served at its first try, and no attempt finds nobody.
     async fn come_back(&self) -> Vec<String> {
-        self.world.sleep(QUIET).await;
+        self.runtime.sleep(QUIET).await;
         let mut wrong = Vec::new();
         if let Some((addresses, _)) = &self.addresses {
-            let until = self.world.now() + PEERS_AGREE;
-            while !disagreements(&self.nodes()).is_empty() && self.world.now() < until {
-                self.world.sleep(50_000).await;
+            let until = self.runtime.now() + PEERS_AGREE;
+            while !disagreements(&self.nodes()).is_empty() && self.runtime.now() < until {
+                self.runtime.sleep(50_000).await;
             }
             wrong.extend(disagreements(&self.nodes()));
             let astray = addresses.astray.load(Ordering::SeqCst);
@@ -800,7 +800,7 @@
                     patience: 2_500_000,
                     ..Habit::default()
                 };
-                let effect = ivyward_standins::sight::Effect::Safe;
+                let effect = ivyward_fakes::sight::Effect::Safe;
                 let ask = Ask {
                     request,
                     operation: call,
@@ -810,9 +810,9 @@
                 };
                 let mut end = client.ask(&ask).await;
                 // What was refused a share of work while it went badly forgets that by and by.
-                let until = self.world.now() + LAST_PATIENCE;
-                while end.how == Heard::Refused && self.world.now() < until {
-                    self.world.sleep(end.pushback.unwrap_or(50_000)).await;
+                let until = self.runtime.now() + LAST_PATIENCE;
+                while end.how == Heard::Refused && self.runtime.now() < until {
+                    self.runtime.sleep(end.pushback.unwrap_or(50_000)).await;
                     end = client.ask(&ask).await;
                 }
                 if end.how != Heard::Served {
@@ -871,7 +871,7 @@
                 ..GenerateRequest::default()
             };
             let Some(client) = self.client(node).await else {
-                self.world.sleep(30_000).await;
+                self.runtime.sleep(30_000).await;
                 continue;
             };
             let ask = Ask {
@@ -892,7 +892,7 @@
             if !again {
                 return;
             }
-            self.world.sleep(end.pushback.unwrap_or(50_000)).await;
+            self.runtime.sleep(end.pushback.unwrap_or(50_000)).await;
         }
     }
 }
@@ -902,9 +902,9 @@
     let sim = Sim::new(seed, Net::default());
     let script = sim.host(0);
     let played = {
-        let (sim, size, plan, world) = (sim.clone(), *size, plan.to_vec(), script.world());
+        let (sim, size, plan, runtime) = (sim.clone(), *size, plan.to_vec(), script.runtime());
         sim.clone().run(&script, 120_000_000, async move {
-            scene(sim, world, seed, size, plan).await
+            scene(sim, runtime, seed, size, plan).await
         })
     };
     let (digest, events) = sim.digest();
@@ -1113,12 +1113,12 @@
 
 async fn scene(
     sim: Sim,
-    world: WorldRef,
+    runtime: RuntimeRef,
     seed: u64,
     size: Size,
     plan: Vec<Timed>,
 ) -> Result<Done, String> {
-    let log = Log::new(&world);
+    let log = Log::new(&runtime);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Host> = hosts.clone();
     let mut engines = Vec::new();
@@ -1157,7 +1157,7 @@
         false => None,
         true => {
             let host = sim.host(seed);
-            let opened = Addresses::open(&host.world(), size.nodes).map_err(|e| e.to_string())?;
+            let opened = Addresses::open(&host.runtime(), size.nodes).map_err(|e| e.to_string())?;
             Some((opened, host.id()))
         }
     };
@@ -1174,7 +1174,7 @@
         sim,
         hosts,
         log: log.clone(),
-        world: world.clone(),
+        runtime: runtime.clone(),
         settings,
         engines,
         places: (0..size.nodes).map(place).collect(),
@@ -1193,22 +1193,22 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let played = plan.clone();
     for (i, timed) in plan.into_iter().enumerate() {
-        let (stage, world, done) = (stage.clone(), world.clone(), done.clone());
+        let (stage, runtime, done) = (stage.clone(), runtime.clone(), done.clone());
         let salt = seed.wrapping_mul(16).wrapping_add(8 + i as u64);
-        world.clone().run(async move {
-            world.sleep(timed.at).await;
+        runtime.clone().run(async move {
+            runtime.sleep(timed.at).await;
             stage.play(timed, salt).await;
             drop(done);
         });
     }
     for no in 1..=size.requests as u64 {
-        let (stage, world, done) = (stage.clone(), world.clone(), done.clone());
+        let (stage, runtime, done) = (stage.clone(), runtime.clone(), done.clone());
         let (at, own) = (
             random.random_range(20_000..SPAN),
             SmallRng::seed_from_u64(random.random()),
         );
-        world.clone().run(async move {
-            world.sleep(at).await;
+        runtime.clone().run(async move {
+            runtime.sleep(at).await;
             stage.ask(no, own).await;
             drop(done);
         });
@@ -1262,9 +1262,9 @@
     });
     // And what breaks by time alone.
     {
-        let (log, limits, clock) = (log.clone(), limits.clone(), world.clone());
+        let (log, limits, clock) = (log.clone(), limits.clone(), runtime.clone());
         let stage = Arc::downgrade(&stage);
-        world.run(async move {
+        runtime.run(async move {
             loop {
                 clock.sleep(AUDIT_EVERY).await;
                 let seen = log.all();
@@ -1296,9 +1296,9 @@
             .sum();
         (open, kept)
     };
-    let until = world.now() + 15_000_000;
-    while left(&stage) != (0, 0) && world.now() < until && lock(&first).is_none() {
-        world.sleep(20_000).await;
+    let until = runtime.now() + 15_000_000;
+    while left(&stage) != (0, 0) && runtime.now() < until && lock(&first).is_none() {
+        runtime.sleep(20_000).await;
     }
     let broke = lock(&first).clone();
     let mut wrong = before;
--- a/crates/ivyward-lab/src/soak/clients.rs
+++ b/crates/ivyward-testbed/src/soak/clients.rs
@@ -2,9 +2,9 @@
 
 use crate::soak::stage::Stage;
 use futures_lite::AsyncWriteExt;
-use ivyward_standins::platform::exchange::{read_answer, Got};
-use ivyward_standins::platform::observe::{Effect, Observation};
-use ivyward_world::{before, Conn, Micros, WorldExt};
+use ivyward_fakes::platform::exchange::{read_answer, Got};
+use ivyward_fakes::platform::observe::{Effect, Observation};
+use ivyward_runtime::{before, Conn, Micros, RuntimeExt};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -27,18 +27,18 @@
 
 /// One client of one node, until the stage is over.
 pub(super) async fn session(stage: Arc<Stage>, node: usize, number: u64) {
-    let world = stage.world.clone();
+    let runtime = stage.runtime.clone();
     let (mut kept, mut n) = (None, 0);
     while !stage.over.load(Ordering::SeqCst) {
         n += 1;
         let id = format!("{node}-{number}-{n}");
         let busy = stage.burst.load(Ordering::SeqCst);
-        let span = PAUSE.0 + world.random() % (PAUSE.1 - PAUSE.0);
-        world.sleep(if busy { span / 3 } else { span }).await;
-        if stage.half_requests.load(Ordering::SeqCst) && world.random() % 4 == 0 {
+        let span = PAUSE.0 + runtime.random() % (PAUSE.1 - PAUSE.0);
+        runtime.sleep(if busy { span / 3 } else { span }).await;
+        if stage.half_requests.load(Ordering::SeqCst) && runtime.random() % 4 == 0 {
             half_request(&stage, node).await;
         }
-        if world.random() % NEW_CONNECTION == 0 {
+        if runtime.random() % NEW_CONNECTION == 0 {
             kept = None;
         }
         kept = ask(&stage, node, &id, kept).await;
@@ -54,9 +54,9 @@
     let _ = conn
         .write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: half\r\n")
         .await;
-    let world = stage.world.clone();
-    stage.world.run(async move {
-        world.sleep(LATE).await;
+    let runtime = stage.runtime.clone();
+    stage.runtime.run(async move {
+        runtime.sleep(LATE).await;
         drop(conn);
     });
 }
@@ -66,8 +66,8 @@
         .addresses
         .lock()
         .map_or(None, |addresses| addresses[node])?;
-    let until = stage.world.now() + LATE;
-    before(&stage.world, until, stage.world.connect(address))
+    let until = stage.runtime.now() + LATE;
+    before(&stage.runtime, until, stage.runtime.connect(address))
         .await?
         .ok()
 }
@@ -75,7 +75,7 @@
 /// One request; the connection, if it may be kept. A request that crossed the end of a kept connection is sent once more on
 /// a new one.
 async fn ask(stage: &Stage, node: usize, id: &str, kept: Option<Conn>) -> Option<Conn> {
-    let class = CLASSES[(stage.world.random() % CLASSES.len() as u64) as usize];
+    let class = CLASSES[(stage.runtime.random() % CLASSES.len() as u64) as usize];
     if let Some(conn) = kept {
         match exchange(stage, (node, false), id, class, conn).await {
             Exchange::Kept(conn) => return Some(conn),
@@ -106,7 +106,7 @@
     (class, effect): (&str, Effect),
     mut conn: Conn,
 ) -> Exchange {
-    let world = &stage.world;
+    let runtime = &stage.runtime;
     let key = if effect == Effect::Keyed {
         format!("Idempotency-Key: {id}\r\n")
     } else {
@@ -132,15 +132,15 @@
         patience,
         new_connection,
     };
-    stage.log.add(world.now(), sent);
-    let leaves = stage.clients_leave.load(Ordering::SeqCst) && world.random() % 2 == 0;
+    stage.log.add(runtime.now(), sent);
+    let leaves = stage.clients_leave.load(Ordering::SeqCst) && runtime.random() % 2 == 0;
     let waits = if leaves {
-        world.random() % LEAVES_WITHIN
+        runtime.random() % LEAVES_WITHIN
     } else {
         patience + LATE
     };
-    let until = world.now() + waits;
-    let got = before(world, until, read_answer(world, &mut conn)).await;
+    let until = runtime.now() + waits;
+    let got = before(runtime, until, read_answer(runtime, &mut conn)).await;
     let Some(Got {
         status,
         whole,
@@ -151,12 +151,12 @@
         if leaves {
             stage
                 .log
-                .add(world.now(), Observation::Left { id: id.into() });
+                .add(runtime.now(), Observation::Left { id: id.into() });
         }
         return Exchange::Over;
     };
     stage.log.add(
-        world.now(),
+        runtime.now(),
         Observation::Answered {
             id: id.into(),
             status,
--- a/crates/ivyward-lab/src/soak/link.rs
+++ b/crates/ivyward-testbed/src/soak/link.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::{or, poll_once, zip};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use ivyward_world::{before, Conn, Micros, WorldExt, WorldRef};
+use ivyward_runtime::{before, Conn, Micros, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -36,37 +36,37 @@
     ///
     /// # Errors
     /// When it cannot listen.
-    pub fn serve(&self, world: &WorldRef, target: SocketAddr) -> std::io::Result<SocketAddr> {
-        let mut listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+    pub fn serve(&self, runtime: &RuntimeRef, target: SocketAddr) -> std::io::Result<SocketAddr> {
+        let mut listener = runtime.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
-        let (link, world) = (self.clone(), world.clone());
-        let accepting = world.clone();
+        let (link, runtime) = (self.clone(), runtime.clone());
+        let accepting = runtime.clone();
         accepting.run(async move {
             loop {
                 match listener.accept().await {
                     Ok((conn, _)) => {
-                        let (link, of) = (link.clone(), world.clone());
-                        world.run(async move { link.relay(&of, conn, target).await });
+                        let (link, of) = (link.clone(), runtime.clone());
+                        runtime.run(async move { link.relay(&of, conn, target).await });
                     }
-                    Err(_) => world.sleep(LOOK).await,
+                    Err(_) => runtime.sleep(LOOK).await,
                 }
             }
         });
         Ok(address)
     }
 
-    async fn passable(&self, world: &WorldRef) {
+    async fn passable(&self, runtime: &RuntimeRef) {
         while self.is_cut() {
-            world.sleep(LOOK).await;
+            runtime.sleep(LOOK).await;
         }
     }
 
-    async fn relay(&self, world: &WorldRef, mut near: Conn, target: SocketAddr) {
+    async fn relay(&self, runtime: &RuntimeRef, mut near: Conn, target: SocketAddr) {
         let resets = self.resets.load(Ordering::SeqCst);
         // The system has let the connection come up, which no cut would: it is reset at once.
         let connected = match self.is_cut() {
             true => None,
-            false => before(world, world.now() + CONNECT, world.connect(target)).await,
+            false => before(runtime, runtime.now() + CONNECT, runtime.connect(target)).await,
         };
         let Some(Ok(mut far)) = connected else {
             near.reset_on_close();
@@ -75,15 +75,15 @@
         let broke = AtomicBool::new(false);
         let reset = async {
             while self.resets.load(Ordering::SeqCst) == resets && !broke.load(Ordering::SeqCst) {
-                world.sleep(LOOK).await;
+                runtime.sleep(LOOK).await;
             }
             true
         };
         let broken = {
             let (read_near, write_near) = futures_lite::io::split(&mut near);
             let (read_far, write_far) = futures_lite::io::split(&mut far);
-            let there = self.one_way(world, (read_near, write_far), &broke);
-            let back = self.one_way(world, (read_far, write_near), &broke);
+            let there = self.one_way(runtime, (read_near, write_far), &broke);
+            let back = self.one_way(runtime, (read_far, write_near), &broke);
             let both = async {
                 zip(there, back).await;
                 broke.load(Ordering::SeqCst)
@@ -99,23 +99,23 @@
     /// Passes on one direction to its end, and says where it broke.
     async fn one_way(
         &self,
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         (mut read, mut write): (impl AsyncRead + Unpin, impl AsyncWrite + Unpin),
         broke: &AtomicBool,
     ) {
         let (mut piece, mut was_cut) = (vec![0; PIECE], false);
         loop {
             was_cut |= self.is_cut();
-            self.passable(world).await;
-            let looked = world.now() + 10 * LOOK;
-            let got = match before(world, looked, read.read(&mut piece)).await {
+            self.passable(runtime).await;
+            let looked = runtime.now() + 10 * LOOK;
+            let got = match before(runtime, looked, read.read(&mut piece)).await {
                 None => continue,
                 Some(Ok(0)) => break,
                 Some(Ok(got)) => got,
                 Some(Err(_)) => return broke.store(true, Ordering::SeqCst),
             };
             was_cut |= self.is_cut();
-            self.passable(world).await;
+            self.passable(runtime).await;
             // What was sent into a cut is sent again by the sender's system when the cut ends, unless the sender ended the
             // connection meanwhile: that took it back.
             let (mut all, mut given_up) = (piece[..got].to_vec(), false);
--- a/crates/ivyward-lab/src/soak/mod.rs
+++ b/crates/ivyward-testbed/src/soak/mod.rs
@@ -14,7 +14,7 @@
 pub mod report;
 mod stage;
 
-use ivyward_world::{Micros, SmolWorld, WorldExt, WorldRef};
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef, SmolRuntime};
 use oracle::Broken;
 use plan::Plan;
 use report::{Report, SeedReport};
@@ -39,7 +39,7 @@
     #[error("{0}: {1}")]
     Io(&'static str, std::io::Error),
     /// The fault library was not built beside this program.
-    #[error("the library ivyward-faults-preload is not beside this program: build the workspace")]
+    #[error("the library ivyward-fault-injection-preload is not beside this program: build the workspace")]
     NoLibrary,
     /// A node does not start.
     #[error("{0}")]
@@ -105,13 +105,13 @@
 fn play_one(options: &Options, folder: &Path, plan: Plan) -> Result<SeedReport, SoakError> {
     let text = serde_json::to_string_pretty(&plan)?;
     std::fs::write(folder.join("plan.json"), text).map_err(SoakError::io("a plan"))?;
-    let smol = SmolWorld::start(2, plan.seed);
-    let world: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(2, plan.seed);
+    let runtime: RuntimeRef = smol.clone();
     let nodes = options.nodes.clamp(1, MOST_NODES);
-    let stage = Stage::start(&world, (&options.daemon, folder), nodes, plan.seed)?;
+    let stage = Stage::start(&runtime, (&options.daemon, folder), nodes, plan.seed)?;
     let (violations, faults) = smol.block_on(run(&stage, &plan, nodes));
     let observed = stage.log.all();
-    let broken: Vec<Broken> = oracle::check(&observed, &stage::LIMITS, world.now());
+    let broken: Vec<Broken> = oracle::check(&observed, &stage::LIMITS, runtime.now());
     let lines: Vec<String> = observed
         .iter()
         .map(|(at, o)| format!("{at} {o:?}"))
@@ -140,31 +140,31 @@
     nodes: usize,
 ) -> (
     u64,
-    std::collections::BTreeMap<ivyward_faults::SystemFault, u64>,
+    std::collections::BTreeMap<ivyward_fault_injection::SystemFault, u64>,
 ) {
-    let world = stage.world.clone();
+    let runtime = stage.runtime.clone();
     for node in 0..nodes {
         for number in 0..CLIENTS {
-            world.run(clients::session(stage.clone(), node, number));
+            runtime.run(clients::session(stage.clone(), node, number));
         }
     }
-    let began = world.now();
+    let began = runtime.now();
     let mut end = began;
     for trouble in &plan.troubles {
         let at = began + trouble.at_ms * 1_000;
-        while world.now() < at {
-            world.sleep(LOOK.min(at - world.now())).await;
+        while runtime.now() < at {
+            runtime.sleep(LOOK.min(at - runtime.now())).await;
             stage.look_for_crashes();
         }
         end = end.max(at + trouble.for_ms * 1_000);
-        world.run(stage.clone().trouble(*trouble));
+        runtime.run(stage.clone().trouble(*trouble));
     }
-    while world.now() < end + SETTLE / 2 {
-        world.sleep(LOOK).await;
+    while runtime.now() < end + SETTLE / 2 {
+        runtime.sleep(LOOK).await;
         stage.look_for_crashes();
     }
     stage.over.store(true, Ordering::SeqCst);
-    world.sleep(SETTLE).await;
+    runtime.sleep(SETTLE).await;
     stage.look_for_crashes();
     stage.end().await
 }
--- a/crates/ivyward-lab/src/soak/node.rs
+++ b/crates/ivyward-testbed/src/soak/node.rs
@@ -2,7 +2,7 @@
 
 use crate::child_process::end_with_parent;
 use crate::soak::SoakError;
-use ivyward_faults::{library_beside, ControlFile, SystemFault, PATH_VARIABLE};
+use ivyward_fault_injection::{library_beside, ControlFile, SystemFault, PATH_VARIABLE};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
--- a/crates/ivyward-lab/src/soak/oracle.rs
+++ b/crates/ivyward-testbed/src/soak/oracle.rs
@@ -1,7 +1,7 @@
 //! The rules, checked from what engines and clients observed. It knows nothing of what a node says of itself.
 
-use ivyward_standins::platform::observe::{Effect, Observation};
-use ivyward_world::Micros;
+use ivyward_fakes::platform::observe::{Effect, Observation};
+use ivyward_runtime::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/ivyward-lab/src/soak/report.rs
+++ b/crates/ivyward-testbed/src/soak/report.rs
@@ -2,7 +2,7 @@
 
 use crate::soak::oracle::Broken;
 use crate::soak::plan::{Kind, Plan};
-use ivyward_faults::SystemFault;
+use ivyward_fault_injection::SystemFault;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::path::PathBuf;
--- a/crates/ivyward-lab/src/soak/stage.rs
+++ b/crates/ivyward-testbed/src/soak/stage.rs
@@ -4,11 +4,11 @@
 use crate::soak::node::{NodeFiles, NodeProcess};
 use crate::soak::plan::{Kind, Trouble};
 use crate::soak::SoakError;
-use ivyward_faults::SystemFault;
-use ivyward_standins::platform::discovery::{Discovery, Entry};
-use ivyward_standins::platform::engine::{Platform, PlatformEngine};
-use ivyward_standins::platform::observe::{Observation, ObservationLog};
-use ivyward_world::{Micros, WorldExt, WorldRef};
+use ivyward_fakes::platform::discovery::{Discovery, Entry};
+use ivyward_fakes::platform::engine::{Platform, PlatformEngine};
+use ivyward_fakes::platform::observe::{Observation, ObservationLog};
+use ivyward_fault_injection::SystemFault;
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use rustix::process::Signal;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 
 /// Everything of one run.
 pub(super) struct Stage {
-    pub(super) world: WorldRef,
+    pub(super) runtime: RuntimeRef,
     pub(super) log: ObservationLog,
     engines: Vec<PlatformEngine>,
     links: Vec<Link>,
@@ -63,7 +63,7 @@
 impl Stage {
     /// Starts engines, links, discovery and nodes.
     pub(super) fn start(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         (daemon, folder): (&Path, &Path),
         nodes: usize,
         seed: u64,
@@ -75,11 +75,11 @@
         for index in 0..count {
             let reads = index % 2 == 0;
             let work = if reads { READ } else { WRITE };
-            let started = PlatformEngine::start(world, &log, &platform, (index, reads, work));
+            let started = PlatformEngine::start(runtime, &log, &platform, (index, reads, work));
             let (engine, address) = started.map_err(SoakError::io("an engine"))?;
             let link = Link::default();
             let near = link
-                .serve(world, address)
+                .serve(runtime, address)
                 .map_err(SoakError::io("a link"))?;
             entries.push(entry(index, reads, near));
             engines.push(engine);
@@ -90,7 +90,7 @@
         for index in 0..nodes {
             let agent = || {
                 discovery
-                    .serve(world, &log, index)
+                    .serve(runtime, &log, index)
                     .map_err(SoakError::io("discovery"))
             };
             agents.push([agent()?, agent()?]);
@@ -101,7 +101,7 @@
             });
         }
         let stage = Arc::new(Stage {
-            world: world.clone(),
+            runtime: runtime.clone(),
             log,
             engines,
             links,
@@ -171,7 +171,7 @@
             if process.as_mut().is_some_and(|p| p.ended().is_some()) {
                 *process = None;
                 self.log
-                    .add(self.world.now(), Observation::NodeCrashed { node });
+                    .add(self.runtime.now(), Observation::NodeCrashed { node });
             }
         }
     }
@@ -180,7 +180,7 @@
     pub(super) async fn end(self: &Arc<Self>) -> (u64, BTreeMap<SystemFault, u64>) {
         let ends = (0..self.files.len()).map(|node| {
             let (stage, (done, ended)) = (self.clone(), async_channel::bounded::<()>(1));
-            self.world.run(async move {
+            self.runtime.run(async move {
                 stage.stop_node(node).await;
                 drop(done);
             });
@@ -202,19 +202,19 @@
         let Some(mut process) = taken else { return };
         process.signal(Signal::TERM);
         self.log
-            .add(self.world.now(), Observation::NodeStops { node });
-        let until = self.world.now() + STOP_LIMIT;
+            .add(self.runtime.now(), Observation::NodeStops { node });
+        let until = self.runtime.now() + STOP_LIMIT;
         // The front learns of it late: new connections come for a while.
-        self.world.sleep(FRONT_LEARNS).await;
+        self.runtime.sleep(FRONT_LEARNS).await;
         lock(&self.addresses)[node] = None;
-        while process.ended().is_none() && self.world.now() < until {
-            self.world.sleep(LOOK).await;
+        while process.ended().is_none() && self.runtime.now() < until {
+            self.runtime.sleep(LOOK).await;
         }
         let killed = process.ended().is_none();
         self.keep_counts(&process);
         drop(process);
         self.log
-            .add(self.world.now(), Observation::NodeEnded { node, killed });
+            .add(self.runtime.now(), Observation::NodeEnded { node, killed });
     }
 
     /// Plays one trouble from its beginning to its end.
@@ -250,8 +250,10 @@
             Kind::ConnectionsBreak => {
                 let calls = [SystemFault::ReceiveTimedOut, SystemFault::SendUnreachable];
                 let mark = |on| {
-                    self.log
-                        .add(self.world.now(), Observation::ConnectionsBreak { node, on })
+                    self.log.add(
+                        self.runtime.now(),
+                        Observation::ConnectionsBreak { node, on },
+                    )
                 };
                 mark(true);
                 self.calls_fail(node, &calls, SOMETIMES, span).await;
@@ -264,7 +266,7 @@
             Kind::HalfRequests => self.flag(&self.half_requests, span).await,
             Kind::DiscoverySilent => {
                 self.discovery.set_silent(true);
-                self.world.sleep(span).await;
+                self.runtime.sleep(span).await;
                 self.discovery.set_silent(false);
             }
             Kind::WatchReset => self.discovery.reset_watches(),
@@ -284,11 +286,11 @@
                 };
                 self.keep_counts(&process);
                 self.log.add(
-                    self.world.now(),
+                    self.runtime.now(),
                     Observation::NodeEnded { node, killed: true },
                 );
                 drop(process);
-                self.world.sleep(span).await;
+                self.runtime.sleep(span).await;
                 self.start_again(node).await;
             }
             Kind::NodeReload => {
@@ -298,17 +300,17 @@
                     if self.files[node].configure(&text).is_ok() {
                         self.with_node(node, |process| process.signal(Signal::HUP));
                     }
-                    self.world.sleep(LOOK).await;
+                    self.runtime.sleep(LOOK).await;
                 }
             }
             _ => {
-                let until = self.world.now() + span;
-                while self.world.now() < until {
-                    let still = HELD_UP.0 + self.world.random() % (HELD_UP.1 - HELD_UP.0);
+                let until = self.runtime.now() + span;
+                while self.runtime.now() < until {
+                    let still = HELD_UP.0 + self.runtime.random() % (HELD_UP.1 - HELD_UP.0);
                     self.with_node(node, |process| process.signal(Signal::STOP));
-                    self.world.sleep(still).await;
+                    self.runtime.sleep(still).await;
                     self.with_node(node, |process| process.signal(Signal::CONT));
-                    self.world.sleep(2 * still).await;
+                    self.runtime.sleep(2 * still).await;
                 }
             }
         }
@@ -320,7 +322,7 @@
         }
         if self.start_node(node, 0).is_err() {
             self.log
-                .add(self.world.now(), Observation::NodeCrashed { node });
+                .add(self.runtime.now(), Observation::NodeCrashed { node });
         }
     }
 
@@ -333,7 +335,7 @@
                 }
             });
             if rate > 0 {
-                self.world.sleep(span).await;
+                self.runtime.sleep(span).await;
             }
         }
     }
@@ -344,14 +346,14 @@
                 let _ = process.control.set_wall_clock_offset(offset);
             });
             if offset != 0 {
-                self.world.sleep(span).await;
+                self.runtime.sleep(span).await;
             }
         }
     }
 
     async fn flag(&self, flag: &AtomicBool, span: Micros) {
         flag.store(true, Ordering::SeqCst);
-        self.world.sleep(span).await;
+        self.runtime.sleep(span).await;
         flag.store(false, Ordering::SeqCst);
     }
 
@@ -360,7 +362,7 @@
         let cut = |cut| {
             link.set_cut(cut);
             self.log.add(
-                self.world.now(),
+                self.runtime.now(),
                 Observation::LinkCut { engine: index, cut },
             );
         };
@@ -373,21 +375,21 @@
             Kind::LinkCut => cut(true),
             Kind::LinkReset => {
                 self.log
-                    .add(self.world.now(), Observation::LinkReset { engine: index });
+                    .add(self.runtime.now(), Observation::LinkReset { engine: index });
                 link.reset();
             }
             Kind::EngineDrain => {
                 self.log
-                    .add(self.world.now(), Observation::Drains { engine: index });
+                    .add(self.runtime.now(), Observation::Drains { engine: index });
                 self.discovery
                     .change(index, |entry| entry.state = "draining");
             }
             _ => {}
         }
-        self.world.sleep(span).await;
+        self.runtime.sleep(span).await;
         match kind {
             Kind::EngineCrash => {
-                let started_ms = self.world.unix_micros() / 1_000;
+                let started_ms = self.runtime.unix_micros() / 1_000;
                 self.discovery
                     .change(index, |entry| entry.started_ms = started_ms);
                 engine.set(|t| t.down = false);
@@ -396,7 +398,7 @@
             Kind::EngineDrain => {
                 self.discovery.change(index, |entry| entry.state = "up");
                 self.log
-                    .add(self.world.now(), Observation::DrainOver { engine: index });
+                    .add(self.runtime.now(), Observation::DrainOver { engine: index });
             }
             Kind::EngineHang => engine.set(|t| t.hangs = false),
             Kind::EngineTurnsAway => engine.set(|t| t.turns_away = false),
--- a/crates/ivyward-lab/tests/alone.rs
+++ b/crates/ivyward-testbed/tests/alone.rs
@@ -7,14 +7,14 @@
 use ivyward::registration::State;
 use ivyward::{Final, Node, Part};
 use ivyward_core::interface::ListKind;
-use ivyward_lab::enlist;
-use ivyward_lab::scene::decisions;
-use ivyward_lab::seeds::Hosts;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::{Effect, Heard};
+use ivyward_fakes::{text, Ask, Client, Habit, Host as Processes};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::{Effect, Heard};
-use ivyward_standins::{text, Ask, Client, Habit, Host as Processes};
-use ivyward_world::WorldExt;
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::enlist;
+use ivyward_testbed::scene::decisions;
+use ivyward_testbed::seeds::Hosts;
 use stage::{prompt, request, stage, HOUR};
 use std::sync::Arc;
 
@@ -42,12 +42,12 @@
     let stage = stage();
     let (node, address, memory) = stage.node(7);
     let (other, its_address, _) = stage.node(8);
-    let (listed, world, log) = (stage.listed(), stage.world.clone(), stage.log.clone());
+    let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
         node.fleet(ListKind::Full, listed.clone()).await;
         other.fleet(ListKind::Full, listed).await;
-        let client = Client::connect(&world, &log, address).await.unwrap();
-        let beside = Client::connect(&world, &log, its_address).await.unwrap();
+        let client = Client::connect(&runtime, &log, address).await.unwrap();
+        let beside = Client::connect(&runtime, &log, its_address).await.unwrap();
         let mut call = 0;
         for session in 0..6u32 {
             let mut words = prompt(session, 60);
@@ -82,10 +82,10 @@
     let run = |door: bool| {
         let stage = stage();
         let (node, address, memory) = stage.node(7);
-        let (listed, world, log) = (stage.listed(), stage.world.clone(), stage.log.clone());
+        let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
         let answers = stage.sim.run(&stage.script, HOUR, async move {
             node.fleet(ListKind::Full, listed).await;
-            let client = Client::connect(&world, &log, address).await.unwrap();
+            let client = Client::connect(&runtime, &log, address).await.unwrap();
             let mut answers = Vec::new();
             for i in 0..20 {
                 let ask = request(i + 1, &prompt(i as u32 / 2, 60), i as u32 / 2);
@@ -97,7 +97,7 @@
                     answers.push(ids.len() as u32);
                 }
                 // Ways to the door take time; the next request comes at a time of its own.
-                world.sleep_until((i + 2) * 1_000_000).await;
+                runtime.sleep_until((i + 2) * 1_000_000).await;
             }
             node.flush_recording().await;
             answers
@@ -112,7 +112,7 @@
 fn dropping_an_answer_gives_the_request_up() {
     let stage = stage();
     let (node, ..) = stage.node(13);
-    let (listed, world) = (stage.listed(), stage.world.clone());
+    let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
         node.fleet(ListKind::Full, listed).await;
         for call in 1..=5 {
@@ -125,7 +125,7 @@
             drop(answer);
         }
         // As long as a reset takes to be written, and to cross.
-        world.sleep(1_000_000).await;
+        runtime.sleep(1_000_000).await;
         (node.open(), node.metrics().gone.get())
     });
     assert_eq!(played, Ok((0, 5)));
@@ -144,31 +144,31 @@
         store.put(&key, &record);
     }
     let (node, address, _) = stage.node(7);
-    let (world, log) = (stage.world.clone(), stage.log.clone());
+    let (runtime, log) = (stage.runtime.clone(), stage.log.clone());
     let follow = Follow {
         endpoints: vec![store.address()],
         ..Follow::default()
     };
     let following = node.clone();
     stage
-        .world
+        .runtime
         .run(async move { following.follow(follow).await });
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let until = |what: fn(&Node) -> bool| {
-            let (node, world) = (node.clone(), world.clone());
+            let (node, runtime) = (node.clone(), runtime.clone());
             async move {
                 while !what(&node) {
-                    world.sleep(1_000).await;
+                    runtime.sleep(1_000).await;
                 }
             }
         };
         until(|n| n.metrics().engines.get() == 5 && n.metrics().list_stale.get() == 0).await;
-        let client = Client::connect(&world, &log, address).await.unwrap();
+        let client = Client::connect(&runtime, &log, address).await.unwrap();
         store.die();
         until(|n| n.metrics().list_stale.get() == 1).await;
-        let end = world.now() + 60_000_000;
+        let end = runtime.now() + 60_000_000;
         let mut call = 0;
-        while world.now() < end {
+        while runtime.now() < end {
             call += 1;
             served(
                 &client,
@@ -182,7 +182,7 @@
                 ),
                 (5, 1)
             );
-            world.sleep(500_000).await;
+            runtime.sleep(500_000).await;
         }
         assert!(call > 80, "{call} requests in the minute");
         store.come_up().unwrap();
--- a/crates/ivyward-lab/tests/auditor.rs
+++ b/crates/ivyward-testbed/tests/auditor.rs
@@ -4,12 +4,12 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward_lab::scene::{Make, Scene};
+use ivyward_fakes::sight::{Effect, Heard, Key, Kind, Sight};
+use ivyward_fakes::{audit_so_far, Role, Spec};
+use ivyward_grpc::{encode, Call, Channel, Options};
 use ivyward_proto::engine as pb;
-use ivyward_standins::sight::{Effect, Heard, Key, Kind, Sight};
-use ivyward_standins::{audit_so_far, Role, Spec};
-use ivyward_wire::{encode, Call, Channel, Options};
-use ivyward_world::{World, WorldExt, WorldRef};
+use ivyward_runtime::{Runtime, RuntimeExt, RuntimeRef};
+use ivyward_testbed::scene::{Make, Scene};
 use std::sync::Arc;
 
 const NODE: u64 = 77;
@@ -38,10 +38,10 @@
 }
 
 async fn dial(scene: &Scene, engine: usize) -> Channel {
-    let world: WorldRef = scene.world.clone();
+    let runtime: RuntimeRef = scene.runtime.clone();
     let address = scene.engine(engine).address();
-    let conn = world.connect(address).await.unwrap();
-    Channel::begin(&world, conn, Options::default())
+    let conn = runtime.connect(address).await.unwrap();
+    Channel::begin(&runtime, conn, Options::default())
         .await
         .unwrap()
 }
@@ -136,7 +136,7 @@
             }
             heard(&scene, 1, how);
             if late {
-                scene.world.sleep(150_000).await;
+                scene.runtime.sleep(150_000).await;
                 to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
             }
         });
@@ -185,7 +185,7 @@
                 engine,
                 ready: false,
             });
-            scene.world.sleep(wait).await;
+            scene.runtime.sleep(wait).await;
             to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
         });
         assert_eq!(
@@ -276,7 +276,7 @@
                     return to_end::<pb::WriteEvent>(write(&scene, 1, 1, 1, 1).await).await;
                 }
                 let (tell, wait) = async_channel::bounded::<()>(1);
-                scene.world.run(async move {
+                scene.runtime.run(async move {
                     to_end::<pb::WriteEvent>(first).await;
                     drop(tell);
                 });
@@ -342,7 +342,7 @@
                 ..pb::WriteRequest::default()
             };
             let path = "/ivyward.engine.v1.Engine/Write";
-            let deadline = scene.world.now() + 1_000_000 + more;
+            let deadline = scene.runtime.now() + 1_000_000 + more;
             let call = dial(&scene, 0)
                 .await
                 .call_before(path, encode(&ask), Some(deadline))
--- a/crates/ivyward-lab/tests/byhand.rs
+++ b/crates/ivyward-testbed/tests/byhand.rs
@@ -1,11 +1,11 @@
 //! The fleet to try and the one request, as the command line gives them.
 
-use ivyward_lab::byhand::{order, Order};
+use ivyward_testbed::byhand::{order, Order};
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, Command, Stdio};
 
 fn lab(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-testbed"));
     command
         .env_clear()
         .args(args)
@@ -118,22 +118,23 @@
         "--token-gap-ms=1",
         &register,
     ]);
-    let world = ivyward_world::SmolWorld::start(1, 1);
-    let as_ref: ivyward_world::WorldRef = world.clone();
-    let node = ivyward::Node::start(as_ref.clone(), ivyward_lab::scene::settings(), None).unwrap();
+    let runtime = ivyward_runtime::SmolRuntime::start(1, 1);
+    let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
+    let node =
+        ivyward::Node::start(as_ref.clone(), ivyward_testbed::scene::settings(), None).unwrap();
     let listener = as_ref.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let door = listener.address().to_string();
     let (serving, following) = (node.clone(), node.clone());
-    ivyward_world::WorldExt::run(&*as_ref, async move { serving.serve(listener).await });
+    ivyward_runtime::RuntimeExt::run(&*as_ref, async move { serving.serve(listener).await });
     let follow = ivyward::follow::Follow {
         endpoints: vec![endpoint.parse().unwrap()],
         ..ivyward::follow::Follow::default()
     };
-    ivyward_world::WorldExt::run(&*as_ref, async move { following.follow(follow).await });
+    ivyward_runtime::RuntimeExt::run(&*as_ref, async move { following.follow(follow).await });
     // Its process, the store and the node need their time; how long is the machine's matter.
-    world.block_on(async {
+    runtime.block_on(async {
         while node.metrics().engines.get() < 5 {
-            ivyward_world::WorldExt::sleep(&*as_ref, 5_000).await;
+            ivyward_runtime::RuntimeExt::sleep(&*as_ref, 5_000).await;
         }
     });
     let output = lab(&["ask", &door, "--tokens=5", "--class=list-review"])
--- a/crates/ivyward-lab/tests/capacity.rs
+++ b/crates/ivyward-testbed/tests/capacity.rs
@@ -1,10 +1,10 @@
 //! The capacity page says what the tool works out from the kept slopes.
 
-use ivyward_lab::capacity::command::markdown;
-use ivyward_lab::capacity::kept::Kept;
-use ivyward_lab::capacity::rows::{rows, Basis};
-use ivyward_lab::capacity::target::Target;
-use ivyward_lab::capacity::{chart, CapacityError};
+use ivyward_testbed::capacity::command::markdown;
+use ivyward_testbed::capacity::kept::Kept;
+use ivyward_testbed::capacity::rows::{rows, Basis};
+use ivyward_testbed::capacity::target::Target;
+use ivyward_testbed::capacity::{chart, CapacityError};
 use std::path::{Path, PathBuf};
 
 fn docs() -> PathBuf {
@@ -22,7 +22,7 @@
     let table = markdown(&rows(&kept, &target).unwrap());
     assert!(
         page.contains(&table),
-        "docs/CAPACITY.md lacks what `ivyward-lab capacity` prints:\n{table}"
+        "docs/CAPACITY.md lacks what `ivyward-testbed capacity` prints:\n{table}"
     );
     let drawn = chart::svg(&kept, &target).unwrap();
     assert_eq!(
--- a/crates/ivyward-lab/tests/child_process.rs
+++ b/crates/ivyward-testbed/tests/child_process.rs
@@ -17,7 +17,7 @@
         .args(["+x", daemon.to_str().unwrap()])
         .status()
         .unwrap();
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_ivyward-lab"))
+    let mut rig = Command::new(env!("CARGO_BIN_EXE_ivyward-testbed"))
         .args([
             "soak",
             "--nodes",
--- a/crates/ivyward-lab/tests/cold.rs
+++ b/crates/ivyward-testbed/tests/cold.rs
@@ -4,15 +4,15 @@
 use ivyward::core::interface::Settings;
 use ivyward::follow::Follow;
 use ivyward::{Node, NodeSettings};
-use ivyward_lab::enlist::keep;
-use ivyward_lab::scene::{limits, settings};
-use ivyward_lab::seeds::Hosts;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::{Effect, Seen};
+use ivyward_fakes::{audit, Ask, Client, Engine, Habit, Host, Log, Role, Sight, Spec};
 use ivyward_proto::front::GenerateRequest;
+use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use ivyward_sim::{Net, Sim};
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::{Effect, Seen};
-use ivyward_standins::{audit, Ask, Client, Engine, Habit, Host, Log, Role, Sight, Spec};
-use ivyward_world::{WorldExt, WorldRef};
+use ivyward_testbed::enlist::keep;
+use ivyward_testbed::scene::{limits, settings};
+use ivyward_testbed::seeds::Hosts;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
@@ -22,8 +22,8 @@
 const COLD: [(usize, i64); 3] = [(6, -3_600), (7, 3_600), (8, -1)];
 
 /// It registers itself, by a clock that is so many seconds ahead; without one as started long ago.
-fn enlist(engine: &Engine, world: &WorldRef, store: SocketAddr, skew: Option<i64>) {
-    let now = world.unix_micros() as i64 / 1_000;
+fn enlist(engine: &Engine, runtime: &RuntimeRef, store: SocketAddr, skew: Option<i64>) {
+    let now = runtime.unix_micros() as i64 / 1_000;
     let started = skew.map_or(0, |s| (now + s * 1_000) as u64);
     keep(engine, vec![store], 60, started, |_| {});
 }
@@ -33,8 +33,8 @@
 fn clocks_that_differ_push_no_cold_engine_over() {
     let sim = Sim::new(44, Net::default());
     let (script, hosts) = (sim.host(0), Arc::new(Hosts::of(&sim)));
-    let (world, host): (_, Arc<dyn Host>) = (script.world(), hosts);
-    let log = Log::new(&world);
+    let (runtime, host): (_, Arc<dyn Host>) = (script.runtime(), hosts);
+    let log = Log::new(&runtime);
     // Little more than its capacity pushes a cold engine over, and what a node gives a warm one would.
     let rules = Settings {
         fall_multiple: 1.2,
@@ -60,31 +60,31 @@
     let store = Store::start(&host, 1).unwrap();
     let address = store.address();
     for engine in &engines.lock().unwrap()[..2 + WARM as usize] {
-        enlist(engine, &world, address, None);
+        enlist(engine, &runtime, address, None);
     }
     let mut nodes = Vec::new();
     for seed in 1..=2 {
         let own = sim.host(seed);
-        let its_world = own.world();
+        let its_runtime = own.runtime();
         let settings = NodeSettings {
             seed,
             rules: rules.clone(),
             ..settings()
         };
-        let node = Node::start(its_world.clone(), settings, None).unwrap();
-        let listener = its_world
+        let node = Node::start(its_runtime.clone(), settings, None).unwrap();
+        let listener = its_runtime
             .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
             .unwrap();
         let (serving, following, door) = (node.clone(), node.clone(), listener.address());
-        its_world.run(async move { serving.serve(listener).await });
+        its_runtime.run(async move { serving.serve(listener).await });
         let follow = Follow {
             endpoints: vec![address],
             ..Follow::default()
         };
-        its_world.run(async move { following.follow(follow).await });
+        its_runtime.run(async move { following.follow(follow).await });
         nodes.push((node, door));
     }
-    let (it, its_log, clock) = (engines.clone(), log.clone(), world.clone());
+    let (it, its_log, clock) = (engines.clone(), log.clone(), runtime.clone());
     let played = sim.run(&script, 3_600 * SECOND, async move {
         let known = |count: u64| nodes.iter().all(|n| n.0.metrics().engines.get() == count);
         while !known(2 + WARM) {
--- a/crates/ivyward-lab/tests/common/mod.rs
+++ b/crates/ivyward-testbed/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! What the end-to-end tests share.
 #![allow(dead_code)]
 
-use ivyward_lab::scene::{Make, Scene};
-use ivyward_standins::sight::{Heard, Kind, Seen, Sight};
-use ivyward_standins::{Ask, End, Role, Spec};
-use ivyward_world::WorldExt;
+use ivyward_fakes::sight::{Heard, Kind, Seen, Sight};
+use ivyward_fakes::{Ask, End, Role, Spec};
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::scene::{Make, Scene};
 use std::sync::Arc;
 
 /// Classes of the scenes.
@@ -36,7 +36,7 @@
     for ask in asks {
         let (tell, wait) = async_channel::bounded(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let end = one.send(&ask).await;
             let _ = tell.send(end.expect("the node is there")).await;
         });
@@ -55,7 +55,7 @@
         if let Some(seen) = scene.log.all().into_iter().find(|s| what(&s.what)) {
             return seen;
         }
-        scene.world.sleep(1_000).await;
+        scene.runtime.sleep(1_000).await;
     }
     panic!("it was not seen within ten seconds");
 }
--- a/crates/ivyward-lab/tests/contract.rs
+++ b/crates/ivyward-testbed/tests/contract.rs
@@ -3,8 +3,8 @@
 mod stage;
 
 use ivyward_core::interface::ListKind;
+use ivyward_grpc::{encode, Cause, Channel, Options};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_wire::{encode, Cause, Channel, Options};
 use stage::{stage, HOUR};
 
 /// Guards against ends without a word on whether trying again is harmless: an unknown method, bytes that are no message
@@ -13,11 +13,11 @@
 fn what_never_becomes_a_request_fails_by_the_contract() {
     let stage = stage();
     let (node, address, _) = stage.node(7);
-    let (listed, world) = (stage.listed(), stage.world.clone());
+    let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
         node.fleet(ListKind::Full, listed).await;
-        let conn = world.connect(address).await.unwrap();
-        let channel = Channel::begin(&world, conn, Options::default())
+        let conn = runtime.connect(address).await.unwrap();
+        let channel = Channel::begin(&runtime, conn, Options::default())
             .await
             .unwrap();
         let method = "/ivyward.front.v1.Front/Generate";
--- a/crates/ivyward-lab/tests/drains.rs
+++ b/crates/ivyward-testbed/tests/drains.rs
@@ -6,12 +6,12 @@
 use futures_lite::future::block_on;
 use ivyward::follow::Follow;
 use ivyward::registration::State;
-use ivyward_lab::scene::{Make, Scene};
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::{Heard, Sight};
-use ivyward_standins::Host;
-use ivyward_world::WorldExt;
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::{Heard, Sight};
+use ivyward_fakes::Host;
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::scene::{Make, Scene};
 use std::sync::Arc;
 
 /// These tests are about notices: what the machine needs for everything else is not held against the node here. Sends
@@ -96,7 +96,7 @@
             if what(self) {
                 return;
             }
-            self.scene.world.sleep(1_000).await;
+            self.scene.runtime.sleep(1_000).await;
         }
         let m = self.scene.node(0).unwrap().metrics().text(0);
         panic!(
@@ -121,13 +121,13 @@
         let (done, wait) = async_channel::bounded::<()>(1);
         for client in 0..8 {
             let (scene, stopped, done) = (self.scene.clone(), stopped.clone(), done.clone());
-            self.scene.world.run(async move {
+            self.scene.runtime.run(async move {
                 let mut i = client * 100_000;
                 while !stopped.is_closed() {
                     let ask = scene.ask(client as usize % 2, QUICK, prompt(i, 40), 4);
                     scene.send(&ask).await;
                     i += 1;
-                    scene.world.sleep(2_000).await;
+                    scene.runtime.sleep(2_000).await;
                 }
                 drop(done);
             });
@@ -160,10 +160,10 @@
                 _ => rig.delete(engine),
             }
             rig.told(engine, false);
-            rig.scene.world.sleep(300_000).await;
+            rig.scene.runtime.sleep(300_000).await;
             rig.told(engine, true);
             rig.put(engine, State::Ready);
-            rig.scene.world.sleep(30_000).await;
+            rig.scene.runtime.sleep(30_000).await;
         }
         drop(stop);
         let _ = done.recv().await;
@@ -292,7 +292,7 @@
         let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 400);
         let (one, call) = (rig.scene.clone(), ask.request.call_id);
         let (tell, wait) = async_channel::bounded(1);
-        rig.scene.world.run(async move {
+        rig.scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
         seen(
@@ -326,13 +326,13 @@
             ..follow.clone()
         };
         let start = |seed: u64, follow: Follow| {
-            let world = ivyward_world::SmolWorld::start(1, seed);
-            let as_ref: ivyward_world::WorldRef = world.clone();
+            let runtime = ivyward_runtime::SmolRuntime::start(1, seed);
+            let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
             let node =
                 ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
             let following = node.clone();
-            world.run(async move { following.follow(follow).await });
-            (world, node)
+            runtime.run(async move { following.follow(follow).await });
+            (runtime, node)
         };
         let (first, node) = start(1, keeping.clone());
         rig.until(|_| node.metrics().engines.get() == 12 && path.exists())
@@ -367,8 +367,8 @@
     let follow = rig.scene.make().follow.clone().unwrap();
     rig.put_all();
     block_on(async {
-        let world = ivyward_world::SmolWorld::start(1, 1);
-        let as_ref: ivyward_world::WorldRef = world.clone();
+        let runtime = ivyward_runtime::SmolRuntime::start(1, 1);
+        let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
         let node = ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
         let (following, keeping) = (
             node.clone(),
@@ -377,7 +377,7 @@
                 ..follow
             },
         );
-        world.run(async move { following.follow(keeping).await });
+        runtime.run(async move { following.follow(keeping).await });
         rig.until(|_| node.metrics().engines.get() == 12).await;
         rig.until(|_| node.metrics().list_keep_failures.get() > 0)
             .await;
@@ -386,7 +386,7 @@
         rig.until(|_| ivyward::snapshot::read(&path).unwrap().unwrap().len() == 12)
             .await;
         assert!(!path.with_extension("new").exists());
-        world.stop();
+        runtime.stop();
     });
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -423,7 +423,7 @@
             if part == 25 {
                 rig.drained(4).await;
             }
-            rig.scene.world.sleep(20_000).await;
+            rig.scene.runtime.sleep(20_000).await;
         }
         rig.all_known(12 + fleet - burst).await;
         rig.served(2).await;
@@ -527,7 +527,7 @@
         rig.put_all();
         rig.delete(11);
         rig.store.copy().save(&path).unwrap();
-        let copy = ivyward_standins::etcd::Copy::load(&path).unwrap();
+        let copy = ivyward_fakes::etcd::Copy::load(&path).unwrap();
         block_on(async {
             rig.all_known(11).await;
             rig.put(11, State::Ready);
@@ -628,7 +628,7 @@
             rig.served(i).await;
             i += 1;
             assert_eq!(rig.engines_known(), [12, 12]);
-            rig.scene.world.sleep(50_000).await;
+            rig.scene.runtime.sleep(50_000).await;
         }
         rig.store.come_up().unwrap();
         rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
--- a/crates/ivyward-lab/tests/drops.rs
+++ b/crates/ivyward-testbed/tests/drops.rs
@@ -5,12 +5,12 @@
 
 use ivyward::{Final, Node, Part};
 use ivyward_core::interface::ListKind;
-use ivyward_lab::seeds::Hosts;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::Effect;
+use ivyward_fakes::{text, Ask, Client, Habit, Host as Processes, Sight};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::Effect;
-use ivyward_standins::{text, Ask, Client, Habit, Host as Processes, Sight};
-use ivyward_world::{WorldExt, WorldRef};
+use ivyward_runtime::{RuntimeExt, RuntimeRef};
+use ivyward_testbed::seeds::Hosts;
 use stage::{prompt, request, stage, HOUR};
 use std::future::Future;
 use std::pin::Pin;
@@ -56,21 +56,21 @@
 
 /// Nothing is in hand and nothing is kept, within what a release takes.
 async fn nothing_left(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     nodes: &[Node],
     stage_kept: impl Fn() -> usize,
     what: &str,
 ) {
     let open = || nodes.iter().map(|n| n.open()).sum::<usize>();
-    let until = world.now() + 1_000_000;
+    let until = runtime.now() + 1_000_000;
     while (open(), stage_kept()) != (0, 0) {
         assert!(
-            world.now() < until,
+            runtime.now() < until,
             "{what}: {} open, {} kept",
             open(),
             stage_kept()
         );
-        world.sleep(1_000).await;
+        runtime.sleep(1_000).await;
     }
 }
 
@@ -79,7 +79,7 @@
 fn an_answer_dropped_at_each_poll() {
     let stage = stage();
     let (node, ..) = stage.node(7);
-    let (listed, world) = (stage.listed(), stage.world.clone());
+    let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let engines = Arc::new(Mutex::new(stage.engines));
     let kept = engines.clone();
     let played = stage.sim.run(&stage.script, HOUR, async move {
@@ -99,7 +99,7 @@
             drop(answer);
             let sum = || kept.lock().unwrap().iter().map(|e| e.kept()).sum();
             nothing_left(
-                &world,
+                &runtime,
                 std::slice::from_ref(&node),
                 sum,
                 &format!("dropped at poll {polls}"),
@@ -122,12 +122,12 @@
 fn a_call_dropped_at_each_poll() {
     let stage = stage();
     let (node, address, _) = stage.node(7);
-    let (listed, world, log) = (stage.listed(), stage.world.clone(), stage.log.clone());
+    let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
     let engines = Arc::new(Mutex::new(stage.engines));
     let kept = engines.clone();
     let played = stage.sim.run(&stage.script, HOUR, async move {
         node.fleet(ListKind::Full, listed).await;
-        let client = Client::connect(&world, &log, address).await.unwrap();
+        let client = Client::connect(&runtime, &log, address).await.unwrap();
         for polls in 0.. {
             let call = u64::from(polls) + 1;
             let habit = Habit {
@@ -142,17 +142,17 @@
                 habit,
             };
             let done = drop_after(polls, client.ask(&one)).await;
-            let left = world.now();
+            let left = runtime.now();
             let sum = || kept.lock().unwrap().iter().map(|e| e.kept()).sum();
             nothing_left(
-                &world,
+                &runtime,
                 std::slice::from_ref(&node),
                 sum,
                 &format!("dropped at poll {polls}"),
             )
             .await;
             // A reset is on its way for less than a millisecond; after it nothing is sent for the call.
-            let late = |s: &&ivyward_standins::Seen| {
+            let late = |s: &&ivyward_fakes::Seen| {
                 matches!(s.what, Sight::Arrived { call: c, .. } if c == call) && s.at > left + 2_000
             };
             assert_eq!(
@@ -170,7 +170,7 @@
     // One effect at most for each call, and one for the last.
     let ran = |call: u64| {
         let of =
-            |s: &&ivyward_standins::Seen| matches!(s.what, Sight::Ran { call: c, .. } if c == call);
+            |s: &&ivyward_fakes::Seen| matches!(s.what, Sight::Ran { call: c, .. } if c == call);
         stage.log.all().iter().filter(of).count()
     };
     let last = u64::from(played.unwrap()) + 1;
@@ -185,14 +185,14 @@
     for moment in 0..60 {
         let stage = stage();
         let (node, address, _, host) = stage.node_at(7);
-        let (listed, world, log) = (stage.listed(), stage.world.clone(), stage.log.clone());
+        let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
         let (again, its_address, _) = stage.node(8);
         let engines = Arc::new(Mutex::new(stage.engines));
         let (kept, sim) = (engines.clone(), stage.sim.clone());
         let played = stage.sim.run(&stage.script, HOUR, async move {
             node.fleet(ListKind::Full, listed.clone()).await;
             again.fleet(ListKind::Full, listed).await;
-            let client = Client::connect(&world, &log, address).await.unwrap();
+            let client = Client::connect(&runtime, &log, address).await.unwrap();
             let habit = Habit {
                 patience: 2_000_000,
                 ..Habit::default()
@@ -204,14 +204,14 @@
                 node: 0,
                 habit,
             };
-            let (clock, killer) = (world.clone(), sim.clone());
-            let at = world.now() + 500 * moment;
-            world.run(async move {
+            let (clock, killer) = (runtime.clone(), sim.clone());
+            let at = runtime.now() + 500 * moment;
+            runtime.run(async move {
                 clock.sleep_until(at).await;
                 killer.kill(host, moment % 2 == 0);
             });
             client.ask(&one).await;
-            let client = Client::connect(&world, &log, its_address).await.unwrap();
+            let client = Client::connect(&runtime, &log, its_address).await.unwrap();
             let one = Ask {
                 request: ask(2),
                 operation: 2,
@@ -219,9 +219,9 @@
                 ..one
             };
             let end = client.ask(&one).await;
-            assert_eq!(end.how, ivyward_standins::sight::Heard::Served, "{end:?}");
+            assert_eq!(end.how, ivyward_fakes::sight::Heard::Served, "{end:?}");
             // Longer than engines keep anything for a node that is gone.
-            world.sleep(60_000_000).await;
+            runtime.sleep(60_000_000).await;
             (
                 again.open(),
                 kept.lock().unwrap().iter().map(|e| e.kept()).sum::<usize>(),
@@ -247,13 +247,13 @@
     for i in 0..20 {
         store.put(&format!("k/{i:02}"), "v");
     }
-    let (world, endpoint, store) = (stage.world.clone(), store.address(), Mutex::new(store));
+    let (runtime, endpoint, store) = (stage.runtime.clone(), store.address(), Mutex::new(store));
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let options = ivyward_etcd::EtcdOptions {
             page: 3,
             ..Default::default()
         };
-        let client = ivyward_etcd::Client::new(&world, vec![endpoint], options);
+        let client = ivyward_etcd::Client::new(&runtime, vec![endpoint], options);
         let mut steps = (0, 0);
         for polls in 0.. {
             let list = drop_after(polls, client.list(b"k/")).await;
--- a/crates/ivyward-lab/tests/enlist.rs
+++ b/crates/ivyward-testbed/tests/enlist.rs
@@ -1,14 +1,14 @@
 //! Registering and draining by the command line, and the engine's end with its lease.
 
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::Host;
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::Host;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 use std::sync::Arc;
 
 fn lab(store: &Store, args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-testbed"));
     command
         .env_clear()
         .args(args)
@@ -76,7 +76,7 @@
 }
 
 async fn pause(host: &Arc<dyn Host>) {
-    let (world, kill) = host.process(1);
-    ivyward_world::WorldExt::sleep(&*world, 10_000).await;
+    let (runtime, kill) = host.process(1);
+    ivyward_runtime::RuntimeExt::sleep(&*runtime, 10_000).await;
     kill();
 }
--- a/crates/ivyward-lab/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -4,11 +4,11 @@
 use common::*;
 use futures_lite::future::block_on;
 use ivyward::core::interface::Condition;
-use ivyward_lab::badday::{self, Day};
-use ivyward_lab::scene::Make;
-use ivyward_standins::sight::{Gone, Heard, Kind, Sight};
-use ivyward_standins::Twist;
-use ivyward_world::WorldExt;
+use ivyward_fakes::sight::{Gone, Heard, Kind, Sight};
+use ivyward_fakes::Twist;
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::badday::{self, Day};
+use ivyward_testbed::scene::Make;
 
 /// A reader that takes a request and never answers is waited out only in part: another one reads in time.
 #[test]
@@ -77,7 +77,7 @@
             let long = scene.ask(0, QUICK, prompt(1_000, 50), 400);
             let (tell, wait) = async_channel::bounded(1);
             let (one, call) = (scene.clone(), long.request.call_id);
-            scene.world.run(async move {
+            scene.runtime.run(async move {
                 let _ = tell.send(one.send(&long).await).await;
             });
             seen(
@@ -150,7 +150,7 @@
                 .await
                 .unwrap();
             served += usize::from(end.how == Heard::Served);
-            scene.world.sleep(20_000).await;
+            scene.runtime.sleep(20_000).await;
         }
         assert!(served > 20, "{served} of 40 served after the restarts");
         clean(&scene).await;
@@ -178,7 +178,7 @@
         let (tell, wait) = async_channel::bounded(2);
         for ask in asks {
             let (one, tell) = (scene.clone(), tell.clone());
-            scene.world.run(async move {
+            scene.runtime.run(async move {
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
@@ -232,7 +232,7 @@
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let leave = async {
                 let _ = left.recv().await;
             };
@@ -243,10 +243,10 @@
         // The reader's connections break and break again while the release is due.
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             while !stopped.is_closed() {
                 one.engine(0).drop_connections();
-                one.world.sleep(1_000).await;
+                one.runtime.sleep(1_000).await;
             }
         });
         drop(leave);
@@ -282,7 +282,7 @@
         let (tell, wait) = async_channel::bounded(2);
         for ask in [short, long] {
             let (one, tell) = (scene.clone(), tell.clone());
-            scene.world.run(async move {
+            scene.runtime.run(async move {
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
--- a/crates/ivyward-lab/tests/handover.rs
+++ b/crates/ivyward-testbed/tests/handover.rs
@@ -1,7 +1,7 @@
 //! Where states are handed over, by one node's decisions in synthetic time.
 
 use clap::Parser;
-use ivyward_lab::handover::{play, HandoverFlags, Handovers};
+use ivyward_testbed::handover::{play, HandoverFlags, Handovers};
 
 #[derive(Parser)]
 struct Flags {
--- a/crates/ivyward-lab/tests/held.rs
+++ b/crates/ivyward-testbed/tests/held.rs
@@ -5,9 +5,9 @@
 use futures_lite::future::block_on;
 use ivyward::core::interface::{Event, ReportField};
 use ivyward::record::Reader;
-use ivyward_lab::scene::{Make, Memory};
-use ivyward_standins::sight::{Gone, Heard, Kind, Sight};
-use ivyward_world::WorldExt;
+use ivyward_fakes::sight::{Gone, Heard, Kind, Sight};
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::scene::{Make, Memory};
 
 #[test]
 fn places_are_held_ahead_taken_and_let_go() {
@@ -63,7 +63,7 @@
         let (one, ask) = (scene.clone(), scene.ask(0, QUICK, prompt(60, 50), 5));
         let (tell, wait) = async_channel::bounded(1);
         let call = ask.request.call_id;
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
         let came =
@@ -141,17 +141,17 @@
 fn an_engine_that_closes_each_connection_is_not_dialled_without_end() {
     let scene = build(Make::new(34, pools(1, 1)));
     block_on(async {
-        let world = scene.world.clone();
+        let runtime = scene.runtime.clone();
         let address = {
             let mut engine = scene.engine(1);
             engine.die();
             engine.address()
         };
-        let as_ref: ivyward_world::WorldRef = world.clone();
+        let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
         let mut listener = as_ref.listen(address).unwrap();
         let dials = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
         let count = dials.clone();
-        world.run(async move {
+        runtime.run(async move {
             while let Ok((conn, _)) = listener.accept().await {
                 count.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
                 drop(conn);
--- a/crates/ivyward-lab/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -4,11 +4,11 @@
 mod stage;
 use ivyward::core::interface::{Condition, ListKind};
 use ivyward::{Engine as Listed, Node, NodeSettings};
-use ivyward_lab::scene::{listed, settings};
+use ivyward_fakes::sight::{Effect, Heard, Kind, Sight};
+use ivyward_fakes::{Ask, Client, End, Engine, Habit, Log};
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use ivyward_sim::{HostId, Sim};
-use ivyward_standins::sight::{Effect, Heard, Kind, Sight};
-use ivyward_standins::{Ask, Client, End, Engine, Habit, Log};
-use ivyward_world::{Micros, WorldExt, WorldRef};
+use ivyward_testbed::scene::{listed, settings};
 use stage::{prompt, request, stage_of, Stage, HOUR};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     engine_hosts: Vec<HostId>,
     engines: Arc<Mutex<Vec<Engine>>>,
     listed: Vec<Listed>,
-    world: WorldRef,
+    runtime: RuntimeRef,
     log: Log,
     sim: Sim,
 }
@@ -63,12 +63,12 @@
     let Stage {
         sim,
         script,
-        world,
+        runtime,
         log,
         engines,
         engine_hosts,
     } = stage;
-    let world_of_scene = sim.clone();
+    let runtime_of_scene = sim.clone();
     let all = readers + writers;
     let scene = async move {
         node.fleet(ListKind::Full, listed.clone()).await;
@@ -85,9 +85,9 @@
             engine_hosts,
             engines,
             listed,
-            world,
+            runtime,
             log,
-            sim: world_of_scene,
+            sim: runtime_of_scene,
         };
         let wrong = scene(parts).await;
         drop(held);
@@ -99,7 +99,7 @@
 
 impl Scene {
     async fn client(&self) -> Client {
-        Client::connect(&self.world, &self.log, self.address)
+        Client::connect(&self.runtime, &self.log, self.address)
             .await
             .unwrap()
     }
@@ -114,7 +114,7 @@
     async fn pings(&self, span: Micros) -> Vec<u64> {
         let (mut before, mut pings) = (self.sent(), Vec::new());
         for _ in 0..span / (100 * MS) {
-            self.world.sleep(100 * MS).await;
+            self.runtime.sleep(100 * MS).await;
             let now = self.sent();
             pings.push(now - before);
             before = now;
@@ -181,7 +181,7 @@
     let (tell, told) = async_channel::unbounded();
     for call in calls {
         let (client, tell) = (client.clone(), tell.clone());
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let _ = tell.try_send(client.ask(&ask(call, class)).await);
         });
     }
@@ -221,7 +221,7 @@
         for call in 1..=200 {
             client.ask(&ask(call, 0)).await;
             // Longer than a connection in use takes to be found at rest.
-            scene.world.sleep(1_100 * MS).await;
+            scene.runtime.sleep(1_100 * MS).await;
         }
         let all: u64 = scene.pings(60 * SECOND).await.iter().sum();
         // A round of four takes two seconds, the least.
@@ -232,9 +232,9 @@
 /// A node that slept finds all checks due.
 fn a_node_that_slept() -> Wrong {
     play((30, 30), |scene| async move {
-        scene.world.sleep(5 * SECOND).await;
+        scene.runtime.sleep(5 * SECOND).await;
         scene.sim.freeze(scene.node_host, true);
-        scene.world.sleep(90 * SECOND).await;
+        scene.runtime.sleep(90 * SECOND).await;
         scene.sim.freeze(scene.node_host, false);
         let pings = scene.pings(100 * SECOND).await;
         let (most, all) = (most_in_a_second(&pings), pings.iter().sum::<u64>());
@@ -258,9 +258,9 @@
         let opened = || scene.node.metrics().engine_traffic.usage().opened;
         let before = opened();
         for call in 1..=20 {
-            scene.world.sleep(30 * SECOND).await;
-            let (sim, host, clock) = (scene.sim.clone(), scene.node_host, scene.world.clone());
-            scene.world.run(async move {
+            scene.runtime.sleep(30 * SECOND).await;
+            let (sim, host, clock) = (scene.sim.clone(), scene.node_host, scene.runtime.clone());
+            scene.runtime.run(async move {
                 // The check has left by then, and its answer has not come.
                 clock.sleep(450).await;
                 sim.freeze(host, true);
@@ -280,7 +280,7 @@
 /// All are taken up at once after a rest.
 fn all_wake_at_once() -> Wrong {
     play((30, 30), |scene| async move {
-        scene.world.sleep(30 * SECOND).await;
+        scene.runtime.sleep(30 * SECOND).await;
         let client = scene.client().await;
         let ends = ask_at_once(&scene, &client, 1..61, 0).await;
         if let Some(end) = ends.iter().find(|end| end.how != Heard::Served) {
@@ -306,7 +306,7 @@
                 // Only the first ones' processes are known by their numbers.
                 break;
             }
-            scene.world.sleep(REST).await;
+            scene.runtime.sleep(REST).await;
             let ends = ask_some(&client, round * 10..round * 10 + 1).await;
             // Both the read's and the write's connection have gone bad.
             if let Some(wrong) = late_or_lost(&ends, usual + A_DIAL) {
@@ -323,7 +323,7 @@
     play((2, 2), move |scene| async move {
         let client = scene.client().await;
         let usual = usual(&client).await;
-        scene.world.sleep(4 * SECOND).await;
+        scene.runtime.sleep(4 * SECOND).await;
         let cut = |on| {
             for host in [scene.engine_hosts[0], scene.engine_hosts[2]] {
                 if to_engine {
@@ -335,7 +335,7 @@
             }
         };
         cut(true);
-        scene.world.sleep(REST).await;
+        scene.runtime.sleep(REST).await;
         let ends = ask_some(&client, 10..20).await;
         // A reader and a writer may both be behind the cut.
         if let Some(wrong) = late_or_lost(&ends, usual + A_DIAL) {
@@ -344,7 +344,7 @@
             ));
         }
         cut(false);
-        scene.world.sleep(10 * SECOND).await;
+        scene.runtime.sleep(10 * SECOND).await;
         let mut ends = ask_some(&client, 20..30).await;
         // Under some load, so that one engine of each kind is not enough.
         ends.retain(|end| end.how != Heard::Served);
@@ -368,15 +368,15 @@
 fn a_hang_with_a_call_in_flight() -> Wrong {
     play((2, 2), |scene| async move {
         let client = scene.client().await;
-        scene.world.sleep(20 * SECOND).await;
+        scene.runtime.sleep(20 * SECOND).await;
         // Whoever writes hangs as soon as it has the call.
         let (engines, log, clock) = (
             scene.engines.clone(),
             scene.log.clone(),
-            scene.world.clone(),
+            scene.runtime.clone(),
         );
         let (hung, when) = async_channel::bounded(1);
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             loop {
                 let at = log.all().iter().find_map(|s| match s.what {
                     Sight::Arrived {
@@ -423,9 +423,9 @@
     for offset in (0..1_600).step_by(100) {
         let wrong = play((1, 2), move |scene| async move {
             let client = scene.client().await;
-            scene.world.sleep(10 * SECOND).await;
-            let (engines, clock) = (scene.engines.clone(), scene.world.clone());
-            scene.world.run(async move {
+            scene.runtime.sleep(10 * SECOND).await;
+            let (engines, clock) = (scene.engines.clone(), scene.runtime.clone());
+            scene.runtime.run(async move {
                 // The request takes 200 us to the node, and as long on to its engine.
                 clock.sleep(offset).await;
                 engines
@@ -461,7 +461,7 @@
 /// that drain, and the others are looked after as before.
 fn the_list_changes_meanwhile() -> Wrong {
     play((10, 10), |scene| async move {
-        scene.world.sleep(5 * SECOND).await;
+        scene.runtime.sleep(5 * SECOND).await;
         let mut changed = scene.listed.clone();
         let gone = changed.split_off(15);
         for (i, engine) in changed.iter_mut().enumerate().filter(|(i, _)| i % 5 == 0) {
@@ -469,7 +469,7 @@
             *engine = listed(&engines[i], Condition::Draining, 0);
         }
         scene.node.fleet(ListKind::Full, changed.clone()).await;
-        scene.world.sleep(5 * SECOND).await;
+        scene.runtime.sleep(5 * SECOND).await;
         let open = scene.open();
         if open != 20 - gone.len() as u64 {
             return Some(format!(
@@ -497,11 +497,11 @@
     play((8, 8), |scene| async move {
         let client = scene.client().await;
         let usual = usual(&client).await;
-        scene.world.sleep(5 * SECOND).await;
+        scene.runtime.sleep(5 * SECOND).await;
         let lost = [0, 1, 8, 9];
         lost.iter()
             .for_each(|i| scene.sim.kill(scene.engine_hosts[*i], false));
-        scene.world.sleep(REST).await;
+        scene.runtime.sleep(REST).await;
         let ends = ask_some(&client, 10..40).await;
         // A call may meet lost ones twice: where it is read and where it is written.
         if let Some(wrong) = late_or_lost(&ends, usual + 2 * A_DIAL) {
@@ -510,7 +510,7 @@
         for i in lost {
             scene.engines.lock().unwrap()[i].come_up(false).unwrap();
         }
-        scene.world.sleep(20 * SECOND).await;
+        scene.runtime.sleep(20 * SECOND).await;
         let ends = ask_some(&client, 40..80).await;
         late_or_lost(&ends, usual + 2 * A_DIAL)
     })
--- a/crates/ivyward-lab/tests/path.rs
+++ b/crates/ivyward-testbed/tests/path.rs
@@ -4,10 +4,10 @@
 use common::*;
 use futures_lite::future::block_on;
 use ivyward::core::interface::Condition;
-use ivyward_lab::scene::{fleet, Make};
-use ivyward_standins::sight::{Heard, Key, Kind, Seen, Sight};
-use ivyward_standins::{text, Habit, Spec};
-use ivyward_world::WorldExt;
+use ivyward_fakes::sight::{Heard, Key, Kind, Seen, Sight};
+use ivyward_fakes::{text, Habit, Spec};
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::scene::{fleet, Make};
 
 #[test]
 fn prompts_are_read_and_answered() {
@@ -248,7 +248,7 @@
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let leave = async {
                 let _ = left.recv().await;
             };
@@ -309,10 +309,10 @@
         for ask in asks {
             let (tell, wait) = async_channel::bounded(1);
             let one = scene.clone();
-            scene.world.run(async move {
+            scene.runtime.run(async move {
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
-            scene.world.sleep(5_000).await;
+            scene.runtime.sleep(5_000).await;
             waits.push(wait);
         }
         let mut quick = scene.ask(0, QUICK, prompt(99, 50), 20);
--- a/crates/ivyward-lab/tests/planted_peers.rs
+++ b/crates/ivyward-testbed/tests/planted_peers.rs
@@ -2,7 +2,7 @@
 //! `RUSTFLAGS="--cfg planted"`, that it finds each of those planted in the decider.
 
 use ivyward_core::peers::*;
-use ivyward_lab::peernet::*;
+use ivyward_testbed::peernet::*;
 
 /// Plays it; what was wrong.
 fn wrong(seed: u64) -> Option<String> {
--- a/crates/ivyward-lab/tests/proofs.rs
+++ b/crates/ivyward-testbed/tests/proofs.rs
@@ -4,10 +4,10 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward_lab::scene::{Make, Scene};
-use ivyward_standins::sight::{Heard, Kind, Sight};
-use ivyward_standins::{Engine, Faults, Twist};
-use ivyward_world::WorldExt;
+use ivyward_fakes::sight::{Heard, Kind, Sight};
+use ivyward_fakes::{Engine, Faults, Twist};
+use ivyward_runtime::RuntimeExt;
+use ivyward_testbed::scene::{Make, Scene};
 use std::sync::Arc;
 
 /// One reader (engine 0) and two writers (1 and 2).
@@ -131,7 +131,7 @@
         let call = ask.request.call_id;
         let (tell, wait) = async_channel::bounded(1);
         let one = scene.clone();
-        scene.world.run(async move {
+        scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await).await;
         });
         let came = |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Write, .. } if *c == call);
@@ -159,7 +159,7 @@
             let calls: Vec<u64> = asks.iter().map(|a| a.request.call_id).collect();
             let (one, first) = (scene.clone(), calls[0]);
             let (told, wait) = async_channel::bounded::<()>(1);
-            scene.world.run(async move {
+            scene.runtime.run(async move {
                 seen(
                     &one,
                     |s| matches!(s, Sight::Arrived { call, .. } if *call == first),
--- a/crates/ivyward-lab/tests/scale.rs
+++ b/crates/ivyward-testbed/tests/scale.rs
@@ -1,14 +1,14 @@
 //! A small scale run on processes: it comes to its end, and what it counts is there. Times are not looked at.
 
-use ivyward_lab::scale::run::{run, Part, Report};
-use ivyward_lab::scale::size::Size;
-use ivyward_lab::scale::stage::Programs;
+use ivyward_testbed::scale::run::{run, Part, Report};
+use ivyward_testbed::scale::size::Size;
+use ivyward_testbed::scale::stage::Programs;
 use std::path::PathBuf;
 use std::process::Command;
 
 /// The daemon beside this package's program. A run of all packages' tests has built it; a run of this one alone builds it.
 fn programs() -> Programs {
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_ivyward-lab"));
+    let lab = PathBuf::from(env!("CARGO_BIN_EXE_ivyward-testbed"));
     let daemon = lab.with_file_name("ivywardd");
     if !daemon.exists() {
         let built = Command::new(env!("CARGO"))
--- a/crates/ivyward-lab/tests/stage/mod.rs
+++ b/crates/ivyward-testbed/tests/stage/mod.rs
@@ -4,12 +4,12 @@
 
 use ivyward::{Node, NodeSettings};
 use ivyward_core::interface::Condition;
-use ivyward_lab::scene::{listed, settings, Memory};
-use ivyward_lab::seeds::Hosts;
+use ivyward_fakes::{Engine, Host as Processes, Log, Role, Spec};
 use ivyward_proto::front::GenerateRequest;
+use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use ivyward_sim::{Host, HostId, Net, Sim};
-use ivyward_standins::{Engine, Host as Processes, Log, Role, Spec};
-use ivyward_world::{WorldExt, WorldRef};
+use ivyward_testbed::scene::{listed, settings, Memory};
+use ivyward_testbed::seeds::Hosts;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 pub struct Stage {
     pub sim: Sim,
     pub script: Arc<Host>,
-    pub world: WorldRef,
+    pub runtime: RuntimeRef,
     pub log: Log,
     pub engines: Vec<Engine>,
     /// The engines' processes, in the same order.
@@ -44,8 +44,8 @@
         },
     );
     let script = sim.host(0);
-    let world = script.world();
-    let log = Log::new(&world);
+    let runtime = script.runtime();
+    let log = Log::new(&runtime);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Processes> = hosts.clone();
     let spec = |id| {
@@ -69,7 +69,7 @@
     Stage {
         sim,
         script,
-        world,
+        runtime,
         log,
         engines,
         engine_hosts,
@@ -89,12 +89,14 @@
     /// The same, with settings of its own.
     pub fn node_with(&self, settings: NodeSettings) -> (Node, SocketAddr, Memory, HostId) {
         let (host, memory) = (self.sim.host(settings.seed), Memory::default());
-        let world = host.world();
-        let node = Node::start(world.clone(), settings, Some(Box::new(memory.clone()))).unwrap();
-        let listener = world.listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let runtime = host.runtime();
+        let node = Node::start(runtime.clone(), settings, Some(Box::new(memory.clone()))).unwrap();
+        let listener = runtime
+            .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .unwrap();
         let address = listener.address();
         let serving = node.clone();
-        world.run(async move { serving.serve(listener).await });
+        runtime.run(async move { serving.serve(listener).await });
         (node, address, memory, host.id())
     }
     pub fn listed(&self) -> Vec<ivyward::Engine> {
--- a/crates/ivyward-lab/tests/terms.rs
+++ b/crates/ivyward-testbed/tests/terms.rs
@@ -4,11 +4,11 @@
 mod stage;
 use ivyward::core::interface::ListKind;
 use ivyward::{Engine as Listed, Node, NodeSettings};
-use ivyward_lab::scene::settings;
+use ivyward_fakes::sight::{Effect, Heard, Kind, Seen, Sight};
+use ivyward_fakes::{Ask, Client, Habit, Log};
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use ivyward_sim::HostId;
-use ivyward_standins::sight::{Effect, Heard, Kind, Seen, Sight};
-use ivyward_standins::{Ask, Client, Habit, Log};
-use ivyward_world::{Micros, WorldExt, WorldRef};
+use ivyward_testbed::scene::settings;
 use stage::{prompt, request, stage, Stage, HOUR};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -32,14 +32,14 @@
     address: SocketAddr,
     node_host: HostId,
     listed: Vec<Listed>,
-    world: WorldRef,
+    runtime: RuntimeRef,
     log: Log,
 }
 
 impl Cast {
     async fn client(&self) -> Client {
         self.node.fleet(ListKind::Full, self.listed.clone()).await;
-        Client::connect(&self.world, &self.log, self.address)
+        Client::connect(&self.runtime, &self.log, self.address)
             .await
             .unwrap()
     }
@@ -53,13 +53,13 @@
     };
     settings.rules.may_cancel = may_cancel;
     let (node, address, _, node_host) = stage.node_with(settings);
-    let (world, log) = (stage.world.clone(), stage.log.clone());
+    let (runtime, log) = (stage.runtime.clone(), stage.log.clone());
     Cast {
         node,
         address,
         node_host,
         listed: stage.listed(),
-        world,
+        runtime,
         log,
     }
 }
@@ -105,8 +105,8 @@
     };
     let end = client.ask_until(ask, leaving).await;
     assert_eq!(end.how, Heard::Left, "{end:?}");
-    let left = cast.world.now();
-    cast.world.sleep(5_000 * MS).await;
+    let left = cast.runtime.now();
+    cast.runtime.sleep(5_000 * MS).await;
     latest(&cast.log, &[Kind::Read, Kind::Write], left)
 }
 
@@ -126,7 +126,7 @@
             stage.sim.lag(cast.node_host, *engine, 110 * MS);
         }
         let played = stage.sim.run(&stage.script, HOUR, async move {
-            let clock = cast.world.clone();
+            let clock = cast.runtime.clone();
             let moment = async move { clock.sleep(50 * MS).await };
             leaves(&cast, &ask(1, 50, 4_000 * MS), how, moment).await
         });
@@ -144,7 +144,7 @@
         let stage = stage();
         let cast = cast(&stage, may_cancel);
         let played = stage.sim.run(&stage.script, HOUR, async move {
-            let (clock, log) = (cast.world.clone(), cast.log.clone());
+            let (clock, log) = (cast.runtime.clone(), cast.log.clone());
             let moment = async move {
                 while latest(&log, &[Kind::Read], 0) == 0 {
                     clock.sleep(MS).await;
@@ -168,7 +168,7 @@
     let sim = stage.sim.clone();
     sim.net(|net| net.buffer = 8 << 10);
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        let clock = cast.world.clone();
+        let clock = cast.runtime.clone();
         let moment = async move {
             // The client's own part of the way is quick.
             clock.sleep(5 * MS).await;
@@ -228,8 +228,8 @@
             let (mut reads, mut writes, mut further) = (0, 0, 0);
             for call in 1..=80 {
                 // Long enough for engines that failed to be tried again.
-                cast.world.sleep(3_000 * MS).await;
-                let began = cast.world.now();
+                cast.runtime.sleep(3_000 * MS).await;
+                let began = cast.runtime.now();
                 client.ask(&ask(call, 50, patience)).await;
                 let all = told(&log, call, &[Kind::Read, Kind::Write, Kind::Hold]);
                 for (at, timeout) in &all {
@@ -314,10 +314,10 @@
     let engines = std::mem::take(&mut stage.engines);
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let client = cast.client().await;
-        let began = cast.world.now();
-        let (clock, cuts, seen) = (cast.world.clone(), sim.clone(), log.clone());
+        let began = cast.runtime.now();
+        let (clock, cuts, seen) = (cast.runtime.clone(), sim.clone(), log.clone());
         let node = cast.node_host;
-        cast.world.run(async move {
+        cast.runtime.run(async move {
             while latest(&seen, &[Kind::Write], 0) == 0 {
                 clock.sleep(MS).await;
             }
@@ -327,7 +327,7 @@
         });
         let patience = 2_000 * MS;
         client.ask(&ask(1, 50, patience)).await;
-        cast.world.sleep(3_000 * MS).await;
+        cast.runtime.sleep(3_000 * MS).await;
         drop(engines);
         let ended = log.all().into_iter().rev().find_map(|s| match s.what {
             Sight::Ended { engine: 4, .. } => Some(s.at),
@@ -356,7 +356,7 @@
         one.habit.read_pause = 5 * MS;
         let (done, wait) = async_channel::bounded(1);
         let log = cast.log.clone();
-        cast.world.run(async move {
+        cast.runtime.run(async move {
             let _ = done.send(client.ask(&one).await).await;
         });
         while !log
@@ -364,7 +364,7 @@
             .iter()
             .any(|s| matches!(s.what, Sight::Began { .. }))
         {
-            cast.world.sleep(MS).await;
+            cast.runtime.sleep(MS).await;
         }
         cast.node.stop(10_000 * MS).await;
         sim.kill(cast.node_host, true);
--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_world::{before, Conn, Listener, WorldExt};
+use ivyward_runtime::{before, Conn, Listener, RuntimeExt};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
@@ -16,21 +16,21 @@
 impl Node {
     /// Serves `/healthz` (200 while the node takes requests, else 503), `/metrics` and, if it knows others, `/peers` until the world ends.
     pub async fn serve_admin(&self, mut listener: Box<dyn Listener>) {
-        let world = self.shared.world.clone();
+        let runtime = self.shared.runtime.clone();
         let busy = Arc::new(AtomicUsize::new(0));
         loop {
             let Ok((conn, _)) = listener.accept().await else {
-                world.sleep(10_000).await;
+                runtime.sleep(10_000).await;
                 continue;
             };
             if busy.fetch_add(1, Ordering::SeqCst) >= MOST {
                 busy.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            let (node, busy, until) = (self.clone(), busy.clone(), world.now() + TIME);
-            world.run(async move {
+            let (node, busy, until) = (self.clone(), busy.clone(), runtime.now() + TIME);
+            runtime.run(async move {
                 // A client that breaks off is its own loss.
-                let _ = before(&node.shared.world, until, one(&node, conn)).await;
+                let _ = before(&node.shared.runtime, until, one(&node, conn)).await;
                 busy.fetch_sub(1, Ordering::SeqCst);
             });
         }
--- a/crates/ivyward/src/engines/dial.rs
+++ b/crates/ivyward/src/engines/dial.rs
@@ -2,7 +2,7 @@
 
 use ivyward_core::dial;
 use ivyward_core::interface::Micros;
-use ivyward_world::{before, Conn, ErrorOrigin, WorldRef};
+use ivyward_runtime::{before, Conn, ErrorOrigin, RuntimeRef};
 use std::io;
 use std::net::SocketAddr;
 
@@ -34,17 +34,17 @@
 /// # Errors
 /// [`DialFailure`], which says whose failure it was.
 pub async fn dial(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     address: SocketAddr,
     until: Micros,
 ) -> Result<Dialed, DialFailure> {
     loop {
-        let began = world.now();
-        let error = match before(world, until, world.connect(address)).await {
+        let began = runtime.now();
+        let error = match before(runtime, until, runtime.connect(address)).await {
             Some(Ok(conn)) => {
                 return Ok(Dialed {
                     conn,
-                    took: world.now() - began,
+                    took: runtime.now() - began,
                 })
             }
             Some(Err(error)) => error,
@@ -53,8 +53,8 @@
         if ErrorOrigin::of(&error) == ErrorOrigin::Remote {
             return Err(DialFailure::Remote(error));
         }
-        match dial::retry_at(world.now(), until) {
-            Some(at) => world.sleep_until(at).await,
+        match dial::retry_at(runtime.now(), until) {
+            Some(at) => runtime.sleep_until(at).await,
             None => return Err(DialFailure::Local(error)),
         }
     }
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -3,18 +3,18 @@
 use crate::settings::NodeSettings;
 use ivyward_core::interface::Micros;
 use ivyward_core::keepalive::{Ask, BeforeUse, Keepalive, KeepaliveSettings};
-use ivyward_wire::RestingChecks;
-use ivyward_world::{WorldExt, WorldRef};
+use ivyward_grpc::RestingChecks;
+use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// The decider, as all connections share it.
 pub(crate) struct EngineKeepalive {
     decider: Mutex<Keepalive>,
-    world: WorldRef,
+    runtime: RuntimeRef,
 }
 
 impl EngineKeepalive {
-    pub(crate) fn new(world: &WorldRef, settings: &NodeSettings) -> Arc<EngineKeepalive> {
+    pub(crate) fn new(runtime: &RuntimeRef, settings: &NodeSettings) -> Arc<EngineKeepalive> {
         let settings = KeepaliveSettings {
             silence: settings.ping_every,
             timeout: settings.ping_timeout,
@@ -23,7 +23,7 @@
         };
         Arc::new(EngineKeepalive {
             decider: Mutex::new(Keepalive::new(settings)),
-            world: world.clone(),
+            runtime: runtime.clone(),
         })
     }
 
@@ -33,7 +33,7 @@
 
     /// What is to be done before a call leaves on a connection on which something was last heard at `heard`.
     pub(crate) fn before_use(&self, heard: Micros) -> BeforeUse {
-        self.decider().before_use(self.world.now(), heard)
+        self.decider().before_use(self.runtime.now(), heard)
     }
 }
 
@@ -45,11 +45,11 @@
         self.decider().roused();
     }
     fn next_check(&self, now: Micros) -> Option<Micros> {
-        let jitter = self.world.unit();
+        let jitter = self.runtime.unit();
         self.decider().next_check(now, jitter)
     }
     fn ask_again(&self, now: Micros) -> Option<Micros> {
-        let jitter = self.world.unit();
+        let jitter = self.runtime.unit();
         match self.decider().ask(now, jitter) {
             Ask::Check => None,
             Ask::Again(at) => Some(at),
--- a/crates/ivyward/src/engines/link.rs
+++ b/crates/ivyward/src/engines/link.rs
@@ -7,8 +7,8 @@
 use ivyward_core::interface::{Micros, ServerId};
 use ivyward_core::keepalive::BeforeUse;
 use ivyward_core::planted::{self, Defect};
-use ivyward_wire::{Channel, Options, RestingChecks};
-use ivyward_world::{before, WorldExt, WorldRef};
+use ivyward_grpc::{Channel, Options, RestingChecks};
+use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -40,7 +40,7 @@
 pub(crate) struct GrpcLink {
     pub(crate) id: ServerId,
     pub(crate) address: SocketAddr,
-    world: WorldRef,
+    runtime: RuntimeRef,
     options: Options,
     keepalive: Arc<EngineKeepalive>,
     per_channel: usize,
@@ -81,7 +81,7 @@
 
 impl GrpcLink {
     pub(crate) fn new(
-        world: &WorldRef,
+        runtime: &RuntimeRef,
         id: ServerId,
         address: SocketAddr,
         settings: &NodeSettings,
@@ -96,7 +96,7 @@
         Arc::new(GrpcLink {
             id,
             address,
-            world: world.clone(),
+            runtime: runtime.clone(),
             options,
             keepalive: keepalive.clone(),
             per_channel: settings.calls_per_connection,
@@ -128,7 +128,7 @@
     /// # Errors
     /// When the dial that this call waited for failed, or none was there in time.
     pub(crate) async fn channel(self: &Arc<Self>, until: Micros) -> Result<Channel, DialError> {
-        let in_dial_time = || until.min(self.world.now().saturating_add(self.dial_timeout));
+        let in_dial_time = || until.min(self.runtime.now().saturating_add(self.dial_timeout));
         let mut dial_by = in_dial_time();
         // Dials that had ended when this call began to wait for one.
         let mut dials_before = None;
@@ -139,7 +139,7 @@
             match found {
                 Found::Ready(channel) => return Ok(channel),
                 Found::Unchecked(channel, wait) => {
-                    let left = until.saturating_sub(self.world.now());
+                    let left = until.saturating_sub(self.runtime.now());
                     // One check a call: with a second one it would be later than by a dial.
                     let answered = self.check(&channel, wait.min(left)).await;
                     if !answered && planted::is(Defect::DoubtfulReused) {
@@ -152,7 +152,7 @@
                 Found::Nothing => {
                     self.dial_if_needed(dial_by, &mut dials_before)?;
                     let _waiting = Waiting::new(self);
-                    if before(&self.world, dial_by, changed).await.is_none() {
+                    if before(&self.runtime, dial_by, changed).await.is_none() {
                         return Err(DialError::Late(self.address));
                     }
                 }
@@ -199,7 +199,7 @@
             return true;
         }
         let (link, channel) = (self.clone(), channel.clone());
-        self.world.run(async move {
+        self.runtime.run(async move {
             channel.answered().await;
             link.changed.notify(usize::MAX);
         });
@@ -214,7 +214,7 @@
     ) -> Result<(), DialError> {
         let mut pool = self.pool();
         // Also when dials succeed and the engine closes each connection at once.
-        if self.world.now() >= until {
+        if self.runtime.now() >= until {
             return Err(DialError::Late(self.address));
         }
         if dials_before.is_some_and(|dials| dials < pool.dials) && pool.last_failed {
@@ -235,25 +235,25 @@
         }
         pool.dialing += 1;
         let (link, at) = (self.clone(), pool.next_dial);
-        self.world.run(async move { link.dial(at).await });
+        self.runtime.run(async move { link.dial(at).await });
         Ok(())
     }
 
     async fn dial(self: Arc<Self>, at: Micros) {
-        if at > self.world.now() {
-            self.world.sleep_until(at).await;
+        if at > self.runtime.now() {
+            self.runtime.sleep_until(at).await;
         }
         let dial = async {
-            let until = self.world.now() + self.dial_timeout;
-            let dialed = dial(&self.world, self.address, until)
+            let until = self.runtime.now() + self.dial_timeout;
+            let dialed = dial(&self.runtime, self.address, until)
                 .await
                 .map_err(|e| e.to_string())?;
             let resting: Option<Arc<dyn RestingChecks>> = Some(self.keepalive.clone());
             let channel =
-                Channel::begin_resting(&self.world, dialed.conn, self.options, resting).await;
+                Channel::begin_resting(&self.runtime, dialed.conn, self.options, resting).await;
             channel.map_err(|e| e.to_string())
         };
-        let result = before(&self.world, self.world.now() + self.dial_timeout, dial).await;
+        let result = before(&self.runtime, self.runtime.now() + self.dial_timeout, dial).await;
         let result = result.unwrap_or_else(|| Err("no answer in time".into()));
         let mut pool = self.pool();
         pool.dialing -= 1;
@@ -272,8 +272,8 @@
             .min(self.pauses.1);
         pool.failed += 1;
         // Half to whole of the pause, so that many nodes do not come back in one moment.
-        let jitter = 0.5 + 0.5 * self.world.unit();
-        pool.next_dial = self.world.now() + (pause as f64 * jitter) as Micros;
+        let jitter = 0.5 + 0.5 * self.runtime.unit();
+        pool.next_dial = self.runtime.now() + (pause as f64 * jitter) as Micros;
         drop(pool);
         self.changed.notify(usize::MAX);
     }
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use futures_lite::future::{or, poll_fn};
 use ivyward_core::interface::{Micros, Outcome, Report, ServerEntry, ServerId};
-use ivyward_world::{BoxFuture, WorldRef};
+use ivyward_runtime::{BoxFuture, RuntimeRef};
 use std::any::Any;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -206,21 +206,21 @@
 
 impl Stall {
     /// A stream of which something came just now.
-    pub fn new(world: &WorldRef, span: Micros) -> Stall {
-        let last = world.now();
+    pub fn new(runtime: &RuntimeRef, span: Micros) -> Stall {
+        let last = runtime.now();
         Stall {
             span,
             last,
-            timer: world.sleep_until(last.saturating_add(span)),
+            timer: runtime.sleep_until(last.saturating_add(span)),
         }
     }
     /// After the timer fired: whether the span is over, else the timer is set anew.
-    pub fn over(&mut self, world: &WorldRef) -> bool {
+    pub fn over(&mut self, runtime: &RuntimeRef) -> bool {
         let due = self.last.saturating_add(self.span);
-        if world.now() >= due {
+        if runtime.now() >= due {
             return true;
         }
-        self.timer = world.sleep_until(due);
+        self.timer = runtime.sleep_until(due);
         false
     }
 }
--- a/crates/ivyward/src/lib.rs
+++ b/crates/ivyward/src/lib.rs
@@ -41,4 +41,4 @@
 
 pub use ivyward_core as core;
 pub use ivyward_proto as proto;
-pub use ivyward_world as world;
+pub use ivyward_runtime as runtime;
--- a/crates/ivyward/src/membership/follow.rs
+++ b/crates/ivyward/src/membership/follow.rs
@@ -13,7 +13,7 @@
 use ivyward_core::starts::Starts;
 pub use ivyward_etcd::EtcdOptions;
 use ivyward_etcd::{mvccpb, Client, Notice};
-use ivyward_world::{before, metered, WorldExt, WorldRef};
+use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -105,7 +105,7 @@
 /// What the follower carries along beside the decider.
 struct Follower<'a> {
     node: &'a Node,
-    world: WorldRef,
+    runtime: RuntimeRef,
     follow: Follow,
     client: Client,
     decider: Membership,
@@ -156,9 +156,9 @@
 impl Node {
     /// Follows engines until the node stops. While the store cannot be reached the last list stands.
     pub async fn follow(&self, follow: Follow) {
-        let world = metered(&self.shared.world, &self.shared.metrics.list_traffic);
+        let runtime = metered(&self.shared.runtime, &self.shared.metrics.list_traffic);
         let mut follower = Follower {
-            client: Client::new(&world, follow.endpoints.clone(), follow.etcd.clone()),
+            client: Client::new(&runtime, follow.endpoints.clone(), follow.etcd.clone()),
             decider: Membership::new(MembershipSettings {
                 empty_grace: follow.empty_grace,
                 behind_grace: follow.behind_grace,
@@ -170,7 +170,7 @@
             named: BTreeMap::new(),
             pause: follow.pauses.0,
             node: self,
-            world,
+            runtime,
             follow,
         };
         or(follower.run(), self.closed()).await;
@@ -215,8 +215,8 @@
                     self.client.leave_endpoint();
                     self.rest().await;
                 } else {
-                    self.world
-                        .sleep_until(at.min(self.world.now().saturating_add(self.follow.silence)))
+                    self.runtime
+                        .sleep_until(at.min(self.runtime.now().saturating_add(self.follow.silence)))
                         .await;
                 }
                 continue;
@@ -232,16 +232,16 @@
                     self.hear(Heard::Gap).await;
                     self.rest().await;
                 }
-                Left::Relist(at) => self.world.sleep_until(at).await,
+                Left::Relist(at) => self.runtime.sleep_until(at).await,
             }
         }
     }
 
     /// A pause that grows from failure to failure, half of it by chance.
     async fn rest(&mut self) {
-        let pause = (self.pause as f64 * (0.5 + 0.5 * self.world.unit())) as Micros;
+        let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
         self.pause = (self.pause * 2).min(self.follow.pauses.1);
-        self.world.sleep(pause).await;
+        self.runtime.sleep(pause).await;
     }
 
     async fn watch(&mut self) -> Left {
@@ -260,7 +260,7 @@
             Err(e) => return Left::Gap(e.to_string()),
         };
         let mut asked = false;
-        let mut silent_from = self.world.now();
+        let mut silent_from = self.runtime.now();
         let mut batch = Batch::default();
         loop {
             // What waits for its time, the file's time, and the silence: whichever is first.
@@ -271,21 +271,21 @@
                 .into_iter()
                 .flatten()
                 .fold(silence, Micros::min);
-            let notice = match before(&self.world, until, watch.next()).await {
+            let notice = match before(&self.runtime, until, watch.next()).await {
                 Some(Ok(notice)) => notice,
                 Some(Err(e)) => {
                     self.client.leave_endpoint();
                     return self.left(batch, Left::Gap(e.to_string())).await;
                 }
                 None => {
-                    let now = self.world.now();
+                    let now = self.runtime.now();
                     if passing.is_some_and(|at| at <= now) {
                         if let Some(at) = self.pass_batch(&mut batch).await {
                             return Left::Relist(at);
                         }
                     }
                     self.keep_in_time();
-                    if silence > self.world.now() {
+                    if silence > self.runtime.now() {
                         continue;
                     }
                     if asked {
@@ -294,12 +294,12 @@
                             .left(batch, Left::Gap("the watch is silent".into()))
                             .await;
                     }
-                    (asked, silent_from) = (true, self.world.now());
+                    (asked, silent_from) = (true, self.runtime.now());
                     watch.ask_progress();
                     continue;
                 }
             };
-            (asked, self.pause, silent_from) = (false, self.follow.pauses.0, self.world.now());
+            (asked, self.pause, silent_from) = (false, self.follow.pauses.0, self.runtime.now());
             // Guards against a store that was replaced between list and watch: its revisions are others, and a watch from
             // one that it has not reached would wait without end.
             if watch.cluster().is_some() && watch.cluster() != self.decider.cluster() {
@@ -336,13 +336,13 @@
                         .into_iter()
                         .filter_map(|e| self.event(e))
                         .collect::<Vec<Heard>>();
-                    batch.add(self.world.now(), heard);
+                    batch.add(self.runtime.now(), heard);
                     // What was left out moves the watch on as well.
                     batch.heard.push(Heard::Progress(last.unwrap_or(0)));
                     let due = batch
                         .since
                         .map_or(Micros::MAX, |since| self.pace.due(since, batch.urgent));
-                    if due <= self.world.now() || batch.heard.len() >= MOST_WAITING {
+                    if due <= self.runtime.now() || batch.heard.len() >= MOST_WAITING {
                         if let Some(at) = self.pass_batch(&mut batch).await {
                             return Left::Relist(at);
                         }
@@ -377,7 +377,7 @@
         let gap = heard.contains(&Heard::Gap);
         let (mut all, mut again) = (Vec::new(), None);
         for heard in heard {
-            self.decider.hear(self.world.now(), heard, &mut all);
+            self.decider.hear(self.runtime.now(), heard, &mut all);
         }
         let mut out: Vec<Told> = Vec::new();
         for told in all {
@@ -418,7 +418,7 @@
 
     /// Writes the file where the list changed, at most once in [`KEEP_EVERY`].
     fn keep_in_time(&mut self) {
-        let now = self.world.now();
+        let now = self.runtime.now();
         if !self.unkept || now < self.keep_from {
             return;
         }
@@ -439,7 +439,7 @@
     }
 
     async fn pass_on(&mut self, kind: ListKind, members: Vec<Member>) {
-        let (now, unix) = (self.world.now(), self.world.unix_micros());
+        let (now, unix) = (self.runtime.now(), self.runtime.unix_micros());
         let mut engines = Vec::with_capacity(members.len());
         for Member { entry, address, .. } in members {
             if entry.condition == Condition::Gone {
@@ -460,7 +460,7 @@
             self.starts.whole(|id| named.contains(&id));
         }
         self.node.fleet(kind, engines).await;
-        self.pace.passed(now, self.world.now());
+        self.pace.passed(now, self.runtime.now());
     }
 
     fn members(&mut self, kvs: &[mvccpb::KeyValue]) -> (Vec<Member>, Vec<ServerId>) {
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::close::CloseReason;
 use ivyward_core::interface::Outcome;
 use ivyward_core::invariants::Rule;
-use ivyward_world::Meter;
+use ivyward_runtime::Meter;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -16,7 +16,7 @@
 use ivyward_core::interface::{Arrival, Effect, ListKind, Micros, RequestId};
 use ivyward_core::planted::{self, Defect};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_world::{before, WorldExt, WorldRef};
+use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, OnceLock};
 use std::task::{Context, Poll};
@@ -56,12 +56,12 @@
     /// # Errors
     /// When a setting cannot hold or the recording cannot be written.
     pub fn start(
-        world: WorldRef,
+        runtime: RuntimeRef,
         settings: NodeSettings,
         recording: Option<Box<dyn std::io::Write + Send>>,
     ) -> Result<Node, StartError> {
-        let protocol = Arc::new(Grpc::new(&world, &settings));
-        Node::start_with(world, settings, recording, protocol)
+        let protocol = Arc::new(Grpc::new(&runtime, &settings));
+        Node::start_with(runtime, settings, recording, protocol)
     }
 
     /// Starts a node that speaks to engines by another protocol.
@@ -69,7 +69,7 @@
     /// # Errors
     /// As for [`Node::start`].
     pub fn start_with(
-        world: WorldRef,
+        runtime: RuntimeRef,
         settings: NodeSettings,
         recording: Option<Box<dyn std::io::Write + Send>>,
         protocol: Arc<dyn Protocol>,
@@ -81,8 +81,8 @@
             .transpose()?;
         let (inbox, told) = Inbox::new();
         let shared = Arc::new(Shared {
-            incarnation: world.random(),
-            world: world.clone(),
+            incarnation: runtime.random(),
+            runtime: runtime.clone(),
             settings,
             router_settings,
             open: AtomicUsize::new(0),
@@ -95,7 +95,7 @@
         });
         let (finished, done) = async_channel::bounded::<()>(1);
         let driver = Driver::new(shared.clone(), protocol, (inbox.clone(), told), recorder);
-        world.run(async move {
+        runtime.run(async move {
             driver.run().await;
             drop(finished);
         });
@@ -185,7 +185,7 @@
         let (shared, id) = (&self.shared, taken.arrival.id.0);
         let why = if shared.stopping.load(Ordering::SeqCst) {
             Refusal::Stopping
-        } else if taken.first_by <= shared.world.now() {
+        } else if taken.first_by <= shared.runtime.now() {
             // No time is left to do anything, and nothing was done.
             Refusal::Shed
         } else if shared.open.fetch_add(1, Ordering::SeqCst) >= shared.settings.most_open {
@@ -267,7 +267,7 @@
             true => 0,
             false => xxh3_64(request.session.as_bytes()).max(1),
         };
-        let now = self.shared.world.now();
+        let now = self.shared.runtime.now();
         let late = if planted::is(Defect::TimeoutLate) {
             2 * settings.answer_margin
         } else {
@@ -315,7 +315,7 @@
     /// Takes nothing new, lets what is under way end for `within` microseconds at most, fails the rest, and returns
     /// when the node is done and its clients have their answers.
     pub async fn stop(&self, within: Micros) {
-        let by = self.shared.world.now().saturating_add(within);
+        let by = self.shared.runtime.now().saturating_add(within);
         self.shared.stopping.store(true, Ordering::SeqCst);
         self.shared.stop_told.notify(usize::MAX);
         self.inbox.tell(Notice::Stop { by });
@@ -331,9 +331,9 @@
     /// Waits until client connections have closed, which each does behind its last answer. Guards against a process that
     /// ends while answers are on their way: a slow client would never get the end of its own.
     async fn flush_answers(&self, by: Micros) {
-        let world = &self.shared.world;
-        let by = by.max(world.now().saturating_add(LAST_ANSWERS));
-        before(world, by, self.clients.all_closed()).await;
+        let runtime = &self.shared.runtime;
+        let by = by.max(runtime.now().saturating_add(LAST_ANSWERS));
+        before(runtime, by, self.clients.all_closed()).await;
     }
 
     pub(crate) fn tell(&self, notice: Notice) {
@@ -352,7 +352,7 @@
             let (tell, told) = async_channel::bounded(PROBES_AT_ONCE);
             for link in some {
                 let (link, shared, tell) = (link.clone(), self.shared.clone(), tell.clone());
-                self.shared.world.run(async move {
+                self.shared.runtime.run(async move {
                     let (alive, _) = link.probe(shared).await;
                     let _ = tell.try_send(alive);
                 });
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -17,7 +17,7 @@
 use ivyward_core::peers::{Card, Out, PeerId, PeerSettings, Peers, Standing};
 use ivyward_core::planted::{self, Defect};
 use ivyward_etcd::EtcdOptions;
-use ivyward_world::{metered, Datagrams, WorldExt, MOST_DATAGRAM};
+use ivyward_runtime::{metered, Datagrams, RuntimeExt, MOST_DATAGRAM};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tracing::{error, info, warn};
@@ -300,28 +300,30 @@
     /// [`PeerError`].
     pub fn peers(&self, options: PeerOptions) -> Result<PeersHandle, PeerError> {
         options.check()?;
-        let world = metered(&self.shared.world, &self.shared.metrics.peer_traffic);
+        let runtime = metered(&self.shared.runtime, &self.shared.metrics.peer_traffic);
         let listen = options.listen;
-        let socket = world.datagrams(listen).map_err(|error| PeerError::Listen {
-            address: listen,
-            error,
-        })?;
+        let socket = runtime
+            .datagrams(listen)
+            .map_err(|error| PeerError::Listen {
+                address: listen,
+                error,
+            })?;
         let address = socket.address();
         let announce = options.announce.unwrap_or(address);
         let name = options.name.clone().unwrap_or_else(|| announce.to_string());
         let rules = &self.settings().rules;
         let me = Card {
             id: PeerId(xxh3_64(name.as_bytes())),
-            start: world.unix_micros(),
+            start: runtime.unix_micros(),
             zone: rules.zone,
             address: announce,
         };
         let mut decider = Peers::new(
-            world.now(),
+            runtime.now(),
             me,
             options.peers.clone(),
             options.spans,
-            world.random(),
+            runtime.random(),
         );
         decider.expect(rules.nodes);
         let decider = Arc::new(Mutex::new(decider));
@@ -340,7 +342,7 @@
             orders: told,
             told: rules.nodes,
         };
-        world.run(speaker.run());
+        runtime.run(speaker.run());
         if let Some(store) = options.store {
             records::begin(self, &store, me, orders);
         }
@@ -356,9 +358,9 @@
 
 impl Speaker {
     async fn run(mut self) {
-        let world = self.node.shared.world.clone();
+        let runtime = self.node.shared.runtime.clone();
         let mut bytes = [0u8; MOST_DATAGRAM + 1];
-        let (mut tick_at, span) = (world.now(), lock(&self.decider).tick_span());
+        let (mut tick_at, span) = (runtime.now(), lock(&self.decider).tick_span());
         let mut last_refused = 0;
         loop {
             let came = or(
@@ -367,12 +369,12 @@
                     async { self.orders.recv().await.map_or(Came::End, Came::Order) },
                 ),
                 async {
-                    world.sleep_until(tick_at).await;
+                    runtime.sleep_until(tick_at).await;
                     Came::Tick
                 },
             )
             .await;
-            let now = world.now();
+            let now = runtime.now();
             // Datagrams that come without end must not keep the ticks from their turn.
             if now >= tick_at && !matches!(came, Came::Order(_)) {
                 self.decide(|peers, out| peers.tick(now, out));
@@ -386,7 +388,7 @@
                         warn!(error = %e, "datagrams of peers cannot be taken; tried again");
                     }
                     last_refused = now;
-                    world.sleep(10_000).await;
+                    runtime.sleep(10_000).await;
                 }
                 Came::Tick => {}
                 Came::Order(Order::Record(card)) => {
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -6,7 +6,7 @@
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{Card, PeerId};
 use ivyward_etcd::{mvccpb, Client, EtcdError, Kept, Notice};
-use ivyward_world::{before, metered, WorldExt, WorldRef};
+use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -130,14 +130,15 @@
     me: Card,
     orders: async_channel::Sender<Order>,
 ) {
-    let world = metered(&node.shared.world, &node.shared.metrics.peer_traffic);
-    let client = |world: &WorldRef| Client::new(world, store.endpoints.clone(), store.etcd.clone());
-    let keeper = client(&world);
+    let runtime = metered(&node.shared.runtime, &node.shared.metrics.peer_traffic);
+    let client =
+        |runtime: &RuntimeRef| Client::new(runtime, store.endpoints.clone(), store.etcd.clone());
+    let keeper = client(&runtime);
     let (key, seconds) = (NodeRecord::key(&store.prefix, me.id), store.lease);
     // A record of these fields is always JSON.
     let value = serde_json::to_vec(&NodeRecord::of(&me)).unwrap_or_default();
-    let (as_ref, ending) = (world.clone(), node.clone());
-    world.run(async move {
+    let (as_ref, ending) = (runtime.clone(), node.clone());
+    runtime.run(async move {
         let mut troubled = false;
         let told = |kept: Kept| match kept {
             Kept::Written(lease) => {
@@ -156,8 +157,8 @@
         futures_lite::future::or(keep, ending.closed()).await;
     });
     let mut follower = Follower {
-        client: client(&world),
-        world: world.clone(),
+        client: client(&runtime),
+        runtime: runtime.clone(),
         prefix: store.prefix.clone(),
         orders,
         known: BTreeSet::new(),
@@ -165,12 +166,12 @@
         pause: PAUSES.0,
     };
     let ending = node.clone();
-    world.run(async move { futures_lite::future::or(follower.run(), ending.closed()).await });
+    runtime.run(async move { futures_lite::future::or(follower.run(), ending.closed()).await });
 }
 
 struct Follower {
     client: Client,
-    world: WorldRef,
+    runtime: RuntimeRef,
     prefix: String,
     orders: async_channel::Sender<Order>,
     /// Whose records stand there. While the store cannot be reached they stand on.
@@ -189,9 +190,9 @@
             };
             info!(why, "nodes' records are read again");
             self.client.leave_endpoint();
-            let pause = (self.pause as f64 * (0.5 + 0.5 * self.world.unit())) as Micros;
+            let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
             self.pause = (self.pause * 2).min(PAUSES.1);
-            self.world.sleep(pause).await;
+            self.runtime.sleep(pause).await;
         }
     }
 
@@ -211,8 +212,8 @@
         let mut watch = self.client.watch(&prefix, list.revision + 1).await?;
         let mut asked = false;
         loop {
-            let until = self.world.now().saturating_add(SILENCE);
-            let Some(notice) = before(&self.world, until, watch.next()).await else {
+            let until = self.runtime.now().saturating_add(SILENCE);
+            let Some(notice) = before(&self.runtime, until, watch.next()).await else {
                 if asked {
                     return Ok("the watch is silent".into());
                 }
--- a/crates/ivyward/src/peers/wire/tests.rs
+++ b/crates/ivyward/src/peers/wire/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the parts of `wire` that nobody outside sees.
 
 use super::*;
-use ivyward_world::MOST_DATAGRAM;
+use ivyward_runtime::MOST_DATAGRAM;
 
 fn card(address: &str) -> Card {
     Card {
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -9,8 +9,8 @@
 use futures_lite::future::{or, poll_fn};
 use ivyward_core::interface::{Micros, Outcome, Report, ReportField};
 use ivyward_core::planted::{self, Defect};
+use ivyward_grpc::{encode, Call, CallError, Cause};
 use ivyward_proto::engine as pb;
-use ivyward_wire::{encode, Call, CallError, Cause};
 use prost::Message;
 use std::future::Future;
 use std::ops::Deref;
@@ -139,8 +139,8 @@
 }
 
 async fn attempt(job: &Work) -> End {
-    let world = &job.shared.world;
-    if job.until <= world.now() {
+    let runtime = &job.shared.runtime;
+    if job.until <= runtime.now() {
         return End::new(Outcome::NotSent, "no time left");
     }
     let leave_by = job.until.min(job.leave_by);
@@ -193,7 +193,7 @@
 
 /// The first message, or the end of an attempt without one.
 async fn first<M: Message + Default>(job: &Work, call: &mut Call) -> Result<M, End> {
-    let mut timer = job.shared.world.sleep_until(job.until);
+    let mut timer = job.shared.runtime.sleep_until(job.until);
     // Guards against an attempt that begins after its client left: what is still leaving comes to its engine in parts.
     let next = poll_fn(|cx| {
         if !call.uploaded() && job.buffer.poll_over(cx).is_ready() {
@@ -264,11 +264,11 @@
 
 /// Passes a stream on until its end.
 async fn stream(job: &Work, call: &mut Call, first: pb::WriteEvent) -> Result<End, End> {
-    let world = &job.shared.world;
+    let runtime = &job.shared.runtime;
     let most = job.ask.most_tokens();
     let bad = |text: String| End::new(Outcome::Error, text);
     let (mut expected, mut event, mut told) = (0u32, Some(first), false);
-    let mut stall = Stall::new(world, job.shared.settings.stream_stall);
+    let mut stall = Stall::new(runtime, job.shared.settings.stream_stall);
     loop {
         let taken = match event.take() {
             Some(event) => event,
@@ -281,7 +281,7 @@
                 }
                 // A stream that has begun is not called off.
                 Woken::Stopped(Stop::CallOff) => continue,
-                Woken::Late if stall.over(world) => {
+                Woken::Late if stall.over(runtime) => {
                     return Err(End::new(Outcome::Reset, "no token for too long"))
                 }
                 Woken::Late => continue,
@@ -327,7 +327,7 @@
                 job.room(&job.buffer)
                     .await
                     .map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
-                stall.last = world.now();
+                stall.last = runtime.now();
             }
             Some(pb::write_event::Event::Done(done)) => {
                 if done.tokens != expected {
--- a/crates/ivyward/src/request/door.rs
+++ b/crates/ivyward/src/request/door.rs
@@ -5,11 +5,11 @@
 use futures_lite::{Stream, StreamExt};
 use hyper_util::service::TowerToHyperService;
 use ivyward_core::interface::Micros;
+use ivyward_grpc::{parse_timeout, TIMEOUT_HEADER};
 use ivyward_proto::front::front_server::{Front, FrontServer};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_wire::{parse_timeout, TIMEOUT_HEADER};
-use ivyward_world::io::{Io, Tasks};
-use ivyward_world::{metered, ErrorOrigin, Listener, WorldExt};
+use ivyward_runtime::io::{Io, Tasks};
+use ivyward_runtime::{metered, ErrorOrigin, Listener, RuntimeExt};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use std::time::Duration;
@@ -166,7 +166,7 @@
     /// call is answered.
     pub async fn serve(&self, mut listener: Box<dyn Listener>) {
         let traffic = &self.shared.metrics.client_traffic;
-        let world = metered(&self.shared.world, traffic);
+        let runtime = metered(&self.shared.runtime, traffic);
         let most = self.shared.settings.most_prompt * TOKEN_BYTES + (64 << 10);
         let service = FrontServer::new(Service(self.clone())).max_decoding_message_size(most);
         loop {
@@ -182,7 +182,7 @@
                     debug!(error = %e, "a connection could not be accepted");
                     // A pause lets what this machine lacks come free. One connection's own end needs none.
                     if ErrorOrigin::of(&e) == ErrorOrigin::Local {
-                        world.sleep(10_000).await;
+                        runtime.sleep(10_000).await;
                     }
                     continue;
                 }
@@ -192,8 +192,8 @@
                 continue;
             };
             let (service, node) = (TowerToHyperService::new(service.clone()), self.clone());
-            let tasks = Tasks(world.clone());
-            world.run(async move {
+            let tasks = Tasks(runtime.clone());
+            runtime.run(async move {
                 let mut builder = hyper::server::conn::http2::Builder::new(tasks);
                 builder
                     .auto_date_header(false)
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -17,7 +17,7 @@
 use ivyward_core::invariants::{AnswerKind, AttemptReason, Guard, NodePhase, Rule, Violation};
 use ivyward_core::planted::{self, Defect};
 use ivyward_core::rules::Router;
-use ivyward_world::{BoxFuture, WorldExt};
+use ivyward_runtime::{BoxFuture, RuntimeExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -114,10 +114,10 @@
     }
 
     pub(crate) async fn run(mut self) {
-        let world = self.shared.world.clone();
+        let runtime = self.shared.runtime.clone();
         let mut armed: Option<(Micros, BoxFuture<()>)> = None;
         loop {
-            let now = world.now();
+            let now = runtime.now();
             self.fire(now);
             if self.over(now) {
                 break;
@@ -128,7 +128,7 @@
                     // The timer is set anew only for an earlier time; one that rings too early does no harm.
                     let due = self.due();
                     if armed.as_ref().is_none_or(|(at, _)| due < *at) {
-                        armed = Some((due, world.sleep_until(due)));
+                        armed = Some((due, runtime.sleep_until(due)));
                     }
                     let timer = armed.as_mut().map(|(_, timer)| timer);
                     let rung = async {
@@ -151,9 +151,9 @@
                 }
             };
             if let Some(notice) = notice {
-                let began = world.now();
+                let began = runtime.now();
                 self.take(notice);
-                self.shared.metrics.driver_us.add(world.now() - began);
+                self.shared.metrics.driver_us.add(runtime.now() - began);
             }
         }
         let ended = self.guard.enter(NodePhase::Stopped);
@@ -176,7 +176,7 @@
         let look = self
             .stop_by
             .filter(|_| self.open.is_empty())
-            .map(|_| self.shared.world.now() + LOOK);
+            .map(|_| self.shared.runtime.now() + LOOK);
         [timers, deadlines, stop, look]
             .into_iter()
             .flatten()
@@ -195,12 +195,12 @@
         if self.due() > now {
             return;
         }
-        let began = self.shared.world.now();
+        let began = self.shared.runtime.now();
         self.fire_due(now);
         self.shared
             .metrics
             .driver_us
-            .add(self.shared.world.now() - began);
+            .add(self.shared.runtime.now() - began);
     }
 
     fn fire_due(&mut self, now: Micros) {
@@ -321,18 +321,18 @@
 
     /// Tells the module one event and carries out what it asks for: the only way in.
     fn tell(&mut self, event: Event) {
-        self.tell_at(self.shared.world.now(), event);
+        self.tell_at(self.shared.runtime.now(), event);
     }
 
     fn tell_at(&mut self, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let kept = self.recorder.is_some().then(|| event.clone());
-        let began = self.shared.world.now();
+        let began = self.shared.runtime.now();
         self.router.handle(now, event, &mut actions);
         self.shared
             .metrics
             .module_us
-            .add(self.shared.world.now() - began);
+            .add(self.shared.runtime.now() - began);
         if let (Some(recorder), Some(event)) = (self.recorder.as_mut(), kept) {
             if let Err(e) = recorder.step(now, &event, &actions) {
                 warn!(error = %e, "the recording ends here: it cannot be written");
@@ -465,7 +465,7 @@
     }
 
     fn on_request(&mut self, taken: Box<Taken>) {
-        let now = self.shared.world.now();
+        let now = self.shared.runtime.now();
         let mut arrival = taken.arrival;
         let id = arrival.id.0;
         // The module's time ends at once with ours, whenever this notice was taken up.
@@ -749,7 +749,7 @@
             entries.push(entry);
         }
         self.shared.metrics.engines.set(self.links.len() as u64);
-        self.guard.listed(self.shared.world.now(), kind, &entries);
+        self.guard.listed(self.shared.runtime.now(), kind, &entries);
         if self.guard.phase() == NodePhase::Starting {
             let serving = self.guard.enter(NodePhase::Serving);
             self.checked(0, serving);
@@ -875,7 +875,7 @@
         match job {
             Some((link, job)) => {
                 shared.metrics.attempts.add(1);
-                shared.world.clone().run(async move {
+                shared.runtime.clone().run(async move {
                     let end = link.attempt(job).await;
                     tell(end);
                 });
@@ -939,7 +939,7 @@
             self.inbox.clone(),
         );
         let until = open.taken.first_by;
-        shared.world.clone().run(async move {
+        shared.runtime.clone().run(async move {
             let job = HoldJob {
                 shared: shared.clone(),
                 call: call.clone(),
@@ -964,7 +964,7 @@
             return;
         };
         let (shared, inbox) = (self.shared.clone(), self.inbox.clone());
-        shared.world.clone().run(async move {
+        shared.runtime.clone().run(async move {
             let (alive, report) = link.probe(shared.clone()).await;
             inbox.tell(Notice::Probed {
                 server,
