--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -11,9 +11,9 @@
 use futures_lite::future::or;
 use ivyward_core::interface::{Arrival, Outcome, Report, ServerId};
 use ivyward_core::planted::{self, Defect};
+use ivyward_grpc::encode;
 use ivyward_proto::engine as pb;
-use ivyward_wire::encode;
-use ivyward_world::{before, metered, BoxFuture, WorldExt, WorldRef};
+use ivyward_runtime::{before, metered, BoxFuture, RuntimeExt, RuntimeRef};
 use std::any::Any;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -46,18 +46,18 @@
 }
 
 impl Grpc {
-    pub(crate) fn new(world: &WorldRef, settings: &NodeSettings) -> Grpc {
+    pub(crate) fn new(runtime: &RuntimeRef, settings: &NodeSettings) -> Grpc {
         Grpc {
-            keepalive: EngineKeepalive::new(world, settings),
+            keepalive: EngineKeepalive::new(runtime, settings),
         }
     }
 }
 
 impl Protocol for Grpc {
     fn link(&self, shared: &Arc<Shared>, engine: &Engine) -> LinkRef {
-        let world = metered(&shared.world, &shared.metrics.engine_traffic);
+        let runtime = metered(&shared.runtime, &shared.metrics.engine_traffic);
         GrpcLink::new(
-            &world,
+            &runtime,
             engine.entry.id,
             engine.address,
             &shared.settings,
@@ -181,7 +181,7 @@
         Box::pin(async move {
             let body = encode(&pb::ProbeRequest { engine: self.id.0 });
             let path = "/ivyward.engine.v1.Engine/Probe";
-            let reply = unary::<pb::ProbeReply>(&shared.world, &self, path, body, &shared).await;
+            let reply = unary::<pb::ProbeReply>(&shared.runtime, &self, path, body, &shared).await;
             let alive = reply.as_ref().is_some_and(|r| r.engine == self.id.0);
             let load = reply.and_then(|r| r.load);
             (
@@ -202,24 +202,25 @@
         key: key(&shared, id, attempt),
         engine: link.id.0,
     });
-    let world = shared.world.clone();
-    world.clone().run(async move {
-        let give_up = world.now().saturating_add(shared.settings.release_tries);
-        let look_until = world
+    let runtime = shared.runtime.clone();
+    runtime.clone().run(async move {
+        let give_up = runtime.now().saturating_add(shared.settings.release_tries);
+        let look_until = runtime
             .now()
             .saturating_add(shared.router_settings.release_within);
         let mut pause = shared.settings.redial_first;
         let asking = async {
             loop {
                 let reply =
-                    unary::<pb::ReleaseReply>(&world, &link, RELEASE, body.clone(), &shared).await;
-                let next = world.now().saturating_add(pause);
+                    unary::<pb::ReleaseReply>(&runtime, &link, RELEASE, body.clone(), &shared)
+                        .await;
+                let next = runtime.now().saturating_add(pause);
                 match reply {
                     Some(reply) if reply.released || sure || next > look_until => return true,
                     None if next > give_up => return false,
                     _ => {}
                 }
-                world.sleep(pause).await;
+                runtime.sleep(pause).await;
                 pause = (pause * 2).min(shared.settings.redial_most);
             }
         };
@@ -239,7 +240,7 @@
     let shared = &job.shared;
     let until = job.until.min(
         shared
-            .world
+            .runtime
             .now()
             .saturating_add(2 * shared.settings.dial_timeout),
     );
@@ -259,7 +260,7 @@
         return Held::No;
     };
     let reply = or(
-        async { before(&shared.world, until, call.next::<pb::HoldReply>()).await },
+        async { before(&shared.runtime, until, call.next::<pb::HoldReply>()).await },
         async {
             job.over().await;
             None
@@ -283,16 +284,18 @@
 
 /// A short call whose failure is nobody's outcome.
 async fn unary<M: prost::Message + Default>(
-    world: &WorldRef,
+    runtime: &RuntimeRef,
     link: &Arc<GrpcLink>,
     path: &'static str,
     body: bytes::Bytes,
     shared: &Shared,
 ) -> Option<M> {
-    let until = world.now().saturating_add(2 * shared.settings.dial_timeout);
+    let until = runtime
+        .now()
+        .saturating_add(2 * shared.settings.dial_timeout);
     let channel = link.channel(until).await.ok()?;
     let mut call = channel.call_before(path, body, Some(until)).await.ok()?;
-    let reply = before(world, until, call.next::<M>()).await;
+    let reply = before(runtime, until, call.next::<M>()).await;
     drop(call);
     link.call_ended();
     reply?.ok()?
--- a/crates/ivyward/src/shared.rs
+++ b/crates/ivyward/src/shared.rs
@@ -3,14 +3,14 @@
 use crate::metrics::Metrics;
 use crate::settings::NodeSettings;
 use ivyward_core::interface as core;
-use ivyward_world::WorldRef;
+use ivyward_runtime::RuntimeRef;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What the parts of a node share.
 pub struct Shared {
-    pub(crate) world: WorldRef,
+    pub(crate) runtime: RuntimeRef,
     pub(crate) settings: NodeSettings,
     pub(crate) router_settings: core::Settings,
     /// Names this run of the node to engines.
@@ -28,8 +28,8 @@
 
 impl Shared {
     /// The node's surroundings.
-    pub fn world(&self) -> &WorldRef {
-        &self.world
+    pub fn runtime(&self) -> &RuntimeRef {
+        &self.runtime
     }
     /// The settings the node runs with.
     pub fn settings(&self) -> &NodeSettings {
--- a/crates/ivywardd/src/main.rs
+++ b/crates/ivywardd/src/main.rs
@@ -6,7 +6,7 @@
 
 use flags::{Start, Stop};
 use ivyward::core::interface::ListKind;
-use ivyward::world::{SmolWorld, World, WorldExt, WorldRef};
+use ivyward::runtime::{Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward::Node;
 use signals::{Request, Requests};
 use std::io::{BufWriter, Write};
@@ -76,8 +76,8 @@
     let seed = start.flags.seed.unwrap_or(own);
     start.settings.seed = seed;
     // Guards against nodes that are given one seed taking one name for their runs: engines could not tell them apart.
-    let smol = SmolWorld::start(threads, own);
-    let world: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(threads, own);
+    let runtime: RuntimeRef = smol.clone();
     let record = match &start.flags.record {
         None => None,
         Some(path) => {
@@ -88,30 +88,32 @@
     };
     let recording = record.is_some();
     let node =
-        Node::start(world.clone(), start.settings.clone(), record).map_err(|e| e.to_string())?;
+        Node::start(runtime.clone(), start.settings.clone(), record).map_err(|e| e.to_string())?;
     let flags = &start.flags;
     match flags.etcd_endpoints.is_empty() {
         true => smol.block_on(node.fleet(ListKind::Full, flags.servers.clone())),
         false => {
             let (node, follow) = (node.clone(), flags.follow());
-            world.run(async move { node.follow(follow).await });
+            runtime.run(async move { node.follow(follow).await });
         }
     }
     if let Some(options) = flags.peers() {
         node.peers(options).map_err(|e| e.to_string())?;
     }
-    let door = world
+    let door = runtime
         .listen(flags.listen)
         .map_err(|e| format!("--listen {}: {e}", flags.listen))?;
     let address = door.address();
     if let Some(at) = flags.admin {
-        let admin = world.listen(at).map_err(|e| format!("--admin {at}: {e}"))?;
+        let admin = runtime
+            .listen(at)
+            .map_err(|e| format!("--admin {at}: {e}"))?;
         info!(address = %admin.address(), "health and metrics");
         let node = node.clone();
-        world.run(async move { node.serve_admin(admin).await });
+        runtime.run(async move { node.serve_admin(admin).await });
     }
     let serving = node.clone();
-    world.run(async move { serving.serve(door).await });
+    runtime.run(async move { serving.serve(door).await });
     // Scripts wait for this line.
     println!("listening on {address}");
     let run = format!("{:x}", node.incarnation());
@@ -119,10 +121,11 @@
     smol.block_on(async {
         loop {
             let tick = async {
-                world.sleep(1_000_000).await;
+                runtime.sleep(1_000_000).await;
                 None
             };
-            match futures_lite::future::or(async { Some(requests.next(&world).await) }, tick).await
+            match futures_lite::future::or(async { Some(requests.next(&runtime).await) }, tick)
+                .await
             {
                 // What was recorded is in the file a second later, also when the process is killed.
                 None if recording => node.flush_recording().await,
@@ -147,8 +150,8 @@
 }
 
 fn clock() -> u64 {
-    let world = SmolWorld::start(1, 0);
-    world.unix_micros()
+    let runtime = SmolRuntime::start(1, 0);
+    runtime.unix_micros()
 }
 
 /// Reads the flags again and takes over the engines.
--- a/crates/ivywardd/src/platform.rs
+++ b/crates/ivywardd/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::signals::{Request, Requests};
 use clap::Parser;
 use futures_lite::future::or;
-use ivyward::world::{SmolWorld, WorldExt, WorldRef};
+use ivyward::runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward_platform::{Config, Service};
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -55,18 +55,18 @@
         );
         return Ok(());
     }
-    let smol = SmolWorld::start(1, config.node.seed);
-    let world: WorldRef = smol.clone();
+    let smol = SmolRuntime::start(1, config.node.seed);
+    let runtime: RuntimeRef = smol.clone();
     smol.block_on(async {
-        let mut service = Service::start(world.clone(), config)
+        let mut service = Service::start(runtime.clone(), config)
             .await
             .map_err(|e| e.to_string())?;
         // Scripts wait for this line.
         println!("listening on {}", service.address());
-        until_told_to_end(&mut requests, flags, &service, &world).await;
+        until_told_to_end(&mut requests, flags, &service, &runtime).await;
         service.stop().await;
         // The last answers are on their way to their clients.
-        world.sleep(20_000).await;
+        runtime.sleep(20_000).await;
         Ok::<(), String>(())
     })?;
     smol.stop();
@@ -79,17 +79,17 @@
     requests: &mut Requests,
     flags: &Flags,
     service: &Service,
-    world: &WorldRef,
+    runtime: &RuntimeRef,
 ) {
     let mut told_to_reload = false;
     loop {
         let reloading = async {
             if told_to_reload {
-                reload(flags, service, world).await;
+                reload(flags, service, runtime).await;
             }
             std::future::pending().await
         };
-        match or(requests.next(world), reloading).await {
+        match or(requests.next(runtime), reloading).await {
             Request::Reload => told_to_reload = true,
             Request::Stop => return,
         }
@@ -97,7 +97,7 @@
 }
 
 /// Reads the file again. One that cannot be read changes nothing; it may be half written, so it is tried again.
-async fn reload(flags: &Flags, service: &Service, world: &WorldRef) {
+async fn reload(flags: &Flags, service: &Service, runtime: &RuntimeRef) {
     for again in 0..RELOADS {
         match Config::read(&flags.config) {
             Ok(config) => {
@@ -108,7 +108,7 @@
             Err(e) if again == 0 => error!("nothing is taken over yet: {e}"),
             Err(_) => {}
         }
-        world.sleep(RELOAD_PAUSE).await;
+        runtime.sleep(RELOAD_PAUSE).await;
     }
     error!("the configuration could not be read; everything stays as it was");
 }
--- a/crates/ivywardd/src/signals.rs
+++ b/crates/ivywardd/src/signals.rs
@@ -6,7 +6,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::future::or;
 use futures_lite::StreamExt;
-use ivyward::world::{WorldExt, WorldRef};
+use ivyward::runtime::{RuntimeExt, RuntimeRef};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -59,7 +59,7 @@
 
     /// The next request. Guards against an interrupted wait that is taken for SIGTERM, and against a signal that is lost
     /// because its wake-up failed.
-    pub async fn next(&mut self, world: &WorldRef) -> Request {
+    pub async fn next(&mut self, runtime: &RuntimeRef) -> Request {
         loop {
             if self.stop.swap(false, Ordering::SeqCst) {
                 return Request::Stop;
@@ -68,7 +68,7 @@
                 return Request::Reload;
             }
             let look = async {
-                world.sleep(LOOK_EVERY).await;
+                runtime.sleep(LOOK_EVERY).await;
                 Some(Ok(()))
             };
             let woken = or(
@@ -79,11 +79,11 @@
             if let Some(Err(error)) = woken {
                 if error.kind() != io::ErrorKind::Interrupted {
                     warn!(%error, "waiting for signals failed and is begun again");
-                    world.sleep(RETRY_PAUSE).await;
+                    runtime.sleep(RETRY_PAUSE).await;
                 }
             } else if woken.is_none() {
                 // No wake-up will come any more: the flags are still looked at.
-                world.sleep(LOOK_EVERY).await;
+                runtime.sleep(LOOK_EVERY).await;
             }
         }
     }
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -3,12 +3,12 @@
 //! Each waits for what must come about. Where something must not come about, the spans are far apart: what lasts a
 //! second or two against a silence of ten that would be a death.
 
-use ivyward_lab::cluster::links::{End, Fault};
-use ivyward_lab::cluster::plan::{Episode, Plan, Trouble};
-use ivyward_lab::cluster::play::play;
-use ivyward_lab::cluster::process::View;
-use ivyward_lab::cluster::{id, Cluster, Size};
-use ivyward_world::WorldRef;
+use ivyward_runtime::RuntimeRef;
+use ivyward_testbed::cluster::links::{End, Fault};
+use ivyward_testbed::cluster::plan::{Episode, Plan, Trouble};
+use ivyward_testbed::cluster::play::play;
+use ivyward_testbed::cluster::process::View;
+use ivyward_testbed::cluster::{id, Cluster, Size};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SECOND: u64 = 1_000_000;
@@ -322,15 +322,15 @@
 #[test]
 fn what_somebody_else_sends_is_dropped() {
     let cluster = rig(size(2));
-    let world: WorldRef = cluster.world().clone();
-    let ask = |path: &str| world_ask(&cluster, path);
+    let runtime: RuntimeRef = cluster.runtime().clone();
+    let ask = |path: &str| runtime_ask(&cluster, path);
     let line = ask("/metrics")
         .lines()
         .find(|l| l.starts_with("ivyward_peer_datagrams_unread"))
         .unwrap()
         .to_owned();
     assert!(line.ends_with(" 0"), "{line}");
-    let socket = world.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
+    let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
     let real = cluster.real(0);
     let other = ivyward::peers::Seal::new(Some("a key of somebody else"));
     let from = ivyward::core::peers::Card {
@@ -363,11 +363,11 @@
     cluster.until_agreed(NEVER).unwrap();
 }
 
-fn world_ask(cluster: &Cluster, path: &str) -> String {
-    let world: WorldRef = cluster.world().clone();
+fn runtime_ask(cluster: &Cluster, path: &str) -> String {
+    let runtime: RuntimeRef = cluster.runtime().clone();
     cluster
-        .world()
-        .block_on(cluster.process(0).unwrap().ask(&world, path))
+        .runtime()
+        .block_on(cluster.process(0).unwrap().ask(&runtime, path))
         .unwrap()
 }
 
--- a/crates/ivywardd/tests/common/mod.rs
+++ b/crates/ivywardd/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each test file uses its part.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_faults::{library_beside, ControlFile, PATH_VARIABLE};
-use ivyward_world::{SmolWorld, World};
+use ivyward_fault_injection::{library_beside, ControlFile, PATH_VARIABLE};
+use ivyward_runtime::{Runtime, SmolRuntime};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command};
@@ -61,13 +61,17 @@
 
 /// Answers each request on each connection by what `says` makes of its first line; `None` for silence.
 pub fn answers(
-    world: &std::sync::Arc<SmolWorld>,
+    runtime: &std::sync::Arc<SmolRuntime>,
     says: impl Fn(&str) -> Option<String> + Send + Sync + 'static,
 ) -> SocketAddr {
-    use ivyward_world::WorldExt;
-    let mut listener = world.listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let (address, says, tasks) = (listener.address(), std::sync::Arc::new(says), world.clone());
-    world.run(async move {
+    use ivyward_runtime::RuntimeExt;
+    let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
+    let (address, says, tasks) = (
+        listener.address(),
+        std::sync::Arc::new(says),
+        runtime.clone(),
+    );
+    runtime.run(async move {
         while let Ok((mut conn, _)) = listener.accept().await {
             let says = says.clone();
             tasks.run(async move {
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -2,11 +2,11 @@
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::Condition;
-use ivyward_lab::scene::{decisions, ivyward_flags, Make, Memory, Scene};
+use ivyward_fakes::{text, Client, Log, Role, Spec};
 use ivyward_proto::front::front_client::FrontClient;
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::{text, Client, Log, Role, Spec};
-use ivyward_world::WorldRef;
+use ivyward_runtime::RuntimeRef;
+use ivyward_testbed::scene::{decisions, ivyward_flags, Make, Memory, Scene};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -97,16 +97,18 @@
     let fresh = make.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-record-{}", std::process::id()));
     let daemon = Daemon::start(&fresh, &[format!("--record={}", path.display())]);
-    let world: WorldRef = fresh.world.clone();
-    let log = Log::new(&world);
+    let runtime: RuntimeRef = fresh.runtime.clone();
+    let log = Log::new(&runtime);
     block_on(async {
-        let client = Client::connect(&world, &log, daemon.address).await.unwrap();
+        let client = Client::connect(&runtime, &log, daemon.address)
+            .await
+            .unwrap();
         for i in 0..16 {
             let mut ask_it = fresh.ask(0, 0, ask(i).prompt, 6);
             ask_it.request = ask(i);
             ask_it.habit.patience = 30_000_000;
             let end = client.ask(&ask_it).await;
-            assert_eq!(end.how, ivyward_standins::sight::Heard::Served, "{end:?}");
+            assert_eq!(end.how, ivyward_fakes::sight::Heard::Served, "{end:?}");
             assert_eq!(end.tokens as usize, inside[i as usize].len());
         }
         client.close();
@@ -228,9 +230,9 @@
     std::fs::write(&path, servers(&[1, 4])).unwrap();
     daemon.signal("-HUP");
     assert!(wait_for("engines read again"));
-    let world: WorldRef = scene.world.clone();
+    let runtime: RuntimeRef = scene.runtime.clone();
     block_on(async {
-        let client = Client::connect(&world, &scene.log, daemon.address)
+        let client = Client::connect(&runtime, &scene.log, daemon.address)
             .await
             .unwrap();
         // The new ones are told a moment after the line above; the old ones are gone then.
@@ -240,7 +242,7 @@
         for i in 0..10_000 {
             let mut ask_it = scene.ask(0, 0, ask(i).prompt, 6);
             ask_it.habit.patience = 10_000_000;
-            ends.push(client.ask(&ask_it).await.how == ivyward_standins::sight::Heard::Served);
+            ends.push(client.ask(&ask_it).await.how == ivyward_fakes::sight::Heard::Served);
             // From the first one that was served on, all are.
             if ends.iter().filter(|served| **served).count() == 8 {
                 break;
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -2,15 +2,15 @@
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::Settings;
-use ivyward_lab::cluster::process::Process;
-use ivyward_lab::enlist::keep;
-use ivyward_lab::scene::{ivyward_flags, limits, settings};
+use ivyward_fakes::engine::Threads;
+use ivyward_fakes::etcd::Store;
+use ivyward_fakes::sight::{Effect, Heard};
+use ivyward_fakes::{audit, Ask, Client, Engine, Habit, Host, Log, Role, Spec};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_standins::engine::Threads;
-use ivyward_standins::etcd::Store;
-use ivyward_standins::sight::{Effect, Heard};
-use ivyward_standins::{audit, Ask, Client, Engine, Habit, Host, Log, Role, Spec};
-use ivyward_world::{SmolWorld, WorldExt, WorldRef};
+use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
+use ivyward_testbed::cluster::process::Process;
+use ivyward_testbed::enlist::keep;
+use ivyward_testbed::scene::{ivyward_flags, limits, settings};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -32,8 +32,8 @@
     .unwrap()
 }
 
-async fn engines(daemon: &Process, world: &WorldRef) -> u64 {
-    let text = daemon.ask(world, "/metrics").await.unwrap();
+async fn engines(daemon: &Process, runtime: &RuntimeRef) -> u64 {
+    let text = daemon.ask(runtime, "/metrics").await.unwrap();
     let line = text
         .lines()
         .find_map(|l| l.strip_prefix("ivyward_engines "));
@@ -64,9 +64,9 @@
 /// at an idle fleet for overload (29 of 60 refused).
 #[test]
 fn processes_serve_a_fleet_all_new_at_once() {
-    let smol = SmolWorld::start(2, 5);
-    let world: WorldRef = smol.clone();
-    let log = Log::new(&world);
+    let smol = SmolRuntime::start(2, 5);
+    let runtime: RuntimeRef = smol.clone();
+    let log = Log::new(&runtime);
     let host: Arc<dyn Host> = Arc::new(Threads);
     // They stay cold for longer than the test takes.
     let cold = (0.3, 600 * SECOND);
@@ -94,7 +94,7 @@
                 &engine,
                 vec![store.address()],
                 60,
-                world.unix_micros() / 1_000,
+                runtime.unix_micros() / 1_000,
                 |_| {},
             );
             return engine;
@@ -113,10 +113,10 @@
     block_on(async {
         let mut clients = Vec::new();
         for daemon in &daemons {
-            while engines(daemon, &world).await < 8 {
-                world.sleep(10_000).await;
+            while engines(daemon, &runtime).await < 8 {
+                runtime.sleep(10_000).await;
             }
-            clients.push(Client::connect(&world, &log, daemon.door).await.unwrap());
+            clients.push(Client::connect(&runtime, &log, daemon.door).await.unwrap());
         }
         // Every node's first call.
         for (node, client) in clients.iter().enumerate() {
@@ -140,9 +140,9 @@
 /// 60 calls in one instant at eight idle engines that are warm: none is refused.
 #[test]
 fn a_burst_at_idle_processes_is_served() {
-    let smol = SmolWorld::start(2, 6);
-    let world: WorldRef = smol.clone();
-    let log = Log::new(&world);
+    let smol = SmolRuntime::start(2, 6);
+    let runtime: RuntimeRef = smol.clone();
+    let log = Log::new(&runtime);
     let host: Arc<dyn Host> = Arc::new(Threads);
     let spec = |id: u64| Spec::small(id, if id <= 4 { Role::Reader } else { Role::Writer });
     let store = Store::start(&host, 1).unwrap();
@@ -158,15 +158,15 @@
     }
     let daemon = start(&ivyward_flags(&settings, &[]), store.address());
     let refused = block_on(async {
-        while engines(&daemon, &world).await < 8 {
-            world.sleep(10_000).await;
+        while engines(&daemon, &runtime).await < 8 {
+            runtime.sleep(10_000).await;
         }
-        let client = Client::connect(&world, &log, daemon.door).await.unwrap();
+        let client = Client::connect(&runtime, &log, daemon.door).await.unwrap();
         let (told, ends) = std::sync::mpsc::sync_channel(60);
         for call in 1..=60u64 {
             let (client, told) = (client.clone(), told.clone());
             let ask = ask(0, call);
-            world.run(async move {
+            runtime.run(async move {
                 let end = client.ask(&ask).await;
                 let _ = told.send(end.how);
             });
--- a/crates/ivywardd/tests/platform.rs
+++ b/crates/ivywardd/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use common::{answers, config, File, Running, BODY};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_world::{SmolWorld, World};
+use ivyward_runtime::{Runtime, SmolRuntime};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -22,9 +22,9 @@
         .unwrap()
 }
 
-fn health(world: &SmolWorld, address: SocketAddr) -> u16 {
-    world.block_on(async {
-        let mut conn = world.connect(address).await.unwrap();
+fn health(runtime: &SmolRuntime, address: SocketAddr) -> u16 {
+    runtime.block_on(async {
+        let mut conn = runtime.connect(address).await.unwrap();
         conn.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
             .await
             .unwrap();
@@ -48,8 +48,8 @@
         .expect("its address")
         .parse()
         .unwrap();
-    let world = SmolWorld::start(1, 1);
-    while health(&world, address) != 200 {}
+    let runtime = SmolRuntime::start(1, 1);
+    while health(&runtime, address) != 200 {}
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
     let mut until = |word: &str| {
         let mut line = String::new();
@@ -65,18 +65,18 @@
     std::fs::write(&file.0, "{ half").unwrap();
     child.signal("-HUP");
     until("nothing is taken over yet");
-    assert_eq!(health(&world, address), 200);
+    assert_eq!(health(&runtime, address), 200);
     std::fs::write(
         &file.0,
         config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:10\",\"seed"),
     )
     .unwrap();
     until("discovery moved");
-    assert_eq!(health(&world, address), 200);
+    assert_eq!(health(&runtime, address), 200);
     child.signal("-TERM");
     until("stopping");
     assert_eq!(
-        health(&world, address),
+        health(&runtime, address),
         503,
         "it goes on accepting, and says that it ends"
     );
@@ -128,8 +128,8 @@
 /// configuration at every SIGHUP, also at two in a row and at one that changes nothing, and ends at SIGTERM.
 #[test]
 fn a_node_that_waits_for_its_first_list_heeds_its_signals() {
-    let world = SmolWorld::start(1, 1);
-    let discovery = answers(&world, |_| None);
+    let runtime = SmolRuntime::start(1, 1);
+    let discovery = answers(&runtime, |_| None);
     let text = config("127.0.0.1:0").replace(
         "\"discovery\":\"127.0.0.1:9\"",
         &format!("\"discovery\":\"{discovery}\""),
@@ -151,13 +151,13 @@
     let mut log = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    assert_eq!(health(&world, address), 503, "it holds no list");
+    assert_eq!(health(&runtime, address), 503, "it holds no list");
     for _ in 0..2 {
         process.signal("-HUP");
         process.signal("-HUP");
         assert!(log.any(|line| line.contains("the configuration was read again")));
     }
-    assert_eq!(health(&world, address), 503);
+    assert_eq!(health(&runtime, address), 503);
     process.signal("-TERM");
     assert!(log.any(|line| line.contains("stopped")));
     assert!(process.0.wait().unwrap().success());
@@ -201,17 +201,17 @@
 #[test]
 fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
     use std::sync::atomic::{AtomicBool, Ordering};
-    let world = SmolWorld::start(2, 1);
+    let runtime = SmolRuntime::start(2, 1);
     let event = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let stream = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}{}0\r\n\r\n",
         event("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n"),
         event("data: [DONE]\n\n")
     );
-    let reader = answers(&world, |_| {
+    let reader = answers(&runtime, |_| {
         Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into())
     });
-    let writer = answers(&world, move |line| {
+    let writer = answers(&runtime, move |line| {
         Some(if line.starts_with("POST /v1/chat") {
             stream.clone()
         } else {
@@ -221,7 +221,7 @@
     let up = std::sync::Arc::new(AtomicBool::new(false));
     let (is_up, asked) = (up.clone(), std::sync::Arc::new(AtomicBool::new(false)));
     let heard = asked.clone();
-    let discovery = answers(&world, move |_| {
+    let discovery = answers(&runtime, move |_| {
         heard.store(true, Ordering::SeqCst);
         let entry = |id, kind, at| {
             format!(r#"{{"id":"{id}","addr":"{at}","zone":"a","kind":"{kind}","state":"up"}}"#)
@@ -294,7 +294,7 @@
     let mut crowd = |n: usize, most: &mut usize| {
         child.signal("-STOP");
         for _ in 0..n {
-            if let Ok(conn) = world.block_on(world.connect(address)) {
+            if let Ok(conn) = runtime.block_on(runtime.connect(address)) {
                 idle.push_back(conn);
             }
             if idle.len() > 600 {
@@ -302,7 +302,7 @@
             }
         }
         child.signal("-CONT");
-        assert_eq!(health(&world, address) / 100, 2);
+        assert_eq!(health(&runtime, address) / 100, 2);
         *most = (*most).max(descriptors(&child));
     };
     crowd(600, &mut most);
@@ -317,8 +317,8 @@
             BODY.len()
         );
         served.clear();
-        world.block_on(async {
-            let mut conn = world.connect(address).await.unwrap();
+        runtime.block_on(async {
+            let mut conn = runtime.connect(address).await.unwrap();
             let sent = conn.write_all(head.as_bytes()).await;
             sent.expect("a client with a request goes before one without");
             let _ = conn.read_to_string(&mut served).await;
@@ -327,7 +327,7 @@
             break;
         }
         // Until the node has read the list, its one engine of before cannot be reached.
-        world.block_on(ivyward_world::WorldExt::sleep(&*world, 20_000));
+        runtime.block_on(ivyward_runtime::RuntimeExt::sleep(&*runtime, 20_000));
     }
     assert!(served.contains("[DONE]"), "{served}");
     assert!(most < LIMIT, "{most} descriptors");
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -5,11 +5,11 @@
 use common::{answers, config, control, with_faults, File, Running, BODY};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::Condition;
-use ivyward_faults::{ControlFile, SystemFault};
-use ivyward_lab::scene::{ivyward_flags, Make, Scene};
-use ivyward_standins::sight::Heard;
-use ivyward_standins::{Client, Log, Role, Spec};
-use ivyward_world::{Conn, SmolWorld, World, WorldRef};
+use ivyward_fakes::sight::Heard;
+use ivyward_fakes::{Client, Log, Role, Spec};
+use ivyward_fault_injection::{ControlFile, SystemFault};
+use ivyward_runtime::{Conn, Runtime, RuntimeRef, SmolRuntime};
+use ivyward_testbed::scene::{ivyward_flags, Make, Scene};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -112,7 +112,7 @@
 /// its client opened.
 #[test]
 fn interrupted_calls_of_a_platform_node_end_no_connection() {
-    let world = SmolWorld::start(2, 1);
+    let runtime = SmolRuntime::start(2, 1);
     let event = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let stream = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}{}0\r\n\r\n",
@@ -121,10 +121,10 @@
     );
     let attempts = Arc::new(AtomicUsize::new(0));
     let counted = attempts.clone();
-    let reader = answers(&world, |_| {
+    let reader = answers(&runtime, |_| {
         Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into())
     });
-    let writer = answers(&world, move |line| {
+    let writer = answers(&runtime, move |line| {
         if !line.starts_with("POST /v1/chat") {
             return Some("HTTP/1.1 204 N\r\n\r\n".into());
         }
@@ -155,8 +155,8 @@
     control
         .set_rate(SystemFault::SendInterrupted, OFTEN)
         .unwrap();
-    world.block_on(async {
-        let mut conn = world.connect(daemon.address).await.unwrap();
+    runtime.block_on(async {
+        let mut conn = runtime.connect(daemon.address).await.unwrap();
         for n in 0..REQUESTS {
             let head = format!(
                 "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: r{n}\r\nX-Priority-Class: draft\r\n\
@@ -192,10 +192,12 @@
     control
         .set_rate(SystemFault::SendInterrupted, OFTEN)
         .unwrap();
-    let world: WorldRef = scene.world.clone();
-    let log = Log::new(&world);
+    let runtime: RuntimeRef = scene.runtime.clone();
+    let log = Log::new(&runtime);
     futures_lite::future::block_on(async {
-        let client = Client::connect(&world, &log, daemon.address).await.unwrap();
+        let client = Client::connect(&runtime, &log, daemon.address)
+            .await
+            .unwrap();
         for n in 0..CALLS {
             let prompt = (0..60).map(|token| token ^ n as u32).collect();
             let mut ask = scene.ask(0, 0, prompt, 6);
