--- a/crates/ivyward-testbed/src/soak/clients.rs
+++ b/crates/ivyward-testbed/src/soak/clients.rs
@@ -124,12 +124,12 @@
             Exchange::Crossed
         };
     }
-    let patience = PATIENCE_MS * 1_000;
+    let client_timeout = PATIENCE_MS * 1_000;
     let sent = Observation::Sent {
         id: id.into(),
         effect,
         node,
-        patience,
+        client_timeout,
         new_connection,
     };
     stage.log.add(runtime.now(), sent);
@@ -137,7 +137,7 @@
     let waits = if leaves {
         runtime.random() % LEAVES_WITHIN
     } else {
-        patience + LATE
+        client_timeout + LATE
     };
     let until = runtime.now() + waits;
     let got = before(runtime, until, read_answer(runtime, &mut conn)).await;
--- a/crates/ivyward-testbed/src/soak/oracle.rs
+++ b/crates/ivyward-testbed/src/soak/oracle.rs
@@ -28,7 +28,7 @@
     /// Nothing new goes to a draining engine after this span.
     pub drain_grace: Micros,
     /// Engines drop repeats for this span.
-    pub repeat_window: Micros,
+    pub deduplication_window: Micros,
 }
 
 /// A rule that did not hold.
@@ -136,12 +136,14 @@
                 id,
                 effect,
                 node,
-                patience,
+                client_timeout,
                 new_connection,
             } => {
                 let request = self.request(id);
                 request.effect = Some(*effect);
-                request.sent.push((at, *node, *patience, *new_connection));
+                request
+                    .sent
+                    .push((at, *node, *client_timeout, *new_connection));
             }
             Observation::Left { id } => self.request(id).left = Some(at),
             Observation::Answered { id, status, whole } => {
@@ -239,8 +241,8 @@
     }
 
     fn lost(&self, request: &Request, end: Micros) -> Found {
-        let (sent, node, patience, new_connection) = *request.sent.last()?;
-        let by = sent + patience + ANSWER_SLACK + CLOCK_SLACK;
+        let (sent, node, client_timeout, new_connection) = *request.sent.last()?;
+        let by = sent + client_timeout + ANSWER_SLACK + CLOCK_SLACK;
         let answer = request
             .answers
             .last()
@@ -256,7 +258,7 @@
             .stops
             .iter()
             .rev()
-            .any(|stop| after_stop(&stop) && sent < stop.1 + patience + STOP_TAKES)
+            .any(|stop| after_stop(&stop) && sent < stop.1 + client_timeout + STOP_TAKES)
         {
             return None;
         }
@@ -287,7 +289,7 @@
     fn closed_unanswered(&self, request: &Request) -> Found {
         let closes = request.answers.iter().filter(|(_, status, _)| *status == 0);
         closes.into_iter().find_map(|(at, ..)| {
-            let (sent, node, patience, _) =
+            let (sent, node, client_timeout, _) =
                 *request.sent.iter().rev().find(|sent| sent.0 <= *at)?;
             let came = request
                 .attempts
@@ -298,7 +300,7 @@
                 .iter()
                 .any(|b| b.0 == node && b.1 <= *at && sent <= b.2);
             let excused =
-                broke || self.killed(node, sent, at + CLOCK_SLACK) || *at > sent + patience;
+                broke || self.killed(node, sent, at + CLOCK_SLACK) || *at > sent + client_timeout;
             let text = || {
                 format!(
                     "sent at {sent}, at an engine at {}, closed at {at}",
@@ -382,8 +384,8 @@
     /// An attempt that tells its engine more time than its client has left. One that waited in a cut says what was left when
     /// it was written: nobody can change that any more.
     fn told_too_much(&self, request: &Request) -> Found {
-        let (sent, _, patience, _) = *request.sent.last()?;
-        let by = sent + patience;
+        let (sent, _, client_timeout, _) = *request.sent.last()?;
+        let by = sent + client_timeout;
         request.attempts.iter().find_map(|attempt| {
             let left = by.saturating_sub(attempt.at);
             let waited = |(engine, _, until): &(usize, Micros, Micros)| {
@@ -493,7 +495,7 @@
             let first = ran.first().copied()?;
             writes
                 .into_iter()
-                .any(|a| a.at > first + limits.repeat_window + CLOCK_SLACK)
+                .any(|a| a.at > first + limits.deduplication_window + CLOCK_SLACK)
         }
     };
     twice.then(|| ("effect_twice", format!("writes arrived at {ran:?}")))
--- a/crates/ivyward-testbed/src/soak/stage.rs
+++ b/crates/ivyward-testbed/src/soak/stage.rs
@@ -426,7 +426,7 @@
 pub(super) const LIMITS: super::oracle::Limits = super::oracle::Limits {
     release_within: 300_000,
     drain_grace: 1_000_000,
-    repeat_window: 1_500_000,
+    deduplication_window: 1_500_000,
 };
 
 fn configuration(node: usize, nodes: usize, discovery: SocketAddr, known: &str) -> String {
@@ -434,7 +434,7 @@
         format!(
             r#"{{"name":"{name}","semantics":"{semantics}","target_us":800000,"deadline_us":2500000,"importance":2.0,
             "late_share":0.1,"key_ttl_us":{},"group":"all","streamed":true}}"#,
-            LIMITS.repeat_window
+            LIMITS.deduplication_window
         )
     };
     let classes = [
--- a/crates/ivyward-testbed/tests/alone.rs
+++ b/crates/ivyward-testbed/tests/alone.rs
@@ -20,7 +20,7 @@
 
 async fn served(client: &Client, request: GenerateRequest) -> u32 {
     let habit = Habit {
-        patience: 2_000_000,
+        client_timeout: 2_000_000,
         ..Habit::default()
     };
     let operation = request.call_id;
--- a/crates/ivyward-testbed/tests/auditor.rs
+++ b/crates/ivyward-testbed/tests/auditor.rs
@@ -210,7 +210,11 @@
         let mut make = Make::new(9, specs);
         make.nodes = 0;
         let rules = &mut make.settings.rules;
-        (rules.start_capacity, rules.fall_window, rules.warm_after) = (0.1, window, warm);
+        (
+            rules.initial_capacity,
+            rules.overload_window,
+            rules.warm_up_duration,
+        ) = (0.1, window, warm);
         let scene = build(make);
         block_on(async {
             scene.engine(0).come_up(true).unwrap();
--- a/crates/ivyward-testbed/tests/cold.rs
+++ b/crates/ivyward-testbed/tests/cold.rs
@@ -37,13 +37,13 @@
     let log = Log::new(&runtime);
     // Little more than its capacity pushes a cold engine over, and what a node gives a warm one would.
     let rules = Settings {
-        fall_multiple: 1.2,
-        nodes: 2,
+        overload_multiple: 1.2,
+        replica_count: 2,
         ..settings().rules
     };
     let spec = |id| {
         let role = if id <= 2 { Role::Reader } else { Role::Writer };
-        let falls = (rules.fall_multiple, rules.fall_window);
+        let falls = (rules.overload_multiple, rules.overload_window);
         Spec {
             cold: (0.3, 4 * SECOND),
             falls,
@@ -115,7 +115,7 @@
                 ..GenerateRequest::default()
             };
             let habit = Habit {
-                patience: 2_500_000,
+                client_timeout: 2_500_000,
                 ..Habit::default()
             };
             let ask = Ask {
--- a/crates/ivyward-testbed/tests/drops.rs
+++ b/crates/ivyward-testbed/tests/drops.rs
@@ -131,7 +131,7 @@
         for polls in 0.. {
             let call = u64::from(polls) + 1;
             let habit = Habit {
-                patience: 2_000_000,
+                client_timeout: 2_000_000,
                 ..Habit::default()
             };
             let one = Ask {
@@ -194,7 +194,7 @@
             again.fleet(ListKind::Full, listed).await;
             let client = Client::connect(&runtime, &log, address).await.unwrap();
             let habit = Habit {
-                patience: 2_000_000,
+                client_timeout: 2_000_000,
                 ..Habit::default()
             };
             let one = Ask {
--- a/crates/ivyward-testbed/tests/enlist.rs
+++ b/crates/ivyward-testbed/tests/enlist.rs
@@ -42,12 +42,15 @@
         .status
         .success());
     let record = store.value("ivyward/engines/7").unwrap();
-    let member =
-        ivyward::registration::read(ivyward::core::interface::ServerId(7), record.as_bytes(), 1)
-            .unwrap();
+    let member = ivyward::registration::read(
+        ivyward::core::interface::EndpointId(7),
+        record.as_bytes(),
+        1,
+    )
+    .unwrap();
     assert_eq!(
-        member.entry.condition,
-        ivyward::core::interface::Condition::Draining
+        member.entry.state,
+        ivyward::core::interface::EndpointState::Draining
     );
     // Its keeper dies: the lease ends, and the record with it.
     child.kill().unwrap();
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward::core::interface::Condition;
+use ivyward::core::interface::EndpointState;
 use ivyward_fakes::sight::{Gone, Heard, Kind, Sight};
 use ivyward_fakes::Twist;
 use ivyward_runtime::RuntimeExt;
@@ -135,13 +135,13 @@
             for e in 0..3 {
                 scene.engine(e).come_up(false).unwrap();
                 scene
-                    .tell_all(e, Condition::Ready, Some(scene.log.now()))
+                    .tell_all(e, EndpointState::Ready, Some(scene.log.now()))
                     .await;
             }
         }
         // Cold ones get little at first; once told otherwise they get all.
         for e in 0..3 {
-            scene.tell_all(e, Condition::Ready, None).await;
+            scene.tell_all(e, EndpointState::Ready, None).await;
         }
         let mut served = 0;
         for i in 0..40 {
@@ -168,7 +168,7 @@
     let mut make = Make::new(5, specs);
     make.nodes = 2;
     // The module is to wait for the slow fetch.
-    make.settings.classes[QUICK].settings.ttft_aim = 2_000_000;
+    make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
     let scene = build(make);
     block_on(async {
         // The second request waits for the only slot while its state is kept at the reader.
@@ -222,7 +222,7 @@
     specs[0].keep = 60_000_000;
     let mut make = Make::new(5, specs);
     // The module is to wait until the client leaves.
-    make.settings.classes[QUICK].settings.ttft_aim = 2_000_000;
+    make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
     let scene = build(make);
     block_on(async {
         // The writer takes the request and does not fetch.
@@ -277,7 +277,7 @@
     block_on(async {
         let short = scene.ask(0, QUICK, prompt(1, 50), 10);
         let mut long = scene.ask(0, QUICK, prompt(2, 50), 5_000);
-        long.habit.patience = 30_000_000;
+        long.habit.client_timeout = 30_000_000;
         let calls = [short.request.call_id, long.request.call_id];
         let (tell, wait) = async_channel::bounded(2);
         for ask in [short, long] {
--- a/crates/ivyward-testbed/tests/held.rs
+++ b/crates/ivyward-testbed/tests/held.rs
@@ -15,7 +15,7 @@
     // Reads take a quarter of a second, so that a place is held meanwhile.
     specs[0].read_rate = 200.0;
     let mut make = Make::new(31, specs);
-    make.settings.rules.hold_ahead = true;
+    make.settings.rules.reserve_decode_slot = true;
     make.patient();
     let scene = build(make);
     block_on(async {
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -2,7 +2,7 @@
 //! dial on one that went bad meanwhile. With `RUSTFLAGS="--cfg planted"`: the same scenes find each planted defect.
 
 mod stage;
-use ivyward::core::interface::{Condition, ListKind};
+use ivyward::core::interface::{EndpointState, ListKind};
 use ivyward::{Engine as Listed, Node, NodeSettings};
 use ivyward_fakes::sight::{Effect, Heard, Kind, Sight};
 use ivyward_fakes::{Ask, Client, End, Engine, Habit, Log};
@@ -132,7 +132,7 @@
         Effect::Safe
     };
     let habit = Habit {
-        patience: 2_400 * MS,
+        client_timeout: 2_400 * MS,
         ..Habit::default()
     };
     Ask {
@@ -395,7 +395,7 @@
             }
         });
         let mut one = ask(1, 0);
-        one.habit.patience = 20 * SECOND;
+        one.habit.client_timeout = 20 * SECOND;
         one.request.max_output_tokens = 6;
         let end = client.ask(&one).await;
         let (engine, at) = when.recv().await.unwrap();
@@ -466,7 +466,7 @@
         let gone = changed.split_off(15);
         for (i, engine) in changed.iter_mut().enumerate().filter(|(i, _)| i % 5 == 0) {
             let engines = scene.engines.lock().unwrap();
-            *engine = listed(&engines[i], Condition::Draining, 0);
+            *engine = listed(&engines[i], EndpointState::Draining, 0);
         }
         scene.node.fleet(ListKind::Full, changed.clone()).await;
         scene.runtime.sleep(5 * SECOND).await;
--- a/crates/ivyward-testbed/tests/path.rs
+++ b/crates/ivyward-testbed/tests/path.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward::core::interface::Condition;
+use ivyward::core::interface::EndpointState;
 use ivyward_fakes::sight::{Heard, Key, Kind, Seen, Sight};
 use ivyward_fakes::{text, Habit, Spec};
 use ivyward_runtime::RuntimeExt;
@@ -153,7 +153,7 @@
         }
         let asks = (0..40).map(|i| {
             let mut ask = scene.ask(0, i % 4, prompt(i as u32, 50), 5);
-            ask.habit.patience = 1_300_000 + i as u64 * 5_000;
+            ask.habit.client_timeout = 1_300_000 + i as u64 * 5_000;
             ask
         });
         for end in all(&scene, asks.collect()).await {
@@ -174,7 +174,7 @@
     let scene = build(Make::new(1, specs));
     block_on(async {
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 100);
-        ask.habit.patience = 1_500_000;
+        ask.habit.client_timeout = 1_500_000;
         let end = scene.send(&ask).await.unwrap();
         assert_eq!((end.how, end.code), (Heard::Failed, 4), "{end:?}");
         assert!(end.first.is_some() && end.tokens < 20);
@@ -193,7 +193,7 @@
     block_on(async {
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 12);
         ask.habit = Habit {
-            patience: 20_000_000,
+            client_timeout: 20_000_000,
             silent_deadline: true,
             ..Habit::default()
         };
@@ -207,7 +207,7 @@
 fn drains_and_departures_are_kept_and_restarts_are_taken_back() {
     let scene = build(Make::new(1, pools(2, 3)));
     block_on(async {
-        for (round, condition) in [Condition::Draining, Condition::Gone]
+        for (round, condition) in [EndpointState::Draining, EndpointState::Removed]
             .into_iter()
             .enumerate()
         {
@@ -219,7 +219,7 @@
                 assert_eq!(scene.send(&ask).await.unwrap().how, Heard::Served);
             }
             for engine in [0, 2] {
-                scene.tell_all(engine, Condition::Ready, None).await;
+                scene.tell_all(engine, EndpointState::Ready, None).await;
             }
         }
         let all_seen = scene.log.all();
@@ -243,7 +243,7 @@
     block_on(async {
         let mut slow = scene.ask(0, QUICK, prompt(1, 50), 60_000);
         slow.habit.read_pause = 400_000;
-        slow.habit.patience = 60_000_000;
+        slow.habit.client_timeout = 60_000_000;
         let call = slow.request.call_id;
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
@@ -302,7 +302,7 @@
             ask.habit.read_pause = 200_000;
             ask.habit.leave_after = Some(1_200_000);
             // Not all in one moment, which the module would take for overload.
-            ask.habit.patience = 10_000_000;
+            ask.habit.client_timeout = 10_000_000;
             ask
         });
         let mut waits = Vec::new();
@@ -316,7 +316,7 @@
             waits.push(wait);
         }
         let mut quick = scene.ask(0, QUICK, prompt(99, 50), 20);
-        quick.habit.patience = 10_000_000;
+        quick.habit.client_timeout = 10_000_000;
         let quick = scene.send(&quick).await.unwrap();
         assert_eq!(quick.how, Heard::Served, "{quick:?}");
         for wait in waits {
--- a/crates/ivyward-testbed/tests/proofs.rs
+++ b/crates/ivyward-testbed/tests/proofs.rs
@@ -20,14 +20,14 @@
 /// Makes every call to both writers end in some way, and sends an unsafe request.
 async fn unsafe_at(
     scene: &Arc<Scene>,
-    patience: u64,
+    client_timeout: u64,
     trouble: impl Fn(&mut Engine),
 ) -> (Heard, usize, usize) {
     [1, 2]
         .into_iter()
         .for_each(|e| trouble(&mut scene.engine(e)));
     let mut ask = scene.ask(0, ORDER, prompt(1, 50), 10);
-    ask.habit.patience = patience;
+    ask.habit.client_timeout = client_timeout;
     let call = ask.request.call_id;
     let end = scene.send(&ask).await.unwrap();
     for e in [1, 2] {
--- a/crates/ivyward-testbed/tests/stage/mod.rs
+++ b/crates/ivyward-testbed/tests/stage/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses its part.
 
 use ivyward::{Node, NodeSettings};
-use ivyward_core::interface::Condition;
+use ivyward_core::interface::EndpointState;
 use ivyward_fakes::{Engine, Host as Processes, Log, Role, Spec};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
@@ -102,7 +102,7 @@
     pub fn listed(&self) -> Vec<ivyward::Engine> {
         self.engines
             .iter()
-            .map(|e| listed(e, Condition::Ready, 0))
+            .map(|e| listed(e, EndpointState::Ready, 0))
             .collect()
     }
 }
--- a/crates/ivyward-testbed/tests/terms.rs
+++ b/crates/ivyward-testbed/tests/terms.rs
@@ -64,9 +64,9 @@
     }
 }
 
-fn ask(call: u64, words: u32, patience: Micros) -> Ask {
+fn ask(call: u64, words: u32, client_timeout: Micros) -> Ask {
     let habit = Habit {
-        patience,
+        client_timeout,
         ..Habit::default()
     };
     let request = request(call, &prompt(call as u32, words), call as u32);
@@ -224,18 +224,18 @@
         let log = stage.log.clone();
         let played = stage.sim.run(&stage.script, HOUR, async move {
             let client = cast.client().await;
-            let patience = 3_000 * MS;
+            let client_timeout = 3_000 * MS;
             let (mut reads, mut writes, mut further) = (0, 0, 0);
             for call in 1..=80 {
                 // Long enough for engines that failed to be tried again.
                 cast.runtime.sleep(3_000 * MS).await;
                 let began = cast.runtime.now();
-                client.ask(&ask(call, 50, patience)).await;
+                client.ask(&ask(call, 50, client_timeout)).await;
                 let all = told(&log, call, &[Kind::Read, Kind::Write, Kind::Hold]);
                 for (at, timeout) in &all {
                     let timeout =
                         timeout.unwrap_or_else(|| panic!("call {call}: no deadline was told"));
-                    let left = (began + patience).saturating_sub(*at);
+                    let left = (began + client_timeout).saturating_sub(*at);
                     assert!(
                         timeout <= left + DEADLINE_SLACK,
                         "call {call}: {timeout} told, {left} left"
@@ -243,7 +243,7 @@
                 }
                 // A writer may take as long as the client waits, less the node's margin.
                 for (at, timeout) in told(&log, call, &[Kind::Write]) {
-                    let left = (began + patience).saturating_sub(at);
+                    let left = (began + client_timeout).saturating_sub(at);
                     let least = left.saturating_sub(settings().answer_margin + lag + 5 * MS);
                     assert!(
                         timeout.unwrap() >= least,
@@ -325,15 +325,15 @@
                 cuts.cut(node, host, true);
             }
         });
-        let patience = 2_000 * MS;
-        client.ask(&ask(1, 50, patience)).await;
+        let client_timeout = 2_000 * MS;
+        client.ask(&ask(1, 50, client_timeout)).await;
         cast.runtime.sleep(3_000 * MS).await;
         drop(engines);
         let ended = log.all().into_iter().rev().find_map(|s| match s.what {
             Sight::Ended { engine: 4, .. } => Some(s.at),
             _ => None,
         });
-        ended.map(|at| at.saturating_sub(began + patience))
+        ended.map(|at| at.saturating_sub(began + client_timeout))
     });
     assert_eq!(
         played,
--- a/crates/ivyward/src/engines/link.rs
+++ b/crates/ivyward/src/engines/link.rs
@@ -4,7 +4,7 @@
 use crate::engines::keepalive::EngineKeepalive;
 use crate::settings::NodeSettings;
 use event_listener::Event;
-use ivyward_core::interface::{Micros, ServerId};
+use ivyward_core::interface::{EndpointId, Micros};
 use ivyward_core::keepalive::BeforeUse;
 use ivyward_core::planted::{self, Defect};
 use ivyward_grpc::{Channel, Options, RestingChecks};
@@ -38,7 +38,7 @@
 }
 
 pub(crate) struct GrpcLink {
-    pub(crate) id: ServerId,
+    pub(crate) id: EndpointId,
     pub(crate) address: SocketAddr,
     runtime: RuntimeRef,
     options: Options,
@@ -82,7 +82,7 @@
 impl GrpcLink {
     pub(crate) fn new(
         runtime: &RuntimeRef,
-        id: ServerId,
+        id: EndpointId,
         address: SocketAddr,
         settings: &NodeSettings,
         keepalive: &Arc<EngineKeepalive>,
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -11,7 +11,7 @@
 use crate::answer::{Buffer, Final, Over};
 use crate::shared::Shared;
 use futures_lite::future::{or, poll_fn};
-use ivyward_core::interface::{Micros, Outcome, Report, ServerEntry, ServerId};
+use ivyward_core::interface::{Endpoint, EndpointId, LoadReport, Micros, Outcome};
 use ivyward_runtime::{BoxFuture, RuntimeRef};
 use std::any::Any;
 use std::future::Future;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
     /// What the module is told. `kind` is an index into the module's roles.
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -44,7 +44,7 @@
     /// Prompt tokens that were found kept.
     pub kept: u32,
     /// The engine's load report, if one came along.
-    pub report: Report,
+    pub report: LoadReport,
     /// For people.
     pub text: String,
 }
@@ -55,7 +55,7 @@
         End {
             outcome,
             kept: 0,
-            report: Report::default(),
+            report: LoadReport::default(),
             text: text.into(),
         }
     }
@@ -74,7 +74,7 @@
 /// A link to one engine, as the driver holds it.
 pub trait Link: Send + Sync + 'static {
     /// Which engine.
-    fn id(&self) -> ServerId;
+    fn id(&self) -> EndpointId;
     /// Where it listens.
     fn address(&self) -> SocketAddr;
     /// The node was told that the engine drains or is gone, or is not any more: what has not left yet stays here.
@@ -88,7 +88,7 @@
     /// Asks for a place, until the request no longer needs one.
     fn hold(self: Arc<Self>, job: HoldJob) -> BoxFuture<Held>;
     /// Asks the engine how it is: whether it answered, and its report.
-    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, Report)>;
+    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, LoadReport)>;
 }
 
 /// A link as it is handed around.
@@ -129,7 +129,7 @@
     /// When the node ends the stream, if the client stated a time for the whole answer.
     pub end_by: Option<Micros>,
     /// When it ends unless its last byte left: something is held meanwhile, and its time runs on.
-    pub leave_by: Micros,
+    pub send_deadline: Micros,
     pub(crate) stop: async_channel::Receiver<Stop>,
     pub(crate) first: Box<dyn Fn() + Send + Sync>,
 }
--- a/crates/ivyward/src/membership/follow.rs
+++ b/crates/ivyward/src/membership/follow.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::settings::SettingsError;
 use futures_lite::future::or;
-use ivyward_core::interface::{Condition, ListKind, Micros, ServerEntry, ServerId};
+use ivyward_core::interface::{Endpoint, EndpointId, EndpointState, ListKind, Micros};
 use ivyward_core::membership::{Heard, Member, Membership, MembershipSettings, Told};
 use ivyward_core::pace::{Pace, PaceSettings};
 use ivyward_core::planted::{self, Defect};
@@ -115,7 +115,7 @@
     unkept: bool,
     keep_from: Micros,
     /// Engines whose bad record was logged, with its revision.
-    named: BTreeMap<ServerId, i64>,
+    named: BTreeMap<EndpointId, i64>,
     pause: Micros,
 }
 
@@ -132,7 +132,7 @@
 impl Batch {
     fn add(&mut self, now: Micros, heard: Vec<Heard>) {
         let urgent = |h: &Heard| match h {
-            Heard::Put(member) => member.entry.condition != Condition::Ready,
+            Heard::Put(member) => member.entry.state != EndpointState::Ready,
             Heard::Deleted { .. } => true,
             _ => false,
         };
@@ -442,28 +442,34 @@
         let (now, unix) = (self.runtime.now(), self.runtime.unix_micros());
         let mut engines = Vec::with_capacity(members.len());
         for Member { entry, address, .. } in members {
-            if entry.condition == Condition::Gone {
+            if entry.state == EndpointState::Removed {
                 self.starts.gone(entry.id);
                 engines.push(Engine { entry, address });
                 continue;
             }
-            let started =
-                self.starts
-                    .here(&entry, now, unix, self.node.settings().rules.warm_after);
+            let started = self.starts.here(
+                &entry,
+                now,
+                unix,
+                self.node.settings().rules.warm_up_duration,
+            );
             engines.push(Engine {
-                entry: ServerEntry { started, ..entry },
+                entry: Endpoint {
+                    started_at: started,
+                    ..entry
+                },
                 address,
             });
         }
         if kind == ListKind::Full {
-            let named: BTreeSet<ServerId> = engines.iter().map(|e| e.entry.id).collect();
+            let named: BTreeSet<EndpointId> = engines.iter().map(|e| e.entry.id).collect();
             self.starts.whole(|id| named.contains(&id));
         }
         self.node.fleet(kind, engines).await;
         self.pace.passed(now, self.runtime.now());
     }
 
-    fn members(&mut self, kvs: &[mvccpb::KeyValue]) -> (Vec<Member>, Vec<ServerId>) {
+    fn members(&mut self, kvs: &[mvccpb::KeyValue]) -> (Vec<Member>, Vec<EndpointId>) {
         let (mut members, mut unread) = (Vec::new(), Vec::new());
         for kv in kvs {
             match self.member(kv) {
@@ -475,10 +481,10 @@
     }
 
     /// The member that a record names; else the engine whose record cannot be read, if the key names one.
-    fn member(&mut self, kv: &mvccpb::KeyValue) -> Result<Member, Option<ServerId>> {
+    fn member(&mut self, kv: &mvccpb::KeyValue) -> Result<Member, Option<EndpointId>> {
         let Some(id) = key_id(self.follow.prefix.as_bytes(), &kv.key) else {
             self.complain(
-                ServerId(u64::MAX),
+                EndpointId(u64::MAX),
                 kv,
                 "the key does not end in an engine's id",
             );
@@ -491,7 +497,7 @@
     }
 
     /// Logs a bad record once, and counts it.
-    fn complain(&mut self, id: ServerId, kv: &mvccpb::KeyValue, problem: &str) {
+    fn complain(&mut self, id: EndpointId, kv: &mvccpb::KeyValue, problem: &str) {
         if self.named.get(&id) == Some(&kv.mod_revision) {
             return;
         }
--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -1,7 +1,7 @@
 //! Registration records: what engines write below a prefix of the store, one key an engine, named by its id.
 
 use garde::Validate;
-use ivyward_core::interface::{Condition, ServerEntry, ServerId};
+use ivyward_core::interface::{Endpoint, EndpointId, EndpointState};
 use ivyward_core::membership::Member;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -94,20 +94,20 @@
 }
 
 /// The engine's id that a key names.
-pub fn key_id(prefix: &[u8], key: &[u8]) -> Option<ServerId> {
+pub fn key_id(prefix: &[u8], key: &[u8]) -> Option<EndpointId> {
     let name = std::str::from_utf8(key.strip_prefix(prefix)?).ok()?;
     // Only one way of writing a number, so that two keys never name one engine.
     name.parse()
         .ok()
         .filter(|id: &u64| id.to_string() == name)
-        .map(ServerId)
+        .map(EndpointId)
 }
 
 /// Reads the record of an engine.
 ///
 /// # Errors
 /// [`RecordProblem`].
-pub fn read(id: ServerId, value: &[u8], revision: i64) -> Result<Member, RecordProblem> {
+pub fn read(id: EndpointId, value: &[u8], revision: i64) -> Result<Member, RecordProblem> {
     if value.len() > MOST_RECORD {
         return Err(RecordProblem::Long(value.len()));
     }
@@ -137,17 +137,17 @@
         Role::Mixed => 2,
     };
     let condition = match record.state {
-        State::Ready => Condition::Ready,
-        State::Draining => Condition::Draining,
+        State::Ready => EndpointState::Ready,
+        State::Draining => EndpointState::Draining,
     };
-    let entry = ServerEntry {
+    let entry = Endpoint {
         id,
         zone: record.zone,
-        kind,
-        cell: record.cell,
-        condition,
+        machine_type: kind,
+        rack: record.cell,
+        state: condition,
         weight: record.weight,
-        started: record.started_ms.saturating_mul(1_000),
+        started_at: record.started_ms.saturating_mul(1_000),
     };
     Ok(Member {
         entry,
--- a/crates/ivyward/src/membership/registration/tests.rs
+++ b/crates/ivyward/src/membership/registration/tests.rs
@@ -11,16 +11,16 @@
 #[test]
 fn a_record_is_read_and_unknown_fields_are_passed_over() {
     let member = read(
-        ServerId(7),
+        EndpointId(7),
         text(r#","cell":3,"colour":"red","started_ms":5"#).as_bytes(),
         9,
     )
     .unwrap();
     assert_eq!(
         (
-            member.entry.kind,
-            member.entry.cell,
-            member.entry.started,
+            member.entry.machine_type,
+            member.entry.rack,
+            member.entry.started_at,
             member.revision
         ),
         (1, 3, 5_000, 9)
@@ -48,12 +48,12 @@
         (format!("{}{}", text(""), " ".repeat(MOST_RECORD)), "bytes"),
     ];
     for (text, what) in bad {
-        let problem = read(ServerId(7), text.as_bytes(), 1)
+        let problem = read(EndpointId(7), text.as_bytes(), 1)
             .unwrap_err()
             .to_string();
         assert!(problem.contains(what), "{text}: {problem}");
     }
-    assert_eq!(key_id(b"e/", b"e/7"), Some(ServerId(7)));
+    assert_eq!(key_id(b"e/", b"e/7"), Some(EndpointId(7)));
     for key in ["e/07", "e/+7", "e/x", "e/", "f/7", "e/7/8"] {
         assert_eq!(key_id(b"e/", key.as_bytes()), None, "{key}");
     }
--- a/crates/ivyward/src/membership/snapshot.rs
+++ b/crates/ivyward/src/membership/snapshot.rs
@@ -4,7 +4,7 @@
 //! Written beside and moved into place, so that a reader sees the old file or the new one.
 
 use crate::membership::registration::{self, Record, Role, State};
-use ivyward_core::interface::{Condition, ServerId};
+use ivyward_core::interface::{EndpointId, EndpointState};
 use ivyward_core::membership::Member;
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -34,13 +34,13 @@
     Record {
         version: registration::VERSION,
         id: e.id.0,
-        role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(e.kind).min(2)],
+        role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(e.machine_type).min(2)],
         address: member.address.to_string(),
         zone: e.zone,
-        cell: e.cell,
+        cell: e.rack,
         weight: e.weight,
-        started_ms: e.started / 1_000,
-        state: if e.condition == Condition::Ready {
+        started_ms: e.started_at / 1_000,
+        state: if e.state == EndpointState::Ready {
             State::Ready
         } else {
             State::Draining
@@ -118,7 +118,7 @@
         serde_json::from_slice(body).map_err(|_| SnapshotError::Torn("its records"))?;
     let member = |r: Record| {
         let text = serde_json::to_vec(&r).map_err(io::Error::other)?;
-        registration::read(ServerId(r.id), &text, 0).map_err(|_| SnapshotError::Torn("a record"))
+        registration::read(EndpointId(r.id), &text, 0).map_err(|_| SnapshotError::Torn("a record"))
     };
     records
         .into_iter()
--- a/crates/ivyward/src/membership/snapshot/tests.rs
+++ b/crates/ivyward/src/membership/snapshot/tests.rs
@@ -8,7 +8,7 @@
     assert!(read(&path).unwrap().is_none());
     let text =
         br#"{"version":1,"id":7,"role":"mixed","address":"127.0.0.1:9000","state":"draining","cell":4}"#;
-    let member = registration::read(ServerId(7), text, 0).unwrap();
+    let member = registration::read(EndpointId(7), text, 0).unwrap();
     write(&path, &[member]).unwrap();
     assert_eq!(read(&path).unwrap(), Some(vec![member]));
     let whole = std::fs::read(&path).unwrap();
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -108,10 +108,10 @@
 /// How attempts end, as the metrics name it.
 pub const OUTCOMES: [(Outcome, &str); 10] = [
     (Outcome::Served, "served"),
-    (Outcome::Read, "read"),
+    (Outcome::Prefilled, "read"),
     (Outcome::Error, "error"),
-    (Outcome::Full, "full"),
-    (Outcome::StateLost, "state_lost"),
+    (Outcome::Rejected, "full"),
+    (Outcome::KvCacheMiss, "state_lost"),
     (Outcome::TimedOut, "timed_out"),
     (Outcome::ConnectFailed, "connect_failed"),
     (Outcome::Reset, "reset"),
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -13,7 +13,7 @@
 use crate::shared::Shared;
 use event_listener::Event;
 use futures_lite::future::poll_fn;
-use ivyward_core::interface::{Arrival, Effect, ListKind, Micros, RequestId};
+use ivyward_core::interface::{Idempotency, ListKind, Micros, Request, RequestId};
 use ivyward_core::planted::{self, Defect};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
@@ -121,9 +121,9 @@
         let _ = wait.recv().await;
     }
 
-    /// Takes a request. `patience` is how long the client waits for the whole answer, in microseconds; without one
+    /// Takes a request. `client_timeout` is how long the client waits for the whole answer, in microseconds; without one
     /// its class's deadline holds for the first token. Bad requests get their answer like all others.
-    pub fn generate(&self, request: GenerateRequest, patience: Option<Micros>) -> Answer {
+    pub fn generate(&self, request: GenerateRequest, client_timeout: Option<Micros>) -> Answer {
         let shared = &self.shared;
         let buffer = Arc::new(Buffer::new(shared.settings.stream_buffer));
         let mut answer = Answer {
@@ -134,7 +134,7 @@
         let over = |end| {
             buffer.finish(end);
         };
-        let taken = match self.taken(request, patience, buffer.clone()) {
+        let taken = match self.taken(request, client_timeout, buffer.clone()) {
             Ok(taken) => taken,
             Err(reason) => {
                 shared.metrics.invalid.add(1);
@@ -159,12 +159,12 @@
     /// Why it is refused: nothing was done, and nothing is told later.
     pub fn take(
         &self,
-        arrival: Arrival,
+        arrival: Request,
         first_by: Micros,
         call: Arc<dyn Call>,
     ) -> Result<u64, Refusal> {
         let id = self.shared.next_id.fetch_add(1, Ordering::Relaxed);
-        let arrival = Arrival {
+        let arrival = Request {
             id: RequestId(id),
             ..arrival
         };
@@ -204,7 +204,7 @@
     fn taken(
         &self,
         request: GenerateRequest,
-        patience: Option<Micros>,
+        client_timeout: Option<Micros>,
         buffer: Arc<Buffer>,
     ) -> Result<Taken, String> {
         let settings = &self.shared.settings;
@@ -247,7 +247,9 @@
             ));
         }
         let named_class = &settings.classes[class];
-        if named_class.settings.effect == Effect::Keyed && request.idempotency_key.is_empty() {
+        if named_class.settings.idempotency == Idempotency::WithKey
+            && request.idempotency_key.is_empty()
+        {
             return Err(format!(
                 "class {:?} needs an idempotency_key",
                 named_class.name
@@ -274,27 +276,27 @@
             0
         };
         let (now, margin) = (now + late, settings.answer_margin);
-        let end_by = patience.map(|p| now.saturating_add(p).saturating_sub(margin));
+        let end_by = client_timeout.map(|p| now.saturating_add(p).saturating_sub(margin));
         let first = match request.first_token_patience_ms {
-            0 => patience.unwrap_or(named_class.settings.deadline),
-            ms => (u64::from(ms) * 1_000).min(patience.unwrap_or(Micros::MAX)),
+            0 => client_timeout.unwrap_or(named_class.settings.deadline),
+            ms => (u64::from(ms) * 1_000).min(client_timeout.unwrap_or(Micros::MAX)),
         };
         let first_by = now.saturating_add(first).saturating_sub(margin);
         let id = self.shared.next_id.fetch_add(1, Ordering::Relaxed);
-        let arrival = Arrival {
+        let arrival = Request {
             id: RequestId(id),
             class,
             tenant,
             session,
             prefix,
-            patience: 0,
+            client_timeout: 0,
             prompt_tokens: length as f64,
             prefix_tokens: opening as f64,
             max_output: f64::from(request.max_output_tokens),
             hinted_output: (request.expected_output_tokens > 0)
                 .then(|| f64::from(request.expected_output_tokens)),
-            repeat: request.repeat,
-            resumed: request.resumed,
+            is_retry: request.repeat,
+            is_resumed: request.resumed,
         };
         let call = GrpcCall {
             arrival,
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -325,7 +325,7 @@
             options.spans,
             runtime.random(),
         );
-        decider.expect(rules.nodes);
+        decider.expect(rules.replica_count);
         let decider = Arc::new(Mutex::new(decider));
         let (orders, told) = async_channel::bounded(ORDERS);
         let handle = PeersHandle {
@@ -340,7 +340,7 @@
             socket,
             seal: Seal::new(options.key.as_deref()),
             orders: told,
-            told: rules.nodes,
+            told: rules.replica_count,
         };
         runtime.run(speaker.run());
         if let Some(store) = options.store {
--- a/crates/ivyward/src/record/mod.rs
+++ b/crates/ivyward/src/record/mod.rs
@@ -1,7 +1,7 @@
 //! Recordings: what a module was told and did, as length-delimited protobuf, and their replay.
 
 use ivyward_core::interface as core;
-use ivyward_core::interface::{Action, Event, Micros, RequestId, ServerId};
+use ivyward_core::interface::{Action, EndpointId, Event, Micros, RequestId};
 use ivyward_core::rules::Router;
 use ivyward_proto::record as pb;
 use prost::Message;
@@ -296,26 +296,26 @@
 words!(
     effect_out,
     effect_in,
-    core::Effect,
-    Safe = 0,
-    Keyed = 1,
-    Unsafe = 2
+    core::Idempotency,
+    Idempotent = 0,
+    WithKey = 1,
+    NonIdempotent = 2
 );
 words!(
     group_out,
     group_in,
-    core::RepeatGroup,
+    core::DeduplicationScope,
     All = 0,
     Zone = 1,
-    Cell = 2
+    Rack = 2
 );
 words!(
     condition_out,
     condition_in,
-    core::Condition,
+    core::EndpointState,
     Ready = 0,
     Draining = 1,
-    Gone = 2
+    Removed = 2
 );
 words!(
     list_out,
@@ -343,10 +343,10 @@
     outcome_in,
     core::Outcome,
     Served = 0,
-    Read = 1,
+    Prefilled = 1,
     Error = 2,
-    Full = 3,
-    StateLost = 4,
+    Rejected = 3,
+    KvCacheMiss = 4,
     TimedOut = 5,
     ConnectFailed = 6,
     Reset = 7,
@@ -360,18 +360,18 @@
 
 fn settings_out(s: &core::Settings) -> pb::Settings {
     let class = |c: &core::ClassSettings| pb::Class {
-        ttft_aim: c.ttft_aim,
-        ttft_aim_per_1000: c.ttft_aim_per_1000,
-        tpot_aim: c.tpot_aim,
+        ttft_objective: c.ttft_objective,
+        ttft_objective_per_1000: c.ttft_objective_per_1000,
+        tpot_objective: c.tpot_objective,
         deadline: c.deadline,
-        worth: c.worth,
-        late_share: c.late_share,
-        effect: effect_out(c.effect),
-        group: group_out(c.group),
-        repeat_window: c.repeat_window,
+        priority_weight: c.priority_weight,
+        late_weight: c.late_weight,
+        idempotency: effect_out(c.idempotency),
+        deduplication_scope: group_out(c.deduplication_scope),
+        deduplication_window: c.deduplication_window,
     };
     pb::Settings {
-        nodes: s.nodes,
+        replica_count: s.replica_count,
         zone: s.zone.into(),
         roles: s.roles.iter().map(|r| role_out(*r)).collect(),
         memory_tokens: s.memory_tokens.clone(),
@@ -383,23 +383,23 @@
                 quota_per_s: t.quota_per_s,
             })
             .collect(),
-        over_share_worth: s.over_share_worth,
+        over_quota_weight: s.over_quota_weight,
         decode_may_prefill: s.decode_may_prefill,
-        hold_ahead: s.hold_ahead,
+        reserve_decode_slot: s.reserve_decode_slot,
         transfer_price: s.transfer_price,
         cross_zone_price: s.cross_zone_price,
         release_within: s.release_within,
-        out_once_left: s.out_once_left,
+        in_flight_after_last_byte: s.in_flight_after_last_byte,
         drain_grace: s.drain_grace,
-        fall_multiple: s.fall_multiple,
-        fall_window: s.fall_window,
-        start_capacity: s.start_capacity,
-        warm_after: s.warm_after,
+        overload_multiple: s.overload_multiple,
+        overload_window: s.overload_window,
+        initial_capacity: s.initial_capacity,
+        warm_up_duration: s.warm_up_duration,
         must_subscribe: s.must_subscribe,
         max_attempts: s.max_attempts,
         may_cancel: s.may_cancel,
-        probes: s.probes,
-        second_copies: s.second_copies,
+        health_checks: s.health_checks,
+        hedging: s.hedging,
         max_retry_after: s.max_retry_after,
         report_fields: s.report_fields.iter().map(|f| field_out(*f)).collect(),
     }
@@ -408,19 +408,19 @@
 fn settings_in(s: &pb::Settings) -> Result<core::Settings, String> {
     let class = |c: &pb::Class| -> Result<core::ClassSettings, String> {
         Ok(core::ClassSettings {
-            ttft_aim: c.ttft_aim,
-            ttft_aim_per_1000: c.ttft_aim_per_1000,
-            tpot_aim: c.tpot_aim,
+            ttft_objective: c.ttft_objective,
+            ttft_objective_per_1000: c.ttft_objective_per_1000,
+            tpot_objective: c.tpot_objective,
             deadline: c.deadline,
-            worth: c.worth,
-            late_share: c.late_share,
-            effect: effect_in(c.effect)?,
-            group: group_in(c.group)?,
-            repeat_window: c.repeat_window,
+            priority_weight: c.priority_weight,
+            late_weight: c.late_weight,
+            idempotency: effect_in(c.idempotency)?,
+            deduplication_scope: group_in(c.deduplication_scope)?,
+            deduplication_window: c.deduplication_window,
         })
     };
     Ok(core::Settings {
-        nodes: s.nodes,
+        replica_count: s.replica_count,
         zone: narrow(s.zone, "zone")?,
         roles: s
             .roles
@@ -436,23 +436,23 @@
                 quota_per_s: t.quota_per_s,
             })
             .collect(),
-        over_share_worth: s.over_share_worth,
+        over_quota_weight: s.over_quota_weight,
         decode_may_prefill: s.decode_may_prefill,
-        hold_ahead: s.hold_ahead,
+        reserve_decode_slot: s.reserve_decode_slot,
         transfer_price: s.transfer_price,
         cross_zone_price: s.cross_zone_price,
         release_within: s.release_within,
-        out_once_left: s.out_once_left,
+        in_flight_after_last_byte: s.in_flight_after_last_byte,
         drain_grace: s.drain_grace,
-        fall_multiple: s.fall_multiple,
-        fall_window: s.fall_window,
-        start_capacity: s.start_capacity,
-        warm_after: s.warm_after,
+        overload_multiple: s.overload_multiple,
+        overload_window: s.overload_window,
+        initial_capacity: s.initial_capacity,
+        warm_up_duration: s.warm_up_duration,
         must_subscribe: s.must_subscribe,
         max_attempts: s.max_attempts,
         may_cancel: s.may_cancel,
-        probes: s.probes,
-        second_copies: s.second_copies,
+        health_checks: s.health_checks,
+        hedging: s.hedging,
         max_retry_after: s.max_retry_after,
         report_fields: s
             .report_fields
@@ -462,14 +462,14 @@
     })
 }
 
-fn report_out(report: &core::Report) -> Vec<f32> {
+fn report_out(report: &core::LoadReport) -> Vec<f32> {
     report.values[..report.len.min(4)].to_vec()
 }
 
-fn report_in(values: &[f32]) -> Result<core::Report, String> {
-    let mut report = core::Report {
+fn report_in(values: &[f32]) -> Result<core::LoadReport, String> {
+    let mut report = core::LoadReport {
         len: values.len(),
-        ..core::Report::default()
+        ..core::LoadReport::default()
     };
     report
         .values
@@ -479,91 +479,94 @@
     Ok(report)
 }
 
-fn engine_out(e: &core::ServerEntry) -> pb::Engine {
-    pb::Engine {
+fn engine_out(e: &core::Endpoint) -> pb::Endpoint {
+    pb::Endpoint {
         id: e.id.0,
         zone: e.zone.into(),
-        kind: e.kind.into(),
-        cell: e.cell.into(),
-        condition: condition_out(e.condition),
+        machine_type: e.machine_type.into(),
+        rack: e.rack.into(),
+        state: condition_out(e.state),
         weight: e.weight,
-        started: e.started,
+        started_at: e.started_at,
     }
 }
 
-fn engine_in(e: &pb::Engine) -> Result<core::ServerEntry, String> {
-    Ok(core::ServerEntry {
-        id: ServerId(e.id),
+fn engine_in(e: &pb::Endpoint) -> Result<core::Endpoint, String> {
+    Ok(core::Endpoint {
+        id: EndpointId(e.id),
         zone: narrow(e.zone, "zone")?,
-        kind: narrow(e.kind, "kind")?,
-        cell: narrow(e.cell, "cell")?,
-        condition: condition_in(e.condition)?,
+        machine_type: narrow(e.machine_type, "kind")?,
+        rack: narrow(e.rack, "cell")?,
+        state: condition_in(e.state)?,
         weight: e.weight,
-        started: e.started,
+        started_at: e.started_at,
     })
 }
 
 fn event_out(event: &Event) -> pb::Event {
     use pb::event::Event as Out;
     let event = match event {
-        Event::Fleet { kind, entries } => Out::Fleet(pb::Fleet {
+        Event::EndpointList {
+            kind,
+            endpoints: entries,
+        } => Out::EndpointList(pb::EndpointList {
             kind: list_out(*kind),
-            engines: entries.iter().map(engine_out).collect(),
+            endpoints: entries.iter().map(engine_out).collect(),
         }),
-        Event::Request(a) => Out::Arrival(pb::Arrival {
+        Event::Request(a) => Out::Request(pb::Request {
             id: a.id.0,
             class: a.class as u32,
             tenant: a.tenant as u32,
             session: a.session,
             prefix: a.prefix,
-            patience: a.patience,
+            client_timeout: a.client_timeout,
             prompt_tokens: a.prompt_tokens,
             prefix_tokens: a.prefix_tokens,
             max_output: a.max_output,
             hinted_output: a.hinted_output,
-            repeat: a.repeat,
-            resumed: a.resumed,
+            is_retry: a.is_retry,
+            is_resumed: a.is_resumed,
         }),
         Event::FirstToken { request, attempt } => Out::FirstToken(pb::FirstToken {
             request: request.0,
             attempt: u32::from(*attempt),
         }),
-        Event::PlaceAnswer {
+        Event::ReservationResult {
             request,
-            server,
-            held,
-        } => Out::PlaceAnswer(pb::PlaceAnswer {
+            endpoint: server,
+            reserved: held,
+        } => Out::ReservationResult(pb::ReservationResult {
             request: request.0,
-            engine: server.0,
-            held: *held,
+            endpoint: server.0,
+            reserved: *held,
         }),
         Event::AttemptEnded {
             request,
             attempt,
             outcome,
-            kept_tokens,
+            cached_tokens: kept_tokens,
             finished,
             report,
         } => Out::AttemptEnded(pb::AttemptEnded {
             request: request.0,
             attempt: u32::from(*attempt),
             outcome: outcome_out(*outcome),
-            kept_tokens: *kept_tokens,
+            cached_tokens: *kept_tokens,
             finished: *finished,
             report: report_out(report),
         }),
-        Event::ClientGone(request) => Out::ClientGone(request.0),
+        Event::ClientDisconnected(request) => Out::ClientDisconnected(request.0),
         Event::Timer(token) => Out::Timer(*token),
-        Event::Probed {
-            server,
+        Event::HealthCheckResult {
+            endpoint: server,
             alive,
             report,
-        } => Out::Probed(pb::Probed {
-            engine: server.0,
+        } => Out::HealthCheckResult(pb::HealthCheckResult {
+            endpoint: server.0,
             alive: *alive,
             report: report_out(report),
         }),
-        Event::Nodes(nodes) => Out::Nodes(*nodes),
+        Event::ReplicaCount(nodes) => Out::ReplicaCount(*nodes),
     };
     pb::Event { event: Some(event) }
 }
@@ -571,49 +574,53 @@
 fn event_in(event: pb::Event) -> Result<Event, String> {
     use pb::event::Event as In;
     Ok(match event.event.ok_or("an empty event")? {
-        In::Fleet(f) => Event::Fleet {
+        In::EndpointList(f) => Event::EndpointList {
             kind: list_in(f.kind)?,
-            entries: f.engines.iter().map(engine_in).collect::<Result<_, _>>()?,
+            endpoints: f
+                .endpoints
+                .iter()
+                .map(engine_in)
+                .collect::<Result<_, _>>()?,
         },
-        In::Arrival(a) => Event::Request(core::Arrival {
+        In::Request(a) => Event::Request(core::Request {
             id: RequestId(a.id),
             class: a.class as usize,
             tenant: a.tenant as usize,
             session: a.session,
             prefix: a.prefix,
-            patience: a.patience,
+            client_timeout: a.client_timeout,
             prompt_tokens: a.prompt_tokens,
             prefix_tokens: a.prefix_tokens,
             max_output: a.max_output,
             hinted_output: a.hinted_output,
-            repeat: a.repeat,
-            resumed: a.resumed,
+            is_retry: a.is_retry,
+            is_resumed: a.is_resumed,
         }),
         In::FirstToken(f) => Event::FirstToken {
             request: RequestId(f.request),
             attempt: narrow(f.attempt, "attempt")?,
         },
-        In::PlaceAnswer(p) => Event::PlaceAnswer {
+        In::ReservationResult(p) => Event::ReservationResult {
             request: RequestId(p.request),
-            server: ServerId(p.engine),
-            held: p.held,
+            endpoint: EndpointId(p.endpoint),
+            reserved: p.reserved,
         },
         In::AttemptEnded(e) => Event::AttemptEnded {
             request: RequestId(e.request),
             attempt: narrow(e.attempt, "attempt")?,
             outcome: outcome_in(e.outcome)?,
-            kept_tokens: e.kept_tokens,
+            cached_tokens: e.cached_tokens,
             finished: e.finished,
             report: report_in(&e.report)?,
         },
-        In::ClientGone(id) => Event::ClientGone(RequestId(id)),
+        In::ClientDisconnected(id) => Event::ClientDisconnected(RequestId(id)),
         In::Timer(token) => Event::Timer(token),
-        In::Probed(p) => Event::Probed {
-            server: ServerId(p.engine),
+        In::HealthCheckResult(p) => Event::HealthCheckResult {
+            endpoint: EndpointId(p.endpoint),
             alive: p.alive,
             report: report_in(&p.report)?,
         },
-        In::Nodes(nodes) => Event::Nodes(nodes),
+        In::ReplicaCount(nodes) => Event::ReplicaCount(nodes),
     })
 }
 
@@ -622,37 +629,40 @@
     let action = match action {
         Action::Send {
             request,
-            server,
+            endpoint: server,
             timeout,
-            leave_by,
+            send_deadline,
         } => Out::Send(pb::Send {
             request: request.0,
-            engine: server.0,
+            endpoint: server.0,
             timeout: *timeout,
-            leave_by: *leave_by,
+            send_deadline: *send_deadline,
         }),
         Action::Cancel { request, attempt } => Out::Cancel(pb::Cancel {
             request: request.0,
             attempt: u32::from(*attempt),
         }),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
-        } => Out::Refuse(pb::Refuse {
+        } => Out::Reject(pb::Reject {
             request: request.0,
             retry_after: *retry_after,
         }),
         Action::Fail(request) => Out::Fail(request.0),
-        Action::Release(request) => Out::Release(request.0),
-        Action::HoldAhead { request, server } => Out::Hold(pb::Hold {
+        Action::ReleaseReservation(request) => Out::ReleaseReservation(request.0),
+        Action::Reserve {
+            request,
+            endpoint: server,
+        } => Out::Reserve(pb::Reserve {
             request: request.0,
-            engine: server.0,
+            endpoint: server.0,
         }),
         Action::SetTimer { at, token } => Out::SetTimer(pb::SetTimer {
             at: *at,
             token: *token,
         }),
-        Action::Probe(server) => Out::Probe(server.0),
+        Action::HealthCheck(server) => Out::HealthCheck(server.0),
         Action::Subscribe => Out::Subscribe(true),
         Action::Log(line) => Out::Log(line.clone()),
     };
@@ -666,29 +676,29 @@
     Ok(match action.action.ok_or("an empty action")? {
         In::Send(s) => Action::Send {
             request: RequestId(s.request),
-            server: ServerId(s.engine),
+            endpoint: EndpointId(s.endpoint),
             timeout: s.timeout,
-            leave_by: s.leave_by,
+            send_deadline: s.send_deadline,
         },
         In::Cancel(c) => Action::Cancel {
             request: RequestId(c.request),
             attempt: narrow(c.attempt, "attempt")?,
         },
-        In::Refuse(r) => Action::Refuse {
+        In::Reject(r) => Action::Reject {
             request: RequestId(r.request),
             retry_after: r.retry_after,
         },
         In::Fail(id) => Action::Fail(RequestId(id)),
-        In::Release(id) => Action::Release(RequestId(id)),
-        In::Hold(h) => Action::HoldAhead {
+        In::ReleaseReservation(id) => Action::ReleaseReservation(RequestId(id)),
+        In::Reserve(h) => Action::Reserve {
             request: RequestId(h.request),
-            server: ServerId(h.engine),
+            endpoint: EndpointId(h.endpoint),
         },
         In::SetTimer(t) => Action::SetTimer {
             at: t.at,
             token: t.token,
         },
-        In::Probe(id) => Action::Probe(ServerId(id)),
+        In::HealthCheck(id) => Action::HealthCheck(EndpointId(id)),
         In::Subscribe(_) => Action::Subscribe,
         In::Log(line) => Action::Log(line),
     })
--- a/crates/ivyward/src/record/tests.rs
+++ b/crates/ivyward/src/record/tests.rs
@@ -4,20 +4,20 @@
 
 #[test]
 fn every_event_and_action_comes_back_as_it_was() {
-    let (request, server) = (RequestId(7), ServerId(u64::MAX));
-    let report = core::Report {
+    let (request, server) = (RequestId(7), EndpointId(u64::MAX));
+    let report = core::LoadReport {
         len: 2,
         values: [0.5, 3.0, 0.0, 0.0],
     };
-    let entry = core::ServerEntry {
+    let entry = core::Endpoint {
         id: server,
-        kind: 2,
-        cell: 9,
+        machine_type: 2,
+        rack: 9,
         weight: 1.5,
-        started: 4,
+        started_at: 4,
         ..Default::default()
     };
-    let arrival = core::Arrival {
+    let arrival = core::Request {
         id: request,
         session: 1,
         hinted_output: Some(9.0),
@@ -26,35 +26,35 @@
     let ended = Event::AttemptEnded {
         request,
         attempt: 3,
-        outcome: core::Outcome::StateLost,
-        kept_tokens: 5,
+        outcome: core::Outcome::KvCacheMiss,
+        cached_tokens: 5,
         finished: true,
         report,
     };
     let events = [
-        Event::Fleet {
+        Event::EndpointList {
             kind: core::ListKind::Cached,
-            entries: vec![entry],
+            endpoints: vec![entry],
         },
         Event::Request(arrival),
         Event::FirstToken {
             request,
             attempt: 1,
         },
-        Event::PlaceAnswer {
+        Event::ReservationResult {
             request,
-            server,
-            held: true,
+            endpoint: server,
+            reserved: true,
         },
         ended,
-        Event::ClientGone(request),
+        Event::ClientDisconnected(request),
         Event::Timer(1 << 63),
-        Event::Probed {
-            server,
+        Event::HealthCheckResult {
+            endpoint: server,
             alive: false,
             report,
         },
-        Event::Nodes(300),
+        Event::ReplicaCount(300),
     ];
     for event in events {
         assert_eq!(event_in(event_out(&event)), Ok(event));
@@ -62,23 +62,26 @@
     let actions = [
         Action::Send {
             request,
-            server,
+            endpoint: server,
             timeout: 5,
-            leave_by: 8,
+            send_deadline: 8,
         },
         Action::Cancel {
             request,
             attempt: 2,
         },
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after: 6,
         },
         Action::Fail(request),
-        Action::Release(request),
-        Action::HoldAhead { request, server },
+        Action::ReleaseReservation(request),
+        Action::Reserve {
+            request,
+            endpoint: server,
+        },
         Action::SetTimer { at: 8, token: 1 },
-        Action::Probe(server),
+        Action::HealthCheck(server),
         Action::Subscribe,
         Action::Log("doubted".into()),
     ];
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -7,7 +7,7 @@
 use crate::engines::link::{DialError, GrpcLink};
 use crate::engines::{End, Job, Stall, Stop, Woken};
 use futures_lite::future::{or, poll_fn};
-use ivyward_core::interface::{Micros, Outcome, Report, ReportField};
+use ivyward_core::interface::{LoadReport, Micros, Outcome, ReportField};
 use ivyward_core::planted::{self, Defect};
 use ivyward_grpc::{encode, Call, CallError, Cause};
 use ivyward_proto::engine as pb;
@@ -83,10 +83,10 @@
 /// its bytes left, a status (which may come from anything between), bytes that are no message.
 fn never_ran(error: &CallError, left: bool) -> Outcome {
     match (&error.cause, error.never_ran) {
-        (_, true) if left => Outcome::Full,
+        (_, true) if left => Outcome::Rejected,
         (_, true) => Outcome::ConnectFailed,
-        (Cause::Reset(_), false) if planted::is(Defect::ResetAsProof) => Outcome::Full,
-        (Cause::Status(_), false) if planted::is(Defect::StatusAsProof) => Outcome::Full,
+        (Cause::Reset(_), false) if planted::is(Defect::ResetAsProof) => Outcome::Rejected,
+        (Cause::Status(_), false) if planted::is(Defect::StatusAsProof) => Outcome::Rejected,
         (Cause::Broken(_) | Cause::Reset(_) | Cause::Late, false) => Outcome::Reset,
         (Cause::Status(_) | Cause::Frame(_), false) => Outcome::Error,
     }
@@ -95,22 +95,22 @@
 /// What an engine's own word that it did nothing counts as.
 fn turned_away(away: &pb::TurnedAway) -> End {
     match away.reason() {
-        pb::turned_away::Reason::StateLost => End::new(Outcome::StateLost, "no state to fetch"),
-        pb::turned_away::Reason::Full => End::new(Outcome::Full, "turned away: full"),
-        pb::turned_away::Reason::Draining => End::new(Outcome::Full, "turned away: draining"),
+        pb::turned_away::Reason::StateLost => End::new(Outcome::KvCacheMiss, "no state to fetch"),
+        pb::turned_away::Reason::Full => End::new(Outcome::Rejected, "turned away: full"),
+        pb::turned_away::Reason::Draining => End::new(Outcome::Rejected, "turned away: draining"),
         // A reason of a later version: that nothing was run holds all the same.
-        pb::turned_away::Reason::Unspecified => End::new(Outcome::Full, "turned away"),
+        pb::turned_away::Reason::Unspecified => End::new(Outcome::Rejected, "turned away"),
     }
 }
 
 /// The values of a load report in the order that the module was told.
-pub(crate) fn report(load: Option<&pb::Load>, fields: &[ReportField]) -> Report {
+pub(crate) fn report(load: Option<&pb::Load>, fields: &[ReportField]) -> LoadReport {
     let Some(load) = load else {
-        return Report::default();
+        return LoadReport::default();
     };
-    let mut report = Report {
+    let mut report = LoadReport {
         len: fields.len().min(4),
-        ..Report::default()
+        ..LoadReport::default()
     };
     for (value, field) in report.values.iter_mut().zip(fields) {
         let told = match field {
@@ -124,7 +124,7 @@
         };
         // A missing value, or one that is no number, makes the report worthless rather than wrong.
         let Some(told) = told.filter(|v| v.is_finite()) else {
-            return Report::default();
+            return LoadReport::default();
         };
         *value = told;
     }
@@ -143,8 +143,8 @@
     if job.until <= runtime.now() {
         return End::new(Outcome::NotSent, "no time left");
     }
-    let leave_by = job.until.min(job.leave_by);
-    let channel = match unless_over(job, heeding(job, job.link.channel(leave_by))).await {
+    let send_deadline = job.until.min(job.send_deadline);
+    let channel = match unless_over(job, heeding(job, job.link.channel(send_deadline))).await {
         Some(Woken::Next(Ok(channel))) => channel,
         Some(Woken::Next(Err(e @ (DialError::Failed(..) | DialError::Late(_))))) => {
             return End::new(Outcome::ConnectFailed, e.to_string());
@@ -237,7 +237,7 @@
     let mut end = match reply.result {
         Some(pb::read_reply::Result::Done(done)) => End {
             kept: done.kept_tokens,
-            ..End::new(Outcome::Read, "read")
+            ..End::new(Outcome::Prefilled, "read")
         },
         Some(pb::read_reply::Result::TurnedAway(away)) => turned_away(&away),
         None => End::new(Outcome::Error, "a read's reply says nothing"),
--- a/crates/ivyward/src/request/door.rs
+++ b/crates/ivyward/src/request/door.rs
@@ -147,11 +147,11 @@
         &self,
         request: Request<GenerateRequest>,
     ) -> Result<Response<Self::GenerateStream>, Status> {
-        let patience = match grpc_timeout(request.metadata()) {
-            Ok(patience) => patience,
+        let client_timeout = match grpc_timeout(request.metadata()) {
+            Ok(client_timeout) => client_timeout,
             Err(text) => return Err(status(&Final::Failed(Failure::Invalid(text)))),
         };
-        let answer = self.0.generate(request.into_inner(), patience);
+        let answer = self.0.generate(request.into_inner(), client_timeout);
         Ok(Response::new(
             Tell {
                 answer: Some(answer),
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use futures_lite::future::or;
 use ivyward_core::interface::{
-    Action, Condition, Event, ListKind, Micros, Outcome, RequestId, Role, ServerId,
+    Action, EndpointId, EndpointState, Event, ListKind, Micros, Outcome, RequestId, Role,
 };
 use ivyward_core::invariants::{AnswerKind, AttemptReason, Guard, NodePhase, Rule, Violation};
 use ivyward_core::planted::{self, Defect};
@@ -76,7 +76,7 @@
     guard: Guard,
     recorder: Option<Recorder>,
     open: BTreeMap<u64, Open>,
-    links: BTreeMap<ServerId, (LinkRef, u8)>,
+    links: BTreeMap<EndpointId, (LinkRef, u8)>,
     deadlines: BTreeSet<(Micros, u64)>,
     timers: BTreeSet<(Micros, u64, u64)>,
     timer_seq: u64,
@@ -255,7 +255,7 @@
             }
             let answered = self.guard.answer(RequestId(id), AnswerKind::Failed);
             self.checked(id, answered);
-            self.tell(Event::ClientGone(RequestId(id)));
+            self.tell(Event::ClientDisconnected(RequestId(id)));
         }
         self.give_up_attempts(id);
         self.sweep(id);
@@ -288,8 +288,8 @@
                 server,
                 alive,
                 report,
-            } => self.tell(Event::Probed {
-                server,
+            } => self.tell(Event::HealthCheckResult {
+                endpoint: server,
                 alive,
                 report,
             }),
@@ -302,7 +302,7 @@
                 // The one who told may have left.
                 let _ = done.try_send(());
             }
-            Notice::Nodes(nodes) => self.tell(Event::Nodes(nodes)),
+            Notice::Nodes(nodes) => self.tell(Event::ReplicaCount(nodes)),
             Notice::Stop { by } => {
                 let stopping = self.guard.enter(NodePhase::Stopping);
                 self.checked(0, stopping);
@@ -350,11 +350,11 @@
         match action {
             Action::Send {
                 request,
-                server,
+                endpoint: server,
                 timeout,
-                leave_by,
+                send_deadline,
             } => {
-                self.send(now, request.0, server, (timeout, leave_by));
+                self.send(now, request.0, server, (timeout, send_deadline));
             }
             Action::Cancel { request, attempt } => {
                 let open = self.open.get(&request.0);
@@ -365,7 +365,7 @@
                     let _ = a.stop.try_send(Stop::CallOff);
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -383,13 +383,16 @@
                 let why = late.map_or(Failure::Deadline, |o| Failure::Attempts(o.last.clone()));
                 self.answer(request.0, Final::Failed(why));
             }
-            Action::Release(request) => self.release(request.0),
-            Action::HoldAhead { request, server } => self.hold(request.0, server),
+            Action::ReleaseReservation(request) => self.release(request.0),
+            Action::Reserve {
+                request,
+                endpoint: server,
+            } => self.hold(request.0, server),
             Action::SetTimer { at, token } => {
                 self.timer_seq += 1;
                 self.timers.insert((at, self.timer_seq, token));
             }
-            Action::Probe(server) => self.probe(server),
+            Action::HealthCheck(server) => self.probe(server),
             // Lists come by themselves here.
             Action::Subscribe => {}
             Action::Log(line) => info!(target: "ivyward::module", "{line}"),
@@ -469,7 +472,7 @@
         let mut arrival = taken.arrival;
         let id = arrival.id.0;
         // The module's time ends at once with ours, whenever this notice was taken up.
-        arrival.patience = taken.first_by.saturating_sub(now);
+        arrival.client_timeout = taken.first_by.saturating_sub(now);
         let deadline = final_deadline(&self.shared, taken.first_by);
         self.deadlines.insert((deadline, id));
         let open = Open {
@@ -508,7 +511,9 @@
             open.kept.clear();
         }
         self.shared.metrics.gone.add(1);
-        let left = self.guard.answer(RequestId(id), AnswerKind::ClientGone);
+        let left = self
+            .guard
+            .answer(RequestId(id), AnswerKind::ClientDisconnected);
         self.checked(id, left);
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -518,7 +523,7 @@
             .call
             .finish(Final::Failed(Failure::Broken("the client left".into())));
         let streaming = open.streaming;
-        self.tell(Event::ClientGone(RequestId(id)));
+        self.tell(Event::ClientDisconnected(RequestId(id)));
         if streaming {
             self.give_up_attempts(id);
         }
@@ -584,21 +589,21 @@
         let (class, tenant) = (open.taken.arrival.class, open.taken.arrival.tenant);
         let name = open.taken.call.name();
         debug!(request = id, name, attempt = no, class, tenant, engine, reads, outcome = ?end.outcome, kept = end.kept, text = end.text, "attempt ended");
-        if !matches!(end.outcome, Outcome::Served | Outcome::Read) {
+        if !matches!(end.outcome, Outcome::Served | Outcome::Prefilled) {
             open.last = end.text.clone();
         }
         let unknown = !matches!(
             end.outcome,
             Outcome::ConnectFailed
                 | Outcome::NotSent
-                | Outcome::Full
-                | Outcome::StateLost
-                | Outcome::Read
+                | Outcome::Rejected
+                | Outcome::KvCacheMiss
+                | Outcome::Prefilled
         );
         let (call, mut over) = (open.taken.call.clone(), Vec::new());
         let one_by_one = self.protocol.one_by_one();
         if let Some(link) = link {
-            let sure = end.outcome == Outcome::Read;
+            let sure = end.outcome == Outcome::Prefilled;
             let kept = Kept {
                 link: link.clone(),
                 attempt: no,
@@ -621,7 +626,7 @@
                 .push(kept);
             }
         }
-        if end.outcome == Outcome::StateLost {
+        if end.outcome == Outcome::KvCacheMiss {
             open.state = None;
             if one_by_one {
                 // A writer that could not reach the state says the same, and then it is still there.
@@ -645,7 +650,7 @@
             request: RequestId(id),
             attempt: no,
             outcome: end.outcome,
-            kept_tokens: end.kept,
+            cached_tokens: end.kept,
             finished,
             report: end.report,
         };
@@ -698,17 +703,17 @@
             None if may_be => return self.let_go(id, call, vec![kept]),
             None => return,
         }
-        self.tell(Event::PlaceAnswer {
+        self.tell(Event::ReservationResult {
             request: RequestId(id),
-            server,
-            held: held == Held::Yes,
+            endpoint: server,
+            reserved: held == Held::Yes,
         });
     }
 
     fn on_fleet(&mut self, kind: ListKind, engines: Vec<Engine>) {
         let complete = matches!(kind, ListKind::Full | ListKind::Cached);
         if complete {
-            let named: BTreeSet<ServerId> = engines.iter().map(|e| e.entry.id).collect();
+            let named: BTreeSet<EndpointId> = engines.iter().map(|e| e.entry.id).collect();
             for (id, (link, _)) in &self.links {
                 if !named.contains(id) {
                     link.set_closing(true);
@@ -719,32 +724,32 @@
         let mut entries = Vec::with_capacity(engines.len());
         for engine in engines {
             let Engine { entry, address } = engine;
-            let Some(role) = self.role(entry.kind) else {
+            let Some(role) = self.role(entry.machine_type) else {
                 warn!(
                     engine = entry.id.0,
-                    kind = entry.kind,
+                    kind = entry.machine_type,
                     "an engine of a kind that is not known is left out"
                 );
                 continue;
             };
-            debug!(engine = entry.id.0, ?role, condition = ?entry.condition, %address, "listed");
+            debug!(engine = entry.id.0, ?role, condition = ?entry.state, %address, "listed");
             let moved = self
                 .links
                 .get(&entry.id)
                 .is_some_and(|(link, _)| link.address() != address);
-            if moved || entry.condition == Condition::Gone {
+            if moved || entry.state == EndpointState::Removed {
                 if let Some((link, _)) = self.links.remove(&entry.id) {
                     link.set_closing(true);
                 }
             }
-            if entry.condition != Condition::Gone {
+            if entry.state != EndpointState::Removed {
                 let (shared, protocol) = (&self.shared, &self.protocol);
                 let (link, kind) = self
                     .links
                     .entry(entry.id)
-                    .or_insert_with(|| (protocol.link(shared, &engine), entry.kind));
-                *kind = entry.kind;
-                link.set_closing(entry.condition != Condition::Ready);
+                    .or_insert_with(|| (protocol.link(shared, &engine), entry.machine_type));
+                *kind = entry.machine_type;
+                link.set_closing(entry.state != EndpointState::Ready);
             }
             entries.push(entry);
         }
@@ -754,7 +759,10 @@
             let serving = self.guard.enter(NodePhase::Serving);
             self.checked(0, serving);
         }
-        self.tell(Event::Fleet { kind, entries });
+        self.tell(Event::EndpointList {
+            kind,
+            endpoints: entries,
+        });
         self.shared
             .metrics
             .engines_known
@@ -773,8 +781,8 @@
         &mut self,
         now: Micros,
         id: u64,
-        server: ServerId,
-        (timeout, leave_by): (Micros, Micros),
+        server: EndpointId,
+        (timeout, send_deadline): (Micros, Micros),
     ) {
         let shared = self.shared.clone();
         let found = self.links.get(&server).cloned();
@@ -802,9 +810,9 @@
             engine = server.0,
             reads,
             timeout,
-            leave_in = leave_by.saturating_sub(now),
-            patience = a.patience,
-            repeat = a.repeat,
+            leave_in = send_deadline.saturating_sub(now),
+            client_timeout = a.client_timeout,
+            repeat = a.is_retry,
             prefix = a.prefix,
             session = a.session,
             prompt = a.prompt_tokens,
@@ -827,10 +835,10 @@
             } else {
                 first_by.min(now.saturating_add(timeout))
             };
-            let leave_by = if leave_by == 0 {
+            let send_deadline = if send_deadline == 0 {
                 until
             } else {
-                until.min(leave_by)
+                until.min(send_deadline)
             };
             let (shared, call) = (shared.clone(), open.taken.call.clone());
             let state = open.state.clone().filter(|_| !reads);
@@ -845,7 +853,7 @@
                 state,
                 until,
                 end_by,
-                leave_by,
+                send_deadline,
                 stop,
                 first,
             };
@@ -924,7 +932,7 @@
         );
     }
 
-    fn hold(&mut self, id: u64, server: ServerId) {
+    fn hold(&mut self, id: u64, server: EndpointId) {
         let link = self.links.get(&server).map(|(link, _)| link.clone());
         let (Some(open), Some(link)) = (self.open.get_mut(&id), link) else {
             return;
@@ -959,7 +967,7 @@
         });
     }
 
-    fn probe(&mut self, server: ServerId) {
+    fn probe(&mut self, server: EndpointId) {
         let Some((link, _)) = self.links.get(&server).cloned() else {
             return;
         };
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -9,7 +9,7 @@
 use crate::settings::NodeSettings;
 use crate::shared::Shared;
 use futures_lite::future::or;
-use ivyward_core::interface::{Arrival, Outcome, Report, ServerId};
+use ivyward_core::interface::{EndpointId, LoadReport, Outcome, Request};
 use ivyward_core::planted::{self, Defect};
 use ivyward_grpc::encode;
 use ivyward_proto::engine as pb;
@@ -20,7 +20,7 @@
 
 /// A request as the gRPC door took it.
 pub(crate) struct GrpcCall {
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: Request,
     pub(crate) prompt: Arc<Vec<u32>>,
     pub(crate) class: String,
     pub(crate) call_id: u64,
@@ -85,7 +85,12 @@
     })
 }
 
-fn header(shared: &Shared, call: &GrpcCall, attempt: u16, server: ServerId) -> Option<pb::Header> {
+fn header(
+    shared: &Shared,
+    call: &GrpcCall,
+    attempt: u16,
+    server: EndpointId,
+) -> Option<pb::Header> {
     Some(pb::Header {
         key: key(shared, call.arrival.id.0, attempt),
         engine: server.0,
@@ -95,7 +100,7 @@
     })
 }
 
-fn ask(job: &Job, call: &GrpcCall, server: ServerId) -> Ask {
+fn ask(job: &Job, call: &GrpcCall, server: EndpointId) -> Ask {
     let (a, header) = (
         &call.arrival,
         header(&job.shared, call, job.attempt, server),
@@ -129,7 +134,7 @@
 }
 
 impl Link for GrpcLink {
-    fn id(&self) -> ServerId {
+    fn id(&self) -> EndpointId {
         self.id
     }
     fn address(&self) -> SocketAddr {
@@ -177,7 +182,7 @@
             .await
         })
     }
-    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, Report)> {
+    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, LoadReport)> {
         Box::pin(async move {
             let body = encode(&pb::ProbeRequest { engine: self.id.0 });
             let path = "/ivyward.engine.v1.Engine/Probe";
--- a/crates/ivyward/src/request/notices.rs
+++ b/crates/ivyward/src/request/notices.rs
@@ -1,12 +1,12 @@
 //! What the driver is told, and the way to it. What its parts tell each other stands here, below all of them.
 
 use crate::engines::{Call, End, Engine, Held, LinkRef};
-use ivyward_core::interface::{Arrival, ListKind, Micros, Report, ServerId};
+use ivyward_core::interface::{EndpointId, ListKind, LoadReport, Micros, Request};
 use std::sync::Arc;
 
 /// A request that was taken in.
 pub(crate) struct Taken {
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: Request,
     /// Without a first token by then, the client gives up.
     pub(crate) first_by: Micros,
     /// Without the end by then, the client gives up; `None` for never.
@@ -34,9 +34,9 @@
         held: Held,
     },
     Probed {
-        server: ServerId,
+        server: EndpointId,
         alive: bool,
-        report: Report,
+        report: LoadReport,
     },
     Fleet {
         kind: ListKind,
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -1,9 +1,9 @@
 //! What a node is told at its start, and the checks that keep impossible settings out.
 
 use ivyward_core::interface as core;
-use ivyward_core::interface::{ClassSettings, Effect, Micros, Role, TenantSettings};
+use ivyward_core::interface::{ClassSettings, Idempotency, Micros, Role, TenantSettings};
 
-/// The kinds of engines, in the order of their numbers: [`core::ServerEntry::kind`] is an index into it.
+/// The kinds of engines, in the order of their numbers: [`core::Endpoint::kind`] is an index into it.
 pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// A request class with its name.
@@ -82,15 +82,15 @@
             classes: Vec::new(),
             tenants: Vec::new(),
             rules: core::Settings {
-                nodes: 1,
-                over_share_worth: 1.0,
+                replica_count: 1,
+                over_quota_weight: 1.0,
                 decode_may_prefill: true,
                 release_within: 500_000,
                 drain_grace: 250_000,
-                fall_multiple: 3.0,
-                fall_window: 2_000_000,
-                start_capacity: 0.3,
-                warm_after: 15_000_000,
+                overload_multiple: 3.0,
+                overload_window: 2_000_000,
+                initial_capacity: 0.3,
+                warm_up_duration: 15_000_000,
                 max_attempts: 4,
                 may_cancel: true,
                 max_retry_after: 500_000,
@@ -167,7 +167,7 @@
             classes: self.classes.iter().map(|c| c.settings.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.settings.clone()).collect(),
             // On sockets an engine knows nothing of an attempt that is still connecting.
-            out_once_left: true,
+            in_flight_after_last_byte: true,
             ..self.rules.clone()
         }
     }
@@ -223,8 +223,8 @@
             ("--ping-timeout", self.ping_timeout, 1_000),
             ("--release-within", self.rules.release_within, 1_000),
             ("--drain-grace", self.rules.drain_grace, 1_000),
-            ("--fall-window", self.rules.fall_window, 1_000),
-            ("--warm-after", self.rules.warm_after, 0),
+            ("--fall-window", self.rules.overload_window, 1_000),
+            ("--warm-after", self.rules.warm_up_duration, 0),
             ("--max-retry-after", self.rules.max_retry_after, 0),
         ];
         for (flag, span, least) in spans {
@@ -333,14 +333,14 @@
                 format!("must be from {from} to {to}"),
             ))
         };
-        number("--fall-multiple", r.fall_multiple, 0.0, 1e6)?;
-        number("--start-capacity", r.start_capacity, 0.0, 1.0)?;
-        number("--over-share-worth", r.over_share_worth, 0.0, 1.0)?;
+        number("--fall-multiple", r.overload_multiple, 0.0, 1e6)?;
+        number("--start-capacity", r.initial_capacity, 0.0, 1.0)?;
+        number("--over-share-worth", r.over_quota_weight, 0.0, 1.0)?;
         number("--transfer-price", r.transfer_price, 0.0, 1.0)?;
         number("--cross-zone-price", r.cross_zone_price, 0.0, 1.0)?;
-        number("--nodes", f64::from(r.nodes), 1.0, 1e6)?;
+        number("--nodes", f64::from(r.replica_count), 1.0, 1e6)?;
         number("--max-attempts", f64::from(r.max_attempts), 1.0, 100.0)?;
-        if r.second_copies {
+        if r.hedging {
             return Err(SettingsError::new(
                 "--second-copies",
                 true,
@@ -378,18 +378,21 @@
             return bad("the name is given twice".into());
         }
         let numbers = [
-            ("ttft-aim-per-1000", s.ttft_aim_per_1000, 0.0, 1e9),
-            ("tpot-aim", s.tpot_aim, 0.0, 1e9),
-            ("worth", s.worth, 0.0, 1e6),
-            ("late-share", s.late_share, 0.0, 1.0),
+            ("ttft-aim-per-1000", s.ttft_objective_per_1000, 0.0, 1e9),
+            ("tpot-aim", s.tpot_objective, 0.0, 1e9),
+            ("worth", s.priority_weight, 0.0, 1e6),
+            ("late-share", s.late_weight, 0.0, 1.0),
         ];
         for (key, value, from, to) in numbers {
             if !value.is_finite() || !(from..=to).contains(&value) {
                 return bad(format!("{key}={value} must be from {from} to {to}"));
             }
         }
-        if s.ttft_aim < 1_000 {
-            return bad(format!("ttft-aim={} must be at least 1ms", ms(s.ttft_aim)));
+        if s.ttft_objective < 1_000 {
+            return bad(format!(
+                "ttft-aim={} must be at least 1ms",
+                ms(s.ttft_objective)
+            ));
         }
         if s.deadline > 3_600_000_000 {
             return bad(format!(
@@ -405,20 +408,20 @@
                 ms(s.deadline)
             ));
         }
-        if s.ttft_aim > s.deadline {
+        if s.ttft_objective > s.deadline {
             return bad(format!(
                 "ttft-aim={} is over deadline={}",
-                ms(s.ttft_aim),
+                ms(s.ttft_objective),
                 ms(s.deadline)
             ));
         }
         // Rule 2: keyed requests are sent again only inside a window in which repeats are dropped.
-        if s.effect == Effect::Keyed && s.repeat_window == 0 {
+        if s.idempotency == Idempotency::WithKey && s.deduplication_window == 0 {
             return bad(
                 "effect=keyed needs repeat-window, the time in which engines drop repeats".into(),
             );
         }
-        if s.effect != Effect::Keyed && s.repeat_window != 0 {
+        if s.idempotency != Idempotency::WithKey && s.deduplication_window != 0 {
             return bad("repeat-window goes with effect=keyed".into());
         }
         Ok(())
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -4,8 +4,8 @@
 use clap::error::ErrorKind;
 use clap::Parser;
 use ivyward::core::interface::{
-    ClassSettings, Condition, Effect, Micros, RepeatGroup, ReportField, ServerEntry, ServerId,
-    Settings, TenantSettings,
+    ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency, Micros,
+    ReportField, Settings, TenantSettings,
 };
 use ivyward::core::peers::PeerSettings;
 use ivyward::follow::{EtcdOptions, Follow};
@@ -370,14 +370,14 @@
     if !weight.is_finite() || weight <= 0.0 {
         return Err(format!("weight={weight} must be over 0"));
     }
-    let entry = ServerEntry {
-        id: ServerId(id),
+    let entry = Endpoint {
+        id: EndpointId(id),
         zone: pairs.number("zone", 0)?,
-        kind,
-        cell: pairs.number("cell", 0)?,
-        condition: Condition::Ready,
+        machine_type: kind,
+        rack: pairs.number("cell", 0)?,
+        state: EndpointState::Ready,
         weight,
-        started: 0,
+        started_at: 0,
     };
     Ok(Engine { entry, address })
 }
@@ -399,29 +399,29 @@
         ],
     )?;
     let effects = [
-        ("safe", Effect::Safe),
-        ("keyed", Effect::Keyed),
-        ("unsafe", Effect::Unsafe),
+        ("safe", Idempotency::Idempotent),
+        ("keyed", Idempotency::WithKey),
+        ("unsafe", Idempotency::NonIdempotent),
     ];
     let groups = [
-        ("all", RepeatGroup::All),
-        ("zone", RepeatGroup::Zone),
-        ("cell", RepeatGroup::Cell),
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Rack),
     ];
     let settings = ClassSettings {
-        ttft_aim: pairs.need("ttft-aim", span)?,
-        ttft_aim_per_1000: pairs.get("ttft-aim-per-1000", span)?.unwrap_or(0) as f64,
-        tpot_aim: pairs.get("tpot-aim", span)?.unwrap_or(50_000) as f64,
+        ttft_objective: pairs.need("ttft-aim", span)?,
+        ttft_objective_per_1000: pairs.get("ttft-aim-per-1000", span)?.unwrap_or(0) as f64,
+        tpot_objective: pairs.get("tpot-aim", span)?.unwrap_or(50_000) as f64,
         deadline: pairs.need("deadline", span)?,
-        worth: pairs.number("worth", 1.0)?,
-        late_share: pairs.number("late-share", 0.0)?,
-        effect: pairs
+        priority_weight: pairs.number("worth", 1.0)?,
+        late_weight: pairs.number("late-share", 0.0)?,
+        idempotency: pairs
             .get("effect", |t| word(t, &effects))?
-            .unwrap_or(Effect::Safe),
-        group: pairs
+            .unwrap_or(Idempotency::Idempotent),
+        deduplication_scope: pairs
             .get("group", |t| word(t, &groups))?
-            .unwrap_or(RepeatGroup::All),
-        repeat_window: pairs.get("repeat-window", span)?.unwrap_or(0),
+            .unwrap_or(DeduplicationScope::All),
+        deduplication_window: pairs.get("repeat-window", span)?.unwrap_or(0),
     };
     Ok(Class {
         name: pairs.need("name", |t| Ok(t.to_owned()))?,
@@ -586,23 +586,23 @@
             classes: self.classes.clone(),
             tenants: self.tenants.clone(),
             rules: Settings {
-                nodes: self.nodes,
+                replica_count: self.nodes,
                 zone: self.zone,
                 memory_tokens: self.memory_tokens.clone(),
-                over_share_worth: self.over_share_worth,
+                over_quota_weight: self.over_share_worth,
                 decode_may_prefill: self.decode_may_prefill,
-                hold_ahead: self.hold_ahead,
+                reserve_decode_slot: self.hold_ahead,
                 transfer_price: self.transfer_price,
                 cross_zone_price: self.cross_zone_price,
                 release_within: self.release_within,
                 drain_grace: self.drain_grace,
-                fall_multiple: self.fall_multiple,
-                fall_window: self.fall_window,
-                start_capacity: self.start_capacity,
-                warm_after: self.warm_after,
+                overload_multiple: self.fall_multiple,
+                overload_window: self.fall_window,
+                initial_capacity: self.start_capacity,
+                warm_up_duration: self.warm_after,
                 max_attempts: self.max_attempts,
                 may_cancel: self.may_cancel,
-                probes: self.probes,
+                health_checks: self.probes,
                 max_retry_after: self.max_retry_after,
                 report_fields: self.report.clone(),
                 ..Settings::default()
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon as others meet it: a foreign gRPC client, the same decisions as the library, an orderly stop.
 
 use futures_lite::future::block_on;
-use ivyward::core::interface::Condition;
+use ivyward::core::interface::EndpointState;
 use ivyward_fakes::{text, Client, Log, Role, Spec};
 use ivyward_proto::front::front_client::FrontClient;
 use ivyward_proto::front::GenerateRequest;
@@ -28,7 +28,7 @@
 impl Daemon {
     fn start(scene: &Scene, more: &[String]) -> Daemon {
         let listed: Vec<_> = (0..scene.engines())
-            .map(|e| scene.entry(e, Condition::Ready, 0))
+            .map(|e| scene.entry(e, EndpointState::Ready, 0))
             .collect();
         let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
             .env_clear()
@@ -106,7 +106,7 @@
         for i in 0..16 {
             let mut ask_it = fresh.ask(0, 0, ask(i).prompt, 6);
             ask_it.request = ask(i);
-            ask_it.habit.patience = 30_000_000;
+            ask_it.habit.client_timeout = 30_000_000;
             let end = client.ask(&ask_it).await;
             assert_eq!(end.how, ivyward_fakes::sight::Heard::Served, "{end:?}");
             assert_eq!(end.tokens as usize, inside[i as usize].len());
@@ -185,7 +185,7 @@
     let scene = make.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-engines-{}", std::process::id()));
     let listed: Vec<_> = (0..6)
-        .map(|e| scene.entry(e, Condition::Ready, 0))
+        .map(|e| scene.entry(e, EndpointState::Ready, 0))
         .collect();
     let servers = |of: &[usize]| {
         let flags = ivyward_flags(
@@ -241,7 +241,7 @@
         let mut ends = Vec::new();
         for i in 0..10_000 {
             let mut ask_it = scene.ask(0, 0, ask(i).prompt, 6);
-            ask_it.habit.patience = 10_000_000;
+            ask_it.habit.client_timeout = 10_000_000;
             ends.push(client.ask(&ask_it).await.how == ivyward_fakes::sight::Heard::Served);
             // From the first one that was served on, all are.
             if ends.iter().filter(|served| **served).count() == 8 {
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -54,7 +54,7 @@
         effect: Effect::Safe,
         node,
         habit: Habit {
-            patience: 20 * SECOND,
+            client_timeout: 20 * SECOND,
             ..Habit::default()
         },
     }
@@ -71,15 +71,15 @@
     // They stay cold for longer than the test takes.
     let cold = (0.3, 600 * SECOND);
     let rules = Settings {
-        nodes: 3,
-        warm_after: cold.1,
+        replica_count: 3,
+        warm_up_duration: cold.1,
         ..settings().rules
     };
     let spec = |id: u64| {
         let role = if id <= 4 { Role::Reader } else { Role::Writer };
         Spec {
             cold,
-            falls: (rules.fall_multiple, rules.fall_window),
+            falls: (rules.overload_multiple, rules.overload_window),
             ..Spec::small(id, role)
         }
     };
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -4,7 +4,7 @@
 
 use common::{answers, config, control, with_faults, File, Running, BODY};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward::core::interface::Condition;
+use ivyward::core::interface::EndpointState;
 use ivyward_fakes::sight::Heard;
 use ivyward_fakes::{Client, Log, Role, Spec};
 use ivyward_fault_injection::{ControlFile, SystemFault};
@@ -76,7 +76,7 @@
     }
     fn grpc(control: &ControlFile, scene: &Scene) -> Daemon {
         let listed: Vec<_> = (0..scene.engines())
-            .map(|e| scene.entry(e, Condition::Ready, 0))
+            .map(|e| scene.entry(e, EndpointState::Ready, 0))
             .collect();
         let mut flags = ivyward_flags(&scene.make().settings, &listed);
         flags
@@ -201,7 +201,7 @@
         for n in 0..CALLS {
             let prompt = (0..60).map(|token| token ^ n as u32).collect();
             let mut ask = scene.ask(0, 0, prompt, 6);
-            ask.habit.patience = 30_000_000;
+            ask.habit.client_timeout = 30_000_000;
             let end = client.ask(&ask).await;
             assert_eq!(end.how, Heard::Served, "call {n}: {end:?}");
         }
