--- a/crates/ivyward-benchlink/src/main.rs
+++ b/crates/ivyward-benchlink/src/main.rs
@@ -4,7 +4,7 @@
 
 use codec::{Input, Reply};
 use ivyward_core::interface::{Action, Event, Settings};
-use ivyward_core::rules::Router;
+use ivyward_core::router::Router;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/ivyward-core/src/keep.rs
+++ b/crates/ivyward-core/src/connection_reuse.rs
@@ -22,7 +22,7 @@
 
 /// Which kept connections may carry an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reuse {
+pub enum ReusePolicy {
     /// Any: it may be sent again.
     Any,
     /// Those idle for a time that has proven safe.
@@ -33,13 +33,13 @@
 
 /// What decides which kept connections may carry an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Carried {
+pub struct AttemptTraits {
     /// It may be sent again, or has no effect.
     pub repeatable: bool,
     /// It repeats something that may have run.
     pub repeats_effect: bool,
     /// A state waits for it at another engine, to be let go of within this span.
-    pub awaited_within: Option<Micros>,
+    pub state_deadline: Option<Micros>,
     /// When its engine answered anything last; 0 for never.
     pub last_answer: Micros,
 }
@@ -49,40 +49,40 @@
 /// Guards against a repeat that leaves within its window into a cut and lands when the cut ends, and against a write that
 /// does so while the state that it is to fetch waits: it has not arrived, so it does not stop that state's clock. An engine
 /// that answered within the state's own span is taken for one that is not cut off.
-pub fn reuse(now: Micros, carried: &Carried) -> Reuse {
+pub fn reuse_policy(now: Micros, attempt: &AttemptTraits) -> ReusePolicy {
     let heard = |within: Micros| {
-        carried.last_answer > 0 && now <= carried.last_answer.saturating_add(within)
+        attempt.last_answer > 0 && now <= attempt.last_answer.saturating_add(within)
     };
-    if carried.repeats_effect || carried.awaited_within.is_some_and(|within| !heard(within)) {
-        return Reuse::Never;
+    if attempt.repeats_effect || attempt.state_deadline.is_some_and(|within| !heard(within)) {
+        return ReusePolicy::Never;
     }
-    match carried.repeatable {
-        true => Reuse::Any,
-        false => Reuse::ProvenSafe,
+    match attempt.repeatable {
+        true => ReusePolicy::Any,
+        false => ReusePolicy::ProvenSafe,
     }
 }
 
 /// When a write that left on a kept connection, and for which a state waits, is checked: its engine is dialled anew, and
 /// has to be reachable by the second time. Nothing else tells a write that waits in a cut from a slow answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ArrivalCheck {
+pub struct DeliveryCheck {
     /// Without a byte of the answer by then, the engine is dialled.
-    pub dial_at: Micros,
+    pub connect_at: Micros,
     /// Without a connection by then, the write is taken for one that has not arrived.
     pub reachable_by: Micros,
 }
 
 /// The check of a write that left at `now`; the state waits for `within` at most.
-pub fn arrival_check(now: Micros, within: Micros) -> ArrivalCheck {
-    ArrivalCheck {
-        dial_at: now.saturating_add(within / 4),
+pub fn delivery_check(now: Micros, within: Micros) -> DeliveryCheck {
+    DeliveryCheck {
+        connect_at: now.saturating_add(within / 4),
         reachable_by: now.saturating_add(within / 2),
     }
 }
 
 /// What was seen of connections under requests. See the module's page.
 #[derive(Clone, Debug, Default)]
-pub struct Keep {
+pub struct ReuseHistory {
     /// Ends, and uses as their count.
     fresh: Fading,
     steps: [Fading; STEPS],
@@ -93,15 +93,15 @@
     ((decades * 2.0) as usize).min(STEPS - 1)
 }
 
-impl Keep {
+impl ReuseHistory {
     /// Nothing was seen yet.
-    pub fn new() -> Keep {
-        Keep::default()
+    pub fn new() -> ReuseHistory {
+        ReuseHistory::default()
     }
 
     /// A request on a connection that had been idle for so long, or on a new one, got an answer; or the connection ended
     /// under it, before anything of an answer came.
-    pub fn seen(&mut self, now: Micros, idle: Option<Micros>, ended: bool) {
+    pub fn record_use(&mut self, now: Micros, idle: Option<Micros>, ended: bool) {
         let of = match idle {
             Some(idle) => &mut self.steps[step(idle)],
             None => &mut self.fresh,
@@ -110,7 +110,7 @@
     }
 
     /// Whether a connection that has been idle for so long may carry a request, which may or may not be sent again.
-    pub fn may_use(&self, now: Micros, idle: Micros, again: bool) -> bool {
+    pub fn allows_reuse(&self, now: Micros, idle: Micros, again: bool) -> bool {
         let usual = self.fresh.mean_near(now, MEMORY, 0.0, PRIOR);
         let unproven = if again { 0.0 } else { UNPROVEN };
         self.steps[step(idle)].mean_near(now, MEMORY, usual + unproven / PRIOR, PRIOR)
--- a/crates/ivyward-core/src/invariants.rs
+++ b/crates/ivyward-core/src/invariants.rs
@@ -86,7 +86,7 @@
     /// Its stream came to its end.
     Served,
     /// Refused: trying again is harmless.
-    Refused,
+    Rejected,
     /// Failed: nothing is promised.
     Failed,
     /// Its client left and is owed nothing.
@@ -369,7 +369,7 @@
         if request.answered {
             return violation(Rule::OneAnswer, "the request has its answer");
         }
-        if kind == AnswerKind::Refused {
+        if kind == AnswerKind::Rejected {
             let class = self.classes.get(request.class);
             let harmless = class.is_none_or(|class| match class.idempotency {
                 Idempotency::Idempotent => true,
--- a/crates/ivyward-core/src/keepalive.rs
+++ b/crates/ivyward-core/src/keepalive.rs
@@ -6,7 +6,7 @@
 //! connection in use goes unnoticed is checked before a call leaves on it. No I/O, no clock.
 
 use crate::interface::Micros;
-use crate::planted::{self, Defect};
+use crate::mutations::{self, Mutation};
 
 /// How connections are kept alive. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     /// A ping is answered within this, or the connection is given up.
     pub timeout: Micros,
     /// Connections at rest that are checked in a second, over all engines; 0 for none.
-    pub resting_checks: u32,
+    pub idle_checks_per_second: u32,
     /// How long a connection may take to come up.
     pub dial_timeout: Micros,
 }
@@ -35,16 +35,16 @@
 
 /// What a connection at rest is told that asks for its check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum CheckDecision {
     /// It is checked now.
     Check,
     /// It is to ask again then.
-    Again(Micros),
+    RetryAt(Micros),
 }
 
 /// A number from 0 to 1 as it counts.
 fn drawn(jitter: f64) -> f64 {
-    if planted::is(Defect::NoJitter) {
+    if mutations::is_active(Mutation::NoJitter) {
         return 0.5;
     }
     jitter.clamp(0.0, 1.0)
@@ -55,7 +55,7 @@
 pub struct Keepalive {
     settings: KeepaliveSettings,
     /// Connections at rest.
-    resting: Micros,
+    idle: Micros,
     /// When one was checked last.
     checked: Option<Micros>,
 }
@@ -65,37 +65,37 @@
     pub fn new(settings: KeepaliveSettings) -> Keepalive {
         Keepalive {
             settings,
-            resting: 0,
+            idle: 0,
             checked: None,
         }
     }
 
     /// Between two checks.
     fn pause(&self) -> Option<Micros> {
-        let checks = Micros::from(self.settings.resting_checks);
+        let checks = Micros::from(self.settings.idle_checks_per_second);
         (checks > 0 && self.settings.silence > 0).then(|| (1_000_000 / checks).max(1))
     }
 
     /// A connection has come to rest: its last call ended, or it was opened and has none yet.
-    pub fn rested(&mut self) {
-        self.resting += 1;
+    pub fn connection_idle(&mut self) {
+        self.idle += 1;
     }
 
     /// A connection at rest was taken up by a call, or has closed.
-    pub fn roused(&mut self) {
-        if !planted::is(Defect::RousedUncounted) {
-            self.resting = self.resting.saturating_sub(1);
+    pub fn connection_active(&mut self) {
+        if !mutations::is_active(Mutation::RousedUncounted) {
+            self.idle = self.idle.saturating_sub(1);
         }
     }
 
     /// Connections at rest.
-    pub fn resting(&self) -> Micros {
-        self.resting
+    pub fn idle_connections(&self) -> Micros {
+        self.idle
     }
 
     /// What the budget takes to go round all that rest.
     fn round(&self, pause: Micros) -> f64 {
-        self.resting.saturating_mul(pause) as f64
+        self.idle.saturating_mul(pause) as f64
     }
 
     /// When a connection that came to rest, or was checked, asks for its next check: after half a round of all that rest to
@@ -110,17 +110,17 @@
 
     /// What a connection that asks now is told. Holds the budget also where many ask in one moment, as in a process that
     /// stood still: those that are told to ask again spread over a round.
-    pub fn ask(&mut self, now: Micros, jitter: f64) -> Ask {
+    pub fn request_check(&mut self, now: Micros, jitter: f64) -> CheckDecision {
         let Some(pause) = self.pause() else {
-            return Ask::Again(Micros::MAX);
+            return CheckDecision::RetryAt(Micros::MAX);
         };
         let free_at = self.checked.map_or(0, |at| at.saturating_add(pause));
-        if now >= free_at || planted::is(Defect::BudgetIgnored) {
+        if now >= free_at || mutations::is_active(Mutation::BudgetIgnored) {
             self.checked = Some(now);
-            return Ask::Check;
+            return CheckDecision::Check;
         }
         let spread = (self.round(pause) * drawn(jitter)) as Micros;
-        Ask::Again(free_at.saturating_add(spread))
+        CheckDecision::RetryAt(free_at.saturating_add(spread))
     }
 
     /// What is to be done before a call leaves on a connection on which something was last heard at `heard`. One in use is
@@ -134,7 +134,7 @@
         } = self.settings;
         let found_after = silence.saturating_add(timeout);
         let good = silence == 0 || now.saturating_sub(heard) <= found_after;
-        match good || planted::is(Defect::UncheckedUse) {
+        match good || mutations::is_active(Mutation::UncheckedUse) {
             true => BeforeUse::Nothing,
             false => BeforeUse::Check((dial_timeout / WAIT_PART).max(1)),
         }
--- a/crates/ivyward-core/src/lib.rs
+++ b/crates/ivyward-core/src/lib.rs
@@ -1,17 +1,17 @@
 //! Decisions of a front for a model service whose prompts are read on some servers (prefill) and answered on
 //! others (decode).
 //!
-//! [`rules::Router`] holds the decisions on requests, [`interface`] the types it speaks; [`membership`] decides what lists
-//! and notices of engines mean, [`starts`] what their told start times do, [`pace`] how often the module is told of changes,
-//! [`peers`] which other nodes are here, [`keep`] which kept connections carry a request,
+//! [`router::Router`] holds the decisions on requests, [`interface`] the types it speaks; [`membership`] decides what lists
+//! and notices of engines mean, [`start_time`] what their told start times do, [`update_interval`] how often the module is told of changes,
+//! [`peers`] which other nodes are here, [`connection_reuse`] which kept connections carry a request,
 //! [`keepalive`] when connections are checked, [`release`] who is asked to let
-//! go of what is held, [`watch`] how a list is followed, [`dial`] when a dial is tried again. [`invariants`] checks the rules at run time, apart from all of them.
+//! go of what is held, [`long_poll`] how a list is followed, [`connect_backoff`] when a dial is tried again. [`invariants`] checks the rules at run time, apart from all of them.
 //! It does no I/O and has no clock:
 //! give it events, carry out the actions it returns.
 //!
 //! ```
 //! use ivyward_core::interface::*;
-//! use ivyward_core::rules::Router;
+//! use ivyward_core::router::Router;
 //!
 //! let settings = Settings {
 //!     replica_count: 1, zone: 0, roles: vec![Role::Prefill, Role::Decode], memory_tokens: vec![],
@@ -40,20 +40,20 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { endpoint: EndpointId(1), .. })));
 //! ```
 
-pub mod dial;
+pub mod connect_backoff;
+pub mod connection_reuse;
 pub mod interface;
 pub mod invariants;
-pub mod keep;
 pub mod keepalive;
+pub mod long_poll;
 pub mod membership;
-pub mod pace;
+pub mod mutations;
 pub mod peers;
-pub mod planted;
 pub mod release;
-pub mod rules;
-pub mod starts;
+pub mod router;
+pub mod start_time;
 mod state;
-pub mod watch;
+pub mod update_interval;
 
 /// The README's example, compiled and run as a test.
 #[cfg(doctest)]
--- a/crates/ivyward-core/src/watch.rs
+++ b/crates/ivyward-core/src/long_poll.rs
@@ -14,7 +14,7 @@
 
 /// Parts of the told time: a call waits for news so long, is taken for silent without a byte so long after that, and a
 /// connection comes up in so long. One call that falls silent as it begins and three that are accepted and never answered fit into the
-/// time, and so does the whole list that follows; [`Watch::longest`] adds them up.
+/// time, and so does the whole list that follows; [`LongPoll::worst_case_delay`] adds them up.
 const WAIT: f64 = 1.0 / 4.0;
 const SILENCE: f64 = 1.0 / 12.0;
 const DIAL: f64 = 1.0 / 15.0;
@@ -42,7 +42,7 @@
 
 /// How a call for the list ended without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum CallFailure {
     /// It was given up in silence, its connection's coming up included.
     Silent,
     /// It was given up while its answer still came.
@@ -50,12 +50,12 @@
     /// It ended by itself.
     Failed,
     /// The service said that it has too much to do.
-    TurnedAway,
+    Rejected,
 }
 
 /// The pace of a watch. See the module's page.
 #[derive(Clone, Debug)]
-pub struct Watch {
+pub struct LongPoll {
     within: Micros,
     quick: u32,
     slow: u32,
@@ -66,11 +66,11 @@
     random: u64,
 }
 
-impl Watch {
+impl LongPoll {
     /// Changes are to be known `within` this time of their being there to be read. Calls are `costly` where lists come only
     /// to those who ask. `seed` tells the nodes of a fleet apart.
-    pub fn new(within: Micros, costly: bool, seed: u64) -> Watch {
-        Watch {
+    pub fn new(within: Micros, costly: bool, seed: u64) -> LongPoll {
+        LongPoll {
             within: within.max(SHORTEST),
             quick: 0,
             slow: 0,
@@ -91,33 +91,33 @@
         self.part(SILENCE)
     }
     /// The call after a silent one begins so long after it.
-    pub fn beside(&self) -> Micros {
-        self.dial() + self.silence()
+    pub fn next_call_delay(&self) -> Micros {
+        self.connect_timeout() + self.silence()
     }
     /// A call from which no byte came for so long, past the time that it was asked to wait, is given up.
-    pub fn client_timeout(&self) -> Micros {
+    pub fn call_timeout(&self) -> Micros {
         self.part(PATIENCE)
     }
     /// So many calls are out at once at most.
-    pub fn most_calls(&self) -> usize {
+    pub fn max_calls(&self) -> usize {
         MOST_CALLS
     }
     /// A connection that is not open after this is given up.
-    pub fn dial(&self) -> Micros {
+    pub fn connect_timeout(&self) -> Micros {
         self.part(DIAL)
     }
     /// An answer that has begun is read for so long in all.
-    pub fn whole(&self) -> Micros {
+    pub fn body_timeout(&self) -> Micros {
         self.part((WHOLE * 2f64.powi(self.slow as i32)).min(WHOLE_MOST))
     }
     /// A list came, or the word that there is no news.
-    pub fn came(&mut self) {
+    pub fn list_received(&mut self) {
         (self.quick, self.slow) = (0, 0);
     }
     /// The word that there is no news, so much later than it was asked for. Guards against nodes that got through and take
     /// up, with one short call after the other, a service that turns the others away.
-    pub fn watch_came(&mut self, late: Micros) {
-        self.came();
+    pub fn no_changes_received(&mut self, late: Micros) {
+        self.list_received();
         if self.costly && late > self.part(LATE) {
             self.loaded();
         } else {
@@ -128,19 +128,19 @@
         self.load = (self.load + 1).min(MOST_LOAD);
     }
     /// A call brought nothing. Returns the pause before the next one.
-    pub fn missed(&mut self, how: Miss) -> Micros {
+    pub fn call_failed(&mut self, how: CallFailure) -> Micros {
         match how {
-            Miss::Silent => 0,
-            Miss::Slow => {
+            CallFailure::Silent => 0,
+            CallFailure::Slow => {
                 self.slow = (self.slow + 1).min(16);
                 0
             }
-            Miss::Failed => {
+            CallFailure::Failed => {
                 let pause = PAUSE * 2f64.powi(self.quick as i32);
                 self.quick = (self.quick + 1).min(16);
                 self.part(pause.min(PAUSE_MOST))
             }
-            Miss::TurnedAway => {
+            CallFailure::Rejected => {
                 let pause = BACKOFF * 2f64.powi(self.load as i32);
                 self.loaded();
                 self.random = mix(self.random.wrapping_add(1));
@@ -150,7 +150,7 @@
     }
     /// The longest time from a change until its list has begun to come, when the call that should have told it fell silent
     /// as it began and `more` further ones were accepted and never answered.
-    pub fn longest(&self, more: u32) -> Micros {
-        self.wait() + self.silence() + u64::from(more + 1) * self.beside()
+    pub fn worst_case_delay(&self, more: u32) -> Micros {
+        self.wait() + self.silence() + u64::from(more + 1) * self.next_call_delay()
     }
 }
--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -5,7 +5,7 @@
 //! and when, and passes on what it returns.
 //!
 //! What it holds to:
-//! - Told at once: a drain or a departure is passed on in the step in which it is heard.
+//! - MembershipAction at once: a drain or a departure is passed on in the step in which it is heard.
 //! - A gap (a compacted watch, a lost connection) changes nothing by itself: engines stay as they were last known, and
 //!   the next complete list tells what became of them. Whoever is missing from it is gone.
 //! - An empty complete list beside a fleet that was there is doubted: a store that was restored empty, or a wrong
@@ -19,7 +19,7 @@
 //!   restored from an older copy under its old name, and begins anew, as one whose cluster id changed.
 
 use crate::interface::{Endpoint, EndpointId, EndpointState, ListKind, Micros};
-use crate::planted::{self, Defect};
+use crate::mutations::{self, Mutation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
     /// As the module is told. `started` is on the store's clock and only compared.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
     /// The revision at which its record was written.
@@ -36,17 +36,17 @@
 
 /// Something heard from the store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum WatchEvent {
     /// All records at a revision.
     List {
         /// Which store.
         cluster: u64,
         /// The revision of the list.
         revision: i64,
-        /// The records; those that could not be read are left out and named in `unread`.
+        /// The records; those that could not be read are left out and named in `unreadable`.
         members: Vec<Member>,
         /// Engines whose records are there and cannot be read: what was known of them stands.
-        unread: Vec<EndpointId>,
+        unreadable: Vec<EndpointId>,
     },
     /// A record was written.
     Put(Member),
@@ -67,20 +67,20 @@
 
 /// What the follower should do or pass on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum MembershipAction {
     /// For the module.
-    Fleet {
+    EndpointList {
         /// How it relates to the one before.
         kind: ListKind,
         /// Its entries.
-        entries: Vec<Member>,
+        members: Vec<Member>,
     },
     /// Read the complete list again.
     Relist,
     /// An empty list was not believed yet; list again at this time.
     RelistAt(Micros),
     /// The list changed: keep it.
-    Keep,
+    SaveSnapshot,
 }
 
 /// Settings of the decider.
@@ -133,7 +133,7 @@
         self.revision
     }
     /// Whether something may have been missed since the last complete list.
-    pub fn gap(&self) -> bool {
+    pub fn has_gap(&self) -> bool {
         self.gap
     }
     /// Those known now.
@@ -142,35 +142,42 @@
     }
 
     /// Takes in what was heard and appends what follows.
-    pub fn hear(&mut self, now: Micros, heard: Heard, out: &mut Vec<Told>) {
+    pub fn handle_event(
+        &mut self,
+        now: Micros,
+        heard: WatchEvent,
+        out: &mut Vec<MembershipAction>,
+    ) {
         match heard {
-            Heard::List {
+            WatchEvent::List {
                 cluster,
                 revision,
                 members,
-                unread,
+                unreadable,
             } => {
-                self.on_list(now, (cluster, revision), members, &unread, out);
+                self.on_list(now, (cluster, revision), members, &unreadable, out);
+            }
+            WatchEvent::Put(member) => self.on_put(member, out),
+            WatchEvent::Deleted { id, revision } => self.on_deleted(id, revision, out),
+            WatchEvent::Progress(revision) if !self.gap => {
+                self.revision = self.revision.max(revision)
             }
-            Heard::Put(member) => self.on_put(member, out),
-            Heard::Deleted { id, revision } => self.on_deleted(id, revision, out),
-            Heard::Progress(revision) if !self.gap => self.revision = self.revision.max(revision),
-            Heard::Progress(_) => {}
-            Heard::Gap => {
+            WatchEvent::Progress(_) => {}
+            WatchEvent::Gap => {
                 self.gap = true;
-                out.push(Told::Relist);
+                out.push(MembershipAction::Relist);
             }
             // A file tells nothing to one who heard the store itself.
-            Heard::Snapshot(members) if self.cluster.is_none() => {
-                self.members = members.into_iter().map(|m| (m.entry.id, m)).collect();
+            WatchEvent::Snapshot(members) if self.cluster.is_none() => {
+                self.members = members.into_iter().map(|m| (m.endpoint.id, m)).collect();
                 self.from_file = true;
-                let entries = self.members.values().copied().collect();
-                out.push(Told::Fleet {
+                let members = self.members.values().copied().collect();
+                out.push(MembershipAction::EndpointList {
                     kind: ListKind::Cached,
-                    entries,
+                    members,
                 });
             }
-            Heard::Snapshot(_) => {}
+            WatchEvent::Snapshot(_) => {}
         }
     }
 
@@ -179,45 +186,47 @@
         now: Micros,
         (cluster, revision): (u64, i64),
         members: Vec<Member>,
-        unread: &[EndpointId],
-        out: &mut Vec<Told>,
+        unreadable: &[EndpointId],
+        out: &mut Vec<MembershipAction>,
     ) {
         let mut same_store = self.cluster == Some(cluster);
         if same_store && revision < self.revision {
             let since = *self.behind_since.get_or_insert(now);
             if now.saturating_sub(since) < self.settings.behind_grace {
-                out.push(Told::Relist);
+                out.push(MembershipAction::Relist);
                 return;
             }
             // Its revisions are others now: nothing that was heard before can be compared with them.
             same_store = false;
         }
         self.behind_since = None;
-        if members.is_empty() && unread.is_empty() && !self.members.is_empty() {
+        if members.is_empty() && unreadable.is_empty() && !self.members.is_empty() {
             let since = *self.empty_since.get_or_insert(now);
             if now.saturating_sub(since) < self.settings.empty_grace {
-                out.push(Told::RelistAt(since + self.settings.empty_grace));
+                out.push(MembershipAction::RelistAt(
+                    since + self.settings.empty_grace,
+                ));
                 return;
             }
         }
         self.empty_since = None;
         let before = std::mem::take(&mut self.members);
         for mut member in members {
-            let old = before.get(&member.entry.id).filter(|_| same_store);
-            if let Some(old) = old.filter(|_| planted::is(Defect::DrainLostInList)) {
-                member.entry.state = old.entry.state;
+            let old = before.get(&member.endpoint.id).filter(|_| same_store);
+            if let Some(old) = old.filter(|_| mutations::is_active(Mutation::DrainLostInList)) {
+                member.endpoint.state = old.endpoint.state;
             }
             self.members.insert(
-                member.entry.id,
+                member.endpoint.id,
                 old.map_or(member, |old| newer(&member, old)),
             );
         }
-        if planted::is(Defect::MissingStay) {
+        if mutations::is_active(Mutation::MissingStay) {
             for (id, old) in &before {
                 self.members.entry(*id).or_insert(*old);
             }
         }
-        for id in unread {
+        for id in unreadable {
             if let Some(old) = before.get(id) {
                 self.members.entry(*id).or_insert(*old);
             }
@@ -226,36 +235,36 @@
         (self.cluster, self.revision, self.gap, self.from_file) =
             (Some(cluster), revision, false, false);
         if changed {
-            let entries = self.members.values().copied().collect();
-            out.push(Told::Fleet {
+            let members = self.members.values().copied().collect();
+            out.push(MembershipAction::EndpointList {
                 kind: ListKind::Full,
-                entries,
+                members,
             });
-            out.push(Told::Keep);
+            out.push(MembershipAction::SaveSnapshot);
         }
     }
 
-    fn on_put(&mut self, member: Member, out: &mut Vec<Told>) {
+    fn on_put(&mut self, member: Member, out: &mut Vec<MembershipAction>) {
         // Notices are passed on also while there is a gap: a drain that was heard is told. But only an unbroken watch
         // moves the revision from which the next one starts.
         if !self.gap {
             self.revision = self.revision.max(member.revision);
         }
-        let old = self.members.get(&member.entry.id).copied();
+        let old = self.members.get(&member.endpoint.id).copied();
         let member = old.map_or(member, |old| newer(&member, &old));
-        self.members.insert(member.entry.id, member);
-        if old.is_some_and(|old| (old.entry, old.address) == (member.entry, member.address)) {
+        self.members.insert(member.endpoint.id, member);
+        if old.is_some_and(|old| (old.endpoint, old.address) == (member.endpoint, member.address)) {
             return;
         }
         self.empty_since = None;
-        out.push(Told::Fleet {
+        out.push(MembershipAction::EndpointList {
             kind: ListKind::Changes,
-            entries: vec![member],
+            members: vec![member],
         });
-        out.push(Told::Keep);
+        out.push(MembershipAction::SaveSnapshot);
     }
 
-    fn on_deleted(&mut self, id: EndpointId, revision: i64, out: &mut Vec<Told>) {
+    fn on_deleted(&mut self, id: EndpointId, revision: i64, out: &mut Vec<MembershipAction>) {
         if !self.gap {
             self.revision = self.revision.max(revision);
         }
@@ -269,13 +278,16 @@
         self.members.remove(&id);
         let entry = Endpoint {
             state: EndpointState::Removed,
-            ..member.entry
+            ..member.endpoint
         };
-        out.push(Told::Fleet {
+        out.push(MembershipAction::EndpointList {
             kind: ListKind::Changes,
-            entries: vec![Member { entry, ..member }],
+            members: vec![Member {
+                endpoint: entry,
+                ..member
+            }],
         });
-        out.push(Told::Keep);
+        out.push(MembershipAction::SaveSnapshot);
     }
 }
 
@@ -284,30 +296,30 @@
     if new.revision < old.revision {
         return *old;
     }
-    if new.entry.started_at == 0 {
+    if new.endpoint.started_at == 0 {
         return Member {
-            entry: Endpoint {
-                started_at: old.entry.started_at,
-                ..new.entry
+            endpoint: Endpoint {
+                started_at: old.endpoint.started_at,
+                ..new.endpoint
             },
             ..*new
         };
     }
-    if new.entry.started_at >= old.entry.started_at {
+    if new.endpoint.started_at >= old.endpoint.started_at {
         return *new;
     }
     // Guards against a drain that is overheard: written by a tool that does not know when the engine started, or by the
     // process before this one, it is what the store says now. That the engine is ready is for itself to say.
-    let drains = new.entry.state != EndpointState::Ready;
+    let drains = new.endpoint.state != EndpointState::Ready;
     let condition = if drains {
-        new.entry.state
+        new.endpoint.state
     } else {
-        old.entry.state
+        old.endpoint.state
     };
     Member {
-        entry: Endpoint {
+        endpoint: Endpoint {
             state: condition,
-            ..old.entry
+            ..old.endpoint
         },
         revision: new.revision,
         ..*old
--- a/crates/ivyward-core/src/planted.rs
+++ b/crates/ivyward-core/src/mutations.rs
@@ -1,12 +1,12 @@
 //! Defects put in on purpose, to see that the checks find them.
 //!
-//! They are compiled in with `RUSTFLAGS="--cfg planted"` alone; without it [`is`] is `false` for all of them, and nothing
-//! of them is in the program. At most one is planted at a time, for the whole process.
+//! They are compiled in with `RUSTFLAGS="--cfg mutations"` alone; without it [`is_active`] is `false` for all of them, and nothing
+//! of them is in the program. At most one is active at a time, for the whole process.
 
 /// A defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Defect {
+pub enum Mutation {
     /// What is kept for a request is not let go when its client leaves.
     ReleaseForgotten = 1,
     /// An attempt whose stream was reset is sent once more, inside the attempt.
@@ -60,63 +60,63 @@
 }
 
 /// Those of the keepalive, which their own scenes find.
-pub const KEEPALIVE: [Defect; 5] = [
-    Defect::UncheckedUse,
-    Defect::DoubtfulReused,
-    Defect::BudgetIgnored,
-    Defect::NoJitter,
-    Defect::RousedUncounted,
+pub const KEEPALIVE: [Mutation; 5] = [
+    Mutation::UncheckedUse,
+    Mutation::DoubtfulReused,
+    Mutation::BudgetIgnored,
+    Mutation::NoJitter,
+    Mutation::RousedUncounted,
 ];
 
 /// Those of the peers, which their own scenes find.
-pub const PEERS: [Defect; 5] = [
-    Defect::RefutationKept,
-    Defect::CountOnDoubt,
-    Defect::TombstoneStays,
-    Defect::AnswersToSource,
-    Defect::NeverDoubtsItself,
+pub const PEERS: [Mutation; 5] = [
+    Mutation::RefutationKept,
+    Mutation::CountOnDoubt,
+    Mutation::TombstoneStays,
+    Mutation::AnswersToSource,
+    Mutation::NeverDoubtsItself,
 ];
 
 /// All others.
-pub const ALL: [Defect; 15] = [
-    Defect::ReleaseForgotten,
-    Defect::SentTwice,
-    Defect::ResetAsProof,
-    Defect::StatusAsProof,
-    Defect::DrainLostInList,
-    Defect::MissingStay,
-    Defect::WatchSkips,
-    Defect::TimeoutLate,
-    Defect::AnsweredTwice,
-    Defect::StaleConnection,
-    Defect::NoBound,
-    Defect::PlaceForgotten,
-    Defect::ClosingIgnored,
-    Defect::LeavingIgnored,
-    Defect::ReadForgotten,
+pub const ALL: [Mutation; 15] = [
+    Mutation::ReleaseForgotten,
+    Mutation::SentTwice,
+    Mutation::ResetAsProof,
+    Mutation::StatusAsProof,
+    Mutation::DrainLostInList,
+    Mutation::MissingStay,
+    Mutation::WatchSkips,
+    Mutation::TimeoutLate,
+    Mutation::AnsweredTwice,
+    Mutation::StaleConnection,
+    Mutation::NoBound,
+    Mutation::PlaceForgotten,
+    Mutation::ClosingIgnored,
+    Mutation::LeavingIgnored,
+    Mutation::ReadForgotten,
 ];
 
-#[cfg(planted)]
+#[cfg(mutations)]
 static WHICH: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
 /// Plants one, or takes it out again.
-#[cfg(planted)]
-pub fn plant(defect: Option<Defect>) {
+#[cfg(mutations)]
+pub fn activate(defect: Option<Mutation>) {
     WHICH.store(
         defect.map_or(0, |d| d as u8),
         std::sync::atomic::Ordering::SeqCst,
     );
 }
 
-/// Whether this one is planted.
-#[cfg(planted)]
-pub fn is(defect: Defect) -> bool {
+/// Whether this mutation is active.
+#[cfg(mutations)]
+pub fn is_active(defect: Mutation) -> bool {
     WHICH.load(std::sync::atomic::Ordering::Relaxed) == defect as u8
 }
 
-/// Whether this one is planted: never.
-#[cfg(not(planted))]
+/// Whether this mutation is active: never.
+#[cfg(not(mutations))]
 #[inline(always)]
-pub const fn is(_: Defect) -> bool {
+pub const fn is_active(_: Mutation) -> bool {
     false
 }
--- a/crates/ivyward-core/src/peers/gossip.rs
+++ b/crates/ivyward-core/src/peers/gossip.rs
@@ -10,11 +10,11 @@
 
 /// How a node announces itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Card {
+pub struct NodeInfo {
     /// Its name.
     pub id: PeerId,
     /// Grows with each start: a later one ends all earlier ones.
-    pub start: u64,
+    pub incarnation: u64,
     /// Its zone.
     pub zone: u8,
     /// Where it is reached. Answers go there.
@@ -23,11 +23,11 @@
 
 /// What is claimed of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum About {
-    /// It was heard at that beat.
-    Here,
-    /// It does not answer; that beat is the last that the teller knows.
-    Silent {
+pub enum ReportedState {
+    /// It was heard at that heartbeat.
+    Alive,
+    /// It does not answer; that heartbeat is the last that the teller knows.
+    Suspected {
         /// How long ago the question left to which no answer came.
         since: Micros,
     },
@@ -37,21 +37,21 @@
 
 /// Something told of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct Update {
     /// Of whom.
-    pub card: Card,
+    pub node: NodeInfo,
     /// The last evidence of it: its own uptime in milliseconds.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// How long ago the teller learned of that.
-    pub ago: Micros,
+    pub age: Micros,
     /// What is claimed.
-    pub about: About,
+    pub state: ReportedState,
 }
 
 /// What a message is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
-    /// Asks for an [`Body::Ack`] with the same number.
+pub enum MessageBody {
+    /// Asks for an [`MessageBody::Ack`] with the same number.
     Ping {
         /// The sender's number.
         seq: u64,
@@ -64,11 +64,11 @@
         of: PeerId,
     },
     /// Asks to probe another.
-    Relay {
+    PingRequest {
         /// The sender's number.
         seq: u64,
         /// Whom.
-        to: Card,
+        to: NodeInfo,
     },
     /// The relay is here, the one probed has not answered it.
     Nack {
@@ -76,51 +76,51 @@
         seq: u64,
     },
     /// Asks for a part of the whole view.
-    Ask {
+    ViewRequest {
         /// Names after this one; from the first if there is none.
         after: Option<PeerId>,
         /// The next parts are wanted as well.
         whole: bool,
     },
     /// A part of the whole view.
-    Page {
+    ViewPage {
         /// Nodes that are here, or may be.
-        claims: Vec<Claim>,
+        updates: Vec<Update>,
         /// Where the rest begins, if that is wanted.
         next: Option<PeerId>,
         /// The whole was wanted, and this was the end of it.
         last: bool,
         /// The sender's own view is whole.
-        sure: bool,
+        confirmed: bool,
     },
     /// The sender leaves.
     Leave,
     /// Nothing but what is passed on.
-    Gossip,
+    Updates,
 }
 
 /// A message, as one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Who says it.
-    pub from: Card,
+    pub from: NodeInfo,
     /// The sender's uptime in milliseconds.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// A digest of the runs that may be here to the sender's knowledge; 0 if it does not say.
-    pub view: u32,
+    pub view_digest: u32,
     /// What for.
-    pub body: Body,
+    pub body: MessageBody,
     /// What is passed on beside it.
-    pub claims: Vec<Claim>,
+    pub updates: Vec<Update>,
 }
 
-/// Most claims in a message: with its head and seal it stays under 1,200 bytes, by addresses of any kind (66 bytes a claim
+/// Most updates in a message: with its head and seal it stays under 1,200 bytes, by addresses of any kind (66 bytes a claim
 /// at most, 145 for the rest).
-pub const MOST_CLAIMS: usize = 15;
+pub const MAX_UPDATES: usize = 15;
 
 /// What the decider wants done or made known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum PeerAction {
     /// Send a message.
     Send {
         /// Where to.
@@ -131,11 +131,11 @@
     /// The view changed.
     Changed {
         /// Of whom.
-        card: Card,
+        node: NodeInfo,
         /// What it was taken for; none if it is new.
-        was: Option<super::Standing>,
+        was: Option<super::PeerState>,
         /// What it is taken for.
-        is: super::Standing,
+        is: super::PeerState,
     },
 }
 
@@ -154,14 +154,14 @@
 
 /// What is being passed on: of each node the last thing, each so many times as reaches all with near certainty.
 #[derive(Default)]
-pub(super) struct Rumours {
+pub(super) struct PendingUpdates {
     /// By how often it was sent and in which order it came.
     queue: BTreeMap<(u32, u64), PeerId>,
     at: BTreeMap<PeerId, (u32, u64)>,
     order: u64,
 }
 
-impl Rumours {
+impl PendingUpdates {
     /// To be passed on as it stands when it is sent, whatever was passed on of that node before.
     pub(super) fn add(&mut self, id: PeerId) {
         self.remove(id);
@@ -205,23 +205,23 @@
         &mut self,
         room: usize,
         nodes: usize,
-        of: impl Fn(PeerId) -> Option<Claim>,
-    ) -> Vec<Claim> {
+        of: impl Fn(PeerId) -> Option<Update>,
+    ) -> Vec<Update> {
         let most = times(nodes);
         let keys: Vec<(u32, u64)> = self.queue.keys().take(room).copied().collect();
-        let mut claims = Vec::with_capacity(keys.len());
+        let mut updates = Vec::with_capacity(keys.len());
         for key in keys {
             let Some(id) = self.queue.remove(&key) else {
                 continue;
             };
             self.at.remove(&id);
             if let Some(claim) = of(id) {
-                claims.push(claim);
+                updates.push(claim);
                 if key.0 + 1 < most {
                     self.put(key.0 + 1, id);
                 }
             }
         }
-        claims
+        updates
     }
 }
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -4,15 +4,15 @@
 //! hash order: the caller moves messages and time. Nothing here knows of requests. docs/peers.md weighs the ways.
 //!
 //! What it holds to:
-//! - Evidence is a *beat*: a node's own uptime, told in each of its messages and passed on by those who heard it. A higher
-//!   beat is later evidence, whoever brings it. So nothing has to be refuted by number, and no word kills: a node dies of
+//! - Evidence is a *heartbeat*: a node's own uptime, told in each of its messages and passed on by those who heard it. A higher
+//!   heartbeat is later evidence, whoever brings it. So nothing has to be refuted by number, and no word kills: a node dies of
 //!   silence alone, judged by each node for itself: when nobody who can be heard has heard it for `death_after` since a
 //!   question that it left unanswered.
-//! - A failed probe, direct and through others, only doubts. The doubt spreads with the last beat known; who has heard a
-//!   later one passes that on. A pair that cannot hear each other while others can is a fact of a link ([`Peer::unheard`]).
+//! - A failed probe, direct and through others, only doubts. The doubt spreads with the last heartbeat known; who has heard a
+//!   later one passes that on. A pair that cannot hear each other while others can is a fact of a link ([`Peer::indirect_only`]).
 //! - A node that slept, seen by its own clock, doubts itself first: its time away is no silence of the others. One that
 //!   hears nobody waits several times as long.
-//! - A beat ahead of what the time since the first one allows is a lie or a broken clock, and is dropped; one far behind
+//! - A heartbeat ahead of what the time since the first one allows is a lie or a broken clock, and is dropped; one far behind
 //!   the last is a repeat of something old. The answer to this node's own question is proof in itself.
 //! - The count of nodes that may still be sending ([`Peers::count`]) falls for those who said that they leave, were started
 //!   again, or are silent and their lease and its grace are over; never for silence alone.
@@ -21,19 +21,21 @@
 mod gossip;
 mod view;
 
-pub use gossip::{About, Body, Card, Claim, Message, Out, PeerId, MOST_CLAIMS};
-pub use view::{Peer, Standing};
+pub use gossip::{
+    Message, MessageBody, NodeInfo, PeerAction, PeerId, ReportedState, Update, MAX_UPDATES,
+};
+pub use view::{Peer, PeerState};
 
 use crate::interface::Micros;
-use crate::planted::{self, Defect};
+use crate::mutations::{self, Mutation};
 use crate::state::mix;
-use gossip::Rumours;
+use gossip::PendingUpdates;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use view::{By, Members, WITNESSES};
 
 /// Claims in one page of an exchange of the whole view.
-const PAGE: usize = MOST_CLAIMS - 4;
+const PAGE: usize = MAX_UPDATES - 4;
 /// Most that a node doubts itself; a wait for an answer grows by one wait with each.
 const MOST_STRAIN: u32 = 8;
 /// A node that slept says so to so many at once.
@@ -67,53 +69,53 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PeerSettings {
     /// One node is probed in each such span.
-    pub period: Micros,
+    pub probe_interval: Micros,
     /// Without an answer for so long others are asked to probe.
-    pub ack_after: Micros,
+    pub ack_timeout: Micros,
     /// How many are asked.
-    pub relays: usize,
+    pub indirect_probes: usize,
     /// Nodes that started together take what they know for all after this, if the owner said a higher number.
-    pub settle: Micros,
+    pub settle_time: Micros,
     /// A silence is told to others after this.
-    pub doubt_after: Micros,
+    pub suspicion_timeout: Micros,
     /// Silence towards everybody that is a death.
-    pub death_after: Micros,
+    pub death_timeout: Micros,
     /// A doubt is known here for at least so long before it is a death.
-    pub notice: Micros,
+    pub suspicion_notice: Micros,
     /// A gap in the node's own time that is a pause.
-    pub pause: Micros,
+    pub pause_threshold: Micros,
     /// One that is dead is looked for in each such span.
-    pub reach_out: Micros,
+    pub reconnect_interval: Micros,
     /// A part of the whole view is compared with some node in each such span.
-    pub page_every: Micros,
+    pub sync_interval: Micros,
     /// The dead are forgotten after this time.
-    pub keep_dead: Micros,
+    pub tombstone_ttl: Micros,
     /// A run whose lease is over goes on sending for no longer than this.
     pub lease_grace: Micros,
     /// The node looks at itself first: it waits longer the worse it hears, counts no silence from before it woke, and asks
     /// for itself before it counts a death. Without it a baseline to measure against.
-    pub own_health: bool,
+    pub local_health: bool,
     /// Most peers that are remembered; later ones are not taken.
-    pub most: usize,
+    pub max_peers: usize,
 }
 
 impl Default for PeerSettings {
     fn default() -> Self {
         PeerSettings {
-            period: 125_000,
-            ack_after: 80_000,
-            relays: 3,
-            settle: 60_000_000,
-            doubt_after: 900_000,
-            death_after: 2_400_000,
-            notice: 1_000_000,
-            pause: 600_000,
-            reach_out: 1_000_000,
-            page_every: 10_000_000,
-            keep_dead: 3_600_000_000,
+            probe_interval: 125_000,
+            ack_timeout: 80_000,
+            indirect_probes: 3,
+            settle_time: 60_000_000,
+            suspicion_timeout: 900_000,
+            death_timeout: 2_400_000,
+            suspicion_notice: 1_000_000,
+            pause_threshold: 600_000,
+            reconnect_interval: 1_000_000,
+            sync_interval: 10_000_000,
+            tombstone_ttl: 3_600_000_000,
             lease_grace: 5_000_000,
-            own_health: true,
-            most: 4_096,
+            local_health: true,
+            max_peers: 4_096,
         }
     }
 }
@@ -151,12 +153,12 @@
 
 /// Decides for one node. See the module's words.
 pub struct Peers {
-    me: Card,
+    me: NodeInfo,
     began: Micros,
     settings: PeerSettings,
     random: u64,
     members: Members,
-    rumours: Rumours,
+    pending_updates: PendingUpdates,
     /// Addresses that were given; kept for good.
     seeds: Vec<SocketAddr>,
     ring: Vec<PeerId>,
@@ -176,7 +178,7 @@
     /// Nodes that may be sending where a view was not seen whole.
     floor: u32,
     whole: bool,
-    /// Somebody's whole view was taken in, whether that one was sure of it or not.
+    /// Somebody's whole view was taken in, whether that one was confirmed of it or not.
     paged_once: bool,
     /// A whole view that is being taken in.
     paging: Option<Paging>,
@@ -199,10 +201,10 @@
 }
 
 impl Peers {
-    /// A node that knows its own card and some addresses. `seed` feeds its lots.
+    /// A node that knows its own node and some addresses. `seed` feeds its lots.
     pub fn new(
         now: Micros,
-        me: Card,
+        me: NodeInfo,
         seeds: Vec<SocketAddr>,
         settings: PeerSettings,
         seed: u64,
@@ -211,9 +213,9 @@
             me,
             began: now,
             settings,
-            random: mix(seed ^ me.start),
-            members: Members::new(settings.most),
-            rumours: Rumours::default(),
+            random: mix(seed ^ me.incarnation),
+            members: Members::new(settings.max_peers),
+            pending_updates: PendingUpdates::default(),
             seeds,
             ring: Vec::new(),
             seq: 0,
@@ -242,8 +244,8 @@
     }
 
     /// How often [`Peers::tick`] is to be called.
-    pub fn tick_span(&self) -> Micros {
-        (self.settings.ack_after / 2).max(1)
+    pub fn tick_interval(&self) -> Micros {
+        (self.settings.ack_timeout / 2).max(1)
     }
     /// All peers that are known, in the order of their names.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
@@ -258,12 +260,13 @@
         self.floor = nodes;
     }
     /// Nodes that may still be sending, this one among them. Falls only when one is certainly gone.
-    pub fn count(&self) -> u32 {
-        let doubted = |p: &Peer| planted::is(Defect::CountOnDoubt) && p.standing != Standing::Alive;
+    pub fn replica_count(&self) -> u32 {
+        let doubted =
+            |p: &Peer| mutations::is_active(Mutation::CountOnDoubt) && p.state != PeerState::Alive;
         let known = self
             .members
             .all()
-            .filter(|p| !p.certain && !doubted(p))
+            .filter(|p| !p.confirmed_gone && !doubted(p))
             .count();
         // The store knows of some whom nobody here hears.
         let unknown = self
@@ -279,16 +282,16 @@
         }
     }
     /// How this node announces itself.
-    pub fn me(&self) -> Card {
+    pub fn local_node(&self) -> NodeInfo {
         self.me
     }
     /// Whether the view is whole, and its count therefore good.
-    pub fn joined(&self) -> bool {
+    pub fn has_complete_view(&self) -> bool {
         self.whole
     }
     /// Whether nobody has been heard for long although others are known.
-    pub fn alone(&self, now: Micros) -> bool {
-        now.saturating_sub(self.heard_any.max(self.woke)) > 4 * self.settings.period
+    pub fn is_isolated(&self, now: Micros) -> bool {
+        now.saturating_sub(self.heard_any.max(self.woke)) > 4 * self.settings.probe_interval
     }
     /// Whether a later start of this node's name was heard: this one is to stop.
     pub fn superseded(&self) -> bool {
@@ -300,61 +303,65 @@
     }
 
     /// A record of the store names a node. It is a hint where to look, and no evidence of life.
-    pub fn record(&mut self, now: Micros, card: Card, out: &mut Vec<Out>) {
-        if card.id == self.me.id {
+    pub fn record_added(&mut self, now: Micros, node: NodeInfo, out: &mut Vec<PeerAction>) {
+        if node.id == self.me.id {
             return;
         }
-        if self.leased.len() < self.settings.most || self.leased.contains_key(&card.id) {
-            self.leased.insert(card.id, card.start);
+        if self.leased.len() < self.settings.max_peers || self.leased.contains_key(&node.id) {
+            self.leased.insert(node.id, node.incarnation);
         }
-        match self.members.get_mut(card.id) {
-            Some(peer) if peer.card.start == card.start => peer.lease_over = None,
-            Some(peer) if peer.card.start > card.start => {}
-            _ => self.call_on(now, card.address, out),
+        match self.members.get_mut(node.id) {
+            Some(peer) if peer.node.incarnation == node.incarnation => peer.lease_over = None,
+            Some(peer) if peer.node.incarnation > node.incarnation => {}
+            _ => self.call_on(now, node.address, out),
         }
     }
 
     /// The store's record of a node is gone: its lease is over. After the grace it is certainly gone, if it is silent.
-    pub fn record_gone(&mut self, now: Micros, id: PeerId) {
+    pub fn record_removed(&mut self, now: Micros, id: PeerId) {
         let Some(start) = self.leased.remove(&id) else {
             return;
         };
-        if let Some(peer) = self.members.get_mut(id).filter(|p| p.card.start == start) {
+        if let Some(peer) = self
+            .members
+            .get_mut(id)
+            .filter(|p| p.node.incarnation == start)
+        {
             peer.lease_over = Some(now + self.settings.lease_grace);
         }
     }
 
     /// This node leaves: everybody who is here is told, once each.
-    pub fn leave(&mut self, now: Micros, out: &mut Vec<Out>) {
-        let all: Vec<SocketAddr> = self.members.here().map(|p| p.card.address).collect();
+    pub fn leave(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
+        let all: Vec<SocketAddr> = self.members.here().map(|p| p.node.address).collect();
         all.into_iter()
-            .for_each(|to| self.send(now, to, Body::Leave, out));
+            .for_each(|to| self.send(now, to, MessageBody::Leave, out));
     }
 
     /// Takes in a message.
-    pub fn hear(&mut self, now: Micros, message: Message, out: &mut Vec<Out>) {
+    pub fn handle_message(&mut self, now: Micros, message: Message, out: &mut Vec<PeerAction>) {
         let Message {
             from,
-            beat,
-            view,
+            heartbeat,
+            view_digest: view,
             body,
-            claims,
+            updates,
         } = message;
         if from.id == self.me.id {
-            self.hear_of_me(now, from.start);
+            self.hear_of_me(now, from.incarnation);
             return;
         }
         // Only who got the question knows its number: whatever was thought of its clock, that was now.
-        let proof = matches!(body, Body::Ack { seq, of }
+        let proof = matches!(body, MessageBody::Ack { seq, of }
             if of == from.id && (self.probes.get(&seq).is_some_and(|p| p.of == of) || self.calls.contains(&seq)));
         let by = if proof { By::Proof } else { By::Itself };
         if !self.learn(
             now,
-            Claim {
-                card: from,
-                beat,
-                ago: 0,
-                about: About::Here,
+            Update {
+                node: from,
+                heartbeat,
+                age: 0,
+                state: ReportedState::Alive,
             },
             by,
             out,
@@ -362,11 +369,17 @@
             if let Some(peer) = self
                 .members
                 .get(from.id)
-                .filter(|p| p.card.start > from.start)
+                .filter(|p| p.node.incarnation > from.incarnation)
                 .copied()
             {
                 // It does not know that it is over, or that its clock went back.
-                self.send_with(now, from.address, Body::Gossip, Some(peer.claim(now)), out);
+                self.send_with(
+                    now,
+                    from.address,
+                    MessageBody::Updates,
+                    Some(peer.claim(now)),
+                    out,
+                );
             }
             return;
         }
@@ -377,17 +390,17 @@
             self.differs = Some(from.address);
         }
         match body {
-            Body::Ping { seq } => self.send(
+            MessageBody::Ping { seq } => self.send(
                 now,
                 from.address,
-                Body::Ack {
+                MessageBody::Ack {
                     seq,
                     of: self.me.id,
                 },
                 out,
             ),
-            Body::Ack { seq, of } => self.on_ack(now, seq, of, out),
-            Body::Relay { seq, to } => {
+            MessageBody::Ack { seq, of } => self.on_ack(now, seq, of, out),
+            MessageBody::PingRequest { seq, to } => {
                 let mine = self.next_seq();
                 let errand = Errand {
                     of: to.id,
@@ -396,43 +409,43 @@
                     seq,
                 };
                 // As many as come in before they are over; one node's probes ask a few others each.
-                if self.errands.len() < self.settings.most {
+                if self.errands.len() < self.settings.max_peers {
                     self.errands.insert(mine, errand);
-                    self.send(now, to.address, Body::Ping { seq: mine }, out);
+                    self.send(now, to.address, MessageBody::Ping { seq: mine }, out);
                 }
             }
-            Body::Nack { seq } => {
+            MessageBody::Nack { seq } => {
                 if let Some(probe) = self.probes.get_mut(&seq) {
                     probe.mute = probe.mute.saturating_sub(1);
                 }
             }
-            Body::Ask { after, whole } => {
+            MessageBody::ViewRequest { after, whole } => {
                 let (page, next) = self.page(now, after);
                 let (next, last) = (next.filter(|_| whole), whole && next.is_none());
-                let body = Body::Page {
-                    claims: page,
+                let body = MessageBody::ViewPage {
+                    updates: page,
                     next,
                     last,
-                    sure: self.whole,
+                    confirmed: self.whole,
                 };
                 self.send(now, from.address, body, out);
             }
-            Body::Page {
-                claims,
+            MessageBody::ViewPage {
+                updates,
                 next,
                 last,
-                sure,
+                confirmed,
             } => {
-                self.on_page(now, from.address, next, (last, sure), out);
-                self.on_claims(now, from, claims, out);
+                self.on_page(now, from.address, next, (last, confirmed), out);
+                self.on_claims(now, from, updates, out);
             }
-            Body::Leave => self.left(from, out),
-            Body::Gossip => {}
+            MessageBody::Leave => self.left(from, out),
+            MessageBody::Updates => {}
         }
-        self.on_claims(now, from, claims, out);
+        self.on_claims(now, from, updates, out);
     }
 
-    fn on_ack(&mut self, now: Micros, seq: u64, of: PeerId, out: &mut Vec<Out>) {
+    fn on_ack(&mut self, now: Micros, seq: u64, of: PeerId, out: &mut Vec<PeerAction>) {
         if let Some(errand) = self.errands.get(&seq).copied().filter(|e| e.of == of) {
             self.errands.remove(&seq);
             // With the word that it was heard, which is evidence.
@@ -440,7 +453,7 @@
             self.send_with(
                 now,
                 errand.back,
-                Body::Ack {
+                MessageBody::Ack {
                     seq: errand.seq,
                     of,
                 },
@@ -454,25 +467,31 @@
             self.strain = self.strain.saturating_sub(1);
             if let Some(peer) = self.members.get_mut(of) {
                 // Not by me but by others: a fact of the link between us.
-                peer.unheard = probe.relayed && peer.direct < probe.sent;
+                peer.indirect_only = probe.relayed && peer.direct < probe.sent;
             }
         }
     }
 
     /// Somebody knows of a run of this node's name that began so.
     fn hear_of_me(&mut self, now: Micros, start: u64) {
-        if start <= self.me.start {
+        if start <= self.me.incarnation {
             return;
         }
         if now.saturating_sub(self.began) >= YOUNG {
             self.superseded = true;
-        } else if start - self.me.start < FAR_START {
-            self.me.start = start + 1;
+        } else if start - self.me.incarnation < FAR_START {
+            self.me.incarnation = start + 1;
         }
     }
 
-    fn on_claims(&mut self, now: Micros, from: Card, claims: Vec<Claim>, out: &mut Vec<Out>) {
-        let better: Vec<PeerId> = claims
+    fn on_claims(
+        &mut self,
+        now: Micros,
+        from: NodeInfo,
+        updates: Vec<Update>,
+        out: &mut Vec<PeerAction>,
+    ) {
+        let better: Vec<PeerId> = updates
             .into_iter()
             .filter_map(|claim| self.on_claim(now, from, claim, out))
             .collect();
@@ -485,61 +504,67 @@
             .take(TOLD_BETTER)
             .filter_map(|id| self.members.get(id))
             .map(|p| p.claim(now));
-        let known: Vec<Claim> = known.collect();
-        self.say(now, from.address, Body::Gossip, known, out);
+        let known: Vec<Update> = known.collect();
+        self.say(now, from.address, MessageBody::Updates, known, out);
     }
 
     /// Of whom more is known here than the sender knows, if it doubts somebody wrongly.
     fn on_claim(
         &mut self,
         now: Micros,
-        from: Card,
-        claim: Claim,
-        out: &mut Vec<Out>,
+        from: NodeInfo,
+        claim: Update,
+        out: &mut Vec<PeerAction>,
     ) -> Option<PeerId> {
-        let id = claim.card.id;
+        let id = claim.node.id;
         if id == self.me.id {
-            self.hear_of_me(now, claim.card.start);
-            if claim.card.start == self.me.start && claim.about != About::Here {
+            self.hear_of_me(now, claim.node.incarnation);
+            if claim.node.incarnation == self.me.incarnation && claim.state != ReportedState::Alive
+            {
                 // Somebody cannot hear me: my own word is passed on, and I look at myself first.
-                self.rumours.add(id);
+                self.pending_updates.add(id);
                 self.strain = (self.strain + 1).min(MOST_STRAIN);
                 return Some(id);
             }
             return None;
         }
         if self.members.get(id).is_some_and(|p| p.says(&claim)) {
-            let doubt = matches!(claim.about, About::Silent { .. });
-            self.rumours.heard(id, doubt, self.members.len());
+            let doubt = matches!(claim.state, ReportedState::Suspected { .. });
+            self.pending_updates.heard(id, doubt, self.members.len());
         }
-        match claim.about {
-            About::Here => {
-                let known = self.members.get(id).map(|p| p.standing);
+        match claim.state {
+            ReportedState::Alive => {
+                let known = self.members.get(id).map(|p| p.state);
                 let took = self.learn(now, claim, By::Other(from.id), out);
-                let is = self.members.get(id).map(|p| p.standing);
+                let is = self.members.get(id).map(|p| p.state);
                 // A node's own answer to a doubt is passed on though there is none here.
                 if took && id == from.id && known == is {
-                    self.rumours.add(id);
+                    self.pending_updates.add(id);
                 }
             }
-            About::Silent { since } => {
+            ReportedState::Suspected { since } => {
                 let asked = now.saturating_sub(since);
                 let known = self.members.get(id);
-                if known.is_some_and(|p| p.card.start > claim.card.start || p.learned > asked) {
+                if known.is_some_and(|p| {
+                    p.node.incarnation > claim.node.incarnation || p.learned > asked
+                }) {
                     // A refutation that is kept to oneself leaves the others with their doubt.
-                    if !planted::is(Defect::RefutationKept) {
+                    if !mutations::is_active(Mutation::RefutationKept) {
                         return Some(id);
                     }
                 } else if self.learn(now, claim, By::Other(from.id), out) {
                     self.doubt(now, id, asked, out);
                 }
             }
-            About::Left => {
-                let known = self.members.get(id).map(|p| (p.card.start, p.standing));
-                if known.is_some_and(|k| k.0 == claim.card.start && k.1 != Standing::Left)
-                    && self.members.witness(id, claim.card.start, true, from.id) >= WITNESSES
+            ReportedState::Left => {
+                let known = self.members.get(id).map(|p| (p.node.incarnation, p.state));
+                if known.is_some_and(|k| k.0 == claim.node.incarnation && k.1 != PeerState::Left)
+                    && self
+                        .members
+                        .witness(id, claim.node.incarnation, true, from.id)
+                        >= WITNESSES
                 {
-                    self.left(claim.card, out);
+                    self.left(claim.node, out);
                 }
             }
         }
@@ -547,39 +572,39 @@
     }
 
     /// Whether the evidence counts (it need not be news).
-    fn learn(&mut self, now: Micros, claim: Claim, by: By, out: &mut Vec<Out>) -> bool {
+    fn learn(&mut self, now: Micros, claim: Update, by: By, out: &mut Vec<PeerAction>) -> bool {
         let known = self
             .members
-            .get(claim.card.id)
-            .map(|p| (p.standing, p.card.start));
-        let spans = (self.settings.death_after, self.settings.keep_dead);
+            .get(claim.node.id)
+            .map(|p| (p.state, p.node.incarnation));
+        let spans = (self.settings.death_timeout, self.settings.tombstone_ttl);
         if !self.members.learn(now, &claim, by, spans, out) {
             return false;
         }
-        let id = claim.card.id;
+        let id = claim.node.id;
         let Some(peer) = self.members.get(id).copied() else {
             return false;
         };
         match known {
             None => {
-                if by.direct() && (!self.whole || self.seeds.contains(&peer.card.address)) {
-                    self.take_whole(now, peer.card.address, out);
+                if by.direct() && (!self.whole || self.seeds.contains(&peer.node.address)) {
+                    self.take_whole(now, peer.node.address, out);
                 }
                 // What was dead before it was known here is no news to others.
-                if peer.standing == Standing::Alive {
-                    self.rumours.add_quietly(id);
+                if peer.state == PeerState::Alive {
+                    self.pending_updates.add_quietly(id);
                 }
                 let at = self.lot(self.ring.len() + 1);
                 self.ring.insert(at, id);
             }
             Some((was, start)) => {
-                let again = was != Standing::Alive && peer.standing == Standing::Alive;
-                if again || start != peer.card.start {
-                    self.rumours.add(id);
+                let again = was != PeerState::Alive && peer.state == PeerState::Alive;
+                if again || start != peer.node.incarnation {
+                    self.pending_updates.add(id);
                 }
-                if again && was == Standing::Dead && by.direct() {
+                if again && was == PeerState::Dead && by.direct() {
                     // We were apart: what each half knows is compared whole.
-                    self.take_whole(now, peer.card.address, out);
+                    self.take_whole(now, peer.node.address, out);
                 }
             }
         }
@@ -587,17 +612,17 @@
     }
 
     /// Somebody may be there: whoever answers is known by that.
-    fn call_on(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<Out>) {
+    fn call_on(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<PeerAction>) {
         let seq = self.next_seq();
         if self.calls.len() >= CALLS {
             self.calls.pop_front();
         }
         self.calls.push_back(seq);
-        self.send(now, to, Body::Ping { seq }, out);
+        self.send(now, to, MessageBody::Ping { seq }, out);
     }
 
     /// Begins to take in somebody's whole view, page by page; one at a time, for one that heals a split brings all.
-    fn take_whole(&mut self, now: Micros, from: SocketAddr, out: &mut Vec<Out>) {
+    fn take_whole(&mut self, now: Micros, from: SocketAddr, out: &mut Vec<PeerAction>) {
         if self.paging.is_none() {
             self.paging = Some(Paging {
                 from,
@@ -607,7 +632,7 @@
             self.send(
                 now,
                 from,
-                Body::Ask {
+                MessageBody::ViewRequest {
                     after: None,
                     whole: true,
                 },
@@ -621,21 +646,21 @@
         now: Micros,
         by: SocketAddr,
         next: Option<PeerId>,
-        (last, sure): (bool, bool),
-        out: &mut Vec<Out>,
+        (last, confirmed): (bool, bool),
+        out: &mut Vec<PeerAction>,
     ) {
         let Some(paging) = self.paging.as_mut().filter(|p| p.from == by) else {
             return;
         };
         if last {
             (self.paging, self.paged, self.paged_once) = (None, now, true);
-            self.whole |= sure;
+            self.whole |= confirmed;
         } else if next.is_some() && next > paging.after {
             (paging.after, paging.asked) = (next, now);
             self.send(
                 now,
                 by,
-                Body::Ask {
+                MessageBody::ViewRequest {
                     after: next,
                     whole: true,
                 },
@@ -645,7 +670,7 @@
     }
 
     /// A page that was lost is asked for again, of somebody else: names have one order everywhere.
-    fn page_on(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn page_on(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         // Nobody who is heard knows the same nodes: something was missed. Those that begin together are in nobody's whole
         // view, and what is said a few times does not reach all.
         if let Some(from) = self
@@ -666,10 +691,10 @@
             self.take_whole(now, from, out);
         }
         // Guards against nodes that start together taking each other's few for all: whole is what comes from one that is
-        // sure, or as many as the owner said, or what there is after a while.
+        // confirmed, or as many as the owner said, or what there is after a while.
         if !self.whole && self.paged_once {
             let known = 1 + self.members.len() as u32;
-            self.whole = known >= self.floor || now >= self.began + self.settings.settle;
+            self.whole = known >= self.floor || now >= self.began + self.settings.settle_time;
         }
         if !self.whole && self.paging.is_none() && now >= self.paged + DIFFER {
             if let Some(to) = self.some_peer() {
@@ -688,44 +713,49 @@
             (Some(paging), Some(to)) => {
                 (paging.from, paging.asked) = (to, now);
                 let after = paging.after;
-                self.send(now, to, Body::Ask { after, whole: true }, out);
+                self.send(
+                    now,
+                    to,
+                    MessageBody::ViewRequest { after, whole: true },
+                    out,
+                );
             }
             _ => self.paging = None,
         }
     }
 
-    fn doubt(&mut self, now: Micros, id: PeerId, asked: Micros, out: &mut Vec<Out>) {
+    fn doubt(&mut self, now: Micros, id: PeerId, asked: Micros, out: &mut Vec<PeerAction>) {
         if let Some(peer) = self.members.get_mut(id) {
             // A silence is as old as the first question in it; before that, nobody asked.
-            if peer.standing == Standing::Alive {
+            if peer.state == PeerState::Alive {
                 (peer.asked, peer.doubted, peer.last_asks) = (asked, now, 0);
             }
             peer.asked = peer.asked.min(asked);
         }
         if self
             .members
-            .set(id, Standing::Alive, Standing::Suspected, out)
+            .set(id, PeerState::Alive, PeerState::Suspected, out)
         {
-            self.rumours.add(id);
+            self.pending_updates.add(id);
         }
     }
 
-    fn left(&mut self, card: Card, out: &mut Vec<Out>) {
-        if self.members.leave(card, out) {
-            self.rumours.add(card.id);
+    fn left(&mut self, node: NodeInfo, out: &mut Vec<PeerAction>) {
+        if self.members.leave(node, out) {
+            self.pending_updates.add(node.id);
         }
     }
 
     /// Moves time on: probes, judges silences, looks for those who are away.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Out>) {
-        if self.healthy() && now.saturating_sub(self.last_tick) > self.settings.pause {
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
+        if self.healthy() && now.saturating_sub(self.last_tick) > self.settings.pause_threshold {
             self.woke = now;
             self.strain = MOST_STRAIN;
             // Whoever doubts it by now hears of it before the silence is a death.
-            self.rumours.add(self.me.id);
+            self.pending_updates.add(self.me.id);
             for _ in 0..WAKE + self.members.len() / 16 {
                 if let Some(to) = self.some_peer() {
-                    self.send(now, to, Body::Gossip, out);
+                    self.send(now, to, MessageBody::Updates, out);
                 }
             }
             // What they would have heard meanwhile tells of me, not of those asked.
@@ -736,31 +766,32 @@
         self.judge_probes(now, out);
         self.judge_silences(now, out);
         if now >= self.next_probe {
-            self.next_probe = now + self.settings.period;
+            self.next_probe = now + self.settings.probe_interval;
             self.probe(now, out);
         }
         // What is new spreads at once; in quiet times nothing is sent for it.
-        if self.rumours.urgent() {
+        if self.pending_updates.urgent() {
             if let Some(to) = self.some_peer() {
-                self.send(now, to, Body::Gossip, out);
+                self.send(now, to, MessageBody::Updates, out);
             }
         }
         if now >= self.next_reach {
-            self.next_reach =
-                now + self.settings.reach_out / 2 + self.lot_span(self.settings.reach_out);
+            self.next_reach = now
+                + self.settings.reconnect_interval / 2
+                + self.lot_span(self.settings.reconnect_interval);
             self.reach_out(now, out);
         }
         self.page_on(now, out);
         if now >= self.next_page {
             self.next_page =
-                now + self.settings.page_every / 2 + self.lot_span(self.settings.page_every);
-            let here: Vec<PeerId> = self.members.here().map(|p| p.card.id).collect();
+                now + self.settings.sync_interval / 2 + self.lot_span(self.settings.sync_interval);
+            let here: Vec<PeerId> = self.members.here().map(|p| p.node.id).collect();
             if let Some(to) = self.some_peer() {
                 let after = here[self.lot(here.len())];
                 self.send(
                     now,
                     to,
-                    Body::Ask {
+                    MessageBody::ViewRequest {
                         after: Some(after),
                         whole: false,
                     },
@@ -775,7 +806,7 @@
         let alive = self
             .members
             .here()
-            .filter(|p| p.standing == Standing::Alive)
+            .filter(|p| p.state == PeerState::Alive)
             .count();
         let any = alive == 0;
         let at = self.lot(if any {
@@ -786,25 +817,25 @@
         let mut those = self
             .members
             .here()
-            .filter(|p| any || p.standing == Standing::Alive);
-        those.nth(at).map(|p| p.card.address)
+            .filter(|p| any || p.state == PeerState::Alive);
+        those.nth(at).map(|p| p.node.address)
     }
 
     fn healthy(&self) -> bool {
-        self.settings.own_health && !planted::is(Defect::NeverDoubtsItself)
+        self.settings.local_health && !mutations::is_active(Mutation::NeverDoubtsItself)
     }
 
     fn wait(&self) -> Micros {
-        self.settings.ack_after * u64::from(1 + if self.healthy() { self.strain } else { 0 })
+        self.settings.ack_timeout * u64::from(1 + if self.healthy() { self.strain } else { 0 })
     }
 
-    fn judge_probes(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn judge_probes(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let wait = self.wait();
         // Most pauses end before it: nobody else need hear of them. What is left is enough to reach all in time.
         let doubt_after = self
             .settings
-            .doubt_after
-            .min(self.settings.death_after * 3 / 8);
+            .suspicion_timeout
+            .min(self.settings.death_timeout * 3 / 8);
         let open: Vec<(u64, Probe)> = self.probes.iter().map(|(seq, p)| (*seq, *p)).collect();
         for (seq, probe) in open {
             let since = now.saturating_sub(probe.sent);
@@ -815,14 +846,14 @@
             if !probe.relayed && since >= wait {
                 let others = self.relays(probe.of);
                 let mut asked = 0;
-                for _ in 0..self.settings.relays.min(others.len()) {
+                for _ in 0..self.settings.indirect_probes.min(others.len()) {
                     let to = others[self.lot(others.len())];
                     self.send(
                         now,
                         to,
-                        Body::Relay {
+                        MessageBody::PingRequest {
                             seq,
-                            to: target.card,
+                            to: target.node,
                         },
                         out,
                     );
@@ -833,7 +864,7 @@
                 }
             } else if probe.relayed && since < doubt_after.max(3 * wait) {
                 // Guards against doubts by chance: of a lossy network each would be told to all and answered by all.
-                self.send(now, target.card.address, Body::Ping { seq }, out);
+                self.send(now, target.node.address, MessageBody::Ping { seq }, out);
             } else if probe.relayed {
                 self.probes.remove(&seq);
                 // Relays that say nothing tell of me as much as of the one probed, unless others are heard: where most were
@@ -847,7 +878,7 @@
                 }
             }
         }
-        let ack_after = self.settings.ack_after;
+        let ack_after = self.settings.ack_timeout;
         let over: Vec<u64> = self
             .errands
             .iter()
@@ -856,28 +887,31 @@
             .collect();
         for seq in over {
             if let Some(errand) = self.errands.remove(&seq) {
-                self.send(now, errand.back, Body::Nack { seq: errand.seq }, out);
+                self.send(now, errand.back, MessageBody::Nack { seq: errand.seq }, out);
             }
         }
     }
 
-    fn judge_silences(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn judge_silences(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         // While nobody at all is heard, their silence tells of me.
         let healthy = self.healthy();
-        let (times, from) = if healthy && self.alone(now) {
+        let (times, from) = if healthy && self.is_isolated(now) {
             (ALONE, self.heard_any)
         } else {
             (1, 0)
         };
-        let (most, from) = (self.settings.death_after * times, self.woke.max(from));
+        let (most, from) = (self.settings.death_timeout * times, self.woke.max(from));
         let since = |p: &Peer| p.asked.max(p.learned).max(from);
         // A doubt that comes late, from one that waits long, is known here for a while before it counts.
-        let notice = match planted::is(Defect::NeverDoubtsItself) {
+        let notice = match mutations::is_active(Mutation::NeverDoubtsItself) {
             true => 0,
-            false => self.settings.notice.min(self.settings.death_after / 2),
+            false => self
+                .settings
+                .suspicion_notice
+                .min(self.settings.death_timeout / 2),
         };
         let silent = |p: &&Peer| {
-            p.standing == Standing::Suspected
+            p.state == PeerState::Suspected
                 && now.saturating_sub(since(p)) >= most
                 && now.saturating_sub(p.doubted) >= notice
                 && (p.last_asks >= LAST_ASKS || !healthy)
@@ -891,45 +925,45 @@
             .filter(|p| now + LAST_ASK >= since(p) + most);
         for peer in near.take(LAST_ASKED) {
             peer.last_asks = peer.last_asks.saturating_add(1);
-            last.push((peer.card, peer.last_asks % 2 == 1));
+            last.push((peer.node, peer.last_asks % 2 == 1));
         }
-        for (card, through) in last {
-            self.call_on(now, card.address, out);
+        for (node, through) in last {
+            self.call_on(now, node.address, out);
             // Through another as well: its answer may not reach us.
             let others = if through {
-                self.relays(card.id)
+                self.relays(node.id)
             } else {
                 Vec::new()
             };
             if !others.is_empty() {
                 let (seq, to) = (self.next_seq(), others[self.lot(others.len())]);
-                self.send(now, to, Body::Relay { seq, to: card }, out);
+                self.send(now, to, MessageBody::PingRequest { seq, to: node }, out);
             }
         }
         let dead: Vec<PeerId> = self
             .members
             .all()
             .filter(silent)
-            .map(|p| p.card.id)
+            .map(|p| p.node.id)
             .collect();
         for id in dead {
             if self
                 .members
-                .set(id, Standing::Suspected, Standing::Dead, out)
+                .set(id, PeerState::Suspected, PeerState::Dead, out)
             {
                 // Said again: where many died at once, most of what was said of them went to the dead.
-                self.rumours.add_quietly(id);
+                self.pending_updates.add_quietly(id);
             }
         }
         self.members.settle_leases(now);
-        let keep = self.settings.keep_dead;
+        let keep = self.settings.tombstone_ttl;
         for id in self.members.forget(now, keep) {
-            self.rumours.remove(id);
+            self.pending_updates.remove(id);
             self.ring.retain(|r| *r != id);
         }
     }
 
-    fn probe(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn probe(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         for _ in 0..self.ring.len() {
             let Some(id) = self.ring.pop() else { break };
             // Back in at a place by lot in the older half: each comes up once in about a round.
@@ -938,7 +972,7 @@
             let Some(peer) = self.members.get(id).copied() else {
                 continue;
             };
-            if matches!(peer.standing, Standing::Dead | Standing::Left) {
+            if matches!(peer.state, PeerState::Dead | PeerState::Left) {
                 continue;
             }
             let seq = self.next_seq();
@@ -950,60 +984,66 @@
             };
             self.probes.insert(seq, probe);
             // The one in doubt hears of it first of all.
-            let extra = (peer.standing == Standing::Suspected).then(|| peer.claim(now));
-            self.send_with(now, peer.card.address, Body::Ping { seq }, extra, out);
+            let extra = (peer.state == PeerState::Suspected).then(|| peer.claim(now));
+            self.send_with(
+                now,
+                peer.node.address,
+                MessageBody::Ping { seq },
+                extra,
+                out,
+            );
             return;
         }
     }
 
     /// Who may be asked to probe another: rather those who are heard here, for another's answer would not come back.
     fn relays(&self, of: PeerId) -> Vec<SocketAddr> {
-        let here = || self.members.here().filter(|p| p.card.id != of);
-        let heard = here().filter(|p| p.standing == Standing::Alive && !p.unheard);
-        let others: Vec<SocketAddr> = heard.map(|p| p.card.address).collect();
-        match others.len() < self.settings.relays {
-            true => here().map(|p| p.card.address).collect(),
+        let here = || self.members.here().filter(|p| p.node.id != of);
+        let heard = here().filter(|p| p.state == PeerState::Alive && !p.indirect_only);
+        let others: Vec<SocketAddr> = heard.map(|p| p.node.address).collect();
+        match others.len() < self.settings.indirect_probes {
+            true => here().map(|p| p.node.address).collect(),
             false => others,
         }
     }
 
     /// Looks for one that is dead, and for given addresses at which nobody is known: halves that were apart find each
     /// other again by this.
-    fn reach_out(&mut self, now: Micros, out: &mut Vec<Out>) {
-        let here: Vec<SocketAddr> = self.members.here().map(|p| p.card.address).collect();
+    fn reach_out(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
+        let here: Vec<SocketAddr> = self.members.here().map(|p| p.node.address).collect();
         let dead = self
             .members
             .all()
-            .filter(|p| p.standing == Standing::Dead && !p.certain);
-        let mut away: Vec<SocketAddr> = dead.map(|p| p.card.address).collect();
+            .filter(|p| p.state == PeerState::Dead && !p.confirmed_gone);
+        let mut away: Vec<SocketAddr> = dead.map(|p| p.node.address).collect();
         away.extend(
             self.seeds
                 .iter()
                 .filter(|s| **s != self.me.address && !here.contains(s)),
         );
         // One that hears nobody may still be heard, if it speaks.
-        let most = if self.alone(now) { WAKE } else { REACH };
+        let most = if self.is_isolated(now) { WAKE } else { REACH };
         for _ in 0..most.min(away.len()) {
             let to = away.swap_remove(self.lot(away.len()));
             self.call_on(now, to, out);
         }
     }
 
-    fn page(&self, now: Micros, after: Option<PeerId>) -> (Vec<Claim>, Option<PeerId>) {
+    fn page(&self, now: Micros, after: Option<PeerId>) -> (Vec<Update>, Option<PeerId>) {
         // The dead as well, while they may be sending: one that starts in one half is to count the other.
         let mut all = self
             .members
             .all()
-            .filter(|p| !p.certain && after.is_none_or(|a| p.card.id > a));
-        let claims: Vec<Claim> = all.by_ref().take(PAGE).map(|p| p.claim(now)).collect();
-        let next = claims
+            .filter(|p| !p.confirmed_gone && after.is_none_or(|a| p.node.id > a));
+        let updates: Vec<Update> = all.by_ref().take(PAGE).map(|p| p.claim(now)).collect();
+        let next = updates
             .last()
-            .map(|c| c.card.id)
+            .map(|c| c.node.id)
             .filter(|_| all.next().is_some());
-        (claims, next)
+        (updates, next)
     }
 
-    fn send(&mut self, now: Micros, to: SocketAddr, body: Body, out: &mut Vec<Out>) {
+    fn send(&mut self, now: Micros, to: SocketAddr, body: MessageBody, out: &mut Vec<PeerAction>) {
         self.send_with(now, to, body, None, out);
     }
 
@@ -1011,30 +1051,30 @@
         &mut self,
         now: Micros,
         to: SocketAddr,
-        body: Body,
-        extra: impl IntoIterator<Item = Claim>,
-        out: &mut Vec<Out>,
+        body: MessageBody,
+        extra: impl IntoIterator<Item = Update>,
+        out: &mut Vec<PeerAction>,
     ) {
-        let extra: Vec<Claim> = extra.into_iter().collect();
-        let taken = if let Body::Page { claims, .. } = &body {
-            claims.len()
+        let extra: Vec<Update> = extra.into_iter().collect();
+        let taken = if let MessageBody::ViewPage { updates, .. } = &body {
+            updates.len()
         } else {
             0
         };
-        let room = (MOST_CLAIMS - taken).saturating_sub(extra.len());
-        let (me, beat, members) = (self.me, self.beat(now), &self.members);
+        let room = (MAX_UPDATES - taken).saturating_sub(extra.len());
+        let (me, heartbeat, members) = (self.me, self.heartbeat(now), &self.members);
         let of = |id: PeerId| match id == me.id {
-            true => Some(Claim {
-                card: me,
-                beat,
-                ago: 0,
-                about: About::Here,
+            true => Some(Update {
+                node: me,
+                heartbeat,
+                age: 0,
+                state: ReportedState::Alive,
             }),
             false => members.get(id).map(|p| p.claim(now)),
         };
-        let mut claims = self.rumours.take(room, members.len(), of);
-        claims.extend(extra);
-        self.say(now, to, body, claims, out);
+        let mut updates = self.pending_updates.take(room, members.len(), of);
+        updates.extend(extra);
+        self.say(now, to, body, updates, out);
     }
 
     /// Says this and nothing beside it.
@@ -1042,22 +1082,22 @@
         &mut self,
         now: Micros,
         to: SocketAddr,
-        body: Body,
-        claims: Vec<Claim>,
-        out: &mut Vec<Out>,
+        body: MessageBody,
+        updates: Vec<Update>,
+        out: &mut Vec<PeerAction>,
     ) {
         let message = Message {
             from: self.me,
-            beat: self.beat(now),
-            view: self.view(),
+            heartbeat: self.heartbeat(now),
+            view_digest: self.view(),
             body,
-            claims,
+            updates,
         };
-        out.push(Out::Send { to, message });
+        out.push(PeerAction::Send { to, message });
     }
 
     /// This node's uptime in milliseconds.
-    fn beat(&self, now: Micros) -> u64 {
+    fn heartbeat(&self, now: Micros) -> u64 {
         now.saturating_sub(self.began) / 1_000
     }
 
--- a/crates/ivyward-core/src/peers/view.rs
+++ b/crates/ivyward-core/src/peers/view.rs
@@ -1,13 +1,13 @@
 //! Who is known, by which evidence.
 
-use super::gossip::{About, Card, Claim, Out, PeerId};
+use super::gossip::{NodeInfo, PeerAction, PeerId, ReportedState, Update};
 use super::Dropped;
 use crate::interface::Micros;
-use crate::planted::{self, Defect};
+use crate::mutations::{self, Mutation};
 use crate::state::mix;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A beat may be ahead of what the time since the first one allows by so many milliseconds: what was told was on its
+/// A heartbeat may be ahead of what the time since the first one allows by so many milliseconds: what was told was on its
 /// way. A message so far behind its sender's last one is a repeat.
 const AHEAD: u64 = 2_000;
 /// Beats so many milliseconds apart say the same.
@@ -19,7 +19,7 @@
 
 /// What a node is taken for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum PeerState {
     /// It is heard, by this node or others.
     Alive,
     /// It does not answer; nobody is known to have heard it since.
@@ -51,20 +51,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
     /// How it announced itself.
-    pub card: Card,
+    pub node: NodeInfo,
     /// What it is taken for.
-    pub standing: Standing,
+    pub state: PeerState,
     /// Not heard by this node, but by others.
-    pub unheard: bool,
+    pub indirect_only: bool,
     /// Certainly gone: it can be sending no more.
-    pub certain: bool,
+    pub confirmed_gone: bool,
     /// The last evidence of it, and since when that is known.
-    pub(super) beat: u64,
+    pub(super) heartbeat: u64,
     pub(super) learned: Micros,
-    /// When it was heard by this node itself, and its beat then.
+    /// When it was heard by this node itself, and its heartbeat then.
     pub(super) direct: Micros,
     direct_beat: u64,
-    /// A beat of it and when that was: what later ones are held against. It stays, so that no row of small lies moves it.
+    /// A heartbeat of it and when that was: what later ones are held against. It stays, so that no row of small lies moves it.
     anchor: (Micros, u64, bool),
     /// Its lease at the store is over; from then on it sends no more.
     pub(super) lease_over: Option<Micros>,
@@ -78,40 +78,43 @@
 
 impl Peer {
     /// Whether it can have come so far by now.
-    fn possible(&self, now: Micros, beat: u64) -> bool {
+    fn possible(&self, now: Micros, heartbeat: u64) -> bool {
         let since = now.saturating_sub(self.anchor.0) / 1_000;
-        beat <= self.anchor.1 + since + since / APART + AHEAD
+        heartbeat <= self.anchor.1 + since + since / APART + AHEAD
     }
     /// Whether a claim says what is known here, or later.
-    pub(super) fn says(&self, claim: &Claim) -> bool {
-        let same = match claim.about {
-            About::Here => self.standing == Standing::Alive,
-            About::Silent { .. } => matches!(self.standing, Standing::Suspected | Standing::Dead),
-            About::Left => self.standing == Standing::Left,
+    pub(super) fn says(&self, claim: &Update) -> bool {
+        let same = match claim.state {
+            ReportedState::Alive => self.state == PeerState::Alive,
+            ReportedState::Suspected { .. } => {
+                matches!(self.state, PeerState::Suspected | PeerState::Dead)
+            }
+            ReportedState::Left => self.state == PeerState::Left,
         };
         // Who heard it a moment ago knows no less for that.
-        same && claim.card.start == self.card.start && claim.beat + NEAR >= self.beat
+        same && claim.node.incarnation == self.node.incarnation
+            && claim.heartbeat + NEAR >= self.heartbeat
     }
-    pub(super) fn claim(&self, now: Micros) -> Claim {
-        let about = match self.standing {
-            Standing::Alive => About::Here,
-            Standing::Suspected | Standing::Dead => About::Silent {
+    pub(super) fn claim(&self, now: Micros) -> Update {
+        let about = match self.state {
+            PeerState::Alive => ReportedState::Alive,
+            PeerState::Suspected | PeerState::Dead => ReportedState::Suspected {
                 since: now.saturating_sub(self.asked),
             },
-            Standing::Left => About::Left,
+            PeerState::Left => ReportedState::Left,
         };
-        Claim {
-            card: self.card,
-            beat: self.beat,
-            ago: now.saturating_sub(self.learned),
-            about,
+        Update {
+            node: self.node,
+            heartbeat: self.heartbeat,
+            age: now.saturating_sub(self.learned),
+            state: about,
         }
     }
 }
 
 /// A run's part of a view's digest.
-pub(super) fn mark(card: &Card) -> u64 {
-    mix(card.id.0 ^ mix(card.start))
+pub(super) fn mark(node: &NodeInfo) -> u64 {
+    mix(node.id.0 ^ mix(node.incarnation))
 }
 
 pub(super) struct Members {
@@ -135,12 +138,12 @@
         }
     }
     pub(super) fn digest(&mut self) -> u64 {
-        let all = self.peers.values().filter(|p| !p.certain);
+        let all = self.peers.values().filter(|p| !p.confirmed_gone);
         *self.digest.get_or_insert_with(|| {
             all.fold(0, |sum, p| {
-                sum ^ mark(&p.card)
-                    ^ if p.standing == Standing::Dead {
-                        mix(p.card.id.0)
+                sum ^ mark(&p.node)
+                    ^ if p.state == PeerState::Dead {
+                        mix(p.node.id.0)
                     } else {
                         0
                     }
@@ -156,12 +159,12 @@
     pub(super) fn suspected(&mut self) -> impl Iterator<Item = &mut Peer> {
         self.peers
             .values_mut()
-            .filter(|p| p.standing == Standing::Suspected)
+            .filter(|p| p.state == PeerState::Suspected)
     }
     /// Those that are not known to be away.
     pub(super) fn here(&self) -> impl Iterator<Item = &Peer> {
         self.all()
-            .filter(|p| matches!(p.standing, Standing::Alive | Standing::Suspected))
+            .filter(|p| matches!(p.state, PeerState::Alive | PeerState::Suspected))
     }
     pub(super) fn get(&self, id: PeerId) -> Option<&Peer> {
         self.peers.get(&id)
@@ -175,121 +178,122 @@
     pub(super) fn learn(
         &mut self,
         now: Micros,
-        claim: &Claim,
+        claim: &Update,
         by: By,
         (fresh, keep): (Micros, Micros),
-        out: &mut Vec<Out>,
+        out: &mut Vec<PeerAction>,
     ) -> bool {
-        let (card, direct) = (claim.card, by.direct());
-        let at = now.saturating_sub(claim.ago);
-        let (standing, asked) = match claim.about {
-            About::Silent { since } if since >= fresh => {
-                (Standing::Dead, now.saturating_sub(since))
+        let (node, direct) = (claim.node, by.direct());
+        let at = now.saturating_sub(claim.age);
+        let (state, asked) = match claim.state {
+            ReportedState::Suspected { since } if since >= fresh => {
+                (PeerState::Dead, now.saturating_sub(since))
             }
-            About::Silent { since } => (Standing::Suspected, now.saturating_sub(since)),
-            _ => (Standing::Alive, 0),
+            ReportedState::Suspected { since } => (PeerState::Suspected, now.saturating_sub(since)),
+            _ => (PeerState::Alive, 0),
         };
         let new = Peer {
-            card,
-            standing,
-            unheard: false,
-            certain: false,
-            beat: claim.beat,
+            node,
+            state,
+            indirect_only: false,
+            confirmed_gone: false,
+            heartbeat: claim.heartbeat,
             learned: at,
             direct: if direct { now } else { 0 },
-            direct_beat: if direct { claim.beat } else { 0 },
-            anchor: (at, claim.beat, direct),
+            direct_beat: if direct { claim.heartbeat } else { 0 },
+            anchor: (at, claim.heartbeat, direct),
             lease_over: None,
             asked,
             doubted: now,
             last_asks: 0,
         };
-        let Some(peer) = self.peers.get_mut(&card.id) else {
+        let Some(peer) = self.peers.get_mut(&node.id) else {
             // A tombstone is as old as the last word of its node, through whomever it comes, and ends then.
-            if claim.about == About::Left || standing != Standing::Alive && claim.ago >= keep {
+            if claim.state == ReportedState::Left || state != PeerState::Alive && claim.age >= keep
+            {
                 return false;
             }
             if self.peers.len() >= self.most {
                 self.dropped.over += 1;
                 return false;
             }
-            self.peers.insert(card.id, new);
+            self.peers.insert(node.id, new);
             self.digest = None;
-            out.push(Out::Changed {
-                card,
+            out.push(PeerAction::Changed {
+                node,
                 was: None,
-                is: standing,
+                is: state,
             });
             return true;
         };
-        if card.start < peer.card.start {
+        if node.incarnation < peer.node.incarnation {
             self.dropped.stale += 1;
             return false;
         }
-        if card.start > peer.card.start {
-            // Its earlier run is over for certain if the new one says so itself. Told by one other, a run that is still
+        if node.incarnation > peer.node.incarnation {
+            // Its earlier run is over for confirmed_gone if the new one says so itself. Told by one other, a run that is still
             // heard stays: a liar may name any start.
             let heard = now.saturating_sub(peer.learned) < fresh;
             if let By::Other(by) = by {
-                if heard && self.witness(card.id, card.start, false, by) < WITNESSES {
+                if heard && self.witness(node.id, node.incarnation, false, by) < WITNESSES {
                     return false;
                 }
             }
-            let Some(peer) = self.peers.get_mut(&card.id) else {
+            let Some(peer) = self.peers.get_mut(&node.id) else {
                 return false;
             };
-            let was = (peer.card, peer.standing);
+            let was = (peer.node, peer.state);
             *peer = new;
             self.digest = None;
-            self.witnesses.retain(|w, _| w.0 != card.id);
-            out.push(Out::Changed {
-                card: was.0,
+            self.witnesses.retain(|w, _| w.0 != node.id);
+            out.push(PeerAction::Changed {
+                node: was.0,
                 was: Some(was.1),
-                is: Standing::Left,
+                is: PeerState::Left,
             });
-            out.push(Out::Changed {
-                card,
+            out.push(PeerAction::Changed {
+                node,
                 was: None,
-                is: standing,
+                is: state,
             });
             return true;
         }
-        if peer.standing == Standing::Left {
+        if peer.state == PeerState::Left {
             return false;
         }
         if by == By::Proof || direct && !peer.anchor.2 {
-            peer.anchor = (now, claim.beat, true);
-        } else if direct && claim.beat + AHEAD < peer.direct_beat {
+            peer.anchor = (now, claim.heartbeat, true);
+        } else if direct && claim.heartbeat + AHEAD < peer.direct_beat {
             // Guards against a relay that repeats what one said before it died.
             self.dropped.old += 1;
             return false;
-        } else if !peer.possible(now, claim.beat) {
+        } else if !peer.possible(now, claim.heartbeat) {
             self.dropped.implausible += 1;
             return false;
         }
         let news = by == By::Proof
             || if direct {
-                claim.beat > peer.direct_beat
+                claim.heartbeat > peer.direct_beat
             } else {
-                claim.beat > peer.beat
+                claim.heartbeat > peer.heartbeat
             };
         if direct && news {
-            (peer.direct, peer.direct_beat, peer.unheard, peer.card) =
-                (now, claim.beat, false, card);
+            (peer.direct, peer.direct_beat, peer.indirect_only, peer.node) =
+                (now, claim.heartbeat, false, node);
         }
         if news {
-            peer.beat = peer.beat.max(claim.beat);
+            peer.heartbeat = peer.heartbeat.max(claim.heartbeat);
             peer.learned = peer.learned.max(at);
-            let was = peer.standing;
+            let was = peer.state;
             // Evidence that is later than the question it did not answer ends the doubt.
             let later = direct || at > peer.asked && now.saturating_sub(at) < fresh;
-            if was != Standing::Alive && later {
-                (peer.standing, peer.certain) = (Standing::Alive, false);
+            if was != PeerState::Alive && later {
+                (peer.state, peer.confirmed_gone) = (PeerState::Alive, false);
                 self.digest = None;
-                out.push(Out::Changed {
-                    card: peer.card,
+                out.push(PeerAction::Changed {
+                    node: peer.node,
                     was: Some(was),
-                    is: Standing::Alive,
+                    is: PeerState::Alive,
                 });
             }
         }
@@ -298,15 +302,14 @@
 
     /// Whoever is silent and has no lease any more is certainly gone.
     pub(super) fn settle_leases(&mut self, now: Micros) {
-        let over = |p: &&mut Peer| {
-            p.standing == Standing::Dead && p.lease_over.is_some_and(|at| at <= now)
-        };
+        let over =
+            |p: &&mut Peer| p.state == PeerState::Dead && p.lease_over.is_some_and(|at| at <= now);
         self.peers
             .values_mut()
             .filter(over)
-            .filter(|p| !p.certain)
+            .filter(|p| !p.confirmed_gone)
             .for_each(|p| {
-                p.certain = true;
+                p.confirmed_gone = true;
                 self.digest = None;
             });
     }
@@ -315,41 +318,41 @@
     pub(super) fn set(
         &mut self,
         id: PeerId,
-        from: Standing,
-        to: Standing,
-        out: &mut Vec<Out>,
+        from: PeerState,
+        to: PeerState,
+        out: &mut Vec<PeerAction>,
     ) -> bool {
-        let Some(peer) = self.peers.get_mut(&id).filter(|p| p.standing == from) else {
+        let Some(peer) = self.peers.get_mut(&id).filter(|p| p.state == from) else {
             return false;
         };
-        peer.standing = to;
+        peer.state = to;
         self.digest = None;
-        out.push(Out::Changed {
-            card: peer.card,
+        out.push(PeerAction::Changed {
+            node: peer.node,
             was: Some(from),
             is: to,
         });
         true
     }
 
-    pub(super) fn leave(&mut self, card: Card, out: &mut Vec<Out>) -> bool {
-        let known = self.peers.get_mut(&card.id);
+    pub(super) fn leave(&mut self, node: NodeInfo, out: &mut Vec<PeerAction>) -> bool {
+        let known = self.peers.get_mut(&node.id);
         let Some(peer) =
-            known.filter(|p| p.card.start == card.start && p.standing != Standing::Left)
+            known.filter(|p| p.node.incarnation == node.incarnation && p.state != PeerState::Left)
         else {
             return false;
         };
-        out.push(Out::Changed {
-            card,
-            was: Some(peer.standing),
-            is: Standing::Left,
+        out.push(PeerAction::Changed {
+            node,
+            was: Some(peer.state),
+            is: PeerState::Left,
         });
-        (peer.standing, peer.certain) = (Standing::Left, true);
+        (peer.state, peer.confirmed_gone) = (PeerState::Left, true);
         self.digest = None;
         true
     }
 
-    /// Notes who passed on that a run is over or began; whether these are enough to be sure.
+    /// Notes who passed on that a run is over or began; whether these are enough to be confirmed.
     pub(super) fn witness(&mut self, id: PeerId, start: u64, over: bool, by: PeerId) -> usize {
         // A liar may name any start: past the bound none is counted.
         if self.witnesses.len() >= self.most {
@@ -362,14 +365,14 @@
 
     /// Forgets those that have been away for long.
     pub(super) fn forget(&mut self, now: Micros, keep: Micros) -> Vec<PeerId> {
-        let away = |p: &Peer| matches!(p.standing, Standing::Dead | Standing::Left);
-        if planted::is(Defect::TombstoneStays) {
+        let away = |p: &Peer| matches!(p.state, PeerState::Dead | PeerState::Left);
+        if mutations::is_active(Mutation::TombstoneStays) {
             return Vec::new();
         }
         let over = self
             .all()
             .filter(|p| away(p) && now.saturating_sub(p.learned) >= keep);
-        let ids: Vec<PeerId> = over.map(|p| p.card.id).collect();
+        let ids: Vec<PeerId> = over.map(|p| p.node.id).collect();
         for id in &ids {
             self.peers.remove(id);
             self.digest = None;
--- a/crates/ivyward-core/src/release.rs
+++ b/crates/ivyward-core/src/release.rs
@@ -16,22 +16,22 @@
     /// What is held is to be let go of within this span; the time before the release leaves is the caller's.
     pub within: Micros,
     /// Asks under way at once, of all that is owed. Each takes a connection.
-    pub most_asks: usize,
+    pub max_concurrent_attempts: usize,
     /// Requests for which something may be owed at once: beyond it the oldest is left to the engines' own limit.
-    pub most_owed: usize,
+    pub max_pending: usize,
 }
 
 impl ReleaseSettings {
     /// How long the answer to a hold is waited for. Where the read beside it never came to its engine, what the hold left has
     /// no attempt, and its time runs: the rest of the span is for the release.
-    pub fn hold_wait(&self) -> Micros {
-        ((self.within.max(SHORTEST) as f64 * HOLD_WAIT) as Micros).min(HOLD_MOST)
+    pub fn reserve_timeout(&self) -> Micros {
+        ((self.within.max(SHORTEST) as f64 * RESERVE_WAIT) as Micros).min(RESERVE_WAIT_MAX)
     }
 }
 
 /// Part of the span in which a hold is to be answered, and the longest such time.
-const HOLD_WAIT: f64 = 0.7;
-const HOLD_MOST: Micros = 800_000;
+const RESERVE_WAIT: f64 = 0.7;
+const RESERVE_WAIT_MAX: Micros = 800_000;
 /// Beside an engine that has not answered in this part of the span, the next one is asked; beside several, the next after
 /// this one: then it is no slow engine but a cut.
 const BESIDE: f64 = 0.08;
@@ -56,51 +56,51 @@
 
 /// An engine that may be asked.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Taker {
+pub struct ReleaseTarget {
     /// Which.
     pub id: EndpointId,
     /// When it answered anything last; 0 for never.
-    pub heard: Micros,
+    pub last_response: Micros,
     /// When something there was last without an answer, or no connection came up; 0 for never.
-    pub missed: Micros,
+    pub last_failure: Micros,
     /// A connection to it stands idle.
-    pub stands: bool,
+    pub has_idle_connection: bool,
     /// It drains or left the list.
-    pub leaving: bool,
+    pub is_draining: bool,
 }
 
-impl Taker {
+impl ReleaseTarget {
     /// Nothing was heard of it since it was silent.
     pub fn silent(&self) -> bool {
-        self.missed > self.heard
+        self.last_failure > self.last_response
     }
 }
 
 /// Someone to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ReleaseAttempt {
     /// What for.
     pub request: u64,
     /// To be told again with the answer.
-    pub no: u64,
+    pub release_id: u64,
     /// Whom.
-    pub taker: EndpointId,
+    pub target: EndpointId,
     /// Until when an answer is waited for.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// How an ask ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ReleaseResult {
     /// It was taken.
-    Taken,
+    Accepted,
     /// It was not, or nothing came.
-    Not,
+    Failed,
     /// It could not be sent for want of a descriptor: that says nothing of the engine.
-    NoRoom,
+    NoLocalResources,
 }
 
-struct Owed {
+struct PendingRelease {
     request: u64,
     /// When it came to be owed, or to be repeated.
     since: Micros,
@@ -117,7 +117,7 @@
     next: Micros,
 }
 
-impl Owed {
+impl PendingRelease {
     /// Whether its span is not over, so that several engines are asked at once.
     fn races(&self, now: Micros, span: Micros) -> bool {
         now <= self.since.saturating_add(span)
@@ -127,7 +127,7 @@
 /// What a node still has to let go of. See the module's page.
 pub struct ReleaseQueue {
     settings: ReleaseSettings,
-    owed: BTreeMap<u64, Owed>,
+    owed: BTreeMap<u64, PendingRelease>,
     by_request: BTreeMap<u64, u64>,
     due: BTreeSet<(Micros, u64)>,
     next_no: u64,
@@ -157,21 +157,21 @@
     }
 
     /// Requests for which something is owed.
-    pub fn owed(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.owed.len()
     }
 
     /// Whether something is owed for this one.
-    pub fn owes(&self, request: u64) -> bool {
+    pub fn is_pending(&self, request: u64) -> bool {
         self.by_request.contains_key(&request)
     }
 
     /// Something may be held for a request that no longer needs it. `sure`: an engine said so, and nothing of it is on its
     /// way any more. Returns a request that is left to the engines' own limit in its stead.
-    pub fn owe(&mut self, now: Micros, request: u64, sure: bool) -> Option<u64> {
-        if let Some(no) = self.by_request.get(&request).copied() {
+    pub fn enqueue(&mut self, now: Micros, request: u64, sure: bool) -> Option<u64> {
+        if let Some(release_id) = self.by_request.get(&request).copied() {
             let span = self.span(1.0);
-            if let Some(owed) = self.owed.get_mut(&no) {
+            if let Some(owed) = self.owed.get_mut(&release_id) {
                 // One that had been taken already begins anew; one that was not goes on.
                 let fresh = owed.repeats > 0 || !owed.races(now, span);
                 owed.sure &= sure;
@@ -181,18 +181,18 @@
                 }
                 owed.asked.clear();
             }
-            self.again(no, now);
+            self.again(release_id, now);
             return None;
         }
-        let left = if self.owed.len() >= self.settings.most_owed {
+        let left = if self.owed.len() >= self.settings.max_pending {
             self.leave_oldest()
         } else {
             None
         };
-        let no = self.next_no;
+        let release_id = self.next_no;
         self.next_no += 1;
         let pause = self.span(PAUSE);
-        let owed = Owed {
+        let owed = PendingRelease {
             request,
             since: now,
             sure,
@@ -204,48 +204,48 @@
             pause,
             next: now,
         };
-        self.owed.insert(no, owed);
-        self.by_request.insert(request, no);
-        self.due.insert((now, no));
+        self.owed.insert(release_id, owed);
+        self.by_request.insert(request, release_id);
+        self.due.insert((now, release_id));
         left
     }
 
     /// A request needs again what is held for it from now on. Whether something was still owed: that is the caller's to let
     /// go of later, with the rest.
-    pub fn needed(&mut self, request: u64) -> bool {
+    pub fn withdraw(&mut self, request: u64) -> bool {
         self.by_request
             .get(&request)
             .copied()
-            .and_then(|no| self.forget(no))
+            .and_then(|release_id| self.forget(release_id))
             .is_some()
     }
 
     /// An engine that had been silent was heard again: nobody waits out a pause any more.
-    pub fn heard(&mut self, now: Micros) {
+    pub fn endpoint_recovered(&mut self, now: Micros) {
         let waiting: Vec<u64> = self.due.iter().filter(|d| d.0 > now).map(|d| d.1).collect();
-        for no in waiting {
+        for release_id in waiting {
             // A repeat waits for what may still be on its way, not for an engine.
             if self
                 .owed
-                .get(&no)
+                .get(&release_id)
                 .is_some_and(|o| o.repeats == 0 || o.since <= now)
             {
                 self.owed
-                    .get_mut(&no)
+                    .get_mut(&release_id)
                     .into_iter()
                     .for_each(|o| o.asked.clear());
-                self.again(no, now);
+                self.again(release_id, now);
             }
         }
     }
 
     /// The node is told to end. What is still owed long after is left to the engines' own limit.
-    pub fn ends(&mut self, now: Micros) {
+    pub fn shut_down(&mut self, now: Micros) {
         self.end_by = Some(now.saturating_add(self.span(AT_END)));
     }
 
     /// Takes out what is left to the engines' own limit, as the node ends.
-    pub fn left(&mut self, now: Micros) -> Vec<u64> {
+    pub fn take_abandoned(&mut self, now: Micros) -> Vec<u64> {
         match self.end_by {
             Some(by) if now >= by => {
                 self.due.clear();
@@ -259,43 +259,55 @@
         }
     }
 
-    /// When [`ReleaseQueue::act`] has something to do at the latest.
-    pub fn due(&self) -> Option<Micros> {
+    /// When [`ReleaseQueue::next_attempts`] has something to do at the latest.
+    pub fn next_deadline(&self) -> Option<Micros> {
         let end = self.end_by.filter(|_| !self.owed.is_empty());
         let due = self
             .due
             .first()
             .map(|d| d.0)
-            .filter(|_| self.asks < self.settings.most_asks);
+            .filter(|_| self.asks < self.settings.max_concurrent_attempts);
         [due, end].into_iter().flatten().min()
     }
 
     /// Whom to ask now, among these engines.
-    pub fn act(&mut self, now: Micros, takers: &[Taker]) -> Vec<Ask> {
+    pub fn next_attempts(&mut self, now: Micros, takers: &[ReleaseTarget]) -> Vec<ReleaseAttempt> {
         let mut asks = Vec::new();
-        while self.asks < self.settings.most_asks {
-            let Some((at, no)) = self.due.first().copied().filter(|d| d.0 <= now) else {
+        while self.asks < self.settings.max_concurrent_attempts {
+            let Some((at, release_id)) = self.due.first().copied().filter(|d| d.0 <= now) else {
                 break;
             };
-            self.due.remove(&(at, no));
+            self.due.remove(&(at, release_id));
             let lately = now.saturating_sub(self.span(LATELY));
             let (span, beside, more) = (self.span(1.0), self.span(BESIDE), self.span(BESIDE_MORE));
             let (attempt_timeout, pause_most) = (self.span(PATIENCE), self.span(PAUSE_MOST));
             let round = takers.len().div_ceil(ROUND) / self.owed.len().max(1);
-            let Some(owed) = self.owed.get_mut(&no) else {
+            let Some(owed) = self.owed.get_mut(&release_id) else {
                 continue;
             };
             let racing = owed.races(now, span);
             let at = &self.at;
             // Guards against many that ask one engine, all in vain: each is an ask that could have found another.
-            let likely = |t: &&Taker| {
+            let likely = |t: &&ReleaseTarget| {
                 let (asks, since) = at.get(&t.id).copied().unwrap_or((0, now));
                 let silent = t.silent() || since.saturating_add(beside) <= now;
-                let recent = t.heard >= lately && t.heard > 0;
-                let stands = (!(t.stands && recent), asks, !recent, !t.stands);
+                let recent = t.last_response >= lately && t.last_response > 0;
+                let stands = (
+                    !(t.has_idle_connection && recent),
+                    asks,
+                    !recent,
+                    !t.has_idle_connection,
+                );
                 // Of the silent ones, that which was asked longest ago: all requests look for one that is back.
-                let missed = if t.silent() { t.missed } else { 0 };
-                (silent, t.leaving, missed, stands, Reverse(t.heard), t.id)
+                let missed = if t.silent() { t.last_failure } else { 0 };
+                (
+                    silent,
+                    t.is_draining,
+                    missed,
+                    stands,
+                    Reverse(t.last_response),
+                    t.id,
+                )
             };
             let best = takers
                 .iter()
@@ -307,11 +319,11 @@
                 owed.last = now;
                 self.asks += 1;
                 self.at.entry(taker.id).or_insert((0, now)).0 += 1;
-                asks.push(Ask {
+                asks.push(ReleaseAttempt {
                     request: owed.request,
-                    no,
-                    taker: taker.id,
-                    until: now + attempt_timeout,
+                    release_id,
+                    target: taker.id,
+                    deadline: now + attempt_timeout,
                 });
             }
             let next = match best {
@@ -321,7 +333,7 @@
                 }
                 Some(_) if racing => Micros::MAX,
                 // Guards against one engine a pause where there are hundreds, all silent and one of them back.
-                Some(t) if (t.silent() || t.heard < lately) && owed.round + 1 < round => {
+                Some(t) if (t.silent() || t.last_response < lately) && owed.round + 1 < round => {
                     owed.round += 1;
                     now
                 }
@@ -336,37 +348,41 @@
                 }
             };
             owed.next = next;
-            self.due.insert((next, no));
+            self.due.insert((next, release_id));
         }
         asks
     }
 
     /// An ask ended.
-    pub fn answered(&mut self, now: Micros, ask: &Ask, answer: Answer) {
+    pub fn on_result(&mut self, now: Micros, ask: &ReleaseAttempt, answer: ReleaseResult) {
         self.asks = self.asks.saturating_sub(1);
-        if let Some(at) = self.at.get_mut(&ask.taker) {
+        if let Some(at) = self.at.get_mut(&ask.target) {
             *at = (
                 at.0.saturating_sub(1),
-                if answer == Answer::Taken { now } else { at.1 },
+                if answer == ReleaseResult::Accepted {
+                    now
+                } else {
+                    at.1
+                },
             );
             if at.0 == 0 {
-                self.at.remove(&ask.taker);
+                self.at.remove(&ask.target);
             }
         }
         let (span, beside, pause) = (self.span(1.0), self.span(BESIDE), self.span(PAUSE));
         let more = self.span(BESIDE_MORE);
         let repeats = REPEATS.map(|part| self.span(part));
-        let Some(owed) = self.owed.get_mut(&ask.no) else {
+        let Some(owed) = self.owed.get_mut(&ask.release_id) else {
             return;
         };
         owed.out = owed.out.saturating_sub(1);
         match answer {
-            Answer::Taken if owed.sure || owed.repeats >= REPEATS.len() => {
-                self.forget(ask.no);
+            ReleaseResult::Accepted if owed.sure || owed.repeats >= REPEATS.len() => {
+                self.forget(ask.release_id);
             }
             // An answer to an earlier ask while the next repeat is waited for.
-            Answer::Taken if owed.since > now => {}
-            Answer::Taken => {
+            ReleaseResult::Accepted if owed.since > now => {}
+            ReleaseResult::Accepted => {
                 let before = if owed.repeats == 0 {
                     0
                 } else {
@@ -377,47 +393,47 @@
                 owed.since = at;
                 owed.pause = pause;
                 owed.asked.clear();
-                self.again(ask.no, at);
+                self.again(ask.release_id, at);
             }
-            Answer::Not if owed.since > now => {}
+            ReleaseResult::Failed if owed.since > now => {}
             // Another one that was asked just now may answer yet.
-            Answer::Not if owed.races(now, span) => {
+            ReleaseResult::Failed if owed.races(now, span) => {
                 let at = if owed.out > 0 {
                     now.max(owed.last + more)
                 } else {
                     now
                 };
-                self.again(ask.no, at);
+                self.again(ask.release_id, at);
             }
-            Answer::Not => {
+            ReleaseResult::Failed => {
                 let at = owed.next.min(now + owed.pause);
-                self.again(ask.no, at);
+                self.again(ask.release_id, at);
             }
-            Answer::NoRoom => {
-                owed.asked.retain(|id| *id != ask.taker);
+            ReleaseResult::NoLocalResources => {
+                owed.asked.retain(|id| *id != ask.target);
                 let at = (now + beside).max(owed.since);
-                self.again(ask.no, at);
+                self.again(ask.release_id, at);
             }
         }
     }
 
-    fn again(&mut self, no: u64, at: Micros) {
-        if let Some(owed) = self.owed.get_mut(&no) {
-            self.due.remove(&(owed.next, no));
+    fn again(&mut self, release_id: u64, at: Micros) {
+        if let Some(owed) = self.owed.get_mut(&release_id) {
+            self.due.remove(&(owed.next, release_id));
             owed.next = at;
-            self.due.insert((at, no));
+            self.due.insert((at, release_id));
         }
     }
 
-    fn forget(&mut self, no: u64) -> Option<Owed> {
-        let owed = self.owed.remove(&no)?;
+    fn forget(&mut self, release_id: u64) -> Option<PendingRelease> {
+        let owed = self.owed.remove(&release_id)?;
         self.by_request.remove(&owed.request);
-        self.due.remove(&(owed.next, no));
+        self.due.remove(&(owed.next, release_id));
         Some(owed)
     }
 
     fn leave_oldest(&mut self) -> Option<u64> {
-        let no = *self.owed.first_key_value()?.0;
-        self.forget(no).map(|o| o.request)
+        let release_id = *self.owed.first_key_value()?.0;
+        self.forget(release_id).map(|o| o.request)
     }
 }
--- a/crates/ivyward-core/src/starts.rs
+++ b/crates/ivyward-core/src/start_time.rs
@@ -12,7 +12,7 @@
 
 /// Most engines that are gone and remembered, in case they come back as they were; the oldest are forgotten first, and
 /// then count as new.
-pub const MOST_GONE: usize = 10_000;
+pub const MAX_REMEMBERED: usize = 10_000;
 
 /// An engine may be listed so long after its start; a told start that lies further back is one of another clock.
 const MOST_LATE: Micros = 60_000_000;
@@ -27,7 +27,7 @@
 
 /// Start times by engine. See the module's page.
 #[derive(Clone, Debug, Default)]
-pub struct Starts {
+pub struct StartTimes {
     here: BTreeMap<EndpointId, Start>,
     /// With a number that says in which order they left.
     gone: BTreeMap<EndpointId, (Start, u64)>,
@@ -35,18 +35,18 @@
     leaves: u64,
     /// A whole list was heard: whoever is new from then on has just come.
     whole: bool,
-    /// When a list was heard last, for callers of [`Starts::listed`].
+    /// When a list was heard last, for callers of [`StartTimes::resolve_listed`].
     heard: Option<Micros>,
 }
 
-impl Starts {
+impl StartTimes {
     /// Nobody is known yet.
-    pub fn new() -> Starts {
-        Starts::default()
+    pub fn new() -> StartTimes {
+        StartTimes::default()
     }
 
     /// The start to tell the module for an engine that is there, `unix` being this node's own clock.
-    pub fn here(
+    pub fn resolve(
         &mut self,
         entry: &Endpoint,
         now: Micros,
@@ -83,7 +83,7 @@
     /// says that it started long before the list was heard without it counts from then. So an hour's step of a clock, on
     /// either side, makes nobody warm who has just come, and nobody cold for an hour; a list that is merely late does not
     /// make an engine younger than it is.
-    pub fn listed(&mut self, entry: &Endpoint, now: Micros, unix: Micros) -> Micros {
+    pub fn resolve_listed(&mut self, entry: &Endpoint, now: Micros, unix: Micros) -> Micros {
         let (id, written) = (entry.id, entry.started_at);
         let known = self
             .here
@@ -113,7 +113,7 @@
     }
 
     /// A list, or the word that there is no news, was heard from who has the list.
-    pub fn heard(&mut self, now: Micros) {
+    pub fn record_response(&mut self, now: Micros) {
         self.heard = Some(now);
     }
 
@@ -125,14 +125,14 @@
     }
 
     /// An engine left.
-    pub fn gone(&mut self, id: EndpointId) {
+    pub fn remove(&mut self, id: EndpointId) {
         let Some(start) = self.here.remove(&id) else {
             return;
         };
         self.leaves += 1;
         self.gone.insert(id, (start, self.leaves));
         self.left.insert(self.leaves, id);
-        if self.left.len() > MOST_GONE {
+        if self.left.len() > MAX_REMEMBERED {
             if let Some((_, oldest)) = self.left.pop_first() {
                 self.gone.remove(&oldest);
             }
@@ -140,9 +140,9 @@
     }
 
     /// A whole list was heard, and named these alone.
-    pub fn whole(&mut self, named: impl Fn(EndpointId) -> bool) {
+    pub fn complete_list(&mut self, named: impl Fn(EndpointId) -> bool) {
         let missing: Vec<EndpointId> = self.here.keys().copied().filter(|id| !named(*id)).collect();
-        missing.into_iter().for_each(|id| self.gone(id));
+        missing.into_iter().for_each(|id| self.remove(id));
         self.whole = true;
     }
 }
--- a/crates/ivyward-core/tests/common/mod.rs
+++ b/crates/ivyward-core/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod crowd;
 
 use ivyward_core::interface::*;
-use ivyward_core::rules::Router;
+use ivyward_core::router::Router;
 
 pub const SECOND: Micros = 1_000_000;
 
--- /dev/null
+++ b/crates/ivyward-core/tests/connection_reuse.rs
@@ -0,0 +1,74 @@
+//! Kept connections: which idle times are used, by what was seen of them.
+
+use ivyward_core::connection_reuse::ReuseHistory;
+
+const SECOND: u64 = 1_000_000;
+
+/// Some ends in a hundred uses of an idle time, a tenth of a second apart.
+fn play(keep: &mut ReuseHistory, from: u64, idle: Option<u64>, ends: usize) -> u64 {
+    for n in 0..100 {
+        keep.record_use(from + n as u64 * SECOND / 10, idle, n % 100 < ends);
+    }
+    from + 10 * SECOND
+}
+
+#[test]
+fn idle_times_at_which_connections_end_are_not_used() {
+    let mut keep = ReuseHistory::new();
+    assert!(
+        keep.allows_reuse(0, 300_000, true),
+        "nothing speaks against it"
+    );
+    let now = play(&mut keep, 0, Some(300_000), 25);
+    assert!(!keep.allows_reuse(now, 300_000, true));
+    assert!(
+        keep.allows_reuse(now, 20_000, true),
+        "shorter ones are judged by themselves"
+    );
+    assert!(
+        keep.allows_reuse(now, 5 * SECOND, true),
+        "and so are those that outlived it"
+    );
+    assert!(!keep.allows_reuse(now + SECOND, 310_000, true));
+    assert!(
+        keep.allows_reuse(now + 300 * SECOND, 300_000, true),
+        "it is tried again when that is long ago"
+    );
+}
+
+#[test]
+fn two_ends_in_a_row_are_enough_at_the_start() {
+    let mut keep = ReuseHistory::new();
+    keep.record_use(1, Some(300_000), true);
+    keep.record_use(2, Some(300_000), true);
+    assert!(!keep.allows_reuse(3, 300_000, true));
+}
+
+#[test]
+fn ends_that_new_connections_suffer_as_well_say_nothing_of_keeping() {
+    let mut keep = ReuseHistory::new();
+    let mut now = 0;
+    for n in 0..400 {
+        now = n * SECOND / 20;
+        let ended = n % 7 == 0;
+        keep.record_use(now, None, ended);
+        keep.record_use(now, Some(50_000), ended);
+    }
+    assert!(keep.allows_reuse(now, 50_000, true));
+}
+
+#[test]
+fn what_may_not_be_sent_again_takes_a_kept_connection_only_when_that_has_shown_safe() {
+    let mut keep = ReuseHistory::new();
+    assert!(!keep.allows_reuse(0, 50_000, false));
+    let now = play(&mut keep, 0, Some(50_000), 0);
+    assert!(keep.allows_reuse(now, 50_000, false));
+    assert!(
+        !keep.allows_reuse(now, 500_000, false),
+        "another idle time has shown nothing"
+    );
+    assert!(
+        !keep.allows_reuse(now + 200 * SECOND, 50_000, false),
+        "nor has one of long ago"
+    );
+}
--- a/crates/ivyward-core/tests/places.rs
+++ b/crates/ivyward-core/tests/decode_slots.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use ivyward_core::interface::*;
-use ivyward_core::rules::Router;
+use ivyward_core::router::Router;
 
 /// Ten readers beside all writers (rack 1), and ten beside none (rack 2).
 fn racks() -> Vec<Endpoint> {
--- a/crates/ivyward-core/tests/invariants.rs
+++ b/crates/ivyward-core/tests/invariants.rs
@@ -102,7 +102,7 @@
         guard.send(10, REQUEST, 0, WRITER).unwrap();
         guard.ended(REQUEST, 0, outcome);
         let sent = guard.clone().send(20, REQUEST, 1, WRITER);
-        let refused = guard.answer(REQUEST, AnswerKind::Refused);
+        let refused = guard.answer(REQUEST, AnswerKind::Rejected);
         if again {
             assert!(sent.is_ok() && refused.is_ok(), "{outcome:?}");
         } else {
@@ -138,7 +138,7 @@
     let mut guard = serving(UNSAFE);
     guard.send(10, REQUEST, 0, WRITER).unwrap();
     assert_eq!(
-        forbidden(guard.answer(REQUEST, AnswerKind::Refused)),
+        forbidden(guard.answer(REQUEST, AnswerKind::Rejected)),
         Rule::HarmlessRefusal
     );
     assert_eq!(guard.answer(REQUEST, AnswerKind::Failed), Ok(()));
--- a/crates/ivyward-core/tests/keepalive.rs
+++ b/crates/ivyward-core/tests/keepalive.rs
@@ -9,7 +9,7 @@
     KeepaliveSettings {
         silence: SECOND,
         timeout: SECOND,
-        resting_checks,
+        idle_checks_per_second: resting_checks,
         dial_timeout: SECOND / 4,
     }
 }
@@ -35,15 +35,15 @@
             .wrapping_add(1_442_695_040_888_963_407);
         (random >> 40) as f64 / (1_u64 << 24) as f64
     };
-    (0..connections).for_each(|_| keepalive.rested());
+    (0..connections).for_each(|_| keepalive.connection_idle());
     let mut asks: BTreeSet<(u64, usize)> = (0..connections)
         .map(|i| (keepalive.next_check(since, jitter()).unwrap(), i))
         .collect();
     let mut checked = vec![Vec::new(); connections];
     while let Some((at, connection)) = asks.pop_first().filter(|(at, _)| *at < until) {
-        let next = match keepalive.ask(at, jitter()) {
-            Ask::Again(next) => next,
-            Ask::Check => {
+        let next = match keepalive.request_check(at, jitter()) {
+            CheckDecision::RetryAt(next) => next,
+            CheckDecision::Check => {
                 checked[connection].push(at);
                 keepalive.next_check(at, jitter()).unwrap()
             }
@@ -85,17 +85,20 @@
 #[test]
 fn what_came_due_in_a_sleep_is_not_made_up_for_at_once() {
     let mut keepalive = Keepalive::new(settings(16));
-    (0..600).for_each(|_| keepalive.rested());
+    (0..600).for_each(|_| keepalive.connection_idle());
     let woke = 100 * SECOND;
-    let told: Vec<Ask> = (0..600)
-        .map(|i| keepalive.ask(woke, f64::from(i) / 600.0))
+    let told: Vec<CheckDecision> = (0..600)
+        .map(|i| keepalive.request_check(woke, f64::from(i) / 600.0))
         .collect();
-    let at_once = told.iter().filter(|told| **told == Ask::Check).count();
+    let at_once = told
+        .iter()
+        .filter(|told| **told == CheckDecision::Check)
+        .count();
     assert_eq!(at_once, 1);
     let again: Vec<u64> = told
         .into_iter()
         .filter_map(|told| {
-            if let Ask::Again(at) = told {
+            if let CheckDecision::RetryAt(at) = told {
                 Some(at)
             } else {
                 None
@@ -110,16 +113,16 @@
 #[test]
 fn the_round_is_as_long_as_those_that_rest_are_many() {
     let mut keepalive = Keepalive::new(settings(10));
-    (0..1_000).for_each(|_| keepalive.rested());
+    (0..1_000).for_each(|_| keepalive.connection_idle());
     assert_eq!(keepalive.next_check(0, 0.5), Some(100 * SECOND));
-    (0..900).for_each(|_| keepalive.roused());
+    (0..900).for_each(|_| keepalive.connection_active());
     assert_eq!(
-        (keepalive.resting(), keepalive.next_check(0, 0.5)),
+        (keepalive.idle_connections(), keepalive.next_check(0, 0.5)),
         (100, Some(10 * SECOND))
     );
-    (0..200).for_each(|_| keepalive.roused());
+    (0..200).for_each(|_| keepalive.connection_active());
     assert_eq!(
-        (keepalive.resting(), keepalive.next_check(0, 0.0)),
+        (keepalive.idle_connections(), keepalive.next_check(0, 0.0)),
         (0, Some(SECOND))
     );
 }
@@ -149,7 +152,7 @@
 fn settings_at_their_ends() {
     let mut none = Keepalive::new(settings(0));
     assert_eq!(none.next_check(5, 0.5), None);
-    assert_eq!(none.ask(5, 0.5), Ask::Again(u64::MAX));
+    assert_eq!(none.request_check(5, 0.5), CheckDecision::RetryAt(u64::MAX));
     // Without checks at rest they are still checked before use.
     assert_ne!(none.before_use(100 * SECOND, 0), BeforeUse::Nothing);
     let off = Keepalive::new(KeepaliveSettings {
@@ -163,7 +166,7 @@
     let largest = KeepaliveSettings {
         silence: u64::MAX,
         timeout: u64::MAX,
-        resting_checks: u32::MAX,
+        idle_checks_per_second: u32::MAX,
         dial_timeout: u64::MAX,
     };
     let most = Keepalive::new(largest);
--- a/crates/ivyward-core/tests/watch.rs
+++ b/crates/ivyward-core/tests/long_poll.rs
@@ -1,45 +1,53 @@
 //! The pace at which a list is followed, against the time in which a change has to be known.
 
-use ivyward_core::watch::{Miss, Watch};
+use ivyward_core::long_poll::{CallFailure, LongPoll};
 
 const TOLD: u64 = 6_000_000;
 
 /// One call that falls silent as it begins and three more that nobody answers leave time for the list itself.
 #[test]
 fn four_silent_calls_fit_into_the_told_time() {
-    let watch = Watch::new(TOLD, true, 1);
+    let watch = LongPoll::new(TOLD, true, 1);
     assert!(
-        watch.longest(3) + TOLD / 20 <= TOLD,
+        watch.worst_case_delay(3) + TOLD / 20 <= TOLD,
         "{} us",
-        watch.longest(3)
+        watch.worst_case_delay(3)
     );
     // As a sum of what the parts really are, not of what the module says of them.
-    let call = watch.dial() + watch.silence();
-    assert_eq!(watch.longest(3), watch.wait() + watch.silence() + 4 * call);
+    let call = watch.connect_timeout() + watch.silence();
+    assert_eq!(
+        watch.worst_case_delay(3),
+        watch.wait() + watch.silence() + 4 * call
+    );
 }
 
 /// A service that takes its time is not called again and again: what is out at once is bounded, and a call is kept for
 /// several times as long as the next one waits to begin beside it.
 #[test]
 fn a_silent_call_is_kept_while_others_begin_beside_it() {
-    let watch = Watch::new(TOLD, true, 1);
-    assert_eq!(watch.beside(), watch.dial() + watch.silence());
-    assert!(watch.client_timeout() >= 2 * watch.beside());
+    let watch = LongPoll::new(TOLD, true, 1);
+    assert_eq!(
+        watch.next_call_delay(),
+        watch.connect_timeout() + watch.silence()
+    );
+    assert!(watch.call_timeout() >= 2 * watch.next_call_delay());
     assert!(
-        watch.most_calls() as u64 * watch.beside() >= watch.client_timeout()
-            && watch.most_calls() <= 4
+        watch.max_calls() as u64 * watch.next_call_delay() >= watch.call_timeout()
+            && watch.max_calls() <= 4
     );
 }
 
 #[test]
 fn pauses_grow_with_quick_failures_alone_and_end_with_an_answer() {
-    let mut watch = Watch::new(TOLD, true, 1);
+    let mut watch = LongPoll::new(TOLD, true, 1);
     assert_eq!(
-        watch.missed(Miss::Silent),
+        watch.call_failed(CallFailure::Silent),
         0,
         "silence has cost time enough"
     );
-    let pauses: Vec<u64> = (0..12).map(|_| watch.missed(Miss::Failed)).collect();
+    let pauses: Vec<u64> = (0..12)
+        .map(|_| watch.call_failed(CallFailure::Failed))
+        .collect();
     assert!(
         pauses.windows(2).all(|p| p[0] <= p[1]) && pauses[0] > 0,
         "{pauses:?}"
@@ -50,8 +58,8 @@
     );
     // A service that is down for a minute is not run against.
     assert!(pauses[11] >= TOLD / 20, "{pauses:?}");
-    watch.came();
-    assert_eq!(watch.missed(Miss::Failed), pauses[0]);
+    watch.list_received();
+    assert_eq!(watch.call_failed(CallFailure::Failed), pauses[0]);
 }
 
 /// A service that turns calls away is left alone for longer and longer, by each node of a fleet for another span, and calls
@@ -59,9 +67,9 @@
 #[test]
 fn a_service_that_turns_calls_away_is_spared() {
     let pauses = |seed: u64| {
-        let mut watch = Watch::new(TOLD, true, seed);
+        let mut watch = LongPoll::new(TOLD, true, seed);
         (0..10)
-            .map(|_| watch.missed(Miss::TurnedAway))
+            .map(|_| watch.call_failed(CallFailure::Rejected))
             .collect::<Vec<_>>()
     };
     let (one, other) = (pauses(1), pauses(2));
@@ -74,28 +82,28 @@
         one[0] <= TOLD / 50 && one[9] >= TOLD / 2 && one.iter().all(|p| *p <= TOLD),
         "{one:?}"
     );
-    let mut watch = Watch::new(TOLD, true, 1);
+    let mut watch = LongPoll::new(TOLD, true, 1);
     let usual = watch.wait();
     for _ in 0..8 {
-        watch.missed(Miss::TurnedAway);
+        watch.call_failed(CallFailure::Rejected);
     }
     let longest = watch.wait();
     assert!(longest >= 5 * usual && longest <= 2 * TOLD);
-    watch.came();
+    watch.list_received();
     assert_eq!(
         watch.wait(),
         longest,
         "one list is no sign that it bears more calls"
     );
     for _ in 0..8 {
-        watch.watch_came(0);
+        watch.no_changes_received(0);
     }
     assert_eq!(watch.wait(), usual);
     // Late answers say the same, but not where lists come by themselves: there it was this node that was late.
     for costly in [true, false] {
-        let mut watch = Watch::new(TOLD, costly, 1);
+        let mut watch = LongPoll::new(TOLD, costly, 1);
         for _ in 0..8 {
-            watch.watch_came(TOLD / 10);
+            watch.no_changes_received(TOLD / 10);
         }
         assert_eq!(watch.wait(), if costly { longest } else { usual });
     }
@@ -132,8 +140,8 @@
             cost: all_in / NODES,
             free_at: 0,
         };
-        let mut nodes: Vec<Watch> = (0..NODES)
-            .map(|seed| Watch::new(TOLD, true, seed))
+        let mut nodes: Vec<LongPoll> = (0..NODES)
+            .map(|seed| LongPoll::new(TOLD, true, seed))
             .collect();
         // What each node does next, in the order of time: it calls for the whole list, or goes on with a watch.
         let mut next: std::collections::BTreeSet<(u64, usize, bool)> =
@@ -150,15 +158,15 @@
                 Ok(at) => {
                     last_answer[node] = at;
                     if watches {
-                        watch.watch_came(at - now)
+                        watch.no_changes_received(at - now)
                     } else {
-                        watch.came()
+                        watch.list_received()
                     }
                     next.insert((at + if watches { watch.wait() } else { 0 }, node, true));
                 }
                 Err(at) => {
                     turned_away += u32::from(now > 60_000_000);
-                    next.insert((at + watch.missed(Miss::TurnedAway), node, false));
+                    next.insert((at + watch.call_failed(CallFailure::Rejected), node, false));
                 }
             }
         }
@@ -177,21 +185,21 @@
 /// A list that is long for its connection comes in the end: each try has more time, up to a bound.
 #[test]
 fn an_answer_that_comes_slowly_has_more_time_at_each_try() {
-    let mut watch = Watch::new(TOLD, true, 1);
-    let first = watch.whole();
+    let mut watch = LongPoll::new(TOLD, true, 1);
+    let first = watch.body_timeout();
     assert!(first < TOLD);
     for _ in 0..40 {
-        watch.missed(Miss::Slow);
+        watch.call_failed(CallFailure::Slow);
     }
-    assert!(watch.whole() >= 8 * first && watch.whole() <= 20 * TOLD);
-    watch.came();
-    assert_eq!(watch.whole(), first);
+    assert!(watch.body_timeout() >= 8 * first && watch.body_timeout() <= 20 * TOLD);
+    watch.list_received();
+    assert_eq!(watch.body_timeout(), first);
 }
 
 #[test]
 fn no_told_time_makes_a_watch_that_never_waits() {
     for told in [0, 1, 99] {
-        let watch = Watch::new(told, true, 1);
-        assert!(watch.wait() > 0 && watch.silence() > 0 && watch.dial() > 0);
+        let watch = LongPoll::new(told, true, 1);
+        assert!(watch.wait() > 0 && watch.silence() > 0 && watch.connect_timeout() > 0);
     }
 }
--- a/crates/ivyward-core/tests/many_nodes.rs
+++ b/crates/ivyward-core/tests/many_nodes.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use ivyward_core::interface::*;
-use ivyward_core::rules::Router;
+use ivyward_core::router::Router;
 
 /// `nodes` routers with seeds of their own, that have each served `turns` requests among `fleet` over ten seconds.
 fn nodes(nodes: u32, turns: u64, fleet: &[Endpoint]) -> Vec<Rig> {
--- a/crates/ivyward-core/tests/membership.rs
+++ b/crates/ivyward-core/tests/membership.rs
@@ -17,7 +17,7 @@
         ..Endpoint::default()
     };
     Member {
-        entry,
+        endpoint: entry,
         address: SocketAddr::from(([127, 0, 0, 1], id as u16)),
         revision,
     }
@@ -27,12 +27,12 @@
     member(id, revision, EndpointState::Ready)
 }
 
-fn list(revision: i64, members: Vec<Member>) -> Heard {
-    Heard::List {
+fn list(revision: i64, members: Vec<Member>) -> WatchEvent {
+    WatchEvent::List {
         cluster: 1,
         revision,
         members,
-        unread: vec![],
+        unreadable: vec![],
     }
 }
 
@@ -55,15 +55,22 @@
             view: BTreeMap::new(),
         }
     }
-    fn hear(&mut self, heard: Heard) -> Vec<Told> {
+    fn hear(&mut self, heard: WatchEvent) -> Vec<MembershipAction> {
         let mut out = Vec::new();
-        self.of.hear(self.now, heard, &mut out);
+        self.of.handle_event(self.now, heard, &mut out);
         for told in &out {
-            if let Told::Fleet { kind, entries } = told {
+            if let MembershipAction::EndpointList {
+                kind,
+                members: entries,
+            } = told
+            {
                 if matches!(kind, ListKind::Full | ListKind::Cached) {
                     self.view.clear();
                 }
-                for Member { entry, .. } in entries {
+                for Member {
+                    endpoint: entry, ..
+                } in entries
+                {
                     match entry.state {
                         EndpointState::Removed => drop(self.view.remove(&entry.id)),
                         _ => drop(self.view.insert(entry.id, *entry)),
@@ -85,19 +92,19 @@
 fn a_drain_and_a_departure_are_told_in_the_step_in_which_they_are_heard() {
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
-    let told = rig.hear(Heard::Put(member(1, 11, EndpointState::Draining)));
+    let told = rig.hear(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
     let entries = vec![member(1, 11, EndpointState::Draining)];
     assert_eq!(
         told,
         [
-            Told::Fleet {
+            MembershipAction::EndpointList {
                 kind: ListKind::Changes,
-                entries
+                members: entries
             },
-            Told::Keep
+            MembershipAction::SaveSnapshot
         ]
     );
-    rig.hear(Heard::Deleted {
+    rig.hear(WatchEvent::Deleted {
         id: EndpointId(2),
         revision: 12,
     });
@@ -112,7 +119,7 @@
 fn after_a_gap_the_list_shows_who_is_gone() {
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6), ready(3, 7)]));
-    assert_eq!(rig.hear(Heard::Gap), [Told::Relist]);
+    assert_eq!(rig.hear(WatchEvent::Gap), [MembershipAction::Relist]);
     assert_eq!(rig.ids(), [1, 2, 3], "a gap alone empties nothing");
     rig.hear(list(
         40,
@@ -130,17 +137,17 @@
 fn a_drain_outlives_a_restart_of_the_store() {
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
-    rig.hear(Heard::Put(member(1, 11, EndpointState::Draining)));
-    rig.hear(Heard::Gap);
+    rig.hear(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
+    rig.hear(WatchEvent::Gap);
     assert_eq!(rig.condition(1), Some(EndpointState::Draining));
     // A member that lags behind answers from before the drain: not believed.
     assert_eq!(
         rig.hear(list(10, vec![ready(1, 5), ready(2, 6)])),
-        [Told::Relist]
+        [MembershipAction::Relist]
     );
     assert_eq!(rig.condition(1), Some(EndpointState::Draining));
     // A notice during the gap is told, but the watch must not go on from its revision.
-    rig.hear(Heard::Put(member(2, 14, EndpointState::Draining)));
+    rig.hear(WatchEvent::Put(member(2, 14, EndpointState::Draining)));
     assert_eq!(
         (rig.condition(2), rig.of.revision()),
         (Some(EndpointState::Draining), 11)
@@ -152,7 +159,7 @@
             member(2, 14, EndpointState::Draining),
         ],
     ));
-    assert_eq!((rig.of.revision(), rig.of.gap()), (15, false));
+    assert_eq!((rig.of.revision(), rig.of.has_gap()), (15, false));
 }
 
 /// Guards against a store that comes back empty, and against a wrong prefix.
@@ -161,7 +168,10 @@
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5)]));
     let again = rig.now + GRACE;
-    assert_eq!(rig.hear(list(11, vec![])), [Told::RelistAt(again)]);
+    assert_eq!(
+        rig.hear(list(11, vec![])),
+        [MembershipAction::RelistAt(again)]
+    );
     assert_eq!(rig.ids(), [1]);
     // Somebody is there after all: the doubt begins anew next time.
     rig.now += GRACE / 2;
@@ -169,7 +179,7 @@
     rig.now += GRACE;
     assert!(matches!(
         rig.hear(list(13, vec![]))[..],
-        [Told::RelistAt(_)]
+        [MembershipAction::RelistAt(_)]
     ));
     rig.now += GRACE;
     rig.hear(list(14, vec![]));
@@ -177,7 +187,7 @@
     // The last one's deletion is told as such and believed at once.
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5)]));
-    rig.hear(Heard::Deleted {
+    rig.hear(WatchEvent::Deleted {
         id: EndpointId(1),
         revision: 11,
     });
@@ -187,11 +197,11 @@
     assert!(matches!(
         rig.hear(list(3, vec![]))[..],
         [
-            Told::Fleet {
+            MembershipAction::EndpointList {
                 kind: ListKind::Full,
                 ..
             },
-            Told::Keep
+            MembershipAction::SaveSnapshot
         ]
     ));
 }
@@ -202,24 +212,24 @@
     rig.hear(list(10, vec![ready(1, 5)]));
     // Deleted and put again between two responses: its new start time tells.
     let mut again = ready(1, 12);
-    again.entry.started_at = 9;
-    rig.hear(Heard::Deleted {
+    again.endpoint.started_at = 9;
+    rig.hear(WatchEvent::Deleted {
         id: EndpointId(1),
         revision: 11,
     });
-    rig.hear(Heard::Put(again));
+    rig.hear(WatchEvent::Put(again));
     assert_eq!(rig.view[&EndpointId(1)].started_at, 9);
     // The old one's record or deletion, heard late, changes nothing.
     assert_eq!(
-        rig.hear(Heard::Put(member(1, 11, EndpointState::Draining))),
+        rig.hear(WatchEvent::Put(member(1, 11, EndpointState::Draining))),
         []
     );
     assert_eq!(
-        rig.hear(Heard::Put(member(1, 13, EndpointState::Ready))),
+        rig.hear(WatchEvent::Put(member(1, 13, EndpointState::Ready))),
         []
     );
     assert_eq!(
-        rig.hear(Heard::Deleted {
+        rig.hear(WatchEvent::Deleted {
             id: EndpointId(1),
             revision: 11
         }),
@@ -228,15 +238,15 @@
     assert_eq!(rig.condition(1), Some(EndpointState::Ready));
     // A drain and its cancellation.
     let draining = Member {
-        entry: Endpoint {
+        endpoint: Endpoint {
             state: EndpointState::Draining,
-            ..again.entry
+            ..again.endpoint
         },
         revision: 14,
         ..again
     };
-    rig.hear(Heard::Put(draining));
-    rig.hear(Heard::Put(Member {
+    rig.hear(WatchEvent::Put(draining));
+    rig.hear(WatchEvent::Put(Member {
         revision: 15,
         ..again
     }));
@@ -248,11 +258,11 @@
     let mut rig = Rig::new();
     rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
     let unread = vec![EndpointId(2), EndpointId(9)];
-    rig.hear(Heard::List {
+    rig.hear(WatchEvent::List {
         cluster: 1,
         revision: 12,
         members: vec![ready(1, 5), ready(3, 11)],
-        unread,
+        unreadable: unread,
     });
     assert_eq!(rig.ids(), [1, 2, 3]);
 }
@@ -260,23 +270,23 @@
 #[test]
 fn a_kept_file_serves_until_the_store_speaks() {
     let mut rig = Rig::new();
-    let told = rig.hear(Heard::Snapshot(vec![ready(1, 5)]));
+    let told = rig.hear(WatchEvent::Snapshot(vec![ready(1, 5)]));
     assert!(matches!(
         told[..],
-        [Told::Fleet {
+        [MembershipAction::EndpointList {
             kind: ListKind::Cached,
             ..
         }]
     ));
     rig.hear(list(3, vec![ready(1, 2), ready(2, 3)]));
     assert_eq!(rig.ids(), [1, 2]);
-    assert_eq!(rig.hear(Heard::Snapshot(vec![])), []);
+    assert_eq!(rig.hear(WatchEvent::Snapshot(vec![])), []);
     // Another store, whose revisions begin anew.
-    let heard = Heard::List {
+    let heard = WatchEvent::List {
         cluster: 2,
         revision: 1,
         members: vec![ready(2, 1)],
-        unread: vec![],
+        unreadable: vec![],
     };
     rig.hear(heard);
     assert_eq!((rig.ids(), rig.of.revision()), (vec![2], 1));
@@ -319,20 +329,20 @@
                     let condition = if drains { EndpointState::Draining } else { EndpointState::Ready };
                     store.insert(id, member(id, revision, condition));
                     if whole {
-                        rig.hear(Heard::Put(store[&id]));
+                        rig.hear(WatchEvent::Put(store[&id]));
                     }
                 }
                 Step::Delete(id) => {
                     if store.remove(&id).is_some() {
                         revision += 1;
                         if whole {
-                            rig.hear(Heard::Deleted { id: EndpointId(id), revision });
+                            rig.hear(WatchEvent::Deleted { id: EndpointId(id), revision });
                         }
                     }
                 }
                 Step::Break => {
                     whole = false;
-                    rig.hear(Heard::Gap);
+                    rig.hear(WatchEvent::Gap);
                 }
                 Step::List => {
                     whole = true;
@@ -341,7 +351,7 @@
             }
             if whole {
                 let wanted: BTreeMap<EndpointId, Endpoint> =
-                    store.values().map(|m| (m.entry.id, m.entry)).collect();
+                    store.values().map(|m| (m.endpoint.id, m.endpoint)).collect();
                 prop_assert_eq!(&rig.view, &wanted);
                 prop_assert_eq!(rig.of.revision(), revision);
             } else {
@@ -359,12 +369,15 @@
     rig.hear(list(100, vec![ready(1, 50), ready(2, 60), ready(3, 70)]));
     assert_eq!(
         rig.hear(list(40, vec![ready(1, 30)])),
-        [Told::Relist],
+        [MembershipAction::Relist],
         "an old answer, it seems"
     );
     assert_eq!(rig.ids(), [1, 2, 3]);
     rig.now += 2 * GRACE - 1;
-    assert_eq!(rig.hear(list(41, vec![ready(1, 30)])), [Told::Relist]);
+    assert_eq!(
+        rig.hear(list(41, vec![ready(1, 30)])),
+        [MembershipAction::Relist]
+    );
     rig.now += 1;
     // Records of lower revisions than the ones known are no echoes now.
     rig.hear(list(
@@ -385,7 +398,10 @@
     for _ in 0..10 {
         rig.hear(list(100, vec![ready(1, 50), ready(2, 60)]));
         rig.now += GRACE;
-        assert_eq!(rig.hear(list(40, vec![ready(1, 30)])), [Told::Relist]);
+        assert_eq!(
+            rig.hear(list(40, vec![ready(1, 30)])),
+            [MembershipAction::Relist]
+        );
         rig.now += GRACE;
     }
     assert_eq!(rig.ids(), [1, 2]);
@@ -401,7 +417,7 @@
     ));
     for _ in 0..30 {
         rig.now += 2_000_000;
-        assert_eq!(rig.hear(Heard::Gap), [Told::Relist]);
+        assert_eq!(rig.hear(WatchEvent::Gap), [MembershipAction::Relist]);
     }
     assert_eq!(
         (rig.ids(), rig.condition(2)),
@@ -411,7 +427,7 @@
 
 fn started(id: u64, revision: i64, condition: EndpointState, started: Micros) -> Member {
     let mut member = member(id, revision, condition);
-    member.entry.started_at = started;
+    member.endpoint.started_at = started;
     member
 }
 
@@ -422,7 +438,12 @@
     for named in [0, 5, 10] {
         let mut rig = Rig::new();
         rig.hear(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
-        rig.hear(Heard::Put(started(1, 11, EndpointState::Draining, named)));
+        rig.hear(WatchEvent::Put(started(
+            1,
+            11,
+            EndpointState::Draining,
+            named,
+        )));
         assert_eq!(
             rig.condition(1),
             Some(EndpointState::Draining),
@@ -430,13 +451,13 @@
         );
         assert_eq!(rig.view[&EndpointId(1)].started_at, 10);
         // Only the engine itself, or a record that says nothing of its start, makes it ready again.
-        rig.hear(Heard::Put(started(1, 12, EndpointState::Ready, 5)));
+        rig.hear(WatchEvent::Put(started(1, 12, EndpointState::Ready, 5)));
         assert_eq!(
             rig.condition(1),
             Some(EndpointState::Draining),
             "a process of the past is not the engine"
         );
-        rig.hear(Heard::Put(started(
+        rig.hear(WatchEvent::Put(started(
             1,
             13,
             EndpointState::Ready,
@@ -447,7 +468,7 @@
     // The same in a list.
     let mut rig = Rig::new();
     rig.hear(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
-    rig.hear(Heard::Gap);
+    rig.hear(WatchEvent::Gap);
     rig.hear(list(20, vec![started(1, 15, EndpointState::Draining, 5)]));
     assert_eq!(rig.condition(1), Some(EndpointState::Draining));
 }
--- a/crates/ivyward-core/tests/ordinary_path.rs
+++ b/crates/ivyward-core/tests/ordinary_path.rs
@@ -32,7 +32,7 @@
     let mut homes = Vec::new();
     for seed in 0..5 {
         let mut rig = Rig::new(settings(), &fleet());
-        rig.router = ivyward_core::rules::Router::new(settings(), seed);
+        rig.router = ivyward_core::router::Router::new(settings(), seed);
         rig.fleet(ListKind::Full, &fleet());
         homes.push(rig.ask(arrival(1, 100 + seed, 1_500.0)).unwrap());
     }
@@ -57,7 +57,7 @@
     (0..40)
         .filter(|i| {
             let mut rig = Rig::new(settings(), &fleet());
-            rig.router = ivyward_core::rules::Router::new(settings(), *i);
+            rig.router = ivyward_core::router::Router::new(settings(), *i);
             rig.fleet(ListKind::Full, &fleet());
             let writer = rig.turn(1, 5, 2_000.0);
             change(&mut rig, writer);
--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -1,7 +1,9 @@
 //! Letting go: whom, how many at once, when again; played against engines that answer, are silent, or come back.
 
 use ivyward_core::interface::{EndpointId, Micros};
-use ivyward_core::release::{Answer, Ask, ReleaseQueue, ReleaseSettings, Taker};
+use ivyward_core::release::{
+    ReleaseAttempt, ReleaseQueue, ReleaseResult, ReleaseSettings, ReleaseTarget,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -13,14 +15,14 @@
 struct Play {
     now: Micros,
     let_go: ReleaseQueue,
-    takers: BTreeMap<EndpointId, Taker>,
+    takers: BTreeMap<EndpointId, ReleaseTarget>,
     /// Whether an engine answers at a time.
     answers: Box<dyn Fn(EndpointId, Micros) -> bool>,
     way: Micros,
     /// Asks under way by the time of their end.
-    out: Vec<(Micros, Ask, Answer)>,
+    out: Vec<(Micros, ReleaseAttempt, ReleaseResult)>,
     most_out: usize,
-    asks: Vec<(Micros, Ask)>,
+    asks: Vec<(Micros, ReleaseAttempt)>,
     taken: Vec<(Micros, u64)>,
     /// Requests for which nothing is owed any more.
     done: BTreeMap<u64, Micros>,
@@ -32,8 +34,8 @@
         Play::with(
             ReleaseSettings {
                 within: WITHIN,
-                most_asks: 28,
-                most_owed: 1_000,
+                max_concurrent_attempts: 28,
+                max_pending: 1_000,
             },
             engines,
             answers,
@@ -45,12 +47,12 @@
         answers: impl Fn(EndpointId, Micros) -> bool + 'static,
     ) -> Play {
         // All were heard of late, the higher ones later.
-        let taker = |i| Taker {
+        let taker = |i| ReleaseTarget {
             id: EndpointId(i),
-            heard: START - 100 * MS + i,
-            missed: 0,
-            stands: true,
-            leaving: false,
+            last_response: START - 100 * MS + i,
+            last_failure: 0,
+            has_idle_connection: true,
+            is_draining: false,
         };
         Play {
             now: START,
@@ -68,17 +70,17 @@
     }
     fn owe(&mut self, request: u64, sure: bool) -> Option<u64> {
         self.owing.push(request);
-        self.let_go.owe(self.now, request, sure)
+        self.let_go.enqueue(self.now, request, sure)
     }
     /// Plays until a time, or until nothing is owed.
     fn until(&mut self, end: Micros) {
         loop {
-            let takers: Vec<Taker> = self.takers.values().copied().collect();
-            for ask in self.let_go.act(self.now, &takers) {
-                let answers = (self.answers)(ask.taker, self.now);
+            let takers: Vec<ReleaseTarget> = self.takers.values().copied().collect();
+            for ask in self.let_go.next_attempts(self.now, &takers) {
+                let answers = (self.answers)(ask.target, self.now);
                 let (at, answer) = match answers {
-                    true => (self.now + self.way, Answer::Taken),
-                    false => (ask.until, Answer::Not),
+                    true => (self.now + self.way, ReleaseResult::Accepted),
+                    false => (ask.deadline, ReleaseResult::Failed),
                 };
                 self.asks.push((self.now, ask));
                 self.out.push((at, ask, answer));
@@ -88,19 +90,19 @@
                 .owing
                 .iter()
                 .copied()
-                .filter(|r| !self.let_go.owes(*r))
+                .filter(|r| !self.let_go.is_pending(*r))
                 .collect();
-            self.owing.retain(|r| self.let_go.owes(*r));
+            self.owing.retain(|r| self.let_go.is_pending(*r));
             self.done
                 .extend(met.into_iter().map(|request| (request, self.now)));
             let next = self
                 .out
                 .iter()
                 .map(|o| o.0)
-                .chain(self.let_go.due())
+                .chain(self.let_go.next_deadline())
                 .min()
                 .unwrap_or(Micros::MAX);
-            if self.let_go.owed() == 0 && self.out.is_empty() || next > end {
+            if self.let_go.pending() == 0 && self.out.is_empty() || next > end {
                 self.now = if next > end { end } else { self.now };
                 return;
             }
@@ -109,18 +111,18 @@
             self.out.sort_by_key(|o| o.0);
             while self.out.first().is_some_and(|o| o.0 <= self.now) {
                 let (at, ask, answer) = self.out.remove(0);
-                let taker = self.takers.get_mut(&ask.taker).unwrap();
+                let taker = self.takers.get_mut(&ask.target).unwrap();
                 let silent = taker.silent();
                 match answer {
-                    Answer::Taken => {
-                        taker.heard = at;
+                    ReleaseResult::Accepted => {
+                        taker.last_response = at;
                         self.taken.push((at, ask.request));
                     }
-                    _ => taker.missed = at,
+                    _ => taker.last_failure = at,
                 }
-                self.let_go.answered(self.now, &ask, answer);
-                if answer == Answer::Taken && silent {
-                    self.let_go.heard(self.now);
+                self.let_go.on_result(self.now, &ask, answer);
+                if answer == ReleaseResult::Accepted && silent {
+                    self.let_go.endpoint_recovered(self.now);
                 }
             }
         }
@@ -130,14 +132,17 @@
 #[test]
 fn one_that_answered_lately_is_asked_alone() {
     let mut play = Play::new(40, |_, _| true);
-    play.takers.get_mut(&EndpointId(7)).unwrap().heard = START - 1;
-    play.takers.get_mut(&EndpointId(9)).unwrap().heard = START;
-    play.takers.get_mut(&EndpointId(9)).unwrap().stands = false;
+    play.takers.get_mut(&EndpointId(7)).unwrap().last_response = START - 1;
+    play.takers.get_mut(&EndpointId(9)).unwrap().last_response = START;
+    play.takers
+        .get_mut(&EndpointId(9))
+        .unwrap()
+        .has_idle_connection = false;
     play.owe(1, true);
     play.until(START + WITHIN);
     assert_eq!(play.asks.len(), 1, "one ask is enough: {:?}", play.asks);
     assert_eq!(
-        play.asks[0].1.taker,
+        play.asks[0].1.target,
         EndpointId(7),
         "no new connection where one stands"
     );
@@ -147,11 +152,11 @@
 #[test]
 fn engines_that_drain_or_were_silent_come_last() {
     let mut play = Play::new(3, |_, _| true);
-    play.takers.get_mut(&EndpointId(3)).unwrap().leaving = true;
-    play.takers.get_mut(&EndpointId(2)).unwrap().missed = START;
+    play.takers.get_mut(&EndpointId(3)).unwrap().is_draining = true;
+    play.takers.get_mut(&EndpointId(2)).unwrap().last_failure = START;
     play.owe(1, true);
     play.until(START + WITHIN);
-    assert_eq!(play.asks[0].1.taker, EndpointId(1));
+    assert_eq!(play.asks[0].1.target, EndpointId(1));
 }
 
 /// A cut has just begun: five engines that were heard a moment ago, with standing connections, are silent.
@@ -185,7 +190,7 @@
             play.owe(request, true);
         }
         play.until(START + 10 * WITHIN);
-        assert_eq!(play.let_go.owed(), 0);
+        assert_eq!(play.let_go.pending(), 0);
         assert!(play.most_out <= 28);
         let last = play.done.values().max().unwrap() - START;
         assert!(last <= within, "the last after {last} us");
@@ -201,17 +206,17 @@
         play.owe(request, request % 2 == 0);
     }
     play.until(back);
-    assert_eq!(play.let_go.owed(), 20, "nothing is given up");
+    assert_eq!(play.let_go.pending(), 20, "nothing is given up");
     assert!(
         play.asks.len() < 20 * 60,
         "{} asks in a minute",
         play.asks.len()
     );
     // Something else of that engine is heard.
-    play.takers.get_mut(&EndpointId(17)).unwrap().heard = back;
-    play.let_go.heard(back);
+    play.takers.get_mut(&EndpointId(17)).unwrap().last_response = back;
+    play.let_go.endpoint_recovered(back);
     play.until(back + 4 * WITHIN);
-    assert_eq!(play.let_go.owed(), 0);
+    assert_eq!(play.let_go.pending(), 0);
     let first = |request| play.taken.iter().find(|t| t.1 == request).unwrap().0;
     assert!(
         (0..20).all(|r| first(r) <= back + 2 * play.way),
@@ -256,10 +261,10 @@
     play.owe(2, false);
     play.until(play.now + 10 * MS);
     let before = play.taken.len();
-    play.let_go.owe(play.now, 2, true);
+    play.let_go.enqueue(play.now, 2, true);
     play.until(play.now + 4 * WITHIN);
     assert_eq!(play.taken.len(), before + 3);
-    assert_eq!(play.let_go.owed(), 0);
+    assert_eq!(play.let_go.pending(), 0);
 }
 
 #[test]
@@ -267,25 +272,29 @@
     let mut play = Play::new(5, |_, _| true);
     play.owe(1, false);
     play.until(START + 10 * MS);
-    assert!(play.let_go.needed(1), "repeats were still to come");
-    assert!(!play.let_go.needed(1) && !play.let_go.needed(2));
+    assert!(play.let_go.withdraw(1), "repeats were still to come");
+    assert!(!play.let_go.withdraw(1) && !play.let_go.withdraw(2));
     play.until(START + 4 * WITHIN);
     assert_eq!(play.taken.len(), 1);
     // An answer that comes after all changes nothing.
     play.owe(3, true);
-    let takers: Vec<Taker> = play.takers.values().copied().collect();
-    let asks = play.let_go.act(play.now, &takers);
-    play.let_go.needed(3);
-    play.let_go.answered(play.now + 1, &asks[0], Answer::Taken);
-    assert_eq!((play.let_go.owed(), play.let_go.due()), (0, None));
+    let takers: Vec<ReleaseTarget> = play.takers.values().copied().collect();
+    let asks = play.let_go.next_attempts(play.now, &takers);
+    play.let_go.withdraw(3);
+    play.let_go
+        .on_result(play.now + 1, &asks[0], ReleaseResult::Accepted);
+    assert_eq!(
+        (play.let_go.pending(), play.let_go.next_deadline()),
+        (0, None)
+    );
 }
 
 #[test]
 fn at_its_bound_the_oldest_is_left_and_named() {
     let settings = ReleaseSettings {
         within: WITHIN,
-        most_asks: 4,
-        most_owed: 3,
+        max_concurrent_attempts: 4,
+        max_pending: 3,
     };
     let mut play = Play::with(settings, 2, |_, _| false);
     assert_eq!(
@@ -298,40 +307,44 @@
         "one that is owed already takes no more room"
     );
     assert_eq!(play.owe(4, true), Some(1));
-    assert_eq!(play.let_go.owed(), 3);
+    assert_eq!(play.let_go.pending(), 3);
 }
 
 #[test]
 fn a_node_that_ends_lets_go_first_and_does_not_wait_for_ever() {
     let mut play = Play::new(4, |_, now| now >= START + 1_000 * MS);
     play.owe(1, true);
-    play.let_go.ends(START);
+    play.let_go.shut_down(START);
     play.until(START + 2_500 * MS);
-    assert_eq!(play.let_go.owed(), 0, "met while it waits");
+    assert_eq!(play.let_go.pending(), 0, "met while it waits");
     let mut play = Play::new(4, |_, _| false);
     play.owe(1, true);
-    play.let_go.ends(START);
+    play.let_go.shut_down(START);
     play.until(START + 2_900 * MS);
-    assert!(play.let_go.left(play.now).is_empty() && play.let_go.owed() == 1);
-    assert_eq!(play.let_go.left(START + 10 * WITHIN), [1]);
-    assert_eq!((play.let_go.owed(), play.let_go.due()), (0, None));
+    assert!(play.let_go.take_abandoned(play.now).is_empty() && play.let_go.pending() == 1);
+    assert_eq!(play.let_go.take_abandoned(START + 10 * WITHIN), [1]);
+    assert_eq!(
+        (play.let_go.pending(), play.let_go.next_deadline()),
+        (0, None)
+    );
 }
 
 #[test]
 fn want_of_a_descriptor_says_nothing_of_an_engine() {
     let mut play = Play::new(1, |_, _| true);
     play.owe(1, true);
-    let takers: Vec<Taker> = play.takers.values().copied().collect();
-    let ask = play.let_go.act(play.now, &takers)[0];
-    play.let_go.answered(play.now, &ask, Answer::NoRoom);
-    let again = play.let_go.due().unwrap();
+    let takers: Vec<ReleaseTarget> = play.takers.values().copied().collect();
+    let ask = play.let_go.next_attempts(play.now, &takers)[0];
+    play.let_go
+        .on_result(play.now, &ask, ReleaseResult::NoLocalResources);
+    let again = play.let_go.next_deadline().unwrap();
     assert!(
         again > START && again <= START + WITHIN / 5,
         "soon, and not at once"
     );
     play.now = again;
     play.until(again + WITHIN);
-    assert_eq!(play.let_go.owed(), 0);
+    assert_eq!(play.let_go.pending(), 0);
 }
 
 #[test]
@@ -339,8 +352,8 @@
     for within in [0, MS, 20 * MS] {
         let settings = ReleaseSettings {
             within,
-            most_asks: 28,
-            most_owed: 10,
+            max_concurrent_attempts: 28,
+            max_pending: 10,
         };
         let mut play = Play::with(settings, 8, |id, _| id.0 <= 6);
         play.way = 8 * MS;
@@ -359,20 +372,20 @@
     let mut play = Play::new(0, |_, _| true);
     play.owe(1, true);
     play.until(START + 5_000 * MS);
-    assert_eq!((play.let_go.owed(), play.asks.len()), (1, 0));
+    assert_eq!((play.let_go.pending(), play.asks.len()), (1, 0));
     let id = EndpointId(1);
     play.takers.insert(
         id,
-        Taker {
+        ReleaseTarget {
             id,
-            heard: 0,
-            missed: 0,
-            stands: false,
-            leaving: false,
+            last_response: 0,
+            last_failure: 0,
+            has_idle_connection: false,
+            is_draining: false,
         },
     );
     play.until(START + 8_000 * MS);
-    assert_eq!(play.let_go.owed(), 0);
+    assert_eq!(play.let_go.pending(), 0);
 }
 
 proptest! {
@@ -387,7 +400,7 @@
         flaps in proptest::collection::vec(0u64..4_000, 30),
         sure in any::<bool>(),
     ) {
-        let settings = ReleaseSettings { within: WITHIN, most_asks, most_owed: 1_000 };
+        let settings = ReleaseSettings { within: WITHIN, max_concurrent_attempts: most_asks, max_pending: 1_000 };
         let well = START + 5_000 * MS;
         let mut play = Play::with(settings, engines, move |id, now| {
             now >= well && id.0 == 1 || (now - START) / MS % 4_000 < flaps[id.0 as usize % 30] / 2
@@ -396,7 +409,7 @@
             play.owe(request, sure);
         }
         play.until(well + 20 * WITHIN + owed * engines * 120 * MS / most_asks as u64);
-        prop_assert_eq!(play.let_go.owed(), 0);
+        prop_assert_eq!(play.let_go.pending(), 0);
         prop_assert!(play.most_out <= most_asks);
         for request in 0..owed {
             let taken = play.taken.iter().filter(|t| t.1 == request).count();
--- a/crates/ivyward-core/tests/starts_and_pace.rs
+++ b/crates/ivyward-core/tests/start_time_and_update_interval.rs
@@ -1,8 +1,8 @@
 //! What told start times mean on a node's clock, and how often the module is told of changes.
 
 use ivyward_core::interface::*;
-use ivyward_core::pace::{Pace, PaceSettings};
-use ivyward_core::starts::{Starts, MOST_GONE};
+use ivyward_core::start_time::{StartTimes, MAX_REMEMBERED};
+use ivyward_core::update_interval::{UpdateInterval, UpdateIntervalSettings};
 use proptest::prelude::*;
 
 const HOUR: Micros = 3_600_000_000;
@@ -23,39 +23,39 @@
 #[test]
 fn one_that_is_new_to_a_list_that_is_followed_started_no_earlier_than_the_list_was_heard_without_it(
 ) {
-    let mut starts = Starts::new();
-    starts.listed(&entry(1, UNIX), NOW, UNIX);
-    starts.whole(|_| true);
-    starts.heard(NOW);
+    let mut starts = StartTimes::new();
+    starts.resolve_listed(&entry(1, UNIX), NOW, UNIX);
+    starts.complete_list(|_| true);
+    starts.record_response(NOW);
     let (later, ahead) = (NOW + 3_000_000, UNIX + HOUR);
     assert_eq!(
-        starts.listed(&entry(2, UNIX + 2_000_000), later, ahead),
+        starts.resolve_listed(&entry(2, UNIX + 2_000_000), later, ahead),
         NOW,
         "an hour ahead"
     );
     assert_eq!(
-        starts.listed(&entry(3, UNIX + 2_000_000), later, UNIX + 3_000_000),
+        starts.resolve_listed(&entry(3, UNIX + 2_000_000), later, UNIX + 3_000_000),
         NOW + 2_000_000,
         "by one clock"
     );
-    let late = starts.listed(&entry(5, UNIX - 5_000_000), later, UNIX + 3_000_000);
+    let late = starts.resolve_listed(&entry(5, UNIX - 5_000_000), later, UNIX + 3_000_000);
     assert_eq!(
         late,
         NOW - 5_000_000,
         "a list that is late makes nobody younger"
     );
     assert_eq!(
-        starts.listed(&entry(1, UNIX + 2_000_000), later, ahead),
+        starts.resolve_listed(&entry(1, UNIX + 2_000_000), later, ahead),
         NOW,
         "it started again"
     );
     assert_eq!(
-        starts.listed(&entry(1, UNIX + 2_000_000), later + HOUR, ahead + HOUR),
+        starts.resolve_listed(&entry(1, UNIX + 2_000_000), later + HOUR, ahead + HOUR),
         NOW,
         "told again"
     );
     assert_eq!(
-        starts.listed(&entry(4, 0), later, ahead),
+        starts.resolve_listed(&entry(4, 0), later, ahead),
         0,
         "said to be long ago"
     );
@@ -64,10 +64,13 @@
 /// Guards against a wall clock an hour behind: every engine that started within that hour would count as cold for it.
 #[test]
 fn nobody_starts_in_the_future() {
-    let mut starts = Starts::new();
-    assert_eq!(starts.listed(&entry(1, UNIX), NOW, UNIX - HOUR), NOW);
+    let mut starts = StartTimes::new();
     assert_eq!(
-        starts.listed(&entry(1, UNIX), NOW + WARM, UNIX - HOUR + WARM),
+        starts.resolve_listed(&entry(1, UNIX), NOW, UNIX - HOUR),
+        NOW
+    );
+    assert_eq!(
+        starts.resolve_listed(&entry(1, UNIX), NOW + WARM, UNIX - HOUR + WARM),
         NOW,
         "its age grows"
     );
@@ -75,29 +78,29 @@
 
 #[test]
 fn in_the_first_list_an_age_is_taken_at_its_word() {
-    let mut starts = Starts::new();
+    let mut starts = StartTimes::new();
     assert_eq!(
-        starts.here(&entry(1, UNIX - 5_000_000), NOW, UNIX, WARM),
+        starts.resolve(&entry(1, UNIX - 5_000_000), NOW, UNIX, WARM),
         NOW - 5_000_000
     );
     assert_eq!(
-        starts.here(&entry(2, UNIX - HOUR), NOW, UNIX, WARM),
+        starts.resolve(&entry(2, UNIX - HOUR), NOW, UNIX, WARM),
         0,
         "long warm"
     );
     assert_eq!(
-        starts.here(&entry(3, UNIX + HOUR), NOW, UNIX, WARM),
+        starts.resolve(&entry(3, UNIX + HOUR), NOW, UNIX, WARM),
         NOW,
         "in the future is just now"
     );
     assert_eq!(
-        starts.here(&entry(4, 0), NOW, UNIX, WARM),
+        starts.resolve(&entry(4, 0), NOW, UNIX, WARM),
         0,
         "said to be long ago"
     );
     // Read again later, nobody has started anew.
     assert_eq!(
-        starts.here(&entry(1, UNIX - 5_000_000), NOW + HOUR, UNIX + HOUR, WARM),
+        starts.resolve(&entry(1, UNIX - 5_000_000), NOW + HOUR, UNIX + HOUR, WARM),
         NOW - 5_000_000
     );
 }
@@ -106,20 +109,20 @@
 /// push it over.
 #[test]
 fn who_is_new_has_just_started_whatever_its_clock_says() {
-    let mut starts = Starts::new();
-    starts.here(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
-    starts.whole(|id| id.0 == 1);
+    let mut starts = StartTimes::new();
+    starts.resolve(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
+    starts.complete_list(|id| id.0 == 1);
     for (id, skew) in [(2, -(HOUR as i64)), (3, 0), (4, HOUR as i64)] {
         let written = (UNIX as i64 + skew) as Micros;
         assert_eq!(
-            starts.here(&entry(id, written), NOW, UNIX, WARM),
+            starts.resolve(&entry(id, written), NOW, UNIX, WARM),
             NOW,
             "{skew}"
         );
     }
     // One that was there restarts, by a clock that went back meanwhile.
     assert_eq!(
-        starts.here(&entry(1, UNIX - 2 * HOUR), NOW + 9, UNIX, WARM),
+        starts.resolve(&entry(1, UNIX - 2 * HOUR), NOW + 9, UNIX, WARM),
         NOW + 9
     );
 }
@@ -128,55 +131,55 @@
 /// warm as it was.
 #[test]
 fn who_comes_back_as_it_was_keeps_its_age() {
-    let mut starts = Starts::new();
-    starts.here(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
-    starts.here(&entry(2, UNIX - 1), NOW, UNIX, WARM);
-    starts.whole(|_| true);
-    starts.gone(EndpointId(1));
+    let mut starts = StartTimes::new();
+    starts.resolve(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
+    starts.resolve(&entry(2, UNIX - 1), NOW, UNIX, WARM);
+    starts.complete_list(|_| true);
+    starts.remove(EndpointId(1));
     assert_eq!(
-        starts.here(&entry(1, UNIX - HOUR), NOW + HOUR, UNIX + HOUR, WARM),
+        starts.resolve(&entry(1, UNIX - HOUR), NOW + HOUR, UNIX + HOUR, WARM),
         0
     );
     // Missing from a whole list, and back in the next.
-    starts.whole(|_| false);
+    starts.complete_list(|_| false);
     assert_eq!(
-        starts.here(&entry(2, UNIX - 1), NOW + HOUR, UNIX + HOUR, WARM),
+        starts.resolve(&entry(2, UNIX - 1), NOW + HOUR, UNIX + HOUR, WARM),
         NOW - 1
     );
     // Back as another process.
-    starts.gone(EndpointId(1));
+    starts.remove(EndpointId(1));
     assert_eq!(
-        starts.here(&entry(1, UNIX + HOUR), NOW + HOUR, UNIX + HOUR, WARM),
+        starts.resolve(&entry(1, UNIX + HOUR), NOW + HOUR, UNIX + HOUR, WARM),
         NOW + HOUR
     );
 }
 
 #[test]
 fn those_that_left_are_remembered_in_bounded_number() {
-    let mut starts = Starts::new();
-    let many = MOST_GONE as u64 + 10;
+    let mut starts = StartTimes::new();
+    let many = MAX_REMEMBERED as u64 + 10;
     for id in 0..many {
-        starts.here(&entry(id, UNIX - HOUR), NOW, UNIX, WARM);
+        starts.resolve(&entry(id, UNIX - HOUR), NOW, UNIX, WARM);
     }
-    starts.whole(|_| true);
-    (0..many).for_each(|id| starts.gone(EndpointId(id)));
+    starts.complete_list(|_| true);
+    (0..many).for_each(|id| starts.remove(EndpointId(id)));
     assert_eq!(
-        starts.here(&entry(9, UNIX - HOUR), NOW, UNIX, WARM),
+        starts.resolve(&entry(9, UNIX - HOUR), NOW, UNIX, WARM),
         NOW,
         "the oldest is forgotten"
     );
     assert_eq!(
-        starts.here(&entry(10, UNIX - HOUR), NOW, UNIX, WARM),
+        starts.resolve(&entry(10, UNIX - HOUR), NOW, UNIX, WARM),
         0,
         "the next is not"
     );
 }
 
-fn pace() -> Pace {
-    Pace::new(PaceSettings {
-        share: 0.25,
-        urgent: 30_000,
-        most: 1_000_000,
+fn pace() -> UpdateInterval {
+    UpdateInterval::new(UpdateIntervalSettings {
+        time_share: 0.25,
+        urgent_delay: 30_000,
+        max_delay: 1_000_000,
     })
 }
 
@@ -184,25 +187,25 @@
 fn cheap_lists_are_passed_on_at_once() {
     let mut pace = pace();
     assert_eq!(pace.due(100, false), 100);
-    pace.passed(100, 200);
+    pace.delivered(100, 200);
     assert_eq!(pace.due(210, false), 210);
 }
 
 #[test]
 fn costly_lists_take_their_share_and_urgent_notices_wait_a_stated_time_at_most() {
     let mut pace = pace();
-    pace.passed(0, 1_000);
+    pace.delivered(0, 1_000);
     assert_eq!(pace.due(1_001, false), 4_000);
-    pace.passed(4_000, 104_000);
+    pace.delivered(4_000, 104_000);
     assert_eq!(
         (pace.due(104_001, false), pace.due(104_001, true)),
         (404_000, 134_001)
     );
     // One cheap list between costly ones does not hide what they cost.
-    pace.passed(404_000, 404_010);
+    pace.delivered(404_000, 404_010);
     assert_eq!(pace.due(404_011, false), 644_010);
     // Nothing waits longer than the most.
-    pace.passed(1_000_000, 9_000_000);
+    pace.delivered(1_000_000, 9_000_000);
     assert_eq!(pace.due(9_000_001, false), 10_000_001);
 }
 
@@ -221,7 +224,7 @@
             // What was spent before this one is a quarter of the time at most, and waits under the timer's grain.
             let waits = 500.0 * 200.0;
             prop_assert!(spent as f64 <= 0.25 * (now - begun) as f64 + waits, "{spent} of {}", now - begun);
-            pace.passed(now, now + cost);
+            pace.delivered(now, now + cost);
             now += cost;
             spent += cost;
         }
--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -1,9 +1,9 @@
 //! A request as the platform's protocol holds it: what is sent to engines, and the way of the answer to the client.
 
 use event_listener::Event;
-use ivyward::answer::{Buffer, Final};
 use ivyward::core::interface::Outcome;
 use ivyward::engines::Call;
+use ivyward::response::{FinalStatus, TokenBuffer};
 use ivyward::runtime::Peer;
 use ivyward_http1::Request;
 use std::any::Any;
@@ -97,7 +97,7 @@
     /// An attempt that has an effect may have run.
     may_have_run: AtomicBool,
     /// The engine's events. A slow client holds up its own engine: no more is read while the bound waits.
-    pub(crate) outlet: Buffer<u8>,
+    pub(crate) outlet: TokenBuffer<u8>,
 }
 
 impl PlatformCall {
@@ -121,7 +121,7 @@
             client,
             left: AtomicBool::new(false),
             may_have_run: AtomicBool::new(false),
-            outlet: Buffer::new(bound),
+            outlet: TokenBuffer::new(bound),
         }
     }
     /// The client has left: it is known from now on.
@@ -172,7 +172,7 @@
 }
 
 impl Call for PlatformCall {
-    fn finish(&self, end: Final) -> bool {
+    fn finish(&self, end: FinalStatus) -> bool {
         self.drop_prompt();
         self.outlet.finish(end)
     }
--- a/crates/ivyward-platform/src/discovery.rs
+++ b/crates/ivyward-platform/src/discovery.rs
@@ -7,7 +7,7 @@
 use event_listener::Event;
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::{ListKind, Micros};
-use ivyward::core::watch::{Miss, Watch};
+use ivyward::core::long_poll::{CallFailure, LongPoll};
 use ivyward::runtime::{before, BoxFuture, RuntimeRef};
 use ivyward::Node;
 use ivyward_http1::{head, Limits};
@@ -73,7 +73,7 @@
                     };
                     let engines = reader.read(&list);
                     if list.full || !engines.is_empty() {
-                        node.fleet(kind, engines).await;
+                        node.update_endpoints(kind, engines).await;
                     }
                 }
             };
@@ -84,12 +84,12 @@
 
 /// Why a call brought no list.
 struct Missed {
-    how: Miss,
+    how: CallFailure,
     error: io::Error,
 }
 
 impl Missed {
-    fn new(how: Miss, error: impl Into<io::Error>) -> Missed {
+    fn new(how: CallFailure, error: impl Into<io::Error>) -> Missed {
         Missed {
             how,
             error: error.into(),
@@ -129,7 +129,7 @@
     runtime: RuntimeRef,
     address: SocketAddr,
     limits: Limits,
-    pace: Watch,
+    pace: LongPoll,
     /// The version of the list as it is held.
     newest: Option<u64>,
     /// The connection on which it was answered.
@@ -145,7 +145,7 @@
             runtime: runtime.clone(),
             address,
             limits: *limits,
-            pace: Watch::new(TOLD_WITHIN, costly, runtime.random()),
+            pace: LongPoll::new(TOLD_WITHIN, costly, runtime.random()),
             newest: None,
             wire: None,
             pending: Vec::new(),
@@ -164,8 +164,8 @@
             match answered.map(|answer| answer.and_then(|a| self.newer(a))) {
                 Some(Ok(Answered { wire, list, late })) => {
                     match late {
-                        Some(late) => self.pace.watch_came(late),
-                        None => self.pace.came(),
+                        Some(late) => self.pace.no_changes_received(late),
+                        None => self.pace.list_received(),
                     }
                     self.failing = false;
                     // The others are asked the same.
@@ -175,8 +175,8 @@
                 }
                 Some(Err(Missed { how, error })) => {
                     self.fails(&error);
-                    turned_away = how == Miss::TurnedAway;
-                    next_at = now.saturating_add(self.pace.missed(how));
+                    turned_away = how == CallFailure::Rejected;
+                    next_at = now.saturating_add(self.pace.call_failed(how));
                 }
                 // Of a service that turned a call away the news are asked for again, not the whole list, which costs it more.
                 None if turned_away && self.pending.is_empty() => {
@@ -188,10 +188,10 @@
                     if !self.pending.is_empty() {
                         self.fails(&io::ErrorKind::TimedOut.into());
                     }
-                    if self.pending.len() < self.pace.most_calls() {
+                    if self.pending.len() < self.pace.max_calls() {
                         self.begin(Asked::Whole);
                     }
-                    next_at = now.saturating_add(self.pace.beside());
+                    next_at = now.saturating_add(self.pace.next_call_delay());
                 }
             }
         }
@@ -226,7 +226,7 @@
             }
             None => {
                 self.begin(Asked::Whole);
-                now.saturating_add(self.pace.beside())
+                now.saturating_add(self.pace.next_call_delay())
             }
         }
     }
@@ -301,7 +301,7 @@
         self.newest = None;
         let text = format!("changes of version {} after version {newest}", list.version);
         Err(Missed::new(
-            Miss::Failed,
+            CallFailure::Failed,
             io::Error::new(io::ErrorKind::InvalidData, text),
         ))
     }
@@ -312,7 +312,7 @@
     runtime: RuntimeRef,
     address: SocketAddr,
     limits: Limits,
-    pace: Watch,
+    pace: LongPoll,
     /// How long discovery is asked to wait for news.
     wait: Micros,
     came: Arc<AtomicU64>,
@@ -337,11 +337,14 @@
     }
 
     async fn dial(&self) -> Result<Wire, Missed> {
-        let until = self.runtime.now().saturating_add(self.pace.dial());
+        let until = self
+            .runtime
+            .now()
+            .saturating_add(self.pace.connect_timeout());
         match before(&self.runtime, until, self.runtime.connect(self.address)).await {
             Some(Ok(conn)) => Ok(Wire::new(conn)),
-            Some(Err(error)) => Err(Missed::new(Miss::Failed, error)),
-            None => Err(Missed::new(Miss::Silent, io::ErrorKind::TimedOut)),
+            Some(Err(error)) => Err(Missed::new(CallFailure::Failed, error)),
+            None => Err(Missed::new(CallFailure::Silent, io::ErrorKind::TimedOut)),
         }
     }
 
@@ -353,7 +356,7 @@
         let step = self.pace.silence() / LOOKS;
         // Nothing has come: the answer's first byte is waited for beyond the time that discovery may wait itself.
         let (mut last, mut seen) = (runtime.now().saturating_add(self.wait), 0);
-        let mut client_timeout = self.pace.client_timeout();
+        let mut client_timeout = self.pace.call_timeout();
         let mut whole_by = Micros::MAX;
         loop {
             let now = runtime.now();
@@ -369,13 +372,13 @@
                 (last, seen) = (now, bytes);
                 // An answer that has begun does not stop for long.
                 client_timeout = self.pace.silence();
-                whole_by = whole_by.min(now.saturating_add(self.pace.whole()));
+                whole_by = whole_by.min(now.saturating_add(self.pace.body_timeout()));
             }
             if now >= whole_by {
-                return late(Miss::Slow);
+                return late(CallFailure::Slow);
             }
             if now >= last.saturating_add(client_timeout) {
-                return late(Miss::Silent);
+                return late(CallFailure::Silent);
             }
         }
     }
@@ -390,7 +393,7 @@
 ) -> Result<List, Missed> {
     let spoilt = |text: String| {
         Missed::new(
-            Miss::Failed,
+            CallFailure::Failed,
             io::Error::new(io::ErrorKind::InvalidData, text),
         )
     };
@@ -402,11 +405,11 @@
     );
     wire.write(&request, &[])
         .await
-        .map_err(|error| Missed::new(Miss::Failed, error))?;
+        .map_err(|error| Missed::new(CallFailure::Failed, error))?;
     let answer = answer(wire, limits).await.map_err(|e| match e {
-        NoHead::Broken(_) => Missed::new(Miss::Failed, io::ErrorKind::UnexpectedEof),
+        NoHead::Broken(_) => Missed::new(CallFailure::Failed, io::ErrorKind::UnexpectedEof),
         NoHead::Bad(text) => spoilt(text),
-        NoHead::Unreachable => Missed::new(Miss::Silent, io::ErrorKind::TimedOut),
+        NoHead::Unreachable => Missed::new(CallFailure::Silent, io::ErrorKind::TimedOut),
     })?;
     let text = rest(wire, &answer, limits)
         .await
@@ -414,7 +417,7 @@
     match answer.status {
         200 => serde_json::from_slice(&text).map_err(|e| spoilt(e.to_string())),
         status @ (429 | 503) => Err(Missed::new(
-            Miss::TurnedAway,
+            CallFailure::Rejected,
             io::Error::other(format!("turned away with {status}")),
         )),
         status => Err(spoilt(format!("status {status}"))),
--- a/crates/ivyward-platform/src/discovery/list.rs
+++ b/crates/ivyward-platform/src/discovery/list.rs
@@ -1,7 +1,7 @@
 //! Discovery's form of the list of engines, and how it is read.
 
 use ivyward::core::interface::{Endpoint, EndpointId, EndpointState, Micros};
-use ivyward::core::starts::Starts;
+use ivyward::core::start_time::StartTimes;
 use ivyward::runtime::RuntimeRef;
 use ivyward::Engine;
 use ivyward_settings::Told;
@@ -99,7 +99,7 @@
     /// nothing.
     behind: Micros,
     known: BTreeMap<EndpointId, Engine>,
-    starts: Starts,
+    starts: StartTimes,
 }
 
 impl ListReader {
@@ -110,7 +110,7 @@
             runtime: runtime.clone(),
             behind,
             known: BTreeMap::new(),
-            starts: Starts::new(),
+            starts: StartTimes::new(),
         }
     }
 
@@ -119,9 +119,9 @@
         let engines = self.read_held(list);
         if list.full {
             let known = &self.known;
-            self.starts.whole(|id| known.contains_key(&id));
+            self.starts.complete_list(|id| known.contains_key(&id));
         }
-        self.starts.heard(self.runtime.now());
+        self.starts.record_response(self.runtime.now());
         engines
     }
 
@@ -134,7 +134,7 @@
                 .entry(value)
                 .map_or_else(|why| self.as_known(value, &why), Some);
             let Some(engine) = read else { continue };
-            match indexes.entry(engine.entry.id) {
+            match indexes.entry(engine.endpoint.id) {
                 // Guards against two entries under one id: the last one counts.
                 Place::Occupied(index) => engines[*index.get()] = engine,
                 Place::Vacant(index) => {
@@ -147,12 +147,12 @@
             self.known.clear();
         }
         for engine in &engines {
-            match engine.entry.state {
+            match engine.endpoint.state {
                 EndpointState::Removed => {
-                    self.starts.gone(engine.entry.id);
-                    self.known.remove(&engine.entry.id)
+                    self.starts.remove(engine.endpoint.id);
+                    self.known.remove(&engine.endpoint.id)
                 }
-                _ => self.known.insert(engine.entry.id, *engine),
+                _ => self.known.insert(engine.endpoint.id, *engine),
             };
         }
         engines
@@ -175,11 +175,11 @@
         let told = state
             .and_then(condition)
             .filter(|told| *told != EndpointState::Ready);
-        let condition = told.unwrap_or(known.entry.state);
+        let condition = told.unwrap_or(known.endpoint.state);
         Some(Engine {
-            entry: Endpoint {
+            endpoint: Endpoint {
                 state: condition,
-                ..known.entry
+                ..known.endpoint
             },
             ..*known
         })
@@ -202,9 +202,9 @@
         };
         if let (EndpointState::Removed, Some(known)) = (condition, self.known.get(&id)) {
             return Ok(Engine {
-                entry: Endpoint {
+                endpoint: Endpoint {
                     state: condition,
-                    ..known.entry
+                    ..known.endpoint
                 },
                 ..*known
             });
@@ -234,8 +234,11 @@
         let now = self.runtime.now();
         entry.started_at = self
             .starts
-            .listed(&entry, now, now.saturating_add(self.behind));
-        Ok(Engine { entry, address })
+            .resolve_listed(&entry, now, now.saturating_add(self.behind));
+        Ok(Engine {
+            endpoint: entry,
+            address,
+        })
     }
 }
 
--- a/crates/ivyward-platform/src/discovery/list/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list/tests.rs
@@ -38,7 +38,7 @@
     });
     engines
         .iter()
-        .map(|e| (e.entry.id, e.entry.state))
+        .map(|e| (e.endpoint.id, e.endpoint.state))
         .collect()
 }
 
@@ -164,7 +164,7 @@
         full: true,
         servers,
     });
-    let started: Vec<Micros> = engines.iter().map(|e| e.entry.started_at).collect();
+    let started: Vec<Micros> = engines.iter().map(|e| e.endpoint.started_at).collect();
     assert_eq!(started[0], runtime.now() - 500_000);
     assert_eq!(started[1], 0, "long ago");
     assert_eq!(started[2], 1, "before the clock's begin");
@@ -180,7 +180,7 @@
     });
     assert_eq!(engines.len(), 1);
     assert_eq!(
-        (engines[0].entry.state, engines[0].entry.machine_type),
+        (engines[0].endpoint.state, engines[0].endpoint.machine_type),
         (EndpointState::Removed, 1)
     );
 }
@@ -200,7 +200,7 @@
             full,
             servers: vec![entry],
         })[0]
-            .entry
+            .endpoint
             .started_at
     };
     let unix_ms = runtime.unix_micros() / 1_000;
--- a/crates/ivyward-platform/src/engine.rs
+++ b/crates/ivyward-platform/src/engine.rs
@@ -16,24 +16,24 @@
 pub(crate) use pool::EnginePool;
 
 use crate::release::Releases;
-use ivyward::engines::{LinkRef, Protocol, ReleaseJob};
-use ivyward::{Engine, Shared};
+use ivyward::engines::{EngineHandle, Protocol, ReleaseRequest};
+use ivyward::{Engine, NodeContext};
 use std::sync::Arc;
 
 /// The platform's engines, as the driver asks for them.
 pub(crate) struct Platform(pub(crate) Arc<EnginePool>);
 
 impl Protocol for Platform {
-    fn link(&self, _: &Arc<Shared>, engine: &Engine) -> LinkRef {
+    fn engine_client(&self, _: &Arc<NodeContext>, engine: &Engine) -> EngineHandle {
         EngineLink::new(engine, &self.0)
     }
-    fn one_by_one(&self) -> bool {
+    fn releases_individually(&self) -> bool {
         false
     }
-    fn release(&self, shared: &Arc<Shared>, job: ReleaseJob) {
+    fn release(&self, shared: &Arc<NodeContext>, job: ReleaseRequest) {
         Releases::owe(&self.0, shared, job);
     }
-    fn needed(&self, request: u64) -> bool {
+    fn withdraw_release(&self, request: u64) -> bool {
         self.0.releases.needed(request)
     }
 }
