--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -7,9 +7,9 @@
 use crate::config::LIMITS;
 use crate::wire::{answer, rest, NoHead};
 use futures_lite::future::{or, poll_fn};
+use ivyward::core::connection_reuse::{self, AttemptTraits, DeliveryCheck};
 use ivyward::core::interface::{LoadReport, Micros, Outcome};
-use ivyward::core::keep::{self, ArrivalCheck, Carried};
-use ivyward::engines::{End, Job, Stall, Stop, Woken};
+use ivyward::engines::{AttemptRequest, AttemptResult, CancelReason, StallDetector, WaitResult};
 use ivyward::runtime::{before, BoxFuture};
 use ivyward_http1::{head, Answer, Body, Step};
 use std::future::Future;
@@ -28,53 +28,55 @@
 /// One attempt at one engine.
 pub(super) struct Attempt<'a> {
     pub(super) link: &'a Arc<EngineLink>,
-    pub(super) job: &'a Job,
+    pub(super) job: &'a AttemptRequest,
     pub(super) call: &'a PlatformCall,
 }
 
 impl Attempt<'_> {
-    pub(super) async fn run(&self) -> End {
+    pub(super) async fn run(&self) -> AttemptResult {
         let (link, job, runtime) = (self.link, self.job, &self.link.engines.runtime);
-        let gone = || End::new(Outcome::NotSent, "called off before it was sent");
+        let gone = || AttemptResult::new(Outcome::NotSent, "called off before it was sent");
         if self.call.left() {
             return gone();
         }
-        if job.until <= runtime.now() {
-            return End::new(Outcome::NotSent, "no time left");
+        if job.deadline <= runtime.now() {
+            return AttemptResult::new(Outcome::NotSent, "no time left");
         }
         let mut timer = runtime.sleep_until(job.send_deadline);
-        let release_within = job.shared.settings().rules.release_within;
-        let carried = Carried {
-            repeatable: job.reads || self.call.again,
+        let release_within = job.context.settings().rules.release_within;
+        let carried = AttemptTraits {
+            repeatable: job.prefill_only || self.call.again,
             repeats_effect: self.call.repeats_effect(),
-            awaited_within: job.state.as_ref().map(|_| release_within),
+            state_deadline: job.kv_state.as_ref().map(|_| release_within),
             last_answer: link.last_answer.load(Ordering::Relaxed),
         };
-        let reuse = keep::reuse(runtime.now(), &carried);
+        let reuse = connection_reuse::reuse_policy(runtime.now(), &carried);
         let mut wire = match job
-            .heed(&mut timer, link.connect(job.send_deadline, reuse, 0))
+            .until_cancelled(&mut timer, link.connect(job.send_deadline, reuse, 0))
             .await
         {
-            Woken::Next(Ok(wire)) => wire,
+            WaitResult::Completed(Ok(wire)) => wire,
             // Of an engine that was not asked nothing is known.
-            Woken::Next(Err(why @ CallError::Local(_))) => {
-                return End::new(Outcome::NotSent, why.to_string())
+            WaitResult::Completed(Err(why @ CallError::Local(_))) => {
+                return AttemptResult::new(Outcome::NotSent, why.to_string())
             }
-            Woken::Next(Err(why)) => return End::new(Outcome::ConnectFailed, why.to_string()),
-            Woken::Late => {
+            WaitResult::Completed(Err(why)) => {
+                return AttemptResult::new(Outcome::ConnectFailed, why.to_string())
+            }
+            WaitResult::TimedOut => {
                 link.note_failure();
-                return End::new(Outcome::ConnectFailed, "no connection in time");
+                return AttemptResult::new(Outcome::ConnectFailed, "no connection in time");
             }
-            Woken::Stopped(_) => return gone(),
+            WaitResult::Cancelled(_) => return gone(),
         };
         // Told during the dial: nothing new goes to an engine that drains or is gone.
         if link.closing.load(Ordering::Relaxed) {
-            return End::new(Outcome::NotSent, "the engine drains or is gone");
+            return AttemptResult::new(Outcome::NotSent, "the engine drains or is gone");
         }
         let Some(prompt) = self.call.prompt() else {
             return gone();
         };
-        let left = (job.until.saturating_sub(runtime.now()) / 1_000)
+        let left = (job.deadline.saturating_sub(runtime.now()) / 1_000)
             .max(1)
             .to_string();
         let (host, length) = (link.address.to_string(), prompt.bytes.len().to_string());
@@ -99,11 +101,11 @@
             &headers,
         );
         let written = self.while_wanted(self.write(&mut wire, &request, &prompt.bytes));
-        match job.heed(&mut timer, written).await {
-            Woken::Next(None) => return gone(),
-            Woken::Next(Some(Ok(()))) => {}
+        match job.until_cancelled(&mut timer, written).await {
+            WaitResult::Completed(None) => return gone(),
+            WaitResult::Completed(Some(Ok(()))) => {}
             // Its last byte never left, so it never ran; the connection is closed with the rest of it.
-            Woken::Next(Some(Err(e))) => {
+            WaitResult::Completed(Some(Err(e))) => {
                 link.note_end(wire.idle, true);
                 // A kept connection that its engine had left says nothing of the engine.
                 let outcome = if wire.idle.is_some() {
@@ -111,62 +113,64 @@
                 } else {
                     Outcome::ConnectFailed
                 };
-                return End::new(outcome, e.to_string());
+                return AttemptResult::new(outcome, e.to_string());
             }
-            Woken::Late => {
-                return End::new(
+            WaitResult::TimedOut => {
+                return AttemptResult::new(
                     Outcome::ConnectFailed,
                     "the engine does not take the request",
                 )
             }
-            Woken::Stopped(_) => return gone(),
+            WaitResult::Cancelled(_) => return gone(),
         }
         drop(prompt);
         self.call.mark(Progress::Sent(job.attempt));
-        timer = runtime.sleep_until(job.until);
-        let check = carried.awaited_within.filter(|_| wire.idle.is_some());
-        let check = check.map(|within| keep::arrival_check(runtime.now(), within));
+        timer = runtime.sleep_until(job.deadline);
+        let check = carried.state_deadline.filter(|_| wire.idle.is_some());
+        let check = check.map(|within| connection_reuse::delivery_check(runtime.now(), within));
         let answer = match job
             .wait(&mut timer, self.answer_or_cut(&mut wire, check))
             .await
         {
-            Woken::Next(Ok(answer)) => {
+            WaitResult::Completed(Ok(answer)) => {
                 link.note_end(wire.idle, false);
                 link.note_answer();
                 answer
             }
-            Woken::Next(Err(NoHead::Broken(text))) => {
+            WaitResult::Completed(Err(NoHead::Broken(text))) => {
                 link.note_end(wire.idle, true);
-                return End::new(Outcome::Reset, text);
+                return AttemptResult::new(Outcome::Reset, text);
             }
-            Woken::Next(Err(NoHead::Unreachable)) => {
+            WaitResult::Completed(Err(NoHead::Unreachable)) => {
                 link.note_failure();
                 let text = "the engine cannot be reached any more";
                 return self
                     .abandon_by(wire, UNREACHABLE_TIMEOUT, Outcome::TimedOut, text)
                     .await;
             }
-            Woken::Next(Err(NoHead::Bad(text))) => {
+            WaitResult::Completed(Err(NoHead::Bad(text))) => {
                 return self.abandon(wire, Outcome::Error, text).await
             }
-            Woken::Late => {
+            WaitResult::TimedOut => {
                 return self
                     .abandon(wire, Outcome::TimedOut, "no answer in time")
                     .await
             }
-            Woken::Stopped(_) => return self.abandon(wire, Outcome::Cancelled, "called off").await,
+            WaitResult::Cancelled(_) => {
+                return self.abandon(wire, Outcome::Cancelled, "called off").await
+            }
         };
         let report = link.report(answer.head.text("x-server-load"));
         let never_ran = answer.head.text("x-not-processed") == Some("1");
-        let mut end = match (answer.status, job.reads) {
+        let mut end = match (answer.status, job.prefill_only) {
             (200, false) => return self.stream(wire, answer, report, timer).await,
             (202, true) => return self.read(wire, answer, report, timer).await,
-            (503 | 504, _) if never_ran => End::new(
+            (503 | 504, _) if never_ran => AttemptResult::new(
                 Outcome::Rejected,
                 format!("turned away with {}", answer.status),
             ),
-            (410, _) if never_ran => End::new(Outcome::KvCacheMiss, "no state to fetch"),
-            (status, _) => End::new(Outcome::Error, format!("status {status}")),
+            (410, _) if never_ran => AttemptResult::new(Outcome::KvCacheMiss, "no state to fetch"),
+            (status, _) => AttemptResult::new(Outcome::Error, format!("status {status}")),
         };
         end.report = report;
         let soon = runtime.now().saturating_add(ABANDON_TIMEOUT);
@@ -181,14 +185,14 @@
     async fn answer_or_cut(
         &self,
         wire: &mut EngineConnection,
-        check: Option<ArrivalCheck>,
+        check: Option<DeliveryCheck>,
     ) -> Result<Answer, NoHead> {
         let runtime = &self.link.engines.runtime;
         let mut head = pin!(answer(wire, &LIMITS));
         let Some(check) = check else {
             return head.await;
         };
-        if let Some(head) = before(runtime, check.dial_at, head.as_mut()).await {
+        if let Some(head) = before(runtime, check.connect_at, head.as_mut()).await {
             return head;
         }
         let reachable = async {
@@ -226,7 +230,7 @@
         wire: EngineConnection,
         outcome: Outcome,
         text: impl Into<String>,
-    ) -> End {
+    ) -> AttemptResult {
         self.abandon_by(wire, ABANDON_TIMEOUT, outcome, text).await
     }
 
@@ -236,7 +240,7 @@
         timeout: Micros,
         outcome: Outcome,
         text: impl Into<String>,
-    ) -> End {
+    ) -> AttemptResult {
         let runtime = &self.link.engines.runtime;
         let known = runtime.now().saturating_add(timeout);
         let ended = async {
@@ -247,7 +251,7 @@
             }
         };
         before(runtime, known, ended).await;
-        End::new(outcome, text)
+        AttemptResult::new(outcome, text)
     }
 
     /// Writes the request. Of one that may not be sent again, the last byte is held back for two round trips: a connection
@@ -260,7 +264,7 @@
         body: &[u8],
     ) -> std::io::Result<()> {
         wire.under_way = true;
-        if self.job.reads || self.call.again || body.is_empty() {
+        if self.job.prefill_only || self.call.again || body.is_empty() {
             return wire.write(head, body).await;
         }
         let runtime = &self.link.engines.runtime;
@@ -282,19 +286,21 @@
         answer: Answer,
         report: LoadReport,
         mut timer: BoxFuture<()>,
-    ) -> End {
+    ) -> AttemptResult {
         let text = match self
             .job
             .wait(&mut timer, rest(&mut wire, &answer, &LIMITS))
             .await
         {
-            Woken::Next(text) => text,
-            Woken::Late => {
+            WaitResult::Completed(text) => text,
+            WaitResult::TimedOut => {
                 return self
                     .abandon(wire, Outcome::TimedOut, "the end of a read did not come")
                     .await
             }
-            Woken::Stopped(_) => return self.abandon(wire, Outcome::Cancelled, "called off").await,
+            WaitResult::Cancelled(_) => {
+                return self.abandon(wire, Outcome::Cancelled, "called off").await
+            }
         };
         let Some(text) = text else {
             return self
@@ -307,10 +313,10 @@
             .as_u64()
             .unwrap_or(0)
             .min(u64::from(u32::MAX)) as u32;
-        End {
-            kept,
+        AttemptResult {
+            cached_tokens: kept,
             report,
-            ..End::new(Outcome::Prefilled, "read")
+            ..AttemptResult::new(Outcome::Prefilled, "read")
         }
     }
 
@@ -321,7 +327,7 @@
         answer: Answer,
         report: LoadReport,
         mut timer: BoxFuture<()>,
-    ) -> End {
+    ) -> AttemptResult {
         let runtime = &self.link.engines.runtime;
         let mut body = Body::new(answer.framing, &LIMITS);
         let mut events = Events {
@@ -331,7 +337,7 @@
             done: false,
         };
         // Set with the first event: from then on the attempt's own time no longer counts.
-        let mut stall: Option<Stall> = None;
+        let mut stall: Option<StallDetector> = None;
         loop {
             let step = match wire.take(&mut body, &mut events.pending) {
                 Ok(step) => step,
@@ -347,17 +353,19 @@
                         continue;
                     }
                     if self.call.outlet.push(&whole).is_err() {
-                        return End::new(Outcome::Cancelled, "given up");
+                        return AttemptResult::new(Outcome::Cancelled, "given up");
                     }
                     if stall.is_none() {
-                        self.job.first();
+                        self.job.notify_first_token();
                         self.call.drop_prompt();
                     }
-                    if self.job.room(&self.call.outlet).await.is_err() {
-                        return End::new(Outcome::Cancelled, "given up");
+                    if self.job.wait_for_capacity(&self.call.outlet).await.is_err() {
+                        return AttemptResult::new(Outcome::Cancelled, "given up");
                     }
-                    let span = self.job.shared.settings().stream_stall;
-                    stall.get_or_insert_with(|| Stall::new(runtime, span)).last = runtime.now();
+                    let span = self.job.context.settings().stream_stall;
+                    stall
+                        .get_or_insert_with(|| StallDetector::new(runtime, span))
+                        .last_progress = runtime.now();
                 }
                 Step::Done => {
                     if stall.is_none() || !events.done || !events.pending.is_empty() {
@@ -370,31 +378,33 @@
                         .report
                         .as_deref()
                         .map_or(report, |t| self.link.report(Some(t)));
-                    return End {
-                        kept: events.kept,
+                    return AttemptResult {
+                        cached_tokens: events.kept,
                         report,
-                        ..End::new(Outcome::Served, "served")
+                        ..AttemptResult::new(Outcome::Served, "served")
                     };
                 }
                 Step::More => {
                     let timer = stall.as_mut().map_or(&mut timer, |s| &mut s.timer);
                     match (self.job.wait(timer, wire.fill()).await, stall.as_mut()) {
-                        (Woken::Next(Ok(0)), _) => {
-                            return End::new(Outcome::Reset, "the stream ended early")
+                        (WaitResult::Completed(Ok(0)), _) => {
+                            return AttemptResult::new(Outcome::Reset, "the stream ended early")
+                        }
+                        (WaitResult::Completed(Ok(_)), _) => {}
+                        (WaitResult::Completed(Err(e)), _) => {
+                            return AttemptResult::new(Outcome::Reset, e.to_string())
                         }
-                        (Woken::Next(Ok(_)), _) => {}
-                        (Woken::Next(Err(e)), _) => return End::new(Outcome::Reset, e.to_string()),
                         // A stream that has begun is not called off.
-                        (Woken::Stopped(Stop::CallOff), Some(_)) => {}
-                        (Woken::Stopped(_), _) => {
+                        (WaitResult::Cancelled(CancelReason::ByRouter), Some(_)) => {}
+                        (WaitResult::Cancelled(_), _) => {
                             return self.abandon(wire, Outcome::Cancelled, "called off").await
                         }
-                        (Woken::Late, Some(stall)) => {
-                            if stall.over(runtime) {
-                                return End::new(Outcome::Reset, "no event for too long");
+                        (WaitResult::TimedOut, Some(stall)) => {
+                            if stall.is_stalled(runtime) {
+                                return AttemptResult::new(Outcome::Reset, "no event for too long");
                             }
                         }
-                        (Woken::Late, None) => {
+                        (WaitResult::TimedOut, None) => {
                             return self
                                 .abandon(wire, Outcome::TimedOut, "no event in time")
                                 .await
--- a/crates/ivyward-platform/src/engine/link.rs
+++ b/crates/ivyward-platform/src/engine/link.rs
@@ -7,13 +7,15 @@
 use crate::config::LIMITS;
 use crate::wire::{answer, rest, Wire};
 use futures_lite::future::or;
+use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::{EndpointId, LoadReport, Micros, Outcome};
-use ivyward::core::keep::Reuse;
-use ivyward::core::release::Taker;
+use ivyward::core::release::ReleaseTarget;
 use ivyward::engines::dial::{dial, DialFailure, Dialed};
-use ivyward::engines::{End, Held, HoldJob, Job, Link};
+use ivyward::engines::{
+    AttemptRequest, AttemptResult, EngineClient, ReservationStatus, ReserveRequest,
+};
 use ivyward::runtime::{before, BoxFuture};
-use ivyward::{Engine, Shared};
+use ivyward::{Engine, NodeContext};
 use ivyward_http1::head;
 use std::any::Any;
 use std::collections::VecDeque;
@@ -54,7 +56,7 @@
     /// A link to an engine that is new or has moved, known to the pool for as long as somebody holds it.
     pub(super) fn new(engine: &Engine, engines: &Arc<EnginePool>) -> Arc<EngineLink> {
         let link = Arc::new(EngineLink {
-            id: engine.entry.id,
+            id: engine.endpoint.id,
             address: engine.address,
             engines: engines.clone(),
             idle: Mutex::default(),
@@ -69,13 +71,13 @@
         self.closing.load(Ordering::Relaxed)
     }
     /// What is known of it as one that may take a release.
-    pub(crate) fn taker(&self) -> Taker {
-        Taker {
+    pub(crate) fn taker(&self) -> ReleaseTarget {
+        ReleaseTarget {
             id: self.id,
-            heard: self.last_answer.load(Ordering::Relaxed),
-            missed: self.last_failure.load(Ordering::Relaxed),
-            stands: !lock(&self.idle).is_empty(),
-            leaving: self.leaving(),
+            last_response: self.last_answer.load(Ordering::Relaxed),
+            last_failure: self.last_failure.load(Ordering::Relaxed),
+            has_idle_connection: !lock(&self.idle).is_empty(),
+            is_draining: self.leaving(),
         }
     }
     pub(super) fn note_answer(&self) {
@@ -96,14 +98,14 @@
     pub(super) async fn connect(
         &self,
         until: Micros,
-        reuse: Reuse,
+        reuse: ReusePolicy,
         spare: usize,
     ) -> Result<EngineConnection, CallError> {
         let runtime = &self.engines.runtime;
         let idle = match reuse {
-            Reuse::Any => self.take_idle(true),
-            Reuse::ProvenSafe => self.take_idle(false),
-            Reuse::Never => None,
+            ReusePolicy::Any => self.take_idle(true),
+            ReusePolicy::ProvenSafe => self.take_idle(false),
+            ReusePolicy::Never => None,
         };
         if let Some(wire) = idle {
             return Ok(wire);
@@ -160,7 +162,7 @@
         );
         for at in (0..idle.len()).rev() {
             let age = now.saturating_sub(idle[at].1);
-            if age >= self.engines.keep || !kept_connections.may_use(now, age, again) {
+            if age >= self.engines.keep || !kept_connections.allows_reuse(now, age, again) {
                 continue;
             }
             if let Some((mut wire, _)) = idle.remove(at) {
@@ -175,7 +177,7 @@
 
     /// Takes note of how a connection fared under a request.
     pub(super) fn note_end(&self, idle: Option<Micros>, ended: bool) {
-        lock(&self.engines.kept_connections).seen(self.engines.runtime.now(), idle, ended);
+        lock(&self.engines.kept_connections).record_use(self.engines.runtime.now(), idle, ended);
     }
 
     /// Keeps a connection whose answer was whole.
@@ -193,7 +195,9 @@
         target: &str,
         until: Micros,
     ) -> Result<(u16, LoadReport), CallError> {
-        let mut wire = self.connect(until, Reuse::Any, self.engines.spare).await?;
+        let mut wire = self
+            .connect(until, ReusePolicy::Any, self.engines.spare)
+            .await?;
         let ended = |text: String| CallError::Unanswered(text);
         let asked = async {
             self.ask(&mut wire, method, target)
@@ -244,29 +248,29 @@
     }
 }
 
-impl Link for EngineLink {
+impl EngineClient for EngineLink {
     fn id(&self) -> EndpointId {
         self.id
     }
     fn address(&self) -> SocketAddr {
         self.address
     }
-    fn set_closing(&self, closing: bool) {
+    fn set_draining(&self, closing: bool) {
         self.closing.store(closing, Ordering::Relaxed);
         if closing {
-            self.shut();
+            self.close();
         }
     }
-    fn shut(&self) {
+    fn close(&self) {
         lock(&self.idle).clear();
     }
     fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync> {
         self
     }
-    fn attempt(self: Arc<Self>, job: Job) -> BoxFuture<End> {
+    fn run_attempt(self: Arc<Self>, job: AttemptRequest) -> BoxFuture<AttemptResult> {
         Box::pin(async move {
             let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
-                return End::new(Outcome::NotSent, "a request of another protocol");
+                return AttemptResult::new(Outcome::NotSent, "a request of another protocol");
             };
             // A connection that is not kept is closed when this returns, so that nothing follows beside the attempt.
             let end = Attempt {
@@ -276,63 +280,67 @@
             }
             .run()
             .await;
-            if !job.reads {
+            if !job.prefill_only {
                 call.note_outcome(end.outcome);
             }
             call.mark(Progress::Ended(job.attempt));
             end
         })
     }
-    fn hold(self: Arc<Self>, job: HoldJob) -> BoxFuture<Held> {
+    fn reserve(self: Arc<Self>, job: ReserveRequest) -> BoxFuture<ReservationStatus> {
         Box::pin(async move {
             let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
-                return Held::No;
+                return ReservationStatus::Denied;
             };
             // A hold is known to an engine only beside its read, so it leaves behind the read's last byte.
             let read = or(call.sent(job.attempt), async {
-                job.over().await;
+                job.until_finished().await;
                 false
             });
             if !read.await {
-                return Held::No;
+                return ReservationStatus::Denied;
             }
             let runtime = &self.engines.runtime;
             let until = runtime.now().saturating_add(self.engines.hold_wait);
             let mut left = false;
             let asked = async {
-                let Ok(mut wire) = self.connect(until, Reuse::Any, 0).await else {
-                    return Held::No;
+                let Ok(mut wire) = self.connect(until, ReusePolicy::Any, 0).await else {
+                    return ReservationStatus::Denied;
                 };
                 // Told during the dial: nothing new goes to an engine that drains or is gone.
-                if self.closing.load(Ordering::Relaxed) || job.is_over() || call.left() {
-                    return Held::No;
+                if self.closing.load(Ordering::Relaxed) || job.is_finished() || call.left() {
+                    return ReservationStatus::Denied;
                 }
                 left = true;
                 let target = format!("/v1/holds/{}", call.id);
                 if self.ask(&mut wire, "POST", &target).await.is_err() {
-                    return Held::Unknown;
+                    return ReservationStatus::Unknown;
                 }
                 let Ok(answer) = answer(&mut wire, &LIMITS).await else {
-                    return Held::Unknown;
+                    return ReservationStatus::Unknown;
                 };
                 self.note_answer();
                 let whole = rest(&mut wire, &answer, &LIMITS).await.is_some();
                 self.keep_idle(wire, whole && answer.head.keeps());
                 match answer.status {
-                    200 => Held::Yes,
-                    404 | 409 => Held::No,
-                    _ => Held::Unknown,
+                    200 => ReservationStatus::Granted,
+                    404 | 409 => ReservationStatus::Denied,
+                    _ => ReservationStatus::Unknown,
                 }
             };
             let ended = or(before(runtime, until, asked), async {
-                job.over().await;
+                job.until_finished().await;
                 None
             });
             let ended = ended.await;
-            ended.unwrap_or(if left { Held::Unknown } else { Held::No })
+            ended.unwrap_or(if left {
+                ReservationStatus::Unknown
+            } else {
+                ReservationStatus::Denied
+            })
         })
     }
-    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, LoadReport)> {
+    fn health_check(self: Arc<Self>, shared: Arc<NodeContext>) -> BoxFuture<(bool, LoadReport)> {
         Box::pin(async move {
             let until = shared
                 .runtime()
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -4,8 +4,8 @@
 use crate::call::lock;
 use crate::release::Releases;
 use crate::wire::Wire;
+use ivyward::core::connection_reuse::ReuseHistory;
 use ivyward::core::interface::Micros;
-use ivyward::core::keep::Keep;
 use ivyward::core::release::ReleaseSettings;
 use ivyward::runtime::RuntimeRef;
 use std::ops::{Deref, DerefMut};
@@ -29,7 +29,7 @@
     pub(super) spare: usize,
     pub(super) hold_wait: Micros,
     pub(super) fields: Vec<String>,
-    pub(super) kept_connections: Mutex<Keep>,
+    pub(super) kept_connections: Mutex<ReuseHistory>,
     pub(super) links: Mutex<Vec<Weak<EngineLink>>>,
     pub(crate) releases: Arc<Releases>,
 }
@@ -43,7 +43,7 @@
         fields: &[String],
         let_go: ReleaseSettings,
     ) -> Arc<EnginePool> {
-        let spare = let_go.most_asks;
+        let spare = let_go.max_concurrent_attempts;
         let keep = if keepalive > 0 {
             (keepalive as f64 * IDLE_FRACTION) as Micros
         } else {
@@ -56,7 +56,7 @@
             connections: AtomicUsize::new(0),
             most,
             spare,
-            hold_wait: let_go.hold_wait(),
+            hold_wait: let_go.reserve_timeout(),
             fields: fields.to_vec(),
             kept_connections: Mutex::default(),
             links: Mutex::default(),
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -9,8 +9,8 @@
     const SPARE: usize = 12;
     let let_go = ReleaseSettings {
         within: 300_000,
-        most_asks: SPARE,
-        most_owed: 10,
+        max_concurrent_attempts: SPARE,
+        max_pending: 10,
     };
     let engines = EnginePool::new(&runtime, 1, 1, 2, &[], let_go);
     let taken: Vec<ConnectionPermit> = (0..2)
--- a/crates/ivyward-platform/src/release.rs
+++ b/crates/ivyward-platform/src/release.rs
@@ -5,10 +5,10 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use ivyward::core::interface::{EndpointId, Micros};
-use ivyward::core::release::{Answer, Ask, ReleaseQueue, ReleaseSettings};
-use ivyward::engines::{LinkRef, ReleaseJob};
+use ivyward::core::release::{ReleaseAttempt, ReleaseQueue, ReleaseResult, ReleaseSettings};
+use ivyward::engines::{EngineHandle, ReleaseRequest};
 use ivyward::runtime::RuntimeExt;
-use ivyward::Shared;
+use ivyward::NodeContext;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, OnceLock};
 use tracing::{debug, warn};
@@ -17,7 +17,7 @@
     decider: ReleaseQueue,
     /// What is asked for each request, and the links at which something may be held: those stay known though their
     /// engines leave the list.
-    what: BTreeMap<u64, (Arc<str>, Vec<LinkRef>)>,
+    what: BTreeMap<u64, (Arc<str>, Vec<EngineHandle>)>,
 }
 
 /// What the node still has to let go of.
@@ -25,7 +25,7 @@
     owing: Mutex<Owing>,
     moved: Event,
     /// Set when something is owed for the first time; from then on a task asks.
-    shared: OnceLock<Arc<Shared>>,
+    shared: OnceLock<Arc<NodeContext>>,
 }
 
 impl Releases {
@@ -41,7 +41,7 @@
         }
     }
 
-    pub(crate) fn owe(engines: &Arc<EnginePool>, shared: &Arc<Shared>, job: ReleaseJob) {
+    pub(crate) fn owe(engines: &Arc<EnginePool>, shared: &Arc<NodeContext>, job: ReleaseRequest) {
         let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
             return;
         };
@@ -53,13 +53,13 @@
                 .run(async move { asking.run(&engines).await });
         }
         releases.change(|owing, now| {
-            let sure = job.kept.iter().all(|k| k.sure);
-            let links = job.kept.into_iter().map(|k| k.link).collect();
+            let sure = job.reservations.iter().all(|k| k.confirmed);
+            let links = job.reservations.into_iter().map(|k| k.engine).collect();
             owing.what.insert(
                 job.request,
                 (format!("/v1/holds/{}", call.id).into(), links),
             );
-            let left = owing.decider.owe(now, job.request, sure);
+            let left = owing.decider.enqueue(now, job.request, sure);
             left_to_engines(
                 shared,
                 left.as_slice(),
@@ -70,34 +70,34 @@
 
     /// See [`ReleaseQueue::needed`].
     pub(crate) fn needed(&self, request: u64) -> bool {
-        self.change(|owing, _| owing.decider.needed(request))
+        self.change(|owing, _| owing.decider.withdraw(request))
             .unwrap_or(false)
     }
 
     /// An engine that had been silent answered.
     pub(crate) fn heard(&self) {
-        self.change(|owing, now| owing.decider.heard(now));
+        self.change(|owing, now| owing.decider.endpoint_recovered(now));
     }
 
     /// The node is about to end.
     pub(crate) fn ends(&self) {
-        self.change(|owing, now| owing.decider.ends(now));
+        self.change(|owing, now| owing.decider.shut_down(now));
     }
 
     /// Changes what is owed, if anything ever was, keeps the node's count of it, and wakes the task that asks.
     fn change<T>(&self, how: impl FnOnce(&mut Owing, Micros) -> T) -> Option<T> {
         let shared = self.shared.get()?;
         let mut owing = lock(&self.owing);
-        let before = owing.decider.owed();
+        let before = owing.decider.pending();
         let out = how(&mut owing, shared.runtime().now());
-        let after = owing.decider.owed();
-        shared.owe(after.saturating_sub(before));
-        shared.settled(before.saturating_sub(after));
+        let after = owing.decider.pending();
+        shared.add_pending_releases(after.saturating_sub(before));
+        shared.finish_pending_releases(before.saturating_sub(after));
         if owing.what.len() > after {
             let Owing { decider, what } = &mut *owing;
-            what.retain(|request, _| decider.owes(*request));
+            what.retain(|request, _| decider.is_pending(*request));
         }
-        let wakes = owing.decider.due().is_some();
+        let wakes = owing.decider.next_deadline().is_some();
         drop(owing);
         if wakes {
             self.moved.notify(usize::MAX);
@@ -113,7 +113,7 @@
         let runtime = shared.runtime();
         loop {
             let listener = self.moved.listen();
-            let due = lock(&self.owing).decider.due();
+            let due = lock(&self.owing).decider.next_deadline();
             match due {
                 Some(at) if at <= runtime.now() => self.act(&shared, engines),
                 Some(at) => or(listener, runtime.sleep_until(at)).await,
@@ -122,7 +122,7 @@
         }
     }
 
-    fn act(self: &Arc<Self>, shared: &Arc<Shared>, engines: &Arc<EnginePool>) {
+    fn act(self: &Arc<Self>, shared: &Arc<NodeContext>, engines: &Arc<EnginePool>) {
         let mut links: BTreeMap<EndpointId, Arc<EngineLink>> = BTreeMap::new();
         for link in engines.living() {
             // One engine may have two, where it moved: the one that is listed counts.
@@ -131,38 +131,38 @@
             }
         }
         let takers: Vec<_> = links.values().map(|l| l.taker()).collect();
-        let asks: Vec<(Ask, Arc<str>)> = {
+        let asks: Vec<(ReleaseAttempt, Arc<str>)> = {
             let mut owing = lock(&self.owing);
             let now = shared.runtime().now();
-            let left = owing.decider.left(now);
-            shared.settled(left.len());
+            let left = owing.decider.take_abandoned(now);
+            shared.finish_pending_releases(left.len());
             left_to_engines(shared, &left, "the node ends");
-            let asks = owing.decider.act(now, &takers);
+            let asks = owing.decider.next_attempts(now, &takers);
             asks.into_iter()
                 .filter_map(|a| Some((a, owing.what.get(&a.request)?.0.clone())))
                 .collect()
         };
         for (ask, target) in asks {
-            let Some(link) = links.get(&ask.taker).cloned() else {
+            let Some(link) = links.get(&ask.target).cloned() else {
                 continue;
             };
             let releases = self.clone();
             shared.metrics().releases.add(1);
             shared.runtime().run(async move {
-                let short = link.short("DELETE", &target, ask.until).await;
+                let short = link.short("DELETE", &target, ask.deadline).await;
                 debug!(request = ask.request, %target, engine = link.id.0, ?short, "asked to let go");
                 let answer = match short {
-                    Ok((200..=299, _)) => Answer::Taken,
-                    Err(CallError::Local(_)) => Answer::NoRoom,
-                    _ => Answer::Not,
+                    Ok((200..=299, _)) => ReleaseResult::Accepted,
+                    Err(CallError::Local(_)) => ReleaseResult::NoLocalResources,
+                    _ => ReleaseResult::Failed,
                 };
-                releases.change(|owing, now| owing.decider.answered(now, &ask, answer));
+                releases.change(|owing, now| owing.decider.on_result(now, &ask, answer));
             });
         }
     }
 }
 
-fn left_to_engines(shared: &Arc<Shared>, requests: &[u64], why: &str) {
+fn left_to_engines(shared: &Arc<NodeContext>, requests: &[u64], why: &str) {
     for request in requests {
         shared.metrics().releases_dropped.add(1);
         warn!(
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -288,7 +288,7 @@
         ));
         let first_by = self.runtime.now().saturating_add(arrival.client_timeout);
         let first_by = first_by.saturating_sub(self.node.settings().answer_margin);
-        let taken = match self.node.take(arrival, first_by, call.clone()) {
+        let taken = match self.node.accept(arrival, first_by, call.clone()) {
             Ok(number) => TakenRequest {
                 node: &self.node,
                 number,
--- a/crates/ivyward-platform/src/server/open.rs
+++ b/crates/ivyward-platform/src/server/open.rs
@@ -30,9 +30,9 @@
 
 impl Drop for TakenRequest<'_> {
     fn drop(&mut self) {
-        if !self.call.outlet.told() {
+        if !self.call.outlet.is_delivered() {
             self.call.leave();
-            self.node.gone(self.number);
+            self.node.client_disconnected(self.number);
         }
     }
 }
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::RuntimeExt;
-use ivyward::{Failure, Final, Refusal};
+use ivyward::{FailureReason, FinalStatus, RejectReason};
 use ivyward_http1::{body, head};
 
 /// A client that takes no byte of its answer for this span has gone away: a matter of its machine, not of its deadline.
@@ -54,9 +54,13 @@
         &self,
         wire: &mut Wire,
         retry_after: Option<Micros>,
-        why: Refusal,
+        why: RejectReason,
     ) -> bool {
-        let status = if why == Refusal::Shed { 429 } else { 503 };
+        let status = if why == RejectReason::Overloaded {
+            429
+        } else {
+            503
+        };
         let seconds = retry_after
             .filter(|r| *r > 0)
             .map(|r| format!("{:.3}", r as f64 / 1e6));
@@ -73,7 +77,7 @@
         &self,
         wire: &mut Wire,
         call: &PlatformCall,
-    ) -> Option<Result<Vec<u8>, Final>> {
+    ) -> Option<Result<Vec<u8>, FinalStatus>> {
         let next = async {
             Some(
                 poll_fn(|cx| call.outlet.poll_items(cx))
@@ -119,15 +123,16 @@
                     }
                     body::chunk(&mut out, &data);
                 }
-                Err(Final::Served) if begun => out.extend_from_slice(body::LAST),
+                Err(FinalStatus::Served) if begun => out.extend_from_slice(body::LAST),
                 // Without the last chunk the client knows that the stream broke.
                 Err(_) if begun => return false,
-                Err(Final::Refused { retry_after, why }) => {
-                    return self.refuse(wire, retry_after, why).await
-                }
+                Err(FinalStatus::Rejected {
+                    retry_after,
+                    reason: why,
+                }) => return self.refuse(wire, retry_after, why).await,
                 Err(end) => {
                     let (status, text) = match end {
-                        Final::Failed(Failure::Deadline) => (504, "the time was over"),
+                        FinalStatus::Failed(FailureReason::Deadline) => (504, "the time was over"),
                         _ => (502, "no engine answered"),
                     };
                     return self
@@ -135,7 +140,7 @@
                         .await;
                 }
             }
-            let last = out.ends_with(body::LAST) && taken.call.outlet.told();
+            let last = out.ends_with(body::LAST) && taken.call.outlet.is_delivered();
             if wire
                 .write_slowly(&self.runtime, WRITE_STALL, &out)
                 .await
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -61,8 +61,8 @@
         let costly = told.module.must_subscribe;
         let let_go = ReleaseSettings {
             within: settings.rules.release_within,
-            most_asks: bounds.spare,
-            most_owed: bounds.releases,
+            max_concurrent_attempts: bounds.spare,
+            max_pending: bounds.releases,
         };
         let (dial, fields) = (settings.dial_timeout, &told.report_fields);
         let engines = EnginePool::new(
@@ -78,7 +78,8 @@
         let node = Node::start_with(runtime.clone(), settings, None, protocol)?;
         let mut reader = ListReader::new(told.clone(), &runtime);
         if let Some(known) = &config.known {
-            node.fleet(ListKind::Cached, reader.read_held(known)).await;
+            node.update_endpoints(ListKind::Cached, reader.read_held(known))
+                .await;
         }
         let listener = runtime
             .listen(config.listen)
@@ -115,7 +116,7 @@
                     next = clock.now().saturating_add(REPORT);
                     let m = counted.metrics();
                     info!(
-                        open = counted.open(),
+                        open = counted.open_requests(),
                         clients = looks.connections(),
                         connections = engines.connections(),
                         prompt_bytes = looks.prompt_bytes(),
@@ -164,7 +165,7 @@
     /// long that may take is for whoever called: a node that ends before its requests loses them.
     pub async fn stop(&mut self) {
         self.server.stopping.store(true, Ordering::SeqCst);
-        info!(open = self.node.open(), "stopping");
+        info!(open = self.node.open_requests(), "stopping");
         self.runtime.sleep(ACCEPTS).await;
         self.listening = None;
         // Guards against an end before the last connections are looked at. Ends when the sender is dropped.
@@ -173,8 +174,11 @@
         let mut told = false;
         // Guards against a node that ends in the midst of a cut and leaves pinned what it held, and against one that ends
         // before a connection that was told to close, and may bring a request just then, has closed.
-        while self.node.open() > 0 || self.server.unclosed() > 0 || self.node.owed() > 0 {
-            if self.node.open() == 0 && !std::mem::replace(&mut told, true) {
+        while self.node.open_requests() > 0
+            || self.server.unclosed() > 0
+            || self.node.pending_releases() > 0
+        {
+            if self.node.open_requests() == 0 && !std::mem::replace(&mut told, true) {
                 self.releases.ends();
             }
             self.runtime.sleep(5_000).await;
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -99,7 +99,7 @@
                 assert!(said["error"]["message"].is_string(), "{what}: {said}");
             }
             assert!(scene.seen().is_empty(), "{what}: reached an engine");
-            assert_eq!(scene.service.node().open(), 0, "{what}");
+            assert_eq!(scene.service.node().open_requests(), 0, "{what}");
         }
         assert_eq!(scene.ask("good", "draft").await.status, 200);
     });
@@ -237,7 +237,7 @@
             assert!(got.status != 200 || got.whole, "{id} was cut");
         }
         assert!(served > 20, "{served} served");
-        assert_eq!(scene.service.node().open(), 0);
+        assert_eq!(scene.service.node().open_requests(), 0);
     });
 }
 
@@ -278,7 +278,7 @@
         let left = scene.runtime.now();
         until(&scene.runtime, "a close", closed).await;
         assert!(scene.runtime.now() - left < 50_000);
-        assert_eq!(scene.service.node().open(), 0);
+        assert_eq!(scene.service.node().open_requests(), 0);
     });
 }
 
@@ -376,7 +376,11 @@
             .await;
             if !reads_on {
                 scene.runtime.sleep(12_000_000).await;
-                assert_eq!(scene.service.node().open(), 0, "nothing waits for it");
+                assert_eq!(
+                    scene.service.node().open_requests(),
+                    0,
+                    "nothing waits for it"
+                );
                 return;
             }
             let mut got = Vec::new();
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -496,7 +496,7 @@
             (4, 4),
             "the module forgot the others"
         );
-        assert_eq!(scene.service.node().open(), 0);
+        assert_eq!(scene.service.node().open_requests(), 0);
     });
 }
 
--- a/crates/ivyward-platform/tests/gone.rs
+++ b/crates/ivyward-platform/tests/gone.rs
@@ -117,7 +117,10 @@
                         "{how:?}, {class}, may cancel {may}"
                     );
                     assert_eq!(
-                        (scene.service.node().open(), scene.service.node().owed()),
+                        (
+                            scene.service.node().open_requests(),
+                            scene.service.node().pending_releases()
+                        ),
                         (0, 0)
                     );
                 });
@@ -284,7 +287,7 @@
                 let (gone, _kept) = wait.recv().await.unwrap();
                 let late = latest(&scene, &ids, gone);
                 assert!(late <= WITHIN, "{how:?}, may cancel {may}: {late} us");
-                assert_eq!(scene.service.node().open(), 0);
+                assert_eq!(scene.service.node().open_requests(), 0);
             });
         }
     }
--- a/crates/ivyward-platform/tests/held.rs
+++ b/crates/ivyward-platform/tests/held.rs
@@ -36,14 +36,14 @@
         scene.cut(&[0, 1, 2, 3], true);
         drop(conns);
         scene.runtime.sleep(30_000 * MS).await;
-        let owed = scene.service.node().owed();
+        let owed = scene.service.node().pending_releases();
         assert!(owed > 0, "what they may have left is owed");
         let asked = scene.service.node().metrics().releases.get();
         assert!(asked < 20 * 60, "{asked} asks in half a minute");
         scene.cut(&[3], false);
         let back = scene.runtime.now();
         until(&scene.runtime, "all is let go of", || {
-            scene.service.node().owed() == 0
+            scene.service.node().pending_releases() == 0
         })
         .await;
         let took = scene.runtime.now() - back;
@@ -72,7 +72,7 @@
             drop(conn);
             scene.service.stop().await;
             let took = scene.runtime.now() - last;
-            assert_eq!(scene.service.node().open(), 0);
+            assert_eq!(scene.service.node().open_requests(), 0);
             match reachable {
                 true => {
                     let book = scene.book.lock().unwrap();
@@ -149,7 +149,10 @@
             let kept = kept(&scene, &ids);
             assert!(kept <= WITHIN + 50 * MS, "salt {salt}: kept for {kept} us");
             assert_eq!(
-                (scene.service.node().open(), scene.service.node().owed()),
+                (
+                    scene.service.node().open_requests(),
+                    scene.service.node().pending_releases()
+                ),
                 (0, 0)
             );
         });
@@ -186,7 +189,7 @@
                 scene.releases("one").iter().all(|r| r.engine >= 2),
                 "one that is listed is asked"
             );
-            assert_eq!(scene.service.node().owed(), 0);
+            assert_eq!(scene.service.node().pending_releases(), 0);
         });
     }
 }
@@ -295,7 +298,7 @@
         scene.runtime.sleep(3_000 * MS).await;
         let kept = kept(&scene, &ids);
         assert!(kept <= WITHIN, "kept for {kept} us");
-        assert_eq!(scene.service.node().owed(), 0);
+        assert_eq!(scene.service.node().pending_releases(), 0);
     });
 }
 
@@ -344,7 +347,10 @@
                         assert!(kept <= WITHIN, "{what}: {kept} us");
                     }
                     assert_eq!(
-                        (scene.service.node().open(), scene.service.node().owed()),
+                        (
+                            scene.service.node().open_requests(),
+                            scene.service.node().pending_releases()
+                        ),
                         (0, 0)
                     );
                 });
--- a/crates/ivyward-platform/tests/rules.rs
+++ b/crates/ivyward-platform/tests/rules.rs
@@ -194,7 +194,7 @@
             book.seen.iter().any(|s| s.at > begun && s.engine == 1),
             "engine 1 was used at all"
         );
-        assert_eq!(scene.service.node().open(), 0);
+        assert_eq!(scene.service.node().open_requests(), 0);
     });
 }
 
--- a/crates/ivyward-testbed/src/handover.rs
+++ b/crates/ivyward-testbed/src/handover.rs
@@ -5,7 +5,7 @@
     Action, Endpoint, EndpointId, EndpointState, Event, ListKind, LoadReport, Micros, Outcome,
     Request, RequestId, Settings,
 };
-use ivyward::core::rules::Router;
+use ivyward::core::router::Router;
 use ivyward::NodeSettings;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/ivyward-testbed/src/main.rs
+++ b/crates/ivyward-testbed/src/main.rs
@@ -246,8 +246,8 @@
         #[arg(long, value_name = "FILE")]
         trace: Option<PathBuf>,
     },
-    /// Plants each known defect in turn and plays seeds until one finds it. Only with RUSTFLAGS="--cfg planted".
-    #[cfg(planted)]
+    /// Plants each known defect in turn and plays seeds until one finds it. Only with RUSTFLAGS="--cfg mutations".
+    #[cfg(mutations)]
     Planted {
         /// Most seeds for each.
         #[arg(long, default_value_t = 2_000)]
@@ -519,7 +519,7 @@
             println!("{}", peernet::HEAD);
             for nodes in nodes {
                 let spans = ivyward_core::peers::PeerSettings {
-                    own_health: !plain,
+                    local_health: !plain,
                     ..Default::default()
                 };
                 let threads = std::thread::available_parallelism().map_or(1, usize::from);
@@ -633,7 +633,7 @@
             };
             play_seed(seed, &size, shrink, keep, trace)
         }
-        #[cfg(planted)]
+        #[cfg(mutations)]
         What::Planted { count, jobs } => Ok(planted(count, jobs)),
         What::Engine {
             id,
@@ -842,7 +842,7 @@
 }
 
 /// How many seeds each planted defect takes, a line each.
-#[cfg(planted)]
+#[cfg(mutations)]
 fn planted(count: u64, jobs: usize) -> ExitCode {
     let jobs = if jobs > 0 {
         jobs
@@ -856,10 +856,10 @@
         nodes: nodes(true),
         ..Size::default()
     };
-    let usual = ivyward_core::planted::ALL.map(|d| (d, Size::default()));
-    let peers = ivyward_core::planted::PEERS.map(|d| (d, with_peers));
+    let usual = ivyward_core::mutations::ALL.map(|d| (d, Size::default()));
+    let peers = ivyward_core::mutations::PEERS.map(|d| (d, with_peers));
     for (defect, size) in usual.into_iter().chain(peers) {
-        ivyward_core::planted::plant(Some(defect));
+        ivyward_core::mutations::plant(Some(defect));
         let found = seeds::first_wrong(1, count, jobs, &size);
         all &= found.is_some();
         match found {
@@ -867,7 +867,7 @@
             None => println!("| {defect:?} | none of {count} | |"),
         }
     }
-    ivyward_core::planted::plant(None);
+    ivyward_core::mutations::plant(None);
     if all {
         ExitCode::SUCCESS
     } else {
@@ -972,7 +972,8 @@
 
 fn replay(file: &std::path::Path) -> Result<ExitCode, String> {
     let open = std::fs::File::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let done = ivyward::record::replay(std::io::BufReader::new(open)).map_err(|e| e.to_string())?;
+    let done =
+        ivyward::recording::replay(std::io::BufReader::new(open)).map_err(|e| e.to_string())?;
     let cut = if done.cut {
         "; the recording ends inside an entry"
     } else {
--- a/crates/ivyward-testbed/src/peernet.rs
+++ b/crates/ivyward-testbed/src/peernet.rs
@@ -16,10 +16,10 @@
 }
 
 /// How a node announces itself.
-pub fn card(node: usize, start: u64) -> Card {
-    Card {
+pub fn card(node: usize, start: u64) -> NodeInfo {
+    NodeInfo {
         id: PeerId(node as u64 + 1),
-        start,
+        incarnation: start,
         zone: (node % 3) as u8,
         address: address(node),
     }
@@ -58,7 +58,7 @@
     seq: u64,
     way: Way,
     /// When who changed its view of whom to what.
-    pub changes: Vec<(Micros, usize, PeerId, Standing)>,
+    pub changes: Vec<(Micros, usize, PeerId, PeerState)>,
     /// Datagrams and bytes that each sent, at 86 bytes and 46 a claim, which is what they are on the wire by IPv4.
     pub sent: Vec<(u64, u64)>,
     random: u64,
@@ -130,23 +130,28 @@
         self.due.insert(self.seq, due);
     }
     /// Takes out what a decider wants done.
-    pub fn carry(&mut self, node: usize, out: Vec<Out>) {
+    pub fn carry(&mut self, node: usize, out: Vec<PeerAction>) {
         for one in out {
             match one {
-                Out::Changed { card, is, .. } => self.changes.push((self.now, node, card.id, is)),
-                Out::Send { to, message } => {
+                PeerAction::Changed { node: card, is, .. } => {
+                    self.changes.push((self.now, node, card.id, is))
+                }
+                PeerAction::Send { to, message } => {
                     let [_, _, high, low] = match to.ip() {
                         std::net::IpAddr::V4(ip) => ip.octets(),
                         std::net::IpAddr::V6(_) => unreachable!(),
                     };
                     let target = usize::from(high) * 256 + usize::from(low);
-                    let claims = message.claims.len()
-                        + if let Body::Page { claims, .. } = &message.body {
+                    let claims = message.updates.len()
+                        + if let MessageBody::ViewPage {
+                            updates: claims, ..
+                        } = &message.body
+                        {
                             claims.len()
                         } else {
                             0
                         };
-                    debug_assert!(claims <= MOST_CLAIMS);
+                    debug_assert!(claims <= MAX_UPDATES);
                     self.sent[node].0 += 1;
                     self.sent[node].1 += 86 + 46 * claims as u64;
                     let lot = self.lot();
@@ -184,11 +189,13 @@
             match due {
                 Due::Tick(node, start) if start == self.starts[node] => {
                     self.peers[node].tick(at, &mut out);
-                    let next = at + self.peers[node].tick_span();
+                    let next = at + self.peers[node].tick_interval();
                     self.at(next, Due::Tick(node, start));
                 }
                 Due::Tick(..) => {}
-                Due::Message(node, message) => self.peers[node].hear(at, *message, &mut out),
+                Due::Message(node, message) => {
+                    self.peers[node].handle_message(at, *message, &mut out)
+                }
             }
             self.carry(node, out);
         }
@@ -206,7 +213,7 @@
         self.at(self.now, Due::Tick(node, self.starts[node]));
     }
     /// Starts a process in a node's place that announces itself otherwise: another name, another start.
-    pub fn restart_as(&mut self, node: usize, card: Card) {
+    pub fn restart_as(&mut self, node: usize, card: NodeInfo) {
         self.starts[node] += 1;
         self.life[node] = Life::Up;
         self.peers[node] = Peers::new(
@@ -219,10 +226,8 @@
         self.at(self.now, Due::Tick(node, self.starts[node]));
     }
     /// What one takes another for.
-    pub fn standing(&self, at: usize, of: usize) -> Option<Standing> {
-        self.peers[at]
-            .peer(PeerId(of as u64 + 1))
-            .map(|p| p.standing)
+    pub fn standing(&self, at: usize, of: usize) -> Option<PeerState> {
+        self.peers[at].peer(PeerId(of as u64 + 1)).map(|p| p.state)
     }
     /// Who was not killed.
     pub fn live(&self) -> Vec<usize> {
@@ -234,8 +239,8 @@
     pub fn agreed(&self) -> bool {
         let live = self.live();
         let right = |at: usize, of: usize| match self.standing(at, of) {
-            Some(Standing::Alive) => live.contains(&of),
-            Some(Standing::Suspected) => false,
+            Some(PeerState::Alive) => live.contains(&of),
+            Some(PeerState::Suspected) => false,
             _ => !live.contains(&of),
         };
         live.iter()
@@ -256,7 +261,7 @@
     pub fn deaths(&self, since: Micros) -> usize {
         self.changes
             .iter()
-            .filter(|c| c.0 >= since && c.3 == Standing::Dead)
+            .filter(|c| c.0 >= since && c.3 == PeerState::Dead)
             .count()
     }
 }
@@ -420,7 +425,7 @@
             let known: Vec<Micros> = net
                 .changes
                 .iter()
-                .filter(|c| c.0 >= at && c.2 == of && c.3 == Standing::Dead)
+                .filter(|c| c.0 >= at && c.2 == of && c.3 == PeerState::Dead)
                 .map(|c| (c.0 - at) / 1_000)
                 .collect();
             figures.known.extend(&known);
--- a/crates/ivyward-testbed/src/peerscene.rs
+++ b/crates/ivyward-testbed/src/peerscene.rs
@@ -1,7 +1,7 @@
 //! Peers in whole scenes of the virtual world: each node announces the address of a forwarder, and views and counts are
 //! checked as the scene goes on.
 
-use ivyward::core::peers::Standing;
+use ivyward::core::peers::PeerState;
 use ivyward::{Node, PeerOptions, PeersHandle};
 use ivyward_runtime::{Datagrams, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
 use std::net::SocketAddr;
@@ -85,9 +85,9 @@
         let (alive, count) = peers.look(|p| {
             let alive = p
                 .peers()
-                .filter(|peer| peer.standing == Standing::Alive)
+                .filter(|peer| peer.state == PeerState::Alive)
                 .count() as u32;
-            (alive + 1, p.count())
+            (alive + 1, p.replica_count())
         });
         if (alive, count) != (all, all) {
             wrong.push(format!(
@@ -106,7 +106,7 @@
         .enumerate()
         .filter_map(|(i, node)| Some((i, node.as_ref()?.known_peers()?)));
     let mut low = counts
-        .map(|(i, peers)| (i, peers.look(|p| p.count())))
+        .map(|(i, peers)| (i, peers.look(|p| p.replica_count())))
         .filter(|c| c.1 < there);
     low.next()
         .map(|(i, count)| format!("node {i} counts {count} of {there} nodes that may be sending"))
--- a/crates/ivyward-testbed/src/relay.rs
+++ b/crates/ivyward-testbed/src/relay.rs
@@ -100,10 +100,10 @@
             ..Endpoint::default()
         };
         let listed = vec![Listed {
-            entry,
+            endpoint: entry,
             address: engine.address(),
         }];
-        runtime.block_on(node.fleet(ListKind::Full, listed));
+        runtime.block_on(node.update_endpoints(ListKind::Full, listed));
         node_runtime.run(async move { node.serve(door).await });
         Ok(Pair {
             runtime,
@@ -351,11 +351,11 @@
                 ..Endpoint::default()
             };
             Listed {
-                entry,
+                endpoint: entry,
                 address: engine.address(),
             }
         });
-        runtime.block_on(node.fleet(ListKind::Full, listed.collect()));
+        runtime.block_on(node.update_endpoints(ListKind::Full, listed.collect()));
         let before = (
             node.metrics().module_us.get(),
             node.metrics().driver_us.get(),
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use crate::scale::usage::{Counted, Counters};
 use crate::scale::ScaleError;
 use crate::scene::classes;
-use ivyward::follow::{EtcdOptions, Follow};
+use ivyward::watcher::{EtcdOptions, Follow};
 use ivyward::{Class, Node, NodeSettings, PeerOptions, PeerStore, Tenant};
 use ivyward_fakes::engine::{Kill, Together};
 use ivyward_fakes::etcd::Store;
@@ -263,7 +263,9 @@
 fn node_counters(nodes: &[Node]) -> Counters {
     let mut all = Counters::new();
     for node in nodes {
-        for (part, counted) in crate::scale::usage::counters(&node.metrics().text(node.open())) {
+        for (part, counted) in
+            crate::scale::usage::counters(&node.metrics().text(node.open_requests()))
+        {
             let sum: &mut Counted = all.entry(part).or_default();
             sum.bytes_in += counted.bytes_in;
             sum.bytes_out += counted.bytes_out;
--- a/crates/ivyward-testbed/src/scene.rs
+++ b/crates/ivyward-testbed/src/scene.rs
@@ -7,7 +7,7 @@
     Action, ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency,
     ListKind, Micros, Settings,
 };
-use ivyward::record::{Reader, RecordError};
+use ivyward::recording::{RecordingError, RecordingReader};
 use ivyward::registration::{Record, State, PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
 use ivyward_fakes::engine::Threads;
@@ -105,8 +105,8 @@
 ///
 /// # Errors
 /// When it is no recording.
-pub fn decisions(recording: &[u8]) -> Result<Vec<String>, RecordError> {
-    let mut reader = Reader::begin(recording)?;
+pub fn decisions(recording: &[u8]) -> Result<Vec<String>, RecordingError> {
+    let mut reader = RecordingReader::begin(recording)?;
     let mut out = Vec::new();
     while let Some(step) = reader.step()? {
         for action in step.actions {
@@ -140,7 +140,7 @@
     /// What may be in flight on this machine, for the auditor.
     pub flight: Micros,
     /// Nodes in this process follow engines through a store instead of being told.
-    pub follow: Option<ivyward::follow::Follow>,
+    pub follow: Option<ivyward::watcher::Follow>,
     /// Records the first node's run.
     pub record: Option<Memory>,
 }
@@ -416,7 +416,7 @@
                     .into_iter()
                     .map(|(e, condition, at)| self.entry(e, condition, since(at)));
                 match follow {
-                    None => block_on(node.fleet(ListKind::Full, entries.collect())),
+                    None => block_on(node.update_endpoints(ListKind::Full, entries.collect())),
                     Some(follow) => {
                         let following = node.clone();
                         runtime.run(async move { following.follow(follow).await });
@@ -493,7 +493,7 @@
         });
         let entry = self.entry(engine, condition, started);
         // The node may be killed before it took that in.
-        let took = handle.fleet(ListKind::Changes, vec![entry]);
+        let took = handle.update_endpoints(ListKind::Changes, vec![entry]);
         let killed = async {
             while self
                 .node(node)
@@ -514,7 +514,7 @@
             let ready = condition == EndpointState::Ready;
             self.log.add(Sight::Told {
                 node: handle.incarnation(),
-                engine: entry.entry.id.0,
+                engine: entry.endpoint.id.0,
                 ready,
             });
         }
@@ -643,7 +643,7 @@
         while self.log.now() < until {
             let open: usize = (0..self.nodes())
                 .filter_map(|n| self.node(n))
-                .map(|n| n.open())
+                .map(|n| n.open_requests())
                 .sum();
             let kept: usize = (0..self.engines()).map(|e| self.engine(e).kept()).sum();
             if open + kept == 0 {
@@ -727,7 +727,7 @@
         started_at: started,
     };
     Listed {
-        entry,
+        endpoint: entry,
         address: engine.address(),
     }
 }
@@ -838,8 +838,12 @@
         flag("class", text);
     }
     for engine in engines {
-        let role = ROLES[usize::from(engine.entry.machine_type)];
-        let (id, cell, weight) = (engine.entry.id.0, engine.entry.rack, engine.entry.weight);
+        let role = ROLES[usize::from(engine.endpoint.machine_type)];
+        let (id, cell, weight) = (
+            engine.endpoint.id.0,
+            engine.endpoint.rack,
+            engine.endpoint.weight,
+        );
         flag(
             "server",
             format!(
--- a/crates/ivyward-testbed/src/seeds.rs
+++ b/crates/ivyward-testbed/src/seeds.rs
@@ -9,10 +9,10 @@
 use futures_lite::future::or;
 use ivyward::core::interface::{Action, Endpoint, EndpointState, Event, ListKind, Micros};
 use ivyward::core::invariants::Rule;
-use ivyward::follow::Follow;
 use ivyward::metrics::OUTCOMES;
-use ivyward::record::{replay, Reader};
+use ivyward::recording::{replay, RecordingReader};
 use ivyward::registration::{State, PREFIX};
+use ivyward::watcher::Follow;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::engine::Kill;
 use ivyward_fakes::etcd::Store;
@@ -338,7 +338,7 @@
             }
         }
         for (node, bytes) in &self.records {
-            let Ok(mut reader) = Reader::begin(&bytes[..]) else {
+            let Ok(mut reader) = RecordingReader::begin(&bytes[..]) else {
                 continue;
             };
             // What is malformed is told by the replay.
@@ -965,7 +965,7 @@
 /// The lists that a node's module was told, in their order. What is malformed is told by the replay.
 fn lists(record: &[u8]) -> Vec<(ListKind, Vec<Endpoint>)> {
     let mut out = Vec::new();
-    let Ok(mut reader) = Reader::begin(record) else {
+    let Ok(mut reader) = RecordingReader::begin(record) else {
         return out;
     };
     while let Ok(Some(step)) = reader.step() {
@@ -1294,7 +1294,7 @@
     let left = |stage: &Stage| {
         let open: usize = (0..size.nodes)
             .filter_map(|n| stage.node(n))
-            .map(|n| n.1.open())
+            .map(|n| n.1.open_requests())
             .sum();
         let kept: usize = (0..stage.engines.len())
             .map(|e| stage.engine(e, |e| e.kept()))
--- a/crates/ivyward-testbed/tests/alone.rs
+++ b/crates/ivyward-testbed/tests/alone.rs
@@ -3,9 +3,9 @@
 
 mod stage;
 
-use ivyward::follow::Follow;
 use ivyward::registration::State;
-use ivyward::{Final, Node, Part};
+use ivyward::watcher::Follow;
+use ivyward::{FinalStatus, Node, ResponsePart};
 use ivyward_core::interface::ListKind;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::sight::{Effect, Heard};
@@ -44,8 +44,8 @@
     let (other, its_address, _) = stage.node(8);
     let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        node.fleet(ListKind::Full, listed.clone()).await;
-        other.fleet(ListKind::Full, listed).await;
+        node.update_endpoints(ListKind::Full, listed.clone()).await;
+        other.update_endpoints(ListKind::Full, listed).await;
         let client = Client::connect(&runtime, &log, address).await.unwrap();
         let beside = Client::connect(&runtime, &log, its_address).await.unwrap();
         let mut call = 0;
@@ -65,7 +65,7 @@
     });
     assert_eq!(played, Ok(()));
     // Whatever it decided, its own events alone led to it.
-    ivyward::record::replay(&memory.bytes()[..]).unwrap();
+    ivyward::recording::replay(&memory.bytes()[..]).unwrap();
     decisions(&memory.bytes()).unwrap()
 }
 
@@ -84,7 +84,7 @@
         let (node, address, memory) = stage.node(7);
         let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
         let answers = stage.sim.run(&stage.script, HOUR, async move {
-            node.fleet(ListKind::Full, listed).await;
+            node.update_endpoints(ListKind::Full, listed).await;
             let client = Client::connect(&runtime, &log, address).await.unwrap();
             let mut answers = Vec::new();
             for i in 0..20 {
@@ -93,7 +93,10 @@
                     answers.push(served(&client, ask).await);
                 } else {
                     let (ids, end) = node.generate(ask.clone(), Some(2_000_000)).collect().await;
-                    assert_eq!((&ids, end), (&text::answer(&ask.prompt, 6), Final::Served));
+                    assert_eq!(
+                        (&ids, end),
+                        (&text::answer(&ask.prompt, 6), FinalStatus::Served)
+                    );
                     answers.push(ids.len() as u32);
                 }
                 // Ways to the door take time; the next request comes at a time of its own.
@@ -114,19 +117,19 @@
     let (node, ..) = stage.node(13);
     let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        node.fleet(ListKind::Full, listed).await;
+        node.update_endpoints(ListKind::Full, listed).await;
         for call in 1..=5 {
             let ask = GenerateRequest {
                 max_output_tokens: 1_000,
                 ..request(call, &prompt(1, 40), 1)
             };
             let mut answer = node.generate(ask, None);
-            assert!(matches!(answer.next().await, Part::Tokens(_)));
+            assert!(matches!(answer.next().await, ResponsePart::Tokens(_)));
             drop(answer);
         }
         // As long as a reset takes to be written, and to cross.
         runtime.sleep(1_000_000).await;
-        (node.open(), node.metrics().gone.get())
+        (node.open_requests(), node.metrics().gone.get())
     });
     assert_eq!(played, Ok((0, 5)));
     assert!(stage.engines.iter().all(|e| e.kept() == 0));
--- a/crates/ivyward-testbed/tests/cold.rs
+++ b/crates/ivyward-testbed/tests/cold.rs
@@ -2,7 +2,7 @@
 //! one may, so the load must be the same in each run.
 
 use ivyward::core::interface::Settings;
-use ivyward::follow::Follow;
+use ivyward::watcher::Follow;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::sight::{Effect, Seen};
--- a/crates/ivyward-testbed/tests/common/mod.rs
+++ b/crates/ivyward-testbed/tests/common/mod.rs
@@ -89,7 +89,7 @@
     scene.settle(10_000_000).await;
     let open: usize = (0..scene.nodes())
         .filter_map(|n| scene.node(n))
-        .map(|n| n.open())
+        .map(|n| n.open_requests())
         .sum();
     let kept: usize = (0..scene.engines()).map(|e| scene.engine(e).kept()).sum();
     assert_eq!((open, kept), (0, 0), "requests in hand, states kept");
--- a/crates/ivyward-testbed/tests/contract.rs
+++ b/crates/ivyward-testbed/tests/contract.rs
@@ -15,7 +15,7 @@
     let (node, address, _) = stage.node(7);
     let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        node.fleet(ListKind::Full, listed).await;
+        node.update_endpoints(ListKind::Full, listed).await;
         let conn = runtime.connect(address).await.unwrap();
         let channel = Channel::begin(&runtime, conn, Options::default())
             .await
@@ -57,7 +57,7 @@
                 text("grpc-retry-pushback-ms"),
             ));
         }
-        (ends, node.open())
+        (ends, node.open_requests())
     });
     let (ends, open) = played.unwrap();
     assert_eq!(open, 0);
--- a/crates/ivyward-testbed/tests/drains.rs
+++ b/crates/ivyward-testbed/tests/drains.rs
@@ -4,8 +4,8 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward::follow::Follow;
 use ivyward::registration::State;
+use ivyward::watcher::Follow;
 use ivyward_fakes::engine::Threads;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::sight::{Heard, Sight};
@@ -347,12 +347,15 @@
                 .collect()
                 .await
                 .1,
-            ivyward::Final::Served
+            ivyward::FinalStatus::Served
         );
         assert_eq!(node.metrics().list_stale.get(), 1);
         let (_third, node) = start(3, follow);
         let end = node.generate(ask, Some(2_000_000)).collect().await.1;
-        assert!(matches!(end, ivyward::Final::Refused { .. }), "{end:?}");
+        assert!(
+            matches!(end, ivyward::FinalStatus::Rejected { .. }),
+            "{end:?}"
+        );
     });
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/ivyward-testbed/tests/drops.rs
+++ b/crates/ivyward-testbed/tests/drops.rs
@@ -3,7 +3,7 @@
 
 mod stage;
 
-use ivyward::{Final, Node, Part};
+use ivyward::{FinalStatus, Node, ResponsePart};
 use ivyward_core::interface::ListKind;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::sight::Effect;
@@ -61,7 +61,7 @@
     stage_kept: impl Fn() -> usize,
     what: &str,
 ) {
-    let open = || nodes.iter().map(|n| n.open()).sum::<usize>();
+    let open = || nodes.iter().map(|n| n.open_requests()).sum::<usize>();
     let until = runtime.now() + 1_000_000;
     while (open(), stage_kept()) != (0, 0) {
         assert!(
@@ -83,15 +83,15 @@
     let engines = Arc::new(Mutex::new(stage.engines));
     let kept = engines.clone();
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        node.fleet(ListKind::Full, listed).await;
+        node.update_endpoints(ListKind::Full, listed).await;
         for polls in 0.. {
             let mut answer = node.generate(ask(u64::from(polls) + 1), Some(2_000_000));
             let whole = async {
                 let mut tokens = 0;
                 loop {
                     match answer.next().await {
-                        Part::Tokens(run) => tokens += run.ids.len(),
-                        Part::End(end) => return (tokens, end),
+                        ResponsePart::Tokens(run) => tokens += run.ids.len(),
+                        ResponsePart::End(end) => return (tokens, end),
                     }
                 }
             };
@@ -107,7 +107,7 @@
             .await;
             if let Some(end) = done {
                 let whole = text::answer(&ask(u64::from(polls) + 1).prompt, 6).len();
-                assert_eq!(end, (whole, Final::Served));
+                assert_eq!(end, (whole, FinalStatus::Served));
                 return polls;
             }
         }
@@ -126,7 +126,7 @@
     let engines = Arc::new(Mutex::new(stage.engines));
     let kept = engines.clone();
     let played = stage.sim.run(&stage.script, HOUR, async move {
-        node.fleet(ListKind::Full, listed).await;
+        node.update_endpoints(ListKind::Full, listed).await;
         let client = Client::connect(&runtime, &log, address).await.unwrap();
         for polls in 0.. {
             let call = u64::from(polls) + 1;
@@ -190,8 +190,8 @@
         let engines = Arc::new(Mutex::new(stage.engines));
         let (kept, sim) = (engines.clone(), stage.sim.clone());
         let played = stage.sim.run(&stage.script, HOUR, async move {
-            node.fleet(ListKind::Full, listed.clone()).await;
-            again.fleet(ListKind::Full, listed).await;
+            node.update_endpoints(ListKind::Full, listed.clone()).await;
+            again.update_endpoints(ListKind::Full, listed).await;
             let client = Client::connect(&runtime, &log, address).await.unwrap();
             let habit = Habit {
                 client_timeout: 2_000_000,
@@ -223,7 +223,7 @@
             // Longer than engines keep anything for a node that is gone.
             runtime.sleep(60_000_000).await;
             (
-                again.open(),
+                again.open_requests(),
                 kept.lock().unwrap().iter().map(|e| e.kept()).sum::<usize>(),
             )
         });
--- a/crates/ivyward-testbed/tests/enlist.rs
+++ b/crates/ivyward-testbed/tests/enlist.rs
@@ -49,7 +49,7 @@
     )
     .unwrap();
     assert_eq!(
-        member.entry.state,
+        member.endpoint.state,
         ivyward::core::interface::EndpointState::Draining
     );
     // Its keeper dies: the lease ends, and the record with it.
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -303,7 +303,7 @@
             "{ends:?}"
         );
         assert!(ends[1].message.contains("the node stopped"), "{ends:?}");
-        assert!(!node.taking());
+        assert!(!node.is_accepting());
         clean(&scene).await;
     });
 }
@@ -331,7 +331,7 @@
             all.served + all.refused + all.failed + all.given_up
         );
         assert!(all.requests >= 450, "{all:?}");
-        let done = ivyward::record::replay(&report.recording[..]).unwrap();
+        let done = ivyward::recording::replay(&report.recording[..]).unwrap();
         assert!(done.events > 500 && done.actions > 200, "{done:?}");
     }
 }
--- a/crates/ivyward-testbed/tests/held.rs
+++ b/crates/ivyward-testbed/tests/held.rs
@@ -4,7 +4,7 @@
 use common::*;
 use futures_lite::future::block_on;
 use ivyward::core::interface::{Event, ReportField};
-use ivyward::record::Reader;
+use ivyward::recording::RecordingReader;
 use ivyward_fakes::sight::{Gone, Heard, Kind, Sight};
 use ivyward_runtime::RuntimeExt;
 use ivyward_testbed::scene::{Make, Memory};
@@ -94,7 +94,7 @@
         clean(&scene).await;
     });
     let bytes = memory.bytes();
-    let mut reader = Reader::begin(&bytes[..]).unwrap();
+    let mut reader = RecordingReader::begin(&bytes[..]).unwrap();
     let mut reports = Vec::new();
     while let Some(step) = reader.step().unwrap() {
         if let Event::AttemptEnded { report, .. } = step.event {
@@ -167,6 +167,6 @@
         let dials = dials.load(std::sync::atomic::Ordering::SeqCst);
         assert!(dials < 200, "{dials} dials for five requests");
         scene.settle(5_000_000).await;
-        assert_eq!(scene.node(0).unwrap().open(), 0);
+        assert_eq!(scene.node(0).unwrap().open_requests(), 0);
     });
 }
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -1,5 +1,5 @@
 //! Connections at rest in the virtual world: within their budget whatever happens, and no call lost or late by more than a
-//! dial on one that went bad meanwhile. With `RUSTFLAGS="--cfg planted"`: the same scenes find each planted defect.
+//! dial on one that went bad meanwhile. With `RUSTFLAGS="--cfg mutations"`: the same scenes find each planted defect.
 
 mod stage;
 use ivyward::core::interface::{EndpointState, ListKind};
@@ -71,7 +71,7 @@
     let runtime_of_scene = sim.clone();
     let all = readers + writers;
     let scene = async move {
-        node.fleet(ListKind::Full, listed.clone()).await;
+        node.update_endpoints(ListKind::Full, listed.clone()).await;
         let opened = node.open_connections(usize::MAX).await;
         if opened as u64 != all {
             return Some(format!("{opened} of {all} connections were opened"));
@@ -468,7 +468,10 @@
             let engines = scene.engines.lock().unwrap();
             *engine = listed(&engines[i], EndpointState::Draining, 0);
         }
-        scene.node.fleet(ListKind::Full, changed.clone()).await;
+        scene
+            .node
+            .update_endpoints(ListKind::Full, changed.clone())
+            .await;
         scene.runtime.sleep(5 * SECOND).await;
         let open = scene.open();
         if open != 20 - gone.len() as u64 {
@@ -549,7 +552,7 @@
     ("a_zone_is_lost", a_zone_is_lost_while_connections_rest),
 ];
 
-#[cfg(not(planted))]
+#[cfg(not(mutations))]
 #[test]
 fn nothing_is_wrong_with_connections_at_rest() {
     let wrong: Vec<String> = SCENES
@@ -559,10 +562,10 @@
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
-#[cfg(planted)]
+#[cfg(mutations)]
 #[test]
 fn each_planted_defect_of_the_keepalive_is_found() {
-    use ivyward::core::planted::{plant, KEEPALIVE};
+    use ivyward::core::mutations::{plant, KEEPALIVE};
     for defect in KEEPALIVE {
         plant(Some(defect));
         let found = SCENES
--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -8,7 +8,7 @@
     let mut net = Net::new(100, 1, easy());
     net.run(SECOND);
     assert!(net.until_agreed(10 * SECOND).is_some());
-    assert!(net.peers.iter().all(|p| p.count() == 100));
+    assert!(net.peers.iter().all(|p| p.replica_count() == 100));
     assert_eq!(net.deaths(0), 0);
 }
 
@@ -21,7 +21,7 @@
     let took = net.until_agreed(10 * SECOND).expect("known to all");
     assert!(took <= 4 * SECOND, "{took}");
     // Silence is no proof: it may be cut off from us and go on sending.
-    assert!(net.peers[3].count() == 64);
+    assert!(net.peers[3].replica_count() == 64);
 }
 
 /// Guards against taking the others for dead on waking, and against taking a pause of two seconds for a death.
@@ -39,7 +39,7 @@
     // Longer than the stated silence: dead to the others, who are not dead to it, and back once it speaks.
     net.life[5] = Life::Stopped(net.now + 30 * SECOND);
     net.run(net.now + 20 * SECOND);
-    assert_eq!(net.standing(9, 5), Some(Standing::Dead));
+    assert_eq!(net.standing(9, 5), Some(PeerState::Dead));
     let since = net.now;
     net.run(net.now + 10 * SECOND);
     assert!(net.until_agreed(5 * SECOND).is_some());
@@ -47,7 +47,7 @@
         .changes
         .iter()
         .filter(|c| c.0 >= since)
-        .all(|c| c.3 != Standing::Dead));
+        .all(|c| c.3 != PeerState::Dead));
 }
 
 #[test]
@@ -81,8 +81,8 @@
     assert!(net.agreed());
     let of = |at: usize, of: usize| *net.peers[at].peer(PeerId(of as u64 + 1)).unwrap();
     // What 4 sends reaches 3, and 3's probes do not reach 4: each is known to live, by others.
-    assert!(of(3, 4).standing == Standing::Alive && of(4, 3).standing == Standing::Alive);
-    assert!(of(4, 3).unheard, "4 hears nothing of 3");
+    assert!(of(3, 4).state == PeerState::Alive && of(4, 3).state == PeerState::Alive);
+    assert!(of(4, 3).indirect_only, "4 hears nothing of 3");
 }
 
 /// A node that hears nobody, and is heard: the others are not dead for it at once, and it lives for all.
@@ -92,14 +92,14 @@
         Box::new(|now, _, to, lot| (!(now > 15 * SECOND && to == 6)).then_some(200 + lot % 800));
     let mut net = Net::new(24, 5, way);
     net.run(22 * SECOND);
-    assert!(net.peers[6].alone(net.now));
+    assert!(net.peers[6].is_isolated(net.now));
     assert_eq!(net.deaths(0), 0);
     net.run(60 * SECOND);
     // It answers no question, so it is doubted again and again; but it is heard.
     assert!(net
         .changes
         .iter()
-        .all(|c| (c.2, c.3) != (PeerId(7), Standing::Dead)));
+        .all(|c| (c.2, c.3) != (PeerId(7), PeerState::Dead)));
 }
 
 #[test]
@@ -111,9 +111,9 @@
     });
     let mut net = Net::new(40, 6, way);
     net.run(until);
-    assert_eq!(net.standing(0, 1), Some(Standing::Dead));
+    assert_eq!(net.standing(0, 1), Some(PeerState::Dead));
     assert!(
-        net.peers.iter().all(|p| p.count() == 40),
+        net.peers.iter().all(|p| p.replica_count() == 40),
         "those apart may be sending"
     );
     assert!(net.until_agreed(10 * SECOND).is_some());
@@ -126,44 +126,44 @@
     net.restart(9);
     assert!(net.until_agreed(3 * SECOND).is_some());
     net.run(net.now + 5 * SECOND);
-    assert!(net.peers.iter().all(|p| p.count() == 24));
+    assert!(net.peers.iter().all(|p| p.replica_count() == 24));
     assert!(net
         .live()
         .iter()
-        .all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().card.start == 2));
+        .all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().node.incarnation == 2));
     // A word of the old run brings nothing back, and tells the old one that it is over.
     let before = net.peers[2].dropped().stale;
     let mut out = Vec::new();
     let old = Message {
-        view: 0,
+        view_digest: 0,
         from: card(9, 1),
-        beat: 99_000,
-        body: Body::Ping { seq: 1 },
-        claims: vec![],
+        heartbeat: 99_000,
+        body: MessageBody::Ping { seq: 1 },
+        updates: vec![],
     };
     let now = net.now;
-    net.peers[2].hear(now, old, &mut out);
+    net.peers[2].handle_message(now, old, &mut out);
     assert!(
         net.peers[2].dropped().stale == before + 1
-            && net.peers[2].peer(PeerId(10)).unwrap().card.start == 2
+            && net.peers[2].peer(PeerId(10)).unwrap().node.incarnation == 2
     );
     assert!(
-        matches!(&out[..], [Out::Send { to, message }] if *to == address(9)
-        && message.claims.iter().any(|c| c.card.id == PeerId(10) && c.card.start == 2))
+        matches!(&out[..], [PeerAction::Send { to, message }] if *to == address(9)
+        && message.updates.iter().any(|c| c.node.id == PeerId(10) && c.node.incarnation == 2))
     );
     out.clear();
     net.run(net.now + 10 * SECOND);
     let (now, new) = (
         net.now,
         Message {
-            view: 0,
+            view_digest: 0,
             from: card(9, 3),
-            beat: 1,
-            body: Body::Ping { seq: 1 },
-            claims: vec![],
+            heartbeat: 1,
+            body: MessageBody::Ping { seq: 1 },
+            updates: vec![],
         },
     );
-    net.peers[9].hear(now, new, &mut out);
+    net.peers[9].handle_message(now, new, &mut out);
     assert!(net.peers[9].superseded());
 }
 
@@ -178,23 +178,26 @@
     net.run(net.now + 10_000);
     net.kill(4);
     assert!(net.until_agreed(SECOND).is_some());
-    assert!(net.live().iter().all(|n| net.peers[*n].count() == 23));
+    assert!(net
+        .live()
+        .iter()
+        .all(|n| net.peers[*n].replica_count() == 23));
     // What one other says of a leave is not enough to be sure of.
-    let claim = Claim {
-        card: card(7, 1),
-        beat: 1,
-        ago: 0,
-        about: About::Left,
+    let claim = Update {
+        node: card(7, 1),
+        heartbeat: 1,
+        age: 0,
+        state: ReportedState::Left,
     };
     let lie = Message {
-        view: 0,
+        view_digest: 0,
         from: card(8, 1),
-        beat: 20_000,
-        body: Body::Nack { seq: 0 },
-        claims: vec![claim],
+        heartbeat: 20_000,
+        body: MessageBody::Nack { seq: 0 },
+        updates: vec![claim],
     };
-    net.peers[2].hear(now, lie, &mut Vec::new());
-    assert_eq!(net.standing(2, 7), Some(Standing::Alive));
+    net.peers[2].handle_message(now, lie, &mut Vec::new());
+    assert_eq!(net.standing(2, 7), Some(PeerState::Alive));
 }
 
 /// Guards against a word that kills: a peer that forges silences of all, and beats ahead of any clock.
@@ -206,26 +209,26 @@
     for round in 0..400u64 {
         let now = net.now;
         for node in 1..24 {
-            let claims = (1..MOST_CLAIMS)
+            let claims = (1..MAX_UPDATES)
                 .map(|of| {
                     let beat = if round % 2 == 0 { 1 } else { u64::MAX / 2 };
-                    Claim {
-                        card: card(of, 1),
-                        beat,
-                        ago: 60 * SECOND,
-                        about: About::Silent { since: 0 },
+                    Update {
+                        node: card(of, 1),
+                        heartbeat: beat,
+                        age: 60 * SECOND,
+                        state: ReportedState::Suspected { since: 0 },
                     }
                 })
                 .collect();
             let lie = Message {
-                view: 0,
+                view_digest: 0,
                 from: card(0, 1),
-                beat: now / 1_000,
-                body: Body::Nack { seq: 0 },
-                claims,
+                heartbeat: now / 1_000,
+                body: MessageBody::Nack { seq: 0 },
+                updates: claims,
             };
             let mut out = Vec::new();
-            net.peers[node].hear(now, lie, &mut out);
+            net.peers[node].handle_message(now, lie, &mut out);
             net.carry(node, out);
         }
         net.run(net.now + 50_000);
@@ -240,22 +243,22 @@
     net.run(10 * SECOND);
     net.kill(5);
     net.run(20 * SECOND);
-    assert_eq!(net.standing(0, 5), Some(Standing::Dead));
+    assert_eq!(net.standing(0, 5), Some(PeerState::Dead));
     let settings = PeerSettings {
-        most: 8,
-        keep_dead: 30 * SECOND,
+        max_peers: 8,
+        tombstone_ttl: 30 * SECOND,
         ..PeerSettings::default()
     };
     let mut small = Peers::new(0, card(0, 1), vec![], settings, 1);
     for node in 1..20 {
         let hello = Message {
-            view: 0,
+            view_digest: 0,
             from: card(node, 1),
-            beat: 1,
-            body: Body::Ping { seq: 1 },
-            claims: vec![],
+            heartbeat: 1,
+            body: MessageBody::Ping { seq: 1 },
+            updates: vec![],
         };
-        small.hear(1, hello, &mut Vec::new());
+        small.handle_message(1, hello, &mut Vec::new());
     }
     assert_eq!((small.peers().count(), small.dropped().over), (8, 11));
     // All fall silent: dead after a while, and later forgotten.
@@ -305,18 +308,18 @@
     });
     let mut net = Net::new(30, 13, way);
     net.run(until);
-    assert_eq!(net.standing(1, 3), Some(Standing::Dead));
+    assert_eq!(net.standing(1, 3), Some(PeerState::Dead));
     assert_eq!(
         net.standing(0, 3),
-        Some(Standing::Alive),
+        Some(PeerState::Alive),
         "inside it all is well"
     );
     assert_eq!(
         net.standing(0, 1),
-        Some(Standing::Alive),
+        Some(PeerState::Alive),
         "it hears the others"
     );
-    assert!(net.peers.iter().all(|p| p.count() == 30));
+    assert!(net.peers.iter().all(|p| p.replica_count() == 30));
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
 
@@ -329,7 +332,7 @@
     });
     let mut net = Net::new(45, 14, way);
     net.run(until);
-    assert!(net.peers.iter().all(|p| p.count() == 45));
+    assert!(net.peers.iter().all(|p| p.replica_count() == 45));
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
 
@@ -353,38 +356,41 @@
     assert!(net.until_agreed(3 * SECOND).is_some());
     net.restart_as(9, card(9, 3));
     assert!(net.until_agreed(10 * SECOND).is_some());
-    assert!(net.peers[9].me().start > 500 && !net.peers[9].superseded());
-    assert!(net.live().iter().all(|n| net.peers[*n].count() == 24));
+    assert!(net.peers[9].local_node().incarnation > 500 && !net.peers[9].superseded());
+    assert!(net
+        .live()
+        .iter()
+        .all(|n| net.peers[*n].replica_count() == 24));
     // One that has been here for long does not: another process has taken its name.
     net.run(net.now + 15 * SECOND);
-    let start = net.peers[9].me().start;
+    let start = net.peers[9].local_node().incarnation;
     let new = Message {
-        view: 0,
+        view_digest: 0,
         from: card(9, start + 1),
-        beat: 1,
-        body: Body::Leave,
-        claims: vec![],
+        heartbeat: 1,
+        body: MessageBody::Leave,
+        updates: vec![],
     };
     let now = net.now;
-    net.peers[9].hear(now, new, &mut Vec::new());
-    assert!(net.peers[9].superseded() && net.peers[9].me().start == start);
+    net.peers[9].handle_message(now, new, &mut Vec::new());
+    assert!(net.peers[9].superseded() && net.peers[9].local_node().incarnation == start);
 }
 
 #[test]
 fn a_new_node_under_an_old_address_does_not_keep_the_old_one_alive() {
     let mut net = Net::new(24, 17, easy());
     net.run(15 * SECOND);
-    let new = Card {
+    let new = NodeInfo {
         id: PeerId(1_000),
         ..card(9, 1)
     };
     net.restart_as(9, new);
     net.run(net.now + 6 * SECOND);
     for at in (0..24).filter(|n| *n != 9) {
-        assert_eq!(net.standing(at, 9), Some(Standing::Dead), "at {at}");
+        assert_eq!(net.standing(at, 9), Some(PeerState::Dead), "at {at}");
         assert_eq!(
-            net.peers[at].peer(new.id).map(|p| p.standing),
-            Some(Standing::Alive),
+            net.peers[at].peer(new.id).map(|p| p.state),
+            Some(PeerState::Alive),
             "at {at}"
         );
     }
@@ -399,7 +405,7 @@
     net.kill(9);
     net.restart_as(
         24,
-        Card {
+        NodeInfo {
             address: address(24),
             ..card(9, 2)
         },
@@ -408,11 +414,11 @@
     for at in (0..24).filter(|n| *n != 9) {
         let peer = net.peers[at].peer(PeerId(10)).unwrap();
         assert_eq!(
-            (peer.standing, peer.card.address),
-            (Standing::Alive, address(24)),
+            (peer.state, peer.node.address),
+            (PeerState::Alive, address(24)),
             "at {at}"
         );
-        assert_eq!(net.peers[at].count(), 24);
+        assert_eq!(net.peers[at].replica_count(), 24);
     }
 }
 
@@ -425,7 +431,7 @@
     assert_eq!(
         net.peers
             .iter()
-            .filter(|p| !p.joined() || p.count() != 300)
+            .filter(|p| !p.has_complete_view() || p.replica_count() != 300)
             .count(),
         0
     );
@@ -437,7 +443,10 @@
 fn a_whole_view_is_taken_in_over_a_lossy_network() {
     let mut net = Net::new(80, 20, lossy(0.2));
     net.run(20 * SECOND);
-    assert!(net.peers.iter().all(|p| p.joined() && p.count() == 80));
+    assert!(net
+        .peers
+        .iter()
+        .all(|p| p.has_complete_view() && p.replica_count() == 80));
 }
 
 /// A node that starts in one half counts the other half, which may be sending.
@@ -452,8 +461,8 @@
     net.run(25 * SECOND);
     net.restart(4);
     net.run(35 * SECOND);
-    assert_eq!(net.standing(4, 5), Some(Standing::Dead));
-    assert_eq!(net.peers[4].count(), 30);
+    assert_eq!(net.standing(4, 5), Some(PeerState::Dead));
+    assert_eq!(net.peers[4].replica_count(), 30);
     net.run(until);
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
@@ -463,23 +472,35 @@
 fn the_count_does_not_fall_before_a_view_was_whole() {
     let mut alone = Peers::new(0, card(0, 1), vec![address(1)], PeerSettings::default(), 1);
     alone.expect(40);
-    assert_eq!((alone.count(), alone.joined()), (40, false));
+    assert_eq!(
+        (alone.replica_count(), alone.has_complete_view()),
+        (40, false)
+    );
     let mut net = Net::new(6, 22, easy());
     net.peers.iter_mut().for_each(|p| p.expect(40));
     net.run(10 * SECOND);
-    assert!(net.peers.iter().all(|p| !p.joined() && p.count() == 40));
+    assert!(net
+        .peers
+        .iter()
+        .all(|p| !p.has_complete_view() && p.replica_count() == 40));
     // A while later it is what there is, and whoever comes then is told so at once.
     net.run(65 * SECOND);
-    assert!(net.peers.iter().all(|p| p.joined() && p.count() == 6));
+    assert!(net
+        .peers
+        .iter()
+        .all(|p| p.has_complete_view() && p.replica_count() == 6));
     net.restart(4);
     net.peers[4].expect(40);
     net.run(70 * SECOND);
-    assert!(net.peers[4].joined() && net.peers[4].count() == 6);
+    assert!(net.peers[4].has_complete_view() && net.peers[4].replica_count() == 6);
     // As many as were said are enough.
     let mut net = Net::new(6, 23, easy());
     net.peers.iter_mut().for_each(|p| p.expect(6));
     net.run(10 * SECOND);
-    assert!(net.peers.iter().all(|p| p.joined() && p.count() == 6));
+    assert!(net
+        .peers
+        .iter()
+        .all(|p| p.has_complete_view() && p.replica_count() == 6));
 }
 
 /// The store may believe other things than the peers.
@@ -489,55 +510,58 @@
     net.run(10 * SECOND);
     let (now, mut out) = (net.now, Vec::new());
     // It forgets one that is heard: nothing follows.
-    net.peers[0].record(now, card(3, 1), &mut out);
-    net.peers[0].record_gone(now, PeerId(4));
+    net.peers[0].record_added(now, card(3, 1), &mut out);
+    net.peers[0].record_removed(now, PeerId(4));
     net.run(net.now + 20 * SECOND);
     assert_eq!(
-        (net.standing(0, 3), net.peers[0].count()),
-        (Some(Standing::Alive), 8)
+        (net.standing(0, 3), net.peers[0].replica_count()),
+        (Some(PeerState::Alive), 8)
     );
     // It names one that nobody hears: not alive, but it may be sending.
-    let ghost = Card {
+    let ghost = NodeInfo {
         id: PeerId(77),
-        start: 5,
+        incarnation: 5,
         zone: 0,
         address: address(200),
     };
     let now = net.now;
-    net.peers[0].record(now, ghost, &mut out);
+    net.peers[0].record_added(now, ghost, &mut out);
     assert!(
-        matches!(out.last(), Some(Out::Send { to, .. }) if *to == address(200)),
+        matches!(out.last(), Some(PeerAction::Send { to, .. }) if *to == address(200)),
         "it is called on"
     );
     assert_eq!(
-        (net.peers[0].peer(ghost.id).is_none(), net.peers[0].count()),
+        (
+            net.peers[0].peer(ghost.id).is_none(),
+            net.peers[0].replica_count()
+        ),
         (true, 9)
     );
-    net.peers[0].record_gone(now, ghost.id);
-    assert_eq!(net.peers[0].count(), 8);
+    net.peers[0].record_removed(now, ghost.id);
+    assert_eq!(net.peers[0].replica_count(), 8);
     // A record of an earlier run ends with it, and says nothing of the present one.
     net.restart(5);
     net.run(net.now + 5 * SECOND);
     let now = net.now;
-    net.peers[0].record(now, card(5, 1), &mut out);
-    net.peers[0].record_gone(now, PeerId(6));
+    net.peers[0].record_added(now, card(5, 1), &mut out);
+    net.peers[0].record_removed(now, PeerId(6));
     net.kill(5);
     net.run(net.now + 20 * SECOND);
     assert_eq!(
-        (net.standing(0, 5), net.peers[0].count()),
-        (Some(Standing::Dead), 8)
+        (net.standing(0, 5), net.peers[0].replica_count()),
+        (Some(PeerState::Dead), 8)
     );
     // Of the present one: gone for certain when it is silent and the grace is over, and back if it is heard.
     let now = net.now;
-    net.peers[0].record(now, card(5, 2), &mut out);
-    net.peers[0].record_gone(now, PeerId(6));
+    net.peers[0].record_added(now, card(5, 2), &mut out);
+    net.peers[0].record_removed(now, PeerId(6));
     net.run(net.now + SECOND);
-    assert_eq!(net.peers[0].count(), 8, "its grace");
+    assert_eq!(net.peers[0].replica_count(), 8, "its grace");
     net.run(net.now + 5 * SECOND);
-    assert_eq!(net.peers[0].count(), 7);
+    assert_eq!(net.peers[0].replica_count(), 7);
     net.restart(5);
     net.run(net.now + 5 * SECOND);
-    assert_eq!(net.peers[0].count(), 8);
+    assert_eq!(net.peers[0].replica_count(), 8);
 }
 
 /// Guards against a relay that repeats what one said before it died, and against numbers that can be guessed.
@@ -546,42 +570,42 @@
     let mut one = Peers::new(0, card(0, 1), vec![], PeerSettings::default(), 1);
     let mut out = Vec::new();
     let hello = |beat| Message {
-        view: 0,
+        view_digest: 0,
         from: card(1, 1),
-        beat,
-        body: Body::Ping { seq: 9 },
-        claims: vec![],
+        heartbeat: beat,
+        body: MessageBody::Ping { seq: 9 },
+        updates: vec![],
     };
-    one.hear(SECOND, hello(1_000), &mut out);
-    one.hear(10 * SECOND, hello(10_000), &mut out);
+    one.handle_message(SECOND, hello(1_000), &mut out);
+    one.handle_message(10 * SECOND, hello(10_000), &mut out);
     let mut now = 10 * SECOND;
     while now < 30 * SECOND {
-        now += one.tick_span();
+        now += one.tick_interval();
         one.tick(now, &mut out);
     }
-    let standing = |one: &Peers| one.peer(PeerId(2)).map(|p| p.standing);
-    assert_eq!(standing(&one), Some(Standing::Dead));
-    one.hear(now, hello(10_000), &mut out);
-    one.hear(now, hello(1_000), &mut out);
+    let standing = |one: &Peers| one.peer(PeerId(2)).map(|p| p.state);
+    assert_eq!(standing(&one), Some(PeerState::Dead));
+    one.handle_message(now, hello(10_000), &mut out);
+    one.handle_message(now, hello(1_000), &mut out);
     assert_eq!(
         (standing(&one), one.dropped().old),
-        (Some(Standing::Dead), 1)
+        (Some(PeerState::Dead), 1)
     );
     // Its machine slept and its clock with it, or ours did: far ahead of what can be, unless it answers us.
-    one.hear(now, hello(900_000), &mut out);
+    one.handle_message(now, hello(900_000), &mut out);
     assert_eq!(
         (standing(&one), one.dropped().implausible),
-        (Some(Standing::Dead), 1)
+        (Some(PeerState::Dead), 1)
     );
     out.clear();
     let asked = loop {
-        now += one.tick_span();
+        now += one.tick_interval();
         one.tick(now, &mut out);
         let sent = out.iter().find_map(|o| match o {
-            Out::Send {
+            PeerAction::Send {
                 message:
                     Message {
-                        body: Body::Ping { seq },
+                        body: MessageBody::Ping { seq },
                         ..
                     },
                 ..
@@ -593,19 +617,19 @@
         }
     };
     let answer = |seq, of| Message {
-        body: Body::Ack {
+        body: MessageBody::Ack {
             seq,
             of: PeerId(of),
         },
         ..hello(900_000)
     };
-    one.hear(now, answer(asked + 1, 2), &mut out);
-    one.hear(now, answer(asked, 3), &mut out);
+    one.handle_message(now, answer(asked + 1, 2), &mut out);
+    one.handle_message(now, answer(asked, 3), &mut out);
     assert_eq!(
         standing(&one),
-        Some(Standing::Dead),
+        Some(PeerState::Dead),
         "another number, another name"
     );
-    one.hear(now, answer(asked, 2), &mut out);
-    assert_eq!(standing(&one), Some(Standing::Alive));
+    one.handle_message(now, answer(asked, 2), &mut out);
+    assert_eq!(standing(&one), Some(PeerState::Alive));
 }
--- a/crates/ivyward-testbed/tests/planted_peers.rs
+++ b/crates/ivyward-testbed/tests/planted_peers.rs
@@ -1,5 +1,5 @@
 //! A scene of peers that goes through what defects would show in, checked as it goes; and, with
-//! `RUSTFLAGS="--cfg planted"`, that it finds each of those planted in the decider.
+//! `RUSTFLAGS="--cfg mutations"`, that it finds each of those planted in the decider.
 
 use ivyward_core::peers::*;
 use ivyward_testbed::peernet::*;
@@ -7,7 +7,7 @@
 /// Plays it; what was wrong.
 fn wrong(seed: u64) -> Option<String> {
     let spans = PeerSettings {
-        keep_dead: 60 * SECOND,
+        tombstone_ttl: 60 * SECOND,
         ..PeerSettings::default()
     };
     // The ways from 2 to 3 and from 5 to 3 are cut for some time: others hear who is doubted there.
@@ -23,8 +23,11 @@
     // Counts hold at every moment of it.
     while net.now < 60 * SECOND {
         net.run(net.now + 50_000);
-        if let Some(low) = net.peers.iter().position(|p| p.count() < 16) {
-            return Some(format!("{low} counts {} of 16", net.peers[low].count()));
+        if let Some(low) = net.peers.iter().position(|p| p.replica_count() < 16) {
+            return Some(format!(
+                "{low} counts {} of 16",
+                net.peers[low].replica_count()
+            ));
         }
     }
     if net.deaths(0) > 0 {
@@ -45,7 +48,7 @@
     let woke = net.now;
     net.run(woke + 10 * SECOND);
     let by_sleepers =
-        |c: &&(u64, usize, PeerId, Standing)| c.0 >= woke && c.1 < 8 && c.3 == Standing::Dead;
+        |c: &&(u64, usize, PeerId, PeerState)| c.0 >= woke && c.1 < 8 && c.3 == PeerState::Dead;
     let wrongly = net.changes.iter().filter(by_sleepers).count();
     if wrongly > 0 {
         return Some(format!("those that slept took {wrongly} others for dead"));
@@ -63,7 +66,7 @@
     None
 }
 
-#[cfg(not(planted))]
+#[cfg(not(mutations))]
 #[test]
 fn the_scene_is_clean() {
     for seed in 1..=12 {
@@ -71,12 +74,15 @@
     }
 }
 
-#[cfg(planted)]
+#[cfg(mutations)]
 #[test]
 fn each_planted_defect_of_the_decider_is_found() {
-    use ivyward_core::planted::{plant, Defect, PEERS};
+    use ivyward_core::mutations::{plant, Mutation, PEERS};
     // Where datagrams are answered is the node's own; the rig of processes finds it.
-    for defect in PEERS.into_iter().filter(|d| *d != Defect::AnswersToSource) {
+    for defect in PEERS
+        .into_iter()
+        .filter(|d| *d != Mutation::AnswersToSource)
+    {
         plant(Some(defect));
         let found = (1..=40).find_map(|seed| wrong(seed).map(|what| (seed, what)));
         plant(None);
--- a/crates/ivyward-testbed/tests/terms.rs
+++ b/crates/ivyward-testbed/tests/terms.rs
@@ -38,7 +38,9 @@
 
 impl Cast {
     async fn client(&self) -> Client {
-        self.node.fleet(ListKind::Full, self.listed.clone()).await;
+        self.node
+            .update_endpoints(ListKind::Full, self.listed.clone())
+            .await;
         Client::connect(&self.runtime, &self.log, self.address)
             .await
             .unwrap()
@@ -152,7 +154,11 @@
             };
             // The read takes half a second.
             let late = leaves(&cast, &ask(1, 2_000, 4_000 * MS), how, moment).await;
-            (late, cast.node.open(), cast.node.owed())
+            (
+                late,
+                cast.node.open_requests(),
+                cast.node.pending_releases(),
+            )
         });
         assert!(
             matches!(played, Ok((0, 0, 0))),
--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -16,7 +16,7 @@
 impl Node {
     /// Serves `/healthz` (200 while the node takes requests, else 503), `/metrics` and, if it knows others, `/peers` until the world ends.
     pub async fn serve_admin(&self, mut listener: Box<dyn Listener>) {
-        let runtime = self.shared.runtime.clone();
+        let runtime = self.context.runtime.clone();
         let busy = Arc::new(AtomicUsize::new(0));
         loop {
             let Ok((conn, _)) = listener.accept().await else {
@@ -30,7 +30,7 @@
             let (node, busy, until) = (self.clone(), busy.clone(), runtime.now() + TIME);
             runtime.run(async move {
                 // A client that breaks off is its own loss.
-                let _ = before(&node.shared.runtime, until, one(&node, conn)).await;
+                let _ = before(&node.context.runtime, until, one(&node, conn)).await;
                 busy.fetch_sub(1, Ordering::SeqCst);
             });
         }
@@ -69,10 +69,10 @@
 
 fn reply(node: &Node, method: Option<&str>, path: Option<&str>) -> (&'static str, String) {
     match (method, path) {
-        (Some("GET"), Some("/healthz")) if node.taking() => ("200 OK", "ok\n".into()),
+        (Some("GET"), Some("/healthz")) if node.is_accepting() => ("200 OK", "ok\n".into()),
         (Some("GET"), Some("/healthz")) => ("503 Service Unavailable", "stopping\n".into()),
         (Some("GET"), Some("/metrics")) => {
-            let mut text = node.metrics().text(node.open());
+            let mut text = node.metrics().text(node.open_requests());
             if let Some(peers) = node.known_peers() {
                 peers.metrics(&mut text);
             }
--- a/crates/ivyward/src/shared.rs
+++ b/crates/ivyward/src/context.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What the parts of a node share.
-pub struct Shared {
+pub struct NodeContext {
     pub(crate) runtime: RuntimeRef,
     pub(crate) settings: NodeSettings,
     pub(crate) router_settings: core::Settings,
@@ -18,15 +18,15 @@
     pub(crate) open: AtomicUsize,
     pub(crate) next_id: AtomicU64,
     pub(crate) stopping: AtomicBool,
-    pub(crate) stop_told: event_listener::Event,
+    pub(crate) stopping_event: event_listener::Event,
     /// Releases under way, the oldest first; dropping one ends it.
     pub(crate) releases: Mutex<VecDeque<(u64, async_channel::Sender<()>)>>,
     /// What is still to be let go of, or may come to be: releases, and holds under way.
-    pub(crate) owed: AtomicUsize,
+    pub(crate) pending_releases: AtomicUsize,
     pub(crate) metrics: Metrics,
 }
 
-impl Shared {
+impl NodeContext {
     /// The node's surroundings.
     pub fn runtime(&self) -> &RuntimeRef {
         &self.runtime
@@ -36,7 +36,7 @@
         &self.settings
     }
     /// What the module was told of them.
-    pub fn module_settings(&self) -> &core::Settings {
+    pub fn router_settings(&self) -> &core::Settings {
         &self.router_settings
     }
     /// The node's counters.
@@ -45,7 +45,7 @@
     }
     /// Takes a place among the releases under way. At the bound the oldest is left to its engine's own limit, which is
     /// the next to let go of it anyway.
-    pub(crate) fn begin_release(self: &Arc<Self>) -> Release {
+    pub(crate) fn begin_release(self: &Arc<Self>) -> ReleasePermit {
         let (stop, stopped) = async_channel::bounded(1);
         let mut releases = self.releases();
         let no = releases.back().map_or(0, |r| r.0 + 1);
@@ -53,9 +53,9 @@
             releases.pop_front();
         }
         releases.push_back((no, stop));
-        self.owe(1);
-        Release {
-            shared: self.clone(),
+        self.add_pending_releases(1);
+        ReleasePermit {
+            context: self.clone(),
             no,
             stopped,
         }
@@ -64,36 +64,36 @@
         self.releases.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// More is still to be let go of.
-    pub fn owe(&self, more: usize) {
-        self.owed.fetch_add(more, Ordering::SeqCst);
+    pub fn add_pending_releases(&self, more: usize) {
+        self.pending_releases.fetch_add(more, Ordering::SeqCst);
     }
     /// So much less is.
-    pub fn settled(&self, less: usize) {
-        self.owed.fetch_sub(less, Ordering::SeqCst);
+    pub fn finish_pending_releases(&self, less: usize) {
+        self.pending_releases.fetch_sub(less, Ordering::SeqCst);
     }
 }
 
 /// A place among the releases under way; given back when dropped.
-pub(crate) struct Release {
-    shared: Arc<Shared>,
+pub(crate) struct ReleasePermit {
+    context: Arc<NodeContext>,
     no: u64,
     stopped: async_channel::Receiver<()>,
 }
 
-impl Release {
+impl ReleasePermit {
     /// Returns when it is left to the engine's own limit.
-    pub(crate) async fn left(&self) {
+    pub(crate) async fn evicted(&self) {
         // Ends when the sender is dropped.
         let _ = self.stopped.recv().await;
     }
 }
 
-impl Drop for Release {
+impl Drop for ReleasePermit {
     fn drop(&mut self) {
-        let mut releases = self.shared.releases();
+        let mut releases = self.context.releases();
         if let Ok(at) = releases.binary_search_by_key(&self.no, |r| r.0) {
             releases.remove(at);
         }
-        self.shared.settled(1);
+        self.context.finish_pending_releases(1);
     }
 }
--- a/crates/ivyward/src/engines/dial.rs
+++ b/crates/ivyward/src/engines/dial.rs
@@ -1,6 +1,6 @@
 //! Opening a connection to an engine.
 
-use ivyward_core::dial;
+use ivyward_core::connect_backoff;
 use ivyward_core::interface::Micros;
 use ivyward_runtime::{before, Conn, ErrorOrigin, RuntimeRef};
 use std::io;
@@ -53,7 +53,7 @@
         if ErrorOrigin::of(&error) == ErrorOrigin::Remote {
             return Err(DialFailure::Remote(error));
         }
-        match dial::retry_at(runtime.now(), until) {
+        match connect_backoff::retry_at(runtime.now(), until) {
             Some(at) => runtime.sleep_until(at).await,
             None => return Err(DialFailure::Local(error)),
         }
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::NodeSettings;
 use ivyward_core::interface::Micros;
-use ivyward_core::keepalive::{Ask, BeforeUse, Keepalive, KeepaliveSettings};
+use ivyward_core::keepalive::{BeforeUse, CheckDecision, Keepalive, KeepaliveSettings};
 use ivyward_grpc::RestingChecks;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,7 +18,7 @@
         let settings = KeepaliveSettings {
             silence: settings.ping_every,
             timeout: settings.ping_timeout,
-            resting_checks: settings.resting_checks,
+            idle_checks_per_second: settings.resting_checks,
             dial_timeout: settings.dial_timeout,
         };
         Arc::new(EngineKeepalive {
@@ -39,10 +39,10 @@
 
 impl RestingChecks for EngineKeepalive {
     fn rested(&self) {
-        self.decider().rested();
+        self.decider().connection_idle();
     }
     fn roused(&self) {
-        self.decider().roused();
+        self.decider().connection_active();
     }
     fn next_check(&self, now: Micros) -> Option<Micros> {
         let jitter = self.runtime.unit();
@@ -50,9 +50,9 @@
     }
     fn ask_again(&self, now: Micros) -> Option<Micros> {
         let jitter = self.runtime.unit();
-        match self.decider().ask(now, jitter) {
-            Ask::Check => None,
-            Ask::Again(at) => Some(at),
+        match self.decider().request_check(now, jitter) {
+            CheckDecision::Check => None,
+            CheckDecision::RetryAt(at) => Some(at),
         }
     }
 }
--- a/crates/ivyward/src/engines/link.rs
+++ b/crates/ivyward/src/engines/link.rs
@@ -6,7 +6,7 @@
 use event_listener::Event;
 use ivyward_core::interface::{EndpointId, Micros};
 use ivyward_core::keepalive::BeforeUse;
-use ivyward_core::planted::{self, Defect};
+use ivyward_core::mutations::{self, Mutation};
 use ivyward_grpc::{Channel, Options, RestingChecks};
 use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
@@ -112,14 +112,14 @@
     fn pool(&self) -> MutexGuard<'_, Pool> {
         self.pool.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    pub(crate) fn set_closing(&self, closing: bool) {
-        self.closing.store(closing, Ordering::SeqCst);
+    pub(crate) fn set_draining(&self, draining: bool) {
+        self.closing.store(draining, Ordering::SeqCst);
     }
-    pub(crate) fn closing(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.closing.load(Ordering::SeqCst)
     }
     /// Closes all connections.
-    pub(crate) fn shut(&self) {
+    pub(crate) fn close(&self) {
         self.pool().channels.drain(..).for_each(|c| c.close());
     }
 
@@ -142,7 +142,7 @@
                     let left = until.saturating_sub(self.runtime.now());
                     // One check a call: with a second one it would be later than by a dial.
                     let answered = self.check(&channel, wait.min(left)).await;
-                    if !answered && planted::is(Defect::DoubtfulReused) {
+                    if !answered && mutations::is_active(Mutation::DoubtfulReused) {
                         return Ok(channel);
                     }
                     may_check = answered;
@@ -163,7 +163,7 @@
     /// The best connection of the pool: one that is known to be good before one that has to be checked.
     fn find(&self, may_check: bool) -> Found {
         let mut pool = self.pool();
-        let stale = planted::is(Defect::StaleConnection);
+        let stale = mutations::is_active(Mutation::StaleConnection);
         pool.channels
             .retain(|c| c.usable() || c.calls() > 0 && !c.closed() || stale);
         // Guards against a call that leaves on a connection whose engine did not answer its last check.
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -8,8 +8,8 @@
 pub(crate) mod keepalive;
 pub(crate) mod link;
 
-use crate::answer::{Buffer, Final, Over};
-use crate::shared::Shared;
+use crate::context::NodeContext;
+use crate::response::{FinalStatus, StreamEnd, TokenBuffer};
 use futures_lite::future::{or, poll_fn};
 use ivyward_core::interface::{Endpoint, EndpointId, LoadReport, Micros, Outcome};
 use ivyward_runtime::{BoxFuture, RuntimeRef};
@@ -22,41 +22,41 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
     /// What the module is told. `kind` is an index into the module's roles.
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
 /// What the driver may tell a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum CancelReason {
     /// The module no longer waits for it. One whose stream has begun goes on.
-    CallOff,
+    ByRouter,
     /// Nobody wants its answer any more.
-    GiveUp,
+    RequestFinished,
 }
 
 /// How an attempt ended, and what is to be said of it.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct AttemptResult {
     /// What the module is told.
     pub outcome: Outcome,
     /// Prompt tokens that were found kept.
-    pub kept: u32,
+    pub cached_tokens: u32,
     /// The engine's load report, if one came along.
     pub report: LoadReport,
     /// For people.
-    pub text: String,
+    pub detail: String,
 }
 
-impl End {
+impl AttemptResult {
     /// An end with nothing kept and nothing reported.
-    pub fn new(outcome: Outcome, text: impl Into<String>) -> End {
-        End {
+    pub fn new(outcome: Outcome, detail: impl Into<String>) -> AttemptResult {
+        AttemptResult {
             outcome,
-            kept: 0,
+            cached_tokens: 0,
             report: LoadReport::default(),
-            text: text.into(),
+            detail: detail.into(),
         }
     }
 }
@@ -64,7 +64,7 @@
 /// A request as its protocol holds it: the prompt, and the way of the answer to the client.
 pub trait Call: Send + Sync + 'static {
     /// Sets the final answer; the first one counts. Whether this was it.
-    fn finish(&self, end: Final) -> bool;
+    fn finish(&self, end: FinalStatus) -> bool;
     /// For the protocol to find its own type again.
     fn as_any(&self) -> &dyn Any;
     /// The name under which the request is known outside, for logs.
@@ -72,48 +72,48 @@
 }
 
 /// A link to one engine, as the driver holds it.
-pub trait Link: Send + Sync + 'static {
+pub trait EngineClient: Send + Sync + 'static {
     /// Which engine.
     fn id(&self) -> EndpointId;
     /// Where it listens.
     fn address(&self) -> SocketAddr;
     /// The node was told that the engine drains or is gone, or is not any more: what has not left yet stays here.
-    fn set_closing(&self, closing: bool);
+    fn set_draining(&self, draining: bool);
     /// Closes all connections.
-    fn shut(&self);
+    fn close(&self);
     /// For the protocol to find its own type again.
     fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync>;
     /// Runs one attempt to its one outcome. It ends only when nothing of it is on its way any more.
-    fn attempt(self: Arc<Self>, job: Job) -> BoxFuture<End>;
+    fn run_attempt(self: Arc<Self>, job: AttemptRequest) -> BoxFuture<AttemptResult>;
     /// Asks for a place, until the request no longer needs one.
-    fn hold(self: Arc<Self>, job: HoldJob) -> BoxFuture<Held>;
+    fn reserve(self: Arc<Self>, job: ReserveRequest) -> BoxFuture<ReservationStatus>;
     /// Asks the engine how it is: whether it answered, and its report.
-    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, LoadReport)>;
+    fn health_check(self: Arc<Self>, context: Arc<NodeContext>) -> BoxFuture<(bool, LoadReport)>;
 }
 
 /// A link as it is handed around.
-pub type LinkRef = Arc<dyn Link>;
+pub type EngineHandle = Arc<dyn EngineClient>;
 
 /// How engines are spoken to.
 pub trait Protocol: Send + Sync + 'static {
     /// A link to an engine that is new or has moved.
-    fn link(&self, shared: &Arc<Shared>, engine: &Engine) -> LinkRef;
+    fn engine_client(&self, context: &Arc<NodeContext>, engine: &Engine) -> EngineHandle;
     /// Whether what is held is let go one by one. Where it is not, a release ends all that is held for its request
     /// anywhere, and is asked for once, when no attempt is out and none follows.
-    fn one_by_one(&self) -> bool;
+    fn releases_individually(&self) -> bool;
     /// Lets go of what may be held, as a task of its own.
-    fn release(&self, shared: &Arc<Shared>, job: ReleaseJob);
+    fn release(&self, context: &Arc<NodeContext>, job: ReleaseRequest);
     /// A read for this request ended well, so that a release that is not done yet would take away what it left. Whether
     /// there was one: it is to be asked for again.
-    fn needed(&self, _request: u64) -> bool {
+    fn withdraw_release(&self, _request: u64) -> bool {
         false
     }
 }
 
 /// One attempt.
-pub struct Job {
+pub struct AttemptRequest {
     /// The node's.
-    pub shared: Arc<Shared>,
+    pub context: Arc<NodeContext>,
     /// The request's own.
     pub call: Arc<dyn Call>,
     /// The request's number at this node.
@@ -121,52 +121,58 @@
     /// The attempt's number.
     pub attempt: u16,
     /// Whether the engine only reads.
-    pub reads: bool,
+    pub prefill_only: bool,
     /// Where the read state waits, and the attempt that read it.
-    pub state: Option<(LinkRef, u16)>,
+    pub kv_state: Option<(EngineHandle, u16)>,
     /// When it ends without a first token.
-    pub until: Micros,
+    pub deadline: Micros,
     /// When the node ends the stream, if the client stated a time for the whole answer.
-    pub end_by: Option<Micros>,
+    pub stream_deadline: Option<Micros>,
     /// When it ends unless its last byte left: something is held meanwhile, and its time runs on.
     pub send_deadline: Micros,
-    pub(crate) stop: async_channel::Receiver<Stop>,
-    pub(crate) first: Box<dyn Fn() + Send + Sync>,
+    pub(crate) cancel: async_channel::Receiver<CancelReason>,
+    pub(crate) on_first_token: Box<dyn Fn() + Send + Sync>,
 }
 
-impl Job {
+impl AttemptRequest {
     /// Says that the answer began to stream: from now on the attempt belongs to the client.
-    pub fn first(&self) {
-        (self.first)();
+    pub fn notify_first_token(&self) {
+        (self.on_first_token)();
     }
     /// The driver's next word on this attempt.
-    pub async fn stopped(&self) -> Stop {
+    pub async fn cancelled(&self) -> CancelReason {
         // Without a driver there is no node.
-        self.stop.recv().await.unwrap_or(Stop::GiveUp)
+        self.cancel
+            .recv()
+            .await
+            .unwrap_or(CancelReason::RequestFinished)
     }
     /// Waits for what comes next, a word from the driver, or the timer.
     pub async fn wait<T>(
         &self,
         timer: &mut BoxFuture<()>,
         next: impl Future<Output = T>,
-    ) -> Woken<T> {
-        or(async { Woken::Next(next.await) }, async {
-            or(async { Woken::Stopped(self.stopped().await) }, async {
-                timer.await;
-                Woken::Late
-            })
+    ) -> WaitResult<T> {
+        or(async { WaitResult::Completed(next.await) }, async {
+            or(
+                async { WaitResult::Cancelled(self.cancelled().await) },
+                async {
+                    timer.await;
+                    WaitResult::TimedOut
+                },
+            )
             .await
         })
         .await
     }
     /// The same, where the driver's word goes first: nothing that can still be left undone is done after it.
-    pub async fn heed<T>(
+    pub async fn until_cancelled<T>(
         &self,
         timer: &mut BoxFuture<()>,
         next: impl Future<Output = T>,
-    ) -> Woken<T> {
+    ) -> WaitResult<T> {
         or(
-            async { Woken::Stopped(self.stopped().await) },
+            async { WaitResult::Cancelled(self.cancelled().await) },
             self.wait(timer, next),
         )
         .await
@@ -175,48 +181,51 @@
     ///
     /// # Errors
     /// When nobody does.
-    pub async fn room<T: Copy>(&self, buffer: &Buffer<T>) -> Result<(), Over> {
-        let free = poll_fn(|cx| buffer.poll_room(cx));
+    pub async fn wait_for_capacity<T: Copy>(
+        &self,
+        buffer: &TokenBuffer<T>,
+    ) -> Result<(), StreamEnd> {
+        let free = poll_fn(|cx| buffer.poll_capacity(cx));
         let given_up = async {
-            while self.stopped().await == Stop::CallOff {}
-            Err(Over)
+            while self.cancelled().await == CancelReason::ByRouter {}
+            Err(StreamEnd)
         };
         or(free, given_up).await
     }
 }
 
 /// What ends a wait.
-pub enum Woken<T> {
+pub enum WaitResult<T> {
     /// What was waited for.
-    Next(T),
+    Completed(T),
     /// The driver's word.
-    Stopped(Stop),
+    Cancelled(CancelReason),
     /// The timer.
-    Late,
+    TimedOut,
 }
 
 /// Looks for streams without progress with one timer a span, not one for each piece.
-pub struct Stall {
+pub struct StallDetector {
     span: Micros,
     /// When something came last.
-    pub last: Micros,
-    /// To wait beside; after it fired ask [`Stall::over`].
+    pub last_progress: Micros,
+    /// To wait beside; after it fired ask [`StallDetector::is_stalled`].
     pub timer: BoxFuture<()>,
 }
 
-impl Stall {
+impl StallDetector {
     /// A stream of which something came just now.
-    pub fn new(runtime: &RuntimeRef, span: Micros) -> Stall {
-        let last = runtime.now();
-        Stall {
+    pub fn new(runtime: &RuntimeRef, span: Micros) -> StallDetector {
+        let last_progress = runtime.now();
+        StallDetector {
             span,
-            last,
-            timer: runtime.sleep_until(last.saturating_add(span)),
+            last_progress,
+            timer: runtime.sleep_until(last_progress.saturating_add(span)),
         }
     }
     /// After the timer fired: whether the span is over, else the timer is set anew.
-    pub fn over(&mut self, runtime: &RuntimeRef) -> bool {
-        let due = self.last.saturating_add(self.span);
+    pub fn is_stalled(&mut self, runtime: &RuntimeRef) -> bool {
+        let due = self.last_progress.saturating_add(self.span);
         if runtime.now() >= due {
             return true;
         }
@@ -226,9 +235,9 @@
 }
 
 /// A place asked for ahead.
-pub struct HoldJob {
+pub struct ReserveRequest {
     /// The node's.
-    pub shared: Arc<Shared>,
+    pub context: Arc<NodeContext>,
     /// The request's own.
     pub call: Arc<dyn Call>,
     /// The request's number at this node.
@@ -236,54 +245,54 @@
     /// The attempt beside which it is asked for.
     pub attempt: u16,
     /// When the client's time for a first token is over: a place is of no use from then on.
-    pub until: Micros,
-    pub(crate) stopped: async_channel::Receiver<()>,
+    pub deadline: Micros,
+    pub(crate) finished: async_channel::Receiver<()>,
 }
 
-impl HoldJob {
+impl ReserveRequest {
     /// Returns when the request no longer needs a place.
-    pub async fn over(&self) {
+    pub async fn until_finished(&self) {
         // Ends when the sender is dropped.
-        let _ = self.stopped.recv().await;
+        let _ = self.finished.recv().await;
     }
     /// Whether the request no longer needs a place.
-    pub fn is_over(&self) -> bool {
-        self.stopped.is_closed()
+    pub fn is_finished(&self) -> bool {
+        self.finished.is_closed()
     }
 }
 
 /// Whether a place is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum ReservationStatus {
     /// The engine said so.
-    Yes,
+    Granted,
     /// The engine said no, or nothing left for it.
-    No,
+    Denied,
     /// It may be.
     Unknown,
 }
 
 /// Something that may be kept at an engine for a request.
 #[derive(Clone)]
-pub struct Kept {
+pub struct Reservation {
     /// Where.
-    pub link: LinkRef,
+    pub engine: EngineHandle,
     /// The attempt whose key it is kept under.
     pub attempt: u16,
     /// A place, not a state.
-    pub place: bool,
+    pub is_decode_slot: bool,
     /// The engine said so; else its call was given up, and may still be on its way: a release may come before it.
-    pub sure: bool,
+    pub confirmed: bool,
     /// The write that was sent when the place was known to be held: its engine uses it for that one.
     pub(crate) used_by: Option<u16>,
 }
 
 /// Something to let go.
-pub struct ReleaseJob {
+pub struct ReleaseRequest {
     /// The request's own.
     pub call: Arc<dyn Call>,
     /// The request's number at this node.
     pub request: u64,
     /// What may be kept; never empty.
-    pub kept: Vec<Kept>,
+    pub reservations: Vec<Reservation>,
 }
--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -150,7 +150,7 @@
         started_at: record.started_ms.saturating_mul(1_000),
     };
     Ok(Member {
-        entry,
+        endpoint: entry,
         address,
         revision,
     })
--- a/crates/ivyward/src/membership/registration/tests.rs
+++ b/crates/ivyward/src/membership/registration/tests.rs
@@ -18,9 +18,9 @@
     .unwrap();
     assert_eq!(
         (
-            member.entry.machine_type,
-            member.entry.rack,
-            member.entry.started_at,
+            member.endpoint.machine_type,
+            member.endpoint.rack,
+            member.endpoint.started_at,
             member.revision
         ),
         (1, 3, 5_000, 9)
--- a/crates/ivyward/src/membership/snapshot.rs
+++ b/crates/ivyward/src/membership/snapshot.rs
@@ -30,7 +30,7 @@
 }
 
 fn record(member: &Member) -> Record {
-    let e = &member.entry;
+    let e = &member.endpoint;
     Record {
         version: registration::VERSION,
         id: e.id.0,
--- a/crates/ivyward/src/membership/follow.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -7,10 +7,12 @@
 use crate::settings::SettingsError;
 use futures_lite::future::or;
 use ivyward_core::interface::{Endpoint, EndpointId, EndpointState, ListKind, Micros};
-use ivyward_core::membership::{Heard, Member, Membership, MembershipSettings, Told};
-use ivyward_core::pace::{Pace, PaceSettings};
-use ivyward_core::planted::{self, Defect};
-use ivyward_core::starts::Starts;
+use ivyward_core::membership::{
+    Member, Membership, MembershipAction, MembershipSettings, WatchEvent,
+};
+use ivyward_core::mutations::{self, Mutation};
+use ivyward_core::start_time::StartTimes;
+use ivyward_core::update_interval::{UpdateInterval, UpdateIntervalSettings};
 pub use ivyward_etcd::EtcdOptions;
 use ivyward_etcd::{mvccpb, Client, Notice};
 use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
@@ -109,8 +111,8 @@
     follow: Follow,
     client: Client,
     decider: Membership,
-    starts: Starts,
-    pace: Pace,
+    starts: StartTimes,
+    pace: UpdateInterval,
     /// The list changed since the file was written, and when it may be written again.
     unkept: bool,
     keep_from: Micros,
@@ -122,7 +124,7 @@
 /// What was heard of a watch and waits to be passed on.
 #[derive(Default)]
 struct Batch {
-    heard: Vec<Heard>,
+    heard: Vec<WatchEvent>,
     /// When the first of it was heard.
     since: Option<Micros>,
     /// An engine among it drains or is gone.
@@ -130,10 +132,10 @@
 }
 
 impl Batch {
-    fn add(&mut self, now: Micros, heard: Vec<Heard>) {
-        let urgent = |h: &Heard| match h {
-            Heard::Put(member) => member.entry.state != EndpointState::Ready,
-            Heard::Deleted { .. } => true,
+    fn add(&mut self, now: Micros, heard: Vec<WatchEvent>) {
+        let urgent = |h: &WatchEvent| match h {
+            WatchEvent::Put(member) => member.endpoint.state != EndpointState::Ready,
+            WatchEvent::Deleted { .. } => true,
             _ => false,
         };
         let since = self.since.get_or_insert(now);
@@ -156,15 +158,17 @@
 impl Node {
     /// Follows engines until the node stops. While the store cannot be reached the last list stands.
     pub async fn follow(&self, follow: Follow) {
-        let runtime = metered(&self.shared.runtime, &self.shared.metrics.list_traffic);
+        let runtime = metered(&self.context.runtime, &self.context.metrics.list_traffic);
         let mut follower = Follower {
             client: Client::new(&runtime, follow.endpoints.clone(), follow.etcd.clone()),
             decider: Membership::new(MembershipSettings {
                 empty_grace: follow.empty_grace,
                 behind_grace: follow.behind_grace,
             }),
-            starts: Starts::new(),
-            pace: Pace::new(PaceSettings::for_grace(self.settings().rules.drain_grace)),
+            starts: StartTimes::new(),
+            pace: UpdateInterval::new(UpdateIntervalSettings::for_grace(
+                self.settings().rules.drain_grace,
+            )),
             unkept: false,
             keep_from: 0,
             named: BTreeMap::new(),
@@ -183,7 +187,7 @@
             match snapshot::read(&path) {
                 Ok(Some(members)) => {
                     info!(engines = members.len(), file = %path.display(), "engines as last listed, until the store speaks");
-                    self.hear(Heard::Snapshot(members)).await;
+                    self.hear(WatchEvent::Snapshot(members)).await;
                 }
                 Ok(None) => {}
                 Err(e) => warn!(file = %path.display(), error = %e, "the kept list is not used"),
@@ -196,11 +200,11 @@
                 Ok(list) => {
                     let (members, unread) = self.members(&list.kvs);
                     let (cluster, revision) = (list.cluster, list.revision);
-                    self.hear(Heard::List {
+                    self.hear(WatchEvent::List {
                         cluster,
                         revision,
                         members,
-                        unread,
+                        unreadable: unread,
                     })
                     .await
                 }
@@ -229,7 +233,7 @@
                         "the watch of engines has a gap; the list is read again"
                     );
                     self.node.metrics().list_gaps.add(1);
-                    self.hear(Heard::Gap).await;
+                    self.hear(WatchEvent::Gap).await;
                     self.rest().await;
                 }
                 Left::Relist(at) => self.runtime.sleep_until(at).await,
@@ -246,7 +250,7 @@
 
     async fn watch(&mut self) -> Left {
         let prefix = self.follow.prefix.clone().into_bytes();
-        let next = if planted::is(Defect::WatchSkips) {
+        let next = if mutations::is_active(Mutation::WatchSkips) {
             2
         } else {
             1
@@ -312,7 +316,7 @@
                     if let Some(at) = self.pass_batch(&mut batch).await {
                         return Left::Relist(at);
                     }
-                    self.hear(Heard::Progress(revision)).await;
+                    self.hear(WatchEvent::Progress(revision)).await;
                 }
                 Notice::Compacted(revision) => {
                     return self
@@ -335,10 +339,10 @@
                     let heard = events
                         .into_iter()
                         .filter_map(|e| self.event(e))
-                        .collect::<Vec<Heard>>();
+                        .collect::<Vec<WatchEvent>>();
                     batch.add(self.runtime.now(), heard);
                     // What was left out moves the watch on as well.
-                    batch.heard.push(Heard::Progress(last.unwrap_or(0)));
+                    batch.heard.push(WatchEvent::Progress(last.unwrap_or(0)));
                     let due = batch
                         .since
                         .map_or(Micros::MAX, |since| self.pace.due(since, batch.urgent));
@@ -367,44 +371,48 @@
     }
 
     /// Tells the decider and passes on what it says. A time to list again, 0 for at once and elsewhere.
-    async fn hear(&mut self, heard: Heard) -> Option<Micros> {
+    async fn hear(&mut self, heard: WatchEvent) -> Option<Micros> {
         self.hear_all(vec![heard]).await
     }
 
     /// The same for all of a response. Changes that stand together reach the module as one list, for it goes over all it
     /// knows at each.
-    async fn hear_all(&mut self, heard: Vec<Heard>) -> Option<Micros> {
-        let gap = heard.contains(&Heard::Gap);
+    async fn hear_all(&mut self, heard: Vec<WatchEvent>) -> Option<Micros> {
+        let gap = heard.contains(&WatchEvent::Gap);
         let (mut all, mut again) = (Vec::new(), None);
         for heard in heard {
-            self.decider.hear(self.runtime.now(), heard, &mut all);
+            self.decider
+                .handle_event(self.runtime.now(), heard, &mut all);
         }
-        let mut out: Vec<Told> = Vec::new();
+        let mut out: Vec<MembershipAction> = Vec::new();
         for told in all {
             match (out.last_mut(), told) {
                 (
-                    Some(Told::Fleet {
+                    Some(MembershipAction::EndpointList {
                         kind: ListKind::Changes,
-                        entries,
+                        members: entries,
                     }),
-                    Told::Fleet {
+                    MembershipAction::EndpointList {
                         kind: ListKind::Changes,
-                        entries: more,
+                        members: more,
                     },
                 ) => {
                     entries.extend(more);
                 }
                 // One writing of the file for all of it, in its time.
-                (_, Told::Keep) => self.unkept = true,
+                (_, MembershipAction::SaveSnapshot) => self.unkept = true,
                 (_, told) => out.push(told),
             }
         }
         for told in out {
             match told {
-                Told::Fleet { kind, entries } => self.pass_on(kind, entries).await,
-                Told::Relist => again = (!gap).then_some(0),
-                Told::RelistAt(at) => again = Some(at),
-                Told::Keep => {}
+                MembershipAction::EndpointList {
+                    kind,
+                    members: entries,
+                } => self.pass_on(kind, entries).await,
+                MembershipAction::Relist => again = (!gap).then_some(0),
+                MembershipAction::RelistAt(at) => again = Some(at),
+                MembershipAction::SaveSnapshot => {}
             }
         }
         // Here, so that it is right whenever what waited for its time was passed on.
@@ -441,20 +449,28 @@
     async fn pass_on(&mut self, kind: ListKind, members: Vec<Member>) {
         let (now, unix) = (self.runtime.now(), self.runtime.unix_micros());
         let mut engines = Vec::with_capacity(members.len());
-        for Member { entry, address, .. } in members {
+        for Member {
+            endpoint: entry,
+            address,
+            ..
+        } in members
+        {
             if entry.state == EndpointState::Removed {
-                self.starts.gone(entry.id);
-                engines.push(Engine { entry, address });
+                self.starts.remove(entry.id);
+                engines.push(Engine {
+                    endpoint: entry,
+                    address,
+                });
                 continue;
             }
-            let started = self.starts.here(
+            let started = self.starts.resolve(
                 &entry,
                 now,
                 unix,
                 self.node.settings().rules.warm_up_duration,
             );
             engines.push(Engine {
-                entry: Endpoint {
+                endpoint: Endpoint {
                     started_at: started,
                     ..entry
                 },
@@ -462,11 +478,11 @@
             });
         }
         if kind == ListKind::Full {
-            let named: BTreeSet<EndpointId> = engines.iter().map(|e| e.entry.id).collect();
-            self.starts.whole(|id| named.contains(&id));
+            let named: BTreeSet<EndpointId> = engines.iter().map(|e| e.endpoint.id).collect();
+            self.starts.complete_list(|id| named.contains(&id));
         }
-        self.node.fleet(kind, engines).await;
-        self.pace.passed(now, self.runtime.now());
+        self.node.update_endpoints(kind, engines).await;
+        self.pace.delivered(now, self.runtime.now());
     }
 
     fn members(&mut self, kvs: &[mvccpb::KeyValue]) -> (Vec<Member>, Vec<EndpointId>) {
@@ -509,17 +525,17 @@
         warn!(key = %String::from_utf8_lossy(&kv.key), problem, "a registration record is left out");
     }
 
-    fn event(&mut self, event: mvccpb::Event) -> Option<Heard> {
+    fn event(&mut self, event: mvccpb::Event) -> Option<WatchEvent> {
         let deleted = event.r#type() == mvccpb::event::EventType::Delete;
         let kv = event.kv?;
         if deleted {
             let id = key_id(self.follow.prefix.as_bytes(), &kv.key)?;
-            return Some(Heard::Deleted {
+            return Some(WatchEvent::Deleted {
                 id,
                 revision: kv.mod_revision,
             });
         }
         // An engine whose new record cannot be read stays as it was known.
-        self.member(&kv).ok().map(Heard::Put)
+        self.member(&kv).ok().map(WatchEvent::Put)
     }
 }
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Plain counters, and their text form for whoever scrapes them.
 
-use crate::answer::Refusal;
-use crate::close::CloseReason;
+use crate::close_reason::CloseReason;
+use crate::response::RejectReason;
 use ivyward_core::interface::Outcome;
 use ivyward_core::invariants::Rule;
 use ivyward_runtime::Meter;
@@ -120,10 +120,10 @@
 ];
 
 /// Why requests are refused, as the metrics name it.
-pub const REFUSALS: [(Refusal, &str); 3] = [
-    (Refusal::Shed, "overload"),
-    (Refusal::NodeFull, "node_full"),
-    (Refusal::Stopping, "stopping"),
+pub const REFUSALS: [(RejectReason, &str); 3] = [
+    (RejectReason::Overloaded, "overload"),
+    (RejectReason::NodeFull, "node_full"),
+    (RejectReason::Stopping, "stopping"),
 ];
 
 impl Metrics {
@@ -135,7 +135,7 @@
     pub fn all_violations(&self) -> u64 {
         self.violations.iter().map(Counter::get).sum()
     }
-    pub(crate) fn refused_for(&self, why: Refusal) {
+    pub(crate) fn refused_for(&self, why: RejectReason) {
         if let Some(i) = REFUSALS.iter().position(|(reason, _)| *reason == why) {
             self.refusals[i].add(1);
         }
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -1,20 +1,20 @@
 //! A node as its owner holds it.
 
-use crate::answer::{Buffer, Failure, Final, Part, Refusal};
+use crate::context::NodeContext;
 use crate::engines::{Call, Engine, Protocol};
 use crate::metrics::Metrics;
 use crate::peers::PeersHandle;
-use crate::record::Recorder;
+use crate::recording::Recorder;
 use crate::request::clients::ClientConnections;
 use crate::request::driver::Driver;
 use crate::request::grpc::{Grpc, GrpcCall};
-use crate::request::notices::{Inbox, Notice, Taken};
+use crate::request::messages::{AcceptedRequest, DriverHandle, DriverMessage};
+use crate::response::{FailureReason, FinalStatus, RejectReason, ResponsePart, TokenBuffer};
 use crate::settings::{NodeSettings, SettingsError};
-use crate::shared::Shared;
 use event_listener::Event;
 use futures_lite::future::poll_fn;
 use ivyward_core::interface::{Idempotency, ListKind, Micros, Request, RequestId};
-use ivyward_core::planted::{self, Defect};
+use ivyward_core::mutations::{self, Mutation};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -41,17 +41,17 @@
 /// A running node. Clones are handles to the same one. It ends by [`Node::stop`], or with its world.
 #[derive(Clone)]
 pub struct Node {
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) context: Arc<NodeContext>,
     /// What its listeners have accepted.
     pub(crate) clients: Arc<ClientConnections>,
     /// Set once, if the node is to know others. Their own task is behind it; this is only the way to look.
     pub(crate) peers: Arc<OnceLock<PeersHandle>>,
-    inbox: Inbox,
+    inbox: DriverHandle,
     done: async_channel::Receiver<()>,
 }
 
 impl Node {
-    /// Starts a node that knows no engines yet: see [`Node::fleet`].
+    /// Starts a node that knows no engines yet: see [`Node::update_endpoints`].
     ///
     /// # Errors
     /// When a setting cannot hold or the recording cannot be written.
@@ -79,8 +79,8 @@
         let recorder = recording
             .map(|out| Recorder::begin(out, &router_settings, settings.seed))
             .transpose()?;
-        let (inbox, told) = Inbox::new();
-        let shared = Arc::new(Shared {
+        let (inbox, told) = DriverHandle::new();
+        let context = Arc::new(NodeContext {
             incarnation: runtime.random(),
             runtime: runtime.clone(),
             settings,
@@ -88,19 +88,19 @@
             open: AtomicUsize::new(0),
             next_id: AtomicU64::new(1),
             stopping: AtomicBool::new(false),
-            stop_told: Event::new(),
+            stopping_event: Event::new(),
             releases: Default::default(),
-            owed: AtomicUsize::new(0),
+            pending_releases: AtomicUsize::new(0),
             metrics: Metrics::default(),
         });
         let (finished, done) = async_channel::bounded::<()>(1);
-        let driver = Driver::new(shared.clone(), protocol, (inbox.clone(), told), recorder);
+        let driver = Driver::new(context.clone(), protocol, (inbox.clone(), told), recorder);
         runtime.run(async move {
             driver.run().await;
             drop(finished);
         });
         Ok(Node {
-            shared,
+            context,
             clients: Arc::default(),
             peers: Arc::default(),
             inbox,
@@ -110,9 +110,9 @@
 
     /// Tells the node of engines, and returns when it took that in: from then on nothing new goes to one that
     /// drains or is gone.
-    pub async fn fleet(&self, kind: ListKind, engines: Vec<Engine>) {
+    pub async fn update_endpoints(&self, kind: ListKind, engines: Vec<Engine>) {
         let (done, wait) = async_channel::bounded(1);
-        self.inbox.tell(Notice::Fleet {
+        self.inbox.send(DriverMessage::EndpointList {
             kind,
             engines,
             done,
@@ -123,10 +123,14 @@
 
     /// Takes a request. `client_timeout` is how long the client waits for the whole answer, in microseconds; without one
     /// its class's deadline holds for the first token. Bad requests get their answer like all others.
-    pub fn generate(&self, request: GenerateRequest, client_timeout: Option<Micros>) -> Answer {
-        let shared = &self.shared;
-        let buffer = Arc::new(Buffer::new(shared.settings.stream_buffer));
-        let mut answer = Answer {
+    pub fn generate(
+        &self,
+        request: GenerateRequest,
+        client_timeout: Option<Micros>,
+    ) -> ResponseStream {
+        let context = &self.context;
+        let buffer = Arc::new(TokenBuffer::new(context.settings.stream_buffer));
+        let mut answer = ResponseStream {
             buffer: buffer.clone(),
             id: None,
             inbox: self.inbox.clone(),
@@ -137,67 +141,67 @@
         let taken = match self.taken(request, client_timeout, buffer.clone()) {
             Ok(taken) => taken,
             Err(reason) => {
-                shared.metrics.invalid.add(1);
-                over(Final::Failed(Failure::Invalid(reason)));
+                context.metrics.invalid.add(1);
+                over(FinalStatus::Failed(FailureReason::InvalidRequest(reason)));
                 return answer;
             }
         };
         match self.enter(taken) {
             Ok(id) => answer.id = Some(id),
-            Err(why) => over(Final::Refused {
-                retry_after: Some(shared.router_settings.max_retry_after),
-                why,
+            Err(why) => over(FinalStatus::Rejected {
+                retry_after: Some(context.router_settings.max_retry_after),
+                reason: why,
             }),
         }
         answer
     }
 
-    /// Takes a request of another protocol: its number at this node, by which [`Node::gone`] knows it. `arrival`'s id
+    /// Takes a request of another protocol: its number at this node, by which [`Node::client_disconnected`] knows it. `arrival`'s id
     /// and patience are filled in; `call` is told the final answer.
     ///
     /// # Errors
     /// Why it is refused: nothing was done, and nothing is told later.
-    pub fn take(
+    pub fn accept(
         &self,
         arrival: Request,
         first_by: Micros,
         call: Arc<dyn Call>,
-    ) -> Result<u64, Refusal> {
-        let id = self.shared.next_id.fetch_add(1, Ordering::Relaxed);
+    ) -> Result<u64, RejectReason> {
+        let id = self.context.next_id.fetch_add(1, Ordering::Relaxed);
         let arrival = Request {
             id: RequestId(id),
             ..arrival
         };
-        self.enter(Taken {
-            arrival,
-            first_by,
-            end_by: None,
+        self.enter(AcceptedRequest {
+            request: arrival,
+            first_token_deadline: first_by,
+            response_deadline: None,
             call,
         })
     }
 
     /// The client of a request left before its answer's end.
-    pub fn gone(&self, id: u64) {
-        self.inbox.tell(Notice::Gone(id));
+    pub fn client_disconnected(&self, id: u64) {
+        self.inbox.send(DriverMessage::ClientDisconnected(id));
     }
 
-    fn enter(&self, taken: Taken) -> Result<u64, Refusal> {
-        let (shared, id) = (&self.shared, taken.arrival.id.0);
-        let why = if shared.stopping.load(Ordering::SeqCst) {
-            Refusal::Stopping
-        } else if taken.first_by <= shared.runtime.now() {
+    fn enter(&self, taken: AcceptedRequest) -> Result<u64, RejectReason> {
+        let (context, id) = (&self.context, taken.request.id.0);
+        let why = if context.stopping.load(Ordering::SeqCst) {
+            RejectReason::Stopping
+        } else if taken.first_token_deadline <= context.runtime.now() {
             // No time is left to do anything, and nothing was done.
-            Refusal::Shed
-        } else if shared.open.fetch_add(1, Ordering::SeqCst) >= shared.settings.most_open {
-            shared.open.fetch_sub(1, Ordering::SeqCst);
-            Refusal::NodeFull
+            RejectReason::Overloaded
+        } else if context.open.fetch_add(1, Ordering::SeqCst) >= context.settings.most_open {
+            context.open.fetch_sub(1, Ordering::SeqCst);
+            RejectReason::NodeFull
         } else {
-            shared.metrics.requests.add(1);
-            self.inbox.tell(Notice::Request(Box::new(taken)));
+            context.metrics.requests.add(1);
+            self.inbox.send(DriverMessage::Request(Box::new(taken)));
             return Ok(id);
         };
-        shared.metrics.refused.add(1);
-        shared.metrics.refused_for(why);
+        context.metrics.refused.add(1);
+        context.metrics.refused_for(why);
         Err(why)
     }
 
@@ -205,9 +209,9 @@
         &self,
         request: GenerateRequest,
         client_timeout: Option<Micros>,
-        buffer: Arc<Buffer>,
-    ) -> Result<Taken, String> {
-        let settings = &self.shared.settings;
+        buffer: Arc<TokenBuffer>,
+    ) -> Result<AcceptedRequest, String> {
+        let settings = &self.context.settings;
         let named = |what: &str, name: &str, names: Vec<&str>| {
             let found = names
                 .iter()
@@ -269,8 +273,8 @@
             true => 0,
             false => xxh3_64(request.session.as_bytes()).max(1),
         };
-        let now = self.shared.runtime.now();
-        let late = if planted::is(Defect::TimeoutLate) {
+        let now = self.context.runtime.now();
+        let late = if mutations::is_active(Mutation::TimeoutLate) {
             2 * settings.answer_margin
         } else {
             0
@@ -282,7 +286,7 @@
             ms => (u64::from(ms) * 1_000).min(client_timeout.unwrap_or(Micros::MAX)),
         };
         let first_by = now.saturating_add(first).saturating_sub(margin);
-        let id = self.shared.next_id.fetch_add(1, Ordering::Relaxed);
+        let id = self.context.next_id.fetch_add(1, Ordering::Relaxed);
         let arrival = Request {
             id: RequestId(id),
             class,
@@ -306,10 +310,10 @@
             key: request.idempotency_key,
             buffer,
         };
-        Ok(Taken {
-            arrival,
-            first_by,
-            end_by,
+        Ok(AcceptedRequest {
+            request: arrival,
+            first_token_deadline: first_by,
+            response_deadline: end_by,
             call: Arc::new(call),
         })
     }
@@ -317,10 +321,10 @@
     /// Takes nothing new, lets what is under way end for `within` microseconds at most, fails the rest, and returns
     /// when the node is done and its clients have their answers.
     pub async fn stop(&self, within: Micros) {
-        let by = self.shared.runtime.now().saturating_add(within);
-        self.shared.stopping.store(true, Ordering::SeqCst);
-        self.shared.stop_told.notify(usize::MAX);
-        self.inbox.tell(Notice::Stop { by });
+        let by = self.context.runtime.now().saturating_add(within);
+        self.context.stopping.store(true, Ordering::SeqCst);
+        self.context.stopping_event.notify(usize::MAX);
+        self.inbox.send(DriverMessage::Stop { deadline: by });
         // Ends with an error when the driver is done.
         let _ = self.done.recv().await;
         self.flush_answers(by).await;
@@ -333,29 +337,29 @@
     /// Waits until client connections have closed, which each does behind its last answer. Guards against a process that
     /// ends while answers are on their way: a slow client would never get the end of its own.
     async fn flush_answers(&self, by: Micros) {
-        let runtime = &self.shared.runtime;
+        let runtime = &self.context.runtime;
         let by = by.max(runtime.now().saturating_add(LAST_ANSWERS));
         before(runtime, by, self.clients.all_closed()).await;
     }
 
-    pub(crate) fn tell(&self, notice: Notice) {
-        self.inbox.tell(notice);
+    pub(crate) fn tell(&self, notice: DriverMessage) {
+        self.inbox.send(notice);
     }
 
     /// Asks the first `most` engines of the list, by their ids, how they are, which leaves a connection to each. How many
     /// answered. For measurements and for warming a node up before it takes requests; the module is told nothing.
     pub async fn open_connections(&self, most: usize) -> usize {
         let (reply, links) = async_channel::bounded(1);
-        self.inbox.tell(Notice::Links(reply));
+        self.inbox.send(DriverMessage::ListEngines(reply));
         // An error means that the node ended.
         let links = links.recv().await.unwrap_or_default();
         let mut answered = 0;
         for some in links[..most.min(links.len())].chunks(PROBES_AT_ONCE) {
             let (tell, told) = async_channel::bounded(PROBES_AT_ONCE);
             for link in some {
-                let (link, shared, tell) = (link.clone(), self.shared.clone(), tell.clone());
-                self.shared.runtime.run(async move {
-                    let (alive, _) = link.probe(shared).await;
+                let (link, context, tell) = (link.clone(), self.context.clone(), tell.clone());
+                self.context.runtime.run(async move {
+                    let (alive, _) = link.health_check(context).await;
                     let _ = tell.try_send(alive);
                 });
             }
@@ -370,15 +374,15 @@
     /// Writes what was recorded so far through to its file.
     pub async fn flush_recording(&self) {
         let (done, wait) = async_channel::bounded(1);
-        self.inbox.tell(Notice::Flush(done));
+        self.inbox.send(DriverMessage::FlushRecording(done));
         let _ = wait.recv().await;
     }
 
     /// Returns when the node stops taking requests.
     pub(crate) async fn closed(&self) {
         loop {
-            let listener = self.shared.stop_told.listen();
-            if !self.taking() {
+            let listener = self.context.stopping_event.listen();
+            if !self.is_accepting() {
                 return;
             }
             listener.await;
@@ -387,62 +391,62 @@
 
     /// The node's counters.
     pub fn metrics(&self) -> &Metrics {
-        &self.shared.metrics
+        &self.context.metrics
     }
     /// Requests in hand: taken, and not both answered and without an attempt.
-    pub fn open(&self) -> usize {
-        self.shared.open.load(Ordering::SeqCst)
+    pub fn open_requests(&self) -> usize {
+        self.context.open.load(Ordering::SeqCst)
     }
     /// What is still to be let go of at engines, or may come to be, with no request open for it.
-    pub fn owed(&self) -> usize {
-        self.shared.owed.load(Ordering::SeqCst)
+    pub fn pending_releases(&self) -> usize {
+        self.context.pending_releases.load(Ordering::SeqCst)
     }
     /// Whether it still takes requests.
-    pub fn taking(&self) -> bool {
-        !self.shared.stopping.load(Ordering::SeqCst)
+    pub fn is_accepting(&self) -> bool {
+        !self.context.stopping.load(Ordering::SeqCst)
     }
     /// The name of this run of the node, as engines see it.
     pub fn incarnation(&self) -> u64 {
-        self.shared.incarnation
+        self.context.incarnation
     }
     /// The settings it runs with.
     pub fn settings(&self) -> &NodeSettings {
-        &self.shared.settings
+        &self.context.settings
     }
 }
 
 /// The answer to a request, as its client takes it. Dropping it before its end gives the request up.
-pub struct Answer {
-    buffer: Arc<Buffer>,
+pub struct ResponseStream {
+    buffer: Arc<TokenBuffer>,
     id: Option<u64>,
-    inbox: Inbox,
+    inbox: DriverHandle,
 }
 
-impl Answer {
+impl ResponseStream {
     /// The next run of tokens, or the end, after which it must not be asked again.
-    pub fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Part> {
+    pub fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<ResponsePart> {
         self.buffer.poll_part(cx)
     }
     /// The next run of tokens, or the end.
-    pub async fn next(&mut self) -> Part {
+    pub async fn next(&mut self) -> ResponsePart {
         poll_fn(|cx| self.poll_part(cx)).await
     }
     /// All tokens and the end.
-    pub async fn collect(mut self) -> (Vec<u32>, Final) {
+    pub async fn collect(mut self) -> (Vec<u32>, FinalStatus) {
         let mut ids = Vec::new();
         loop {
             match self.next().await {
-                Part::Tokens(run) => ids.extend(run.ids),
-                Part::End(end) => return (ids, end),
+                ResponsePart::Tokens(run) => ids.extend(run.ids),
+                ResponsePart::End(end) => return (ids, end),
             }
         }
     }
 }
 
-impl Drop for Answer {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
-        if let Some(id) = self.id.filter(|_| !self.buffer.told()) {
-            self.inbox.tell(Notice::Gone(id));
+        if let Some(id) = self.id.filter(|_| !self.buffer.is_delivered()) {
+            self.inbox.send(DriverMessage::ClientDisconnected(id));
         }
     }
 }
--- a/crates/ivyward/src/peers/wire.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -1,6 +1,8 @@
 //! Messages between nodes as datagrams: a version, a keyed BLAKE3 tag, and the message by prost.
 
-use ivyward_core::peers::{About, Body, Card, Claim, Message, PeerId, MOST_CLAIMS};
+use ivyward_core::peers::{
+    Message, MessageBody, NodeInfo, PeerId, ReportedState, Update, MAX_UPDATES,
+};
 use ivyward_proto::peers as pb;
 use prost::Message as _;
 use std::net::{IpAddr, SocketAddr};
@@ -22,7 +24,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unread {
+pub enum DecodeError {
     /// Cut off, of another version or no message at all.
     #[error("it is no message: {0}")]
     Malformed(String),
@@ -57,9 +59,9 @@
     /// Reads a datagram that seems to come from there.
     ///
     /// # Errors
-    /// [`Unread`].
-    pub fn open(&self, bytes: &[u8], source: SocketAddr) -> Result<Message, Unread> {
-        let malformed = |what: &str| Unread::Malformed(what.to_owned());
+    /// [`DecodeError`].
+    pub fn open(&self, bytes: &[u8], source: SocketAddr) -> Result<Message, DecodeError> {
+        let malformed = |what: &str| DecodeError::Malformed(what.to_owned());
         if bytes.len() < HEAD || bytes[0] != VERSION {
             return Err(malformed("another version, or cut off"));
         }
@@ -67,34 +69,36 @@
         let tag: [u8; 32] = head[1..].try_into().map_err(|_| malformed("cut off"))?;
         // Compared in constant time.
         if blake3::keyed_hash(&self.key, body) != blake3::Hash::from(tag) {
-            return Err(Unread::Seal);
+            return Err(DecodeError::Seal);
         }
         let message = pb::Message::decode(body).map_err(|e| malformed(&e.to_string()))?;
         let message = message_in(message).map_err(malformed)?;
         if self.loopback_only {
-            let named = message.claims.iter().map(|c| c.card.address);
+            let named = message.updates.iter().map(|c| c.node.address);
             let paged = match &message.body {
-                Body::Page { claims, .. } => claims.as_slice(),
+                MessageBody::ViewPage {
+                    updates: claims, ..
+                } => claims.as_slice(),
                 _ => &[],
             };
             let relayed = match &message.body {
-                Body::Relay { to, .. } => Some(to.address),
+                MessageBody::PingRequest { to, .. } => Some(to.address),
                 _ => None,
             };
             let all = [source, message.from.address]
                 .into_iter()
                 .chain(named)
                 .chain(relayed);
-            let mut all = all.chain(paged.iter().map(|c| c.card.address));
+            let mut all = all.chain(paged.iter().map(|c| c.node.address));
             if let Some(foreign) = all.find(|a| !a.ip().is_loopback()) {
-                return Err(Unread::Foreign(foreign));
+                return Err(DecodeError::Foreign(foreign));
             }
         }
         Ok(message)
     }
 }
 
-fn card_out(card: &Card) -> pb::Card {
+fn card_out(card: &NodeInfo) -> pb::Card {
     let mut address = match card.address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
@@ -102,13 +106,13 @@
     address.extend_from_slice(&card.address.port().to_be_bytes());
     pb::Card {
         id: card.id.0,
-        start: card.start,
+        start: card.incarnation,
         zone: u32::from(card.zone),
         address,
     }
 }
 
-fn card_in(card: Option<pb::Card>) -> Result<Card, &'static str> {
+fn card_in(card: Option<pb::Card>) -> Result<NodeInfo, &'static str> {
     let card = card.ok_or("no card")?;
     let at = card.address.len().checked_sub(2).ok_or("a short address")?;
     let (ip, port) = card.address.split_at(at);
@@ -122,50 +126,50 @@
         return Err("an address that nobody has");
     }
     let zone = u8::try_from(card.zone).map_err(|_| "a zone over 255")?;
-    Ok(Card {
+    Ok(NodeInfo {
         id: PeerId(card.id),
-        start: card.start,
+        incarnation: card.start,
         zone,
         address,
     })
 }
 
-fn claim_out(claim: &Claim) -> pb::Claim {
-    let (about, since) = match claim.about {
-        About::Here => (0, 0),
-        About::Silent { since } => (1, since / 1_000),
-        About::Left => (2, 0),
+fn claim_out(claim: &Update) -> pb::Claim {
+    let (about, since) = match claim.state {
+        ReportedState::Alive => (0, 0),
+        ReportedState::Suspected { since } => (1, since / 1_000),
+        ReportedState::Left => (2, 0),
     };
-    let ago = claim.ago.div_ceil(1_000);
+    let ago = claim.age.div_ceil(1_000);
     pb::Claim {
-        card: Some(card_out(&claim.card)),
-        beat: claim.beat,
+        card: Some(card_out(&claim.node)),
+        beat: claim.heartbeat,
         ago,
         about,
         since,
     }
 }
 
-fn claim_in(claim: pb::Claim) -> Result<Claim, &'static str> {
+fn claim_in(claim: pb::Claim) -> Result<Update, &'static str> {
     let about = match claim.about {
-        0 => About::Here,
-        1 => About::Silent {
+        0 => ReportedState::Alive,
+        1 => ReportedState::Suspected {
             since: claim.since.saturating_mul(1_000),
         },
-        2 => About::Left,
+        2 => ReportedState::Left,
         _ => return Err("a claim of an unknown kind"),
     };
     let ago = claim.ago.saturating_mul(1_000);
-    Ok(Claim {
-        card: card_in(claim.card)?,
-        beat: claim.beat,
-        ago,
-        about,
+    Ok(Update {
+        node: card_in(claim.card)?,
+        heartbeat: claim.beat,
+        age: ago,
+        state: about,
     })
 }
 
-fn claims_in(claims: Vec<pb::Claim>) -> Result<Vec<Claim>, &'static str> {
-    if claims.len() > MOST_CLAIMS {
+fn claims_in(claims: Vec<pb::Claim>) -> Result<Vec<Update>, &'static str> {
+    if claims.len() > MAX_UPDATES {
         return Err("too many claims");
     }
     claims.into_iter().map(claim_in).collect()
@@ -174,25 +178,25 @@
 fn message_out(message: &Message) -> pb::Message {
     use pb::message::Body as Out;
     let body = match &message.body {
-        Body::Ping { seq } => Out::Ping(*seq),
-        Body::Ack { seq, of } => Out::Ack(pb::Ack {
+        MessageBody::Ping { seq } => Out::Ping(*seq),
+        MessageBody::Ack { seq, of } => Out::Ack(pb::Ack {
             seq: *seq,
             of: of.0,
         }),
-        Body::Relay { seq, to } => Out::Relay(pb::Relay {
+        MessageBody::PingRequest { seq, to } => Out::Relay(pb::Relay {
             seq: *seq,
             to: Some(card_out(to)),
         }),
-        Body::Nack { seq } => Out::Nack(*seq),
-        Body::Ask { after, whole } => Out::Ask(pb::Ask {
+        MessageBody::Nack { seq } => Out::Nack(*seq),
+        MessageBody::ViewRequest { after, whole } => Out::Ask(pb::Ask {
             after: after.map(|a| a.0),
             whole: *whole,
         }),
-        Body::Page {
-            claims,
+        MessageBody::ViewPage {
+            updates: claims,
             next,
             last,
-            sure,
+            confirmed: sure,
         } => {
             let claims = claims.iter().map(claim_out).collect();
             Out::Page(pb::Page {
@@ -202,14 +206,14 @@
                 sure: *sure,
             })
         }
-        Body::Leave => Out::Leave(true),
-        Body::Gossip => Out::Gossip(true),
+        MessageBody::Leave => Out::Leave(true),
+        MessageBody::Updates => Out::Gossip(true),
     };
     pb::Message {
         from: Some(card_out(&message.from)),
-        beat: message.beat,
-        view: message.view,
-        claims: message.claims.iter().map(claim_out).collect(),
+        beat: message.heartbeat,
+        view: message.view_digest,
+        claims: message.updates.iter().map(claim_out).collect(),
         body: Some(body),
     }
 }
@@ -217,39 +221,39 @@
 fn message_in(message: pb::Message) -> Result<Message, &'static str> {
     use pb::message::Body as In;
     let body = match message.body.ok_or("no body, or one of a later version")? {
-        In::Ping(seq) => Body::Ping { seq },
-        In::Ack(ack) => Body::Ack {
+        In::Ping(seq) => MessageBody::Ping { seq },
+        In::Ack(ack) => MessageBody::Ack {
             seq: ack.seq,
             of: PeerId(ack.of),
         },
-        In::Relay(relay) => Body::Relay {
+        In::Relay(relay) => MessageBody::PingRequest {
             seq: relay.seq,
             to: card_in(relay.to)?,
         },
-        In::Nack(seq) => Body::Nack { seq },
-        In::Ask(ask) => Body::Ask {
+        In::Nack(seq) => MessageBody::Nack { seq },
+        In::Ask(ask) => MessageBody::ViewRequest {
             after: ask.after.map(PeerId),
             whole: ask.whole,
         },
         In::Page(page) => {
             let claims = claims_in(page.claims)?;
-            Body::Page {
-                claims,
+            MessageBody::ViewPage {
+                updates: claims,
                 next: page.next.map(PeerId),
                 last: page.last,
-                sure: page.sure,
+                confirmed: page.sure,
             }
         }
-        In::Leave(_) => Body::Leave,
-        In::Gossip(_) => Body::Gossip,
+        In::Leave(_) => MessageBody::Leave,
+        In::Gossip(_) => MessageBody::Updates,
     };
     let (from, claims) = (card_in(message.from)?, claims_in(message.claims)?);
     Ok(Message {
         from,
-        beat: message.beat,
-        view: message.view,
+        heartbeat: message.beat,
+        view_digest: message.view,
         body,
-        claims,
+        updates: claims,
     })
 }
 
--- a/crates/ivyward/src/peers/wire/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -3,24 +3,24 @@
 use super::*;
 use ivyward_runtime::MOST_DATAGRAM;
 
-fn card(address: &str) -> Card {
-    Card {
+fn card(address: &str) -> NodeInfo {
+    NodeInfo {
         id: PeerId(u64::MAX),
-        start: u64::MAX,
+        incarnation: u64::MAX,
         zone: 255,
         address: address.parse().unwrap(),
     }
 }
-fn claim(address: &str) -> Claim {
+fn claim(address: &str) -> Update {
     // A beat of centuries, evidence of an hour.
-    let about = About::Silent {
+    let about = ReportedState::Suspected {
         since: 3_600_000_000,
     };
-    Claim {
-        card: card(address),
-        beat: 1 << 42,
-        ago: 3_600_000_000,
-        about,
+    Update {
+        node: card(address),
+        heartbeat: 1 << 42,
+        age: 3_600_000_000,
+        state: about,
     }
 }
 const FAR: &str = "[2001:db8::1]:65535";
@@ -28,48 +28,48 @@
 #[test]
 fn the_longest_messages_fit_a_datagram_and_come_back_as_they_were() {
     let seal = Seal::new(Some("a key of the owner"));
-    let taken = MOST_CLAIMS - 4;
-    let page = |n: usize| Body::Page {
-        claims: vec![claim(FAR); n],
+    let taken = MAX_UPDATES - 4;
+    let page = |n: usize| MessageBody::ViewPage {
+        updates: vec![claim(FAR); n],
         next: Some(PeerId(1)),
         last: true,
-        sure: true,
+        confirmed: true,
     };
     let bodies = [
         (page(taken), 4),
         (
-            Body::Relay {
+            MessageBody::PingRequest {
                 seq: u64::MAX,
                 to: card(FAR),
             },
-            MOST_CLAIMS,
+            MAX_UPDATES,
         ),
         (
-            Body::Ask {
+            MessageBody::ViewRequest {
                 after: Some(PeerId(u64::MAX)),
                 whole: true,
             },
-            MOST_CLAIMS,
+            MAX_UPDATES,
         ),
         (
-            Body::Ack {
+            MessageBody::Ack {
                 seq: u64::MAX,
                 of: PeerId(u64::MAX),
             },
-            MOST_CLAIMS,
+            MAX_UPDATES,
         ),
-        (Body::Ping { seq: 0 }, 0),
-        (Body::Nack { seq: 3 }, 1),
-        (Body::Leave, 2),
-        (Body::Gossip, MOST_CLAIMS),
+        (MessageBody::Ping { seq: 0 }, 0),
+        (MessageBody::Nack { seq: 3 }, 1),
+        (MessageBody::Leave, 2),
+        (MessageBody::Updates, MAX_UPDATES),
     ];
     for (body, claims) in bodies {
         let message = Message {
-            view: 0,
+            view_digest: 0,
             from: card(FAR),
-            beat: 1 << 42,
+            heartbeat: 1 << 42,
             body,
-            claims: vec![claim(FAR); claims],
+            updates: vec![claim(FAR); claims],
         };
         let bytes = seal.close(&message);
         assert!(bytes.len() <= MOST_DATAGRAM, "{}: {message:?}", bytes.len());
@@ -85,16 +85,16 @@
         Seal::new(Some("another of somebody")),
     );
     let message = Message {
-        view: 0,
+        view_digest: 0,
         from: card(here),
-        beat: 7,
-        body: Body::Ping { seq: 1 },
-        claims: vec![claim(here)],
+        heartbeat: 7,
+        body: MessageBody::Ping { seq: 1 },
+        updates: vec![claim(here)],
     };
     let bytes = seal.close(&message);
     let source = message.from.address;
-    assert_eq!(other.open(&bytes, source), Err(Unread::Seal));
-    assert_eq!(Seal::new(None).open(&bytes, source), Err(Unread::Seal));
+    assert_eq!(other.open(&bytes, source), Err(DecodeError::Seal));
+    assert_eq!(Seal::new(None).open(&bytes, source), Err(DecodeError::Seal));
     for at in 0..bytes.len() {
         assert!(seal.open(&bytes[..at], source).is_err(), "cut off at {at}");
         for bit in 0..8 {
@@ -110,32 +110,32 @@
     let (here, far) = ("127.0.0.1:7000", "192.0.2.1:7000");
     let seal = Seal::new(None);
     let local: SocketAddr = here.parse().unwrap();
-    let ping = Body::Ping { seq: 1 };
+    let ping = MessageBody::Ping { seq: 1 };
     let of = |from: &str, body, claims| Message {
-        view: 0,
+        view_digest: 0,
         from: card(from),
-        beat: 7,
+        heartbeat: 7,
         body,
-        claims,
+        updates: claims,
     };
     let good = of(here, ping.clone(), vec![claim(here)]);
     assert_eq!(seal.open(&seal.close(&good), local), Ok(good.clone()));
     assert!(matches!(
         seal.open(&seal.close(&good), far.parse().unwrap()),
-        Err(Unread::Foreign(_))
+        Err(DecodeError::Foreign(_))
     ));
-    let page = Body::Page {
-        claims: vec![claim(far)],
+    let page = MessageBody::ViewPage {
+        updates: vec![claim(far)],
         next: None,
         last: false,
-        sure: false,
+        confirmed: false,
     };
     let bad = [
         of(far, ping.clone(), vec![]),
         of(here, ping, vec![claim(far)]),
         of(
             here,
-            Body::Relay {
+            MessageBody::PingRequest {
                 seq: 1,
                 to: card(far),
             },
@@ -147,7 +147,7 @@
         assert!(
             matches!(
                 seal.open(&seal.close(&message), local),
-                Err(Unread::Foreign(_))
+                Err(DecodeError::Foreign(_))
             ),
             "{message:?}"
         );
@@ -159,11 +159,11 @@
     let seal = Seal::new(Some("a key of the owner"));
     let local: SocketAddr = "127.0.0.1:7000".parse().unwrap();
     let good = Message {
-        view: 0,
+        view_digest: 0,
         from: card("127.0.0.1:7000"),
-        beat: 1,
-        body: Body::Leave,
-        claims: vec![],
+        heartbeat: 1,
+        body: MessageBody::Leave,
+        updates: vec![],
     };
     let sealed = |message: pb::Message| {
         let body = message.encode_to_vec();
@@ -186,15 +186,15 @@
         change(&mut message);
         assert!(matches!(
             seal.open(&sealed(message), local),
-            Err(Unread::Malformed(_))
+            Err(DecodeError::Malformed(_))
         ));
     }
     let many = Message {
-        claims: vec![claim("127.0.0.1:7000"); MOST_CLAIMS + 1],
+        updates: vec![claim("127.0.0.1:7000"); MAX_UPDATES + 1],
         ..good
     };
     assert!(matches!(
         seal.open(&seal.close(&many), local),
-        Err(Unread::Malformed(_))
+        Err(DecodeError::Malformed(_))
     ));
 }
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -3,19 +3,19 @@
 //! It decides nothing: whom to probe, whom to believe and how many there are is [`ivyward_core::peers`]'s. Off unless
 //! the owner begins it ([`Node::peers`]).
 
+mod codec;
 mod records;
-mod wire;
 
-pub use records::{NodeRecord, RecordError, NODES};
-pub use wire::{Seal, Unread};
+pub use codec::{DecodeError, Seal};
+pub use records::{NodeRecord, NodeRecordError, NODES};
 
 use crate::node::Node;
-use crate::request::notices::Notice;
+use crate::request::messages::DriverMessage;
 use crate::settings::SettingsError;
 use futures_lite::future::or;
 use ivyward_core::interface::Micros;
-use ivyward_core::peers::{Card, Out, PeerId, PeerSettings, Peers, Standing};
-use ivyward_core::planted::{self, Defect};
+use ivyward_core::mutations::{self, Mutation};
+use ivyward_core::peers::{NodeInfo, PeerAction, PeerId, PeerSettings, PeerState, Peers};
 use ivyward_etcd::EtcdOptions;
 use ivyward_runtime::{metered, Datagrams, RuntimeExt, MOST_DATAGRAM};
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
                 );
             }
         }
-        let death_after = self.spans.death_after;
+        let death_after = self.spans.death_timeout;
         if !(500_000..=600_000_000).contains(&death_after) {
             let value = format!("{}ms", death_after / 1_000);
             return bad(
@@ -171,9 +171,9 @@
 }
 
 /// What the task is told.
-pub(crate) enum Order {
+pub(crate) enum PeerCommand {
     /// A record of the store names a node.
-    Record(Card),
+    Record(NodeInfo),
     /// The record of a node is gone.
     Gone(PeerId),
     /// The node ends: all are told, then this is dropped.
@@ -184,7 +184,7 @@
 #[derive(Clone)]
 pub struct PeersHandle {
     decider: Arc<Mutex<Peers>>,
-    orders: async_channel::Sender<Order>,
+    orders: async_channel::Sender<PeerCommand>,
     address: SocketAddr,
 }
 
@@ -192,13 +192,13 @@
     decider.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn word(standing: Standing, unheard: bool) -> &'static str {
+fn word(standing: PeerState, unheard: bool) -> &'static str {
     match standing {
-        Standing::Alive if unheard => "unheard",
-        Standing::Alive => "alive",
-        Standing::Suspected => "suspected",
-        Standing::Dead => "dead",
-        Standing::Left => "left",
+        PeerState::Alive if unheard => "unheard",
+        PeerState::Alive => "alive",
+        PeerState::Suspected => "suspected",
+        PeerState::Dead => "dead",
+        PeerState::Left => "left",
     }
 }
 
@@ -213,7 +213,7 @@
     }
     pub(crate) async fn leave(&self) {
         let (done, wait) = async_channel::bounded(1);
-        if self.orders.send(Order::Leave { done }).await.is_ok() {
+        if self.orders.send(PeerCommand::Leave { done }).await.is_ok() {
             // Ends with an error when all were told.
             let _ = wait.recv().await;
         }
@@ -222,25 +222,25 @@
     pub fn text(&self) -> String {
         use std::fmt::Write;
         self.look(|peers| {
-            let me = peers.me();
+            let me = peers.local_node();
             let mut out = String::new();
             // Writing to a String cannot fail.
             let _ = writeln!(
                 out,
                 "self id={:016x} start={} zone={} address={} count={} joined={}",
                 me.id.0,
-                me.start,
+                me.incarnation,
                 me.zone,
                 me.address,
-                peers.count(),
-                peers.joined()
+                peers.replica_count(),
+                peers.has_complete_view()
             );
             for peer in peers.peers() {
-                let (card, state) = (peer.card, word(peer.standing, peer.unheard));
+                let (card, state) = (peer.node, word(peer.state, peer.indirect_only));
                 let _ = writeln!(
                     out,
                     "peer id={:016x} start={} zone={} address={} state={state} certain={}",
-                    card.id.0, card.start, card.zone, card.address, peer.certain
+                    card.id.0, card.incarnation, card.zone, card.address, peer.confirmed_gone
                 );
             }
             out
@@ -253,11 +253,11 @@
             for state in states {
                 let count = peers
                     .peers()
-                    .filter(|p| word(p.standing, p.unheard) == state)
+                    .filter(|p| word(p.state, p.indirect_only) == state)
                     .count();
                 let _ = writeln!(out, "ivyward_peers{{state=\"{state}\"}} {count}");
             }
-            let _ = writeln!(out, "ivyward_nodes {}", peers.count());
+            let _ = writeln!(out, "ivyward_nodes {}", peers.replica_count());
             let dropped = peers.dropped();
             let reasons = [
                 ("stale", dropped.stale),
@@ -280,7 +280,7 @@
     decider: Arc<Mutex<Peers>>,
     socket: Box<dyn Datagrams>,
     seal: Seal,
-    orders: async_channel::Receiver<Order>,
+    orders: async_channel::Receiver<PeerCommand>,
     /// What the module was told last.
     told: u32,
 }
@@ -289,7 +289,7 @@
 enum Came {
     Datagram(std::io::Result<(usize, SocketAddr)>),
     Tick,
-    Order(Order),
+    Order(PeerCommand),
     End,
 }
 
@@ -300,7 +300,7 @@
     /// [`PeerError`].
     pub fn peers(&self, options: PeerOptions) -> Result<PeersHandle, PeerError> {
         options.check()?;
-        let runtime = metered(&self.shared.runtime, &self.shared.metrics.peer_traffic);
+        let runtime = metered(&self.context.runtime, &self.context.metrics.peer_traffic);
         let listen = options.listen;
         let socket = runtime
             .datagrams(listen)
@@ -312,9 +312,9 @@
         let announce = options.announce.unwrap_or(address);
         let name = options.name.clone().unwrap_or_else(|| announce.to_string());
         let rules = &self.settings().rules;
-        let me = Card {
+        let me = NodeInfo {
             id: PeerId(xxh3_64(name.as_bytes())),
-            start: runtime.unix_micros(),
+            incarnation: runtime.unix_micros(),
             zone: rules.zone,
             address: announce,
         };
@@ -358,9 +358,9 @@
 
 impl Speaker {
     async fn run(mut self) {
-        let runtime = self.node.shared.runtime.clone();
+        let runtime = self.node.context.runtime.clone();
         let mut bytes = [0u8; MOST_DATAGRAM + 1];
-        let (mut tick_at, span) = (runtime.now(), lock(&self.decider).tick_span());
+        let (mut tick_at, span) = (runtime.now(), lock(&self.decider).tick_interval());
         let mut last_refused = 0;
         loop {
             let came = or(
@@ -391,11 +391,13 @@
                     runtime.sleep(10_000).await;
                 }
                 Came::Tick => {}
-                Came::Order(Order::Record(card)) => {
-                    self.decide(|peers, out| peers.record(now, card, out))
+                Came::Order(PeerCommand::Record(card)) => {
+                    self.decide(|peers, out| peers.record_added(now, card, out))
                 }
-                Came::Order(Order::Gone(id)) => self.decide(|peers, _| peers.record_gone(now, id)),
-                Came::Order(Order::Leave { done }) => {
+                Came::Order(PeerCommand::Gone(id)) => {
+                    self.decide(|peers, _| peers.record_removed(now, id))
+                }
+                Came::Order(PeerCommand::Leave { done }) => {
                     self.decide(|peers, out| peers.leave(now, out));
                     drop(done);
                     return;
@@ -415,11 +417,11 @@
         match self.seal.open(bytes, source) {
             Ok(message) => self.decide(|peers, out| {
                 let (from, had) = (message.from.address, out.len());
-                peers.hear(now, message, out);
+                peers.handle_message(now, message, out);
                 for one in &mut out[had..] {
                     match one {
-                        Out::Send { to, .. }
-                            if planted::is(Defect::AnswersToSource) && *to == from =>
+                        PeerAction::Send { to, .. }
+                            if mutations::is_active(Mutation::AnswersToSource) && *to == from =>
                         {
                             *to = source
                         }
@@ -438,31 +440,35 @@
     }
 
     /// Asks the decider and does what it says.
-    fn decide(&mut self, ask: impl FnOnce(&mut Peers, &mut Vec<Out>)) {
+    fn decide(&mut self, ask: impl FnOnce(&mut Peers, &mut Vec<PeerAction>)) {
         let mut out = Vec::new();
         let count = {
             let mut decider = lock(&self.decider);
             ask(&mut decider, &mut out);
-            decider.count()
+            decider.replica_count()
         };
         let metrics = self.node.metrics();
         for one in out {
             match one {
-                Out::Send { to, message } => {
+                PeerAction::Send { to, message } => {
                     let bytes = self.seal.close(&message);
                     metrics.peer_datagrams_sent.add(1);
                     metrics.peer_bytes_sent.add(bytes.len() as u64);
                     // What cannot be sent is lost, as it may be anywhere on its way.
                     let _ = self.socket.send(&bytes, to);
                 }
-                Out::Changed { card, was, is } => {
+                PeerAction::Changed {
+                    node: card,
+                    was,
+                    is,
+                } => {
                     metrics.peer_changes.add(1);
                     let was = was.map_or("unknown", |was| word(was, false));
                     info!(
                         peer = %format_args!("{:016x}", card.id.0),
                         address = %card.address,
                         zone = card.zone,
-                        start = card.start,
+                        start = card.incarnation,
                         was,
                         is = word(is, false),
                         "a peer changed"
@@ -473,7 +479,7 @@
         if count != self.told {
             info!(was = self.told, is = count, "nodes that may be sending");
             self.told = count;
-            self.node.tell(Notice::Nodes(count));
+            self.node.tell(DriverMessage::ReplicaCount(count));
         }
     }
 }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -1,10 +1,10 @@
 //! Nodes' records in the store: each writes its own under a lease, and reads those of the others.
 
 use crate::node::Node;
-use crate::peers::{Order, PeerStore};
+use crate::peers::{PeerCommand, PeerStore};
 use garde::Validate;
 use ivyward_core::interface::Micros;
-use ivyward_core::peers::{Card, PeerId};
+use ivyward_core::peers::{NodeInfo, PeerId};
 use ivyward_etcd::{mvccpb, Client, EtcdError, Kept, Notice};
 use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
@@ -44,7 +44,7 @@
 
 /// Why a record is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RecordError {
+pub enum NodeRecordError {
     /// The key is no node's.
     #[error("the key does not end in a node's number, 16 hexadecimal digits")]
     Key,
@@ -62,37 +62,37 @@
         format!("{prefix}{:016x}", id.0)
     }
 
-    fn of(card: &Card) -> NodeRecord {
+    fn of(card: &NodeInfo) -> NodeRecord {
         NodeRecord {
             version: 1,
             id: card.id.0,
-            start: card.start,
+            start: card.incarnation,
             zone: card.zone,
             address: card.address.to_string(),
         }
     }
 
     /// The node that a key names.
-    fn named(prefix: &str, key: &[u8]) -> Result<PeerId, RecordError> {
+    fn named(prefix: &str, key: &[u8]) -> Result<PeerId, NodeRecordError> {
         let name = key
             .strip_prefix(prefix.as_bytes())
             .and_then(|k| std::str::from_utf8(k).ok());
-        let name = name.ok_or(RecordError::Key)?;
-        let id = u64::from_str_radix(name, 16).map_err(|_| RecordError::Key)?;
+        let name = name.ok_or(NodeRecordError::Key)?;
+        let id = u64::from_str_radix(name, 16).map_err(|_| NodeRecordError::Key)?;
         // Only one way of writing a number, so that two keys never name one node.
         match NodeRecord::key(prefix, PeerId(id)).as_bytes() == key {
             true => Ok(PeerId(id)),
-            false => Err(RecordError::Key),
+            false => Err(NodeRecordError::Key),
         }
     }
 
     /// Reads one.
     ///
     /// # Errors
-    /// [`RecordError`].
-    pub fn read(prefix: &str, key: &[u8], value: &[u8]) -> Result<Card, RecordError> {
+    /// [`NodeRecordError`].
+    pub fn read(prefix: &str, key: &[u8], value: &[u8]) -> Result<NodeInfo, NodeRecordError> {
         let id = NodeRecord::named(prefix, key)?;
-        let malformed = |e: String| RecordError::Malformed(e);
+        let malformed = |e: String| NodeRecordError::Malformed(e);
         if value.len() > MOST_RECORD {
             return Err(malformed(format!(
                 "{} bytes; {MOST_RECORD} at most",
@@ -105,7 +105,7 @@
             .validate()
             .map_err(|e| malformed(e.to_string().trim().replace('\n', "; ")))?;
         if record.id != id.0 {
-            return Err(RecordError::Contradiction(record.id));
+            return Err(NodeRecordError::Contradiction(record.id));
         }
         let address: SocketAddr = record
             .address
@@ -114,9 +114,9 @@
         if address.port() == 0 || address.ip().is_unspecified() {
             return Err(malformed(format!("nobody can be reached at {address}")));
         }
-        Ok(Card {
+        Ok(NodeInfo {
             id,
-            start: record.start,
+            incarnation: record.start,
             zone: record.zone,
             address,
         })
@@ -127,10 +127,10 @@
 pub(crate) fn begin(
     node: &Node,
     store: &PeerStore,
-    me: Card,
-    orders: async_channel::Sender<Order>,
+    me: NodeInfo,
+    orders: async_channel::Sender<PeerCommand>,
 ) {
-    let runtime = metered(&node.shared.runtime, &node.shared.metrics.peer_traffic);
+    let runtime = metered(&node.context.runtime, &node.context.metrics.peer_traffic);
     let client =
         |runtime: &RuntimeRef| Client::new(runtime, store.endpoints.clone(), store.etcd.clone());
     let keeper = client(&runtime);
@@ -173,7 +173,7 @@
     client: Client,
     runtime: RuntimeRef,
     prefix: String,
-    orders: async_channel::Sender<Order>,
+    orders: async_channel::Sender<PeerCommand>,
     /// Whose records stand there. While the store cannot be reached they stand on.
     known: BTreeSet<PeerId>,
     /// Keys whose bad record was logged; cleared at this many.
@@ -253,7 +253,7 @@
             Ok(card) => {
                 self.known.insert(card.id);
                 // Fails only when the peers' task is over.
-                let _ = self.orders.send(Order::Record(card)).await;
+                let _ = self.orders.send(PeerCommand::Record(card)).await;
             }
             Err(problem) => {
                 if self.unread.len() >= 1_024 {
@@ -269,7 +269,7 @@
 
     async fn gone(&mut self, id: PeerId) {
         if self.known.remove(&id) {
-            let _ = self.orders.send(Order::Gone(id)).await;
+            let _ = self.orders.send(PeerCommand::Gone(id)).await;
         }
     }
 }
--- a/crates/ivyward/src/peers/records/tests.rs
+++ b/crates/ivyward/src/peers/records/tests.rs
@@ -5,9 +5,9 @@
 #[test]
 fn a_record_is_read_as_it_is_written_and_bad_ones_say_why() {
     let address = "127.0.0.1:7431".parse().unwrap();
-    let card = Card {
+    let card = NodeInfo {
         id: PeerId(0xab),
-        start: 7,
+        incarnation: 7,
         zone: 3,
         address,
     };
--- a/crates/ivyward/src/record/mod.rs
+++ b/crates/ivyward/src/recording/mod.rs
@@ -2,7 +2,7 @@
 
 use ivyward_core::interface as core;
 use ivyward_core::interface::{Action, EndpointId, Event, Micros, RequestId};
-use ivyward_core::rules::Router;
+use ivyward_core::router::Router;
 use ivyward_proto::record as pb;
 use prost::Message;
 use std::io::{self, BufRead, Write};
@@ -14,7 +14,7 @@
 
 /// What is wrong with a recording.
 #[derive(Debug, thiserror::Error)]
-pub enum RecordError {
+pub enum RecordingError {
     /// It cannot be read.
     #[error("the recording cannot be read: {0}")]
     Io(#[from] io::Error),
@@ -107,7 +107,7 @@
 
 /// What a replay went over.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Replayed {
+pub struct ReplaySummary {
     /// Events.
     pub events: usize,
     /// Actions, all the same as recorded.
@@ -128,7 +128,7 @@
 }
 
 /// Reads a recording.
-pub struct Reader<R> {
+pub struct RecordingReader<R> {
     input: R,
     /// The module's settings.
     pub settings: core::Settings,
@@ -138,22 +138,22 @@
     cut: bool,
 }
 
-impl<R: BufRead> Reader<R> {
+impl<R: BufRead> RecordingReader<R> {
     /// Reads a recording's start.
     ///
     /// # Errors
-    /// [`RecordError`] when it is no recording of this version.
-    pub fn begin(mut input: R) -> Result<Reader<R>, RecordError> {
-        let bad = |what: String| RecordError::Malformed { entry: 0, what };
+    /// [`RecordingError`] when it is no recording of this version.
+    pub fn begin(mut input: R) -> Result<RecordingReader<R>, RecordingError> {
+        let bad = |what: String| RecordingError::Malformed { entry: 0, what };
         let start = match entry(&mut input, 0)? {
             Some(pb::entry::Entry::Start(start)) => start,
             _ => return Err(bad("a recording begins with a Start".into())),
         };
         if start.version != VERSION {
-            return Err(RecordError::Version(start.version));
+            return Err(RecordingError::Version(start.version));
         }
         let settings = settings_in(&start.settings.unwrap_or_default()).map_err(bad)?;
-        Ok(Reader {
+        Ok(RecordingReader {
             input,
             settings,
             seed: start.seed,
@@ -161,19 +161,19 @@
             cut: false,
         })
     }
-    /// The next step, or `None` at the end, which may lie inside an entry: see [`Reader::cut`].
+    /// The next step, or `None` at the end, which may lie inside an entry: see [`RecordingReader::cut`].
     ///
     /// # Errors
-    /// [`RecordError`] when what follows is no step.
-    pub fn step(&mut self) -> Result<Option<Step>, RecordError> {
+    /// [`RecordingError`] when what follows is no step.
+    pub fn step(&mut self) -> Result<Option<Step>, RecordingError> {
         self.read += 1;
         let no = self.read;
-        let bad = |what: String| RecordError::Malformed { entry: no, what };
+        let bad = |what: String| RecordingError::Malformed { entry: no, what };
         let step = match entry(&mut self.input, no) {
             Ok(Some(pb::entry::Entry::Step(step))) => step,
             Ok(Some(_)) => return Err(bad("a second Start".into())),
             Ok(None) => return Ok(None),
-            Err(RecordError::Io(e)) if e.kind() == io::ErrorKind::UnexpectedEof => {
+            Err(RecordingError::Io(e)) if e.kind() == io::ErrorKind::UnexpectedEof => {
                 self.cut = true;
                 return Ok(None);
             }
@@ -204,11 +204,11 @@
 /// Gives a recording's events to a fresh router and compares what it does.
 ///
 /// # Errors
-/// [`RecordError`] when the recording cannot be read, or the first step that differs.
-pub fn replay(input: impl BufRead) -> Result<Replayed, RecordError> {
-    let mut reader = Reader::begin(input)?;
+/// [`RecordingError`] when the recording cannot be read, or the first step that differs.
+pub fn replay(input: impl BufRead) -> Result<ReplaySummary, RecordingError> {
+    let mut reader = RecordingReader::begin(input)?;
     let mut router = Router::new(reader.settings.clone(), reader.seed);
-    let mut done = Replayed::default();
+    let mut done = ReplaySummary::default();
     while let Some(Step {
         at,
         event,
@@ -218,7 +218,7 @@
         let mut replayed = Vec::new();
         router.handle(at, event, &mut replayed);
         if recorded != replayed {
-            return Err(RecordError::Differs {
+            return Err(RecordingError::Differs {
                 step: done.events,
                 at,
                 recorded,
@@ -232,7 +232,7 @@
     Ok(done)
 }
 
-fn entry(input: &mut impl BufRead, no: usize) -> Result<Option<pb::entry::Entry>, RecordError> {
+fn entry(input: &mut impl BufRead, no: usize) -> Result<Option<pb::entry::Entry>, RecordingError> {
     let (mut length, mut shift) = (0u64, 0);
     loop {
         let mut byte = [0u8];
@@ -246,28 +246,31 @@
             break;
         }
         if shift > 28 {
-            return Err(RecordError::Malformed {
+            return Err(RecordingError::Malformed {
                 entry: no,
                 what: "its length is no length".into(),
             });
         }
     }
     if length > MOST_ENTRY {
-        return Err(RecordError::Malformed {
+        return Err(RecordingError::Malformed {
             entry: no,
             what: format!("{length} bytes are too long"),
         });
     }
     let mut body = vec![0; length as usize];
     input.read_exact(&mut body)?;
-    let entry = pb::Entry::decode(&body[..]).map_err(|e| RecordError::Malformed {
+    let entry = pb::Entry::decode(&body[..]).map_err(|e| RecordingError::Malformed {
         entry: no,
         what: e.to_string(),
     })?;
-    entry.entry.map(Some).ok_or_else(|| RecordError::Malformed {
-        entry: no,
-        what: "it is empty".into(),
-    })
+    entry
+        .entry
+        .map(Some)
+        .ok_or_else(|| RecordingError::Malformed {
+            entry: no,
+            what: "it is empty".into(),
+        })
 }
 
 /// Numbers for the words of the interface, both ways from one table.
