--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -3,12 +3,12 @@
 //! What proves that an attempt never ran is decided here, in [`never_ran`] and [`turned_away`]; what follows from
 //! it is the module's.
 
-use crate::answer::{Buffer, Over};
 use crate::engines::link::{DialError, GrpcLink};
-use crate::engines::{End, Job, Stall, Stop, Woken};
+use crate::engines::{AttemptRequest, AttemptResult, CancelReason, StallDetector, WaitResult};
+use crate::response::TokenBuffer;
 use futures_lite::future::{or, poll_fn};
 use ivyward_core::interface::{LoadReport, Micros, Outcome, ReportField};
-use ivyward_core::planted::{self, Defect};
+use ivyward_core::mutations::{self, Mutation};
 use ivyward_grpc::{encode, Call, CallError, Cause};
 use ivyward_proto::engine as pb;
 use prost::Message;
@@ -35,15 +35,15 @@
 
 /// An attempt in gRPC's terms.
 pub(crate) struct Work {
-    pub(crate) job: Job,
+    pub(crate) job: AttemptRequest,
     pub(crate) link: Arc<GrpcLink>,
     pub(crate) ask: Ask,
-    pub(crate) buffer: Arc<Buffer>,
+    pub(crate) buffer: Arc<TokenBuffer>,
 }
 
 impl Deref for Work {
-    type Target = Job;
-    fn deref(&self) -> &Job {
+    type Target = AttemptRequest;
+    fn deref(&self) -> &AttemptRequest {
         &self.job
     }
 }
@@ -53,8 +53,8 @@
     /// no bound where the client stated none.
     fn deadline(&self) -> Option<Micros> {
         match self.ask {
-            Ask::Read(_) => Some(self.job.until),
-            Ask::Write(_) => self.job.end_by,
+            Ask::Read(_) => Some(self.job.deadline),
+            Ask::Write(_) => self.job.stream_deadline,
         }
     }
 }
@@ -63,7 +63,7 @@
 /// after its client left, where a connection comes up late and attempts may not be called off.
 async fn unless_over<T>(job: &Work, next: impl Future<Output = T>) -> Option<T> {
     let mut next = pin!(next);
-    poll_fn(|cx| match job.buffer.poll_over(cx) {
+    poll_fn(|cx| match job.buffer.poll_finished(cx) {
         Poll::Ready(()) => Poll::Ready(None),
         Poll::Pending => next.as_mut().poll(cx).map(Some),
     })
@@ -71,9 +71,9 @@
 }
 
 /// Waits for what comes next, or the driver's word.
-async fn heeding<T>(job: &Work, next: impl Future<Output = T>) -> Woken<T> {
-    or(async { Woken::Next(next.await) }, async {
-        Woken::Stopped(job.stopped().await)
+async fn heeding<T>(job: &Work, next: impl Future<Output = T>) -> WaitResult<T> {
+    or(async { WaitResult::Completed(next.await) }, async {
+        WaitResult::Cancelled(job.cancelled().await)
     })
     .await
 }
@@ -85,21 +85,31 @@
     match (&error.cause, error.never_ran) {
         (_, true) if left => Outcome::Rejected,
         (_, true) => Outcome::ConnectFailed,
-        (Cause::Reset(_), false) if planted::is(Defect::ResetAsProof) => Outcome::Rejected,
-        (Cause::Status(_), false) if planted::is(Defect::StatusAsProof) => Outcome::Rejected,
+        (Cause::Reset(_), false) if mutations::is_active(Mutation::ResetAsProof) => {
+            Outcome::Rejected
+        }
+        (Cause::Status(_), false) if mutations::is_active(Mutation::StatusAsProof) => {
+            Outcome::Rejected
+        }
         (Cause::Broken(_) | Cause::Reset(_) | Cause::Late, false) => Outcome::Reset,
         (Cause::Status(_) | Cause::Frame(_), false) => Outcome::Error,
     }
 }
 
 /// What an engine's own word that it did nothing counts as.
-fn turned_away(away: &pb::TurnedAway) -> End {
+fn turned_away(away: &pb::TurnedAway) -> AttemptResult {
     match away.reason() {
-        pb::turned_away::Reason::StateLost => End::new(Outcome::KvCacheMiss, "no state to fetch"),
-        pb::turned_away::Reason::Full => End::new(Outcome::Rejected, "turned away: full"),
-        pb::turned_away::Reason::Draining => End::new(Outcome::Rejected, "turned away: draining"),
+        pb::turned_away::Reason::StateLost => {
+            AttemptResult::new(Outcome::KvCacheMiss, "no state to fetch")
+        }
+        pb::turned_away::Reason::Full => AttemptResult::new(Outcome::Rejected, "turned away: full"),
+        pb::turned_away::Reason::Draining => {
+            AttemptResult::new(Outcome::Rejected, "turned away: draining")
+        }
         // A reason of a later version: that nothing was run holds all the same.
-        pb::turned_away::Reason::Unspecified => End::new(Outcome::Rejected, "turned away"),
+        pb::turned_away::Reason::Unspecified => {
+            AttemptResult::new(Outcome::Rejected, "turned away")
+        }
     }
 }
 
@@ -132,28 +142,28 @@
 }
 
 /// Runs an attempt to its one outcome.
-pub(crate) async fn run(work: Work) -> End {
+pub(crate) async fn run(work: Work) -> AttemptResult {
     let end = attempt(&work).await;
     work.link.call_ended();
     end
 }
 
-async fn attempt(job: &Work) -> End {
-    let runtime = &job.shared.runtime;
-    if job.until <= runtime.now() {
-        return End::new(Outcome::NotSent, "no time left");
+async fn attempt(job: &Work) -> AttemptResult {
+    let runtime = &job.context.runtime;
+    if job.deadline <= runtime.now() {
+        return AttemptResult::new(Outcome::NotSent, "no time left");
     }
-    let send_deadline = job.until.min(job.send_deadline);
+    let send_deadline = job.deadline.min(job.send_deadline);
     let channel = match unless_over(job, heeding(job, job.link.channel(send_deadline))).await {
-        Some(Woken::Next(Ok(channel))) => channel,
-        Some(Woken::Next(Err(e @ (DialError::Failed(..) | DialError::Late(_))))) => {
-            return End::new(Outcome::ConnectFailed, e.to_string());
+        Some(WaitResult::Completed(Ok(channel))) => channel,
+        Some(WaitResult::Completed(Err(e @ (DialError::Failed(..) | DialError::Late(_))))) => {
+            return AttemptResult::new(Outcome::ConnectFailed, e.to_string());
         }
-        _ => return End::new(Outcome::NotSent, "called off before it was sent"),
+        _ => return AttemptResult::new(Outcome::NotSent, "called off before it was sent"),
     };
     // Told during the dial: nothing new goes to an engine that drains or is gone.
-    if job.link.closing() && !planted::is(Defect::ClosingIgnored) {
-        return End::new(Outcome::NotSent, "the engine drains or is gone");
+    if job.link.is_draining() && !mutations::is_active(Mutation::ClosingIgnored) {
+        return AttemptResult::new(Outcome::NotSent, "the engine drains or is gone");
     }
     let (path, body) = match &job.ask {
         Ask::Read(read) => ("/ivyward.engine.v1.Engine/Read", encode(read)),
@@ -164,15 +174,15 @@
         Some(Ok(call)) => call,
         Some(Err(CallError {
             cause: Cause::Late, ..
-        })) => return End::new(Outcome::NotSent, "no time left"),
-        Some(Err(e)) => return End::new(Outcome::ConnectFailed, e.to_string()),
-        None => return End::new(Outcome::NotSent, "the client left before it was sent"),
+        })) => return AttemptResult::new(Outcome::NotSent, "no time left"),
+        Some(Err(e)) => return AttemptResult::new(Outcome::ConnectFailed, e.to_string()),
+        None => return AttemptResult::new(Outcome::NotSent, "the client left before it was sent"),
     };
     let mut end = match job.ask {
         Ask::Read(_) => read(job, &mut call).await,
         Ask::Write(_) => write(job, &mut call).await,
     };
-    if planted::is(Defect::SentTwice)
+    if mutations::is_active(Mutation::SentTwice)
         && matches!((&job.ask, end.outcome), (Ask::Write(_), Outcome::Reset))
     {
         if let Ok(again) = channel.call_before(path, body, deadline).await {
@@ -182,51 +192,57 @@
     }
     // The outcome is told only when the stream is over or its reset is written, so that the next attempt never runs
     // beside this one.
-    let left = call.abandon(job.shared.settings.reset_wait).await;
+    let left = call.abandon(job.context.settings.reset_wait).await;
     match end.outcome {
         Outcome::TimedOut | Outcome::Cancelled if !left => {
-            End::new(Outcome::NotSent, "given up before it left")
+            AttemptResult::new(Outcome::NotSent, "given up before it left")
         }
         _ => end,
     }
 }
 
 /// The first message, or the end of an attempt without one.
-async fn first<M: Message + Default>(job: &Work, call: &mut Call) -> Result<M, End> {
-    let mut timer = job.shared.runtime.sleep_until(job.until);
+async fn first<M: Message + Default>(job: &Work, call: &mut Call) -> Result<M, AttemptResult> {
+    let mut timer = job.context.runtime.sleep_until(job.deadline);
     // Guards against an attempt that begins after its client left: what is still leaving comes to its engine in parts.
     let next = poll_fn(|cx| {
-        if !call.uploaded() && job.buffer.poll_over(cx).is_ready() {
+        if !call.uploaded() && job.buffer.poll_finished(cx).is_ready() {
             return Poll::Ready(None);
         }
         call.poll_message::<M>(cx).map(Some)
     });
     let woken = match job.wait(&mut timer, next).await {
-        Woken::Next(Some(next)) => Woken::Next(next),
-        Woken::Next(None) => Woken::Stopped(Stop::GiveUp),
-        Woken::Stopped(stop) => Woken::Stopped(stop),
-        Woken::Late => Woken::Late,
+        WaitResult::Completed(Some(next)) => WaitResult::Completed(next),
+        WaitResult::Completed(None) => WaitResult::Cancelled(CancelReason::RequestFinished),
+        WaitResult::Cancelled(stop) => WaitResult::Cancelled(stop),
+        WaitResult::TimedOut => WaitResult::TimedOut,
     };
     match woken {
-        Woken::Stopped(_) => Err(End::new(Outcome::Cancelled, "called off")),
-        Woken::Late => Err(End::new(Outcome::TimedOut, "no answer in time")),
-        Woken::Next(Err(e)) => Err(End::new(never_ran(&e, call.left()), e.to_string())),
-        Woken::Next(Ok(None)) => Err(End::new(Outcome::Error, "the engine's answer is empty")),
-        Woken::Next(Ok(Some(message))) => Ok(message),
+        WaitResult::Cancelled(_) => Err(AttemptResult::new(Outcome::Cancelled, "called off")),
+        WaitResult::TimedOut => Err(AttemptResult::new(Outcome::TimedOut, "no answer in time")),
+        WaitResult::Completed(Err(e)) => Err(AttemptResult::new(
+            never_ran(&e, call.left()),
+            e.to_string(),
+        )),
+        WaitResult::Completed(Ok(None)) => Err(AttemptResult::new(
+            Outcome::Error,
+            "the engine's answer is empty",
+        )),
+        WaitResult::Completed(Ok(Some(message))) => Ok(message),
     }
 }
 
-fn same_engine(job: &Work, got: u64) -> Result<(), End> {
+fn same_engine(job: &Work, got: u64) -> Result<(), AttemptResult> {
     match job.link.id.0 == got {
         true => Ok(()),
-        false => Err(End::new(
+        false => Err(AttemptResult::new(
             Outcome::Error,
             format!("engine {:x} answered as engine {got:x}", job.link.id.0),
         )),
     }
 }
 
-async fn read(job: &Work, call: &mut Call) -> End {
+async fn read(job: &Work, call: &mut Call) -> AttemptResult {
     let reply = match first::<pb::ReadReply>(job, call).await {
         Ok(reply) => reply,
         Err(end) => return end,
@@ -235,21 +251,21 @@
         return end;
     }
     let mut end = match reply.result {
-        Some(pb::read_reply::Result::Done(done)) => End {
-            kept: done.kept_tokens,
-            ..End::new(Outcome::Prefilled, "read")
+        Some(pb::read_reply::Result::Done(done)) => AttemptResult {
+            cached_tokens: done.kept_tokens,
+            ..AttemptResult::new(Outcome::Prefilled, "read")
         },
         Some(pb::read_reply::Result::TurnedAway(away)) => turned_away(&away),
-        None => End::new(Outcome::Error, "a read's reply says nothing"),
+        None => AttemptResult::new(Outcome::Error, "a read's reply says nothing"),
     };
     end.report = report(
         reply.load.as_ref(),
-        &job.shared.router_settings.report_fields,
+        &job.context.router_settings.report_fields,
     );
     end
 }
 
-async fn write(job: &Work, call: &mut Call) -> End {
+async fn write(job: &Work, call: &mut Call) -> AttemptResult {
     let event = match first::<pb::WriteEvent>(job, call).await {
         Ok(event) => event,
         Err(end) => return end,
@@ -263,12 +279,16 @@
 }
 
 /// Passes a stream on until its end.
-async fn stream(job: &Work, call: &mut Call, first: pb::WriteEvent) -> Result<End, End> {
-    let runtime = &job.shared.runtime;
+async fn stream(
+    job: &Work,
+    call: &mut Call,
+    first: pb::WriteEvent,
+) -> Result<AttemptResult, AttemptResult> {
+    let runtime = &job.context.runtime;
     let most = job.ask.most_tokens();
-    let bad = |text: String| End::new(Outcome::Error, text);
+    let bad = |text: String| AttemptResult::new(Outcome::Error, text);
     let (mut expected, mut event, mut told) = (0u32, Some(first), false);
-    let mut stall = Stall::new(runtime, job.shared.settings.stream_stall);
+    let mut stall = StallDetector::new(runtime, job.context.settings.stream_stall);
     loop {
         let taken = match event.take() {
             Some(event) => event,
@@ -276,20 +296,22 @@
                 .wait(&mut stall.timer, call.next::<pb::WriteEvent>())
                 .await
             {
-                Woken::Stopped(Stop::GiveUp) => {
-                    return Err(End::new(Outcome::Cancelled, "given up"))
+                WaitResult::Cancelled(CancelReason::RequestFinished) => {
+                    return Err(AttemptResult::new(Outcome::Cancelled, "given up"))
                 }
                 // A stream that has begun is not called off.
-                Woken::Stopped(Stop::CallOff) => continue,
-                Woken::Late if stall.over(runtime) => {
-                    return Err(End::new(Outcome::Reset, "no token for too long"))
+                WaitResult::Cancelled(CancelReason::ByRouter) => continue,
+                WaitResult::TimedOut if stall.is_stalled(runtime) => {
+                    return Err(AttemptResult::new(Outcome::Reset, "no token for too long"))
+                }
+                WaitResult::TimedOut => continue,
+                WaitResult::Completed(Err(e)) => {
+                    return Err(AttemptResult::new(streaming(&e), e.to_string()))
                 }
-                Woken::Late => continue,
-                Woken::Next(Err(e)) => return Err(End::new(streaming(&e), e.to_string())),
-                Woken::Next(Ok(None)) => {
+                WaitResult::Completed(Ok(None)) => {
                     return Err(bad("a stream ended without its last word".into()))
                 }
-                Woken::Next(Ok(Some(event))) => event,
+                WaitResult::Completed(Ok(Some(event))) => event,
             },
         };
         same_engine(job, taken.engine)?;
@@ -317,17 +339,17 @@
                 let waiting = job
                     .buffer
                     .push(&run.ids)
-                    .map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
-                job.shared.metrics.buffered_most.most(waiting as u64);
+                    .map_err(|_Over| AttemptResult::new(Outcome::Cancelled, "given up"))?;
+                job.context.metrics.buffered_most.most(waiting as u64);
                 if !told {
                     told = true;
-                    job.first();
+                    job.notify_first_token();
                 }
                 // A slow client holds up its own stream alone: its engine is read on when there is room.
-                job.room(&job.buffer)
+                job.wait_for_capacity(&job.buffer)
                     .await
-                    .map_err(|Over| End::new(Outcome::Cancelled, "given up"))?;
-                stall.last = runtime.now();
+                    .map_err(|_Over| AttemptResult::new(Outcome::Cancelled, "given up"))?;
+                stall.last_progress = runtime.now();
             }
             Some(pb::write_event::Event::Done(done)) => {
                 if done.tokens != expected {
@@ -337,16 +359,16 @@
                     )));
                 }
                 if !told {
-                    job.first();
+                    job.notify_first_token();
                 }
                 let report = report(
                     done.load.as_ref(),
-                    &job.shared.router_settings.report_fields,
+                    &job.context.router_settings.report_fields,
                 );
-                return Ok(End {
-                    kept: done.kept_tokens,
+                return Ok(AttemptResult {
+                    cached_tokens: done.kept_tokens,
                     report,
-                    ..End::new(Outcome::Served, "served")
+                    ..AttemptResult::new(Outcome::Served, "served")
                 });
             }
             Some(pb::write_event::Event::TurnedAway(_)) => {
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -3,20 +3,21 @@
 //! It decides nothing itself. What the module is told goes through [`Driver::tell`], what it asks for through
 //! [`Driver::carry_out`]; both are what a recording holds.
 
-use crate::answer::{Failure, Final, Refusal};
+use crate::context::NodeContext;
 use crate::engines::{
-    Call, End, Engine, Held, HoldJob, Job, Kept, LinkRef, Protocol, ReleaseJob, Stop,
+    AttemptRequest, AttemptResult, Call, CancelReason, Engine, EngineHandle, Protocol,
+    ReleaseRequest, Reservation, ReservationStatus, ReserveRequest,
 };
-use crate::record::Recorder;
-use crate::request::notices::{Ended, Inbox, Notice, Taken};
-use crate::shared::Shared;
+use crate::recording::Recorder;
+use crate::request::messages::{AcceptedRequest, AttemptEnded, DriverHandle, DriverMessage};
+use crate::response::{FailureReason, FinalStatus, RejectReason};
 use futures_lite::future::or;
 use ivyward_core::interface::{
     Action, EndpointId, EndpointState, Event, ListKind, Micros, Outcome, RequestId, Role,
 };
 use ivyward_core::invariants::{AnswerKind, AttemptReason, Guard, NodePhase, Rule, Violation};
-use ivyward_core::planted::{self, Defect};
-use ivyward_core::rules::Router;
+use ivyward_core::mutations::{self, Mutation};
+use ivyward_core::router::Router;
 use ivyward_runtime::{BoxFuture, RuntimeExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering;
@@ -27,18 +28,18 @@
 const LOOK: Micros = 5_000;
 
 struct Attempt {
-    link: Option<LinkRef>,
+    link: Option<EngineHandle>,
     reads: bool,
     out: bool,
-    stop: async_channel::Sender<Stop>,
+    stop: async_channel::Sender<CancelReason>,
 }
 
 struct Open {
-    taken: Box<Taken>,
+    taken: Box<AcceptedRequest>,
     attempts: Vec<Attempt>,
     /// Where its read state waits: an index into `kept` is too fragile, so link and attempt.
-    state: Option<(LinkRef, u16)>,
-    kept: Vec<Kept>,
+    state: Option<(EngineHandle, u16)>,
+    kept: Vec<Reservation>,
     /// What attempts before this one left was let go of.
     let_go: u16,
     /// Holds that are under way; dropping one ends it.
@@ -62,21 +63,21 @@
 
 /// When a request whose time is over at `by` gets its answer whatever the module and the attempts do: half the margin before
 /// its client's patience ends.
-fn final_deadline(shared: &Shared, by: Micros) -> Micros {
+fn final_deadline(shared: &NodeContext, by: Micros) -> Micros {
     by.saturating_add(shared.settings.answer_margin / 2)
 }
 
 pub(crate) struct Driver {
-    shared: Arc<Shared>,
+    shared: Arc<NodeContext>,
     protocol: Arc<dyn Protocol>,
-    inbox: Inbox,
-    notices: async_channel::Receiver<Notice>,
+    inbox: DriverHandle,
+    notices: async_channel::Receiver<DriverMessage>,
     router: Router,
     /// Checks each step against the rules, apart from what decided it.
     guard: Guard,
     recorder: Option<Recorder>,
     open: BTreeMap<u64, Open>,
-    links: BTreeMap<EndpointId, (LinkRef, u8)>,
+    links: BTreeMap<EndpointId, (EngineHandle, u8)>,
     deadlines: BTreeSet<(Micros, u64)>,
     timers: BTreeSet<(Micros, u64, u64)>,
     timer_seq: u64,
@@ -87,9 +88,9 @@
 
 impl Driver {
     pub(crate) fn new(
-        shared: Arc<Shared>,
+        shared: Arc<NodeContext>,
         protocol: Arc<dyn Protocol>,
-        (inbox, notices): (Inbox, async_channel::Receiver<Notice>),
+        (inbox, notices): (DriverHandle, async_channel::Receiver<DriverMessage>),
         recorder: Option<Recorder>,
     ) -> Driver {
         let router = Router::new(shared.router_settings.clone(), shared.settings.seed);
@@ -159,7 +160,7 @@
         let ended = self.guard.enter(NodePhase::Stopped);
         self.checked(0, ended);
         self.flush();
-        self.links.values().for_each(|(link, _)| link.shut());
+        self.links.values().for_each(|(link, _)| link.close());
     }
 
     fn flush(&mut self) {
@@ -186,7 +187,7 @@
 
     /// Whether a node that is to stop is done. One that ended before its releases would leave what it held pinned.
     fn over(&self, now: Micros) -> bool {
-        let settled = self.shared.owed.load(Ordering::SeqCst) == 0;
+        let settled = self.shared.pending_releases.load(Ordering::SeqCst) == 0;
         self.stop_by
             .is_some_and(|by| self.open.is_empty() && (settled || now >= by))
     }
@@ -210,14 +211,14 @@
         }
         while let Some((at, id)) = self.deadlines.first().copied().filter(|d| d.0 <= now) {
             self.deadlines.remove(&(at, id));
-            self.end_now(id, Failure::Deadline);
+            self.end_now(id, FailureReason::Deadline);
         }
         if !self.stop_over && self.stop_by.is_some_and(|by| by <= now) {
             // Once: a time that stays due would keep this task from ever yielding to the attempts that are to end.
             self.stop_over = true;
             let ids: Vec<u64> = self.open.keys().copied().collect();
             for id in ids {
-                self.end_now(id, Failure::Stopped);
+                self.end_now(id, FailureReason::NodeStopped);
             }
         }
     }
@@ -243,14 +244,14 @@
     }
 
     /// The client's time, or the node's, is over: it gets its answer now, whatever is out.
-    fn end_now(&mut self, id: u64, why: Failure) {
+    fn end_now(&mut self, id: u64, why: FailureReason) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         if !open.answered {
             open.answered = true;
             open.holds.clear();
-            if open.taken.call.finish(Final::Failed(why)) {
+            if open.taken.call.finish(FinalStatus::Failed(why)) {
                 self.shared.metrics.failed.add(1);
             }
             let answered = self.guard.answer(RequestId(id), AnswerKind::Failed);
@@ -267,24 +268,24 @@
         };
         for attempt in open.attempts.iter().filter(|a| a.out) {
             // Full means that it was told already; what it was told first was no less.
-            let _ = attempt.stop.try_send(Stop::GiveUp);
+            let _ = attempt.stop.try_send(CancelReason::RequestFinished);
         }
     }
 
-    fn take(&mut self, notice: Notice) {
+    fn take(&mut self, notice: DriverMessage) {
         match notice {
-            Notice::Request(taken) => self.on_request(taken),
-            Notice::Gone(id) => self.on_gone(id),
-            Notice::First(id, attempt) => self.on_first(id, attempt),
-            Notice::Ended(ended) => self.on_ended(ended),
-            Notice::Place {
+            DriverMessage::Request(taken) => self.on_request(taken),
+            DriverMessage::ClientDisconnected(id) => self.on_gone(id),
+            DriverMessage::FirstToken(id, attempt) => self.on_first(id, attempt),
+            DriverMessage::AttemptEnded(ended) => self.on_ended(ended),
+            DriverMessage::ReservationResult {
                 request,
                 attempt,
-                link,
+                engine: link,
                 call,
-                held,
+                status: held,
             } => self.on_place(request, attempt, (link, call), held),
-            Notice::Probed {
+            DriverMessage::HealthCheckResult {
                 server,
                 alive,
                 report,
@@ -293,7 +294,7 @@
                 alive,
                 report,
             }),
-            Notice::Fleet {
+            DriverMessage::EndpointList {
                 kind,
                 engines,
                 done,
@@ -302,17 +303,17 @@
                 // The one who told may have left.
                 let _ = done.try_send(());
             }
-            Notice::Nodes(nodes) => self.tell(Event::ReplicaCount(nodes)),
-            Notice::Stop { by } => {
+            DriverMessage::ReplicaCount(nodes) => self.tell(Event::ReplicaCount(nodes)),
+            DriverMessage::Stop { deadline: by } => {
                 let stopping = self.guard.enter(NodePhase::Stopping);
                 self.checked(0, stopping);
                 self.stop_by = Some(self.stop_by.map_or(by, |before| before.min(by)));
             }
-            Notice::Flush(done) => {
+            DriverMessage::FlushRecording(done) => {
                 self.flush();
                 let _ = done.try_send(());
             }
-            Notice::Links(reply) => {
+            DriverMessage::ListEngines(reply) => {
                 // The one who asked may have left.
                 let _ = reply.try_send(self.links.values().map(|(link, _)| link.clone()).collect());
             }
@@ -362,7 +363,7 @@
                     .and_then(|o| o.attempts.get(usize::from(attempt)))
                     .filter(|a| a.out)
                 {
-                    let _ = a.stop.try_send(Stop::CallOff);
+                    let _ = a.stop.try_send(CancelReason::ByRouter);
                 }
             }
             Action::Reject {
@@ -372,16 +373,21 @@
                 let retry_after = (retry_after > 0).then_some(retry_after);
                 self.answer(
                     request.0,
-                    Final::Refused {
+                    FinalStatus::Rejected {
                         retry_after,
-                        why: Refusal::Shed,
+                        reason: RejectReason::Overloaded,
                     },
                 );
             }
             Action::Fail(request) => {
-                let late = self.open.get(&request.0).filter(|o| now < o.taken.first_by);
-                let why = late.map_or(Failure::Deadline, |o| Failure::Attempts(o.last.clone()));
-                self.answer(request.0, Final::Failed(why));
+                let late = self
+                    .open
+                    .get(&request.0)
+                    .filter(|o| now < o.taken.first_token_deadline);
+                let why = late.map_or(FailureReason::Deadline, |o| {
+                    FailureReason::AttemptsExhausted(o.last.clone())
+                });
+                self.answer(request.0, FinalStatus::Failed(why));
             }
             Action::ReleaseReservation(request) => self.release(request.0),
             Action::Reserve {
@@ -399,7 +405,7 @@
         }
     }
 
-    fn answer(&mut self, id: u64, end: Final) {
+    fn answer(&mut self, id: u64, end: FinalStatus) {
         if self.open.get(&id).is_none_or(|open| open.answered) {
             return;
         }
@@ -409,9 +415,9 @@
         };
         open.answered = true;
         let counter = match end {
-            Final::Served => &self.shared.metrics.served,
-            Final::Refused { .. } => &self.shared.metrics.refused,
-            Final::Failed(_) => &self.shared.metrics.failed,
+            FinalStatus::Served => &self.shared.metrics.served,
+            FinalStatus::Rejected { .. } => &self.shared.metrics.refused,
+            FinalStatus::Failed(_) => &self.shared.metrics.failed,
         };
         debug!(
             request = id,
@@ -419,7 +425,7 @@
             ?end,
             "answered"
         );
-        if let Final::Refused { why, .. } = end {
+        if let FinalStatus::Rejected { reason: why, .. } = end {
             self.shared.metrics.refused_for(why);
         }
         if open.taken.call.finish(end) {
@@ -428,11 +434,11 @@
     }
 
     /// The answer itself, or a failure where it would promise what may not hold.
-    fn permitted(&mut self, id: u64, end: Final) -> Final {
+    fn permitted(&mut self, id: u64, end: FinalStatus) -> FinalStatus {
         let kind = match end {
-            Final::Served => AnswerKind::Served,
-            Final::Refused { .. } => AnswerKind::Refused,
-            Final::Failed(_) => AnswerKind::Failed,
+            FinalStatus::Served => AnswerKind::Served,
+            FinalStatus::Rejected { .. } => AnswerKind::Rejected,
+            FinalStatus::Failed(_) => AnswerKind::Failed,
         };
         let check = self.guard.answer(RequestId(id), kind);
         let breaks_promise = check.is_err_and(|violation| violation.rule == Rule::HarmlessRefusal);
@@ -442,7 +448,7 @@
         }
         let failed = self.guard.answer(RequestId(id), AnswerKind::Failed);
         self.checked(id, failed);
-        Final::Failed(Failure::Attempts(
+        FinalStatus::Failed(FailureReason::AttemptsExhausted(
             self.open
                 .get(&id)
                 .map_or(String::new(), |open| open.last.clone()),
@@ -467,13 +473,13 @@
         }
     }
 
-    fn on_request(&mut self, taken: Box<Taken>) {
+    fn on_request(&mut self, taken: Box<AcceptedRequest>) {
         let now = self.shared.runtime.now();
-        let mut arrival = taken.arrival;
+        let mut arrival = taken.request;
         let id = arrival.id.0;
         // The module's time ends at once with ours, whenever this notice was taken up.
-        arrival.client_timeout = taken.first_by.saturating_sub(now);
-        let deadline = final_deadline(&self.shared, taken.first_by);
+        arrival.client_timeout = taken.first_token_deadline.saturating_sub(now);
+        let deadline = final_deadline(&self.shared, taken.first_token_deadline);
         self.deadlines.insert((deadline, id));
         let open = Open {
             taken,
@@ -493,7 +499,7 @@
         self.tell_at(now, Event::Request(arrival));
         if self.stop_over {
             // It slipped in beside the stop.
-            self.end_now(id, Failure::Stopped);
+            self.end_now(id, FailureReason::NodeStopped);
         }
         self.sweep(id);
     }
@@ -502,12 +508,12 @@
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
             return;
         };
-        if planted::is(Defect::LeavingIgnored) && !open.streaming && id % 4 == 0 {
+        if mutations::is_active(Mutation::LeavingIgnored) && !open.streaming && id % 4 == 0 {
             return;
         }
         open.answered = true;
         open.holds.clear();
-        if planted::is(Defect::ReleaseForgotten) {
+        if mutations::is_active(Mutation::ReleaseForgotten) {
             open.kept.clear();
         }
         self.shared.metrics.gone.add(1);
@@ -521,7 +527,9 @@
         // Tokens that an attempt still has in hand go nowhere.
         open.taken
             .call
-            .finish(Final::Failed(Failure::Broken("the client left".into())));
+            .finish(FinalStatus::Failed(FailureReason::StreamBroken(
+                "the client left".into(),
+            )));
         let streaming = open.streaming;
         self.tell(Event::ClientDisconnected(RequestId(id)));
         if streaming {
@@ -540,7 +548,7 @@
         // From now on only the call's own deadline counts; first_by is that less the margin.
         open.deadline = open
             .taken
-            .end_by
+            .response_deadline
             .map_or(Micros::MAX, |by| final_deadline(&self.shared, by));
         if open.deadline != Micros::MAX {
             self.deadlines.insert((open.deadline, id));
@@ -548,16 +556,16 @@
         // What the writer fetched or took is let go by that; the rest is let go now.
         let used = open.state.take();
         let (call, mut rest) = (open.taken.call.clone(), std::mem::take(&mut open.kept));
-        if !self.protocol.one_by_one() {
+        if !self.protocol.releases_individually() {
             // There the stream itself lets go of the rest.
             rest.clear();
         }
         for kept in rest {
-            let used_here = match kept.place {
+            let used_here = match kept.is_decode_slot {
                 true => kept.used_by == Some(attempt),
                 false => used
                     .as_ref()
-                    .is_some_and(|u| Arc::ptr_eq(&u.0, &kept.link) && u.1 == kept.attempt),
+                    .is_some_and(|u| Arc::ptr_eq(&u.0, &kept.engine) && u.1 == kept.attempt),
             };
             if !used_here {
                 self.let_go(id, call.clone(), vec![kept]);
@@ -569,11 +577,11 @@
         });
     }
 
-    fn on_ended(&mut self, ended: Ended) {
-        let Ended {
+    fn on_ended(&mut self, ended: AttemptEnded) {
+        let AttemptEnded {
             request: id,
             attempt: no,
-            end,
+            result: end,
         } = ended;
         self.shared.metrics.outcome(end.outcome);
         self.guard.ended(RequestId(id), no, end.outcome);
@@ -586,11 +594,11 @@
         attempt.out = false;
         let (reads, link) = (attempt.reads, attempt.link.clone());
         let engine = link.as_ref().map_or(0, |l| l.id().0);
-        let (class, tenant) = (open.taken.arrival.class, open.taken.arrival.tenant);
+        let (class, tenant) = (open.taken.request.class, open.taken.request.tenant);
         let name = open.taken.call.name();
-        debug!(request = id, name, attempt = no, class, tenant, engine, reads, outcome = ?end.outcome, kept = end.kept, text = end.text, "attempt ended");
+        debug!(request = id, name, attempt = no, class, tenant, engine, reads, outcome = ?end.outcome, kept = end.cached_tokens, text = end.detail, "attempt ended");
         if !matches!(end.outcome, Outcome::Served | Outcome::Prefilled) {
-            open.last = end.text.clone();
+            open.last = end.detail.clone();
         }
         let unknown = !matches!(
             end.outcome,
@@ -601,22 +609,25 @@
                 | Outcome::Prefilled
         );
         let (call, mut over) = (open.taken.call.clone(), Vec::new());
-        let one_by_one = self.protocol.one_by_one();
+        let one_by_one = self.protocol.releases_individually();
         if let Some(link) = link {
             let sure = end.outcome == Outcome::Prefilled;
-            let kept = Kept {
-                link: link.clone(),
+            let kept = Reservation {
+                engine: link.clone(),
                 attempt: no,
-                place: false,
-                sure,
+                is_decode_slot: false,
+                confirmed: sure,
                 used_by: None,
             };
             if reads && sure {
                 // What a release of before still has to do is done with this one's.
-                let all = !self.protocol.needed(id);
-                open.kept.push(Kept { sure: all, ..kept });
+                let all = !self.protocol.withdraw_release(id);
+                open.kept.push(Reservation {
+                    confirmed: all,
+                    ..kept
+                });
                 open.state = Some((link, no));
-            } else if reads && unknown && !planted::is(Defect::ReadForgotten) {
+            } else if reads && unknown && !mutations::is_active(Mutation::ReadForgotten) {
                 // A read whose end is not known may have left a state that nobody will fetch.
                 if one_by_one {
                     &mut over
@@ -630,8 +641,8 @@
             open.state = None;
             if one_by_one {
                 // A writer that could not reach the state says the same, and then it is still there.
-                let (places, states): (Vec<Kept>, Vec<Kept>) =
-                    open.kept.drain(..).partition(|k| k.place);
+                let (places, states): (Vec<Reservation>, Vec<Reservation>) =
+                    open.kept.drain(..).partition(|k| k.is_decode_slot);
                 open.kept = places;
                 over.extend(states);
             }
@@ -650,22 +661,31 @@
             request: RequestId(id),
             attempt: no,
             outcome: end.outcome,
-            cached_tokens: end.kept,
+            cached_tokens: end.cached_tokens,
             finished,
             report: end.report,
         };
         self.tell(event);
         if served {
-            self.answer(id, Final::Served);
+            self.answer(id, FinalStatus::Served);
         } else if broke {
-            self.answer(id, Final::Failed(Failure::Broken(end.text)));
+            self.answer(
+                id,
+                FinalStatus::Failed(FailureReason::StreamBroken(end.detail)),
+            );
         }
         self.sweep(id);
     }
 
-    fn on_place(&mut self, id: u64, attempt: u16, from: (LinkRef, Arc<dyn Call>), held: Held) {
+    fn on_place(
+        &mut self,
+        id: u64,
+        attempt: u16,
+        from: (EngineHandle, Arc<dyn Call>),
+        held: ReservationStatus,
+    ) {
         let (link, call) = from;
-        let (server, may_be) = (link.id(), held != Held::No);
+        let (server, may_be) = (link.id(), held != ReservationStatus::Denied);
         debug!(
             request = id,
             name = call.name(),
@@ -674,16 +694,16 @@
             ?held,
             "place answered"
         );
-        let kept = Kept {
-            link,
+        let kept = Reservation {
+            engine: link,
             attempt,
-            place: true,
-            sure: held == Held::Yes,
+            is_decode_slot: true,
+            confirmed: held == ReservationStatus::Granted,
             used_by: None,
         };
         // What is not sure is let go of at once, or with all that the request leaves.
-        let stays = held == Held::Yes || !self.protocol.one_by_one();
-        self.shared.settled(1);
+        let stays = held == ReservationStatus::Granted || !self.protocol.releases_individually();
+        self.shared.finish_pending_releases(1);
         match self
             .open
             .get_mut(&id)
@@ -693,7 +713,7 @@
             // Guards against a place that was asked for beside a read which a cut keeps from its engine: nobody knows of an
             // attempt there, so its time runs, and the read's own end may be seconds away. The read leaves nothing yet that
             // the release could take.
-            Some(open) if held == Held::Unknown && stays && open.out(attempt) => {
+            Some(open) if held == ReservationStatus::Unknown && stays && open.out(attempt) => {
                 self.let_go(id, call, vec![kept]);
             }
             Some(open) if may_be && stays && attempt >= open.let_go => open.kept.push(kept),
@@ -706,24 +726,27 @@
         self.tell(Event::ReservationResult {
             request: RequestId(id),
             endpoint: server,
-            reserved: held == Held::Yes,
+            reserved: held == ReservationStatus::Granted,
         });
     }
 
     fn on_fleet(&mut self, kind: ListKind, engines: Vec<Engine>) {
         let complete = matches!(kind, ListKind::Full | ListKind::Cached);
         if complete {
-            let named: BTreeSet<EndpointId> = engines.iter().map(|e| e.entry.id).collect();
+            let named: BTreeSet<EndpointId> = engines.iter().map(|e| e.endpoint.id).collect();
             for (id, (link, _)) in &self.links {
                 if !named.contains(id) {
-                    link.set_closing(true);
+                    link.set_draining(true);
                 }
             }
             self.links.retain(|id, _| named.contains(id));
         }
         let mut entries = Vec::with_capacity(engines.len());
         for engine in engines {
-            let Engine { entry, address } = engine;
+            let Engine {
+                endpoint: entry,
+                address,
+            } = engine;
             let Some(role) = self.role(entry.machine_type) else {
                 warn!(
                     engine = entry.id.0,
@@ -739,17 +762,16 @@
                 .is_some_and(|(link, _)| link.address() != address);
             if moved || entry.state == EndpointState::Removed {
                 if let Some((link, _)) = self.links.remove(&entry.id) {
-                    link.set_closing(true);
+                    link.set_draining(true);
                 }
             }
             if entry.state != EndpointState::Removed {
                 let (shared, protocol) = (&self.shared, &self.protocol);
-                let (link, kind) = self
-                    .links
-                    .entry(entry.id)
-                    .or_insert_with(|| (protocol.link(shared, &engine), entry.machine_type));
+                let (link, kind) = self.links.entry(entry.id).or_insert_with(|| {
+                    (protocol.engine_client(shared, &engine), entry.machine_type)
+                });
                 *kind = entry.machine_type;
-                link.set_closing(entry.state != EndpointState::Ready);
+                link.set_draining(entry.state != EndpointState::Ready);
             }
             entries.push(entry);
         }
@@ -801,7 +823,7 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let a = &open.taken.arrival;
+        let a = &open.taken.request;
         debug!(
             request = id,
             name = open.taken.call.name(),
@@ -827,9 +849,12 @@
             stop: stop_tx,
         };
         let job = found.filter(|_| reason.is_some()).map(|(link, _)| {
-            let first_by = open.taken.first_by;
+            let first_by = open.taken.first_token_deadline;
             // The engine is told when this node will end the stream, so that it never does so first.
-            let end_by = open.taken.end_by.map(|by| final_deadline(&shared, by));
+            let end_by = open
+                .taken
+                .response_deadline
+                .map(|by| final_deadline(&shared, by));
             let until = if timeout == 0 {
                 first_by
             } else {
@@ -843,19 +868,19 @@
             let (shared, call) = (shared.clone(), open.taken.call.clone());
             let state = open.state.clone().filter(|_| !reads);
             let inbox = self.inbox.clone();
-            let first = Box::new(move || inbox.tell(Notice::First(id, no)));
-            let job = Job {
-                shared,
+            let first = Box::new(move || inbox.send(DriverMessage::FirstToken(id, no)));
+            let job = AttemptRequest {
+                context: shared,
                 call,
                 request: id,
                 attempt: no,
-                reads,
-                state,
-                until,
-                end_by,
+                prefill_only: reads,
+                kv_state: state,
+                deadline: until,
+                stream_deadline: end_by,
                 send_deadline,
-                stop,
-                first,
+                cancel: stop,
+                on_first_token: first,
             };
             (link, job)
         });
@@ -866,35 +891,36 @@
         for kept in open
             .kept
             .iter_mut()
-            .filter(|k| k.place && !reads && k.link.id() == server)
+            .filter(|k| k.is_decode_slot && !reads && k.engine.id() == server)
         {
-            let fetched = Some(kept.attempt) == read || planted::is(Defect::PlaceForgotten);
+            let fetched =
+                Some(kept.attempt) == read || mutations::is_active(Mutation::PlaceForgotten);
             kept.used_by = fetched.then_some(no);
         }
         open.attempts.push(attempt);
         let inbox = self.inbox.clone();
         let tell = move |end| {
-            inbox.tell(Notice::Ended(Ended {
+            inbox.send(DriverMessage::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt: no,
-                end,
+                result: end,
             }))
         };
         match job {
             Some((link, job)) => {
                 shared.metrics.attempts.add(1);
                 shared.runtime.clone().run(async move {
-                    let end = link.attempt(job).await;
+                    let end = link.run_attempt(job).await;
                     tell(end);
                 });
             }
-            None => tell(End::new(Outcome::NotSent, "")),
+            None => tell(AttemptResult::new(Outcome::NotSent, "")),
         }
     }
 
     /// Lets go of everything that may be kept for a request.
     fn release(&mut self, id: u64) {
-        let one_by_one = self.protocol.one_by_one();
+        let one_by_one = self.protocol.releases_individually();
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -915,19 +941,19 @@
     }
 
     /// Asks engines to let go. The first try leaves at once.
-    fn let_go(&self, request: u64, call: Arc<dyn Call>, kept: Vec<Kept>) {
+    fn let_go(&self, request: u64, call: Arc<dyn Call>, kept: Vec<Reservation>) {
         let what = || {
             kept.iter()
-                .map(|k| (k.link.id().0, k.attempt, k.place, k.sure))
+                .map(|k| (k.engine.id().0, k.attempt, k.is_decode_slot, k.confirmed))
                 .collect::<Vec<_>>()
         };
         debug!(request, name = call.name(), kept = ?what(), "let go");
         self.protocol.release(
             &self.shared,
-            ReleaseJob {
+            ReleaseRequest {
                 call,
                 request,
-                kept,
+                reservations: kept,
             },
         );
     }
@@ -940,29 +966,29 @@
         let attempt = (open.attempts.len() as u16).saturating_sub(1);
         let (stop, stopped) = async_channel::bounded(1);
         open.holds.push(stop);
-        self.shared.owe(1);
+        self.shared.add_pending_releases(1);
         let (shared, call, inbox) = (
             self.shared.clone(),
             open.taken.call.clone(),
             self.inbox.clone(),
         );
-        let until = open.taken.first_by;
+        let until = open.taken.first_token_deadline;
         shared.runtime.clone().run(async move {
-            let job = HoldJob {
-                shared: shared.clone(),
+            let job = ReserveRequest {
+                context: shared.clone(),
                 call: call.clone(),
                 request: id,
                 attempt,
-                until,
-                stopped,
+                deadline: until,
+                finished: stopped,
             };
-            let held = link.clone().hold(job).await;
-            inbox.tell(Notice::Place {
+            let held = link.clone().reserve(job).await;
+            inbox.send(DriverMessage::ReservationResult {
                 request: id,
                 attempt,
-                link,
+                engine: link,
                 call,
-                held,
+                status: held,
             });
         });
     }
@@ -973,8 +999,8 @@
         };
         let (shared, inbox) = (self.shared.clone(), self.inbox.clone());
         shared.runtime.clone().run(async move {
-            let (alive, report) = link.probe(shared.clone()).await;
-            inbox.tell(Notice::Probed {
+            let (alive, report) = link.health_check(shared.clone()).await;
+            inbox.send(DriverMessage::HealthCheckResult {
                 server,
                 alive,
                 report,
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -1,16 +1,19 @@
 //! gRPC to engines, behind the seam of [`crate::engines`].
 
-use crate::answer::{Buffer, Final};
+use crate::context::NodeContext;
 use crate::engines::keepalive::EngineKeepalive;
 use crate::engines::link::GrpcLink;
 use crate::engines::Engine;
-use crate::engines::{Call, End, Held, HoldJob, Job, Link, LinkRef, Protocol, ReleaseJob};
+use crate::engines::{
+    AttemptRequest, AttemptResult, Call, EngineClient, EngineHandle, Protocol, ReleaseRequest,
+    ReservationStatus, ReserveRequest,
+};
 use crate::request::attempt::{self, Ask, Work};
+use crate::response::{FinalStatus, TokenBuffer};
 use crate::settings::NodeSettings;
-use crate::shared::Shared;
 use futures_lite::future::or;
 use ivyward_core::interface::{EndpointId, LoadReport, Outcome, Request};
-use ivyward_core::planted::{self, Defect};
+use ivyward_core::mutations::{self, Mutation};
 use ivyward_grpc::encode;
 use ivyward_proto::engine as pb;
 use ivyward_runtime::{before, metered, BoxFuture, RuntimeExt, RuntimeRef};
@@ -25,11 +28,11 @@
     pub(crate) class: String,
     pub(crate) call_id: u64,
     pub(crate) key: String,
-    pub(crate) buffer: Arc<Buffer>,
+    pub(crate) buffer: Arc<TokenBuffer>,
 }
 
 impl Call for GrpcCall {
-    fn finish(&self, end: Final) -> bool {
+    fn finish(&self, end: FinalStatus) -> bool {
         self.buffer.finish(end)
     }
     fn as_any(&self) -> &dyn Any {
@@ -54,30 +57,30 @@
 }
 
 impl Protocol for Grpc {
-    fn link(&self, shared: &Arc<Shared>, engine: &Engine) -> LinkRef {
-        let runtime = metered(&shared.runtime, &shared.metrics.engine_traffic);
+    fn engine_client(&self, context: &Arc<NodeContext>, engine: &Engine) -> EngineHandle {
+        let runtime = metered(&context.runtime, &context.metrics.engine_traffic);
         GrpcLink::new(
             &runtime,
-            engine.entry.id,
+            engine.endpoint.id,
             engine.address,
-            &shared.settings,
+            &context.settings,
             &self.keepalive,
         )
     }
-    fn one_by_one(&self) -> bool {
+    fn releases_individually(&self) -> bool {
         true
     }
-    fn release(&self, shared: &Arc<Shared>, job: ReleaseJob) {
-        for kept in job.kept {
-            if let Ok(link) = kept.link.as_any_arc().downcast::<GrpcLink>() {
-                let_go(shared, job.request, &link, kept.attempt, kept.sure);
+    fn release(&self, shared: &Arc<NodeContext>, job: ReleaseRequest) {
+        for kept in job.reservations {
+            if let Ok(link) = kept.engine.as_any_arc().downcast::<GrpcLink>() {
+                let_go(shared, job.request, &link, kept.attempt, kept.confirmed);
             }
         }
     }
 }
 
 /// An attempt as engines know it.
-fn key(shared: &Shared, request: u64, attempt: u16) -> Option<pb::AttemptKey> {
+fn key(shared: &NodeContext, request: u64, attempt: u16) -> Option<pb::AttemptKey> {
     Some(pb::AttemptKey {
         node: shared.incarnation,
         request,
@@ -86,7 +89,7 @@
 }
 
 fn header(
-    shared: &Shared,
+    shared: &NodeContext,
     call: &GrpcCall,
     attempt: u16,
     server: EndpointId,
@@ -100,14 +103,14 @@
     })
 }
 
-fn ask(job: &Job, call: &GrpcCall, server: EndpointId) -> Ask {
+fn ask(job: &AttemptRequest, call: &GrpcCall, server: EndpointId) -> Ask {
     let (a, header) = (
         &call.arrival,
-        header(&job.shared, call, job.attempt, server),
+        header(&job.context, call, job.attempt, server),
     );
     let (opening, opening_tokens) = (a.prefix, a.prefix_tokens as u32);
     let (prompt, session) = (call.prompt.to_vec(), a.session);
-    if job.reads {
+    if job.prefill_only {
         return Ask::Read(pb::ReadRequest {
             header,
             prompt,
@@ -116,8 +119,8 @@
             session,
         });
     }
-    let state = job.state.as_ref().map(|(at, attempt)| pb::StateRef {
-        key: key(&job.shared, job.request, *attempt),
+    let state = job.kv_state.as_ref().map(|(at, attempt)| pb::StateRef {
+        key: key(&job.context, job.request, *attempt),
         engine: at.id().0,
         address: at.address().to_string(),
     });
@@ -133,26 +136,26 @@
     })
 }
 
-impl Link for GrpcLink {
+impl EngineClient for GrpcLink {
     fn id(&self) -> EndpointId {
         self.id
     }
     fn address(&self) -> SocketAddr {
         self.address
     }
-    fn set_closing(&self, closing: bool) {
-        GrpcLink::set_closing(self, closing);
+    fn set_draining(&self, closing: bool) {
+        GrpcLink::set_draining(self, closing);
     }
-    fn shut(&self) {
-        GrpcLink::shut(self);
+    fn close(&self) {
+        GrpcLink::close(self);
     }
     fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync> {
         self
     }
-    fn attempt(self: Arc<Self>, job: Job) -> BoxFuture<End> {
+    fn run_attempt(self: Arc<Self>, job: AttemptRequest) -> BoxFuture<AttemptResult> {
         Box::pin(async move {
             let Some(call) = job.call.as_any().downcast_ref::<GrpcCall>() else {
-                return End::new(Outcome::NotSent, "a request of another protocol");
+                return AttemptResult::new(Outcome::NotSent, "a request of another protocol");
             };
             let (ask, buffer) = (ask(&job, call, self.id), call.buffer.clone());
             attempt::run(Work {
@@ -164,13 +167,13 @@
             .await
         })
     }
-    fn hold(self: Arc<Self>, job: HoldJob) -> BoxFuture<Held> {
+    fn reserve(self: Arc<Self>, job: ReserveRequest) -> BoxFuture<ReservationStatus> {
         Box::pin(async move {
             let Some(call) = job.call.as_any().downcast_ref::<GrpcCall>() else {
-                return Held::No;
+                return ReservationStatus::Denied;
             };
             let prompt_tokens = call.prompt.len() as u32;
-            let header = header(&job.shared, call, job.attempt, self.id);
+            let header = header(&job.context, call, job.attempt, self.id);
             hold(
                 &self,
                 encode(&pb::HoldRequest {
@@ -182,16 +185,17 @@
             .await
         })
     }
-    fn probe(self: Arc<Self>, shared: Arc<Shared>) -> BoxFuture<(bool, LoadReport)> {
+    fn health_check(self: Arc<Self>, context: Arc<NodeContext>) -> BoxFuture<(bool, LoadReport)> {
         Box::pin(async move {
             let body = encode(&pb::ProbeRequest { engine: self.id.0 });
             let path = "/ivyward.engine.v1.Engine/Probe";
-            let reply = unary::<pb::ProbeReply>(&shared.runtime, &self, path, body, &shared).await;
+            let reply =
+                unary::<pb::ProbeReply>(&context.runtime, &self, path, body, &context).await;
             let alive = reply.as_ref().is_some_and(|r| r.engine == self.id.0);
             let load = reply.and_then(|r| r.load);
             (
                 alive,
-                attempt::report(load.as_ref(), &shared.router_settings.report_fields),
+                attempt::report(load.as_ref(), &context.router_settings.report_fields),
             )
         })
     }
@@ -199,7 +203,7 @@
 
 /// Asks an engine to let go. What may still be on its way is asked for again while a state may be
 /// kept: a release on another connection may come before the call that it is about.
-fn let_go(shared: &Arc<Shared>, id: u64, link: &Arc<GrpcLink>, attempt: u16, sure: bool) {
+fn let_go(shared: &Arc<NodeContext>, id: u64, link: &Arc<GrpcLink>, attempt: u16, sure: bool) {
     let (shared, link) = (shared.clone(), link.clone());
     let place = shared.begin_release();
     shared.metrics.releases.add(1);
@@ -230,7 +234,7 @@
             }
         };
         let given_up = async {
-            place.left().await;
+            place.evicted().await;
             false
         };
         if !or(asking, given_up).await {
@@ -241,33 +245,33 @@
 
 /// Asks for a place until the request no longer needs one. Guards against holds that outlast their request: one that waits
 /// for a connection is never sent, one that has left is let go of at once.
-async fn hold(link: &Arc<GrpcLink>, body: bytes::Bytes, job: &HoldJob) -> Held {
-    let shared = &job.shared;
-    let until = job.until.min(
+async fn hold(link: &Arc<GrpcLink>, body: bytes::Bytes, job: &ReserveRequest) -> ReservationStatus {
+    let shared = &job.context;
+    let until = job.deadline.min(
         shared
             .runtime
             .now()
             .saturating_add(2 * shared.settings.dial_timeout),
     );
     let dialed = or(async { link.channel(until).await.ok() }, async {
-        job.over().await;
+        job.until_finished().await;
         None
     });
     let Some(channel) = dialed.await else {
-        return Held::No;
+        return ReservationStatus::Denied;
     };
     // Told during the dial: nothing new goes to an engine that drains or is gone.
-    if link.closing() && !planted::is(Defect::ClosingIgnored) || job.is_over() {
-        return Held::No;
+    if link.is_draining() && !mutations::is_active(Mutation::ClosingIgnored) || job.is_finished() {
+        return ReservationStatus::Denied;
     }
     let path = "/ivyward.engine.v1.Engine/Hold";
     let Ok(mut call) = channel.call_before(path, body, Some(until)).await else {
-        return Held::No;
+        return ReservationStatus::Denied;
     };
     let reply = or(
         async { before(&shared.runtime, until, call.next::<pb::HoldReply>()).await },
         async {
-            job.over().await;
+            job.until_finished().await;
             None
         },
     );
@@ -277,11 +281,11 @@
     link.call_ended();
     match reply {
         Some(Ok(Some(reply))) if reply.engine == link.id.0 => match reply.held {
-            true => Held::Yes,
-            false => Held::No,
+            true => ReservationStatus::Granted,
+            false => ReservationStatus::Denied,
         },
-        _ if left => Held::Unknown,
-        _ => Held::No,
+        _ if left => ReservationStatus::Unknown,
+        _ => ReservationStatus::Denied,
     }
 }
 
@@ -293,7 +297,7 @@
     link: &Arc<GrpcLink>,
     path: &'static str,
     body: bytes::Bytes,
-    shared: &Shared,
+    shared: &NodeContext,
 ) -> Option<M> {
     let until = runtime
         .now()
--- a/crates/ivyward/src/request/door.rs
+++ b/crates/ivyward/src/request/grpc_server.rs
@@ -1,7 +1,7 @@
 //! The gRPC door: takes calls on a listener and tells each one's final answer in gRPC's own terms.
 
-use crate::answer::{Failure, Final, Part, Refusal};
-use crate::node::{Answer, Node};
+use crate::node::{Node, ResponseStream};
+use crate::response::{FailureReason, FinalStatus, RejectReason, ResponsePart};
 use futures_lite::{Stream, StreamExt};
 use hyper_util::service::TowerToHyperService;
 use ivyward_core::interface::Micros;
@@ -40,27 +40,30 @@
 ///
 /// A refusal is `RESOURCE_EXHAUSTED` or `UNAVAILABLE` with `grpc-retry-pushback-ms` and a `RetryInfo`; a failure is
 /// none of these and forbids retries by pushback.
-pub fn status(end: &Final) -> Status {
+pub fn status(end: &FinalStatus) -> Status {
     let mut metadata = MetadataMap::new();
     let outcome = match end {
-        Final::Served => "served",
-        Final::Refused { .. } => "refused",
-        Final::Failed(_) => "failed",
+        FinalStatus::Served => "served",
+        FinalStatus::Rejected { .. } => "refused",
+        FinalStatus::Failed(_) => "failed",
     };
     metadata.insert("ivyward-outcome", MetadataValue::from_static(outcome));
     match end {
-        Final::Served => Status::with_metadata(Code::Ok, "", metadata),
-        Final::Refused { retry_after, why } => {
+        FinalStatus::Served => Status::with_metadata(Code::Ok, "", metadata),
+        FinalStatus::Rejected {
+            retry_after,
+            reason: why,
+        } => {
             let (code, text) = match why {
-                Refusal::Shed => (
+                RejectReason::Overloaded => (
                     Code::ResourceExhausted,
                     "refused for overload; trying again is harmless",
                 ),
-                Refusal::NodeFull => (
+                RejectReason::NodeFull => (
                     Code::ResourceExhausted,
                     "this node is full; trying again is harmless",
                 ),
-                Refusal::Stopping => (
+                RejectReason::Stopping => (
                     Code::Unavailable,
                     "this node is stopping; trying again is harmless",
                 ),
@@ -72,22 +75,24 @@
             let details = ErrorDetails::with_retry_info(Some(after));
             Status::with_error_details_and_metadata(code, text, details, metadata)
         }
-        Final::Failed(why) => {
+        FinalStatus::Failed(why) => {
             let (code, text) = match why {
-                Failure::Deadline => (
+                FailureReason::Deadline => (
                     Code::DeadlineExceeded,
                     "no answer in the time given".to_string(),
                 ),
-                Failure::Attempts(text) => (
+                FailureReason::AttemptsExhausted(text) => (
                     Code::Internal,
                     format!("no attempt led to an answer; the last: {text}"),
                 ),
-                Failure::Broken(text) => (Code::Internal, format!("the stream broke: {text}")),
-                Failure::Stopped => (
+                FailureReason::StreamBroken(text) => {
+                    (Code::Internal, format!("the stream broke: {text}"))
+                }
+                FailureReason::NodeStopped => (
                     Code::Internal,
                     "the node stopped before the answer's end".to_string(),
                 ),
-                Failure::Invalid(text) => (Code::InvalidArgument, text.clone()),
+                FailureReason::InvalidRequest(text) => (Code::InvalidArgument, text.clone()),
             };
             metadata.insert("grpc-retry-pushback-ms", MetadataValue::from_static("-1"));
             Status::with_metadata(code, text, metadata)
@@ -114,7 +119,7 @@
 
 /// A call's stream of tokens.
 pub struct Tell {
-    answer: Option<Answer>,
+    answer: Option<ResponseStream>,
 }
 
 impl Stream for Tell {
@@ -125,11 +130,11 @@
         };
         match answer.poll_part(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Part::Tokens(run)) => Poll::Ready(Some(Ok(Tokens {
+            Poll::Ready(ResponsePart::Tokens(run)) => Poll::Ready(Some(Ok(Tokens {
                 first_index: run.first_index,
                 ids: run.ids,
             }))),
-            Poll::Ready(Part::End(end)) => {
+            Poll::Ready(ResponsePart::End(end)) => {
                 self.answer = None;
                 Poll::Ready(Some(Err(status(&end))))
             }
@@ -149,7 +154,11 @@
     ) -> Result<Response<Self::GenerateStream>, Status> {
         let client_timeout = match grpc_timeout(request.metadata()) {
             Ok(client_timeout) => client_timeout,
-            Err(text) => return Err(status(&Final::Failed(Failure::Invalid(text)))),
+            Err(text) => {
+                return Err(status(&FinalStatus::Failed(FailureReason::InvalidRequest(
+                    text,
+                ))))
+            }
         };
         let answer = self.0.generate(request.into_inner(), client_timeout);
         Ok(Response::new(
@@ -165,9 +174,9 @@
     /// Serves gRPC on a listener until the node stops: then it closes the door, and each connection once its last
     /// call is answered.
     pub async fn serve(&self, mut listener: Box<dyn Listener>) {
-        let traffic = &self.shared.metrics.client_traffic;
-        let runtime = metered(&self.shared.runtime, traffic);
-        let most = self.shared.settings.most_prompt * TOKEN_BYTES + (64 << 10);
+        let traffic = &self.context.metrics.client_traffic;
+        let runtime = metered(&self.context.runtime, traffic);
+        let most = self.context.settings.most_prompt * TOKEN_BYTES + (64 << 10);
         let service = FrontServer::new(Service(self.clone())).max_decoding_message_size(most);
         loop {
             let accepted =
@@ -187,8 +196,8 @@
                     continue;
                 }
             };
-            let Some(counted) = self.clients.admit(self.shared.settings.most_clients) else {
-                self.shared.metrics.clients_turned_away.add(1);
+            let Some(counted) = self.clients.admit(self.context.settings.most_clients) else {
+                self.context.metrics.clients_turned_away.add(1);
                 continue;
             };
             let (service, node) = (TowerToHyperService::new(service.clone()), self.clone());
--- a/crates/ivyward/src/request/door/tests.rs
+++ b/crates/ivyward/src/request/grpc_server/tests.rs
@@ -36,11 +36,15 @@
 
 #[test]
 fn a_failure_never_looks_like_a_refusal() {
-    let refusals = [Refusal::Shed, Refusal::NodeFull, Refusal::Stopping];
+    let refusals = [
+        RejectReason::Overloaded,
+        RejectReason::NodeFull,
+        RejectReason::Stopping,
+    ];
     for why in refusals {
-        let status = status(&Final::Refused {
+        let status = status(&FinalStatus::Rejected {
             retry_after: Some(1_500),
-            why,
+            reason: why,
         });
         assert!(matches!(
             status.code(),
@@ -55,14 +59,14 @@
     }
     let text = || "why".to_string();
     let failures = [
-        Failure::Deadline,
-        Failure::Attempts(text()),
-        Failure::Broken(text()),
-        Failure::Stopped,
-        Failure::Invalid(text()),
+        FailureReason::Deadline,
+        FailureReason::AttemptsExhausted(text()),
+        FailureReason::StreamBroken(text()),
+        FailureReason::NodeStopped,
+        FailureReason::InvalidRequest(text()),
     ];
     for why in failures {
-        let status = status(&Final::Failed(why));
+        let status = status(&FinalStatus::Failed(why));
         assert!(!matches!(
             status.code(),
             Code::ResourceExhausted | Code::Unavailable | Code::Ok
--- a/crates/ivyward/src/answer.rs
+++ b/crates/ivyward/src/response.rs
@@ -1,15 +1,15 @@
 //! The bounded buffer between an attempt and the client, and how a request ends.
 
 use ivyward_core::interface::Micros;
-use ivyward_core::planted::{self, Defect};
+use ivyward_core::mutations::{self, Mutation};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 
 /// Why a request was refused: nothing was done for it, and trying again is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// The module's decision: overload, or no engine is left that may take it.
-    Shed,
+    Overloaded,
     /// The node has as many requests in hand as it takes.
     NodeFull,
     /// The node is stopping.
@@ -18,38 +18,38 @@
 
 /// Why a request failed. Whether any engine ran it is not promised.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum FailureReason {
     /// The time was over.
     Deadline,
     /// No attempt led to an answer, and another could do harm.
-    Attempts(String),
+    AttemptsExhausted(String),
     /// The stream broke after it had begun.
-    Broken(String),
+    StreamBroken(String),
     /// The node stopped before the answer's end.
-    Stopped,
+    NodeStopped,
     /// The request itself was wrong; it was never taken.
-    Invalid(String),
+    InvalidRequest(String),
 }
 
 /// The one final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalStatus {
     /// The answer was streamed to its end.
     Served,
     /// Not done; trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back; `None` for no advice.
         retry_after: Option<Micros>,
         /// Why.
-        why: Refusal,
+        reason: RejectReason,
     },
     /// Failed; nothing is promised.
-    Failed(Failure),
+    Failed(FailureReason),
 }
 
 /// A run of answer tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct TokenRun {
     /// Index of the first one in the answer.
     pub first_index: u32,
     /// The tokens.
@@ -58,46 +58,46 @@
 
 /// What a client gets next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum ResponsePart {
     /// Tokens.
-    Tokens(Run),
+    Tokens(TokenRun),
     /// The end; nothing follows.
-    End(Final),
+    End(FinalStatus),
 }
 
 struct Inner<T> {
     /// Items that were handed out.
     given: u32,
     items: Vec<T>,
-    end: Option<Final>,
-    told: bool,
+    end: Option<FinalStatus>,
+    delivered: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
 /// Tokens, or whatever a protocol's answers are made of, on their way from an attempt to the client. It holds at most its
 /// bound and one piece: a piece is taken while fewer items wait than the bound.
-pub struct Buffer<T = u32> {
+pub struct TokenBuffer<T = u32> {
     inner: Mutex<Inner<T>>,
     bound: usize,
 }
 
 /// The request has its final answer; what comes later is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Over;
+pub struct StreamEnd;
 
-impl<T: Copy> Buffer<T> {
+impl<T: Copy> TokenBuffer<T> {
     /// An empty one.
-    pub fn new(bound: usize) -> Buffer<T> {
+    pub fn new(bound: usize) -> TokenBuffer<T> {
         let inner = Inner {
             given: 0,
             items: Vec::new(),
             end: None,
-            told: false,
+            delivered: false,
             reader: None,
             writer: None,
         };
-        Buffer {
+        TokenBuffer {
             inner: Mutex::new(inner),
             bound,
         }
@@ -112,10 +112,10 @@
     ///
     /// # Errors
     /// When the request has its final answer.
-    pub fn push(&self, items: &[T]) -> Result<usize, Over> {
+    pub fn push(&self, items: &[T]) -> Result<usize, StreamEnd> {
         let mut inner = self.lock();
         if inner.end.is_some() {
-            return Err(Over);
+            return Err(StreamEnd);
         }
         inner.items.extend_from_slice(items);
         let (reader, waiting) = (inner.reader.take(), inner.items.len());
@@ -126,24 +126,24 @@
         Ok(waiting)
     }
     /// Ready when fewer items wait than the bound.
-    pub fn poll_room(&self, cx: &mut Context<'_>) -> Poll<Result<(), Over>> {
+    pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<Result<(), StreamEnd>> {
         let mut inner = self.lock();
         if inner.end.is_some() {
-            return Poll::Ready(Err(Over));
+            return Poll::Ready(Err(StreamEnd));
         }
-        if inner.items.len() < self.bound || planted::is(Defect::NoBound) {
+        if inner.items.len() < self.bound || mutations::is_active(Mutation::NoBound) {
             return Poll::Ready(Ok(()));
         }
         inner.writer = Some(cx.waker().clone());
         Poll::Pending
     }
     /// Sets the final answer; the first one counts. A failure does not wait behind items that nobody took.
-    pub fn finish(&self, end: Final) -> bool {
+    pub fn finish(&self, end: FinalStatus) -> bool {
         let mut inner = self.lock();
         if inner.end.is_some() {
             return false;
         }
-        if end != Final::Served {
+        if end != FinalStatus::Served {
             inner.items = Vec::new();
         }
         inner.end = Some(end);
@@ -153,8 +153,8 @@
         true
     }
     /// Ready when the request has its final answer. For the time before the answer begins: it takes the place of
-    /// [`Buffer::poll_room`].
-    pub(crate) fn poll_over(&self, cx: &mut Context<'_>) -> Poll<()> {
+    /// [`TokenBuffer::poll_capacity`].
+    pub(crate) fn poll_finished(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut inner = self.lock();
         if inner.end.is_some() {
             return Poll::Ready(());
@@ -163,11 +163,14 @@
         Poll::Pending
     }
     /// All items that wait, with the place of the first one in the answer, or the end.
-    pub fn poll_items(&self, cx: &mut Context<'_>) -> Poll<Result<(u32, Vec<T>), Final>> {
+    pub fn poll_items(&self, cx: &mut Context<'_>) -> Poll<Result<(u32, Vec<T>), FinalStatus>> {
         let mut inner = self.lock();
         if !inner.items.is_empty() {
             let items = std::mem::take(&mut inner.items);
-            if planted::is(Defect::AnsweredTwice) && inner.end.is_some() && items.len() > 1 {
+            if mutations::is_active(Mutation::AnsweredTwice)
+                && inner.end.is_some()
+                && items.len() > 1
+            {
                 inner.items = items.clone();
             }
             let first = inner.given;
@@ -180,24 +183,24 @@
             return Poll::Ready(Ok((first, items)));
         }
         if let Some(end) = inner.end.clone() {
-            inner.told = true;
+            inner.delivered = true;
             return Poll::Ready(Err(end));
         }
         inner.reader = Some(cx.waker().clone());
         Poll::Pending
     }
     /// Whether the client got its final answer.
-    pub fn told(&self) -> bool {
-        self.lock().told
+    pub fn is_delivered(&self) -> bool {
+        self.lock().delivered
     }
 }
 
-impl Buffer<u32> {
+impl TokenBuffer<u32> {
     /// All tokens that wait, or the end.
-    pub(crate) fn poll_part(&self, cx: &mut Context<'_>) -> Poll<Part> {
+    pub(crate) fn poll_part(&self, cx: &mut Context<'_>) -> Poll<ResponsePart> {
         self.poll_items(cx).map(|part| match part {
-            Ok((first_index, ids)) => Part::Tokens(Run { first_index, ids }),
-            Err(end) => Part::End(end),
+            Ok((first_index, ids)) => ResponsePart::Tokens(TokenRun { first_index, ids }),
+            Err(end) => ResponsePart::End(end),
         })
     }
 }
--- a/crates/ivyward/src/answer/tests.rs
+++ b/crates/ivyward/src/response/tests.rs
@@ -4,38 +4,38 @@
 
 #[test]
 fn the_first_final_answer_counts_and_later_tokens_are_not_taken() {
-    let buffer = Buffer::new(4);
+    let buffer = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     assert_eq!(buffer.push(&[1, 2]), Ok(2));
-    assert!(buffer.finish(Final::Served));
-    assert!(!buffer.finish(Final::Failed(Failure::Deadline)));
-    assert_eq!(buffer.push(&[3]), Err(Over));
-    let run = Part::Tokens(Run {
+    assert!(buffer.finish(FinalStatus::Served));
+    assert!(!buffer.finish(FinalStatus::Failed(FailureReason::Deadline)));
+    assert_eq!(buffer.push(&[3]), Err(StreamEnd));
+    let run = ResponsePart::Tokens(TokenRun {
         first_index: 0,
         ids: vec![1, 2],
     });
     assert_eq!(buffer.poll_part(&mut cx), Poll::Ready(run));
-    assert!(!buffer.told());
+    assert!(!buffer.is_delivered());
     assert_eq!(
         buffer.poll_part(&mut cx),
-        Poll::Ready(Part::End(Final::Served))
+        Poll::Ready(ResponsePart::End(FinalStatus::Served))
     );
-    assert!(buffer.told());
+    assert!(buffer.is_delivered());
 }
 
 #[test]
 fn a_slow_client_stops_the_writer_at_the_bound() {
-    let buffer = Buffer::new(4);
+    let buffer = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     for ids in [[1, 2], [3, 4]] {
-        assert!(buffer.poll_room(&mut cx).is_ready());
+        assert!(buffer.poll_capacity(&mut cx).is_ready());
         buffer.push(&ids).unwrap();
     }
-    assert!(buffer.poll_room(&mut cx).is_pending());
+    assert!(buffer.poll_capacity(&mut cx).is_pending());
     assert!(buffer.poll_part(&mut cx).is_ready());
-    assert!(buffer.poll_room(&mut cx).is_ready());
+    assert!(buffer.poll_capacity(&mut cx).is_ready());
     buffer.push(&[5]).unwrap();
-    let run = Part::Tokens(Run {
+    let run = ResponsePart::Tokens(TokenRun {
         first_index: 4,
         ids: vec![5],
     });
@@ -44,14 +44,14 @@
 
 #[test]
 fn a_failure_does_not_wait_behind_what_nobody_took() {
-    let buffer: Buffer<u8> = Buffer::new(4);
+    let buffer: TokenBuffer<u8> = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     buffer.push(b"late").unwrap();
-    assert!(buffer.finish(Final::Failed(Failure::Deadline)));
-    assert_eq!(buffer.push(b"later"), Err(Over));
+    assert!(buffer.finish(FinalStatus::Failed(FailureReason::Deadline)));
+    assert_eq!(buffer.push(b"later"), Err(StreamEnd));
     assert_eq!(
         buffer.poll_items(&mut cx),
-        Poll::Ready(Err(Final::Failed(Failure::Deadline)))
+        Poll::Ready(Err(FinalStatus::Failed(FailureReason::Deadline)))
     );
-    assert!(buffer.told());
+    assert!(buffer.is_delivered());
 }
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -8,8 +8,8 @@
     ReportField, Settings, TenantSettings,
 };
 use ivyward::core::peers::PeerSettings;
-use ivyward::follow::{EtcdOptions, Follow};
 use ivyward::settings::RESTING_CHECKS;
+use ivyward::watcher::{EtcdOptions, Follow};
 use ivyward::{Class, Engine, NodeSettings, PeerOptions, PeerStore, SettingsError, Tenant};
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -379,7 +379,10 @@
         weight,
         started_at: 0,
     };
-    Ok(Engine { entry, address })
+    Ok(Engine {
+        endpoint: entry,
+        address,
+    })
 }
 
 fn class(text: &str) -> Result<Class, String> {
@@ -573,7 +576,7 @@
             key: self.peer_key.clone(),
             store,
             spans: PeerSettings {
-                death_after: self.peer_death_after,
+                death_timeout: self.peer_death_after,
                 ..PeerSettings::default()
             },
             ..PeerOptions::at(listen)
@@ -647,10 +650,10 @@
         self.peers().map_or(Ok(()), |peers| peers.check())?;
         for (i, engine) in self.servers.iter().enumerate() {
             let before = &self.servers[..i];
-            if before.iter().any(|e| e.entry.id == engine.entry.id) {
+            if before.iter().any(|e| e.endpoint.id == engine.endpoint.id) {
                 return Err(SettingsError::new(
                     "--server",
-                    format!("id={}", engine.entry.id.0),
+                    format!("id={}", engine.endpoint.id.0),
                     "is given twice",
                 ));
             }
--- a/crates/ivywardd/src/main.rs
+++ b/crates/ivywardd/src/main.rs
@@ -91,7 +91,7 @@
         Node::start(runtime.clone(), start.settings.clone(), record).map_err(|e| e.to_string())?;
     let flags = &start.flags;
     match flags.etcd_endpoints.is_empty() {
-        true => smol.block_on(node.fleet(ListKind::Full, flags.servers.clone())),
+        true => smol.block_on(node.update_endpoints(ListKind::Full, flags.servers.clone())),
         false => {
             let (node, follow) = (node.clone(), flags.follow());
             runtime.run(async move { node.follow(follow).await });
@@ -138,7 +138,7 @@
             }
         }
         info!(
-            open = node.open(),
+            open = node.open_requests(),
             within_us = flags.stop_within,
             "stopping"
         );
@@ -162,7 +162,8 @@
                 engines = start.flags.servers.len(),
                 "engines read again; other settings need a restart"
             );
-            node.fleet(ListKind::Full, start.flags.servers).await;
+            node.update_endpoints(ListKind::Full, start.flags.servers)
+                .await;
         }
         Err(Stop::Bad(line)) => {
             error!("the settings do not hold and nothing was taken over: {line}")
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -333,19 +333,19 @@
     let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
     let real = cluster.real(0);
     let other = ivyward::peers::Seal::new(Some("a key of somebody else"));
-    let from = ivyward::core::peers::Card {
+    let from = ivyward::core::peers::NodeInfo {
         id: ivyward::core::peers::PeerId(id(1)),
-        start: u64::MAX,
+        incarnation: u64::MAX,
         zone: 0,
         address: socket.address(),
     };
-    let body = ivyward::core::peers::Body::Leave;
+    let body = ivyward::core::peers::MessageBody::Leave;
     let forged = ivyward::core::peers::Message {
-        view: 0,
+        view_digest: 0,
         from,
-        beat: 1,
+        heartbeat: 1,
         body,
-        claims: vec![],
+        updates: vec![],
     };
     for bytes in [other.close(&forged), vec![], vec![1; 1_300]] {
         socket.send(&bytes, real).unwrap();
