--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::block_on;
 use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, Kept, Notice};
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 fn store(cluster: u64) -> Store {
-    let host: Arc<dyn Host> = Arc::new(Threads);
+    let host: Arc<dyn Host> = Arc::new(OwnThreads);
     Store::start(&host, cluster).unwrap()
 }
 
@@ -131,13 +131,13 @@
         let mut watch = client.watch(b"a/", 1).await.unwrap();
         store.put("a/1", "x");
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/1"]);
-        store.die();
+        store.crash();
         assert!(matches!(watch.next().await, Err(EtcdError::Broken(_))));
         assert!(matches!(
             client.list(b"a/").await,
             Err(EtcdError::Unreachable(..) | EtcdError::Broken(_))
         ));
-        store.come_up().unwrap();
+        store.restart().unwrap();
         assert_eq!(client.list(b"a/").await.unwrap().kvs.len(), 1);
     });
 }
@@ -155,7 +155,7 @@
         // A write without an answer may have been done, and is the caller's to judge.
         assert_eq!(client.put(b"a", b"2", 0).await, Err(EtcdError::Late));
         assert_eq!(second.keys(), Vec::<String>::new());
-        first.die();
+        first.crash();
         client.leave_endpoint();
         // Nothing was sent to the dead one: the next is taken at once.
         client.put(b"a", b"3", 0).await.unwrap();
--- a/crates/ivyward-fakes/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -1,6 +1,6 @@
 //! A scripted client of a node's door: patience, retries, cancels and impatience.
 
-use crate::sight::{Effect, Heard, Log, Sight};
+use crate::event_log::{CallIdempotency, ClientOutcome, EventLog, ObservedEvent};
 use crate::text;
 use futures_lite::future::or;
 use http::{HeaderMap, HeaderValue};
@@ -13,7 +13,7 @@
 
 /// How a client behaves. Times are microseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Habit {
+pub struct ClientBehavior {
     /// How long it waits for the whole answer.
     pub client_timeout: Micros,
     /// Leaves without a word after this time.
@@ -28,24 +28,24 @@
 
 /// A request as a client makes it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// What is sent; `call_id` names this try.
     pub request: GenerateRequest,
     /// The same for all tries of one request.
     pub operation: u64,
     /// How far its class may be repeated.
-    pub effect: Effect,
+    pub idempotency: CallIdempotency,
     /// Which node, as the script counts them.
     pub node: usize,
     /// The client's ways.
-    pub habit: Habit,
+    pub behavior: ClientBehavior,
 }
 
 /// How a try ended, with what a script wants to know.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End {
+pub struct ClientResult {
     /// How.
-    pub how: Heard,
+    pub outcome: ClientOutcome,
     /// gRPC's status code; 0 where none came.
     pub code: u32,
     /// What the status said.
@@ -53,9 +53,9 @@
     /// When the refusal says to come back.
     pub pushback: Option<Micros>,
     /// From the call to the first token.
-    pub first: Option<Micros>,
+    pub first_token_after: Option<Micros>,
     /// From the call to the end.
-    pub took: Micros,
+    pub duration: Micros,
     /// Tokens that came.
     pub tokens: u32,
 }
@@ -64,7 +64,7 @@
 #[derive(Clone)]
 pub struct Client {
     runtime: RuntimeRef,
-    log: Log,
+    log: EventLog,
     channel: Arc<Channel>,
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// What a final answer says beside its status: its outcome, and when to come back, in milliseconds.
-pub fn last_word(metadata: &HeaderMap) -> (Option<&str>, Option<i64>) {
+pub fn final_metadata(metadata: &HeaderMap) -> (Option<&str>, Option<i64>) {
     let text = |name: &str| metadata.get(name).and_then(|v| v.to_str().ok());
     (
         text("ivyward-outcome"),
@@ -96,7 +96,7 @@
     /// What the network says.
     pub async fn connect(
         runtime: &RuntimeRef,
-        log: &Log,
+        log: &EventLog,
         door: SocketAddr,
     ) -> std::io::Result<Client> {
         Client::connect_with(runtime, log, door, Options::default().stream_window).await
@@ -107,7 +107,7 @@
     /// What the network says.
     pub async fn connect_with(
         runtime: &RuntimeRef,
-        log: &Log,
+        log: &EventLog,
         door: SocketAddr,
         stream_window: u32,
     ) -> std::io::Result<Client> {
@@ -136,32 +136,36 @@
     }
 
     /// Makes one try and follows it to its end.
-    pub async fn ask(&self, ask: &Ask) -> End {
-        self.ask_until(ask, std::future::pending()).await
+    pub async fn send(&self, ask: &ClientRequest) -> ClientResult {
+        self.send_until(ask, std::future::pending()).await
     }
 
     /// The same; the client leaves without a word as soon as `leave` is over: at an event instead of a time.
-    pub async fn ask_until(&self, ask: &Ask, leave: impl Future<Output = ()>) -> End {
+    pub async fn send_until(
+        &self,
+        ask: &ClientRequest,
+        leave: impl Future<Output = ()>,
+    ) -> ClientResult {
         let (call, began) = (ask.request.call_id, self.runtime.now());
-        let until = began.saturating_add(ask.habit.client_timeout);
-        self.log.add(Sight::Called {
+        let until = began.saturating_add(ask.behavior.client_timeout);
+        self.log.add(ObservedEvent::Called {
             call,
             operation: ask.operation,
             node: ask.node,
-            effect: ask.effect,
-            until: self.log.now().saturating_add(ask.habit.client_timeout),
+            effect: ask.idempotency,
+            until: self.log.now().saturating_add(ask.behavior.client_timeout),
         });
-        let mut end = End {
-            how: Heard::GaveUp,
+        let mut end = ClientResult {
+            outcome: ClientOutcome::TimedOut,
             code: 0,
             message: String::new(),
             pushback: None,
-            first: None,
-            took: 0,
+            first_token_after: None,
+            duration: 0,
             tokens: 0,
         };
         let leave_at = ask
-            .habit
+            .behavior
             .leave_after
             .map_or(Micros::MAX, |span| began.saturating_add(span));
         let followed = self.follow(ask, began, &mut end);
@@ -170,7 +174,7 @@
                 Some(
                     before(&self.runtime, until, followed)
                         .await
-                        .unwrap_or(Heard::GaveUp),
+                        .unwrap_or(ClientOutcome::TimedOut),
                 )
             },
             async {
@@ -179,17 +183,22 @@
             },
         )
         .await
-        .unwrap_or(Heard::Left);
-        end.how = how;
-        end.took = self.runtime.now() - began;
-        self.log.add(Sight::Heard { call, how });
+        .unwrap_or(ClientOutcome::Disconnected);
+        end.outcome = how;
+        end.duration = self.runtime.now() - began;
+        self.log.add(ObservedEvent::ClientOutcome { call, how });
         end
     }
 
-    async fn follow(&self, ask: &Ask, began: Micros, end: &mut End) -> Heard {
-        let headers = match ask.habit.silent_deadline {
+    async fn follow(
+        &self,
+        ask: &ClientRequest,
+        began: Micros,
+        end: &mut ClientResult,
+    ) -> ClientOutcome {
+        let headers = match ask.behavior.silent_deadline {
             true => HeaderMap::new(),
-            false => deadline(ask.habit.client_timeout),
+            false => deadline(ask.behavior.client_timeout),
         };
         let mut call = match self
             .channel
@@ -199,7 +208,7 @@
             Ok(call) => call,
             Err(e) => {
                 end.message = e.to_string();
-                return Heard::Unreachable;
+                return ClientOutcome::Unreachable;
             }
         };
         let digest = text::digest(&ask.request.prompt);
@@ -207,9 +216,9 @@
         loop {
             match call.next::<Tokens>().await {
                 Ok(Some(run)) => {
-                    if end.first.is_none() {
-                        end.first = Some(self.runtime.now() - began);
-                        self.log.add(Sight::Began {
+                    if end.first_token_after.is_none() {
+                        end.first_token_after = Some(self.runtime.now() - began);
+                        self.log.add(ObservedEvent::Began {
                             call: ask.request.call_id,
                         });
                     }
@@ -222,36 +231,40 @@
                     end.tokens += run.ids.len() as u32;
                     if !right || end.tokens > length {
                         end.message = format!("a run from token {} on is wrong", run.first_index);
-                        return Heard::Wrong;
+                        return ClientOutcome::Wrong;
                     }
-                    if ask.habit.leave_at_token.is_some_and(|at| end.tokens >= at) {
-                        return Heard::Left;
+                    if ask
+                        .behavior
+                        .leave_at_token
+                        .is_some_and(|at| end.tokens >= at)
+                    {
+                        return ClientOutcome::Disconnected;
                     }
-                    if ask.habit.read_pause > 0 {
-                        self.runtime.sleep(ask.habit.read_pause).await;
+                    if ask.behavior.read_pause > 0 {
+                        self.runtime.sleep(ask.behavior.read_pause).await;
                     }
                 }
-                Ok(None) if end.tokens == length => return Heard::Served,
+                Ok(None) if end.tokens == length => return ClientOutcome::Served,
                 Ok(None) => {
                     end.message = format!("{} tokens came of {length}", end.tokens);
-                    return Heard::Wrong;
+                    return ClientOutcome::Wrong;
                 }
                 Err(e) => {
                     end.message = e.to_string();
                     let Cause::Status(status) = e.cause else {
-                        return Heard::Unreachable;
+                        return ClientOutcome::Unreachable;
                     };
                     end.code = status.code;
-                    let (said, pushback) = last_word(&status.metadata);
+                    let (said, pushback) = final_metadata(&status.metadata);
                     let detail = status.metadata.contains_key("grpc-status-details-bin");
                     // Told by code and pushback alone, as any client would; the outcome's name must agree.
                     let refused =
                         matches!(status.code, 8 | 14) && pushback.is_some_and(|p| p >= 0) && detail;
                     end.pushback = pushback.filter(|_| refused).map(|ms| ms as u64 * 1_000);
                     return match (refused, said) {
-                        (true, Some("refused")) => Heard::Refused,
-                        (false, Some("failed")) => Heard::Failed,
-                        _ => Heard::Wrong,
+                        (true, Some("refused")) => ClientOutcome::Rejected,
+                        (false, Some("failed")) => ClientOutcome::Failed,
+                        _ => ClientOutcome::Wrong,
                     };
                 }
             }
--- a/crates/ivyward-fakes/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -1,7 +1,7 @@
 //! An engine on a loopback socket: simple service times, slots, a queue and memory, over real HTTP/2.
 
-use crate::faults::{Faults, Twist};
-use crate::sight::{Gone, Key, Kind, Log, Sight};
+use crate::event_log::{AttemptKey, CallKind, EventLog, ObservedEvent, RetentionEnd};
+use crate::faults::{Faults, ResponseFault};
 use crate::text;
 use async_lock::Semaphore;
 use bytes::{Buf, Bytes, BytesMut};
@@ -27,22 +27,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Reads prompts.
-    Reader,
+    Prefill,
     /// Writes answers.
-    Writer,
+    Decode,
     /// Both.
     Mixed,
 }
 
 /// An engine's make. Times are microseconds.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct EngineSpec {
     /// Its id.
     pub id: u64,
     /// What it does.
     pub role: Role,
     /// Its rack.
-    pub cell: u16,
+    pub rack: u16,
     /// Calls at work at once.
     pub slots: usize,
     /// Calls that may wait.
@@ -56,44 +56,44 @@
     /// Tokens of kept states; past it the oldest are lost.
     pub memory: u64,
     /// A state or place that nobody fetches or releases is let go after this.
-    pub keep: Micros,
+    pub retention: Micros,
     /// The part of its capacity with which it starts, and the time to warm.
-    pub cold: (f64, Micros),
+    pub warm_up: (f64, Micros),
     /// Pushed over when sent more than this multiple of its present capacity within this span; 0 for never.
-    pub falls: (f64, Micros),
+    pub overload: (f64, Micros),
     /// Calls a second that it does when warm: the measure for falling over.
     pub capacity: f64,
     /// HTTP/2 streams that it takes at once on a connection.
     pub streams: u32,
 }
 
-impl Spec {
+impl EngineSpec {
     /// One whose times are long beside the pauses of a busy machine, and far enough apart, so that what is learned from
     /// them leads to the same choices in each run: a prompt of 60 tokens takes 150 ms to be read, and 200 ms to be fetched.
-    pub fn steady(id: u64, role: Role) -> Spec {
-        Spec {
+    pub fn steady(id: u64, role: Role) -> EngineSpec {
+        EngineSpec {
             read_rate: 400.0,
             fetch_rate: 300.0,
             token_gap: 3_000,
-            ..Spec::small(id, role)
+            ..EngineSpec::small(id, role)
         }
     }
 
     /// A small engine with quick answers.
-    pub fn small(id: u64, role: Role) -> Spec {
-        Spec {
+    pub fn small(id: u64, role: Role) -> EngineSpec {
+        EngineSpec {
             id,
             role,
-            cell: 0,
+            rack: 0,
             slots: 64,
             queue: 64,
             read_rate: 2e6,
             fetch_rate: 2e7,
             token_gap: 1_000,
             memory: 4_000_000,
-            keep: 2_000_000,
-            cold: (0.3, 1_000_000),
-            falls: (0.0, 1_000_000),
+            retention: 2_000_000,
+            warm_up: (0.3, 1_000_000),
+            overload: (0.0, 1_000_000),
             capacity: 200.0,
             streams: 1_000,
         }
@@ -110,7 +110,7 @@
 struct State {
     faults: Faults,
     random: u64,
-    held: BTreeMap<(Key, bool), Held>,
+    held: BTreeMap<(AttemptKey, bool), Held>,
     /// Openings and sessions that were read here; forgotten all together when memory is full.
     known: BTreeMap<u64, u64>,
     /// Keys of idempotent requests that ran here, with their times.
@@ -124,9 +124,9 @@
 
 /// An engine's inside, for as long as its process lives.
 struct Inner {
-    spec: Spec,
+    spec: EngineSpec,
     runtime: RuntimeRef,
-    log: Log,
+    log: EventLog,
     started: Micros,
     cold: bool,
     state: Mutex<State>,
@@ -149,12 +149,12 @@
 /// Tells the log that a call ended, however that came.
 struct Open<'a> {
     inner: &'a Inner,
-    key: Key,
+    key: AttemptKey,
 }
 
 impl Drop for Open<'_> {
     fn drop(&mut self) {
-        self.inner.log.add(Sight::Ended {
+        self.inner.log.add(ObservedEvent::Ended {
             engine: self.inner.spec.id,
             key: self.key,
         });
@@ -171,9 +171,9 @@
 }
 
 /// Each process has a thread of its own here.
-pub struct Threads;
+pub struct OwnThreads;
 
-impl Host for Threads {
+impl Host for OwnThreads {
     fn process(&self, seed: u64) -> (RuntimeRef, Kill) {
         let runtime = SmolRuntime::start(1, seed);
         (runtime.clone(), Box::new(move || runtime.stop()))
@@ -181,9 +181,9 @@
 }
 
 /// All processes share one world and cannot be killed: for large fleets that are only to be there.
-pub struct Together(pub RuntimeRef);
+pub struct SharedRuntime(pub RuntimeRef);
 
-impl Host for Together {
+impl Host for SharedRuntime {
     fn process(&self, _: u64) -> (RuntimeRef, Kill) {
         (self.0.clone(), Box::new(|| {}))
     }
@@ -191,8 +191,8 @@
 
 /// An engine that a script holds: it can die and come back under its id and address.
 pub struct Engine {
-    spec: Spec,
-    log: Log,
+    spec: EngineSpec,
+    log: EventLog,
     host: Arc<dyn Host>,
     address: SocketAddr,
     running: Option<(Arc<Inner>, Kill)>,
@@ -204,7 +204,11 @@
     ///
     /// # Errors
     /// When no port can be taken.
-    pub fn start(host: &Arc<dyn Host>, log: &Log, spec: Spec) -> std::io::Result<Engine> {
+    pub fn start(
+        host: &Arc<dyn Host>,
+        log: &EventLog,
+        spec: EngineSpec,
+    ) -> std::io::Result<Engine> {
         Engine::start_at(host, log, spec, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
     /// Starts an engine, warm, at an address; port 0 for a free one.
@@ -213,8 +217,8 @@
     /// When the port cannot be taken.
     pub fn start_at(
         host: &Arc<dyn Host>,
-        log: &Log,
-        spec: Spec,
+        log: &EventLog,
+        spec: EngineSpec,
         address: SocketAddr,
     ) -> std::io::Result<Engine> {
         let mut engine = Engine {
@@ -225,11 +229,11 @@
             running: None,
             starts: 0,
         };
-        engine.come_up(false)?;
+        engine.restart(false)?;
         Ok(engine)
     }
     /// Its make.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
     /// Where it listens.
@@ -237,17 +241,17 @@
         self.address
     }
     /// Whether its process runs. One that was pushed over does not, whatever its sockets do.
-    pub fn up(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.running
             .as_ref()
             .is_some_and(|(inner, _)| !inner.lock().fallen)
     }
     /// Kills its process: sockets are reset, everything kept is lost.
-    pub fn die(&mut self) {
+    pub fn crash(&mut self) {
         if let Some((inner, kill)) = self.running.take() {
             kill();
             inner.lose_all();
-            self.log.add(Sight::Down {
+            self.log.add(ObservedEvent::Down {
                 engine: self.spec.id,
                 pushed: false,
             });
@@ -257,8 +261,8 @@
     ///
     /// # Errors
     /// When the port cannot be taken.
-    pub fn come_up(&mut self, cold: bool) -> std::io::Result<()> {
-        self.die();
+    pub fn restart(&mut self, cold: bool) -> std::io::Result<()> {
+        self.crash();
         self.starts += 1;
         let (runtime, kill) = self
             .host
@@ -280,7 +284,7 @@
             inside: AtomicUsize::new(0),
             close_all: Event::new(),
         });
-        self.log.add(Sight::Up {
+        self.log.add(ObservedEvent::Up {
             engine: self.spec.id,
             cold,
             capacity: self.spec.capacity,
@@ -304,7 +308,7 @@
             (before, state.faults.hang)
         };
         if before != now {
-            self.log.add(Sight::Still {
+            self.log.add(ObservedEvent::Still {
                 engine: self.spec.id,
                 on: now,
             });
@@ -312,7 +316,7 @@
         inner.changed.notify(usize::MAX);
     }
     /// Runs a task in its process, which ends with it: a registration, for one.
-    pub fn beside(&self, task: impl FnOnce(RuntimeRef) -> ivyward_runtime::BoxFuture<()>) {
+    pub fn spawn_beside(&self, task: impl FnOnce(RuntimeRef) -> ivyward_runtime::BoxFuture<()>) {
         if let Some((inner, _)) = &self.running {
             inner.runtime.spawn(task(inner.runtime.clone()));
         }
@@ -343,7 +347,7 @@
         }
     }
     /// States and places that it keeps for requests.
-    pub fn kept(&self) -> usize {
+    pub fn retained(&self) -> usize {
         self.running
             .as_ref()
             .map_or(0, |(inner, _)| inner.lock().held.len())
@@ -352,7 +356,7 @@
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.die();
+        self.crash();
     }
 }
 
@@ -428,19 +432,20 @@
         self.lock().faults.clone()
     }
     fn lose_all(&self) {
-        let lost: Vec<(Key, bool)> = std::mem::take(&mut self.lock().held).into_keys().collect();
+        let lost: Vec<(AttemptKey, bool)> =
+            std::mem::take(&mut self.lock().held).into_keys().collect();
         for (key, place) in lost {
-            self.log.add(Sight::LetGo {
+            self.log.add(ObservedEvent::Released {
                 engine: self.spec.id,
                 key,
-                place,
-                how: Gone::Lost,
+                is_decode_slot: place,
+                how: RetentionEnd::Lost,
             });
         }
     }
     /// The part of its capacity that it has now.
     fn share(&self) -> f64 {
-        let (start, warm) = self.spec.cold;
+        let (start, warm) = self.spec.warm_up;
         let age = self.runtime.now().saturating_sub(self.started);
         if !self.cold || age >= warm {
             return 1.0;
@@ -610,7 +615,7 @@
             return refuse(respond, status(9, "another engine is meant"));
         }
         let (engine, call) = (self.spec.id, header.call_id);
-        self.log.add(Sight::Arrived {
+        self.log.add(ObservedEvent::Arrived {
             engine,
             key,
             call,
@@ -649,7 +654,9 @@
         if !room || self.chance(faults.full) {
             return self.turn_away::<A>(respond, pb::turned_away::Reason::Full);
         }
-        let twist = faults.how.filter(|_| self.chance(faults.twist));
+        let twist = faults
+            .response_fault
+            .filter(|_| self.chance(faults.malformed));
         let fate = Fate {
             lose: self.chance(faults.lose_answer),
             reset: self.chance(faults.reset),
@@ -684,13 +691,13 @@
 
     /// Counts a call against what a cold engine stands; too many and it falls over.
     fn pushed(&self) -> bool {
-        let (multiple, window) = self.spec.falls;
+        let (multiple, window) = self.spec.overload;
         let now = self.runtime.now();
         let mut state = self.lock();
         if state.fallen {
             return true;
         }
-        if multiple <= 0.0 || !self.cold || now.saturating_sub(self.started) > self.spec.cold.1 {
+        if multiple <= 0.0 || !self.cold || now.saturating_sub(self.started) > self.spec.warm_up.1 {
             return false;
         }
         state.arrivals.push_back(now);
@@ -708,7 +715,7 @@
         }
         state.fallen = true;
         drop(state);
-        self.log.add(Sight::Down {
+        self.log.add(ObservedEvent::Down {
             engine: self.spec.id,
             pushed: true,
         });
@@ -736,7 +743,7 @@
         }
     }
 
-    fn keep(&self, key: Key, tokens: u64, place: bool) {
+    fn keep(&self, key: AttemptKey, tokens: u64, place: bool) {
         let mut lost = Vec::new();
         {
             let mut state = self.lock();
@@ -756,26 +763,26 @@
             );
         }
         for (key, place) in lost {
-            self.log.add(Sight::LetGo {
+            self.log.add(ObservedEvent::Released {
                 engine: self.spec.id,
                 key,
-                place,
-                how: Gone::Lost,
+                is_decode_slot: place,
+                how: RetentionEnd::Lost,
             });
         }
-        self.log.add(Sight::Kept {
+        self.log.add(ObservedEvent::Retained {
             engine: self.spec.id,
             key,
-            place,
+            is_decode_slot: place,
         });
     }
 
-    fn let_go(&self, key: Key, place: bool, how: Gone) -> Option<u64> {
+    fn let_go(&self, key: AttemptKey, place: bool, how: RetentionEnd) -> Option<u64> {
         let held = self.lock().held.remove(&(key, place))?;
-        self.log.add(Sight::LetGo {
+        self.log.add(ObservedEvent::Released {
             engine: self.spec.id,
             key,
-            place,
+            is_decode_slot: place,
             how,
         });
         Some(held.tokens)
@@ -783,10 +790,10 @@
 
     async fn expire(self: Arc<Self>) {
         loop {
-            self.runtime.sleep(self.spec.keep / 8 + 1).await;
+            self.runtime.sleep(self.spec.retention / 8 + 1).await;
             let now = self.runtime.now();
-            let old = |h: &Held| now.saturating_sub(h.at) >= self.spec.keep;
-            let gone: Vec<(Key, bool)> = self
+            let old = |h: &Held| now.saturating_sub(h.at) >= self.spec.retention;
+            let gone: Vec<(AttemptKey, bool)> = self
                 .lock()
                 .held
                 .iter()
@@ -794,7 +801,7 @@
                 .map(|((k, _), h)| (*k, h.place))
                 .collect();
             for (key, place) in gone {
-                self.let_go(key, place, Gone::Expired);
+                self.let_go(key, place, RetentionEnd::Expired);
             }
         }
     }
@@ -813,16 +820,16 @@
             return refuse(respond, status(3, "no attempt key"));
         };
         let (engine, call) = (self.spec.id, header.call_id);
-        self.log.add(Sight::Arrived {
+        self.log.add(ObservedEvent::Arrived {
             engine,
             key,
             call,
-            kind: Kind::Hold,
+            kind: CallKind::Reserve,
             timeout,
         });
         // It crossed the socket; while the engine hangs nothing is done for it, nor after a reset.
         if !self.going_on(&mut respond).await {
-            return self.log.add(Sight::Ended {
+            return self.log.add(ObservedEvent::Ended {
                 engine: self.spec.id,
                 key,
             });
@@ -831,7 +838,7 @@
         if held {
             self.keep(key, u64::from(ask.prompt_tokens), true);
         }
-        self.log.add(Sight::Ended {
+        self.log.add(ObservedEvent::Ended {
             engine: self.spec.id,
             key,
         });
@@ -848,7 +855,7 @@
     fn release(&self, ask: Option<pb::ReleaseRequest>, respond: SendResponse<Bytes>) {
         let key = ask.and_then(|a| key(a.key));
         let released = key.is_some_and(|key| {
-            let gone = [true, false].map(|place| self.let_go(key, place, Gone::Released));
+            let gone = [true, false].map(|place| self.let_go(key, place, RetentionEnd::Released));
             gone.iter().any(Option::is_some)
         });
         answer(respond, &pb::ReleaseReply { released });
@@ -856,7 +863,11 @@
 
     fn fetched(&self, ask: Option<pb::FetchRequest>, respond: SendResponse<Bytes>) {
         let lose = self.lock().faults.drop_states;
-        let how = if lose { Gone::Lost } else { Gone::Taken };
+        let how = if lose {
+            RetentionEnd::Lost
+        } else {
+            RetentionEnd::Used
+        };
         let tokens = ask
             .and_then(|a| key(a.key))
             .and_then(|key| self.let_go(key, false, how));
@@ -985,7 +996,7 @@
 struct Fate {
     lose: bool,
     reset: bool,
-    twist: Option<Twist>,
+    twist: Option<ResponseFault>,
 }
 
 enum Stopped {
@@ -1000,8 +1011,8 @@
     }
 }
 
-fn key(key: Option<pb::AttemptKey>) -> Option<Key> {
-    key.map(|k| Key {
+fn key(key: Option<pb::AttemptKey>) -> Option<AttemptKey> {
+    key.map(|k| AttemptKey {
         node: k.node,
         request: k.request,
         attempt: k.attempt,
@@ -1037,13 +1048,13 @@
 
 /// A call that takes time: a read or a write.
 trait Work: Sized + Send {
-    const KIND: Kind;
+    const KIND: CallKind;
     fn header(&self) -> Option<&pb::Header>;
     fn away(engine: u64, away: pb::TurnedAway) -> Bytes;
     fn run(
         self,
         engine: &Inner,
-        key: Key,
+        key: AttemptKey,
         header: &pb::Header,
         fate: &Fate,
         out: &Out,
@@ -1051,7 +1062,7 @@
 }
 
 impl Work for pb::ReadRequest {
-    const KIND: Kind = Kind::Read;
+    const KIND: CallKind = CallKind::Prefill;
     fn header(&self) -> Option<&pb::Header> {
         self.header.as_ref()
     }
@@ -1065,7 +1076,7 @@
     async fn run(
         self,
         engine: &Inner,
-        key: Key,
+        key: AttemptKey,
         _: &pb::Header,
         fate: &Fate,
         out: &Out,
@@ -1092,18 +1103,18 @@
             result: Some(done),
         };
         match fate.twist {
-            Some(Twist::WrongId) => reply.engine ^= 1,
-            Some(Twist::Malformed) => {
+            Some(ResponseFault::WrongId) => reply.engine ^= 1,
+            Some(ResponseFault::Malformed) => {
                 out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]))
                     .await?;
                 return Ok(status(0, ""));
             }
-            Some(Twist::Oversized) => {
+            Some(ResponseFault::Oversized) => {
                 out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff]))
                     .await?
             }
-            Some(Twist::StatusExhausted) => return Ok(status(8, "slow down")),
-            Some(Twist::NoLastWord) => return Ok(status(0, "")),
+            Some(ResponseFault::StatusExhausted) => return Ok(status(8, "slow down")),
+            Some(ResponseFault::NoLastWord) => return Ok(status(0, "")),
             _ => {}
         }
         out.send(encode(&reply)).await?;
@@ -1112,7 +1123,7 @@
 }
 
 impl Work for pb::WriteRequest {
-    const KIND: Kind = Kind::Write;
+    const KIND: CallKind = CallKind::Decode;
     fn header(&self) -> Option<&pb::Header> {
         self.header.as_ref()
     }
@@ -1125,7 +1136,7 @@
     async fn run(
         self,
         engine: &Inner,
-        key: Key,
+        key: AttemptKey,
         header: &pb::Header,
         fate: &Fate,
         out: &Out,
@@ -1139,12 +1150,12 @@
             })
         };
         if let Some(state) = self.state.as_ref().and_then(|s| s.key) {
-            let place = Key {
+            let place = AttemptKey {
                 node: state.node,
                 request: state.request,
                 attempt: state.attempt,
             };
-            engine.let_go(place, true, Gone::Taken);
+            engine.let_go(place, true, RetentionEnd::Used);
         }
         let _slot = engine.slots.acquire().await;
         let mut kept_tokens = 0;
@@ -1183,7 +1194,7 @@
                 .is_some()
         };
         if !repeat {
-            engine.log.add(Sight::Ran {
+            engine.log.add(ObservedEvent::Ran {
                 engine: id,
                 key,
                 call: header.call_id,
@@ -1210,27 +1221,27 @@
                 engine.going().await;
             }
             match (fate.twist, index) {
-                (Some(Twist::WrongId), 0) => {
+                (Some(ResponseFault::WrongId), 0) => {
                     out.send(encode(&pb::WriteEvent {
                         engine: id ^ 1,
                         event: Some(run(0, 0)),
                     }))
                     .await?;
                 }
-                (Some(Twist::Malformed), 0) => {
+                (Some(ResponseFault::Malformed), 0) => {
                     out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]))
                         .await?;
                 }
-                (Some(Twist::Oversized), 0) => {
+                (Some(ResponseFault::Oversized), 0) => {
                     out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff]))
                         .await?
                 }
-                (Some(Twist::OutOfOrder), 0) => out.send(say(run(1, 1))).await?,
-                (Some(Twist::Twice), 1) => out.send(say(run(0, 0))).await?,
-                (Some(Twist::CutShort), 2) => return Err(Stopped::Reset),
-                (Some(Twist::Stuck), 2) => return Err(Stopped::Lost),
-                (Some(Twist::StatusExhausted), 0) => return Ok(status(8, "slow down")),
-                (Some(Twist::NoLastWord), 2) => return Ok(status(0, "")),
+                (Some(ResponseFault::OutOfOrder), 0) => out.send(say(run(1, 1))).await?,
+                (Some(ResponseFault::Twice), 1) => out.send(say(run(0, 0))).await?,
+                (Some(ResponseFault::CutShort), 2) => return Err(Stopped::Reset),
+                (Some(ResponseFault::Stuck), 2) => return Err(Stopped::Lost),
+                (Some(ResponseFault::StatusExhausted), 0) => return Ok(status(8, "slow down")),
+                (Some(ResponseFault::NoLastWord), 2) => return Ok(status(0, "")),
                 _ => {}
             }
             out.send(say(run(index, index))).await?;
@@ -1242,7 +1253,7 @@
             load: Some(engine.load()),
         };
         out.send(say(Event::Done(done))).await?;
-        if fate.twist == Some(Twist::AfterEnd) {
+        if fate.twist == Some(ResponseFault::AfterEnd) {
             out.send(say(run(length, 0))).await?;
         }
         Ok(status(0, ""))
--- a/crates/ivyward-fakes/src/etcd.rs
+++ b/crates/ivyward-fakes/src/etcd.rs
@@ -75,7 +75,7 @@
 
 /// What a store held at some time.
 #[derive(Clone)]
-pub struct Copy {
+pub struct StoreCopy {
     cluster: u64,
     revision: i64,
     compacted: i64,
@@ -86,7 +86,7 @@
     next_lease: i64,
 }
 
-impl Copy {
+impl StoreCopy {
     /// Writes it to a file, as messages of the API's own.
     ///
     /// # Errors
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     /// What the system says, or that it is no such file.
-    pub fn load(path: &Path) -> std::io::Result<Copy> {
+    pub fn load(path: &Path) -> std::io::Result<StoreCopy> {
         let bytes = std::fs::read(path)?;
         let mut rest = &bytes[..];
         let keys = pb::RangeResponse::decode_length_delimited(&mut rest)?;
@@ -135,7 +135,7 @@
             leases.push((lease.id, lease.ttl));
         }
         let header = keys.header.unwrap_or_default();
-        Ok(Copy {
+        Ok(StoreCopy {
             cluster: header.cluster_id,
             revision: header.revision,
             compacted: history.compact_revision,
@@ -150,7 +150,7 @@
         })
     }
     /// The same without the history: a watch from an older revision finds it compacted away.
-    pub fn without_history(mut self) -> Copy {
+    pub fn without_history(mut self) -> StoreCopy {
         (self.compacted, self.history) = (self.revision, Vec::new());
         self
     }
@@ -406,7 +406,7 @@
 struct Inner {
     data: Mutex<Data>,
     changed: Changed,
-    witness: Mutex<Option<Witness>>,
+    witness: Mutex<Option<Observer>>,
 }
 
 impl Inner {
@@ -429,7 +429,7 @@
 }
 
 /// Told of all that a store shows, as it is handed to the socket: evidence that is not a node's own word.
-pub type Witness = Arc<dyn Fn(usize, Shown<'_>) + Send + Sync>;
+pub type Observer = Arc<dyn Fn(usize, Shown<'_>) + Send + Sync>;
 
 /// A store that a script holds: it can die, and come back with what it held or empty.
 pub struct Store {
@@ -471,7 +471,7 @@
             clock: Mutex::default(),
             starts: 0,
         };
-        store.come_up()?;
+        store.restart()?;
         Ok(store)
     }
     /// Where it listens.
@@ -479,20 +479,20 @@
         self.doors[0]
     }
     /// Where it listens, a door for each client whose sight is told apart.
-    pub fn doors(&self) -> &[SocketAddr] {
+    pub fn endpoints(&self) -> &[SocketAddr] {
         &self.doors
     }
     /// Opens further doors, so that there are so many, at its next start.
     ///
     /// # Errors
     /// When a port cannot be taken.
-    pub fn open_doors(&mut self, count: usize) -> std::io::Result<()> {
+    pub fn open_endpoints(&mut self, count: usize) -> std::io::Result<()> {
         self.doors
             .resize(count.max(1), SocketAddr::from(([127, 0, 0, 1], 0)));
-        self.come_up()
+        self.restart()
     }
     /// Who is told of all that it shows.
-    pub fn witness(&self, witness: Witness) {
+    pub fn set_observer(&self, witness: Observer) {
         *self
             .inner
             .witness
@@ -500,7 +500,7 @@
             .unwrap_or_else(PoisonError::into_inner) = Some(witness);
     }
     /// Kills its process. What it holds stays.
-    pub fn die(&mut self) {
+    pub fn crash(&mut self) {
         if let Some(kill) = self.kill.take() {
             kill();
         }
@@ -509,8 +509,8 @@
     ///
     /// # Errors
     /// When the port cannot be taken.
-    pub fn come_up(&mut self) -> std::io::Result<()> {
-        self.die();
+    pub fn restart(&mut self) -> std::io::Result<()> {
+        self.crash();
         self.starts += 1;
         let (runtime, kill) = self.host.process(self.starts);
         for (no, door) in self.doors.iter_mut().enumerate() {
@@ -572,9 +572,9 @@
         });
     }
     /// What it holds now.
-    pub fn copy(&self) -> Copy {
+    pub fn copy(&self) -> StoreCopy {
         let data = self.inner.lock();
-        Copy {
+        StoreCopy {
             cluster: data.cluster,
             revision: data.revision,
             compacted: data.compacted,
@@ -586,7 +586,7 @@
     }
     /// Holds what a copy holds, under its old name: revisions may go back. Leases have their whole time again, and
     /// watches end.
-    pub fn restore(&self, copy: Copy) {
+    pub fn restore(&self, copy: StoreCopy) {
         let now = self
             .clock
             .lock()
@@ -703,7 +703,7 @@
 
 impl Drop for Store {
     fn drop(&mut self) {
-        self.die();
+        self.crash();
     }
 }
 
--- a/crates/ivyward-fakes/src/sight.rs
+++ b/crates/ivyward-fakes/src/event_log.rs
@@ -5,7 +5,7 @@
 
 /// An attempt, as nodes name it to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key {
+pub struct AttemptKey {
     /// The node's run.
     pub node: u64,
     /// Its request.
@@ -16,42 +16,42 @@
 
 /// What a call to an engine asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CallKind {
     /// To read a prompt.
-    Read,
+    Prefill,
     /// To write an answer.
-    Write,
+    Decode,
     /// To hold a place.
-    Hold,
+    Reserve,
 }
 
 /// How far a class may be repeated, as the auditor must know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum CallIdempotency {
     /// Freely.
-    Safe,
+    Idempotent,
     /// Engines drop repeats of its key for so long, each in its group: all engines, a zone or a cell.
-    Keyed(Micros, Group),
+    WithKey(Micros, KeyScope),
     /// Never twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which engines drop repeats of a keyed request together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// All.
     All,
     /// Those of a zone.
     Zone,
     /// Those of a cell.
-    Cell,
+    Rack,
 }
 
 /// How a kept state or held place ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum RetentionEnd {
     /// Fetched by a writer, or used by the request that held it.
-    Taken,
+    Used,
     /// Let go by the node.
     Released,
     /// Let go by the engine's own limit.
@@ -62,36 +62,36 @@
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ClientOutcome {
     /// Served, and all tokens right.
     Served,
     /// Refused.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
     /// The connection to the node broke.
     Unreachable,
     /// The client left by its own script.
-    Left,
+    Disconnected,
     /// The client's patience ended without an answer.
-    GaveUp,
+    TimedOut,
     /// The stream was wrong: a token missing, twice or not as expected, or something after the end.
     Wrong,
 }
 
 /// One thing seen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sight {
+pub enum ObservedEvent {
     /// A call came in whole at an engine.
     Arrived {
         /// Where.
         engine: u64,
         /// Which attempt.
-        key: Key,
+        key: AttemptKey,
         /// The client's call.
         call: u64,
         /// What it asks.
-        kind: Kind,
+        kind: CallKind,
         /// How long its answer is waited for, as the call says; counted from here.
         timeout: Option<Micros>,
     },
@@ -100,7 +100,7 @@
         /// Where.
         engine: u64,
         /// Which attempt.
-        key: Key,
+        key: AttemptKey,
         /// The client's call.
         call: u64,
     },
@@ -109,27 +109,27 @@
         /// Where.
         engine: u64,
         /// Which attempt.
-        key: Key,
+        key: AttemptKey,
     },
     /// An engine keeps a state, or holds a place, for a request.
-    Kept {
+    Retained {
         /// Where.
         engine: u64,
         /// Under whose key.
-        key: Key,
+        key: AttemptKey,
         /// A place, not a state.
-        place: bool,
+        is_decode_slot: bool,
     },
     /// It does no longer.
-    LetGo {
+    Released {
         /// Where.
         engine: u64,
         /// Under whose key.
-        key: Key,
+        key: AttemptKey,
         /// A place, not a state.
-        place: bool,
+        is_decode_slot: bool,
         /// How.
-        how: Gone,
+        how: RetentionEnd,
     },
     /// An engine came up.
     Up {
@@ -171,7 +171,7 @@
         /// Which node, as the script counts them.
         node: usize,
         /// How far it may be repeated.
-        effect: Effect,
+        effect: CallIdempotency,
         /// Until when the client waits for its first token; afterwards for the end.
         until: Micros,
     },
@@ -181,11 +181,11 @@
         call: u64,
     },
     /// A call ended for its client.
-    Heard {
+    ClientOutcome {
         /// The call.
         call: u64,
         /// How.
-        how: Heard,
+        how: ClientOutcome,
     },
     /// The script told a node that an engine drains, is gone, or is ready again, and the node took it in.
     Told {
@@ -207,50 +207,50 @@
 
 /// One thing seen and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct LoggedEvent {
     /// Microseconds on the log's clock.
     pub at: Micros,
     /// What.
-    pub what: Sight,
+    pub what: ObservedEvent,
 }
 
-type Beside = Box<dyn Fn(&Seen) + Send + Sync>;
+type Beside = Box<dyn Fn(&LoggedEvent) + Send + Sync>;
 
-/// The log. Clones are handles to the same one. It holds at most [`Log::MOST`] entries: a run that would need more
-/// is cut short by [`Log::full`].
+/// The log. Clones are handles to the same one. It holds at most [`EventLog::MOST`] entries: a run that would need more
+/// is cut short by [`EventLog::full`].
 #[derive(Clone)]
-pub struct Log {
+pub struct EventLog {
     runtime: RuntimeRef,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<LoggedEvent>>>,
     beside: Arc<OnceLock<Beside>>,
     most: usize,
 }
 
-impl Log {
+impl EventLog {
     /// Most entries.
     pub const MOST: usize = 4 << 20;
 
     /// An empty log with a clock.
-    pub fn new(runtime: &RuntimeRef) -> Log {
-        Log {
+    pub fn new(runtime: &RuntimeRef) -> EventLog {
+        EventLog {
             runtime: runtime.clone(),
             seen: Arc::default(),
             beside: Arc::default(),
-            most: Log::MOST,
+            most: EventLog::MOST,
         }
     }
     /// A log that keeps nothing, for measurements in which memory counts.
-    pub fn forgetful(runtime: &RuntimeRef) -> Log {
-        Log {
+    pub fn forgetful(runtime: &RuntimeRef) -> EventLog {
+        EventLog {
             most: 0,
-            ..Log::new(runtime)
+            ..EventLog::new(runtime)
         }
     }
     /// Adds what is seen now.
-    pub fn add(&self, what: Sight) {
+    pub fn add(&self, what: ObservedEvent) {
         // The clock is read inside the lock, so that entries stand in the order of their times.
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        let one = Seen {
+        let one = LoggedEvent {
             at: self.runtime.now(),
             what,
         };
@@ -264,7 +264,7 @@
     }
     /// Shows everything that is added from now on to one more, as it comes. Meant for worlds of one thread; the first
     /// one counts.
-    pub fn show(&self, to: impl Fn(&Seen) + Send + Sync + 'static) {
+    pub fn show(&self, to: impl Fn(&LoggedEvent) + Send + Sync + 'static) {
         // An error hands back one that came second.
         let _ = self.beside.set(Box::new(to));
     }
@@ -281,7 +281,7 @@
         self.runtime.now()
     }
     /// All that was seen so far, in order.
-    pub fn all(&self) -> Vec<Seen> {
+    pub fn all(&self) -> Vec<LoggedEvent> {
         self.seen
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/ivyward-fakes/src/faults.rs
+++ b/crates/ivyward-fakes/src/faults.rs
@@ -2,7 +2,7 @@
 
 /// An answer that is not what was agreed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Twist {
+pub enum ResponseFault {
     /// Another engine's id.
     WrongId,
     /// Bytes that are no message.
@@ -41,9 +41,9 @@
     /// Calls turned away as full.
     pub full: f64,
     /// Calls answered in a wrong way.
-    pub twist: f64,
+    pub malformed: f64,
     /// Which way.
-    pub how: Option<Twist>,
+    pub response_fault: Option<ResponseFault>,
     /// All work takes this many times as long; 0 stands for 1.
     pub slow: f64,
     /// Fetches from this engine take this many times as long; 0 stands for 1.
--- a/crates/ivyward-fakes/src/lib.rs
+++ b/crates/ivyward-fakes/src/lib.rs
@@ -8,17 +8,17 @@
 //! - [`platform`]: engines and discovery of a platform that speaks HTTP/1.1.
 //! - [`audit`]: the five rules, checked from the log.
 
-pub mod audit;
 pub mod client;
 pub mod engine;
 pub mod etcd;
+pub mod event_log;
 pub mod faults;
 pub mod platform;
-pub mod sight;
+pub mod rule_checker;
 pub mod text;
 
-pub use audit::{audit, audit_so_far, Audit, Limits, Live};
-pub use client::{Ask, Client, End, Habit};
-pub use engine::{Engine, Host, Role, Spec};
-pub use faults::{Faults, Twist};
-pub use sight::{Kind, Log, Seen, Sight};
+pub use client::{Client, ClientBehavior, ClientRequest, ClientResult};
+pub use engine::{Engine, EngineSpec, Host, Role};
+pub use event_log::{CallKind, EventLog, LoggedEvent, ObservedEvent};
+pub use faults::{Faults, ResponseFault};
+pub use rule_checker::{check, check_so_far, RuleChecker, RuleLimits, RuleReport};
--- a/crates/ivyward-fakes/src/audit.rs
+++ b/crates/ivyward-fakes/src/rule_checker.rs
@@ -1,12 +1,15 @@
 //! The five rules, checked from what engines, clients and the script saw. A node's own word counts for nothing.
 
-use crate::sight::{Effect, Gone, Group, Heard, Key, Kind, Seen, Sight};
+use crate::event_log::{
+    AttemptKey, CallIdempotency, CallKind, ClientOutcome, KeyScope, LoggedEvent, ObservedEvent,
+    RetentionEnd,
+};
 use ivyward_runtime::Micros;
 use std::collections::BTreeMap;
 
 /// The rules' figures, and what the auditor allows for things in flight. Times are microseconds.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct RuleLimits {
     /// What may still be on its way on this machine: between a node's act and the engine's sight of it.
     pub flight: Micros,
     /// The same for rule 3 alone: between what a node heard and the engine's sight of what it does since.
@@ -24,12 +27,12 @@
     /// Rule 5.
     pub release_within: Micros,
     /// Cell and zone of each engine, for keyed groups.
-    pub places: BTreeMap<u64, (u16, u8)>,
+    pub locations: BTreeMap<u64, (u16, u8)>,
 }
 
 /// What was found for one rule.
 #[derive(Clone, Debug, Default)]
-pub struct Rule {
+pub struct RuleResult {
     /// How often it was checked.
     pub checked: u64,
     /// What broke it, the first few in words.
@@ -45,7 +48,7 @@
 /// Most breaks that are kept in words for each rule.
 const WORDS: usize = 20;
 
-impl Rule {
+impl RuleResult {
     fn check(&mut self, holds: bool, text: impl FnOnce() -> String) {
         self.checked += 1;
         if !holds {
@@ -59,17 +62,17 @@
 
 /// What the auditor found.
 #[derive(Clone, Debug, Default)]
-pub struct Audit {
+pub struct RuleReport {
     /// The five rules, in their order.
-    pub rules: [Rule; 5],
+    pub rules: [RuleResult; 5],
     /// No two attempts out at once.
-    pub overlap: Rule,
+    pub overlap: RuleResult,
     /// No engine is told a deadline past its client's.
-    pub deadlines: Rule,
+    pub deadlines: RuleResult,
     /// The longest overlap seen, in microseconds.
     pub longest_overlap: Micros,
     /// Ends of calls as clients heard them.
-    pub heard: BTreeMap<&'static str, u64>,
+    pub outcomes: BTreeMap<&'static str, u64>,
     /// States let go by engines' own limit.
     pub expired: u64,
 }
@@ -83,7 +86,7 @@
     "nothing pinned",
 ];
 
-impl Audit {
+impl RuleReport {
     /// Rules that were kept; deadlines past the client's count against the first, attempts side by side against the
     /// second.
     pub fn kept(&self) -> usize {
@@ -121,7 +124,7 @@
 
 struct Try {
     engine: u64,
-    kind: Kind,
+    kind: CallKind,
     arrived: Micros,
     ended: Option<Micros>,
     call: u64,
@@ -132,28 +135,33 @@
     until: Micros,
     operation: u64,
     node: usize,
-    effect: Effect,
-    heard: Option<(Micros, Heard)>,
+    effect: CallIdempotency,
+    heard: Option<(Micros, ClientOutcome)>,
 }
 
 /// Checks a whole run. `end` is when the run was over and all that was under way had its time to end.
-pub fn audit(log: &[Seen], limits: &Limits, end: Micros) -> Audit {
-    check(log, limits, end, None)
+pub fn check(log: &[LoggedEvent], limits: &RuleLimits, end: Micros) -> RuleReport {
+    check_log(log, limits, end, None)
 }
 
 /// Checks a run that goes on: what may still come out right, a call whose client still waits or an attempt that has not
 /// ended, is no break yet.
-pub fn audit_so_far(log: &[Seen], limits: &Limits, now: Micros) -> Audit {
-    check(log, limits, now, Some(now))
+pub fn check_so_far(log: &[LoggedEvent], limits: &RuleLimits, now: Micros) -> RuleReport {
+    check_log(log, limits, now, Some(now))
 }
 
-fn check(log: &[Seen], limits: &Limits, end: Micros, goes_on: Option<Micros>) -> Audit {
+fn check_log(
+    log: &[LoggedEvent],
+    limits: &RuleLimits,
+    end: Micros,
+    goes_on: Option<Micros>,
+) -> RuleReport {
     let (mut facts, mut out) = (
         Facts {
             goes_on,
             ..Facts::default()
         },
-        Audit::default(),
+        RuleReport::default(),
     );
     for seen in log {
         facts.take(seen);
@@ -182,22 +190,22 @@
 
 /// The auditor beside a run: after each thing seen it checks what that may have broken. What breaks by time alone (a call
 /// that nobody answers, a state that nobody lets go) is for [`audit_so_far`].
-pub struct Live {
+pub struct RuleChecker {
     facts: Facts,
-    limits: Limits,
+    limits: RuleLimits,
 }
 
-impl Live {
+impl RuleChecker {
     /// An auditor that has seen nothing.
-    pub fn new(limits: Limits) -> Live {
-        Live {
+    pub fn new(limits: RuleLimits) -> RuleChecker {
+        RuleChecker {
             facts: Facts::default(),
             limits,
         }
     }
     /// Takes in one more thing seen. What it broke, in words.
-    pub fn step(&mut self, seen: &Seen) -> Option<String> {
-        let (limits, mut out) = (&self.limits, Audit::default());
+    pub fn step(&mut self, seen: &LoggedEvent) -> Option<String> {
+        let (limits, mut out) = (&self.limits, RuleReport::default());
         self.facts.goes_on = Some(seen.at);
         self.facts.take(seen);
         let facts = &self.facts;
@@ -214,16 +222,19 @@
             }
         };
         match seen.what {
-            Sight::Arrived { call, .. } | Sight::Ran { call, .. } | Sight::Heard { call, .. } => {
-                of_call(call)
-            }
-            Sight::Ended { key, .. } => facts
+            ObservedEvent::Arrived { call, .. }
+            | ObservedEvent::Ran { call, .. }
+            | ObservedEvent::ClientOutcome { call, .. } => of_call(call),
+            ObservedEvent::Ended { key, .. } => facts
                 .tries
                 .get(&key)
                 .into_iter()
                 .for_each(|t| of_call(t.call)),
-            Sight::LetGo {
-                engine, key, place, ..
+            ObservedEvent::Released {
+                engine,
+                key,
+                is_decode_slot: place,
+                ..
             } => {
                 let this = |k: &&KeptThing| (k.0, k.1, k.2) == (engine, key, place);
                 if let Some(kept) = facts.kept.iter().rev().find(this) {
@@ -237,15 +248,21 @@
 }
 
 /// Engine, key, whether a place, since when, and when and how it ended.
-type KeptThing = (u64, Key, bool, Micros, Option<(Micros, Gone)>);
+type KeptThing = (
+    u64,
+    AttemptKey,
+    bool,
+    Micros,
+    Option<(Micros, RetentionEnd)>,
+);
 
 #[derive(Default)]
 struct Facts {
     calls: BTreeMap<u64, Call>,
-    tries: BTreeMap<Key, Try>,
-    by_call: BTreeMap<u64, Vec<Key>>,
+    tries: BTreeMap<AttemptKey, Try>,
+    by_call: BTreeMap<u64, Vec<AttemptKey>>,
     /// Effects by call.
-    ran: BTreeMap<u64, Vec<(Micros, u64, Key)>>,
+    ran: BTreeMap<u64, Vec<(Micros, u64, AttemptKey)>>,
     /// Holds by call.
     holds: BTreeMap<u64, Vec<(Micros, u64)>>,
     /// Calls by operation.
@@ -266,14 +283,14 @@
     open_dark: BTreeMap<u64, Micros>,
     /// Kept things: from, to and how; and which of them are.
     kept: Vec<KeptThing>,
-    holding: BTreeMap<(u64, Key, bool), usize>,
+    holding: BTreeMap<(u64, AttemptKey, bool), usize>,
 }
 
 impl Facts {
-    fn take(&mut self, seen: &Seen) {
-        let Seen { at, what } = *seen;
+    fn take(&mut self, seen: &LoggedEvent) {
+        let LoggedEvent { at, what } = *seen;
         match what {
-            Sight::Arrived {
+            ObservedEvent::Arrived {
                 engine,
                 key,
                 call,
@@ -281,7 +298,7 @@
                 ..
             } => {
                 self.arrivals.entry(engine).or_default().push(at);
-                if kind == Kind::Hold {
+                if kind == CallKind::Reserve {
                     self.holds.entry(call).or_default().push((at, engine));
                 } else {
                     self.tries.insert(
@@ -297,29 +314,33 @@
                     self.by_call.entry(call).or_default().push(key);
                 }
             }
-            Sight::Ended { engine, key } => {
+            ObservedEvent::Ended { engine, key } => {
                 if let Some(t) = self.tries.get_mut(&key).filter(|t| t.engine == engine) {
                     t.ended.get_or_insert(at);
                 }
             }
-            Sight::Ran { engine, key, call } => {
+            ObservedEvent::Ran { engine, key, call } => {
                 self.ran.entry(call).or_default().push((at, engine, key))
             }
-            Sight::Kept { engine, key, place } => {
+            ObservedEvent::Retained {
+                engine,
+                key,
+                is_decode_slot: place,
+            } => {
                 self.holding.insert((engine, key, place), self.kept.len());
                 self.kept.push((engine, key, place, at, None));
             }
-            Sight::LetGo {
+            ObservedEvent::Released {
                 engine,
                 key,
-                place,
+                is_decode_slot: place,
                 how,
             } => {
                 if let Some(i) = self.holding.remove(&(engine, key, place)) {
                     self.kept[i].4 = Some((at, how));
                 }
             }
-            Sight::Up {
+            ObservedEvent::Up {
                 engine,
                 cold,
                 capacity,
@@ -329,13 +350,13 @@
                 }
                 self.up.insert(engine, (at, cold, capacity));
             }
-            Sight::Down { engine, .. } => {
+            ObservedEvent::Down { engine, .. } => {
                 self.open_down.entry(engine).or_insert(at);
                 for t in self.tries.values_mut().filter(|t| t.engine == engine) {
                     t.ended.get_or_insert(at);
                 }
             }
-            Sight::Called {
+            ObservedEvent::Called {
                 call,
                 operation,
                 node,
@@ -355,34 +376,34 @@
                 );
                 self.operations.entry(operation).or_default().push(call);
             }
-            Sight::Heard { call, how } => {
+            ObservedEvent::ClientOutcome { call, how } => {
                 if let Some(c) = self.calls.get_mut(&call) {
                     c.heard = Some((at, how));
                 }
             }
             // A machine that goes dark once more while it is has been so all the time.
-            Sight::Dark { engine, on: true } => {
+            ObservedEvent::Dark { engine, on: true } => {
                 self.open_dark.entry(engine).or_insert(at);
             }
-            Sight::Dark { engine, on: false } => {
+            ObservedEvent::Dark { engine, on: false } => {
                 self.dark
                     .extend(self.open_dark.remove(&engine).map(|from| (from, at)));
             }
-            Sight::Killed { node, run } => self.killed_nodes.push((node, run, at)),
+            ObservedEvent::Killed { node, run } => self.killed_nodes.push((node, run, at)),
             // A notice that says the same again does not begin its time anew.
-            Sight::Told {
+            ObservedEvent::Told {
                 node,
                 engine,
                 ready: false,
             } => {
                 self.told.entry((node, engine)).or_insert(at);
             }
-            Sight::Told {
+            ObservedEvent::Told {
                 node,
                 engine,
                 ready: true,
             } => drop(self.told.remove(&(node, engine))),
-            Sight::Began { .. } | Sight::Still { .. } => {}
+            ObservedEvent::Began { .. } | ObservedEvent::Still { .. } => {}
         }
     }
 
@@ -402,19 +423,19 @@
             .any(|(n, _, at)| *n == node && *at >= from && *at <= to)
     }
 
-    fn lost(&self, id: u64, limits: &Limits, out: &mut Audit) {
+    fn lost(&self, id: u64, limits: &RuleLimits, out: &mut RuleReport) {
         let call = &self.calls[&id];
         let name = match call.heard.map(|h| h.1) {
             None => "nothing",
-            Some(Heard::Served) => "served",
-            Some(Heard::Refused) => "refused",
-            Some(Heard::Failed) => "failed",
-            Some(Heard::Unreachable) => "unreachable",
-            Some(Heard::Left) => "left",
-            Some(Heard::GaveUp) => "gave up",
-            Some(Heard::Wrong) => "wrong",
+            Some(ClientOutcome::Served) => "served",
+            Some(ClientOutcome::Rejected) => "refused",
+            Some(ClientOutcome::Failed) => "failed",
+            Some(ClientOutcome::Unreachable) => "unreachable",
+            Some(ClientOutcome::Disconnected) => "left",
+            Some(ClientOutcome::TimedOut) => "gave up",
+            Some(ClientOutcome::Wrong) => "wrong",
         };
-        *out.heard.entry(name).or_default() += 1;
+        *out.outcomes.entry(name).or_default() += 1;
         let Some((at, how)) = call.heard else {
             if self
                 .goes_on
@@ -431,9 +452,12 @@
         let killed = self.node_killed(call.node, since, at.saturating_add(limits.flight));
         let answered = matches!(
             how,
-            Heard::Served | Heard::Refused | Heard::Failed | Heard::Left
-        ) || how == Heard::Unreachable && killed
-            || how == Heard::GaveUp && killed;
+            ClientOutcome::Served
+                | ClientOutcome::Rejected
+                | ClientOutcome::Failed
+                | ClientOutcome::Disconnected
+        ) || how == ClientOutcome::Unreachable && killed
+            || how == ClientOutcome::TimedOut && killed;
         out.rules[0].check(answered, || {
             let wait = (call.until - call.at) / 1000;
             format!(
@@ -470,10 +494,10 @@
         }
     }
 
-    fn twice(&self, operation: u64, limits: &Limits, out: &mut Audit) {
+    fn twice(&self, operation: u64, limits: &RuleLimits, out: &mut RuleReport) {
         let calls = &self.operations[&operation];
         let effect = self.calls[&calls[0]].effect;
-        let mut ran: Vec<(Micros, u64, Key)> = calls
+        let mut ran: Vec<(Micros, u64, AttemptKey)> = calls
             .iter()
             .flat_map(|c| self.ran.get(c).into_iter().flatten())
             .copied()
@@ -481,10 +505,10 @@
         ran.sort();
         let refused = calls
             .iter()
-            .filter(|c| matches!(self.calls[c].heard, Some((_, Heard::Refused))));
+            .filter(|c| matches!(self.calls[c].heard, Some((_, ClientOutcome::Rejected))));
         match effect {
-            Effect::Safe => out.rules[1].check(true, String::new),
-            Effect::Unsafe => {
+            CallIdempotency::Idempotent => out.rules[1].check(true, String::new),
+            CallIdempotency::NonIdempotent => {
                 out.rules[1].check(ran.len() <= 1, || {
                     format!("unsafe request {operation:x} ran {} times", ran.len())
                 });
@@ -495,12 +519,12 @@
                         .check(!did, || format!("unsafe call {call:x} ran and was refused"));
                 }
             }
-            Effect::Keyed(window, group) => {
-                let place = |e: u64| limits.places.get(&e).copied().unwrap_or_default();
+            CallIdempotency::WithKey(window, group) => {
+                let place = |e: u64| limits.locations.get(&e).copied().unwrap_or_default();
                 let same = |a: u64, b: u64| match group {
-                    Group::All => true,
-                    Group::Zone => place(a).1 == place(b).1,
-                    Group::Cell => place(a).0 == place(b).0,
+                    KeyScope::All => true,
+                    KeyScope::Zone => place(a).1 == place(b).1,
+                    KeyScope::Rack => place(a).0 == place(b).0,
                 };
                 // Attempts of one call after one that may have run stay in its group and window.
                 for call in calls {
@@ -510,7 +534,7 @@
                     let keys = self.by_call.get(call).into_iter().flatten();
                     for key in keys.filter(|k| k.attempt > first.2.attempt) {
                         let t = &self.tries[key];
-                        if t.kind == Kind::Write {
+                        if t.kind == CallKind::Decode {
                             let sent = self.tries.get(&first.2).map_or(first.0, |t| t.arrived);
                             let inside = same(t.engine, first.1)
                                 && t.arrived.saturating_sub(sent)
@@ -520,8 +544,9 @@
                             });
                         }
                     }
-                    let said_no = matches!(self.calls[call].heard, Some((_, Heard::Refused)));
-                    out.rules[1].check(!said_no || group == Group::All, || {
+                    let said_no =
+                        matches!(self.calls[call].heard, Some((_, ClientOutcome::Rejected)));
+                    out.rules[1].check(!said_no || group == KeyScope::All, || {
                         format!("keyed call {call:x} ran and was refused, which its group does not allow")
                     });
                 }
@@ -529,11 +554,11 @@
         }
     }
 
-    fn drains(&self, seen: &Seen, limits: &Limits, out: &mut Audit) {
+    fn drains(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
         match seen.what {
             // A notice after which nothing came is a rule kept, too.
-            Sight::Told { ready: false, .. } => out.rules[2].check(true, String::new),
-            Sight::Arrived { engine, key, .. } => {
+            ObservedEvent::Told { ready: false, .. } => out.rules[2].check(true, String::new),
+            ObservedEvent::Arrived { engine, key, .. } => {
                 let Some(since) = self.told.get(&(key.node, engine)) else {
                     return;
                 };
@@ -550,16 +575,16 @@
         }
     }
 
-    fn cold(&self, seen: &Seen, limits: &Limits, out: &mut Audit) {
+    fn cold(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
         let at = seen.at;
         match seen.what {
-            Sight::Down {
+            ObservedEvent::Down {
                 engine,
                 pushed: true,
             } => out.rules[3].check(false, || {
                 format!("engine {engine:x} was pushed over at {} ms", at / 1000)
             }),
-            Sight::Arrived { engine, .. } => {
+            ObservedEvent::Arrived { engine, .. } => {
                 let Some((up, true, capacity)) = self.up.get(&engine) else {
                     return;
                 };
@@ -585,8 +610,8 @@
     }
 
     /// The time that a call tells its engine ends with the client's, give or take what is allowed.
-    fn deadline(&self, seen: &Seen, limits: &Limits, out: &mut Audit) {
-        let Sight::Arrived {
+    fn deadline(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
+        let ObservedEvent::Arrived {
             call,
             timeout: Some(timeout),
             engine,
@@ -608,10 +633,10 @@
         });
     }
 
-    fn pinned(&self, kept: &KeptThing, limits: &Limits, end: Micros, out: &mut Audit) {
+    fn pinned(&self, kept: &KeptThing, limits: &RuleLimits, end: Micros, out: &mut RuleReport) {
         let (engine, key, place, from, to) = kept;
         let how = to.map(|t| t.1);
-        if how == Some(Gone::Expired) {
+        if how == Some(RetentionEnd::Expired) {
             out.expired += 1;
         }
         // A dead node lets go of nothing; engines' own limit does.
@@ -621,8 +646,8 @@
         let to = to.map_or(end, |t| t.0);
         // The request's spans with an attempt out, and the longest time in which it was kept while none was.
         let (first, last) = (
-            Key { attempt: 0, ..*key },
-            Key {
+            AttemptKey { attempt: 0, ..*key },
+            AttemptKey {
                 attempt: u32::MAX,
                 ..*key
             },
@@ -657,13 +682,13 @@
     }
 
     /// What the engines saw of a request's attempts, in milliseconds from a moment.
-    fn story(&self, key: &Key, zero: Micros) -> String {
+    fn story(&self, key: &AttemptKey, zero: Micros) -> String {
         let ms = |at: Micros| (at as f64 - zero as f64) / 1e3;
         let of = self
             .tries
             .iter()
             .filter(|(k, _)| (k.node, k.request) == (key.node, key.request));
-        let one = |(k, t): (&Key, &Try)| {
+        let one = |(k, t): (&AttemptKey, &Try)| {
             let ended = t.ended.map_or("open".into(), |at| format!("{:.1}", ms(at)));
             format!(
                 "#{} {:?} at {:x} from {:.1} to {ended}",
@@ -676,8 +701,9 @@
         of.map(one).collect::<Vec<_>>().join(", ")
     }
 
-    fn overlaps(&self, keys: &[Key], limits: &Limits, out: &mut Audit) {
-        let mut tries: Vec<(&Key, &Try)> = keys.iter().map(|k| (k, &self.tries[k])).collect();
+    fn overlaps(&self, keys: &[AttemptKey], limits: &RuleLimits, out: &mut RuleReport) {
+        let mut tries: Vec<(&AttemptKey, &Try)> =
+            keys.iter().map(|k| (k, &self.tries[k])).collect();
         tries.sort_by_key(|(k, _)| k.attempt);
         for pair in tries.windows(2) {
             let ((_, a), (_, b)) = (pair[0], pair[1]);
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -12,15 +12,15 @@
 pub mod play;
 pub mod process;
 
-use crate::enlist;
-use crate::scene::{ivyward_flags, limits, settings, SceneError};
+use crate::local_cluster::{ivyward_flags, limits, settings, LocalClusterError};
+use crate::registration;
 use ivyward::core::interface::Settings;
 use ivyward::registration::State;
 use ivyward::NodeSettings;
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::Sight;
-use ivyward_fakes::{audit, Audit, Engine, Host, Log, Role, Spec};
+use ivyward_fakes::event_log::ObservedEvent;
+use ivyward_fakes::{check, Engine, EngineSpec, EventLog, Host, Role, RuleReport};
 use ivyward_runtime::{Micros, Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
 use links::{End, Links};
 use process::{Process, View};
@@ -60,7 +60,7 @@
     },
     /// The stand-ins fail.
     #[error(transparent)]
-    Scene(#[from] SceneError),
+    Scene(#[from] LocalClusterError),
     /// Something that had to come about did not.
     #[error("{0}")]
     Never(String),
@@ -104,10 +104,10 @@
 pub struct Cluster {
     runtime: Arc<SmolRuntime>,
     links: Links,
-    log: Log,
+    log: EventLog,
     size: Size,
     rules: Settings,
-    specs: Vec<Spec>,
+    specs: Vec<EngineSpec>,
     engines: Vec<Engine>,
     store: Option<Store>,
     places: Vec<Place>,
@@ -135,23 +135,23 @@
         // The relays of hundreds of processes take more than one core; a late relay would look like a late node.
         let runtime = SmolRuntime::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
         let as_ref: RuntimeRef = runtime.clone();
-        let (log, host): (Log, Arc<dyn Host>) = (Log::new(&as_ref), Arc::new(Threads));
+        let (log, host): (EventLog, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
         let rules = Settings {
             replica_count: size.nodes as u32,
             ..settings().rules
         };
         let spec = |id: u64| {
             let role = if id % 5 < 2 {
-                Role::Reader
+                Role::Prefill
             } else {
-                Role::Writer
+                Role::Decode
             };
-            Spec {
-                falls: (rules.overload_multiple, rules.overload_window),
-                ..Spec::small(id, role)
+            EngineSpec {
+                overload: (rules.overload_multiple, rules.overload_window),
+                ..EngineSpec::small(id, role)
             }
         };
-        let specs: Vec<Spec> = (1..=size.engines as u64).map(spec).collect();
+        let specs: Vec<EngineSpec> = (1..=size.engines as u64).map(spec).collect();
         let engines = specs.iter().map(|s| Engine::start(&host, &log, s.clone()));
         let engines = engines
             .collect::<std::io::Result<Vec<Engine>>>()
@@ -207,8 +207,11 @@
             for engine in &self.engines {
                 let id = engine.spec().id;
                 let through = self.relay(End::Node(node), End::Engine(id), engine.address())?;
-                let mut entry =
-                    crate::scene::listed(engine, ivyward::core::interface::EndpointState::Ready, 0);
+                let mut entry = crate::local_cluster::listed(
+                    engine,
+                    ivyward::core::interface::EndpointState::Ready,
+                    0,
+                );
                 entry.address = through;
                 listed.push(entry);
             }
@@ -220,7 +223,7 @@
                 Some(store) => {
                     let prefix = format!("ivyward/engines-of-{node}/");
                     for (engine, through) in self.engines.iter().zip(&listed) {
-                        let (_, text) = enlist::record(engine, State::Ready, 0);
+                        let (_, text) = registration::record(engine, State::Ready, 0);
                         let text = text
                             .replace(&engine.address().to_string(), &through.address.to_string());
                         store.put(&format!("{prefix}{}", engine.spec().id), &text);
@@ -277,7 +280,7 @@
         &self.runtime
     }
     /// What engines, clients and the script saw.
-    pub fn log(&self) -> &Log {
+    pub fn log(&self) -> &EventLog {
         &self.log
     }
     /// The store, if there is one.
@@ -322,7 +325,7 @@
     /// Kills a node (SIGKILL).
     pub fn kill(&mut self, node: usize) {
         if let Some(process) = self.places[node].process.take() {
-            self.log.add(Sight::Killed {
+            self.log.add(ObservedEvent::Killed {
                 node,
                 run: process.run,
             });
@@ -437,8 +440,8 @@
     }
 
     /// The five rules, from what engines and clients saw.
-    pub fn audit(&self) -> Audit {
-        audit(
+    pub fn audit(&self) -> RuleReport {
+        check(
             &self.log.all(),
             &limits(&self.rules, FLIGHT, &self.specs),
             self.log.now(),
--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -3,8 +3,8 @@
 use crate::cluster::links::{End, Fault};
 use crate::cluster::plan::{Plan, Trouble};
 use crate::cluster::{id, Cluster, ClusterError};
-use ivyward_fakes::sight::{Effect, Heard};
-use ivyward_fakes::{Ask, Client, Habit};
+use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
+use ivyward_fakes::{Client, ClientBehavior, ClientRequest};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{Micros, Runtime, RuntimeExt, RuntimeRef};
 use serde::Serialize;
@@ -121,8 +121,11 @@
                     }
                     if let Some(client) = &client {
                         let call = made.fetch_add(1, Ordering::SeqCst) + 1;
-                        let end = client.ask(&ask(node, call)).await;
-                        served.fetch_add(u64::from(end.how == Heard::Served), Ordering::SeqCst);
+                        let end = client.send(&ask(node, call)).await;
+                        served.fetch_add(
+                            u64::from(end.outcome == ClientOutcome::Served),
+                            Ordering::SeqCst,
+                        );
                     }
                     runtime.sleep(pause).await;
                 }
@@ -139,8 +142,8 @@
     }
 }
 
-fn ask(node: usize, call: u64) -> Ask {
-    Ask {
+fn ask(node: usize, call: u64) -> ClientRequest {
+    ClientRequest {
         request: GenerateRequest {
             prompt: (0..80).map(|t| t ^ ((call as u32) << 8)).collect(),
             max_output_tokens: 6,
@@ -149,11 +152,11 @@
             ..GenerateRequest::default()
         },
         operation: call,
-        effect: Effect::Safe,
+        idempotency: CallIdempotency::Idempotent,
         node,
-        habit: Habit {
+        behavior: ClientBehavior {
             client_timeout: PATIENCE,
-            ..Habit::default()
+            ..ClientBehavior::default()
         },
     }
 }
--- /dev/null
+++ b/crates/ivyward-testbed/src/commands/cluster.rs
@@ -0,0 +1,109 @@
+//! `cluster`: daemons as processes under a plan of faults.
+
+use super::{exit_code, file_error, CommandResult};
+use ivyward_testbed::cluster::plan::Plan;
+use ivyward_testbed::cluster::play::{play, Came, Report};
+use ivyward_testbed::cluster::{Cluster, Size};
+use std::error::Error;
+use std::path::PathBuf;
+
+/// Silence in microseconds after which the daemons take a peer for dead.
+const DEATH_TIMEOUT: u64 = 2_400_000;
+/// Seconds of a node's lease in the store.
+const LEASE: i64 = 5;
+/// Nodes whose addresses the others are given, where there is no store.
+const SEED_NODES: usize = 2;
+
+#[derive(clap::Args)]
+pub struct ClusterCommand {
+    /// The daemon's program.
+    #[arg(long, value_name = "PATH")]
+    daemon: PathBuf,
+    /// Draws the plan.
+    #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
+    seed: u64,
+    /// Node processes.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=300))]
+    nodes: u64,
+    /// Fake engines.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(0..=32))]
+    engines: u64,
+    /// Episodes of the plan.
+    #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(0..=1_000))]
+    episodes: u64,
+    /// Plays this plan instead of a drawn one; nodes and seed are its own.
+    #[arg(long, value_name = "FILE")]
+    plan: Option<PathBuf>,
+    /// Nodes learn of each other and of engines by a store.
+    #[arg(long)]
+    store: bool,
+    /// Keeps the plan and the report in this file.
+    #[arg(long, value_name = "FILE")]
+    keep: Option<PathBuf>,
+}
+
+impl ClusterCommand {
+    pub fn run(self) -> CommandResult {
+        let plan = self.plan()?;
+        println!("{}", serde_json::to_string(&plan).unwrap_or_default());
+        let size = Size {
+            nodes: plan.nodes,
+            engines: self.engines as usize,
+            store: self.store,
+            seeds: if self.store { 0 } else { SEED_NODES },
+            death_after: DEATH_TIMEOUT,
+            lease: LEASE,
+            daemon: self.daemon,
+            seed: plan.seed,
+        };
+        let mut cluster = Cluster::start(size)?;
+        println!(
+            "| fault | lasted, ms | all agree after, ms | kill known to all, ms | false deaths | miscounts |"
+        );
+        println!("| --- | --- | --- | --- | --- | --- |");
+        let report = play(&mut cluster, &plan, print_episode)?;
+        print_report(&report);
+        if let Some(path) = self.keep {
+            let text = serde_json::to_string_pretty(&report).unwrap_or_default();
+            std::fs::write(&path, text).map_err(|error| file_error("--keep", &path, error))?;
+        }
+        Ok(exit_code(report.wrong().is_empty()))
+    }
+
+    fn plan(&self) -> Result<Plan, Box<dyn Error>> {
+        let Some(path) = &self.plan else {
+            let (nodes, episodes) = (self.nodes as usize, self.episodes as usize);
+            return Ok(Plan::draw(self.seed, nodes, episodes));
+        };
+        let text =
+            std::fs::read_to_string(path).map_err(|error| file_error("--plan", path, error))?;
+        Plan::read(&text).map_err(|error| file_error("--plan", path, error))
+    }
+}
+
+fn print_episode(came: &Came) {
+    let fault = serde_json::to_string(&came.fault).unwrap_or_default();
+    let known = came.known_ms.map_or("-".into(), |ms| ms.to_string());
+    println!(
+        "| {fault} | {} | {} | {known} | {} | {} |",
+        came.lasted_ms,
+        came.agreed_ms,
+        came.false_deaths,
+        came.miscounts.len()
+    );
+}
+
+fn print_report(report: &Report) {
+    println!(
+        "joined after {} ms; {:.1} datagrams and {:.0} bytes a second a node; {} of {} calls served; {} of 5 rules kept",
+        report.joined_ms,
+        report.datagrams_s,
+        report.bytes_s,
+        report.calls.1,
+        report.calls.0,
+        report.rules_kept
+    );
+    for line in report.wrong() {
+        println!("wrong: {line}");
+    }
+}
--- /dev/null
+++ b/crates/ivyward-testbed/src/commands/relay_overhead.rs
@@ -0,0 +1,31 @@
+//! `relay-overhead`: what a node adds to a stream, and what a decision costs.
+
+use super::CommandResult;
+use ivyward_testbed::relay_overhead::{costs, rows, text};
+use std::process::ExitCode;
+
+/// Decisions of each fleet that are timed.
+const DECISIONS: usize = 1_600;
+
+#[derive(clap::Args)]
+pub struct RelayOverhead {
+    /// Streams at once; may be given several times.
+    #[arg(long, default_values_t = [1, 64, 1000], value_parser = clap::value_parser!(u64).range(1..=4_000))]
+    streams: Vec<u64>,
+    /// Engines in the fleet; may be given several times.
+    #[arg(long, default_values_t = [30, 130, 500, 2000], value_parser = clap::value_parser!(u64).range(4..=4_000))]
+    fleet: Vec<u64>,
+    /// Rounds of each, after one that warms up.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=100))]
+    rounds: u64,
+}
+
+impl RelayOverhead {
+    pub fn run(self) -> CommandResult {
+        let sizes = |values: &[u64]| values.iter().map(|n| *n as usize).collect::<Vec<_>>();
+        let rows = rows(&sizes(&self.streams), self.rounds as usize)?;
+        let costs = costs(&sizes(&self.fleet), DECISIONS)?;
+        print!("{}", text(&rows, &costs));
+        Ok(ExitCode::SUCCESS)
+    }
+}
--- /dev/null
+++ b/crates/ivyward-testbed/src/commands/soak.rs
@@ -0,0 +1,58 @@
+//! `soak`: random faults against node processes.
+
+use super::{exit_code, CommandResult};
+use ivyward_testbed::soak::{self, Options};
+use std::path::PathBuf;
+
+#[derive(clap::Args)]
+pub struct Soak {
+    /// Node processes.
+    #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u16).range(1..=40))]
+    nodes: u16,
+    /// The first seed.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// So many seeds, one after the other.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=10_000))]
+    seeds: u64,
+    /// Seconds of faults in each.
+    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(4..=3_600))]
+    seconds: u64,
+    /// Plays this plan.
+    #[arg(long, value_name = "FILE")]
+    plan: Option<PathBuf>,
+    /// Keeps logs, plans and configurations of all seeds in this folder.
+    #[arg(long, value_name = "DIR")]
+    keep: Option<PathBuf>,
+    /// The daemon; the one beside this program if left out.
+    #[arg(long, value_name = "PATH")]
+    daemon: Option<PathBuf>,
+}
+
+impl Soak {
+    pub fn run(self) -> CommandResult {
+        let report = soak::play(&self.options()?)?;
+        print!("{}", report.text());
+        Ok(exit_code(report.holds()))
+    }
+
+    fn options(self) -> Result<Options, Box<dyn std::error::Error>> {
+        let daemon = match self.daemon {
+            Some(path) => path,
+            None => std::env::current_exe()?.with_file_name("ivywardd"),
+        };
+        let read = |path: PathBuf| {
+            let text =
+                std::fs::read(&path).map_err(|error| format!("{}: {error}", path.display()))?;
+            serde_json::from_slice(&text).map_err(|error| format!("{}: {error}", path.display()))
+        };
+        Ok(Options {
+            daemon,
+            nodes: self.nodes.into(),
+            seeds: (self.seed, self.seeds),
+            seconds: self.seconds,
+            plan: self.plan.map(read).transpose()?,
+            keep: self.keep,
+        })
+    }
+}
--- a/crates/ivyward-testbed/src/drains.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -1,16 +1,16 @@
 //! How soon a node follows a notice: the last send after a drain, the first to a new engine, and what a change costs by the
 //! size of the fleet.
 
+use crate::fault_plan::Plan;
 use crate::load::{play, Load};
-use crate::plan::Plan;
-use crate::scene::{fleet, io, settings, Make, Scene, SceneError};
+use crate::local_cluster::{fleet, io, settings, ClusterBuilder, LocalCluster, LocalClusterError};
 use ivyward::core::interface::Micros;
 use ivyward::registration::State;
 use ivyward::watcher::Follow;
 use ivyward::{Node, NodeSettings};
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::{Store, StoreFaults};
-use ivyward_fakes::sight::Sight;
+use ivyward_fakes::event_log::ObservedEvent;
 use ivyward_fakes::Host;
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use std::collections::BTreeMap;
@@ -47,14 +47,14 @@
 ];
 
 /// Plays one kind of trouble with the store.
-async fn fault(scene: &Scene, kind: &str) {
+async fn fault(scene: &LocalCluster, kind: &str) {
     let set = |change: &dyn Fn(&mut StoreFaults)| scene.with_store(|s| s.fault(change));
     match kind {
         "lag" => set(&|f| f.lag = vec![0, 200_000]),
         "batches" => set(&|f| f.batch = 60_000),
         "cancelled" => scene.with_store(|s| s.cancel_watches()),
         "mute and compacted" => set(&|f| f.mute_watches = true),
-        "restart" => scene.with_store(Store::die),
+        "restart" => scene.with_store(Store::crash),
         "hang" => set(&|f| f.hang = true),
         "half open" => set(&|f| f.half_open = true),
         _ => set(&|f| f.rate = 60_000),
@@ -67,7 +67,7 @@
         "restart" => {
             // A port that is still taken is tried again.
             while scene
-                .with_store(Store::come_up)
+                .with_store(Store::restart)
                 .is_some_and(|up| up.is_err())
             {
                 scene.runtime.sleep(20_000).await;
@@ -93,8 +93,8 @@
     pub memory: u64,
 }
 
-fn store() -> Result<Store, SceneError> {
-    let host: Arc<dyn Host> = Arc::new(Threads);
+fn store() -> Result<Store, LocalClusterError> {
+    let host: Arc<dyn Host> = Arc::new(OwnThreads);
     Store::start(&host, 1).map_err(io("starting a store"))
 }
 
@@ -102,24 +102,24 @@
 ///
 /// # Errors
 /// When the scene cannot be set up.
-pub fn followed(drains: usize, nodes: usize, faults: bool) -> Result<Followed, SceneError> {
+pub fn followed(drains: usize, nodes: usize, faults: bool) -> Result<Followed, LocalClusterError> {
     let mut store = store()?;
     store
-        .open_doors(nodes)
+        .open_endpoints(nodes)
         .map_err(io("opening doors of a store"))?;
     let mut follow = Follow {
-        endpoints: store.doors().to_vec(),
+        endpoints: store.endpoints().to_vec(),
         ..Follow::default()
     };
     if faults {
         (follow.silence, follow.pauses) = (150_000, (10_000, 100_000));
         follow.etcd.call_timeout = 150_000;
     }
-    let mut make = Make::new(51, fleet(4));
+    let mut make = ClusterBuilder::new(51, fleet(4));
     (make.nodes, make.follow) = (nodes, Some(follow));
     let scene = Arc::new(make.build()?);
     scene.watch_store(store);
-    let put = |scene: &Scene, engine: usize, state| {
+    let put = |scene: &LocalCluster, engine: usize, state| {
         let (key, record) = scene.registration(engine, state, 0);
         scene.with_store(|s| s.put(&key, &record));
     };
@@ -190,7 +190,7 @@
     out.broken = scene.audit().broken();
     for seen in scene.log.all() {
         match seen.what {
-            Sight::Told {
+            ObservedEvent::Told {
                 node,
                 engine,
                 ready: false,
@@ -198,7 +198,7 @@
                 told.insert((node, engine), (seen.at, seen.at));
                 back.remove(&engine);
             }
-            Sight::Told {
+            ObservedEvent::Told {
                 node,
                 engine,
                 ready: true,
@@ -208,7 +208,7 @@
                     back.entry(engine).or_insert(seen.at);
                 }
             }
-            Sight::Arrived { engine, key, .. } => {
+            ObservedEvent::Arrived { engine, key, .. } => {
                 if let Some((_, last)) = told.get_mut(&(key.node, engine)) {
                     *last = seen.at;
                 }
@@ -234,7 +234,7 @@
 ///
 /// # Errors
 /// When a node or a store does not start.
-pub fn changes(fleets: &[usize], count: usize) -> Result<Vec<Change>, SceneError> {
+pub fn changes(fleets: &[usize], count: usize) -> Result<Vec<Change>, LocalClusterError> {
     let mut out = Vec::new();
     for &fleet in fleets {
         let before = memory();
--- a/crates/ivyward-testbed/src/plan.rs
+++ b/crates/ivyward-testbed/src/fault_plan.rs
@@ -8,7 +8,7 @@
 /// Kinds of trouble, by the names that day files use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
+pub enum FaultKind {
     /// Engines die and come back cold.
     Crash,
     /// Engines take work and answer none; their sockets stay open.
@@ -44,26 +44,26 @@
 }
 
 /// All kinds.
-pub const ALL: [Trouble; 16] = [
-    Trouble::Crash,
-    Trouble::Hang,
-    Trouble::Slow,
-    Trouble::Pauses,
-    Trouble::Burst,
-    Trouble::HotKey,
-    Trouble::HeavyTail,
-    Trouble::DiscoveryStale,
-    Trouble::BalancerCrash,
-    Trouble::OriginSlow,
-    Trouble::GiveUp,
-    Trouble::RetryAbuse,
-    Trouble::AnswerLost,
-    Trouble::Ageing,
-    Trouble::Drain,
-    Trouble::Malformed,
+pub const ALL: [FaultKind; 16] = [
+    FaultKind::Crash,
+    FaultKind::Hang,
+    FaultKind::Slow,
+    FaultKind::Pauses,
+    FaultKind::Burst,
+    FaultKind::HotKey,
+    FaultKind::HeavyTail,
+    FaultKind::DiscoveryStale,
+    FaultKind::BalancerCrash,
+    FaultKind::OriginSlow,
+    FaultKind::GiveUp,
+    FaultKind::RetryAbuse,
+    FaultKind::AnswerLost,
+    FaultKind::Ageing,
+    FaultKind::Drain,
+    FaultKind::Malformed,
 ];
 
-impl Trouble {
+impl FaultKind {
     /// Its name.
     pub fn name(self) -> String {
         serde_json::to_value(self)
@@ -75,8 +75,8 @@
     ///
     /// # Errors
     /// A line that lists the names.
-    pub fn named(name: &str) -> Result<Trouble, String> {
-        let names = || ALL.map(Trouble::name).join(", ");
+    pub fn named(name: &str) -> Result<FaultKind, String> {
+        let names = || ALL.map(FaultKind::name).join(", ");
         ALL.into_iter()
             .find(|t| t.name() == name)
             .ok_or_else(|| format!("{name:?} is none of {}", names()))
@@ -85,9 +85,9 @@
 
 /// One trouble of a day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spell {
+pub struct ScheduledFault {
     /// Its kind.
-    pub kind: Trouble,
+    pub kind: FaultKind,
     /// Microseconds from the day's start.
     pub at: Micros,
     /// How long it lasts.
@@ -104,12 +104,12 @@
     /// How long requests arrive, in microseconds.
     pub length: Micros,
     /// Its troubles, in the order of their starts.
-    pub spells: Vec<Spell>,
+    pub spells: Vec<ScheduledFault>,
 }
 
 /// Why a day file cannot be played.
 #[derive(Debug, thiserror::Error)]
-pub enum DayError {
+pub enum ScenarioFileError {
     /// It is no JSON of a day.
     #[error("the day file cannot be read: {0}")]
     Malformed(#[from] serde_json::Error),
@@ -119,7 +119,7 @@
 }
 
 #[derive(Deserialize)]
-struct Day {
+struct ScenarioFile {
     length: Micros,
     #[serde(default)]
     troubles: Vec<DayTrouble>,
@@ -137,20 +137,20 @@
 impl Plan {
     /// Draws a day with these kinds of trouble, or all of them. Spells overlap: each begins in the first two thirds and
     /// lasts from a tenth to a third of the day.
-    pub fn draw(seed: u64, length: Micros, kinds: &[Trouble]) -> Plan {
+    pub fn draw(seed: u64, length: Micros, kinds: &[FaultKind]) -> Plan {
         let mut random = SmallRng::seed_from_u64(seed);
         let kinds = if kinds.is_empty() { &ALL } else { kinds };
-        let spell = |kind: &Trouble| {
+        let spell = |kind: &FaultKind| {
             let at = (length as f64 * random.random_range(0.05..0.65)) as Micros;
             let len = (length as f64 * random.random_range(0.10..0.33)) as Micros;
-            Spell {
+            ScheduledFault {
                 kind: *kind,
                 at,
                 len,
                 size: random.random_range(0.2..1.0),
             }
         };
-        let mut spells: Vec<Spell> = kinds.iter().map(spell).collect();
+        let mut spells: Vec<ScheduledFault> = kinds.iter().map(spell).collect();
         spells.sort_by_key(|s| s.at);
         Plan {
             seed,
@@ -163,24 +163,24 @@
     /// here are named in the second value.
     ///
     /// # Errors
-    /// [`DayError`] when the text is no day.
+    /// [`ScenarioFileError`] when the text is no day.
     pub fn from_day(
         text: &str,
         seed: u64,
         length: Micros,
-    ) -> Result<(Plan, Vec<String>), DayError> {
-        let day: Day = serde_json::from_str(text)?;
+    ) -> Result<(Plan, Vec<String>), ScenarioFileError> {
+        let day: ScenarioFile = serde_json::from_str(text)?;
         if day.length == 0 {
-            return Err(DayError::Empty);
+            return Err(ScenarioFileError::Empty);
         }
         let scale = |span: Micros| (span as f64 / day.length as f64 * length as f64) as Micros;
         let (mut spells, mut unknown) = (Vec::new(), Vec::new());
         for t in &day.troubles {
-            match Trouble::named(&t.kind) {
+            match FaultKind::named(&t.kind) {
                 // Sizes mean shares, multiples or spans by kind; here each is a part of what this machine stands.
                 Ok(kind) => {
                     let size = (t.size / (1.0 + t.size)).clamp(0.2, 1.0);
-                    spells.push(Spell {
+                    spells.push(ScheduledFault {
                         kind,
                         at: scale(t.at),
                         len: scale(t.len),
@@ -202,7 +202,7 @@
     }
 
     /// Whether a kind of trouble is on at a time.
-    pub fn on(&self, kind: Trouble, at: Micros) -> Option<&Spell> {
+    pub fn on(&self, kind: FaultKind, at: Micros) -> Option<&ScheduledFault> {
         self.spells
             .iter()
             .find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&at))
--- a/crates/ivyward-testbed/src/plan/tests.rs
+++ b/crates/ivyward-testbed/src/fault_plan/tests.rs
@@ -8,11 +8,11 @@
         {"kind": "hang", "at": 20000000, "len": 4000000, "size": 0.5, "steps": []},
         {"kind": "meteor", "at": 1, "len": 1}, {"kind": "crash", "at": 0, "len": 10}]}"#;
     let (plan, unknown) = Plan::from_day(text, 1, 10_000_000).unwrap();
-    let kinds: Vec<Trouble> = plan.spells.iter().map(|s| s.kind).collect();
+    let kinds: Vec<FaultKind> = plan.spells.iter().map(|s| s.kind).collect();
     assert_eq!(
         (kinds, unknown),
         (
-            vec![Trouble::Crash, Trouble::Hang],
+            vec![FaultKind::Crash, FaultKind::Hang],
             vec!["meteor".to_string()]
         )
     );
@@ -23,7 +23,7 @@
     assert!(Plan::from_day("{}", 1, 1).is_err());
     assert!(matches!(
         Plan::from_day(r#"{"length": 0}"#, 1, 1),
-        Err(DayError::Empty)
+        Err(ScenarioFileError::Empty)
     ));
 }
 
--- a/crates/ivyward-testbed/src/badday.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -1,18 +1,20 @@
 //! Plays a day's troubles under its load on real sockets, and reports what came of it.
 
+use crate::fault_plan::{FaultKind, Plan, ScheduledFault};
 use crate::load::{play, Load, Tried};
-use crate::plan::{Plan, Spell, Trouble};
-use crate::scene::{settings, Make, Memory, Runs, Scene, SceneError};
+use crate::local_cluster::{
+    settings, ClusterBuilder, LocalCluster, LocalClusterError, NodePlacement, RecordingBuffer,
+};
 use hdrhistogram::Histogram;
 use ivyward::core::interface::{EndpointState, Micros};
 use ivyward::registration::State;
 use ivyward::watcher::Follow;
 use ivyward::NodeSettings;
-use ivyward_fakes::audit::RULES;
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::Heard;
-use ivyward_fakes::{Audit, Host, Role, Spec, Twist};
+use ivyward_fakes::event_log::ClientOutcome;
+use ivyward_fakes::rule_checker::RULES;
+use ivyward_fakes::{EngineSpec, Host, ResponseFault, Role, RuleReport};
 use ivyward_runtime::{Runtime, RuntimeExt};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -28,7 +30,7 @@
 
 /// What to play.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct FaultScenario {
     /// The troubles.
     pub plan: Plan,
     /// The load.
@@ -38,16 +40,16 @@
     /// How many racks of one reader, one mixed engine and two writers.
     pub racks: u16,
     /// How nodes run.
-    pub runs: Runs,
+    pub runs: NodePlacement,
     /// What the auditor takes for in flight on this machine.
     pub flight: Micros,
     /// Nodes follow engines through a store that is among the faulty, instead of being told by the script.
     pub etcd: bool,
 }
 
-impl Day {
+impl FaultScenario {
     /// A day of so many requests, with these kinds of trouble or all.
-    pub fn drawn(seed: u64, requests: usize, kinds: &[Trouble]) -> Day {
+    pub fn drawn(seed: u64, requests: usize, kinds: &[FaultKind]) -> FaultScenario {
         let load = Load {
             requests,
             rate: 200.0,
@@ -55,12 +57,12 @@
         };
         let length = (requests as f64 / load.rate * 1e6) as Micros;
         let plan = Plan::draw(seed, length.max(2_000_000), kinds);
-        Day {
+        FaultScenario {
             plan,
             load,
             nodes: 3,
             racks: 4,
-            runs: Runs::Inside,
+            runs: NodePlacement::Inside,
             flight: 250_000,
             etcd: false,
         }
@@ -68,15 +70,15 @@
 }
 
 /// The engines of a day: slower than those of tests, so that queues form.
-pub fn engines(racks: u16) -> Vec<Spec> {
-    let mut specs = crate::scene::fleet(racks);
+pub fn engines(racks: u16) -> Vec<EngineSpec> {
+    let mut specs = crate::local_cluster::fleet(racks);
     for spec in &mut specs {
         spec.token_gap = 4_000;
         spec.fetch_rate = 400_000.0;
         (spec.slots, spec.queue) = (24, 16);
         spec.capacity = 200.0;
         spec.read_rate = 15_000.0;
-        if spec.role == Role::Reader {
+        if spec.role == Role::Prefill {
             (spec.slots, spec.queue) = (4, 24);
             spec.read_rate = 25_000.0;
             spec.capacity = 150.0;
@@ -88,11 +90,11 @@
 /// What came of a day.
 pub struct Report {
     /// The day.
-    pub day: Day,
+    pub day: FaultScenario,
     /// Every try.
     pub tries: Vec<Tried>,
     /// What the auditor found.
-    pub audit: Audit,
+    pub audit: RuleReport,
     /// The first node's recording.
     pub recording: Vec<u8>,
 }
@@ -101,28 +103,28 @@
 ///
 /// # Errors
 /// When the scene cannot be set up.
-pub fn run(day: Day) -> Result<Report, SceneError> {
-    let memory = Memory::default();
+pub fn run(day: FaultScenario) -> Result<Report, LocalClusterError> {
+    let memory = RecordingBuffer::default();
     let store = match day.etcd {
         false => None,
         true => {
-            let host: Arc<dyn Host> = Arc::new(Threads);
+            let host: Arc<dyn Host> = Arc::new(OwnThreads);
             let open = Store::start(&host, 1)
-                .and_then(|mut store| store.open_doors(day.nodes).map(|()| store));
-            Some(open.map_err(|error| SceneError::Io {
+                .and_then(|mut store| store.open_endpoints(day.nodes).map(|()| store));
+            Some(open.map_err(|error| LocalClusterError::Io {
                 what: "starting a store".into(),
                 error,
             })?)
         }
     };
     let follow = store.as_ref().map(|store| Follow {
-        endpoints: store.doors().to_vec(),
+        endpoints: store.endpoints().to_vec(),
         silence: 400_000,
         empty_grace: 2_000_000,
         pauses: (10_000, 200_000),
         ..Follow::default()
     });
-    let make = Make {
+    let make = ClusterBuilder {
         seed: day.plan.seed,
         engines: engines(day.racks),
         settings: NodeSettings {
@@ -188,7 +190,7 @@
 }
 
 /// Engines for a trouble: up to a share of all, of one role if wanted.
-fn some(scene: &Scene, random: &mut SmallRng, share: f64, role: Option<Role>) -> Vec<usize> {
+fn some(scene: &LocalCluster, random: &mut SmallRng, share: f64, role: Option<Role>) -> Vec<usize> {
     let fits = |i: &usize| role.is_none_or(|r| scene.engine(*i).spec().role == r);
     let mut all: Vec<usize> = (0..scene.engines()).filter(fits).collect();
     all.shuffle(random);
@@ -199,7 +201,7 @@
 
 /// Writes what the list says of an engine into the store, as the engine would.
 fn write_record(
-    scene: &Scene,
+    scene: &LocalCluster,
     engine: usize,
     condition: EndpointState,
     since: Option<Micros>,
@@ -222,7 +224,7 @@
 }
 
 /// A store in trouble: it dies and comes back, loses its history while its watches are mute, ends its watches.
-async fn store_trouble(scene: &Arc<Scene>, spell: &Spell) {
+async fn store_trouble(scene: &Arc<LocalCluster>, spell: &ScheduledFault) {
     let part = spell.len / 6;
     scene.with_store(|s| s.fault(|f| f.mute_watches = true));
     scene.runtime.sleep(part).await;
@@ -231,10 +233,10 @@
         s.fault(|f| f.mute_watches = false);
     });
     scene.runtime.sleep(part).await;
-    scene.with_store(Store::die);
+    scene.with_store(Store::crash);
     scene.runtime.sleep(part).await;
     for _ in 0..50 {
-        if scene.with_store(Store::come_up).is_none_or(|up| up.is_ok()) {
+        if scene.with_store(Store::restart).is_none_or(|up| up.is_ok()) {
             break;
         }
         scene.runtime.sleep(20_000).await;
@@ -247,7 +249,7 @@
 }
 
 async fn list(
-    scene: &Arc<Scene>,
+    scene: &Arc<LocalCluster>,
     plan: &Plan,
     engine: usize,
     condition: EndpointState,
@@ -259,7 +261,7 @@
         return;
     }
     let late = plan
-        .on(Trouble::DiscoveryStale, at)
+        .on(FaultKind::DiscoveryStale, at)
         .map_or(0, |s| (LIST_LATE as f64 * s.size) as Micros);
     for node in 0..scene.nodes() {
         // Nodes hear of it one after the other.
@@ -272,17 +274,17 @@
 }
 
 /// An engine dies, the list learns of it, it comes back cold, and the list learns of that.
-async fn crash(scene: &Arc<Scene>, plan: &Plan, engine: usize, spell: &Spell) {
-    scene.engine(engine).die();
+async fn crash(scene: &Arc<LocalCluster>, plan: &Plan, engine: usize, spell: &ScheduledFault) {
+    scene.engine(engine).crash();
     list(scene, plan, engine, EndpointState::Removed, None, spell.at).await;
     scene.runtime.sleep(spell.len / 2).await;
     come_back(scene, plan, engine, spell).await;
 }
 
-async fn come_back(scene: &Arc<Scene>, plan: &Plan, engine: usize, spell: &Spell) {
+async fn come_back(scene: &Arc<LocalCluster>, plan: &Plan, engine: usize, spell: &ScheduledFault) {
     // A port that is still taken is tried again.
     for _ in 0..50 {
-        if scene.engine(engine).come_up(true).is_ok() {
+        if scene.engine(engine).restart(true).is_ok() {
             break;
         }
         scene.runtime.sleep(20_000).await;
@@ -299,7 +301,7 @@
     .await;
 }
 
-async fn trouble(scene: &Arc<Scene>, plan: &Plan, spell: &Spell, no: usize) {
+async fn trouble(scene: &Arc<LocalCluster>, plan: &Plan, spell: &ScheduledFault, no: usize) {
     let mut random = SmallRng::seed_from_u64(plan.seed.wrapping_mul(31).wrapping_add(no as u64));
     let runtime = scene.runtime.clone();
     let size = spell.size;
@@ -307,24 +309,24 @@
         engines.iter().for_each(|e| scene.engine(*e).fault(change));
     };
     match spell.kind {
-        Trouble::Crash => {
+        FaultKind::Crash => {
             for engine in some(scene, &mut random, 0.2 * size, None) {
                 crash(scene, plan, engine, spell).await;
             }
         }
-        Trouble::Hang => {
+        FaultKind::Hang => {
             let hung = some(scene, &mut random, 0.2 * size, None);
             all(&hung, &|f| f.hang = true);
             runtime.sleep(spell.len).await;
             all(&hung, &|f| f.hang = false);
         }
-        Trouble::Slow => {
+        FaultKind::Slow => {
             let slow = some(scene, &mut random, 0.25, None);
             all(&slow, &|f| f.slow = 2.0 + 6.0 * size);
             runtime.sleep(spell.len).await;
             all(&slow, &|f| f.slow = 1.0);
         }
-        Trouble::Pauses => {
+        FaultKind::Pauses => {
             let engines = some(scene, &mut random, 0.4 * size, None);
             let until = scene.log.now() + spell.len;
             while scene.log.now() < until {
@@ -336,7 +338,7 @@
                 runtime.sleep(span).await;
             }
         }
-        Trouble::BalancerCrash => {
+        FaultKind::BalancerCrash => {
             let node = random.random_range(0..scene.nodes());
             scene.kill_node(node);
             runtime.sleep(spell.len / 2).await;
@@ -347,13 +349,13 @@
                 runtime.sleep(20_000).await;
             }
         }
-        Trouble::OriginSlow => {
-            let readers = some(scene, &mut random, 0.5, Some(Role::Reader));
+        FaultKind::OriginSlow => {
+            let readers = some(scene, &mut random, 0.5, Some(Role::Prefill));
             all(&readers, &|f| f.slow_link = 2.0 + 18.0 * size);
             runtime.sleep(spell.len).await;
             all(&readers, &|f| f.slow_link = 1.0);
         }
-        Trouble::AnswerLost => {
+        FaultKind::AnswerLost => {
             let engines = some(scene, &mut random, 0.5, None);
             all(&engines, &|f| {
                 (f.lose_answer, f.reset) = (0.06 * size, 0.06 * size)
@@ -361,8 +363,8 @@
             runtime.sleep(spell.len).await;
             all(&engines, &|f| (f.lose_answer, f.reset) = (0.0, 0.0));
         }
-        Trouble::Ageing => {
-            let engines = some(scene, &mut random, 0.3, Some(Role::Writer));
+        FaultKind::Ageing => {
+            let engines = some(scene, &mut random, 0.3, Some(Role::Decode));
             for step in 1..=10 {
                 all(&engines, &|f| {
                     f.slow = 1.0 + 5.0 * size * f64::from(step) / 10.0
@@ -375,60 +377,60 @@
                 scene,
                 plan,
                 first,
-                &Spell {
+                &ScheduledFault {
                     len: spell.len / 4,
                     ..spell.clone()
                 },
             )
             .await;
         }
-        Trouble::Drain => {
+        FaultKind::Drain => {
             for engine in some(scene, &mut random, 0.15 * size, None) {
                 scene.engine(engine).drain(true);
                 list(scene, plan, engine, EndpointState::Draining, None, spell.at).await;
                 runtime.sleep(spell.len / 2).await;
-                scene.engine(engine).die();
+                scene.engine(engine).crash();
                 list(scene, plan, engine, EndpointState::Removed, None, spell.at).await;
                 come_back(scene, plan, engine, spell).await;
             }
         }
-        Trouble::Malformed => {
+        FaultKind::Malformed => {
             let engines = some(scene, &mut random, 0.3, None);
             let twists = [
-                Twist::WrongId,
-                Twist::Malformed,
-                Twist::Oversized,
-                Twist::OutOfOrder,
-                Twist::Twice,
-                Twist::AfterEnd,
-                Twist::CutShort,
-                Twist::StatusExhausted,
-                Twist::NoLastWord,
+                ResponseFault::WrongId,
+                ResponseFault::Malformed,
+                ResponseFault::Oversized,
+                ResponseFault::OutOfOrder,
+                ResponseFault::Twice,
+                ResponseFault::AfterEnd,
+                ResponseFault::CutShort,
+                ResponseFault::StatusExhausted,
+                ResponseFault::NoLastWord,
             ];
             let until = scene.log.now() + spell.len;
             while scene.log.now() < until {
                 let twist = twists[random.random_range(0..twists.len())];
                 let engine = engines[random.random_range(0..engines.len())];
                 scene.engine(engine).fault(|f| {
-                    (f.how, f.twist) = (Some(twist), 0.2 * size);
+                    (f.response_fault, f.malformed) = (Some(twist), 0.2 * size);
                     (f.refuse_stream, f.full, f.stall) = (0.1 * size, 0.1 * size, 0.02 * size);
                 });
                 runtime.sleep(spell.len / 8).await;
                 scene.engine(engine).fault(|f| {
-                    (f.twist, f.refuse_stream, f.full, f.stall) = (0.0, 0.0, 0.0, 0.0);
+                    (f.malformed, f.refuse_stream, f.full, f.stall) = (0.0, 0.0, 0.0, 0.0);
                 });
             }
         }
-        Trouble::DiscoveryStale => {
+        FaultKind::DiscoveryStale => {
             store_trouble(scene, spell).await;
             runtime.sleep(spell.len / 6).await;
         }
         // These are the load's.
-        Trouble::Burst
-        | Trouble::HotKey
-        | Trouble::HeavyTail
-        | Trouble::GiveUp
-        | Trouble::RetryAbuse => runtime.sleep(spell.len).await,
+        FaultKind::Burst
+        | FaultKind::HotKey
+        | FaultKind::HeavyTail
+        | FaultKind::GiveUp
+        | FaultKind::RetryAbuse => runtime.sleep(spell.len).await,
     }
 }
 
@@ -450,14 +452,14 @@
 }
 
 impl Ends {
-    fn add(&mut self, how: Heard) {
+    fn add(&mut self, how: ClientOutcome) {
         self.requests += 1;
         match how {
-            Heard::Served => self.served += 1,
-            Heard::Refused => self.refused += 1,
-            Heard::Failed => self.failed += 1,
-            Heard::Left | Heard::Unreachable => self.given_up += 1,
-            Heard::GaveUp | Heard::Wrong => self.broken += 1,
+            ClientOutcome::Served => self.served += 1,
+            ClientOutcome::Rejected => self.refused += 1,
+            ClientOutcome::Failed => self.failed += 1,
+            ClientOutcome::Disconnected | ClientOutcome::Unreachable => self.given_up += 1,
+            ClientOutcome::TimedOut | ClientOutcome::Wrong => self.broken += 1,
         }
     }
 }
@@ -500,7 +502,7 @@
         self.tries
             .iter()
             .filter(|t| of(t))
-            .for_each(|t| ends.add(t.end.how));
+            .for_each(|t| ends.add(t.end.outcome));
         ends
     }
     fn first_tokens(&self, class: Option<usize>) -> BTreeMap<String, f64> {
@@ -508,19 +510,19 @@
             .tries
             .iter()
             .filter(|t| class.is_none_or(|c| t.class == c));
-        percentiles(of.filter_map(|t| t.end.first))
+        percentiles(of.filter_map(|t| t.end.first_token_after))
     }
     fn paces(&self) -> BTreeMap<String, f64> {
         let served = self
             .tries
             .iter()
-            .filter(|t| t.end.how == Heard::Served && t.end.tokens > 1);
-        percentiles(
-            served.filter_map(|t| Some((t.end.took - t.end.first?) / u64::from(t.end.tokens - 1))),
-        )
+            .filter(|t| t.end.outcome == ClientOutcome::Served && t.end.tokens > 1);
+        percentiles(served.filter_map(|t| {
+            Some((t.end.duration - t.end.first_token_after?) / u64::from(t.end.tokens - 1))
+        }))
     }
     fn class_names(&self) -> Vec<String> {
-        crate::scene::classes()
+        crate::local_cluster::classes()
             .into_iter()
             .map(|c| c.name)
             .collect()
--- a/crates/ivyward-testbed/src/handover.rs
+++ b/crates/ivyward-testbed/src/kv_transfer.rs
@@ -21,7 +21,7 @@
 
 /// What is played.
 #[derive(Clone, Copy, Debug, clap::Args)]
-pub struct HandoverFlags {
+pub struct KvTransferFlags {
     /// Engines.
     #[arg(long, default_value_t = 1_100, value_parser = clap::value_parser!(u64).range(2..=20_000))]
     engines: u64,
@@ -56,7 +56,7 @@
 
 /// Where states went.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Handovers {
+pub struct KvTransfers {
     /// Requests that were counted.
     pub requests: u64,
     /// States handed over within a rack.
@@ -71,7 +71,7 @@
     pub not_sent: u64,
 }
 
-impl Handovers {
+impl KvTransfers {
     /// A line for people.
     pub fn text(&self) -> String {
         let percent = |n: u64| n as f64 / self.requests.max(1) as f64 * 100.0;
@@ -98,7 +98,7 @@
 }
 
 struct Play {
-    flags: HandoverFlags,
+    flags: KvTransferFlags,
     router: Router,
     engines: BTreeMap<EndpointId, Endpoint>,
     due: BTreeSet<(Micros, u64, Step)>,
@@ -106,10 +106,10 @@
     /// Where requests were read, and how many attempts they had.
     read_at: BTreeMap<u64, EndpointId>,
     attempts: BTreeMap<u64, u16>,
-    seen: Handovers,
+    seen: KvTransfers,
 }
 
-fn fleet(flags: &HandoverFlags) -> Vec<Endpoint> {
+fn fleet(flags: &KvTransferFlags) -> Vec<Endpoint> {
     let entry = |id: u64| {
         let reads = id * flags.prefill / 100 != (id + 1) * flags.prefill / 100;
         let rack = id / flags.rack;
@@ -127,9 +127,9 @@
 }
 
 /// Plays it.
-pub fn play(flags: HandoverFlags) -> Handovers {
+pub fn play(flags: KvTransferFlags) -> KvTransfers {
     let node = NodeSettings {
-        classes: crate::scene::classes(),
+        classes: crate::local_cluster::classes(),
         rules: Settings {
             replica_count: flags.nodes,
             transfer_price: flags.transfer_price,
@@ -147,7 +147,7 @@
         steps: 0,
         read_at: BTreeMap::new(),
         attempts: BTreeMap::new(),
-        seen: Handovers::default(),
+        seen: KvTransfers::default(),
     };
     let begin = 3_600_000_000;
     play.tell(
--- a/crates/ivyward-testbed/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -1,10 +1,10 @@
 //! Sessions and their turns: what clients ask, and how they come back.
 
-use crate::plan::{Plan, Trouble};
-use crate::scene::{seen_effect, Scene};
+use crate::fault_plan::{FaultKind, Plan};
+use crate::local_cluster::{seen_effect, LocalCluster};
 use ivyward::core::interface::Micros;
-use ivyward_fakes::sight::{Effect, Heard};
-use ivyward_fakes::{text, Ask, End, Habit};
+use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
+use ivyward_fakes::{text, ClientBehavior, ClientRequest, ClientResult};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::RuntimeExt;
 use rand::rngs::SmallRng;
@@ -20,7 +20,7 @@
     /// Its class.
     pub class: usize,
     /// How it ended.
-    pub end: End,
+    pub end: ClientResult,
 }
 
 /// The load of a day.
@@ -51,7 +51,7 @@
     let gap = Exp::new(load.rate / 2.0 / 1e6).ok();
     while asked < load.requests {
         let burst = plan
-            .on(Trouble::Burst, at as Micros)
+            .on(FaultKind::Burst, at as Micros)
             .map_or(1.0, |s| 1.0 + 3.0 * s.size);
         at += gap.map_or(0.0, |g| g.sample(&mut random)) / burst;
         let turns = random.random_range(1..=3).min(load.requests - asked);
@@ -77,7 +77,7 @@
 }
 
 /// Plays all sessions and returns every try.
-pub async fn play(scene: &Arc<Scene>, plan: &Arc<Plan>, load: &Load) -> Vec<Tried> {
+pub async fn play(scene: &Arc<LocalCluster>, plan: &Arc<Plan>, load: &Load) -> Vec<Tried> {
     let begun = scene.log.now();
     let tries: Arc<Mutex<Vec<Tried>>> = Arc::default();
     let (done, wait) = async_channel::bounded::<()>(1);
@@ -103,7 +103,7 @@
 }
 
 async fn follow(
-    scene: &Arc<Scene>,
+    scene: &Arc<LocalCluster>,
     plan: &Plan,
     load: &Load,
     session: &Session,
@@ -113,7 +113,7 @@
     let mut random = SmallRng::seed_from_u64(session.seed);
     let now = || scene.log.now() - begun;
     let hot = plan
-        .on(Trouble::HotKey, session.begins)
+        .on(FaultKind::HotKey, session.begins)
         .is_some_and(|s| random.random_bool(0.5 * s.size));
     // Openings by popularity: the first of twelve is asked twelve times as often as the last.
     let opening: u32 = match hot {
@@ -131,7 +131,7 @@
             new *= 4;
         }
         if plan
-            .on(Trouble::HeavyTail, now())
+            .on(FaultKind::HeavyTail, now())
             .is_some_and(|s| random.random_bool(0.1 * s.size))
         {
             new *= 12;
@@ -161,7 +161,7 @@
 
 /// One request with its retries.
 async fn turn(
-    scene: &Arc<Scene>,
+    scene: &Arc<LocalCluster>,
     plan: &Plan,
     session: &Session,
     random: &mut SmallRng,
@@ -173,21 +173,21 @@
     let operation = scene.call_id();
     let effect = seen_effect(&class.settings);
     let abuse = plan
-        .on(Trouble::RetryAbuse, scene.log.now() - begun)
+        .on(FaultKind::RetryAbuse, scene.log.now() - begun)
         .is_some();
     let most_tries = if abuse { 8 } else { 3 };
     for attempt in 0..most_tries {
         let at = scene.log.now() - begun;
         // A front layer spreads clients; one whose node is gone goes to the next.
         let node = (session.node + attempt) % scene.nodes();
-        let mut habit = Habit {
+        let mut habit = ClientBehavior {
             client_timeout: class.settings.deadline,
-            ..Habit::default()
+            ..ClientBehavior::default()
         };
         habit.client_timeout =
             (habit.client_timeout as f64 * random.random_range(0.5..1.0)) as Micros;
         if plan
-            .on(Trouble::GiveUp, at)
+            .on(FaultKind::GiveUp, at)
             .is_some_and(|s| random.random_bool(0.6 * s.size))
         {
             habit.leave_after = Some(random.random_range(1_000..400_000));
@@ -206,19 +206,19 @@
             call_id: scene.call_id(),
             ..GenerateRequest::default()
         };
-        let ask = Ask {
+        let ask = ClientRequest {
             request,
             operation,
-            effect,
+            idempotency: effect,
             node,
-            habit,
+            behavior: habit,
         };
         let Some(end) = scene.send(&ask).await else {
             // Nobody there: nothing was sent.
             scene.runtime.sleep(20_000).await;
             continue;
         };
-        let how = end.how;
+        let how = end.outcome;
         let pause = if abuse {
             1_000
         } else {
@@ -233,10 +233,14 @@
                 end,
             });
         let again = match (how, effect) {
-            (Heard::Refused, _) => true,
+            (ClientOutcome::Rejected, _) => true,
             // A failure promises nothing: only what may be repeated freely is.
-            (Heard::Failed | Heard::Unreachable, Effect::Safe) => true,
-            (Heard::Failed | Heard::Unreachable, Effect::Keyed(..)) => true,
+            (ClientOutcome::Failed | ClientOutcome::Unreachable, CallIdempotency::Idempotent) => {
+                true
+            }
+            (ClientOutcome::Failed | ClientOutcome::Unreachable, CallIdempotency::WithKey(..)) => {
+                true
+            }
             _ => false,
         };
         if !again {
--- a/crates/ivyward-testbed/src/scene.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -1,7 +1,7 @@
 //! Nodes, engines and clients on loopback, with one log of what engines and clients saw.
 
 use crate::child_process::end_with_parent;
-use crate::enlist;
+use crate::registration;
 use futures_lite::future::block_on;
 use ivyward::core::interface::{
     Action, ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency,
@@ -10,11 +10,12 @@
 use ivyward::recording::{RecordingError, RecordingReader};
 use ivyward::registration::{Record, State, PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::engine::Threads;
-use ivyward_fakes::etcd::{Shown, Store, Witness};
-use ivyward_fakes::sight::{Effect as Seen, Group};
+use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::etcd::{Observer, Shown, Store};
+use ivyward_fakes::event_log::{CallIdempotency, KeyScope};
 use ivyward_fakes::{
-    audit, Ask, Audit, Client, End, Engine, Habit, Host, Limits, Log, Role, Sight, Spec,
+    check, Client, ClientBehavior, ClientRequest, ClientResult, Engine, EngineSpec, EventLog, Host,
+    ObservedEvent, Role, RuleLimits, RuleReport,
 };
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
@@ -29,7 +30,7 @@
 
 /// What went wrong in setting up a scene.
 #[derive(Debug, thiserror::Error)]
-pub enum SceneError {
+pub enum LocalClusterError {
     /// The system said no.
     #[error("{what}: {error}")]
     Io {
@@ -43,9 +44,9 @@
     Node(#[from] ivyward::StartError),
 }
 
-pub(crate) fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> SceneError {
+pub(crate) fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> LocalClusterError {
     let what = what.into();
-    move |error| SceneError::Io { what, error }
+    move |error| LocalClusterError::Io { what, error }
 }
 
 /// What may be in flight after a notice, however much is allowed for the rest on a busy machine.
@@ -53,7 +54,7 @@
 
 /// How nodes run.
 #[derive(Clone, Debug, Default)]
-pub enum Runs {
+pub enum NodePlacement {
     /// In this process, each in a world of its own.
     #[default]
     Inside,
@@ -76,9 +77,9 @@
 
 /// A buffer that a recording is written to and read from.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<Mutex<Vec<u8>>>);
+pub struct RecordingBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Memory {
+impl RecordingBuffer {
     /// What was written so far.
     pub fn bytes(&self) -> Vec<u8> {
         self.0
@@ -88,7 +89,7 @@
     }
 }
 
-impl Write for Memory {
+impl Write for RecordingBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0
             .lock()
@@ -126,32 +127,32 @@
 
 /// What a scene is made of.
 #[derive(Clone)]
-pub struct Make {
+pub struct ClusterBuilder {
     /// Feeds every random choice.
     pub seed: u64,
     /// The engines.
-    pub engines: Vec<Spec>,
+    pub engines: Vec<EngineSpec>,
     /// The nodes' settings.
     pub settings: NodeSettings,
     /// How many nodes.
     pub nodes: usize,
     /// How they run.
-    pub runs: Runs,
-    /// What may be in flight on this machine, for the auditor.
+    pub runs: NodePlacement,
+    /// What may be in flight on this machine, for the rule checker.
     pub flight: Micros,
     /// Nodes in this process follow engines through a store instead of being told.
     pub follow: Option<ivyward::watcher::Follow>,
     /// Records the first node's run.
-    pub record: Option<Memory>,
+    pub record: Option<RecordingBuffer>,
 }
 
 /// Nodes, engines and clients on loopback.
-pub struct Scene {
+pub struct LocalCluster {
     /// The clients' and the script's world.
     pub runtime: Arc<SmolRuntime>,
     /// What was seen.
-    pub log: Log,
-    make: Make,
+    pub log: EventLog,
+    make: ClusterBuilder,
     engines: Vec<Mutex<Engine>>,
     places: Vec<Mutex<Place>>,
     calls: AtomicU64,
@@ -202,17 +203,17 @@
     ]
 }
 
-/// How far a class may be repeated, for the auditor.
-pub fn seen_effect(class: &ClassSettings) -> Seen {
+/// How far a class may be repeated, for the rule checker.
+pub fn seen_effect(class: &ClassSettings) -> CallIdempotency {
     let group = match class.deduplication_scope {
-        DeduplicationScope::All => Group::All,
-        DeduplicationScope::Zone => Group::Zone,
-        DeduplicationScope::Rack => Group::Cell,
+        DeduplicationScope::All => KeyScope::All,
+        DeduplicationScope::Zone => KeyScope::Zone,
+        DeduplicationScope::Rack => KeyScope::Rack,
     };
     match class.idempotency {
-        Idempotency::Idempotent => Seen::Safe,
-        Idempotency::NonIdempotent => Seen::Unsafe,
-        Idempotency::WithKey => Seen::Keyed(class.deduplication_window, group),
+        Idempotency::Idempotent => CallIdempotency::Idempotent,
+        Idempotency::NonIdempotent => CallIdempotency::NonIdempotent,
+        Idempotency::WithKey => CallIdempotency::WithKey(class.deduplication_window, group),
     }
 }
 
@@ -243,29 +244,29 @@
 }
 
 /// A small fleet: `racks` racks, each of one reader, one mixed engine and two writers.
-pub fn fleet(racks: u16) -> Vec<Spec> {
-    let roles = [Role::Reader, Role::Mixed, Role::Writer, Role::Writer];
+pub fn fleet(racks: u16) -> Vec<EngineSpec> {
+    let roles = [Role::Prefill, Role::Mixed, Role::Decode, Role::Decode];
     let of = |rack: u16| {
-        roles.iter().enumerate().map(move |(i, role)| Spec {
-            cell: rack,
-            cold: (0.3, 4_000_000),
-            falls: (4.0, 1_000_000),
-            ..Spec::small(u64::from(rack) * 16 + i as u64 + 1, *role)
+        roles.iter().enumerate().map(move |(i, role)| EngineSpec {
+            rack,
+            warm_up: (0.3, 4_000_000),
+            overload: (4.0, 1_000_000),
+            ..EngineSpec::small(u64::from(rack) * 16 + i as u64 + 1, *role)
         })
     };
     (0..racks).flat_map(of).collect()
 }
 
-impl Make {
+impl ClusterBuilder {
     /// A scene of some engines and one node.
-    pub fn new(seed: u64, engines: Vec<Spec>) -> Make {
+    pub fn new(seed: u64, engines: Vec<EngineSpec>) -> ClusterBuilder {
         let settings = NodeSettings { seed, ..settings() };
-        Make {
+        ClusterBuilder {
             seed,
             engines,
             settings,
             nodes: 1,
-            runs: Runs::Inside,
+            runs: NodePlacement::Inside,
             flight: 250_000,
             follow: None,
             record: None,
@@ -281,11 +282,11 @@
     ///
     /// # Errors
     /// When a socket or a process cannot be had, or the settings do not hold.
-    pub fn build(self) -> Result<Scene, SceneError> {
+    pub fn build(self) -> Result<LocalCluster, LocalClusterError> {
         let runtime = SmolRuntime::start(2, self.seed);
         let as_ref: RuntimeRef = runtime.clone();
-        let log = Log::new(&as_ref);
-        let host: Arc<dyn Host> = Arc::new(Threads);
+        let log = EventLog::new(&as_ref);
+        let host: Arc<dyn Host> = Arc::new(OwnThreads);
         let mut engines = Vec::new();
         for spec in &self.engines {
             engines.push(Mutex::new(
@@ -303,7 +304,7 @@
         };
         let places = (0..self.nodes).map(place).collect();
         let list = Mutex::new(vec![(EndpointState::Ready, None); engines.len()]);
-        let scene = Scene {
+        let scene = LocalCluster {
             runtime,
             log,
             make: self,
@@ -320,7 +321,7 @@
     }
 }
 
-impl Scene {
+impl LocalCluster {
     fn place(&self, node: usize) -> MutexGuard<'_, Place> {
         self.places[node]
             .lock()
@@ -341,7 +342,7 @@
         self.places.len()
     }
     /// What it is made of.
-    pub fn make(&self) -> &Make {
+    pub fn make(&self) -> &ClusterBuilder {
         &self.make
     }
     /// The node itself, where it runs in this process.
@@ -359,13 +360,13 @@
 
     /// The key and the registration record of an engine, as it would write them.
     pub fn registration(&self, i: usize, state: State, started_ms: u64) -> (String, String) {
-        enlist::record(&self.engine(i), state, started_ms)
+        registration::record(&self.engine(i), state, started_ms)
     }
 
     /// The engine registers itself in a store. `skew` is how far its clock is ahead of the others, in seconds.
     pub fn enlist(&self, engine: usize, endpoints: &[SocketAddr], seconds: i64, skew: i64) {
         let unix = self.runtime.unix_micros() as i64 / 1_000 + skew * 1_000;
-        enlist::keep(
+        registration::keep(
             &self.engine(engine),
             endpoints.to_vec(),
             seconds,
@@ -378,7 +379,7 @@
     ///
     /// # Errors
     /// When a socket or a process cannot be had.
-    pub fn start_node(&self, i: usize) -> Result<(), SceneError> {
+    pub fn start_node(&self, i: usize) -> Result<(), LocalClusterError> {
         let (address, starts) = {
             let mut place = self.place(i);
             place.starts += 1;
@@ -395,7 +396,7 @@
             ..self.make.settings.clone()
         };
         let (address, process) = match &self.make.runs {
-            Runs::Inside => {
+            NodePlacement::Inside => {
                 let runtime = SmolRuntime::start(1, seed);
                 let as_ref: RuntimeRef = runtime.clone();
                 let mut follow = self.make.follow.clone();
@@ -426,7 +427,7 @@
                 runtime.run(async move { serving.serve(listener).await });
                 (address, Process::Inside(runtime, node))
             }
-            Runs::Daemon(path) => {
+            NodePlacement::Daemon(path) => {
                 let entries: Vec<Listed> = listed
                     .into_iter()
                     .map(|(e, c, _)| self.entry(e, c, 0))
@@ -447,12 +448,12 @@
             Some(Process::Inside(runtime, node)) => {
                 let run = node.incarnation();
                 // Noted before and after: what breaks while it dies is its death's doing.
-                self.log.add(Sight::Killed { node: i, run });
+                self.log.add(ObservedEvent::Killed { node: i, run });
                 runtime.stop();
                 run
             }
             Some(Process::Daemon(mut child)) => {
-                self.log.add(Sight::Killed { node: i, run: 0 });
+                self.log.add(ObservedEvent::Killed { node: i, run: 0 });
                 // Already gone is as good.
                 let _ = child.kill();
                 let _ = child.wait();
@@ -460,7 +461,7 @@
             }
             None => return,
         };
-        self.log.add(Sight::Killed { node: i, run });
+        self.log.add(ObservedEvent::Killed { node: i, run });
         self.place(i).client = None;
     }
 
@@ -474,7 +475,7 @@
         all.filter(|l| l.1 != EndpointState::Removed).collect()
     }
 
-    /// Changes what the list says of an engine; nodes learn of it by [`Scene::tell`].
+    /// Changes what the list says of an engine; nodes learn of it by [`LocalCluster::tell`].
     pub fn list(&self, engine: usize, condition: EndpointState, since: Option<Micros>) {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine] = (condition, since);
     }
@@ -512,7 +513,7 @@
         );
         if took.await {
             let ready = condition == EndpointState::Ready;
-            self.log.add(Sight::Told {
+            self.log.add(ObservedEvent::Told {
                 node: handle.incarnation(),
                 engine: entry.endpoint.id.0,
                 ready,
@@ -530,12 +531,12 @@
 
     /// Takes a store's sight of what it showed to each node as the time at which the node was told.
     pub fn watch_store(self: &Arc<Self>, store: Store) {
-        store.witness(self.witness());
+        store.set_observer(self.witness());
         *self.store.lock().unwrap_or_else(PoisonError::into_inner) = Some(store);
     }
 
     /// Notes what a store shows through a door for each node as what that node was told.
-    pub fn witness(self: &Arc<Self>) -> Witness {
+    pub fn witness(self: &Arc<Self>) -> Observer {
         let scene = Arc::downgrade(self);
         let known: Mutex<Vec<BTreeSet<u64>>> = Mutex::new(vec![BTreeSet::new(); self.nodes()]);
         Arc::new(move |door, shown| {
@@ -546,7 +547,7 @@
                 return;
             };
             for (engine, ready) in notices(&shown, known) {
-                scene.log.add(Sight::Told {
+                scene.log.add(ObservedEvent::Told {
                     node: node.incarnation(),
                     engine,
                     ready,
@@ -588,7 +589,7 @@
     }
 
     /// A request of a class for a node, with a name of its own.
-    pub fn ask(&self, node: usize, class: usize, prompt: Vec<u32>, most: u32) -> Ask {
+    pub fn ask(&self, node: usize, class: usize, prompt: Vec<u32>, most: u32) -> ClientRequest {
         let call = self.call_id();
         let named = &self.make.settings.classes[class];
         let request = GenerateRequest {
@@ -599,37 +600,41 @@
             idempotency_key: format!("op-{call}"),
             ..GenerateRequest::default()
         };
-        let habit = Habit {
+        let habit = ClientBehavior {
             client_timeout: named.settings.deadline,
-            ..Habit::default()
+            ..ClientBehavior::default()
         };
-        Ask {
+        ClientRequest {
             request,
             operation: call,
-            effect: seen_effect(&named.settings),
+            idempotency: seen_effect(&named.settings),
             node,
-            habit,
+            behavior: habit,
         }
     }
 
     /// Sends a request and follows it to its end; `None` if the node cannot be reached.
-    pub async fn send(&self, ask: &Ask) -> Option<End> {
-        Some(self.client(ask.node).await.ok()?.ask(ask).await)
+    pub async fn send(&self, ask: &ClientRequest) -> Option<ClientResult> {
+        Some(self.client(ask.node).await.ok()?.send(ask).await)
     }
 
     /// The same; the client leaves as soon as `leave` is over.
-    pub async fn send_until(&self, ask: &Ask, leave: impl Future<Output = ()>) -> Option<End> {
+    pub async fn send_until(
+        &self,
+        ask: &ClientRequest,
+        leave: impl Future<Output = ()>,
+    ) -> Option<ClientResult> {
         Some(
             self.client(ask.node)
                 .await
                 .ok()?
-                .ask_until(ask, leave)
+                .send_until(ask, leave)
                 .await,
         )
     }
 
     /// What the auditor allows and asks for here.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> RuleLimits {
         limits(
             &self.make.settings.rules,
             self.make.flight,
@@ -645,7 +650,7 @@
                 .filter_map(|n| self.node(n))
                 .map(|n| n.open_requests())
                 .sum();
-            let kept: usize = (0..self.engines()).map(|e| self.engine(e).kept()).sum();
+            let kept: usize = (0..self.engines()).map(|e| self.engine(e).retained()).sum();
             if open + kept == 0 {
                 break;
             }
@@ -654,12 +659,12 @@
     }
 
     /// Checks the rules on what was seen so far.
-    pub fn audit(&self) -> Audit {
-        audit(&self.log.all(), &self.limits(), self.log.now())
+    pub fn audit(&self) -> RuleReport {
+        check(&self.log.all(), &self.limits(), self.log.now())
     }
 }
 
-impl Drop for Scene {
+impl Drop for LocalCluster {
     fn drop(&mut self) {
         for i in 0..self.nodes() {
             self.kill_node(i);
@@ -705,8 +710,8 @@
 /// The kind, as the node's settings count them, of what a stand-in does.
 pub fn kind(role: Role) -> u8 {
     match role {
-        Role::Reader => 0,
-        Role::Writer => 1,
+        Role::Prefill => 0,
+        Role::Decode => 1,
         Role::Mixed => 2,
     }
 }
@@ -721,7 +726,7 @@
         id: EndpointId(spec.id),
         zone: 0,
         machine_type: kind(spec.role),
-        rack: spec.cell,
+        rack: spec.rack,
         state: condition,
         weight: 1.0,
         started_at: started,
@@ -733,8 +738,8 @@
 }
 
 /// What the auditor allows and asks for, by the nodes' own rules.
-pub fn limits(rules: &Settings, flight: Micros, engines: &[Spec]) -> Limits {
-    Limits {
+pub fn limits(rules: &Settings, flight: Micros, engines: &[EngineSpec]) -> RuleLimits {
+    RuleLimits {
         flight,
         notice_flight: flight.min(MOST_NOTICE_FLIGHT),
         drain_grace: rules.drain_grace,
@@ -743,7 +748,7 @@
         initial_capacity: rules.initial_capacity,
         warm_up_duration: rules.warm_up_duration,
         release_within: rules.release_within,
-        places: engines.iter().map(|s| (s.id, (s.cell, 0))).collect(),
+        locations: engines.iter().map(|s| (s.id, (s.rack, 0))).collect(),
     }
 }
 
@@ -753,7 +758,7 @@
     settings: &NodeSettings,
     engines: &[Listed],
     at: SocketAddr,
-) -> Result<(Child, SocketAddr), SceneError> {
+) -> Result<(Child, SocketAddr), LocalClusterError> {
     let mut command = Command::new(path);
     end_with_parent(&mut command);
     command
--- a/crates/ivyward-testbed/src/byhand.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -1,13 +1,13 @@
 //! A fleet to try a daemon with: engines and a store on addresses of one's choice, faults by a line, and one request.
 
-use crate::enlist;
-use crate::scene::{kind, ROLES};
+use crate::local_cluster::{kind, ROLES};
+use crate::registration;
 use futures_lite::future::or;
 use ivyward::registration::State;
-use ivyward_fakes::client::{deadline, last_word, GENERATE};
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::client::{deadline, final_metadata, GENERATE};
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::{Engine, Host, Log, Spec};
+use ivyward_fakes::{Engine, EngineSpec, EventLog, Host};
 use ivyward_grpc::{encode, Cause, Channel, Options};
 use ivyward_proto::front::{GenerateRequest, Tokens};
 use ivyward_runtime::{Runtime, RuntimeRef, SmolRuntime};
@@ -121,18 +121,18 @@
         }
         Order::Lose(share) => engine.fault(|f| f.lose_answer = share),
         Order::Full(share) => engine.fault(|f| f.full = share),
-        Order::Die => engine.die(),
+        Order::Die => engine.crash(),
         Order::Up => {
-            if let Err(e) = engine.come_up(true) {
+            if let Err(e) = engine.restart(true) {
                 return format!("engine {id} cannot come up at {}: {e}", engine.address());
             }
         }
         Order::Show => {}
     }
-    let state = if engine.up() { "up" } else { "down" };
+    let state = if engine.is_running() { "up" } else { "down" };
     format!(
         "engine {id} is {state} and keeps {} states and places",
-        engine.kept()
+        engine.retained()
     )
 }
 
@@ -146,10 +146,10 @@
 
 /// Specs of so many racks of one prefill, one mixed and two decode engines, at the pace of small models: 20,000 prompt
 /// tokens and 50 answer tokens a second.
-pub fn racks(count: u16) -> Vec<Spec> {
-    let specs = crate::scene::fleet(count).into_iter();
+pub fn racks(count: u16) -> Vec<EngineSpec> {
+    let specs = crate::local_cluster::fleet(count).into_iter();
     specs
-        .map(|spec| Spec {
+        .map(|spec| EngineSpec {
             read_rate: 20_000.0,
             fetch_rate: 200_000.0,
             token_gap: 20_000,
@@ -164,14 +164,14 @@
     /// # Errors
     /// When a port cannot be taken.
     pub fn start(
-        specs: Vec<Spec>,
+        specs: Vec<EngineSpec>,
         ip: IpAddr,
         port: u16,
         store: Option<SocketAddr>,
     ) -> Result<Fleet, ByHandError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
-        let (log, host): (_, Arc<dyn Host>) = (Log::new(&as_ref), Arc::new(Threads));
+        let (log, host): (_, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
         let mut engines = Vec::new();
         for (i, spec) in specs.into_iter().enumerate() {
             let port = if port == 0 {
@@ -195,7 +195,7 @@
                 .map_err(|error| ByHandError::Listen { address, error })?;
             for engine in &fleet.engines {
                 let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
-                let (key, record) = enlist::record(&engine, State::Ready, 0);
+                let (key, record) = registration::record(&engine, State::Ready, 0);
                 store.put(&key, &record);
             }
             fleet.store = Some(store);
@@ -215,7 +215,7 @@
         engines
             .map(|e| {
                 let spec = e.spec();
-                let (id, address, cell) = (spec.id, e.address(), spec.cell);
+                let (id, address, cell) = (spec.id, e.address(), spec.rack);
                 format!(
                     "--server=id={id},address={address},role={},cell={cell}",
                     ROLES[usize::from(kind(spec.role))]
@@ -283,7 +283,7 @@
                 eprintln!("ivyward-testbed: {e}; tried again");
             }
         };
-        enlist::keep(
+        registration::keep(
             &engine,
             endpoints.to_vec(),
             seconds,
@@ -346,7 +346,7 @@
                 }
                 Some(Err(e)) => {
                     let Cause::Status(status) = &e.cause else { break (false, format!("broken: {e}")) };
-                    let (outcome, back) = last_word(&status.metadata);
+                    let (outcome, back) = final_metadata(&status.metadata);
                     let outcome = outcome.unwrap_or("ended");
                     let again = match back {
                         Some(ms) if ms >= 0 => format!("; come back in {ms} ms"),
--- a/crates/ivyward-testbed/src/enlist.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -1,6 +1,6 @@
 //! Writes engines' records into etcd: registers under a lease that is kept alive, and drains.
 
-use crate::scene::kind;
+use crate::local_cluster::kind;
 use ivyward::core::interface::EndpointId;
 use ivyward::registration::{read, Record, Role, State, PREFIX, VERSION};
 use ivyward_etcd::{rpc, Client, EtcdOptions, Kept};
@@ -19,7 +19,7 @@
         role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(kind(spec.role))],
         address: engine.address().to_string(),
         zone: 0,
-        cell: spec.cell,
+        cell: spec.rack,
         weight: 1.0,
         started_ms,
         state,
@@ -41,7 +41,7 @@
     told: impl FnMut(Kept) + Send + 'static,
 ) {
     let (key, record) = record(engine, State::Ready, started_ms);
-    engine.beside(move |runtime| {
+    engine.spawn_beside(move |runtime| {
         Box::pin(async move {
             let client = Client::new(&runtime, endpoints, EtcdOptions::default());
             client
--- a/crates/ivyward-testbed/src/relay.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -1,12 +1,12 @@
 //! What a node adds: streams straight from an engine against the same through a node, in one run; and what a decision
 //! costs by the size of the fleet.
 
-use crate::scene::{io, settings, SceneError};
+use crate::local_cluster::{io, settings, LocalClusterError};
 use hdrhistogram::Histogram;
 use ivyward::core::interface::{Endpoint, EndpointId, EndpointState, ListKind};
 use ivyward::{Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::engine::{Threads, Together};
-use ivyward_fakes::{text, Engine, Host, Log, Role, Spec};
+use ivyward_fakes::engine::{OwnThreads, SharedRuntime};
+use ivyward_fakes::{text, Engine, EngineSpec, EventLog, Host, Role};
 use ivyward_grpc::{encode, CallError, Channel, Options};
 use ivyward_proto::engine as pb;
 use ivyward_proto::front::{GenerateRequest, Tokens};
@@ -68,19 +68,19 @@
 }
 
 impl Pair {
-    fn start(token_gap: Us) -> Result<Pair, SceneError> {
+    fn start(token_gap: Us) -> Result<Pair, LocalClusterError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
-        let host: Arc<dyn Host> = Arc::new(Threads);
-        let spec = Spec {
+        let host: Arc<dyn Host> = Arc::new(OwnThreads);
+        let spec = EngineSpec {
             token_gap,
             slots: 4_096,
             queue: 4_096,
             read_rate: 1e12,
-            ..Spec::small(1, Role::Mixed)
+            ..EngineSpec::small(1, Role::Mixed)
         };
-        let engine =
-            Engine::start(&host, &Log::new(&as_ref), spec).map_err(io("starting an engine"))?;
+        let engine = Engine::start(&host, &EventLog::new(&as_ref), spec)
+            .map_err(io("starting an engine"))?;
         let node_runtime = SmolRuntime::start(1, 2);
         let node_ref: RuntimeRef = node_runtime.clone();
         let settings = NodeSettings {
@@ -121,7 +121,7 @@
         count: usize,
         tokens: u32,
         spread: Us,
-    ) -> Result<(Us, Vec<Us>), SceneError> {
+    ) -> Result<(Us, Vec<Us>), LocalClusterError> {
         let runtime: RuntimeRef = self.runtime.clone();
         let to = if node {
             self.door
@@ -271,7 +271,7 @@
 ///
 /// # Errors
 /// When the scene cannot be set up, or a stream does not end well.
-pub fn rows(counts: &[usize], rounds: usize) -> Result<Vec<Row>, SceneError> {
+pub fn rows(counts: &[usize], rounds: usize) -> Result<Vec<Row>, LocalClusterError> {
     let mut rows = Vec::new();
     for &streams in counts {
         // As many tokens in all at each number of streams, as far as that makes sense.
@@ -321,20 +321,20 @@
 ///
 /// # Errors
 /// When the scene cannot be set up.
-pub fn costs(fleets: &[usize], requests: usize) -> Result<Vec<Cost>, SceneError> {
+pub fn costs(fleets: &[usize], requests: usize) -> Result<Vec<Cost>, LocalClusterError> {
     let mut out = Vec::new();
     for &fleet in fleets {
         let runtime = SmolRuntime::start(2, 1);
         let as_ref: RuntimeRef = runtime.clone();
-        let host: Arc<dyn Host> = Arc::new(Together(as_ref.clone()));
-        let log = Log::new(&as_ref);
+        let host: Arc<dyn Host> = Arc::new(SharedRuntime(as_ref.clone()));
+        let log = EventLog::new(&as_ref);
         let mut engines = Vec::new();
         for i in 0..fleet {
-            let role = [Role::Reader, Role::Mixed, Role::Writer, Role::Writer][i % 4];
-            let spec = Spec {
-                cell: (i / 16) as u16,
+            let role = [Role::Prefill, Role::Mixed, Role::Decode, Role::Decode][i % 4];
+            let spec = EngineSpec {
+                rack: (i / 16) as u16,
                 token_gap: 100,
-                ..Spec::small(i as u64 + 1, role)
+                ..EngineSpec::small(i as u64 + 1, role)
             };
             engines.push(Engine::start(&host, &log, spec).map_err(io("starting an engine"))?);
         }
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -1,15 +1,15 @@
 //! A hollow process: nodes, engines or a store, which do what a run says on standard input until that ends.
 
-use crate::enlist;
+use crate::local_cluster::classes;
+use crate::registration;
 use crate::scale::message::{Order, Reply, Role};
 use crate::scale::usage::{Counted, Counters};
 use crate::scale::ScaleError;
-use crate::scene::classes;
 use ivyward::watcher::{EtcdOptions, Follow};
 use ivyward::{Class, Node, NodeSettings, PeerOptions, PeerStore, Tenant};
-use ivyward_fakes::engine::{Kill, Together};
+use ivyward_fakes::engine::{Kill, SharedRuntime};
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::{Engine, Host, Log, Role as EngineRole, Spec};
+use ivyward_fakes::{Engine, EngineSpec, EventLog, Host, Role as EngineRole};
 use ivyward_runtime::{metered, Meter, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -40,18 +40,18 @@
 }
 
 /// The make of a hollow engine.
-pub fn spec(id: u64) -> Spec {
+pub fn spec(id: u64) -> EngineSpec {
     let reads = id * PREFILL_PERCENT / 100 != (id + 1) * PREFILL_PERCENT / 100;
     let role = if reads {
-        EngineRole::Reader
+        EngineRole::Prefill
     } else {
-        EngineRole::Writer
+        EngineRole::Decode
     };
-    Spec {
+    EngineSpec {
         read_rate: 40_000.0,
         fetch_rate: 400_000.0,
         token_gap: TOKEN_GAP,
-        ..Spec::small(id, role)
+        ..EngineSpec::small(id, role)
     }
 }
 
@@ -128,13 +128,13 @@
             count,
             store,
         } => {
-            let host: Arc<dyn Host> = Arc::new(Together(runtime.clone()));
-            let log = Log::forgetful(runtime);
+            let host: Arc<dyn Host> = Arc::new(SharedRuntime(runtime.clone()));
+            let log = EventLog::forgetful(runtime);
             let mut engines = Vec::new();
             for id in first..first + count {
                 let engine = Engine::start(&host, &log, spec(id));
                 let engine = engine.map_err(ScaleError::io(format!("starting engine {id}")))?;
-                enlist::keep(&engine, vec![store], LEASE, 0, |_| {});
+                registration::keep(&engine, vec![store], LEASE, 0, |_| {});
                 engines.push(engine);
             }
             Ok(Held::Engines(engines))
@@ -219,9 +219,9 @@
         (Order::Revision, Held::Store(store)) => Reply::Each(vec![store.revision().unsigned_abs()]),
         (Order::Change(count), Held::Store(store)) => change(store, count),
         (Order::Restart, Held::Store(store)) => {
-            store.die();
+            store.crash();
             runtime.sleep(500_000).await;
-            match store.come_up() {
+            match store.restart() {
                 Ok(()) => Reply::Done,
                 Err(e) => Reply::Failed(e.to_string()),
             }
--- a/crates/ivyward-testbed/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -3,8 +3,8 @@
 use crate::scale::stage::Stage;
 use crate::scale::ScaleError;
 use hdrhistogram::Histogram;
-use ivyward_fakes::sight::{Effect, Heard};
-use ivyward_fakes::{Ask, Client, End, Habit, Log};
+use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
+use ivyward_fakes::{Client, ClientBehavior, ClientRequest, ClientResult, EventLog};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
         }));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         for (number, real) in stage.real.iter().enumerate() {
-            let log = Log::forgetful(&runtime);
+            let log = EventLog::forgetful(&runtime);
             let client = stage
                 .runtime
                 .block_on(Client::connect(&runtime, &log, real.door));
@@ -128,7 +128,7 @@
                 self.ask(node, number),
             );
             self.runtime.run(async move {
-                let end = client.ask(&ask).await;
+                let end = client.send(&ask).await;
                 count(&tally, &end);
             });
             at += pause;
@@ -136,7 +136,7 @@
         }
     }
 
-    fn ask(&self, node: u64, number: u64) -> Ask {
+    fn ask(&self, node: u64, number: u64) -> ClientRequest {
         let call = node << 32 | number;
         let session = number % self.sessions;
         // A session's prompts have the same beginning.
@@ -149,30 +149,30 @@
             call_id: call,
             ..GenerateRequest::default()
         };
-        let habit = Habit {
+        let habit = ClientBehavior {
             client_timeout: PATIENCE,
-            ..Habit::default()
+            ..ClientBehavior::default()
         };
-        Ask {
+        ClientRequest {
             request,
             operation: call,
-            effect: Effect::Safe,
+            idempotency: CallIdempotency::Idempotent,
             node: node as usize,
-            habit,
+            behavior: habit,
         }
     }
 }
 
-fn count(tally: &Mutex<Tally>, end: &End) {
+fn count(tally: &Mutex<Tally>, end: &ClientResult) {
     let mut tally = lock(tally);
     tally.seen.requests += 1;
     tally.seen.tokens += u64::from(end.tokens);
-    match end.how {
-        Heard::Served => tally.seen.served += 1,
-        Heard::Refused => tally.seen.refused += 1,
+    match end.outcome {
+        ClientOutcome::Served => tally.seen.served += 1,
+        ClientOutcome::Rejected => tally.seen.refused += 1,
         _ => tally.seen.failed += 1,
     }
-    if let Some(first) = end.first {
+    if let Some(first) = end.first_token_after {
         // At most the patience, which the histogram holds.
         let _ = tally.first.record(first);
     }
--- a/crates/ivyward-testbed/src/scale/stage.rs
+++ b/crates/ivyward-testbed/src/scale/stage.rs
@@ -1,13 +1,13 @@
 //! All processes of a run: the store, hollow engines and nodes, the measured node, and daemons that take requests.
 
 use crate::cluster::process::Process;
+use crate::local_cluster::ivyward_flags;
 use crate::scale::child::Hollow;
 use crate::scale::hollow::{request_classes, tenants, LEASE};
 use crate::scale::message::{Order, Role};
 use crate::scale::size::Size;
 use crate::scale::usage::{counters, Proc, Reading};
 use crate::scale::ScaleError;
-use crate::scene::ivyward_flags;
 use ivyward::NodeSettings;
 use ivyward_runtime::{Micros, Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
--- a/crates/ivyward-testbed/src/seeds.rs
+++ b/crates/ivyward-testbed/src/simulation.rs
@@ -3,9 +3,11 @@
 //!
 //! The nodes' and the stand-ins' code is the same as on sockets; only their world differs.
 
-use crate::enlist;
-use crate::peerscene::{disagreements, miscounts, Addresses};
-use crate::scene::{classes, fleet, limits, notices, seen_effect, settings, Memory};
+use crate::local_cluster::{
+    classes, fleet, limits, notices, seen_effect, settings, RecordingBuffer,
+};
+use crate::peer_scenario::{disagreements, miscounts, Addresses};
+use crate::registration;
 use futures_lite::future::or;
 use ivyward::core::interface::{Action, Endpoint, EndpointState, Event, ListKind, Micros};
 use ivyward::core::invariants::Rule;
@@ -16,9 +18,10 @@
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::engine::Kill;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::{Heard, Seen};
+use ivyward_fakes::event_log::{ClientOutcome, LoggedEvent};
 use ivyward_fakes::{
-    audit, audit_so_far, Ask, Client, Engine, Faults, Habit, Host, Live, Log, Sight, Spec, Twist,
+    check, check_so_far, Client, ClientBehavior, ClientRequest, Engine, EngineSpec, EventLog,
+    Faults, Host, ObservedEvent, ResponseFault, RuleChecker,
 };
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
@@ -137,17 +140,17 @@
 }
 
 /// Wrong answers that plans draw from.
-const TWISTS: [Twist; 10] = [
-    Twist::WrongId,
-    Twist::Malformed,
-    Twist::Oversized,
-    Twist::OutOfOrder,
-    Twist::Twice,
-    Twist::AfterEnd,
-    Twist::CutShort,
-    Twist::Stuck,
-    Twist::StatusExhausted,
-    Twist::NoLastWord,
+const TWISTS: [ResponseFault; 10] = [
+    ResponseFault::WrongId,
+    ResponseFault::Malformed,
+    ResponseFault::Oversized,
+    ResponseFault::OutOfOrder,
+    ResponseFault::Twice,
+    ResponseFault::AfterEnd,
+    ResponseFault::CutShort,
+    ResponseFault::Stuck,
+    ResponseFault::StatusExhausted,
+    ResponseFault::NoLastWord,
 ];
 
 /// The size of a scene.
@@ -306,7 +309,7 @@
     /// Virtual time from begin to end.
     pub span: Micros,
     /// All that engines, clients and the script saw, in its order.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<LoggedEvent>,
     /// The recording of each run of a node, with the node's number: what its module was told and did.
     pub records: Vec<(usize, Vec<u8>)>,
     /// What broke first, and the step at which it did.
@@ -331,7 +334,7 @@
     pub fn trace(&self) -> String {
         let ms = |at: Micros| at.saturating_sub(BEGIN) as f64 / 1e3;
         let mut lines = Vec::new();
-        for (i, Seen { at, what }) in self.seen.iter().enumerate() {
+        for (i, LoggedEvent { at, what }) in self.seen.iter().enumerate() {
             lines.push((*at, format!("seen    {what:?}")));
             if let Some(broke) = self.broke.as_ref().filter(|b| b.seen == i + 1) {
                 lines.push((*at, format!("BROKEN  {} (step {})", broke.rule, broke.step)));
@@ -366,7 +369,7 @@
     pub fn last_steps(&self, count: usize) -> Vec<String> {
         let until = self.broke.as_ref().map_or(self.seen.len(), |b| b.seen);
         let from = until.saturating_sub(count);
-        let line = |s: &Seen| {
+        let line = |s: &LoggedEvent| {
             format!(
                 "{:.3} ms {:?}",
                 s.at.saturating_sub(BEGIN) as f64 / 1e3,
@@ -426,7 +429,7 @@
     addresses: Option<(Addresses, HostId)>,
     sim: Sim,
     hosts: Arc<Hosts>,
-    log: Log,
+    log: EventLog,
     runtime: RuntimeRef,
     settings: NodeSettings,
     engines: Vec<Mutex<(Engine, HostId)>>,
@@ -439,7 +442,7 @@
     /// Notices that were shown lately: when, to which run of a node, of which engine.
     notices: Mutex<Vec<(Micros, u64, u64)>>,
     /// What each run of a node was told and did.
-    records: Mutex<Vec<(usize, Memory)>>,
+    records: Mutex<Vec<(usize, RecordingBuffer)>>,
 }
 
 impl Stage {
@@ -448,15 +451,15 @@
     }
 
     fn put(&self, engine: usize, state: State, started: Micros) {
-        let (key, text) = self.engine(engine, |e| enlist::record(e, state, started / 1_000));
+        let (key, text) = self.engine(engine, |e| registration::record(e, state, started / 1_000));
         lock(&self.store).put(&key, &text);
     }
 
     /// The engine registers itself.
     fn enlist(&self, engine: usize, started: Micros) {
-        let endpoints = lock(&self.store).doors()[self.places.len()..].to_vec();
+        let endpoints = lock(&self.store).endpoints()[self.places.len()..].to_vec();
         self.engine(engine, |e| {
-            enlist::keep(e, endpoints, LEASE, started / 1_000, |_| {})
+            registration::keep(e, endpoints, LEASE, started / 1_000, |_| {})
         });
     }
 
@@ -474,7 +477,7 @@
             seed: salt,
             ..self.settings.clone()
         };
-        let record = Memory::default();
+        let record = RecordingBuffer::default();
         let node = Node::start(runtime.clone(), settings, Some(Box::new(record.clone())));
         let node = node.map_err(|e| e.to_string())?;
         if let Some((addresses, _)) = &self.addresses {
@@ -486,7 +489,7 @@
         let (serving, following) = (node.clone(), node.clone());
         runtime.run(async move { serving.serve(listener).await });
         let follow = Follow {
-            endpoints: lock(&self.store).doors()[i..=i].to_vec(),
+            endpoints: lock(&self.store).endpoints()[i..=i].to_vec(),
             silence: 400_000,
             empty_grace: 3_000_000,
             pauses: (10_000, 200_000),
@@ -508,9 +511,9 @@
                 None => return,
             }
         };
-        self.log.add(Sight::Killed { node: i, run });
+        self.log.add(ObservedEvent::Killed { node: i, run });
         self.sim.kill(host, true);
-        self.log.add(Sight::Killed { node: i, run });
+        self.log.add(ObservedEvent::Killed { node: i, run });
         lock(&self.shown)[i].clear();
     }
 
@@ -531,7 +534,7 @@
     /// The store's own sight of what it handed to each node's socket is when that node was told.
     fn witness(self: &Arc<Self>) {
         let stage = Arc::downgrade(self);
-        lock(&self.store).witness(Arc::new(move |door, shown| {
+        lock(&self.store).set_observer(Arc::new(move |door, shown| {
             let Some(stage) = stage.upgrade() else { return };
             let Some((_, node)) = (door < stage.places.len())
                 .then(|| stage.node(door))
@@ -546,7 +549,7 @@
                     lately.retain(|n| n.0 + LAST_MOMENT >= now);
                     lately.push((now, node, engine));
                 }
-                stage.log.add(Sight::Told {
+                stage.log.add(ObservedEvent::Told {
                     node,
                     engine,
                     ready,
@@ -582,21 +585,21 @@
             Fault::Die { engine, word } => {
                 let id = self.engine(engine, |e| e.spec().id);
                 if !word {
-                    self.log.add(Sight::Dark {
+                    self.log.add(ObservedEvent::Dark {
                         engine: id,
                         on: true,
                     });
                 }
                 self.hosts.silent.store(!word, Ordering::SeqCst);
-                self.engine(engine, Engine::die);
+                self.engine(engine, Engine::crash);
                 self.hosts.silent.store(false, Ordering::SeqCst);
                 runtime.sleep(len / 4).await;
                 // The list learns of it late, or not before it is back.
                 lock(&self.store).delete(&self.key(engine));
                 runtime.sleep(len).await;
-                let up = self.engine(engine, |e| e.come_up(true));
+                let up = self.engine(engine, |e| e.restart(true));
                 if !word {
-                    self.log.add(Sight::Dark {
+                    self.log.add(ObservedEvent::Dark {
                         engine: id,
                         on: false,
                     });
@@ -639,12 +642,12 @@
             Fault::Odd { engine, share, how } => {
                 let how = TWISTS.get(how).copied();
                 fault(engine, &|f| {
-                    (f.twist, f.how, f.stall, f.drop_states) =
+                    (f.malformed, f.response_fault, f.stall, f.drop_states) =
                         (share, how, share / 4.0, share > 0.4);
                 });
                 runtime.sleep(len).await;
                 fault(engine, &|f| {
-                    (f.twist, f.stall, f.drop_states) = (0.0, 0.0, false)
+                    (f.malformed, f.stall, f.drop_states) = (0.0, 0.0, false)
                 });
             }
             Fault::Cut { engine, node, back } => {
@@ -708,12 +711,12 @@
                     .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
             }
             Fault::StoreDies => {
-                lock(&self.store).die();
+                lock(&self.store).crash();
                 // What it handed to its sockets in its last moment never left them: nobody was told.
                 let just = self.runtime.now().saturating_sub(LAST_MOMENT);
                 for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
                     if at >= just {
-                        self.log.add(Sight::Told {
+                        self.log.add(ObservedEvent::Told {
                             node,
                             engine,
                             ready: true,
@@ -722,7 +725,7 @@
                 }
                 runtime.sleep(len).await;
                 // Another fault may have brought it back.
-                let up = lock(&self.store).come_up();
+                let up = lock(&self.store).restart();
                 if up.is_ok() {
                     *lock(&self.store_host) = self.hosts.last();
                 }
@@ -796,26 +799,26 @@
                     call_id: call,
                     ..GenerateRequest::default()
                 };
-                let habit = Habit {
+                let habit = ClientBehavior {
                     client_timeout: 2_500_000,
-                    ..Habit::default()
+                    ..ClientBehavior::default()
                 };
-                let effect = ivyward_fakes::sight::Effect::Safe;
-                let ask = Ask {
+                let effect = ivyward_fakes::event_log::CallIdempotency::Idempotent;
+                let ask = ClientRequest {
                     request,
                     operation: call,
-                    effect,
+                    idempotency: effect,
                     node: i,
-                    habit,
+                    behavior: habit,
                 };
-                let mut end = client.ask(&ask).await;
+                let mut end = client.send(&ask).await;
                 // What was refused a share of work while it went badly forgets that by and by.
                 let until = self.runtime.now() + LAST_PATIENCE;
-                while end.how == Heard::Refused && self.runtime.now() < until {
+                while end.outcome == ClientOutcome::Rejected && self.runtime.now() < until {
                     self.runtime.sleep(end.pushback.unwrap_or(50_000)).await;
-                    end = client.ask(&ask).await;
+                    end = client.send(&ask).await;
                 }
-                if end.how != Heard::Served {
+                if end.outcome != ClientOutcome::Served {
                     wrong.push(format!(
                         "a request after everything ended was not served: {end:?}"
                     ));
@@ -844,9 +847,9 @@
             let share = random.random_range(0.3..1.0);
             let client_timeout = (class.settings.deadline as f64 * share) as Micros;
             let (mut habit, mut max_output_tokens) = (
-                Habit {
+                ClientBehavior {
                     client_timeout,
-                    ..Habit::default()
+                    ..ClientBehavior::default()
                 },
                 12,
             );
@@ -874,17 +877,17 @@
                 self.runtime.sleep(30_000).await;
                 continue;
             };
-            let ask = Ask {
+            let ask = ClientRequest {
                 request,
                 operation: no,
-                effect: seen_effect(&class.settings),
+                idempotency: seen_effect(&class.settings),
                 node,
-                habit,
+                behavior: habit,
             };
-            let end = client.ask(&ask).await;
-            let again = match end.how {
-                Heard::Refused => true,
-                Heard::Failed | Heard::Unreachable => {
+            let end = client.send(&ask).await;
+            let again = match end.outcome {
+                ClientOutcome::Rejected => true,
+                ClientOutcome::Failed | ClientOutcome::Unreachable => {
                     class.settings.idempotency
                         != ivyward::core::interface::Idempotency::NonIdempotent
                 }
@@ -1002,7 +1005,7 @@
     wrong: Vec<String>,
     heard: BTreeMap<&'static str, u64>,
     met: BTreeMap<&'static str, u64>,
-    seen: Vec<Seen>,
+    seen: Vec<LoggedEvent>,
     records: Vec<(usize, Vec<u8>)>,
     broke: Option<Break>,
 }
@@ -1021,15 +1024,19 @@
 ];
 
 /// Which of [`CATALOGUE`] came about in a run, and how often.
-fn coincidences(log: &[Seen], plan: &[Timed], engines: &[u64]) -> BTreeMap<&'static str, u64> {
+fn coincidences(
+    log: &[LoggedEvent],
+    plan: &[Timed],
+    engines: &[u64],
+) -> BTreeMap<&'static str, u64> {
     let near = |a: Micros, b: Micros, span: Micros| a.abs_diff(b) <= span;
     let (mut told, mut retries, mut back) = (Vec::new(), Vec::new(), Vec::new());
     let (mut began, mut left) = (BTreeMap::new(), Vec::new());
     let (mut kept, mut dead, mut draining) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     let mut counts = [0u64; 9];
-    for Seen { at, what } in log {
+    for LoggedEvent { at, what } in log {
         match *what {
-            Sight::Told {
+            ObservedEvent::Told {
                 node,
                 engine,
                 ready: false,
@@ -1037,7 +1044,7 @@
                 told.push((*at, node, engine));
                 draining.insert(engine);
             }
-            Sight::Told {
+            ObservedEvent::Told {
                 node,
                 engine,
                 ready: true,
@@ -1045,23 +1052,25 @@
                 back.push((*at, node, engine));
                 draining.remove(&engine);
             }
-            Sight::Arrived { key, .. } if key.attempt >= 2 => retries.push((*at, key.node)),
-            Sight::Kept { key, .. } => drop(kept.insert(key)),
-            Sight::LetGo { key, .. } => drop(kept.remove(&key)),
-            Sight::Killed { run, .. } => counts[3] += u64::from(kept.iter().any(|k| k.node == run)),
-            Sight::Began { call } => drop(began.insert(call, *at)),
-            Sight::Heard {
+            ObservedEvent::Arrived { key, .. } if key.attempt >= 2 => retries.push((*at, key.node)),
+            ObservedEvent::Retained { key, .. } => drop(kept.insert(key)),
+            ObservedEvent::Released { key, .. } => drop(kept.remove(&key)),
+            ObservedEvent::Killed { run, .. } => {
+                counts[3] += u64::from(kept.iter().any(|k| k.node == run))
+            }
+            ObservedEvent::Began { call } => drop(began.insert(call, *at)),
+            ObservedEvent::ClientOutcome {
                 call,
-                how: Heard::Left | Heard::GaveUp,
+                how: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
             } => {
                 left.push(*at);
                 counts[4] += u64::from(began.get(&call).is_some_and(|b| near(*b, *at, 5_000)));
             }
-            Sight::Down { engine, .. } => {
+            ObservedEvent::Down { engine, .. } => {
                 dead.insert(engine);
                 counts[5] += u64::from(draining.contains(&engine));
             }
-            Sight::Up { engine, .. } => drop(dead.remove(&engine)),
+            ObservedEvent::Up { engine, .. } => drop(dead.remove(&engine)),
             _ => {}
         }
     }
@@ -1123,12 +1132,12 @@
     size: Size,
     plan: Vec<Timed>,
 ) -> Result<Done, String> {
-    let log = Log::new(&runtime);
+    let log = EventLog::new(&runtime);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Host> = hosts.clone();
     let mut engines = Vec::new();
     for spec in fleet(size.racks) {
-        let spec = Spec {
+        let spec = EngineSpec {
             read_rate: 20_000.0,
             fetch_rate: 200_000.0,
             token_gap: 3_000,
@@ -1141,7 +1150,7 @@
     let mut store = Store::start(&host, 1).map_err(|e| e.to_string())?;
     // One for each node, and one for the engines, so that what was shown to whom is told apart.
     store
-        .open_doors(size.nodes + 1)
+        .open_endpoints(size.nodes + 1)
         .map_err(|e| e.to_string())?;
     let store_host = Mutex::new(hosts.last());
     let base = settings();
@@ -1246,7 +1255,7 @@
             let _ = broken.try_send(());
         }
     };
-    let live = Mutex::new((Live::new(limits.clone()), 0));
+    let live = Mutex::new((RuleChecker::new(limits.clone()), 0));
     // What was seen while the scene was set up.
     let mut before = Vec::new();
     for seen in log.all() {
@@ -1280,7 +1289,7 @@
                 if let Some(low) = low {
                     return note(log.now(), seen.len(), low);
                 }
-                let found = audit_so_far(&seen, &limits, log.now()).broken();
+                let found = check_so_far(&seen, &limits, log.now()).broken();
                 if let Some(rule) = found.into_iter().next() {
                     return note(log.now(), seen.len(), rule);
                 }
@@ -1297,7 +1306,7 @@
             .map(|n| n.1.open_requests())
             .sum();
         let kept: usize = (0..stage.engines.len())
-            .map(|e| stage.engine(e, |e| e.kept()))
+            .map(|e| stage.engine(e, |e| e.retained()))
             .sum();
         (open, kept)
     };
@@ -1331,8 +1340,8 @@
     }
     // Where it broke off, much is still under way.
     let audit = match broke {
-        Some(_) => audit_so_far(&log.all(), &limits, log.now()),
-        None => audit(&log.all(), &limits, log.now()),
+        Some(_) => check_so_far(&log.all(), &limits, log.now()),
+        None => check(&log.all(), &limits, log.now()),
     };
     if broke.is_none() {
         wrong.extend(audit.broken());
@@ -1364,7 +1373,7 @@
         .collect();
     Ok(Done {
         wrong,
-        heard: audit.heard,
+        heard: audit.outcomes,
         met,
         seen: log.all(),
         records,
--- a/crates/ivyward-testbed/tests/drops.rs
+++ b/crates/ivyward-testbed/tests/cancellation_safety.rs
@@ -1,21 +1,23 @@
 //! Whatever is dropped, and at whichever step, nothing is left behind: futures at each of their polls, processes at many
 //! moments of a request's life. In the virtual world, so that each step is met.
 
-mod stage;
+mod virtual_cluster;
 
 use ivyward::{FinalStatus, Node, ResponsePart};
 use ivyward_core::interface::ListKind;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::Effect;
-use ivyward_fakes::{text, Ask, Client, Habit, Host as Processes, Sight};
+use ivyward_fakes::event_log::CallIdempotency;
+use ivyward_fakes::{
+    text, Client, ClientBehavior, ClientRequest, Host as Processes, ObservedEvent,
+};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
-use ivyward_testbed::seeds::Hosts;
-use stage::{prompt, request, stage, HOUR};
+use ivyward_testbed::simulation::Hosts;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll};
+use virtual_cluster::{prompt, request, virtual_cluster, HOUR};
 
 /// Drops a future that is not done after so many polls.
 struct DropAfter<F: Future> {
@@ -77,7 +79,7 @@
 /// The library's answer, dropped at its first poll, its second, and so on until one comes to its end.
 #[test]
 fn an_answer_dropped_at_each_poll() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let (node, ..) = stage.node(7);
     let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let engines = Arc::new(Mutex::new(stage.engines));
@@ -97,7 +99,7 @@
             };
             let done = drop_after(polls, whole).await;
             drop(answer);
-            let sum = || kept.lock().unwrap().iter().map(|e| e.kept()).sum();
+            let sum = || kept.lock().unwrap().iter().map(|e| e.retained()).sum();
             nothing_left(
                 &runtime,
                 std::slice::from_ref(&node),
@@ -120,7 +122,7 @@
 /// The same with a client's call through the door: what it leaves is a stream reset at each step.
 #[test]
 fn a_call_dropped_at_each_poll() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let (node, address, _) = stage.node(7);
     let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
     let engines = Arc::new(Mutex::new(stage.engines));
@@ -130,20 +132,20 @@
         let client = Client::connect(&runtime, &log, address).await.unwrap();
         for polls in 0.. {
             let call = u64::from(polls) + 1;
-            let habit = Habit {
+            let habit = ClientBehavior {
                 client_timeout: 2_000_000,
-                ..Habit::default()
+                ..ClientBehavior::default()
             };
-            let one = Ask {
+            let one = ClientRequest {
                 request: ask(call),
                 operation: call,
-                effect: Effect::Unsafe,
+                idempotency: CallIdempotency::NonIdempotent,
                 node: 0,
-                habit,
+                behavior: habit,
             };
-            let done = drop_after(polls, client.ask(&one)).await;
+            let done = drop_after(polls, client.send(&one)).await;
             let left = runtime.now();
-            let sum = || kept.lock().unwrap().iter().map(|e| e.kept()).sum();
+            let sum = || kept.lock().unwrap().iter().map(|e| e.retained()).sum();
             nothing_left(
                 &runtime,
                 std::slice::from_ref(&node),
@@ -152,8 +154,9 @@
             )
             .await;
             // A reset is on its way for less than a millisecond; after it nothing is sent for the call.
-            let late = |s: &&ivyward_fakes::Seen| {
-                matches!(s.what, Sight::Arrived { call: c, .. } if c == call) && s.at > left + 2_000
+            let late = |s: &&ivyward_fakes::LoggedEvent| {
+                matches!(s.what, ObservedEvent::Arrived { call: c, .. } if c == call)
+                    && s.at > left + 2_000
             };
             assert_eq!(
                 log.all().iter().filter(late).count(),
@@ -169,8 +172,7 @@
     assert!(played.as_ref().is_ok_and(|polls| *polls >= 3), "{played:?}");
     // One effect at most for each call, and one for the last.
     let ran = |call: u64| {
-        let of =
-            |s: &&ivyward_fakes::Seen| matches!(s.what, Sight::Ran { call: c, .. } if c == call);
+        let of = |s: &&ivyward_fakes::LoggedEvent| matches!(s.what, ObservedEvent::Ran { call: c, .. } if c == call);
         stage.log.all().iter().filter(of).count()
     };
     let last = u64::from(played.unwrap()) + 1;
@@ -183,7 +185,7 @@
 #[test]
 fn a_node_killed_at_each_moment() {
     for moment in 0..60 {
-        let stage = stage();
+        let stage = virtual_cluster();
         let (node, address, _, host) = stage.node_at(7);
         let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
         let (again, its_address, _) = stage.node(8);
@@ -193,16 +195,16 @@
             node.update_endpoints(ListKind::Full, listed.clone()).await;
             again.update_endpoints(ListKind::Full, listed).await;
             let client = Client::connect(&runtime, &log, address).await.unwrap();
-            let habit = Habit {
+            let habit = ClientBehavior {
                 client_timeout: 2_000_000,
-                ..Habit::default()
+                ..ClientBehavior::default()
             };
-            let one = Ask {
+            let one = ClientRequest {
                 request: ask(1),
                 operation: 1,
-                effect: Effect::Safe,
+                idempotency: CallIdempotency::Idempotent,
                 node: 0,
-                habit,
+                behavior: habit,
             };
             let (clock, killer) = (runtime.clone(), sim.clone());
             let at = runtime.now() + 500 * moment;
@@ -210,28 +212,36 @@
                 clock.sleep_until(at).await;
                 killer.kill(host, moment % 2 == 0);
             });
-            client.ask(&one).await;
+            client.send(&one).await;
             let client = Client::connect(&runtime, &log, its_address).await.unwrap();
-            let one = Ask {
+            let one = ClientRequest {
                 request: ask(2),
                 operation: 2,
                 node: 1,
                 ..one
             };
-            let end = client.ask(&one).await;
-            assert_eq!(end.how, ivyward_fakes::sight::Heard::Served, "{end:?}");
+            let end = client.send(&one).await;
+            assert_eq!(
+                end.outcome,
+                ivyward_fakes::event_log::ClientOutcome::Served,
+                "{end:?}"
+            );
             // Longer than engines keep anything for a node that is gone.
             runtime.sleep(60_000_000).await;
             (
                 again.open_requests(),
-                kept.lock().unwrap().iter().map(|e| e.kept()).sum::<usize>(),
+                kept.lock()
+                    .unwrap()
+                    .iter()
+                    .map(|e| e.retained())
+                    .sum::<usize>(),
             )
         });
         assert_eq!(played, Ok((0, 0)), "killed at moment {moment}");
         let log = stage.log.all();
         let ran = |call| {
             log.iter()
-                .filter(|s| matches!(s.what, Sight::Ran { call: c, .. } if c == call))
+                .filter(|s| matches!(s.what, ObservedEvent::Ran { call: c, .. } if c == call))
                 .count()
         };
         assert!(ran(1) <= 1 && ran(2) == 1, "killed at moment {moment}");
@@ -241,7 +251,7 @@
 /// Calls to the store, dropped at each poll: the client goes on as if nothing had been.
 #[test]
 fn calls_to_the_store_dropped_at_each_poll() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let host: Arc<dyn Processes> = Arc::new(Hosts::of(&stage.sim));
     let store = Store::start(&host, 1).unwrap();
     for i in 0..20 {
--- a/crates/ivyward-testbed/tests/cold.rs
+++ b/crates/ivyward-testbed/tests/cold_engines.rs
@@ -5,14 +5,17 @@
 use ivyward::watcher::Follow;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::{Effect, Seen};
-use ivyward_fakes::{audit, Ask, Client, Engine, Habit, Host, Log, Role, Sight, Spec};
+use ivyward_fakes::event_log::{CallIdempotency, LoggedEvent};
+use ivyward_fakes::{
+    check, Client, ClientBehavior, ClientRequest, Engine, EngineSpec, EventLog, Host,
+    ObservedEvent, Role,
+};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use ivyward_sim::{Net, Sim};
-use ivyward_testbed::enlist::keep;
-use ivyward_testbed::scene::{limits, settings};
-use ivyward_testbed::seeds::Hosts;
+use ivyward_testbed::local_cluster::{limits, settings};
+use ivyward_testbed::registration::keep;
+use ivyward_testbed::simulation::Hosts;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
@@ -34,7 +37,7 @@
     let sim = Sim::new(44, Net::default());
     let (script, hosts) = (sim.host(0), Arc::new(Hosts::of(&sim)));
     let (runtime, host): (_, Arc<dyn Host>) = (script.runtime(), hosts);
-    let log = Log::new(&runtime);
+    let log = EventLog::new(&runtime);
     // Little more than its capacity pushes a cold engine over, and what a node gives a warm one would.
     let rules = Settings {
         overload_multiple: 1.2,
@@ -42,16 +45,16 @@
         ..settings().rules
     };
     let spec = |id| {
-        let role = if id <= 2 { Role::Reader } else { Role::Writer };
+        let role = if id <= 2 { Role::Prefill } else { Role::Decode };
         let falls = (rules.overload_multiple, rules.overload_window);
-        Spec {
-            cold: (0.3, 4 * SECOND),
-            falls,
+        EngineSpec {
+            warm_up: (0.3, 4 * SECOND),
+            overload: falls,
             capacity: 40.0,
-            ..Spec::small(id, role)
+            ..EngineSpec::small(id, role)
         }
     };
-    let specs: Vec<Spec> = (1..=2 + WARM + COLD.len() as u64).map(spec).collect();
+    let specs: Vec<EngineSpec> = (1..=2 + WARM + COLD.len() as u64).map(spec).collect();
     let engines: Vec<Engine> = specs
         .iter()
         .map(|s| Engine::start(&host, &log, s.clone()).unwrap())
@@ -100,8 +103,8 @@
             if call == 320 {
                 for (i, skew) in COLD {
                     let mut engines = it.lock().unwrap();
-                    engines[i].die();
-                    engines[i].come_up(true).unwrap();
+                    engines[i].crash();
+                    engines[i].restart(true).unwrap();
                     enlist(&engines[i], &clock, address, Some(skew));
                 }
             }
@@ -114,31 +117,31 @@
                 call_id: call,
                 ..GenerateRequest::default()
             };
-            let habit = Habit {
+            let habit = ClientBehavior {
                 client_timeout: 2_500_000,
-                ..Habit::default()
+                ..ClientBehavior::default()
             };
-            let ask = Ask {
+            let ask = ClientRequest {
                 request,
                 operation: call,
-                effect: Effect::Safe,
+                idempotency: CallIdempotency::Idempotent,
                 node: words as usize % 2,
-                habit,
+                behavior: habit,
             };
-            clock.run(async move { drop(client.ask(&ask).await) });
+            clock.run(async move { drop(client.send(&ask).await) });
         }
         assert!(known(2 + WARM + COLD.len() as u64));
         clock.sleep(5 * SECOND).await;
     });
     assert_eq!(played, Ok(()));
-    let audit = audit(&log.all(), &limits(&rules, 50_000, &specs), log.now());
+    let audit = check(&log.all(), &limits(&rules, 50_000, &specs), log.now());
     assert_eq!(audit.broken(), Vec::<String>::new());
     let engines = engines.lock().unwrap();
-    assert!(COLD.iter().all(|(i, _)| engines[*i].up()));
+    assert!(COLD.iter().all(|(i, _)| engines[*i].is_running()));
     // The cold ones did work, and more of it than a trial now and then.
     for (i, _) in COLD {
         let id = engines[i].spec().id;
-        let here = |s: &&Seen| matches!(s.what, Sight::Arrived { engine, .. } if engine == id);
+        let here = |s: &&LoggedEvent| matches!(s.what, ObservedEvent::Arrived { engine, .. } if engine == id);
         let got = log.all().iter().filter(here).count();
         assert!(got > 10, "engine {id} got {got} calls");
     }
--- a/crates/ivyward-testbed/tests/terms.rs
+++ b/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
@@ -1,17 +1,19 @@
 //! Terms of service on the gRPC side, in the virtual world: what happens after a client left, which deadlines engines are
 //! told, and that answers reach their clients when a node stops.
 
-mod stage;
+mod virtual_cluster;
 use ivyward::core::interface::ListKind;
 use ivyward::{Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::sight::{Effect, Heard, Kind, Seen, Sight};
-use ivyward_fakes::{Ask, Client, Habit, Log};
+use ivyward_fakes::event_log::{
+    CallIdempotency, CallKind, ClientOutcome, LoggedEvent, ObservedEvent,
+};
+use ivyward_fakes::{Client, ClientBehavior, ClientRequest, EventLog};
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use ivyward_sim::HostId;
-use ivyward_testbed::scene::settings;
-use stage::{prompt, request, stage, Stage, HOUR};
+use ivyward_testbed::local_cluster::settings;
 use std::future::Future;
 use std::net::SocketAddr;
+use virtual_cluster::{prompt, request, virtual_cluster, VirtualCluster, HOUR};
 
 const MS: Micros = 1_000;
 /// Nothing begins for a client later than this after it left.
@@ -33,7 +35,7 @@
     node_host: HostId,
     listed: Vec<Listed>,
     runtime: RuntimeRef,
-    log: Log,
+    log: EventLog,
 }
 
 impl Cast {
@@ -48,7 +50,7 @@
 }
 
 /// A stage with one node, which may or may not call attempts off.
-fn cast(stage: &Stage, may_cancel: bool) -> Cast {
+fn cast(stage: &VirtualCluster, may_cancel: bool) -> Cast {
     let mut settings = NodeSettings {
         seed: 7,
         ..settings()
@@ -66,25 +68,25 @@
     }
 }
 
-fn ask(call: u64, words: u32, client_timeout: Micros) -> Ask {
-    let habit = Habit {
+fn ask(call: u64, words: u32, client_timeout: Micros) -> ClientRequest {
+    let habit = ClientBehavior {
         client_timeout,
-        ..Habit::default()
+        ..ClientBehavior::default()
     };
     let request = request(call, &prompt(call as u32, words), call as u32);
-    Ask {
+    ClientRequest {
         request,
         operation: call,
-        effect: Effect::Safe,
+        idempotency: CallIdempotency::Idempotent,
         node: 0,
-        habit,
+        behavior: habit,
     }
 }
 
 /// When the last call of these kinds came to an engine, after a moment.
-fn latest(log: &Log, kinds: &[Kind], since: Micros) -> Micros {
-    let came = |s: &Seen| match s.what {
-        Sight::Arrived { kind, .. } if kinds.contains(&kind) => Some(s.at),
+fn latest(log: &EventLog, kinds: &[CallKind], since: Micros) -> Micros {
+    let came = |s: &LoggedEvent| match s.what {
+        ObservedEvent::Arrived { kind, .. } if kinds.contains(&kind) => Some(s.at),
         _ => None,
     };
     log.all()
@@ -96,7 +98,12 @@
 }
 
 /// Sends a request, leaves when `moment` is over, and returns how long after that the last attempt came to an engine.
-async fn leaves(cast: &Cast, ask: &Ask, how: Leaves, moment: impl Future<Output = ()>) -> Micros {
+async fn leaves(
+    cast: &Cast,
+    ask: &ClientRequest,
+    how: Leaves,
+    moment: impl Future<Output = ()>,
+) -> Micros {
     let client = cast.client().await;
     let closing = client.clone();
     let leaving = async {
@@ -105,11 +112,11 @@
             closing.close();
         }
     };
-    let end = client.ask_until(ask, leaving).await;
-    assert_eq!(end.how, Heard::Left, "{end:?}");
+    let end = client.send_until(ask, leaving).await;
+    assert_eq!(end.outcome, ClientOutcome::Disconnected, "{end:?}");
     let left = cast.runtime.now();
     cast.runtime.sleep(5_000 * MS).await;
-    latest(&cast.log, &[Kind::Read, Kind::Write], left)
+    latest(&cast.log, &[CallKind::Prefill, CallKind::Decode], left)
 }
 
 fn ways() -> impl Iterator<Item = (Leaves, bool)> {
@@ -121,7 +128,7 @@
 #[test]
 fn nothing_begins_for_a_client_that_left_during_a_dial() {
     for (how, may_cancel) in ways() {
-        let stage = stage();
+        let stage = virtual_cluster();
         let cast = cast(&stage, may_cancel);
         // A dial takes 220 ms, of 250 that it may take.
         for engine in &stage.engine_hosts {
@@ -143,12 +150,12 @@
 #[test]
 fn no_write_follows_the_read_of_a_client_that_left() {
     for (how, may_cancel) in ways() {
-        let stage = stage();
+        let stage = virtual_cluster();
         let cast = cast(&stage, may_cancel);
         let played = stage.sim.run(&stage.script, HOUR, async move {
             let (clock, log) = (cast.runtime.clone(), cast.log.clone());
             let moment = async move {
-                while latest(&log, &[Kind::Read], 0) == 0 {
+                while latest(&log, &[CallKind::Prefill], 0) == 0 {
                     clock.sleep(MS).await;
                 }
             };
@@ -169,7 +176,7 @@
 
 /// How long after its client's end, if it left, the last attempt came that sends a prompt of some 170 kB at 100 kB a second.
 fn slow_upload(how: Leaves, may_cancel: bool, leave_after: Micros) -> Micros {
-    let stage = stage();
+    let stage = virtual_cluster();
     let cast = cast(&stage, may_cancel);
     let sim = stage.sim.clone();
     sim.net(|net| net.buffer = 8 << 10);
@@ -199,9 +206,9 @@
 }
 
 /// What calls told their engines, as far as their kind is among these: when they came, and the time they stated.
-fn told(log: &Log, call: u64, kinds: &[Kind]) -> Vec<(Micros, Option<Micros>)> {
-    let of = |s: &Seen| match s.what {
-        Sight::Arrived {
+fn told(log: &EventLog, call: u64, kinds: &[CallKind]) -> Vec<(Micros, Option<Micros>)> {
+    let of = |s: &LoggedEvent| match s.what {
+        ObservedEvent::Arrived {
             call: c,
             kind,
             timeout,
@@ -217,7 +224,7 @@
 #[test]
 fn engines_are_told_what_the_client_has_left() {
     for lag in [0, 110 * MS] {
-        let mut stage = stage();
+        let mut stage = virtual_cluster();
         let cast = cast(&stage, true);
         for engine in &stage.engine_hosts {
             stage.sim.lag(cast.node_host, *engine, lag);
@@ -236,8 +243,12 @@
                 // Long enough for engines that failed to be tried again.
                 cast.runtime.sleep(3_000 * MS).await;
                 let began = cast.runtime.now();
-                client.ask(&ask(call, 50, client_timeout)).await;
-                let all = told(&log, call, &[Kind::Read, Kind::Write, Kind::Hold]);
+                client.send(&ask(call, 50, client_timeout)).await;
+                let all = told(
+                    &log,
+                    call,
+                    &[CallKind::Prefill, CallKind::Decode, CallKind::Reserve],
+                );
                 for (at, timeout) in &all {
                     let timeout =
                         timeout.unwrap_or_else(|| panic!("call {call}: no deadline was told"));
@@ -248,7 +259,7 @@
                     );
                 }
                 // A writer may take as long as the client waits, less the node's margin.
-                for (at, timeout) in told(&log, call, &[Kind::Write]) {
+                for (at, timeout) in told(&log, call, &[CallKind::Decode]) {
                     let left = (began + client_timeout).saturating_sub(at);
                     let least = left.saturating_sub(settings().answer_margin + lag + 5 * MS);
                     assert!(
@@ -257,8 +268,8 @@
                     );
                     writes += 1;
                 }
-                reads += told(&log, call, &[Kind::Read]).len();
-                let attempts = told(&log, call, &[Kind::Read, Kind::Write]).len();
+                reads += told(&log, call, &[CallKind::Prefill]).len();
+                let attempts = told(&log, call, &[CallKind::Prefill, CallKind::Decode]).len();
                 further += attempts.saturating_sub(2);
             }
             drop(engines);
@@ -275,22 +286,22 @@
 /// A client without a deadline has none for its stream: its writer is told none, its reader its class's.
 #[test]
 fn without_a_clients_deadline_only_reads_have_one() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let cast = cast(&stage, true);
     let log = stage.log.clone();
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let client = cast.client().await;
         let mut one = ask(1, 50, 60_000 * MS);
-        one.habit.silent_deadline = true;
-        let end = client.ask(&one).await;
+        one.behavior.silent_deadline = true;
+        let end = client.send(&one).await;
         (
-            end.how,
-            told(&log, 1, &[Kind::Read]),
-            told(&log, 1, &[Kind::Write]),
+            end.outcome,
+            told(&log, 1, &[CallKind::Prefill]),
+            told(&log, 1, &[CallKind::Decode]),
         )
     });
     let (how, reads, writes) = played.unwrap();
-    assert_eq!(how, Heard::Served);
+    assert_eq!(how, ClientOutcome::Served);
     let deadline = settings().classes[0].settings.deadline;
     assert!(
         reads
@@ -307,7 +318,7 @@
 /// An engine that its node cannot reach any more ends the work by itself when the client's time is over.
 #[test]
 fn an_engine_behind_a_cut_drops_what_is_over() {
-    let mut stage = stage();
+    let mut stage = virtual_cluster();
     // One writer alone, and it takes five seconds over its answer.
     stage.engines[4].drain(true);
     stage.engines[3].fault(|f| f.slow = 300.0);
@@ -324,7 +335,7 @@
         let (clock, cuts, seen) = (cast.runtime.clone(), sim.clone(), log.clone());
         let node = cast.node_host;
         cast.runtime.run(async move {
-            while latest(&seen, &[Kind::Write], 0) == 0 {
+            while latest(&seen, &[CallKind::Decode], 0) == 0 {
                 clock.sleep(MS).await;
             }
             for host in hosts {
@@ -332,11 +343,11 @@
             }
         });
         let client_timeout = 2_000 * MS;
-        client.ask(&ask(1, 50, client_timeout)).await;
+        client.send(&ask(1, 50, client_timeout)).await;
         cast.runtime.sleep(3_000 * MS).await;
         drop(engines);
         let ended = log.all().into_iter().rev().find_map(|s| match s.what {
-            Sight::Ended { engine: 4, .. } => Some(s.at),
+            ObservedEvent::Ended { engine: 4, .. } => Some(s.at),
             _ => None,
         });
         ended.map(|at| at.saturating_sub(began + client_timeout))
@@ -352,23 +363,23 @@
 /// ends as soon as the stop is done.
 #[test]
 fn a_stop_waits_until_answers_have_reached_slow_clients() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let cast = cast(&stage, true);
     let sim = stage.sim.clone();
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let client = cast.client().await;
         let mut one = ask(1, 50, 20_000 * MS);
         one.request.max_output_tokens = 400;
-        one.habit.read_pause = 5 * MS;
+        one.behavior.read_pause = 5 * MS;
         let (done, wait) = async_channel::bounded(1);
         let log = cast.log.clone();
         cast.runtime.run(async move {
-            let _ = done.send(client.ask(&one).await).await;
+            let _ = done.send(client.send(&one).await).await;
         });
         while !log
             .all()
             .iter()
-            .any(|s| matches!(s.what, Sight::Began { .. }))
+            .any(|s| matches!(s.what, ObservedEvent::Began { .. }))
         {
             cast.runtime.sleep(MS).await;
         }
@@ -377,5 +388,5 @@
         wait.recv().await.unwrap()
     });
     let end = played.unwrap();
-    assert_eq!(end.how, Heard::Served, "{end:?}");
+    assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
 }
