--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -4,23 +4,23 @@
 use common::*;
 use futures_lite::future::block_on;
 use ivyward::core::interface::EndpointState;
-use ivyward_fakes::sight::{Gone, Heard, Kind, Sight};
-use ivyward_fakes::Twist;
+use ivyward_fakes::event_log::{CallKind, ClientOutcome, ObservedEvent, RetentionEnd};
+use ivyward_fakes::ResponseFault;
 use ivyward_runtime::RuntimeExt;
-use ivyward_testbed::badday::{self, Day};
-use ivyward_testbed::scene::Make;
+use ivyward_testbed::fault_scenario::{self, FaultScenario};
+use ivyward_testbed::local_cluster::ClusterBuilder;
 
 /// A reader that takes a request and never answers is waited out only in part: another one reads in time.
 #[test]
 fn a_reader_that_stalls_after_accepting_is_left() {
-    let scene = build(Make::new(5, pools(2, 2)));
+    let scene = build(ClusterBuilder::new(5, pools(2, 2)));
     block_on(async {
         for i in 0..10 {
             let end = scene
                 .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
-            assert_eq!(end.how, Heard::Served);
+            assert_eq!(end.outcome, ClientOutcome::Served);
         }
         scene.engine(0).fault(|f| f.stall = 1.0);
         for i in 0..10 {
@@ -28,7 +28,7 @@
                 .send(&scene.ask(0, QUICK, prompt(i + 50, 50), 5))
                 .await
                 .unwrap();
-            assert_eq!(end.how, Heard::Served, "{end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         }
         clean(&scene).await;
     });
@@ -37,7 +37,7 @@
 /// A process that hangs keeps its sockets open: pings find out, and requests go elsewhere.
 #[test]
 fn an_engine_whose_process_hangs_is_found_by_pings() {
-    let scene = build(Make::new(5, pools(2, 2)));
+    let scene = build(ClusterBuilder::new(5, pools(2, 2)));
     block_on(async {
         for hung in [0, 2] {
             scene.engine(hung).fault(|f| f.hang = true);
@@ -46,7 +46,7 @@
                     .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
                     .await
                     .unwrap();
-                assert_eq!(end.how, Heard::Served, "{end:?}");
+                assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
             }
             scene.engine(hung).fault(|f| f.hang = false);
         }
@@ -59,17 +59,20 @@
 #[test]
 fn wrong_answers_fail_their_attempt_alone() {
     let wrong = [
-        (Twist::WrongId, "answered as engine"),
-        (Twist::Malformed, "cannot be read"),
-        (Twist::Oversized, "over the limit"),
-        (Twist::OutOfOrder, "token 1 came where token 0 was due"),
-        (Twist::Twice, "token 0 came where token 1 was due"),
-        (Twist::CutShort, "the server reset the stream"),
-        (Twist::Stuck, "no token for too long"),
-        (Twist::NoLastWord, "without its last word"),
+        (ResponseFault::WrongId, "answered as engine"),
+        (ResponseFault::Malformed, "cannot be read"),
+        (ResponseFault::Oversized, "over the limit"),
+        (
+            ResponseFault::OutOfOrder,
+            "token 1 came where token 0 was due",
+        ),
+        (ResponseFault::Twice, "token 0 came where token 1 was due"),
+        (ResponseFault::CutShort, "the server reset the stream"),
+        (ResponseFault::Stuck, "no token for too long"),
+        (ResponseFault::NoLastWord, "without its last word"),
     ];
     for (twist, text) in wrong {
-        let mut make = Make::new(5, pools(1, 1));
+        let mut make = ClusterBuilder::new(5, pools(1, 1));
         // Over any pause of a busy machine: it ends one stream here, and is not to end the one beside it.
         make.settings.stream_stall = 1_000_000;
         let scene = build(make);
@@ -82,21 +85,25 @@
             });
             seen(
                 &scene,
-                |s| matches!(s, Sight::Began { call: c } if *c == call),
+                |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
             )
             .await;
             scene
                 .engine(1)
-                .fault(|f| (f.twist, f.how) = (1.0, Some(twist)));
+                .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(twist)));
             let end = scene
                 .send(&scene.ask(0, ORDER, prompt(1, 50), 10))
                 .await
                 .unwrap();
-            assert_eq!(end.how, Heard::Failed, "{twist:?}: {end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Failed, "{twist:?}: {end:?}");
             assert!(end.message.contains(text), "{twist:?}: {end:?}");
             let beside = wait.recv().await.unwrap().unwrap();
-            assert_eq!(beside.how, Heard::Served, "{twist:?}: {beside:?}");
-            scene.engine(1).fault(|f| f.twist = 0.0);
+            assert_eq!(
+                beside.outcome,
+                ClientOutcome::Served,
+                "{twist:?}: {beside:?}"
+            );
+            scene.engine(1).fault(|f| f.malformed = 0.0);
             clean(&scene).await;
         });
     }
@@ -105,16 +112,16 @@
 /// Tokens after the last word are not passed on, and the answer stands.
 #[test]
 fn tokens_after_the_end_go_nowhere() {
-    let scene = build(Make::new(5, pools(1, 1)));
+    let scene = build(ClusterBuilder::new(5, pools(1, 1)));
     block_on(async {
         scene
             .engine(1)
-            .fault(|f| (f.twist, f.how) = (1.0, Some(Twist::AfterEnd)));
+            .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::AfterEnd)));
         let end = scene
             .send(&scene.ask(0, QUICK, prompt(1, 50), 10))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&scene).await;
     });
 }
@@ -122,7 +129,7 @@
 /// An engine that restarts under its id and address is used again, and what it kept counts as lost.
 #[test]
 fn an_engine_restarts_under_its_id() {
-    let scene = build(Make::new(5, pools(1, 2)));
+    let scene = build(ClusterBuilder::new(5, pools(1, 2)));
     block_on(async {
         for round in 0..5 {
             for i in 0..5 {
@@ -130,10 +137,13 @@
                     .send(&scene.ask(0, QUICK, prompt(round * 10 + i, 50), 5))
                     .await
                     .unwrap();
-                assert!(matches!(end.how, Heard::Served | Heard::Refused), "{end:?}");
+                assert!(
+                    matches!(end.outcome, ClientOutcome::Served | ClientOutcome::Rejected),
+                    "{end:?}"
+                );
             }
             for e in 0..3 {
-                scene.engine(e).come_up(false).unwrap();
+                scene.engine(e).restart(false).unwrap();
                 scene
                     .tell_all(e, EndpointState::Ready, Some(scene.log.now()))
                     .await;
@@ -149,7 +159,7 @@
                 .send(&scene.ask(0, QUICK, prompt(900 + i, 50), 5))
                 .await
                 .unwrap();
-            served += usize::from(end.how == Heard::Served);
+            served += usize::from(end.outcome == ClientOutcome::Served);
             scene.runtime.sleep(20_000).await;
         }
         assert!(served > 20, "{served} of 40 served after the restarts");
@@ -163,9 +173,9 @@
     let mut specs = pools(1, 1);
     // The read is done soon; the fetch takes a second.
     specs[1].fetch_rate = 50.0;
-    (specs[0].keep, specs[1].keep) = (1_000_000, 1_000_000);
+    (specs[0].retention, specs[1].retention) = (1_000_000, 1_000_000);
     specs[1].slots = 1;
-    let mut make = Make::new(5, specs);
+    let mut make = ClusterBuilder::new(5, specs);
     make.nodes = 2;
     // The module is to wait for the slow fetch.
     make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
@@ -182,17 +192,20 @@
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
-        let second = |s: &Sight| matches!(s, Sight::Arrived { kind: Kind::Write, key, .. } if key.request == 2);
+        let second = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { kind: CallKind::Decode, key, .. } if key.request == 2);
         seen(&scene, second).await;
         scene.kill_node(0);
         for _ in 0..2 {
-            assert_eq!(wait.recv().await.unwrap().how, Heard::Unreachable);
+            assert_eq!(
+                wait.recv().await.unwrap().outcome,
+                ClientOutcome::Unreachable
+            );
         }
         seen(&scene, |s| {
             matches!(
                 s,
-                Sight::LetGo {
-                    how: Gone::Expired,
+                ObservedEvent::Released {
+                    how: RetentionEnd::Expired,
                     ..
                 }
             )
@@ -203,14 +216,14 @@
             .send(&scene.ask(1, QUICK, prompt(7, 10), 5))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&scene).await;
         scene.start_node(0).unwrap();
         let end = scene
             .send(&scene.ask(0, QUICK, prompt(8, 10), 5))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
     });
 }
 
@@ -219,8 +232,8 @@
 #[test]
 fn a_release_reaches_an_engine_that_was_out_of_reach() {
     let mut specs = pools(1, 1);
-    specs[0].keep = 60_000_000;
-    let mut make = Make::new(5, specs);
+    specs[0].retention = 60_000_000;
+    let mut make = ClusterBuilder::new(5, specs);
     // The module is to wait until the client leaves.
     make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
     let scene = build(make);
@@ -238,7 +251,7 @@
             };
             let _ = tell.send(one.send_until(&ask, leave).await.unwrap()).await;
         });
-        let came = move |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Write, .. } if *c == call);
+        let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Decode, .. } if *c == call);
         seen(&scene, came).await;
         // The reader's connections break and break again while the release is due.
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -251,13 +264,13 @@
         });
         drop(leave);
         let end = wait.recv().await.unwrap();
-        assert_eq!(end.how, Heard::Left, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Disconnected, "{end:?}");
         drop(stop);
         seen(&scene, |s| {
             matches!(
                 s,
-                Sight::LetGo {
-                    how: Gone::Released,
+                ObservedEvent::Released {
+                    how: RetentionEnd::Released,
                     ..
                 }
             )
@@ -273,11 +286,11 @@
 fn a_node_stops_in_order() {
     let mut specs = pools(1, 1);
     specs[1].token_gap = 10_000;
-    let scene = build(Make::new(5, specs));
+    let scene = build(ClusterBuilder::new(5, specs));
     block_on(async {
         let short = scene.ask(0, QUICK, prompt(1, 50), 10);
         let mut long = scene.ask(0, QUICK, prompt(2, 50), 5_000);
-        long.habit.client_timeout = 30_000_000;
+        long.behavior.client_timeout = 30_000_000;
         let calls = [short.request.call_id, long.request.call_id];
         let (tell, wait) = async_channel::bounded(2);
         for ask in [short, long] {
@@ -289,7 +302,7 @@
         for call in calls {
             seen(
                 &scene,
-                |s| matches!(s, Sight::Began { call: c } if *c == call),
+                |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
             )
             .await;
         }
@@ -298,8 +311,8 @@
         let mut ends = [wait.recv().await.unwrap(), wait.recv().await.unwrap()];
         ends.sort_by_key(|e| e.tokens);
         assert_eq!(
-            (ends[0].how, ends[1].how),
-            (Heard::Served, Heard::Failed),
+            (ends[0].outcome, ends[1].outcome),
+            (ClientOutcome::Served, ClientOutcome::Failed),
             "{ends:?}"
         );
         assert!(ends[1].message.contains("the node stopped"), "{ends:?}");
@@ -313,11 +326,11 @@
 #[test]
 fn a_small_bad_day_keeps_all_rules() {
     for seed in [1, 2] {
-        let mut day = Day::drawn(seed, 500, &[]);
+        let mut day = FaultScenario::drawn(seed, 500, &[]);
         day.load.rate = 100.0;
         // Other tests keep the machine busy beside this one.
         day.flight = 500_000;
-        let report = badday::run(day).unwrap();
+        let report = fault_scenario::run(day).unwrap();
         assert_eq!(
             (report.audit.kept(), report.audit.broken()),
             (5, vec![]),
--- a/crates/ivyward-testbed/tests/contract.rs
+++ b/crates/ivyward-testbed/tests/grpc_contract.rs
@@ -1,17 +1,17 @@
 //! The door's contract also holds for calls that never become a request.
 
-mod stage;
+mod virtual_cluster;
 
 use ivyward_core::interface::ListKind;
 use ivyward_grpc::{encode, Cause, Channel, Options};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use stage::{stage, HOUR};
+use virtual_cluster::{virtual_cluster, HOUR};
 
 /// Guards against ends without a word on whether trying again is harmless: an unknown method, bytes that are no message
 /// and a prompt over the limit end as failed, with the pushback that says not to repeat.
 #[test]
 fn what_never_becomes_a_request_fails_by_the_contract() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let (node, address, _) = stage.node(7);
     let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -1,18 +1,18 @@
 //! Connections at rest in the virtual world: within their budget whatever happens, and no call lost or late by more than a
 //! dial on one that went bad meanwhile. With `RUSTFLAGS="--cfg mutations"`: the same scenes find each planted defect.
 
-mod stage;
+mod virtual_cluster;
 use ivyward::core::interface::{EndpointState, ListKind};
 use ivyward::{Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::sight::{Effect, Heard, Kind, Sight};
-use ivyward_fakes::{Ask, Client, End, Engine, Habit, Log};
+use ivyward_fakes::event_log::{CallIdempotency, CallKind, ClientOutcome, ObservedEvent};
+use ivyward_fakes::{Client, ClientBehavior, ClientRequest, ClientResult, Engine, EventLog};
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use ivyward_sim::{HostId, Sim};
-use ivyward_testbed::scene::{listed, settings};
-use stage::{prompt, request, stage_of, Stage, HOUR};
+use ivyward_testbed::local_cluster::{listed, settings};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
+use virtual_cluster::{prompt, request, virtual_cluster_of, VirtualCluster, HOUR};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
@@ -38,7 +38,7 @@
     engines: Arc<Mutex<Vec<Engine>>>,
     listed: Vec<Listed>,
     runtime: RuntimeRef,
-    log: Log,
+    log: EventLog,
     sim: Sim,
 }
 
@@ -57,10 +57,10 @@
     (readers, writers): (u64, u64),
     scene: impl FnOnce(Scene) -> F + Send + 'static,
 ) -> Wrong {
-    let stage = stage_of(readers, writers);
+    let stage = virtual_cluster_of(readers, writers);
     let (node, address, _, node_host) = stage.node_with(node_settings());
     let listed = stage.listed();
-    let Stage {
+    let VirtualCluster {
         sim,
         script,
         runtime,
@@ -123,24 +123,24 @@
     }
 }
 
-fn ask(call: u64, class: usize) -> Ask {
+fn ask(call: u64, class: usize) -> ClientRequest {
     let mut request = request(call, &prompt(call as u32, 40), call as u32);
     request.class = settings().classes[class].name.clone();
     let effect = if class == UNSAFE_CLASS {
-        Effect::Unsafe
+        CallIdempotency::NonIdempotent
     } else {
-        Effect::Safe
+        CallIdempotency::Idempotent
     };
-    let habit = Habit {
+    let habit = ClientBehavior {
         client_timeout: 2_400 * MS,
-        ..Habit::default()
+        ..ClientBehavior::default()
     };
-    Ask {
+    ClientRequest {
         request,
         operation: call,
-        effect,
+        idempotency: effect,
         node: 0,
-        habit,
+        behavior: habit,
     }
 }
 
@@ -154,19 +154,19 @@
 }
 
 /// Whether each call was served, and its first token no later than so much after what it takes on a good connection.
-fn late_or_lost(ends: &[End], usual: Micros) -> Wrong {
+fn late_or_lost(ends: &[ClientResult], usual: Micros) -> Wrong {
     let most = usual + A_DIAL;
-    let bad = ends
-        .iter()
-        .find(|end| end.how != Heard::Served || end.first.is_none_or(|f| f > most));
+    let bad = ends.iter().find(|end| {
+        end.outcome != ClientOutcome::Served || end.first_token_after.is_none_or(|f| f > most)
+    });
     bad.map(|end| format!("usual {usual} us: {end:?}"))
 }
 
 /// Sends unsafe requests one after the other and returns their ends.
-async fn ask_some(client: &Client, calls: std::ops::Range<u64>) -> Vec<End> {
+async fn ask_some(client: &Client, calls: std::ops::Range<u64>) -> Vec<ClientResult> {
     let mut ends = Vec::new();
     for call in calls {
-        ends.push(client.ask(&ask(call, UNSAFE_CLASS)).await);
+        ends.push(client.send(&ask(call, UNSAFE_CLASS)).await);
     }
     ends
 }
@@ -177,12 +177,12 @@
     client: &Client,
     calls: std::ops::Range<u64>,
     class: usize,
-) -> Vec<End> {
+) -> Vec<ClientResult> {
     let (tell, told) = async_channel::unbounded();
     for call in calls {
         let (client, tell) = (client.clone(), tell.clone());
         scene.runtime.run(async move {
-            let _ = tell.try_send(client.ask(&ask(call, class)).await);
+            let _ = tell.try_send(client.send(&ask(call, class)).await);
         });
     }
     drop(tell);
@@ -196,7 +196,10 @@
 /// What a first token takes on connections in use.
 async fn usual(client: &Client) -> Micros {
     let ends = ask_some(client, 1..6).await;
-    ends.iter().filter_map(|end| end.first).max().unwrap_or(0)
+    ends.iter()
+        .filter_map(|end| end.first_token_after)
+        .max()
+        .unwrap_or(0)
 }
 
 /// All come to rest at once, and rest for long: the budget is kept, most of it is used, and all have their turns.
@@ -219,7 +222,7 @@
     play((2, 2), |scene| async move {
         let client = scene.client().await;
         for call in 1..=200 {
-            client.ask(&ask(call, 0)).await;
+            client.send(&ask(call, 0)).await;
             // Longer than a connection in use takes to be found at rest.
             scene.runtime.sleep(1_100 * MS).await;
         }
@@ -246,7 +249,7 @@
         let client = scene.client().await;
         let ends = ask_some(&client, 1..20).await;
         ends.iter()
-            .find(|end| end.how != Heard::Served)
+            .find(|end| end.outcome != ClientOutcome::Served)
             .map(|end| format!("after a sleep: {end:?}"))
     })
 }
@@ -267,8 +270,8 @@
                 clock.sleep(100 * MS).await;
                 sim.freeze(host, false);
             });
-            let end = client.ask(&ask(call, UNSAFE_CLASS)).await;
-            if end.how != Heard::Served {
+            let end = client.send(&ask(call, UNSAFE_CLASS)).await;
+            if end.outcome != ClientOutcome::Served {
                 return Some(format!("{end:?}"));
             }
         }
@@ -283,7 +286,7 @@
         scene.runtime.sleep(30 * SECOND).await;
         let client = scene.client().await;
         let ends = ask_at_once(&scene, &client, 1..61, 0).await;
-        if let Some(end) = ends.iter().find(|end| end.how != Heard::Served) {
+        if let Some(end) = ends.iter().find(|end| end.outcome != ClientOutcome::Served) {
             return Some(format!("{end:?}"));
         }
         let most = most_in_a_second(&scene.pings(60 * SECOND).await[30..]);
@@ -300,7 +303,7 @@
         for round in 1..=3 {
             for (i, host) in scene.engine_hosts.iter().enumerate() {
                 scene.sim.kill(*host, false);
-                scene.engines.lock().unwrap()[i].come_up(false).unwrap();
+                scene.engines.lock().unwrap()[i].restart(false).unwrap();
             }
             if round > 1 {
                 // Only the first ones' processes are known by their numbers.
@@ -347,10 +350,10 @@
         scene.runtime.sleep(10 * SECOND).await;
         let mut ends = ask_some(&client, 20..30).await;
         // Under some load, so that one engine of each kind is not enough.
-        ends.retain(|end| end.how != Heard::Served);
+        ends.retain(|end| end.outcome != ClientOutcome::Served);
         ask_at_once(&scene, &client, 30..60, 0).await;
         let used = |engine: u64, calls: std::ops::Range<u64>| {
-            let of = |s: &Sight| matches!(s, Sight::Arrived { engine: e, call, .. } if *e == engine && calls.contains(call));
+            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { engine: e, call, .. } if *e == engine && calls.contains(call));
             scene.log.all().iter().any(|s| of(&s.what))
         };
         // Whatever was used before the cut is used again.
@@ -379,9 +382,9 @@
         scene.runtime.run(async move {
             loop {
                 let at = log.all().iter().find_map(|s| match s.what {
-                    Sight::Arrived {
+                    ObservedEvent::Arrived {
                         engine,
-                        kind: Kind::Write,
+                        kind: CallKind::Decode,
                         ..
                     } => Some((engine, s.at)),
                     _ => None,
@@ -395,14 +398,14 @@
             }
         });
         let mut one = ask(1, 0);
-        one.habit.client_timeout = 20 * SECOND;
+        one.behavior.client_timeout = 20 * SECOND;
         one.request.max_output_tokens = 6;
-        let end = client.ask(&one).await;
+        let end = client.send(&one).await;
         let (engine, at) = when.recv().await.unwrap();
         let next = scene.log.all().iter().find_map(|s| match s.what {
-            Sight::Arrived {
+            ObservedEvent::Arrived {
                 engine: e,
-                kind: Kind::Write,
+                kind: CallKind::Decode,
                 ..
             } if e != engine => Some(s.at),
             _ => None,
@@ -410,7 +413,7 @@
         // A silence and a time-out, and the way; the module may have given it up before.
         let most = 2 * SECOND + 100 * MS;
         match next {
-            Some(next) if next - at <= most && end.how == Heard::Served => None,
+            Some(next) if next - at <= most && end.outcome == ClientOutcome::Served => None,
             other => Some(format!(
                 "hung at {at}, the next write at {other:?}: {end:?}"
             )),
@@ -434,18 +437,18 @@
                     .iter()
                     .for_each(Engine::drop_connections);
             });
-            let end = client.ask(&ask(1, UNSAFE_CLASS)).await;
+            let end = client.send(&ask(1, UNSAFE_CLASS)).await;
             let ran = scene
                 .log
                 .all()
                 .iter()
-                .filter(|s| matches!(s.what, Sight::Ran { .. }))
+                .filter(|s| matches!(s.what, ObservedEvent::Ran { .. }))
                 .count();
-            let fine = match end.how {
-                Heard::Served => ran == 1,
-                Heard::Refused => ran == 0,
+            let fine = match end.outcome {
+                ClientOutcome::Served => ran == 1,
+                ClientOutcome::Rejected => ran == 0,
                 // It may have run, which is said.
-                Heard::Failed => ran <= 1,
+                ClientOutcome::Failed => ran <= 1,
                 _ => false,
             };
             (!fine).then(|| format!("offset {offset}: ran {ran} times, {end:?}"))
@@ -485,9 +488,10 @@
         let ends = ask_some(&client, 1..30).await;
         let late = scene.log.all().into_iter().find(|s| {
             let to_drained = |engine: u64| engine > 15 || (engine - 1) % 5 == 0;
-            matches!(s.what, Sight::Arrived { engine, .. } if to_drained(engine)) && s.at > told
+            matches!(s.what, ObservedEvent::Arrived { engine, .. } if to_drained(engine))
+                && s.at > told
         });
-        if late.is_some() || ends.iter().any(|end| end.how != Heard::Served) {
+        if late.is_some() || ends.iter().any(|end| end.outcome != ClientOutcome::Served) {
             return Some(format!("{late:?}, {ends:?}"));
         }
         let most = most_in_a_second(&scene.pings(20 * SECOND).await[30..]);
@@ -511,7 +515,7 @@
             return Some(wrong);
         }
         for i in lost {
-            scene.engines.lock().unwrap()[i].come_up(false).unwrap();
+            scene.engines.lock().unwrap()[i].restart(false).unwrap();
         }
         scene.runtime.sleep(20 * SECOND).await;
         let ends = ask_some(&client, 40..80).await;
--- a/crates/ivyward-testbed/tests/handover.rs
+++ b/crates/ivyward-testbed/tests/kv_transfer.rs
@@ -1,15 +1,15 @@
 //! Where states are handed over, by one node's decisions in synthetic time.
 
 use clap::Parser;
-use ivyward_testbed::handover::{play, HandoverFlags, Handovers};
+use ivyward_testbed::kv_transfer::{play, KvTransferFlags, KvTransfers};
 
 #[derive(Parser)]
 struct Flags {
     #[command(flatten)]
-    flags: HandoverFlags,
+    flags: KvTransferFlags,
 }
 
-fn played(args: &[&str]) -> Handovers {
+fn played(args: &[&str]) -> KvTransfers {
     let few = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
     play(Flags::parse_from(few.iter().chain(args)).flags)
 }
--- a/crates/ivyward-testbed/tests/byhand.rs
+++ b/crates/ivyward-testbed/tests/manual_cluster.rs
@@ -1,10 +1,10 @@
 //! The fleet to try and the one request, as the command line gives them.
 
-use ivyward_testbed::byhand::{order, Order};
+use ivyward_testbed::manual_cluster::{order, Order};
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, Command, Stdio};
 
-fn lab(args: &[&str]) -> Command {
+fn testbed(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-testbed"));
     command
         .env_clear()
@@ -20,7 +20,7 @@
 
 impl Running {
     fn start(args: &[&str]) -> Running {
-        let mut child = lab(args).spawn().unwrap();
+        let mut child = testbed(args).spawn().unwrap();
         let out = BufReader::new(child.stdout.take().unwrap());
         Running(child, Box::new(out))
     }
@@ -120,8 +120,12 @@
     ]);
     let runtime = ivyward_runtime::SmolRuntime::start(1, 1);
     let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
-    let node =
-        ivyward::Node::start(as_ref.clone(), ivyward_testbed::scene::settings(), None).unwrap();
+    let node = ivyward::Node::start(
+        as_ref.clone(),
+        ivyward_testbed::local_cluster::settings(),
+        None,
+    )
+    .unwrap();
     let listener = as_ref.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let door = listener.address().to_string();
     let (serving, following) = (node.clone(), node.clone());
@@ -137,7 +141,7 @@
             ivyward_runtime::RuntimeExt::sleep(&*as_ref, 5_000).await;
         }
     });
-    let output = lab(&["ask", &door, "--tokens=5", "--class=list-review"])
+    let output = testbed(&["ask", &door, "--tokens=5", "--class=list-review"])
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -150,13 +154,15 @@
         "{text}"
     );
     assert!(lines[1].starts_with("served: "), "{text}");
-    let bad = lab(&["ask", &door, "--class=no-such"]).output().unwrap();
+    let bad = testbed(&["ask", &door, "--class=no-such"])
+        .output()
+        .unwrap();
     let text = String::from_utf8_lossy(&bad.stdout).into_owned();
     assert!(
         !bad.status.success() && text.starts_with("failed after") && text.contains("no-such"),
         "{text}"
     );
-    let nobody = lab(&["ask", "127.0.0.1:1"]).output().unwrap();
+    let nobody = testbed(&["ask", "127.0.0.1:1"]).output().unwrap();
     assert!(
         String::from_utf8_lossy(&nobody.stderr).contains("cannot connect"),
         "{nobody:?}"
--- a/crates/ivyward-testbed/tests/alone.rs
+++ b/crates/ivyward-testbed/tests/node_isolation.rs
@@ -1,45 +1,45 @@
 //! Two nodes in one process share nothing, and a node in process decides as one behind a socket. In the virtual world,
 //! where what is learned from times is the same in each run.
 
-mod stage;
+mod virtual_cluster;
 
 use ivyward::registration::State;
 use ivyward::watcher::Follow;
 use ivyward::{FinalStatus, Node, ResponsePart};
 use ivyward_core::interface::ListKind;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::{Effect, Heard};
-use ivyward_fakes::{text, Ask, Client, Habit, Host as Processes};
+use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
+use ivyward_fakes::{text, Client, ClientBehavior, ClientRequest, Host as Processes};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::RuntimeExt;
-use ivyward_testbed::enlist;
-use ivyward_testbed::scene::decisions;
-use ivyward_testbed::seeds::Hosts;
-use stage::{prompt, request, stage, HOUR};
+use ivyward_testbed::local_cluster::decisions;
+use ivyward_testbed::registration;
+use ivyward_testbed::simulation::Hosts;
 use std::sync::Arc;
+use virtual_cluster::{prompt, request, virtual_cluster, HOUR};
 
 async fn served(client: &Client, request: GenerateRequest) -> u32 {
-    let habit = Habit {
+    let habit = ClientBehavior {
         client_timeout: 2_000_000,
-        ..Habit::default()
+        ..ClientBehavior::default()
     };
     let operation = request.call_id;
     let end = client
-        .ask(&Ask {
+        .send(&ClientRequest {
             request,
             operation,
-            effect: Effect::Safe,
+            idempotency: CallIdempotency::Idempotent,
             node: 0,
-            habit,
+            behavior: habit,
         })
         .await;
-    assert_eq!(end.how, Heard::Served, "{end:?}");
+    assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
     end.tokens
 }
 
 /// Sessions of several turns, one request at a time, by gRPC; with a busy node beside it or without.
 fn scripted(neighbour: bool) -> Vec<String> {
-    let stage = stage();
+    let stage = virtual_cluster();
     let (node, address, memory) = stage.node(7);
     let (other, its_address, _) = stage.node(8);
     let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
@@ -80,7 +80,7 @@
 #[test]
 fn in_process_calls_are_decided_as_calls_through_the_door() {
     let run = |door: bool| {
-        let stage = stage();
+        let stage = virtual_cluster();
         let (node, address, memory) = stage.node(7);
         let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
         let answers = stage.sim.run(&stage.script, HOUR, async move {
@@ -113,7 +113,7 @@
 /// A handle that is dropped gives its request up, as a client that leaves.
 #[test]
 fn dropping_an_answer_gives_the_request_up() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let (node, ..) = stage.node(13);
     let (listed, runtime) = (stage.listed(), stage.runtime.clone());
     let played = stage.sim.run(&stage.script, HOUR, async move {
@@ -132,18 +132,18 @@
         (node.open_requests(), node.metrics().gone.get())
     });
     assert_eq!(played, Ok((0, 5)));
-    assert!(stage.engines.iter().all(|e| e.kept() == 0));
+    assert!(stage.engines.iter().all(|e| e.retained() == 0));
 }
 
 /// All endpoints of the store gone for a minute: the old list stands and is marked stale, no pool is emptied, requests
 /// are served all the while.
 #[test]
 fn a_minute_without_the_store() {
-    let stage = stage();
+    let stage = virtual_cluster();
     let host: Arc<dyn Processes> = Arc::new(Hosts::of(&stage.sim));
     let mut store = Store::start(&host, 1).unwrap();
     for engine in &stage.engines {
-        let (key, record) = enlist::record(engine, State::Ready, 0);
+        let (key, record) = registration::record(engine, State::Ready, 0);
         store.put(&key, &record);
     }
     let (node, address, _) = stage.node(7);
@@ -167,7 +167,7 @@
         };
         until(|n| n.metrics().engines.get() == 5 && n.metrics().list_stale.get() == 0).await;
         let client = Client::connect(&runtime, &log, address).await.unwrap();
-        store.die();
+        store.crash();
         until(|n| n.metrics().list_stale.get() == 1).await;
         let end = runtime.now() + 60_000_000;
         let mut call = 0;
@@ -188,7 +188,7 @@
             runtime.sleep(500_000).await;
         }
         assert!(call > 80, "{call} requests in the minute");
-        store.come_up().unwrap();
+        store.restart().unwrap();
         until(|n| n.metrics().list_stale.get() == 0).await;
         served(&client, request(call + 1, &prompt(1, 60), 1)).await;
     });
--- a/crates/ivyward-testbed/tests/planted_peers.rs
+++ b/crates/ivyward-testbed/tests/peer_mutations.rs
@@ -2,7 +2,7 @@
 //! `RUSTFLAGS="--cfg mutations"`, that it finds each of those planted in the decider.
 
 use ivyward_core::peers::*;
-use ivyward_testbed::peernet::*;
+use ivyward_testbed::peer_simulation::*;
 
 /// Plays it; what was wrong.
 fn wrong(seed: u64) -> Option<String> {
@@ -77,15 +77,15 @@
 #[cfg(mutations)]
 #[test]
 fn each_planted_defect_of_the_decider_is_found() {
-    use ivyward_core::mutations::{plant, Mutation, PEERS};
+    use ivyward_core::mutations::{activate, Mutation, PEERS};
     // Where datagrams are answered is the node's own; the rig of processes finds it.
     for defect in PEERS
         .into_iter()
         .filter(|d| *d != Mutation::AnswersToSource)
     {
-        plant(Some(defect));
+        activate(Some(defect));
         let found = (1..=40).find_map(|seed| wrong(seed).map(|what| (seed, what)));
-        plant(None);
+        activate(None);
         println!("{defect:?}: {found:?}");
         assert!(found.is_some(), "{defect:?} is not found");
     }
--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Peers on a network of datagrams in virtual time: what must not be taken for a death, and what must be known soon.
 
 use ivyward_core::peers::*;
-use ivyward_testbed::peernet::*;
+use ivyward_testbed::peer_simulation::*;
 
 #[test]
 fn all_that_join_within_a_second_know_each_other_soon() {
--- a/crates/ivyward-testbed/tests/enlist.rs
+++ b/crates/ivyward-testbed/tests/registration.rs
@@ -1,13 +1,13 @@
 //! Registering and draining by the command line, and the engine's end with its lease.
 
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 use std::sync::Arc;
 
-fn lab(store: &Store, args: &[&str]) -> Command {
+fn testbed(store: &Store, args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivyward-testbed"));
     command
         .env_clear()
@@ -18,7 +18,7 @@
 
 #[test]
 fn an_engine_registers_drains_and_ends_with_its_lease() {
-    let host: Arc<dyn Host> = Arc::new(Threads);
+    let host: Arc<dyn Host> = Arc::new(OwnThreads);
     let store = Store::start(&host, 1).unwrap();
     let of = [
         "register",
@@ -27,7 +27,7 @@
         "--role=decode",
         "--lease=3",
     ];
-    let mut child = lab(&store, &of).stdout(Stdio::piped()).spawn().unwrap();
+    let mut child = testbed(&store, &of).stdout(Stdio::piped()).spawn().unwrap();
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap())
         .read_line(&mut line)
@@ -36,7 +36,7 @@
         line.starts_with("registered ivyward/engines/7 under lease"),
         "{line}"
     );
-    assert!(lab(&store, &["drain", "7"])
+    assert!(testbed(&store, &["drain", "7"])
         .output()
         .unwrap()
         .status
@@ -61,7 +61,7 @@
         assert!(left < 10_000, "the lease did not end");
         futures_lite::future::block_on(pause(&host));
     }
-    let output = lab(&store, &["drain", "7"]).output().unwrap();
+    let output = testbed(&store, &["drain", "7"]).output().unwrap();
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("engine 7 is not registered"));
     let bad = [
@@ -71,7 +71,7 @@
         "--address=0.0.0.0:0",
         "--role=decode",
     ];
-    let output = lab(&store, &bad).output().unwrap();
+    let output = testbed(&store, &bad).output().unwrap();
     assert!(
         String::from_utf8_lossy(&output.stderr).contains("nobody can be reached"),
         "{output:?}"
--- a/crates/ivyward-testbed/tests/path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -4,19 +4,19 @@
 use common::*;
 use futures_lite::future::block_on;
 use ivyward::core::interface::EndpointState;
-use ivyward_fakes::sight::{Heard, Key, Kind, Seen, Sight};
-use ivyward_fakes::{text, Habit, Spec};
+use ivyward_fakes::event_log::{AttemptKey, CallKind, ClientOutcome, LoggedEvent, ObservedEvent};
+use ivyward_fakes::{text, ClientBehavior, EngineSpec};
 use ivyward_runtime::RuntimeExt;
-use ivyward_testbed::scene::{fleet, Make};
+use ivyward_testbed::local_cluster::{fleet, ClusterBuilder};
 
 #[test]
 fn prompts_are_read_and_answered() {
-    let scene = build(Make::new(1, fleet(1)));
+    let scene = build(ClusterBuilder::new(1, fleet(1)));
     block_on(async {
         for i in 0..20 {
             let ask = scene.ask(0, QUICK, prompt(i, 400), 20);
             let end = scene.send(&ask).await.unwrap();
-            assert_eq!(end.how, Heard::Served, "{end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
             assert_eq!(
                 end.tokens,
                 text::answer(&ask.request.prompt, 20).len() as u32
@@ -28,7 +28,7 @@
 
 #[test]
 fn bad_requests_get_a_clear_failure_and_nothing_is_sent() {
-    let scene = build(Make::new(1, pools(1, 1)));
+    let scene = build(ClusterBuilder::new(1, pools(1, 1)));
     block_on(async {
         let good = || scene.ask(0, QUICK, prompt(1, 10), 5);
         let mut bad = Vec::new();
@@ -49,16 +49,20 @@
         bad.push((ask, "needs an idempotency_key"));
         for (ask, text) in bad {
             let end = scene.send(&ask).await.unwrap();
-            assert_eq!((end.how, end.code), (Heard::Failed, 3), "{end:?}");
+            assert_eq!(
+                (end.outcome, end.code),
+                (ClientOutcome::Failed, 3),
+                "{end:?}"
+            );
             assert!(end.message.contains(text), "{end:?}");
-            assert_eq!(attempts(&scene, ask.request.call_id, Kind::Read), 0);
+            assert_eq!(attempts(&scene, ask.request.call_id, CallKind::Prefill), 0);
         }
         clean(&scene).await;
     });
 }
 
 /// Slow enough that a script can step in at each stage.
-fn slow_stages(specs: &mut [Spec]) {
+fn slow_stages(specs: &mut [EngineSpec]) {
     for spec in specs {
         spec.read_rate = 1_000.0;
         spec.fetch_rate = 1_000.0;
@@ -70,18 +74,18 @@
 fn a_client_may_leave_at_any_stage() {
     let mut specs = pools(2, 2);
     slow_stages(&mut specs);
-    let scene = build(Make::new(1, specs));
+    let scene = build(ClusterBuilder::new(1, specs));
     block_on(async {
         // Read and fetch take 100 ms each, tokens 20 ms each; the answer has 200.
         for stage in 0..6 {
             let ask = scene.ask(0, QUICK, prompt(stage, 100), 200);
             let call = ask.request.call_id;
-            let arrived = |s: &Seen| matches!(s.what, Sight::Arrived { call: c, .. } if c == call);
-            let key_of = |s: &Seen| match s.what {
-                Sight::Arrived { key, .. } => Some(key),
+            let arrived = |s: &LoggedEvent| matches!(s.what, ObservedEvent::Arrived { call: c, .. } if c == call);
+            let key_of = |s: &LoggedEvent| match s.what {
+                ObservedEvent::Arrived { key, .. } => Some(key),
                 _ => None,
             };
-            let keys = || -> Vec<Key> {
+            let keys = || -> Vec<AttemptKey> {
                 scene
                     .log
                     .all()
@@ -91,26 +95,26 @@
                     .collect()
             };
             leaves_when(&scene, &ask, |s| match (stage, s) {
-                (0, Sight::Called { call: c, .. }) => *c == call,
+                (0, ObservedEvent::Called { call: c, .. }) => *c == call,
                 (
                     1,
-                    Sight::Arrived {
+                    ObservedEvent::Arrived {
                         call: c,
-                        kind: Kind::Read,
+                        kind: CallKind::Prefill,
                         ..
                     },
                 ) => *c == call,
-                (2, Sight::Kept { key, .. }) => keys().contains(key),
+                (2, ObservedEvent::Retained { key, .. }) => keys().contains(key),
                 (
                     3,
-                    Sight::Arrived {
+                    ObservedEvent::Arrived {
                         call: c,
-                        kind: Kind::Write,
+                        kind: CallKind::Decode,
                         ..
                     },
                 ) => *c == call,
-                (4, Sight::LetGo { key, .. }) => keys().contains(key),
-                (5, Sight::Began { call: c }) => *c == call,
+                (4, ObservedEvent::Released { key, .. }) => keys().contains(key),
+                (5, ObservedEvent::Began { call: c }) => *c == call,
                 _ => false,
             })
             .await;
@@ -124,7 +128,7 @@
             for key in keys() {
                 seen(
                     &scene,
-                    |s| matches!(s, Sight::Ended { key: k, .. } if *k == key),
+                    |s| matches!(s, ObservedEvent::Ended { key: k, .. } if *k == key),
                 )
                 .await;
             }
@@ -132,8 +136,11 @@
         // In the very moment of the first token.
         for i in 0..20 {
             let mut ask = scene.ask(0, QUICK, prompt(i, 20), 20);
-            ask.habit.leave_at_token = Some(1);
-            assert_eq!(scene.send(&ask).await.unwrap().how, Heard::Left);
+            ask.behavior.leave_at_token = Some(1);
+            assert_eq!(
+                scene.send(&ask).await.unwrap().outcome,
+                ClientOutcome::Disconnected
+            );
         }
         clean(&scene).await;
     });
@@ -144,7 +151,7 @@
 #[test]
 fn the_final_answer_comes_before_the_deadline_whatever_hangs() {
     // The margin is what the node has for its last word, on a machine that may be busy with other things.
-    let mut make = Make::new(1, pools(2, 2));
+    let mut make = ClusterBuilder::new(1, pools(2, 2));
     make.settings.answer_margin = 1_000_000;
     let scene = build(make);
     block_on(async {
@@ -153,11 +160,14 @@
         }
         let asks = (0..40).map(|i| {
             let mut ask = scene.ask(0, i % 4, prompt(i as u32, 50), 5);
-            ask.habit.client_timeout = 1_300_000 + i as u64 * 5_000;
+            ask.behavior.client_timeout = 1_300_000 + i as u64 * 5_000;
             ask
         });
         for end in all(&scene, asks.collect()).await {
-            assert!(matches!(end.how, Heard::Failed | Heard::Refused), "{end:?}");
+            assert!(
+                matches!(end.outcome, ClientOutcome::Failed | ClientOutcome::Rejected),
+                "{end:?}"
+            );
         }
         for i in 0..scene.engines() {
             scene.engine(i).fault(|f| f.hang = false);
@@ -171,13 +181,17 @@
 fn a_stream_past_the_deadline_is_ended_as_failed() {
     let mut specs = pools(1, 1);
     specs[1].token_gap = 100_000;
-    let scene = build(Make::new(1, specs));
+    let scene = build(ClusterBuilder::new(1, specs));
     block_on(async {
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 100);
-        ask.habit.client_timeout = 1_500_000;
+        ask.behavior.client_timeout = 1_500_000;
         let end = scene.send(&ask).await.unwrap();
-        assert_eq!((end.how, end.code), (Heard::Failed, 4), "{end:?}");
-        assert!(end.first.is_some() && end.tokens < 20);
+        assert_eq!(
+            (end.outcome, end.code),
+            (ClientOutcome::Failed, 4),
+            "{end:?}"
+        );
+        assert!(end.first_token_after.is_some() && end.tokens < 20);
         clean(&scene).await;
     });
 }
@@ -187,25 +201,25 @@
 fn without_a_deadline_the_class_counts_for_the_first_token_only() {
     let mut specs = pools(1, 1);
     specs[1].token_gap = 150_000;
-    let mut make = Make::new(1, specs);
+    let mut make = ClusterBuilder::new(1, specs);
     make.settings.classes[QUICK].settings.deadline = 1_000_000;
     let scene = build(make);
     block_on(async {
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 12);
-        ask.habit = Habit {
+        ask.behavior = ClientBehavior {
             client_timeout: 20_000_000,
             silent_deadline: true,
-            ..Habit::default()
+            ..ClientBehavior::default()
         };
         let end = scene.send(&ask).await.unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&scene).await;
     });
 }
 
 #[test]
 fn drains_and_departures_are_kept_and_restarts_are_taken_back() {
-    let scene = build(Make::new(1, pools(2, 3)));
+    let scene = build(ClusterBuilder::new(1, pools(2, 3)));
     block_on(async {
         for (round, condition) in [EndpointState::Draining, EndpointState::Removed]
             .into_iter()
@@ -216,7 +230,10 @@
             }
             for i in 0..30 {
                 let ask = scene.ask(0, QUICK, prompt(i + round as u32 * 100, 50), 5);
-                assert_eq!(scene.send(&ask).await.unwrap().how, Heard::Served);
+                assert_eq!(
+                    scene.send(&ask).await.unwrap().outcome,
+                    ClientOutcome::Served
+                );
             }
             for engine in [0, 2] {
                 scene.tell_all(engine, EndpointState::Ready, None).await;
@@ -225,7 +242,7 @@
         let all_seen = scene.log.all();
         let told = all_seen
             .iter()
-            .filter(|s| matches!(s.what, Sight::Told { .. }))
+            .filter(|s| matches!(s.what, ObservedEvent::Told { .. }))
             .count();
         assert_eq!(told, 8);
         clean(&scene).await;
@@ -237,13 +254,13 @@
 fn a_slow_client_holds_up_its_own_stream_alone() {
     let mut specs = pools(1, 1);
     specs[1].token_gap = 0;
-    let mut make = Make::new(1, specs);
+    let mut make = ClusterBuilder::new(1, specs);
     make.settings.stream_buffer = 64;
     let scene = build(make);
     block_on(async {
         let mut slow = scene.ask(0, QUICK, prompt(1, 50), 60_000);
-        slow.habit.read_pause = 400_000;
-        slow.habit.client_timeout = 60_000_000;
+        slow.behavior.read_pause = 400_000;
+        slow.behavior.client_timeout = 60_000_000;
         let call = slow.request.call_id;
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
@@ -253,12 +270,12 @@
                 let _ = left.recv().await;
             };
             let _ = tell
-                .send(one.send_until(&slow, leave).await.unwrap().how)
+                .send(one.send_until(&slow, leave).await.unwrap().outcome)
                 .await;
         });
         seen(
             &scene,
-            |s| matches!(s, Sight::Began { call: c } if *c == call),
+            |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
         )
         .await;
         // Others on the same connection are not held up: each is served while the slow one waits.
@@ -267,10 +284,10 @@
                 .send(&scene.ask(0, QUICK, prompt(i + 2, 50), 20))
                 .await
                 .unwrap();
-            assert_eq!(end.how, Heard::Served, "{end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         }
         drop(leave);
-        assert_eq!(wait.recv().await, Ok(Heard::Left));
+        assert_eq!(wait.recv().await, Ok(ClientOutcome::Disconnected));
         // What left the engine: at most what the client took, the node's buffer (twice its bound) and three windows
         // of 64 KiB of messages of at least four bytes for each token.
         let sent = scene.engine(1).tokens();
@@ -289,7 +306,7 @@
 fn many_slow_clients_do_not_break_the_connection_they_share() {
     let mut specs = pools(1, 1);
     specs[1].token_gap = 0;
-    let mut make = Make::new(1, specs);
+    let mut make = ClusterBuilder::new(1, specs);
     // Forty streams at full speed keep the machine busy: first tokens come late, and the module is not to shed for that,
     // nor to take a wait for a stall. How soon a busy engine takes up what waits in its sockets is not the matter either.
     make.patient();
@@ -299,10 +316,10 @@
     block_on(async {
         let asks = (0..40).map(|i| {
             let mut ask = scene.ask(0, QUICK, prompt(i, 50), 20_000);
-            ask.habit.read_pause = 200_000;
-            ask.habit.leave_after = Some(1_200_000);
+            ask.behavior.read_pause = 200_000;
+            ask.behavior.leave_after = Some(1_200_000);
             // Not all in one moment, which the module would take for overload.
-            ask.habit.client_timeout = 10_000_000;
+            ask.behavior.client_timeout = 10_000_000;
             ask
         });
         let mut waits = Vec::new();
@@ -316,12 +333,18 @@
             waits.push(wait);
         }
         let mut quick = scene.ask(0, QUICK, prompt(99, 50), 20);
-        quick.habit.client_timeout = 10_000_000;
+        quick.behavior.client_timeout = 10_000_000;
         let quick = scene.send(&quick).await.unwrap();
-        assert_eq!(quick.how, Heard::Served, "{quick:?}");
+        assert_eq!(quick.outcome, ClientOutcome::Served, "{quick:?}");
         for wait in waits {
             let end = wait.recv().await.unwrap();
-            assert!(matches!(end.how, Heard::Left | Heard::Refused), "{end:?}");
+            assert!(
+                matches!(
+                    end.outcome,
+                    ClientOutcome::Disconnected | ClientOutcome::Rejected
+                ),
+                "{end:?}"
+            );
         }
         clean(&scene).await;
     });
--- a/crates/ivyward-testbed/tests/held.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -5,16 +5,16 @@
 use futures_lite::future::block_on;
 use ivyward::core::interface::{Event, ReportField};
 use ivyward::recording::RecordingReader;
-use ivyward_fakes::sight::{Gone, Heard, Kind, Sight};
+use ivyward_fakes::event_log::{CallKind, ClientOutcome, ObservedEvent, RetentionEnd};
 use ivyward_runtime::RuntimeExt;
-use ivyward_testbed::scene::{Make, Memory};
+use ivyward_testbed::local_cluster::{ClusterBuilder, RecordingBuffer};
 
 #[test]
 fn places_are_held_ahead_taken_and_let_go() {
     let mut specs = pools(1, 2);
     // Reads take a quarter of a second, so that a place is held meanwhile.
     specs[0].read_rate = 200.0;
-    let mut make = Make::new(31, specs);
+    let mut make = ClusterBuilder::new(31, specs);
     make.settings.rules.reserve_decode_slot = true;
     make.patient();
     let scene = build(make);
@@ -24,14 +24,14 @@
                 .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
-            assert_eq!(end.how, Heard::Served, "{end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         }
-        let taken = |s: &Sight| {
+        let taken = |s: &ObservedEvent| {
             matches!(
                 s,
-                Sight::LetGo {
-                    place: true,
-                    how: Gone::Taken,
+                ObservedEvent::Released {
+                    is_decode_slot: true,
+                    how: RetentionEnd::Used,
                     ..
                 }
             )
@@ -42,15 +42,15 @@
         leaves_when(
             &scene,
             &ask,
-            |s| matches!(s, Sight::Kept { place: true, key, .. } if key.request == 7),
+            |s| matches!(s, ObservedEvent::Retained { is_decode_slot: true, key, .. } if key.request == 7),
         )
         .await;
         seen(&scene, |s| {
             matches!(
                 s,
-                Sight::LetGo {
-                    place: true,
-                    how: Gone::Released,
+                ObservedEvent::Released {
+                    is_decode_slot: true,
+                    how: RetentionEnd::Released,
                     ..
                 }
             )
@@ -66,21 +66,20 @@
         scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
-        let came =
-            |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Read, .. } if *c == call);
+        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Prefill, .. } if *c == call);
         seen(&scene, came).await;
         for e in [1, 2] {
             scene.engine(e).fault(|f| f.hang = false);
         }
-        assert_eq!(wait.recv().await.unwrap().how, Heard::Served);
+        assert_eq!(wait.recv().await.unwrap().outcome, ClientOutcome::Served);
         clean(&scene).await;
     });
 }
 
 #[test]
 fn load_reports_ride_on_answers() {
-    let memory = Memory::default();
-    let mut make = Make::new(32, pools(1, 1));
+    let memory = RecordingBuffer::default();
+    let mut make = ClusterBuilder::new(32, pools(1, 1));
     make.settings.rules.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
     make.record = Some(memory.clone());
     let scene = build(make);
@@ -89,7 +88,7 @@
             .send(&scene.ask(0, QUICK, prompt(1, 50), 5))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Served);
+        assert_eq!(end.outcome, ClientOutcome::Served);
         scene.node(0).unwrap().flush_recording().await;
         clean(&scene).await;
     });
@@ -109,7 +108,7 @@
 fn a_full_node_refuses_and_says_so() {
     let mut specs = pools(1, 1);
     specs[1].token_gap = 30_000;
-    let mut make = Make::new(33, specs);
+    let mut make = ClusterBuilder::new(33, specs);
     make.settings.most_open = 2;
     // Refused by the bound alone: a wait on a busy machine is no overload.
     make.patient();
@@ -122,7 +121,11 @@
             .send(&scene.ask(0, QUICK, prompt(9, 50), 5))
             .await
             .unwrap();
-        assert_eq!((end.how, end.code), (Heard::Refused, 8), "{end:?}");
+        assert_eq!(
+            (end.outcome, end.code),
+            (ClientOutcome::Rejected, 8),
+            "{end:?}"
+        );
         assert!(end.message.contains("this node is full"), "{end:?}");
         drop(held);
         scene.settle(5_000_000).await;
@@ -130,7 +133,7 @@
             .send(&scene.ask(0, QUICK, prompt(10, 50), 2))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&scene).await;
     });
 }
@@ -139,12 +142,12 @@
 /// requests end in time.
 #[test]
 fn an_engine_that_closes_each_connection_is_not_dialled_without_end() {
-    let scene = build(Make::new(34, pools(1, 1)));
+    let scene = build(ClusterBuilder::new(34, pools(1, 1)));
     block_on(async {
         let runtime = scene.runtime.clone();
         let address = {
             let mut engine = scene.engine(1);
-            engine.die();
+            engine.crash();
             engine.address()
         };
         let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
@@ -162,7 +165,10 @@
                 .send(&scene.ask(0, ORDER, prompt(i, 50), 5))
                 .await
                 .unwrap();
-            assert!(matches!(end.how, Heard::Refused | Heard::Failed), "{end:?}");
+            assert!(
+                matches!(end.outcome, ClientOutcome::Rejected | ClientOutcome::Failed),
+                "{end:?}"
+            );
         }
         let dials = dials.load(std::sync::atomic::Ordering::SeqCst);
         assert!(dials < 200, "{dials} dials for five requests");
--- a/crates/ivyward-testbed/tests/proofs.rs
+++ b/crates/ivyward-testbed/tests/retry_safety.rs
@@ -4,43 +4,43 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward_fakes::sight::{Heard, Kind, Sight};
-use ivyward_fakes::{Engine, Faults, Twist};
+use ivyward_fakes::event_log::{CallKind, ClientOutcome, ObservedEvent};
+use ivyward_fakes::{Engine, Faults, ResponseFault};
 use ivyward_runtime::RuntimeExt;
-use ivyward_testbed::scene::{Make, Scene};
+use ivyward_testbed::local_cluster::{ClusterBuilder, LocalCluster};
 use std::sync::Arc;
 
 /// One reader (engine 0) and two writers (1 and 2).
-fn scene() -> Arc<Scene> {
-    let mut make = Make::new(3, pools(1, 2));
+fn scene() -> Arc<LocalCluster> {
+    let mut make = ClusterBuilder::new(3, pools(1, 2));
     make.settings.stream_stall = 200_000;
     build(make)
 }
 
 /// Makes every call to both writers end in some way, and sends an unsafe request.
 async fn unsafe_at(
-    scene: &Arc<Scene>,
+    scene: &Arc<LocalCluster>,
     client_timeout: u64,
     trouble: impl Fn(&mut Engine),
-) -> (Heard, usize, usize) {
+) -> (ClientOutcome, usize, usize) {
     [1, 2]
         .into_iter()
         .for_each(|e| trouble(&mut scene.engine(e)));
     let mut ask = scene.ask(0, ORDER, prompt(1, 50), 10);
-    ask.habit.client_timeout = client_timeout;
+    ask.behavior.client_timeout = client_timeout;
     let call = ask.request.call_id;
     let end = scene.send(&ask).await.unwrap();
     for e in [1, 2] {
         let mut engine = scene.engine(e);
-        match engine.up() {
+        match engine.is_running() {
             true => engine.fault(|f| *f = Faults::default()),
-            false => engine.come_up(false).expect("its port is free"),
+            false => engine.restart(false).expect("its port is free"),
         }
     }
     clean(scene).await;
     (
-        end.how,
-        attempts(scene, call, Kind::Write),
+        end.outcome,
+        attempts(scene, call, CallKind::Decode),
         runs(scene, call),
     )
 }
@@ -53,9 +53,9 @@
 fn proof_connection_refused() {
     let scene = scene();
     block_on(async {
-        let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.die()).await;
+        let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.crash()).await;
         // Never sent, and said to be harmless to try again.
-        assert_eq!((how, came, ran), (Heard::Refused, 0, 0));
+        assert_eq!((how, came, ran), (ClientOutcome::Rejected, 0, 0));
     });
 }
 
@@ -64,7 +64,7 @@
     let scene = scene();
     block_on(async {
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.refuse_stream = 1.0)).await;
-        assert_eq!((how, ran), (Heard::Refused, 0));
+        assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 2, "{came} attempts: a refused stream is sent on");
     });
 }
@@ -74,10 +74,10 @@
     let scene = scene();
     block_on(async {
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.full = 1.0)).await;
-        assert_eq!((how, ran), (Heard::Refused, 0));
+        assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 2, "{came} attempts: turned away is sent on");
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.drain(true)).await;
-        assert_eq!((how, ran), (Heard::Refused, 0));
+        assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 1);
     });
 }
@@ -87,7 +87,7 @@
     let scene = scene();
     block_on(async {
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.reset = 1.0)).await;
-        assert_eq!((how, came, ran), (Heard::Failed, 1, 1));
+        assert_eq!((how, came, ran), (ClientOutcome::Failed, 1, 1));
     });
 }
 
@@ -97,7 +97,7 @@
     block_on(async {
         // Taken and never begun: the node cannot know that, so nothing is promised.
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.stall = 1.0)).await;
-        assert_eq!((how, came, ran), (Heard::Failed, 1, 0));
+        assert_eq!((how, came, ran), (ClientOutcome::Failed, 1, 0));
     });
 }
 
@@ -106,7 +106,7 @@
     let scene = scene();
     block_on(async {
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.lose_answer = 1.0)).await;
-        assert_eq!((how, came, ran), (Heard::Failed, 1, 1));
+        assert_eq!((how, came, ran), (ClientOutcome::Failed, 1, 1));
     });
 }
 
@@ -115,9 +115,11 @@
 fn no_proof_a_status() {
     let scene = scene();
     block_on(async {
-        let trouble = fault(|f| (f.twist, f.how) = (1.0, Some(Twist::StatusExhausted)));
+        let trouble = fault(|f| {
+            (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::StatusExhausted))
+        });
         let (how, came, ran) = unsafe_at(&scene, 1_000_000, trouble).await;
-        assert_eq!((how, came, ran), (Heard::Failed, 1, 1));
+        assert_eq!((how, came, ran), (ClientOutcome::Failed, 1, 1));
     });
 }
 
@@ -134,13 +136,13 @@
         scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await).await;
         });
-        let came = |s: &Sight| matches!(s, Sight::Arrived { call: c, kind: Kind::Write, .. } if *c == call);
+        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Decode, .. } if *c == call);
         seen(&scene, came).await;
-        [1, 2].into_iter().for_each(|e| scene.engine(e).die());
+        [1, 2].into_iter().for_each(|e| scene.engine(e).crash());
         let end = wait.recv().await.unwrap().unwrap();
         assert_eq!(
-            (end.how, attempts(&scene, call, Kind::Write)),
-            (Heard::Failed, 1)
+            (end.outcome, attempts(&scene, call, CallKind::Decode)),
+            (ClientOutcome::Failed, 1)
         );
         clean(&scene).await;
     });
@@ -162,7 +164,7 @@
             scene.runtime.run(async move {
                 seen(
                     &one,
-                    |s| matches!(s, Sight::Arrived { call, .. } if *call == first),
+                    |s| matches!(s, ObservedEvent::Arrived { call, .. } if *call == first),
                 )
                 .await;
                 (0..3).for_each(|e| one.engine(e).go_away());
@@ -172,8 +174,14 @@
             let _ = wait.recv().await;
             for (end, call) in ends.iter().zip(calls) {
                 // Overload may refuse some; none fails and none runs twice.
-                assert!(matches!(end.how, Heard::Served | Heard::Refused), "{end:?}");
-                assert_eq!(runs(&scene, call), usize::from(end.how == Heard::Served));
+                assert!(
+                    matches!(end.outcome, ClientOutcome::Served | ClientOutcome::Rejected),
+                    "{end:?}"
+                );
+                assert_eq!(
+                    runs(&scene, call),
+                    usize::from(end.outcome == ClientOutcome::Served)
+                );
             }
         }
         clean(&scene).await;
@@ -183,7 +191,7 @@
 /// Reading is no effect: whatever becomes of it, an unsafe request is read elsewhere and served.
 #[test]
 fn a_read_that_broke_is_repeated_for_every_class() {
-    let scene = build(Make::new(3, pools(2, 1)));
+    let scene = build(ClusterBuilder::new(3, pools(2, 1)));
     block_on(async {
         for (class, seed) in [(QUICK, 1), (ORDER, 2), (NOTE, 3)] {
             scene.engine(0).fault(|f| f.reset = 1.0);
@@ -193,7 +201,7 @@
                     .send(&scene.ask(0, class, prompt(seed * 100 + i, 50), 5))
                     .await
                     .unwrap();
-                assert_eq!(end.how, Heard::Served, "class {class}: {end:?}");
+                assert_eq!(end.outcome, ClientOutcome::Served, "class {class}: {end:?}");
             }
         }
         clean(&scene).await;
@@ -211,7 +219,10 @@
         for i in 0..10 {
             let ask = scene.ask(0, NOTE, prompt(i, 50), 5);
             let end = scene.send(&ask).await.unwrap();
-            assert!(matches!(end.how, Heard::Served | Heard::Refused), "{end:?}");
+            assert!(
+                matches!(end.outcome, ClientOutcome::Served | ClientOutcome::Rejected),
+                "{end:?}"
+            );
         }
         clean(&scene).await;
     });
@@ -220,7 +231,7 @@
 #[test]
 fn no_more_attempts_than_are_allowed() {
     for most in [1, 2, 4] {
-        let mut make = Make::new(3, pools(3, 6));
+        let mut make = ClusterBuilder::new(3, pools(3, 6));
         make.settings.rules.max_attempts = most;
         let scene = build(make);
         block_on(async {
@@ -229,9 +240,10 @@
             }
             let ask = scene.ask(0, QUICK, prompt(1, 50), 5);
             let end = scene.send(&ask).await.unwrap();
-            assert_eq!(end.how, Heard::Refused, "{end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
             let call = ask.request.call_id;
-            let came = attempts(&scene, call, Kind::Read) + attempts(&scene, call, Kind::Write);
+            let came = attempts(&scene, call, CallKind::Prefill)
+                + attempts(&scene, call, CallKind::Decode);
             assert_eq!(came, most as usize);
             clean(&scene).await;
         });
--- a/crates/ivyward-testbed/tests/auditor.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -4,25 +4,27 @@
 mod common;
 use common::*;
 use futures_lite::future::block_on;
-use ivyward_fakes::sight::{Effect, Heard, Key, Kind, Sight};
-use ivyward_fakes::{audit_so_far, Role, Spec};
+use ivyward_fakes::event_log::{
+    AttemptKey, CallIdempotency, CallKind, ClientOutcome, ObservedEvent,
+};
+use ivyward_fakes::{check_so_far, EngineSpec, Role};
 use ivyward_grpc::{encode, Call, Channel, Options};
 use ivyward_proto::engine as pb;
 use ivyward_runtime::{Runtime, RuntimeExt, RuntimeRef};
-use ivyward_testbed::scene::{Make, Scene};
+use ivyward_testbed::local_cluster::{ClusterBuilder, LocalCluster};
 use std::sync::Arc;
 
 const NODE: u64 = 77;
 
 /// Engines and no node: the test plays it.
-fn engines(specs: Vec<Spec>) -> Arc<Scene> {
-    let mut make = Make::new(9, specs);
+fn engines(specs: Vec<EngineSpec>) -> Arc<LocalCluster> {
+    let mut make = ClusterBuilder::new(9, specs);
     (make.nodes, make.flight) = (0, 50_000);
     build(make)
 }
 
 /// What the auditor finds broken, by rule; then attempts side by side, and deadlines told to engines.
-fn broken(scene: &Scene) -> [bool; 7] {
+fn broken(scene: &LocalCluster) -> [bool; 7] {
     let audit = scene.audit();
     let mut out = [false; 7];
     for (i, rule) in audit.rules.iter().enumerate() {
@@ -37,7 +39,7 @@
     std::array::from_fn(|i| i == rule)
 }
 
-async fn dial(scene: &Scene, engine: usize) -> Channel {
+async fn dial(scene: &LocalCluster, engine: usize) -> Channel {
     let runtime: RuntimeRef = scene.runtime.clone();
     let address = scene.engine(engine).address();
     let conn = runtime.connect(address).await.unwrap();
@@ -47,7 +49,7 @@
 }
 
 fn header(
-    scene: &Scene,
+    scene: &LocalCluster,
     engine: usize,
     request: u64,
     attempt: u32,
@@ -67,7 +69,7 @@
     })
 }
 
-async fn write(scene: &Scene, engine: usize, request: u64, attempt: u32, call: u64) -> Call {
+async fn write(scene: &LocalCluster, engine: usize, request: u64, attempt: u32, call: u64) -> Call {
     let ask = pb::WriteRequest {
         header: header(scene, engine, request, attempt, call),
         prompt: prompt(1, 10),
@@ -85,7 +87,7 @@
         .unwrap()
 }
 
-async fn read(scene: &Scene, engine: usize, request: u64, attempt: u32) -> Call {
+async fn read(scene: &LocalCluster, engine: usize, request: u64, attempt: u32) -> Call {
     let ask = pb::ReadRequest {
         header: header(scene, engine, request, attempt, 1),
         prompt: prompt(1, 10),
@@ -106,9 +108,9 @@
     while let Ok(Some(_)) = call.next::<M>().await {}
 }
 
-fn called(scene: &Scene, call: u64, effect: Effect) {
+fn called(scene: &LocalCluster, call: u64, effect: CallIdempotency) {
     let until = scene.log.now() + 1_000_000;
-    scene.log.add(Sight::Called {
+    scene.log.add(ObservedEvent::Called {
         call,
         operation: call,
         node: 0,
@@ -117,20 +119,20 @@
     });
 }
 
-fn heard(scene: &Scene, call: u64, how: Heard) {
-    scene.log.add(Sight::Heard { call, how });
+fn heard(scene: &LocalCluster, call: u64, how: ClientOutcome) {
+    scene.log.add(ObservedEvent::ClientOutcome { call, how });
 }
 
 #[test]
 fn rule_1_a_request_without_an_answer_and_one_sent_after_its_end() {
     for (how, late, rule) in [
-        (Heard::Served, false, None),
-        (Heard::GaveUp, false, Some(0)),
-        (Heard::Refused, true, Some(0)),
+        (ClientOutcome::Served, false, None),
+        (ClientOutcome::TimedOut, false, Some(0)),
+        (ClientOutcome::Rejected, true, Some(0)),
     ] {
         let scene = engines(pools(0, 1));
         block_on(async {
-            called(&scene, 1, Effect::Safe);
+            called(&scene, 1, CallIdempotency::Idempotent);
             if !late {
                 to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
             }
@@ -144,17 +146,37 @@
     }
     // One that was never heard of again.
     let scene = engines(pools(0, 1));
-    called(&scene, 1, Effect::Safe);
+    called(&scene, 1, CallIdempotency::Idempotent);
     assert_eq!(broken(&scene), only(0));
 }
 
 #[test]
 fn rule_2_an_unsafe_request_run_twice_or_refused_after_it_ran() {
     for (effect, runs, how, rule) in [
-        (Effect::Unsafe, 1, Heard::Served, None),
-        (Effect::Unsafe, 2, Heard::Served, Some(1)),
-        (Effect::Unsafe, 1, Heard::Refused, Some(1)),
-        (Effect::Safe, 2, Heard::Refused, None),
+        (
+            CallIdempotency::NonIdempotent,
+            1,
+            ClientOutcome::Served,
+            None,
+        ),
+        (
+            CallIdempotency::NonIdempotent,
+            2,
+            ClientOutcome::Served,
+            Some(1),
+        ),
+        (
+            CallIdempotency::NonIdempotent,
+            1,
+            ClientOutcome::Rejected,
+            Some(1),
+        ),
+        (
+            CallIdempotency::Idempotent,
+            2,
+            ClientOutcome::Rejected,
+            None,
+        ),
     ] {
         let scene = engines(pools(0, 2));
         block_on(async {
@@ -180,7 +202,7 @@
         let scene = engines(pools(0, 1));
         block_on(async {
             let engine = scene.engine(0).spec().id;
-            scene.log.add(Sight::Told {
+            scene.log.add(ObservedEvent::Told {
                 node: NODE,
                 engine,
                 ready: false,
@@ -203,11 +225,11 @@
         // A tenth of one a second, four times that in a hundred seconds: 40, and two for chance. The window is far longer
         // than any machine takes for these calls, so that what counts is how many there are.
         let (window, warm) = (100_000_000, 4_000_000_000);
-        (specs[0].falls, specs[0].capacity) = ((4.0, window), 1.0);
-        specs[0].cold = (0.1, warm);
+        (specs[0].overload, specs[0].capacity) = ((4.0, window), 1.0);
+        specs[0].warm_up = (0.1, warm);
         // Nothing is worked on meanwhile: a cold engine is slow.
         (specs[0].token_gap, specs[0].read_rate) = (0, 1e12);
-        let mut make = Make::new(9, specs);
+        let mut make = ClusterBuilder::new(9, specs);
         make.nodes = 0;
         let rules = &mut make.settings.rules;
         (
@@ -217,9 +239,9 @@
         ) = (0.1, window, warm);
         let scene = build(make);
         block_on(async {
-            scene.engine(0).come_up(true).unwrap();
+            scene.engine(0).restart(true).unwrap();
             for i in 0..calls {
-                if scene.engine(0).up() {
+                if scene.engine(0).is_running() {
                     to_end::<pb::WriteEvent>(write(&scene, 0, i, 0, i).await).await;
                 }
             }
@@ -229,7 +251,7 @@
             rule.map_or([false; 7], only),
             "{calls} calls"
         );
-        assert_eq!(scene.engine(0).up(), rule.is_none());
+        assert_eq!(scene.engine(0).is_running(), rule.is_none());
     }
 }
 
@@ -237,7 +259,7 @@
 fn rule_5_a_state_that_nobody_lets_go() {
     for (release, rule) in [(true, None), (false, Some(4))] {
         let mut specs = pools(1, 0);
-        specs[0].keep = 700_000;
+        specs[0].retention = 700_000;
         let scene = engines(specs);
         block_on(async {
             to_end::<pb::ReadReply>(read(&scene, 0, 1, 0).await).await;
@@ -256,7 +278,7 @@
                     .unwrap();
                 to_end::<pb::ReleaseReply>(call).await;
             }
-            seen(&scene, |s| matches!(s, Sight::LetGo { .. })).await;
+            seen(&scene, |s| matches!(s, ObservedEvent::Released { .. })).await;
         });
         assert_eq!(
             broken(&scene),
@@ -269,7 +291,10 @@
 #[test]
 fn two_attempts_at_once() {
     for (beside, rule) in [(false, None), (true, Some(5))] {
-        let mut specs = vec![Spec::small(1, Role::Writer), Spec::small(2, Role::Writer)];
+        let mut specs = vec![
+            EngineSpec::small(1, Role::Decode),
+            EngineSpec::small(2, Role::Decode),
+        ];
         specs[0].token_gap = 100_000;
         let scene = engines(specs);
         block_on(async {
@@ -284,14 +309,14 @@
                     to_end::<pb::WriteEvent>(first).await;
                     drop(tell);
                 });
-                seen(&scene, |s| matches!(s, Sight::Ran { .. })).await;
+                seen(&scene, |s| matches!(s, ObservedEvent::Ran { .. })).await;
                 to_end::<pb::WriteEvent>(write(&scene, 1, 1, 1, 1).await).await;
                 let _ = wait.recv().await;
             };
             run.await;
             seen(
                 &scene,
-                |s| matches!(s, Sight::Ended { key, .. } if key.attempt == 0),
+                |s| matches!(s, ObservedEvent::Ended { key, .. } if key.attempt == 0),
             )
             .await;
         });
@@ -307,25 +332,25 @@
 #[test]
 fn a_run_that_goes_on_is_judged_by_what_can_still_come() {
     let scene = engines(pools(0, 2));
-    called(&scene, 1, Effect::Safe);
+    called(&scene, 1, CallIdempotency::Idempotent);
     let broken = |after: u64| {
-        let audit = audit_so_far(&scene.log.all(), &scene.limits(), scene.log.now() + after);
+        let audit = check_so_far(&scene.log.all(), &scene.limits(), scene.log.now() + after);
         (audit.rules[0].count, audit.overlap.count)
     };
     assert_eq!(broken(0), (0, 0));
     assert_eq!(broken(2_000_000), (1, 0), "its client's time is over");
     // An attempt beside one that has not ended.
     for attempt in 0..2 {
-        let key = Key {
+        let key = AttemptKey {
             node: NODE,
             request: 1,
             attempt,
         };
-        scene.log.add(Sight::Arrived {
+        scene.log.add(ObservedEvent::Arrived {
             engine: u64::from(attempt) + 1,
             key,
             call: 1,
-            kind: Kind::Write,
+            kind: CallKind::Decode,
             timeout: None,
         });
     }
@@ -338,7 +363,7 @@
     for (more, broken_rule) in [(100_000, None), (400_000, Some(6))] {
         let scene = engines(pools(0, 1));
         block_on(async {
-            called(&scene, 1, Effect::Safe);
+            called(&scene, 1, CallIdempotency::Idempotent);
             let ask = pb::WriteRequest {
                 header: header(&scene, 0, 1, 0, 1),
                 prompt: prompt(1, 10),
@@ -352,7 +377,7 @@
                 .call_before(path, encode(&ask), Some(deadline))
                 .await;
             to_end::<pb::WriteEvent>(call.unwrap()).await;
-            heard(&scene, 1, Heard::Served);
+            heard(&scene, 1, ClientOutcome::Served);
         });
         assert_eq!(
             broken(&scene),
--- a/crates/ivyward-testbed/tests/seeds.rs
+++ b/crates/ivyward-testbed/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! Scenes in the virtual world: rules under faults from seeds, and the same run each time.
 
-use ivyward_testbed::seeds::{many, plan, run, shrink, Fault, Size, Timed};
+use ivyward_testbed::simulation::{many, plan, run, shrink, Fault, Size, Timed};
 
 #[test]
 fn seeds_keep_all_rules() {
--- a/crates/ivyward-testbed/tests/stage/mod.rs
+++ b/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
@@ -4,12 +4,12 @@
 
 use ivyward::{Node, NodeSettings};
 use ivyward_core::interface::EndpointState;
-use ivyward_fakes::{Engine, Host as Processes, Log, Role, Spec};
+use ivyward_fakes::{Engine, EngineSpec, EventLog, Host as Processes, Role};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use ivyward_sim::{Host, HostId, Net, Sim};
-use ivyward_testbed::scene::{listed, settings, Memory};
-use ivyward_testbed::seeds::Hosts;
+use ivyward_testbed::local_cluster::{listed, settings, RecordingBuffer};
+use ivyward_testbed::simulation::Hosts;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -19,23 +19,23 @@
     (0..length).map(|i| i.wrapping_mul(7) ^ seed).collect()
 }
 
-pub struct Stage {
+pub struct VirtualCluster {
     pub sim: Sim,
     pub script: Arc<Host>,
     pub runtime: RuntimeRef,
-    pub log: Log,
+    pub log: EventLog,
     pub engines: Vec<Engine>,
     /// The engines' processes, in the same order.
     pub engine_hosts: Vec<HostId>,
 }
 
 /// Three readers and two writers; no jitter, so that who else talks does not change how long anything takes.
-pub fn stage() -> Stage {
-    stage_of(3, 2)
+pub fn virtual_cluster() -> VirtualCluster {
+    virtual_cluster_of(3, 2)
 }
 
 /// The same with so many readers and writers, whose ids follow the readers'.
-pub fn stage_of(readers: u64, writers: u64) -> Stage {
+pub fn virtual_cluster_of(readers: u64, writers: u64) -> VirtualCluster {
     let sim = Sim::new(
         11,
         Net {
@@ -45,20 +45,20 @@
     );
     let script = sim.host(0);
     let runtime = script.runtime();
-    let log = Log::new(&runtime);
+    let log = EventLog::new(&runtime);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Processes> = hosts.clone();
     let spec = |id| {
         let role = if id <= readers {
-            Role::Reader
+            Role::Prefill
         } else {
-            Role::Writer
+            Role::Decode
         };
-        Spec {
+        EngineSpec {
             read_rate: 4_000.0,
             fetch_rate: 8_000.0,
             token_gap: 3_000,
-            ..Spec::small(id, role)
+            ..EngineSpec::small(id, role)
         }
     };
     let (mut engines, mut engine_hosts) = (Vec::new(), Vec::new());
@@ -66,7 +66,7 @@
         engines.push(Engine::start(&host, &log, spec(id)).unwrap());
         engine_hosts.push(hosts.last());
     }
-    Stage {
+    VirtualCluster {
         sim,
         script,
         runtime,
@@ -76,19 +76,19 @@
     }
 }
 
-impl Stage {
+impl VirtualCluster {
     /// A node with a door, told of all engines once it is polled, and its recording.
-    pub fn node(&self, seed: u64) -> (Node, SocketAddr, Memory) {
+    pub fn node(&self, seed: u64) -> (Node, SocketAddr, RecordingBuffer) {
         let (node, address, memory, _) = self.node_at(seed);
         (node, address, memory)
     }
     /// The same, with the number of its process.
-    pub fn node_at(&self, seed: u64) -> (Node, SocketAddr, Memory, HostId) {
+    pub fn node_at(&self, seed: u64) -> (Node, SocketAddr, RecordingBuffer, HostId) {
         self.node_with(NodeSettings { seed, ..settings() })
     }
     /// The same, with settings of its own.
-    pub fn node_with(&self, settings: NodeSettings) -> (Node, SocketAddr, Memory, HostId) {
-        let (host, memory) = (self.sim.host(settings.seed), Memory::default());
+    pub fn node_with(&self, settings: NodeSettings) -> (Node, SocketAddr, RecordingBuffer, HostId) {
+        let (host, memory) = (self.sim.host(settings.seed), RecordingBuffer::default());
         let runtime = host.runtime();
         let node = Node::start(runtime.clone(), settings, Some(Box::new(memory.clone()))).unwrap();
         let listener = runtime
--- a/crates/ivyward-testbed/tests/drains.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -6,23 +6,23 @@
 use futures_lite::future::block_on;
 use ivyward::registration::State;
 use ivyward::watcher::Follow;
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::{Heard, Sight};
+use ivyward_fakes::event_log::{ClientOutcome, ObservedEvent};
 use ivyward_fakes::Host;
 use ivyward_runtime::RuntimeExt;
-use ivyward_testbed::scene::{Make, Scene};
+use ivyward_testbed::local_cluster::{ClusterBuilder, LocalCluster};
 use std::sync::Arc;
 
 /// These tests are about notices: what the machine needs for everything else is not held against the node here. Sends
 /// after a notice are judged as strictly as anywhere.
-fn quiet_about_time(make: &mut Make) {
+fn quiet_about_time(make: &mut ClusterBuilder) {
     make.patient();
     make.flight = 2_000_000;
 }
 
 struct Rig {
-    scene: Arc<Scene>,
+    scene: Arc<LocalCluster>,
     store: Store,
 }
 
@@ -38,12 +38,12 @@
 
 /// Nodes that follow a store with so many doors.
 fn rig_from(seed: u64, nodes: usize, doors: usize, change: impl FnOnce(&mut Follow)) -> Rig {
-    let host: Arc<dyn Host> = Arc::new(Threads);
+    let host: Arc<dyn Host> = Arc::new(OwnThreads);
     let mut store = Store::start(&host, 1).unwrap();
-    store.open_doors(doors).unwrap();
-    let mut make = Make::new(seed, pools(4, 8));
+    store.open_endpoints(doors).unwrap();
+    let mut make = ClusterBuilder::new(seed, pools(4, 8));
     let mut follow = Follow {
-        endpoints: store.doors().to_vec(),
+        endpoints: store.endpoints().to_vec(),
         pauses: (5_000, 100_000),
         ..Follow::default()
     };
@@ -73,7 +73,7 @@
         let id = self.scene.engine(engine).spec().id;
         for node in 0..self.scene.nodes() {
             let node = self.scene.node(node).unwrap().incarnation();
-            self.scene.log.add(Sight::Told {
+            self.scene.log.add(ObservedEvent::Told {
                 node,
                 engine: id,
                 ready,
@@ -141,7 +141,7 @@
                 .send(&self.scene.ask(node, QUICK, prompt(i, 40), 4))
                 .await
                 .unwrap();
-            assert_eq!(end.how, Heard::Served, "{end:?}");
+            assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         }
     }
 }
@@ -226,12 +226,12 @@
     block_on(async {
         rig.all_known(12).await;
         rig.drained(4).await;
-        rig.store.die();
+        rig.store.crash();
         rig.until(|rig| rig.scene.node(0).unwrap().metrics().list_stale.get() == 1)
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         rig.served(1).await;
-        rig.store.come_up().unwrap();
+        rig.store.restart().unwrap();
         rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
             .await;
         rig.served(2).await;
@@ -267,7 +267,7 @@
             .send(&rig.scene.ask(0, QUICK, prompt(3, 40), 4))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Refused, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
         clean(&rig.scene).await;
     });
 }
@@ -297,7 +297,7 @@
         });
         seen(
             &rig.scene,
-            |s| matches!(s, Sight::Began { call: c } if *c == call),
+            |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
         )
         .await;
         for engine in 4..12 {
@@ -307,7 +307,7 @@
         }
         rig.put_all();
         let end = wait.recv().await.unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         rig.served(2).await;
         clean(&rig.scene).await;
     });
@@ -338,7 +338,7 @@
         rig.until(|_| node.metrics().engines.get() == 12 && path.exists())
             .await;
         first.stop();
-        rig.store.die();
+        rig.store.crash();
         let (_second, node) = start(2, keeping);
         rig.until(|_| node.metrics().engines.get() == 12).await;
         let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 4).request;
@@ -452,7 +452,7 @@
     block_on(async {
         rig.all_known(12).await;
         rig.store.fault(|f| f.lag = vec![0, 700_000]);
-        rig.store.witness(rig.scene.witness());
+        rig.store.set_observer(rig.scene.witness());
         let (stop, done) = rig.load();
         for engine in 4..8 {
             rig.put(engine, State::Draining);
@@ -463,7 +463,7 @@
         clean(&rig.scene).await;
         let all = rig.scene.log.all();
         let told = |engine: u64| -> Vec<u64> {
-            let of = |s: &Sight| matches!(s, Sight::Told { engine: e, ready: false, .. } if *e == engine);
+            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::Told { engine: e, ready: false, .. } if *e == engine);
             all.iter().filter(|s| of(&s.what)).map(|s| s.at).collect()
         };
         for engine in 5..9 {
@@ -515,7 +515,7 @@
             .send(&rig.scene.ask(0, QUICK, prompt(1, 40), 4))
             .await
             .unwrap();
-        assert_eq!(end.how, Heard::Served, "{end:?}");
+        assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&rig.scene).await;
     });
 }
@@ -530,7 +530,7 @@
         rig.put_all();
         rig.delete(11);
         rig.store.copy().save(&path).unwrap();
-        let copy = ivyward_fakes::etcd::Copy::load(&path).unwrap();
+        let copy = ivyward_fakes::etcd::StoreCopy::load(&path).unwrap();
         block_on(async {
             rig.all_known(11).await;
             rig.put(11, State::Ready);
@@ -538,14 +538,14 @@
             rig.all_known(12).await;
             rig.heard_all().await;
             let high = rig.store.revision();
-            rig.store.die();
+            rig.store.crash();
             rig.store.restore(if history {
                 copy
             } else {
                 copy.without_history()
             });
             assert!(rig.store.revision() < high);
-            rig.store.come_up().unwrap();
+            rig.store.restart().unwrap();
             rig.all_known(11).await;
             rig.served(1).await;
             rig.drained(5).await;
@@ -621,7 +621,7 @@
     block_on(async {
         rig.all_known(12).await;
         rig.drained(4).await;
-        rig.store.die();
+        rig.store.crash();
         rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 1))
             .await;
         // Thirty lists in vain at the longest pause of this rig.
@@ -633,7 +633,7 @@
             assert_eq!(rig.engines_known(), [12, 12]);
             rig.scene.runtime.sleep(50_000).await;
         }
-        rig.store.come_up().unwrap();
+        rig.store.restart().unwrap();
         rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
             .await;
         rig.served(i).await;
@@ -652,7 +652,7 @@
     }
     block_on(async {
         rig.all_known(12).await;
-        rig.scene.engine(5).die();
+        rig.scene.engine(5).crash();
         rig.all_known(11).await;
         // Drained by hand, under the lease that it has.
         let key = rig.scene.registration(4, State::Ready, 0).0;
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -310,7 +310,7 @@
     })
     .unwrap();
     cluster.until_agreed(NEVER).unwrap();
-    cluster.store().unwrap().die();
+    cluster.store().unwrap().crash();
     cluster.kill(3);
     cluster.until_agreed(NEVER).unwrap();
     cluster.begin(3).unwrap();
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -2,11 +2,13 @@
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::EndpointState;
-use ivyward_fakes::{text, Client, Log, Role, Spec};
+use ivyward_fakes::{text, Client, EngineSpec, EventLog, Role};
 use ivyward_proto::front::front_client::FrontClient;
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::RuntimeRef;
-use ivyward_testbed::scene::{decisions, ivyward_flags, Make, Memory, Scene};
+use ivyward_testbed::local_cluster::{
+    decisions, ivyward_flags, ClusterBuilder, LocalCluster, RecordingBuffer,
+};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -15,9 +17,11 @@
 use tonic_types::StatusExt;
 
 /// One writer: which of several is taken may hang on microseconds, and the clock is a real one here.
-fn engines() -> Vec<Spec> {
-    let readers = (1..=3).map(|i| Spec::steady(i, Role::Reader));
-    readers.chain([Spec::steady(4, Role::Writer)]).collect()
+fn engines() -> Vec<EngineSpec> {
+    let readers = (1..=3).map(|i| EngineSpec::steady(i, Role::Prefill));
+    readers
+        .chain([EngineSpec::steady(4, Role::Decode)])
+        .collect()
 }
 
 struct Daemon {
@@ -26,7 +30,7 @@
 }
 
 impl Daemon {
-    fn start(scene: &Scene, more: &[String]) -> Daemon {
+    fn start(scene: &LocalCluster, more: &[String]) -> Daemon {
         let listed: Vec<_> = (0..scene.engines())
             .map(|e| scene.entry(e, EndpointState::Ready, 0))
             .collect();
@@ -80,8 +84,8 @@
 /// The same scripted scenario, one request at a time, through the library and through the daemon.
 #[test]
 fn library_and_daemon_decide_alike() {
-    let memory = Memory::default();
-    let mut make = Make::new(21, engines());
+    let memory = RecordingBuffer::default();
+    let mut make = ClusterBuilder::new(21, engines());
     make.patient();
     make.record = Some(memory.clone());
     let scene = make.clone().build().unwrap();
@@ -98,7 +102,7 @@
     let path = std::env::temp_dir().join(format!("ivywardd-record-{}", std::process::id()));
     let daemon = Daemon::start(&fresh, &[format!("--record={}", path.display())]);
     let runtime: RuntimeRef = fresh.runtime.clone();
-    let log = Log::new(&runtime);
+    let log = EventLog::new(&runtime);
     block_on(async {
         let client = Client::connect(&runtime, &log, daemon.address)
             .await
@@ -106,9 +110,13 @@
         for i in 0..16 {
             let mut ask_it = fresh.ask(0, 0, ask(i).prompt, 6);
             ask_it.request = ask(i);
-            ask_it.habit.client_timeout = 30_000_000;
-            let end = client.ask(&ask_it).await;
-            assert_eq!(end.how, ivyward_fakes::sight::Heard::Served, "{end:?}");
+            ask_it.behavior.client_timeout = 30_000_000;
+            let end = client.send(&ask_it).await;
+            assert_eq!(
+                end.outcome,
+                ivyward_fakes::event_log::ClientOutcome::Served,
+                "{end:?}"
+            );
             assert_eq!(end.tokens as usize, inside[i as usize].len());
         }
         client.close();
@@ -129,7 +137,7 @@
 /// tonic's own client on a tokio runtime: what any gRPC client sees.
 #[test]
 fn a_foreign_client_is_served_refused_and_failed_in_grpcs_terms() {
-    let scene = Make::new(22, engines()).build().unwrap();
+    let scene = ClusterBuilder::new(22, engines()).build().unwrap();
     let daemon = Daemon::start(&scene, &[]);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -179,8 +187,8 @@
 /// SIGHUP takes over the engines of an @file; bad ones change nothing.
 #[test]
 fn engines_are_read_again_on_a_signal() {
-    let writers = (5..=6).map(|i| Spec::steady(i, Role::Writer));
-    let mut make = Make::new(23, engines().into_iter().chain(writers).collect());
+    let writers = (5..=6).map(|i| EngineSpec::steady(i, Role::Decode));
+    let mut make = ClusterBuilder::new(23, engines().into_iter().chain(writers).collect());
     make.patient();
     let scene = make.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-engines-{}", std::process::id()));
@@ -236,13 +244,16 @@
             .await
             .unwrap();
         // The new ones are told a moment after the line above; the old ones are gone then.
-        scene.engine(0).die();
-        scene.engine(3).die();
+        scene.engine(0).crash();
+        scene.engine(3).crash();
         let mut ends = Vec::new();
         for i in 0..10_000 {
             let mut ask_it = scene.ask(0, 0, ask(i).prompt, 6);
-            ask_it.habit.client_timeout = 10_000_000;
-            ends.push(client.ask(&ask_it).await.how == ivyward_fakes::sight::Heard::Served);
+            ask_it.behavior.client_timeout = 10_000_000;
+            ends.push(
+                client.send(&ask_it).await.outcome
+                    == ivyward_fakes::event_log::ClientOutcome::Served,
+            );
             // From the first one that was served on, all are.
             if ends.iter().filter(|served| **served).count() == 8 {
                 break;
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -2,15 +2,17 @@
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::Settings;
-use ivyward_fakes::engine::Threads;
+use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
-use ivyward_fakes::sight::{Effect, Heard};
-use ivyward_fakes::{audit, Ask, Client, Engine, Habit, Host, Log, Role, Spec};
+use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
+use ivyward_fakes::{
+    check, Client, ClientBehavior, ClientRequest, Engine, EngineSpec, EventLog, Host, Role,
+};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward_testbed::cluster::process::Process;
-use ivyward_testbed::enlist::keep;
-use ivyward_testbed::scene::{ivyward_flags, limits, settings};
+use ivyward_testbed::local_cluster::{ivyward_flags, limits, settings};
+use ivyward_testbed::registration::keep;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -40,8 +42,8 @@
     line.and_then(|n| n.trim().parse().ok()).unwrap_or(0)
 }
 
-fn ask(node: usize, call: u64) -> Ask {
-    Ask {
+fn ask(node: usize, call: u64) -> ClientRequest {
+    ClientRequest {
         request: GenerateRequest {
             prompt: (0..300).map(|t| t ^ ((call as u32) << 10)).collect(),
             max_output_tokens: 4,
@@ -51,11 +53,11 @@
             ..GenerateRequest::default()
         },
         operation: call,
-        effect: Effect::Safe,
+        idempotency: CallIdempotency::Idempotent,
         node,
-        habit: Habit {
+        behavior: ClientBehavior {
             client_timeout: 20 * SECOND,
-            ..Habit::default()
+            ..ClientBehavior::default()
         },
     }
 }
@@ -66,8 +68,8 @@
 fn processes_serve_a_fleet_all_new_at_once() {
     let smol = SmolRuntime::start(2, 5);
     let runtime: RuntimeRef = smol.clone();
-    let log = Log::new(&runtime);
-    let host: Arc<dyn Host> = Arc::new(Threads);
+    let log = EventLog::new(&runtime);
+    let host: Arc<dyn Host> = Arc::new(OwnThreads);
     // They stay cold for longer than the test takes.
     let cold = (0.3, 600 * SECOND);
     let rules = Settings {
@@ -76,20 +78,20 @@
         ..settings().rules
     };
     let spec = |id: u64| {
-        let role = if id <= 4 { Role::Reader } else { Role::Writer };
-        Spec {
-            cold,
-            falls: (rules.overload_multiple, rules.overload_window),
-            ..Spec::small(id, role)
+        let role = if id <= 4 { Role::Prefill } else { Role::Decode };
+        EngineSpec {
+            warm_up: cold,
+            overload: (rules.overload_multiple, rules.overload_window),
+            ..EngineSpec::small(id, role)
         }
     };
-    let specs: Vec<Spec> = (1..=8).map(spec).collect();
+    let specs: Vec<EngineSpec> = (1..=8).map(spec).collect();
     let store = Store::start(&host, 1).unwrap();
     // It comes back cold under its address, unless another socket took that meanwhile; then another one is tried.
-    let cold_one = |spec: &Spec| loop {
+    let cold_one = |spec: &EngineSpec| loop {
         let mut engine = Engine::start(&host, &log, spec.clone()).unwrap();
-        engine.die();
-        if engine.come_up(true).is_ok() {
+        engine.crash();
+        if engine.restart(true).is_ok() {
             keep(
                 &engine,
                 vec![store.address()],
@@ -120,19 +122,19 @@
         }
         // Every node's first call.
         for (node, client) in clients.iter().enumerate() {
-            let end = client.ask(&ask(node, 1 + node as u64)).await;
-            assert_eq!(end.how, Heard::Served, "node {node}: {end:?}");
+            let end = client.send(&ask(node, 1 + node as u64)).await;
+            assert_eq!(end.outcome, ClientOutcome::Served, "node {node}: {end:?}");
         }
         // A call at a time: as many as come are served, though all engines stay cold.
         for call in 10..40 {
             let node = call as usize % 3;
-            let end = clients[node].ask(&ask(node, call)).await;
-            assert_eq!(end.how, Heard::Served, "call {call}: {end:?}");
+            let end = clients[node].send(&ask(node, call)).await;
+            assert_eq!(end.outcome, ClientOutcome::Served, "call {call}: {end:?}");
         }
     });
-    let audit = audit(&log.all(), &limits(&rules, 250_000, &specs), log.now());
+    let audit = check(&log.all(), &limits(&rules, 250_000, &specs), log.now());
     assert_eq!(audit.broken(), Vec::<String>::new());
-    assert!(fleet.iter().all(Engine::up));
+    assert!(fleet.iter().all(Engine::is_running));
     drop(daemons);
     smol.stop();
 }
@@ -142,9 +144,9 @@
 fn a_burst_at_idle_processes_is_served() {
     let smol = SmolRuntime::start(2, 6);
     let runtime: RuntimeRef = smol.clone();
-    let log = Log::new(&runtime);
-    let host: Arc<dyn Host> = Arc::new(Threads);
-    let spec = |id: u64| Spec::small(id, if id <= 4 { Role::Reader } else { Role::Writer });
+    let log = EventLog::new(&runtime);
+    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let spec = |id: u64| EngineSpec::small(id, if id <= 4 { Role::Prefill } else { Role::Decode });
     let store = Store::start(&host, 1).unwrap();
     let fleet: Vec<Engine> = (1..=8)
         .map(|id| Engine::start(&host, &log, spec(id)).unwrap())
@@ -167,12 +169,12 @@
             let (client, told) = (client.clone(), told.clone());
             let ask = ask(0, call);
             runtime.run(async move {
-                let end = client.ask(&ask).await;
-                let _ = told.send(end.how);
+                let end = client.send(&ask).await;
+                let _ = told.send(end.outcome);
             });
         }
         (0..60)
-            .filter(|_| ends.recv().unwrap() != Heard::Served)
+            .filter(|_| ends.recv().unwrap() != ClientOutcome::Served)
             .count()
     });
     assert_eq!(refused, 0);
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -5,11 +5,11 @@
 use common::{answers, config, control, with_faults, File, Running, BODY};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::EndpointState;
-use ivyward_fakes::sight::Heard;
-use ivyward_fakes::{Client, Log, Role, Spec};
+use ivyward_fakes::event_log::ClientOutcome;
+use ivyward_fakes::{Client, EngineSpec, EventLog, Role};
 use ivyward_fault_injection::{ControlFile, SystemFault};
 use ivyward_runtime::{Conn, Runtime, RuntimeRef, SmolRuntime};
-use ivyward_testbed::scene::{ivyward_flags, Make, Scene};
+use ivyward_testbed::local_cluster::{ivyward_flags, ClusterBuilder, LocalCluster};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -74,7 +74,7 @@
         let path = file.0.to_str().expect("a path of letters");
         Daemon::start(control, &["platform".into()], &[("BALANCER_CONFIG", path)])
     }
-    fn grpc(control: &ControlFile, scene: &Scene) -> Daemon {
+    fn grpc(control: &ControlFile, scene: &LocalCluster) -> Daemon {
         let listed: Vec<_> = (0..scene.engines())
             .map(|e| scene.entry(e, EndpointState::Ready, 0))
             .collect();
@@ -180,8 +180,11 @@
 
 #[test]
 fn interrupted_calls_of_a_grpc_node_break_no_stream() {
-    let engines: Vec<Spec> = vec![Spec::steady(1, Role::Reader), Spec::steady(2, Role::Writer)];
-    let mut make = Make::new(23, engines);
+    let engines: Vec<EngineSpec> = vec![
+        EngineSpec::steady(1, Role::Prefill),
+        EngineSpec::steady(2, Role::Decode),
+    ];
+    let mut make = ClusterBuilder::new(23, engines);
     make.patient();
     let scene = make.build().unwrap();
     let control = control("grpc");
@@ -193,7 +196,7 @@
         .set_rate(SystemFault::SendInterrupted, OFTEN)
         .unwrap();
     let runtime: RuntimeRef = scene.runtime.clone();
-    let log = Log::new(&runtime);
+    let log = EventLog::new(&runtime);
     futures_lite::future::block_on(async {
         let client = Client::connect(&runtime, &log, daemon.address)
             .await
@@ -201,9 +204,9 @@
         for n in 0..CALLS {
             let prompt = (0..60).map(|token| token ^ n as u32).collect();
             let mut ask = scene.ask(0, 0, prompt, 6);
-            ask.habit.client_timeout = 30_000_000;
-            let end = client.ask(&ask).await;
-            assert_eq!(end.how, Heard::Served, "call {n}: {end:?}");
+            ask.behavior.client_timeout = 30_000_000;
+            let end = client.send(&ask).await;
+            assert_eq!(end.outcome, ClientOutcome::Served, "call {n}: {end:?}");
         }
         client.close();
     });
@@ -219,9 +222,12 @@
     let file = File::new("waits", &config("127.0.0.1:0"));
     let control_platform = control("waits-platform");
     let mut platform = Daemon::platform(&control_platform, &file);
-    let scene = Make::new(
+    let scene = ClusterBuilder::new(
         24,
-        vec![Spec::steady(1, Role::Reader), Spec::steady(2, Role::Writer)],
+        vec![
+            EngineSpec::steady(1, Role::Prefill),
+            EngineSpec::steady(2, Role::Decode),
+        ],
     );
     let scene = scene.build().unwrap();
     let control_grpc = control("waits-grpc");
