--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -569,13 +569,13 @@
 #[cfg(mutations)]
 #[test]
 fn each_planted_defect_of_the_keepalive_is_found() {
-    use ivyward::core::mutations::{plant, KEEPALIVE};
+    use ivyward::core::mutations::{activate, KEEPALIVE};
     for defect in KEEPALIVE {
-        plant(Some(defect));
+        activate(Some(defect));
         let found = SCENES
             .iter()
             .find_map(|(name, scene)| scene().map(|wrong| (name, wrong)));
-        plant(None);
+        activate(None);
         println!("{defect:?}: {found:?}");
         assert!(found.is_some(), "{defect:?} is not found");
     }
