--- a/crates/ivyward-core/src/connection_reuse.rs
+++ b/crates/ivyward-core/src/connection_reuse.rs
@@ -6,8 +6,8 @@
 //! idle time at which connections end more often than new ones do is not used, until that is long ago. One that has stood
 //! longer has outlived whatever closes the younger ones, so times are judged each by itself. No I/O, no clock.
 
+use crate::decaying_mean::DecayingMean;
 use crate::interface::Micros;
-use crate::state::Fading;
 
 /// Steps of idle times: each is about three times the one before, from a millisecond to a minute and more.
 const STEPS: usize = 11;
@@ -84,8 +84,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReuseHistory {
     /// Ends, and uses as their count.
-    fresh: Fading,
-    steps: [Fading; STEPS],
+    fresh: DecayingMean,
+    steps: [DecayingMean; STEPS],
 }
 
 fn step(idle: Micros) -> usize {
@@ -111,9 +111,9 @@
 
     /// Whether a connection that has been idle for so long may carry a request, which may or may not be sent again.
     pub fn allows_reuse(&self, now: Micros, idle: Micros, again: bool) -> bool {
-        let usual = self.fresh.mean_near(now, MEMORY, 0.0, PRIOR);
+        let usual = self.fresh.mean_with_prior(now, MEMORY, 0.0, PRIOR);
         let unproven = if again { 0.0 } else { UNPROVEN };
-        self.steps[step(idle)].mean_near(now, MEMORY, usual + unproven / PRIOR, PRIOR)
+        self.steps[step(idle)].mean_with_prior(now, MEMORY, usual + unproven / PRIOR, PRIOR)
             <= usual + MORE
     }
 }
--- a/crates/ivyward-core/src/lib.rs
+++ b/crates/ivyward-core/src/lib.rs
@@ -42,6 +42,8 @@
 
 pub mod connect_backoff;
 pub mod connection_reuse;
+mod decaying_mean;
+mod hash;
 pub mod interface;
 pub mod invariants;
 pub mod keepalive;
@@ -52,7 +54,6 @@
 pub mod release;
 pub mod router;
 pub mod start_time;
-mod state;
 pub mod update_interval;
 
 /// The README's example, compiled and run as a test.
--- a/crates/ivyward-core/src/long_poll.rs
+++ b/crates/ivyward-core/src/long_poll.rs
@@ -9,8 +9,8 @@
 //! longer, for each one costs the service as much as any other. An answer that still comes is not a silent one: a long list over a
 //! slow connection has more time at each try. No I/O, no clock.
 
+use crate::hash::{mix, unit_interval};
 use crate::interface::Micros;
-use crate::state::{mix, unit};
 
 /// Parts of the told time: a call waits for news so long, is taken for silent without a byte so long after that, and a
 /// connection comes up in so long. One call that falls silent as it begins and three that are accepted and never answered fit into the
@@ -144,7 +144,7 @@
                 let pause = BACKOFF * 2f64.powi(self.load as i32);
                 self.loaded();
                 self.random = mix(self.random.wrapping_add(1));
-                self.part(pause.min(BACKOFF_MOST) * (1.0 + unit(self.random)) / 2.0)
+                self.part(pause.min(BACKOFF_MOST) * (1.0 + unit_interval(self.random)) / 2.0)
             }
         }
     }
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -26,9 +26,9 @@
 };
 pub use view::{Peer, PeerState};
 
+use crate::hash::mix;
 use crate::interface::Micros;
 use crate::mutations::{self, Mutation};
-use crate::state::mix;
 use gossip::PendingUpdates;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/ivyward-core/src/peers/view.rs
+++ b/crates/ivyward-core/src/peers/view.rs
@@ -2,9 +2,9 @@
 
 use super::gossip::{NodeInfo, PeerAction, PeerId, ReportedState, Update};
 use super::Dropped;
+use crate::hash::mix;
 use crate::interface::Micros;
 use crate::mutations::{self, Mutation};
-use crate::state::mix;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A heartbeat may be ahead of what the time since the first one allows by so many milliseconds: what was told was on its
--- a/crates/ivyward-core/tests/tenants.rs
+++ b/crates/ivyward-core/tests/tenants.rs
@@ -90,9 +90,9 @@
             "sent to one that is gone"
         );
         assert!(
-            rig.router.known() <= 6,
+            rig.router.known_endpoints() <= 6,
             "{} servers are remembered",
-            rig.router.known()
+            rig.router.known_endpoints()
         );
     }
 }
@@ -124,7 +124,7 @@
     rig.fleet(ListKind::Full, &[others, stays]);
     rig.end(1, 2, Outcome::Served);
     rig.fleet(ListKind::Full, &[others, stays]);
-    assert_eq!(rig.router.known(), 2);
+    assert_eq!(rig.router.known_endpoints(), 2);
     // The session's row went with its holder.
     assert_eq!(rig.ask(arrival(2, 1, 3_100.0)), Some(others.id));
 }
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -788,7 +788,7 @@
         self.shared
             .metrics
             .engines_known
-            .set(self.router.known() as u64);
+            .set(self.router.known_endpoints() as u64);
     }
 
     fn role(&self, kind: u8) -> Option<Role> {
