--- a/crates/ivyward-core/src/release.rs
+++ b/crates/ivyward-core/src/release.rs
@@ -1,10 +1,11 @@
-//! Releases: whom to ask to let go of what is held for a request that no longer needs it, how many at once, and when again.
+//! Release of reservations: which engines to ask, how many at once, and when to ask again.
 //!
-//! For protocols in which any engine takes a release for all engines. What is owed stays owed until an engine took it:
-//! behind a cut some engines are silent, and nobody says which. So the one most likely to answer is asked first, the next
-//! ones beside it while it is silent, and each engine that was silent is asked last until it is heard of again. When all
-//! are silent the pauses grow, and end with the first word of any of them. What may still be on its way to an engine when
-//! the release is taken (a read that was given up, a hold without an answer) is let go of again, twice. No I/O, no clock.
+//! For protocols in which any engine accepts a release on behalf of all engines. A release stays pending until an
+//! engine accepted it: behind a network cut some engines are silent, and nobody knows which. So the engine most likely
+//! to answer is asked first, further ones while it is silent, and engines that failed last, until they respond to
+//! anything again. When all are silent the pauses grow, and end with the first response of any engine. What may still
+//! be on its way to an engine when the release is accepted (a cancelled prefill, a reservation without an answer) is
+//! released again, twice. No I/O, no clock.
 
 use crate::interface::{EndpointId, Micros};
 use std::cmp::Reverse;
@@ -13,427 +14,559 @@
 /// Settings. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReleaseSettings {
-    /// What is held is to be let go of within this span; the time before the release leaves is the caller's.
+    /// Reservations are to be released within this span; the time before the release is sent is the caller's.
     pub within: Micros,
-    /// Asks under way at once, of all that is owed. Each takes a connection.
+    /// Attempts in flight at once, over all releases. Each takes a connection.
     pub max_concurrent_attempts: usize,
-    /// Requests for which something may be owed at once: beyond it the oldest is left to the engines' own limit.
+    /// Releases pending at once: beyond this the oldest is left to the engines' own expiry.
     pub max_pending: usize,
 }
 
 impl ReleaseSettings {
-    /// How long the answer to a hold is waited for. Where the read beside it never came to its engine, what the hold left has
-    /// no attempt, and its time runs: the rest of the span is for the release.
+    /// How long to wait for the answer to a reservation. If the prefill beside it never reached its engine, no attempt
+    /// uses what was reserved, and its time runs: the rest of the span is for the release.
     pub fn reserve_timeout(&self) -> Micros {
-        ((self.within.max(SHORTEST) as f64 * RESERVE_WAIT) as Micros).min(RESERVE_WAIT_MAX)
+        ((self.within.max(SHORTEST_SPAN) as f64 * RESERVE_WAIT) as Micros).min(MAX_RESERVE_WAIT)
     }
 }
 
-/// Part of the span in which a hold is to be answered, and the longest such time.
+/// Share of the span in which a reservation is to be answered, and the longest such time in microseconds.
 const RESERVE_WAIT: f64 = 0.7;
-const RESERVE_WAIT_MAX: Micros = 800_000;
-/// Beside an engine that has not answered in this part of the span, the next one is asked; beside several, the next after
-/// this one: then it is no slow engine but a cut.
-const BESIDE: f64 = 0.08;
-const BESIDE_MORE: f64 = 0.05;
-/// So many at once for one request, while its span is not over; then this part of all engines in each pause, for all
-/// requests together, and one for each.
-const AT_ONCE: usize = 6;
-const ROUND: usize = 8;
-/// An ask is given up after this part of the span.
-const PATIENCE: f64 = 0.4;
-/// No part of the span is taken shorter than that of this one, however short it is told: an answer takes its way.
-const SHORTEST: Micros = 100_000;
-/// The pause once the span is over, as a part of it; it doubles, up to so many spans.
-const PAUSE: f64 = 0.5;
-const PAUSE_MOST: f64 = 4.0;
-/// After an engine took a release of what may still be on its way, it is repeated at these parts of the span.
+const MAX_RESERVE_WAIT: Micros = 800_000;
+/// While the first engine has not answered for this share of the span, a second one is asked; while several have not,
+/// the next one after `FURTHER_HEDGE_DELAY`: then it is no slow engine but a cut.
+const HEDGE_DELAY: f64 = 0.08;
+const FURTHER_HEDGE_DELAY: f64 = 0.05;
+/// Attempts in flight at once for one release while its span is not over.
+const MAX_HEDGED_ATTEMPTS: usize = 6;
+/// After the span, one in this many of all engines is asked in each pause, for all releases together, and at least one
+/// for each.
+const ENGINES_PER_PROBE: usize = 8;
+/// An attempt times out after this share of the span.
+const ATTEMPT_TIMEOUT: f64 = 0.4;
+/// Shares are taken of at least this span, in microseconds: an answer takes its way.
+const SHORTEST_SPAN: Micros = 100_000;
+/// The first pause after the span, as a share of it; it doubles up to `MAX_PAUSE` spans.
+const FIRST_PAUSE: f64 = 0.5;
+const MAX_PAUSE: f64 = 4.0;
+/// After an engine accepted a release of what may still be on its way, it is repeated at these shares of the span.
 const REPEATS: [f64; 2] = [1.0 / 3.0, 1.0];
-/// An engine that was heard within so many spans is expected to be there.
-const LATELY: f64 = 10.0;
-/// A node that is told to end lets go for so many spans at most.
-const AT_END: f64 = 10.0;
+/// An engine that responded within this many spans is expected to be reachable.
+const RECENT: f64 = 10.0;
+/// A node that shuts down goes on releasing for at most this many spans.
+const SHUTDOWN_GRACE: f64 = 10.0;
 
 /// An engine that may be asked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReleaseTarget {
-    /// Which.
+    /// Which engine.
     pub id: EndpointId,
-    /// When it answered anything last; 0 for never.
+    /// When it last responded to anything; 0 for never.
     pub last_response: Micros,
-    /// When something there was last without an answer, or no connection came up; 0 for never.
+    /// When something there last got no response, or no connection came up; 0 for never.
     pub last_failure: Micros,
-    /// A connection to it stands idle.
+    /// A connection to it is idle.
     pub has_idle_connection: bool,
     /// It drains or left the list.
     pub is_draining: bool,
 }
 
 impl ReleaseTarget {
-    /// Nothing was heard of it since it was silent.
+    /// It has not responded since its last failure.
     pub fn silent(&self) -> bool {
         self.last_failure > self.last_response
     }
+
+    /// It responded to something lately.
+    fn is_recent(&self, recent_since: Micros) -> bool {
+        self.last_response >= recent_since && self.last_response > 0
+    }
 }
 
-/// Someone to ask.
+/// A release to send to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReleaseAttempt {
-    /// What for.
+    /// The request whose reservations are released.
     pub request: u64,
-    /// To be told again with the answer.
+    /// Identifies the release; passed back with the result.
     pub release_id: u64,
-    /// Whom.
+    /// The engine to ask.
     pub target: EndpointId,
-    /// Until when an answer is waited for.
+    /// Until when to wait for its answer.
     pub deadline: Micros,
 }
 
-/// How an ask ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseResult {
-    /// It was taken.
+    /// The engine accepted the release.
     Accepted,
-    /// It was not, or nothing came.
+    /// It did not, or gave no answer.
     Failed,
-    /// It could not be sent for want of a descriptor: that says nothing of the engine.
+    /// The attempt could not be sent for want of a descriptor: that says nothing about the engine.
     NoLocalResources,
 }
 
 struct PendingRelease {
     request: u64,
-    /// When it came to be owed, or to be repeated.
+    /// When it became pending, or is to be repeated.
     since: Micros,
-    sure: bool,
+    /// Nothing of the request is on its way any more: one accepted release is enough.
+    confirmed: bool,
     repeats: usize,
-    asked: Vec<EndpointId>,
-    out: usize,
-    /// When one was asked last.
-    last: Micros,
-    /// Asked in this pause.
-    round: usize,
+    /// Engines asked since `since` or since an engine recovered.
+    attempted: Vec<EndpointId>,
+    in_flight: usize,
+    last_attempt: Micros,
+    /// Attempts in this pause, after the span.
+    probes: usize,
     pause: Micros,
-    /// Its entry in `due`.
-    next: Micros,
+    /// The time of its entry in the queue's `due`.
+    next_attempt: Micros,
 }
 
 impl PendingRelease {
     /// Whether its span is not over, so that several engines are asked at once.
-    fn races(&self, now: Micros, span: Micros) -> bool {
+    fn is_hedged(&self, now: Micros, span: Micros) -> bool {
         now <= self.since.saturating_add(span)
     }
+
+    /// Whether it was accepted and waits for its repetition.
+    fn waits_for_repeat(&self, now: Micros) -> bool {
+        self.since > now
+    }
 }
 
-/// What a node still has to let go of. See the module's page.
+/// When a release needs its next attempt.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DueRelease {
+    at: Micros,
+    release_id: u64,
+}
+
+/// Attempts in flight at one engine.
+#[derive(Clone, Copy)]
+struct EngineAttempts {
+    in_flight: usize,
+    /// When the first of them was sent, or when the engine accepted one meanwhile.
+    silent_since: Micros,
+}
+
+/// The order in which engines are asked: lowest first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Preference {
+    silent: bool,
+    draining: bool,
+    /// Of the silent engines, the one asked longest ago: all releases look for one that is back.
+    silent_last_failure: Micros,
+    lacks_recent_idle_connection: bool,
+    /// Attempts in flight there.
+    in_flight: usize,
+    not_recent: bool,
+    lacks_idle_connection: bool,
+    last_response: Reverse<Micros>,
+    id: EndpointId,
+}
+
+/// The releases of a node that no engine has accepted yet. See the module's documentation.
 pub struct ReleaseQueue {
     settings: ReleaseSettings,
-    owed: BTreeMap<u64, PendingRelease>,
+    pending: BTreeMap<u64, PendingRelease>,
     by_request: BTreeMap<u64, u64>,
-    due: BTreeSet<(Micros, u64)>,
-    next_no: u64,
-    /// Asks under way, and those of them at each engine, with the time of the first.
-    asks: usize,
-    at: BTreeMap<EndpointId, (usize, Micros)>,
-    end_by: Option<Micros>,
+    due: BTreeSet<DueRelease>,
+    next_release_id: u64,
+    /// Attempts in flight, in all and at each engine.
+    in_flight: usize,
+    at_engine: BTreeMap<EndpointId, EngineAttempts>,
+    /// When a node that shuts down gives up.
+    shutdown_deadline: Option<Micros>,
 }
 
 impl ReleaseQueue {
-    /// Nothing is owed yet.
+    /// A queue without pending releases.
     pub fn new(settings: ReleaseSettings) -> ReleaseQueue {
         ReleaseQueue {
             settings,
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             by_request: BTreeMap::new(),
             due: BTreeSet::new(),
-            next_no: 0,
-            asks: 0,
-            at: BTreeMap::new(),
-            end_by: None,
+            next_release_id: 0,
+            in_flight: 0,
+            at_engine: BTreeMap::new(),
+            shutdown_deadline: None,
         }
     }
 
-    fn span(&self, part: f64) -> Micros {
-        (self.settings.within.max(SHORTEST) as f64 * part) as Micros
+    /// This multiple of the span, in microseconds.
+    fn span(&self, share: f64) -> Micros {
+        (self.settings.within.max(SHORTEST_SPAN) as f64 * share) as Micros
     }
 
-    /// Requests for which something is owed.
+    /// The number of requests with a pending release.
     pub fn pending(&self) -> usize {
-        self.owed.len()
+        self.pending.len()
     }
 
-    /// Whether something is owed for this one.
+    /// Whether a release is pending for this request.
     pub fn is_pending(&self, request: u64) -> bool {
         self.by_request.contains_key(&request)
     }
 
-    /// Something may be held for a request that no longer needs it. `sure`: an engine said so, and nothing of it is on its
-    /// way any more. Returns a request that is left to the engines' own limit in its stead.
-    pub fn enqueue(&mut self, now: Micros, request: u64, sure: bool) -> Option<u64> {
+    /// Adds a release for a request that no longer needs its reservations. `confirmed`: an engine said what is reserved,
+    /// and nothing more is on its way. Returns a request that is left to the engines' own expiry in its stead.
+    pub fn enqueue(&mut self, now: Micros, request: u64, confirmed: bool) -> Option<u64> {
         if let Some(release_id) = self.by_request.get(&request).copied() {
-            let span = self.span(1.0);
-            if let Some(owed) = self.owed.get_mut(&release_id) {
-                // One that had been taken already begins anew; one that was not goes on.
-                let fresh = owed.repeats > 0 || !owed.races(now, span);
-                owed.sure &= sure;
-                owed.repeats = 0;
-                if fresh {
-                    owed.since = now;
-                }
-                owed.asked.clear();
-            }
-            self.again(release_id, now);
+            self.renew(now, release_id, confirmed);
             return None;
         }
-        let left = if self.owed.len() >= self.settings.max_pending {
-            self.leave_oldest()
+        let abandoned = if self.pending.len() >= self.settings.max_pending {
+            self.abandon_oldest()
         } else {
             None
         };
-        let release_id = self.next_no;
-        self.next_no += 1;
-        let pause = self.span(PAUSE);
-        let owed = PendingRelease {
+        let release_id = self.next_release_id;
+        self.next_release_id += 1;
+        let release = PendingRelease {
             request,
             since: now,
-            sure,
+            confirmed,
             repeats: 0,
-            asked: Vec::new(),
-            out: 0,
-            last: 0,
-            round: 0,
-            pause,
-            next: now,
+            attempted: Vec::new(),
+            in_flight: 0,
+            last_attempt: 0,
+            probes: 0,
+            pause: self.span(FIRST_PAUSE),
+            next_attempt: now,
         };
-        self.owed.insert(release_id, owed);
+        self.pending.insert(release_id, release);
         self.by_request.insert(request, release_id);
-        self.due.insert((now, release_id));
-        left
+        self.due.insert(DueRelease {
+            at: now,
+            release_id,
+        });
+        abandoned
+    }
+
+    /// A request with a pending release needs another one: a release that was accepted already begins anew, one that
+    /// was not goes on.
+    fn renew(&mut self, now: Micros, release_id: u64, confirmed: bool) {
+        let span = self.span(1.0);
+        if let Some(release) = self.pending.get_mut(&release_id) {
+            if release.repeats > 0 || !release.is_hedged(now, span) {
+                release.since = now;
+            }
+            release.confirmed &= confirmed;
+            release.repeats = 0;
+            release.attempted.clear();
+        }
+        self.reschedule(release_id, now);
     }
 
-    /// A request needs again what is held for it from now on. Whether something was still owed: that is the caller's to let
-    /// go of later, with the rest.
+    /// Withdraws the release of a request that needs its reservations again. Returns whether one was pending: the
+    /// caller must then enqueue another one later.
     pub fn withdraw(&mut self, request: u64) -> bool {
         self.by_request
             .get(&request)
             .copied()
-            .and_then(|release_id| self.forget(release_id))
+            .and_then(|release_id| self.remove(release_id))
             .is_some()
     }
 
-    /// An engine that had been silent was heard again: nobody waits out a pause any more.
+    /// An engine that had been silent responded again: ends all pauses.
     pub fn endpoint_recovered(&mut self, now: Micros) {
-        let waiting: Vec<u64> = self.due.iter().filter(|d| d.0 > now).map(|d| d.1).collect();
-        for release_id in waiting {
-            // A repeat waits for what may still be on its way, not for an engine.
-            if self
-                .owed
-                .get(&release_id)
-                .is_some_and(|o| o.repeats == 0 || o.since <= now)
-            {
-                self.owed
-                    .get_mut(&release_id)
-                    .into_iter()
-                    .for_each(|o| o.asked.clear());
-                self.again(release_id, now);
+        let paused: Vec<u64> = self
+            .due
+            .iter()
+            .filter(|due| due.at > now)
+            .map(|due| due.release_id)
+            .collect();
+        for release_id in paused {
+            let Some(release) = self.pending.get_mut(&release_id) else {
+                continue;
+            };
+            // A repetition waits for what may still be on its way, not for an engine.
+            if release.repeats == 0 || !release.waits_for_repeat(now) {
+                release.attempted.clear();
+                self.reschedule(release_id, now);
             }
         }
     }
 
-    /// The node is told to end. What is still owed long after is left to the engines' own limit.
+    /// The node shuts down. What is still pending long after is left to the engines' own expiry.
     pub fn shut_down(&mut self, now: Micros) {
-        self.end_by = Some(now.saturating_add(self.span(AT_END)));
+        self.shutdown_deadline = Some(now.saturating_add(self.span(SHUTDOWN_GRACE)));
     }
 
-    /// Takes out what is left to the engines' own limit, as the node ends.
+    /// Removes the requests that are left to the engines' own expiry as the node shuts down.
     pub fn take_abandoned(&mut self, now: Micros) -> Vec<u64> {
-        match self.end_by {
-            Some(by) if now >= by => {
-                self.due.clear();
-                self.by_request.clear();
-                std::mem::take(&mut self.owed)
-                    .into_values()
-                    .map(|o| o.request)
-                    .collect()
-            }
-            _ => Vec::new(),
+        if self.shutdown_deadline.is_none_or(|deadline| now < deadline) {
+            return Vec::new();
         }
+        self.due.clear();
+        self.by_request.clear();
+        std::mem::take(&mut self.pending)
+            .into_values()
+            .map(|release| release.request)
+            .collect()
     }
 
-    /// When [`ReleaseQueue::next_attempts`] has something to do at the latest.
+    /// When [`ReleaseQueue::next_attempts`] or [`ReleaseQueue::take_abandoned`] has something to do at the latest.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let end = self.end_by.filter(|_| !self.owed.is_empty());
+        let shutdown = self.shutdown_deadline.filter(|_| !self.pending.is_empty());
         let due = self
             .due
             .first()
-            .map(|d| d.0)
-            .filter(|_| self.asks < self.settings.max_concurrent_attempts);
-        [due, end].into_iter().flatten().min()
+            .map(|due| due.at)
+            .filter(|_| self.in_flight < self.settings.max_concurrent_attempts);
+        [due, shutdown].into_iter().flatten().min()
     }
 
-    /// Whom to ask now, among these engines.
-    pub fn next_attempts(&mut self, now: Micros, takers: &[ReleaseTarget]) -> Vec<ReleaseAttempt> {
-        let mut asks = Vec::new();
-        while self.asks < self.settings.max_concurrent_attempts {
-            let Some((at, release_id)) = self.due.first().copied().filter(|d| d.0 <= now) else {
+    /// The attempts to send now, given all engines.
+    pub fn next_attempts(&mut self, now: Micros, targets: &[ReleaseTarget]) -> Vec<ReleaseAttempt> {
+        let mut attempts = Vec::new();
+        while self.in_flight < self.settings.max_concurrent_attempts {
+            let Some(due) = self.due.first().copied().filter(|due| due.at <= now) else {
                 break;
             };
-            self.due.remove(&(at, release_id));
-            let lately = now.saturating_sub(self.span(LATELY));
-            let (span, beside, more) = (self.span(1.0), self.span(BESIDE), self.span(BESIDE_MORE));
-            let (attempt_timeout, pause_most) = (self.span(PATIENCE), self.span(PAUSE_MOST));
-            let round = takers.len().div_ceil(ROUND) / self.owed.len().max(1);
-            let Some(owed) = self.owed.get_mut(&release_id) else {
+            self.due.remove(&due);
+            let Some(release) = self.pending.get(&due.release_id) else {
                 continue;
             };
-            let racing = owed.races(now, span);
-            let at = &self.at;
-            // Guards against many that ask one engine, all in vain: each is an ask that could have found another.
-            let likely = |t: &&ReleaseTarget| {
-                let (asks, since) = at.get(&t.id).copied().unwrap_or((0, now));
-                let silent = t.silent() || since.saturating_add(beside) <= now;
-                let recent = t.last_response >= lately && t.last_response > 0;
-                let stands = (
-                    !(t.has_idle_connection && recent),
-                    asks,
-                    !recent,
-                    !t.has_idle_connection,
-                );
-                // Of the silent ones, that which was asked longest ago: all requests look for one that is back.
-                let missed = if t.silent() { t.last_failure } else { 0 };
-                (
-                    silent,
-                    t.is_draining,
-                    missed,
-                    stands,
-                    Reverse(t.last_response),
-                    t.id,
-                )
-            };
-            let best = takers
-                .iter()
-                .filter(|t| !owed.asked.contains(&t.id))
-                .min_by_key(likely);
-            if let Some(taker) = best {
-                owed.asked.push(taker.id);
-                owed.out += 1;
-                owed.last = now;
-                self.asks += 1;
-                self.at.entry(taker.id).or_insert((0, now)).0 += 1;
-                asks.push(ReleaseAttempt {
-                    request: owed.request,
-                    release_id,
-                    target: taker.id,
-                    deadline: now + attempt_timeout,
-                });
+            let target = self.pick_target(now, release, targets);
+            if let Some(target) = target {
+                attempts.extend(self.start_attempt(now, due.release_id, target.id));
             }
-            let next = match best {
-                // While its answer is out, an end of it comes sooner than any pause.
-                Some(_) if racing && owed.out < AT_ONCE => {
-                    now + if owed.out == 1 { beside } else { more }
-                }
-                Some(_) if racing => Micros::MAX,
-                // Guards against one engine a pause where there are hundreds, all silent and one of them back.
-                Some(t) if (t.silent() || t.last_response < lately) && owed.round + 1 < round => {
-                    owed.round += 1;
-                    now
-                }
-                _ => {
-                    owed.round = 0;
-                    if best.is_none() {
-                        owed.asked.clear();
-                    }
-                    let pause = owed.pause;
-                    owed.pause = (pause * 2).min(pause_most);
-                    now + pause
-                }
-            };
-            owed.next = next;
-            self.due.insert((next, release_id));
+            self.schedule_next(now, due.release_id, target, targets.len());
         }
-        asks
+        attempts
     }
 
-    /// An ask ended.
-    pub fn on_result(&mut self, now: Micros, ask: &ReleaseAttempt, answer: ReleaseResult) {
-        self.asks = self.asks.saturating_sub(1);
-        if let Some(at) = self.at.get_mut(&ask.target) {
-            *at = (
-                at.0.saturating_sub(1),
-                if answer == ReleaseResult::Accepted {
-                    now
-                } else {
-                    at.1
-                },
-            );
-            if at.0 == 0 {
-                self.at.remove(&ask.target);
-            }
+    /// The engine most likely to answer, of those not asked yet.
+    fn pick_target<'a>(
+        &self,
+        now: Micros,
+        release: &PendingRelease,
+        targets: &'a [ReleaseTarget],
+    ) -> Option<&'a ReleaseTarget> {
+        let recent_since = now.saturating_sub(self.span(RECENT));
+        let hedge_delay = self.span(HEDGE_DELAY);
+        targets
+            .iter()
+            .filter(|target| !release.attempted.contains(&target.id))
+            .min_by_key(|target| self.preference(now, target, recent_since, hedge_delay))
+    }
+
+    fn preference(
+        &self,
+        now: Micros,
+        target: &ReleaseTarget,
+        recent_since: Micros,
+        hedge_delay: Micros,
+    ) -> Preference {
+        let there = self
+            .at_engine
+            .get(&target.id)
+            .copied()
+            .unwrap_or(EngineAttempts {
+                in_flight: 0,
+                silent_since: now,
+            });
+        let recent = target.is_recent(recent_since);
+        Preference {
+            // Guards against many releases that ask one silent engine: each could have found another.
+            silent: target.silent() || there.silent_since.saturating_add(hedge_delay) <= now,
+            draining: target.is_draining,
+            silent_last_failure: if target.silent() {
+                target.last_failure
+            } else {
+                0
+            },
+            lacks_recent_idle_connection: !(target.has_idle_connection && recent),
+            in_flight: there.in_flight,
+            not_recent: !recent,
+            lacks_idle_connection: !target.has_idle_connection,
+            last_response: Reverse(target.last_response),
+            id: target.id,
         }
-        let (span, beside, pause) = (self.span(1.0), self.span(BESIDE), self.span(PAUSE));
-        let more = self.span(BESIDE_MORE);
-        let repeats = REPEATS.map(|part| self.span(part));
-        let Some(owed) = self.owed.get_mut(&ask.release_id) else {
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Micros,
+        release_id: u64,
+        target: EndpointId,
+    ) -> Option<ReleaseAttempt> {
+        let deadline = now + self.span(ATTEMPT_TIMEOUT);
+        let release = self.pending.get_mut(&release_id)?;
+        release.attempted.push(target);
+        release.in_flight += 1;
+        release.last_attempt = now;
+        self.in_flight += 1;
+        self.at_engine
+            .entry(target)
+            .or_insert(EngineAttempts {
+                in_flight: 0,
+                silent_since: now,
+            })
+            .in_flight += 1;
+        Some(ReleaseAttempt {
+            request: release.request,
+            release_id,
+            target,
+            deadline,
+        })
+    }
+
+    /// Schedules the attempt after one at `target`, or after all engines have been asked.
+    fn schedule_next(
+        &mut self,
+        now: Micros,
+        release_id: u64,
+        target: Option<&ReleaseTarget>,
+        engines: usize,
+    ) {
+        let recent_since = now.saturating_sub(self.span(RECENT));
+        let span = self.span(1.0);
+        let hedge_delay = self.span(HEDGE_DELAY);
+        let further_hedge_delay = self.span(FURTHER_HEDGE_DELAY);
+        let max_pause = self.span(MAX_PAUSE);
+        let probes = engines.div_ceil(ENGINES_PER_PROBE) / self.pending.len().max(1);
+        let Some(release) = self.pending.get_mut(&release_id) else {
             return;
         };
-        owed.out = owed.out.saturating_sub(1);
-        match answer {
-            ReleaseResult::Accepted if owed.sure || owed.repeats >= REPEATS.len() => {
-                self.forget(ask.release_id);
-            }
-            // An answer to an earlier ask while the next repeat is waited for.
-            ReleaseResult::Accepted if owed.since > now => {}
-            ReleaseResult::Accepted => {
-                let before = if owed.repeats == 0 {
-                    0
-                } else {
-                    repeats[owed.repeats - 1]
-                };
-                let at = now + repeats[owed.repeats] - before;
-                owed.repeats += 1;
-                owed.since = at;
-                owed.pause = pause;
-                owed.asked.clear();
-                self.again(ask.release_id, at);
+        let hedged = release.is_hedged(now, span);
+        let at = match target {
+            Some(_) if hedged && release.in_flight == 1 => now + hedge_delay,
+            Some(_) if hedged && release.in_flight < MAX_HEDGED_ATTEMPTS => {
+                now + further_hedge_delay
             }
-            ReleaseResult::Failed if owed.since > now => {}
-            // Another one that was asked just now may answer yet.
-            ReleaseResult::Failed if owed.races(now, span) => {
-                let at = if owed.out > 0 {
-                    now.max(owed.last + more)
-                } else {
-                    now
-                };
-                self.again(ask.release_id, at);
+            // Their results come sooner than any pause.
+            Some(_) if hedged => Micros::MAX,
+            // Guards against one engine a pause where there are hundreds, all silent and one of them back.
+            Some(target)
+                if (target.silent() || target.last_response < recent_since)
+                    && release.probes + 1 < probes =>
+            {
+                release.probes += 1;
+                now
             }
-            ReleaseResult::Failed => {
-                let at = owed.next.min(now + owed.pause);
-                self.again(ask.release_id, at);
+            _ => {
+                release.probes = 0;
+                if target.is_none() {
+                    release.attempted.clear();
+                }
+                let pause = release.pause;
+                release.pause = (pause * 2).min(max_pause);
+                now + pause
             }
+        };
+        release.next_attempt = at;
+        self.due.insert(DueRelease { at, release_id });
+    }
+
+    /// Takes in the result of an attempt.
+    pub fn on_result(&mut self, now: Micros, attempt: &ReleaseAttempt, result: ReleaseResult) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.end_at_engine(now, attempt.target, result);
+        let Some(release) = self.pending.get_mut(&attempt.release_id) else {
+            return;
+        };
+        release.in_flight = release.in_flight.saturating_sub(1);
+        match result {
+            ReleaseResult::Accepted => self.on_accepted(now, attempt.release_id),
+            ReleaseResult::Failed => self.on_failed(now, attempt.release_id),
             ReleaseResult::NoLocalResources => {
-                owed.asked.retain(|id| *id != ask.target);
-                let at = (now + beside).max(owed.since);
-                self.again(ask.release_id, at);
+                release.attempted.retain(|id| *id != attempt.target);
+                let since = release.since;
+                let at = (now + self.span(HEDGE_DELAY)).max(since);
+                self.reschedule(attempt.release_id, at);
             }
         }
     }
 
-    fn again(&mut self, release_id: u64, at: Micros) {
-        if let Some(owed) = self.owed.get_mut(&release_id) {
-            self.due.remove(&(owed.next, release_id));
-            owed.next = at;
-            self.due.insert((at, release_id));
+    fn end_at_engine(&mut self, now: Micros, target: EndpointId, result: ReleaseResult) {
+        let Some(there) = self.at_engine.get_mut(&target) else {
+            return;
+        };
+        there.in_flight = there.in_flight.saturating_sub(1);
+        if result == ReleaseResult::Accepted {
+            there.silent_since = now;
+        }
+        if there.in_flight == 0 {
+            self.at_engine.remove(&target);
+        }
+    }
+
+    fn on_accepted(&mut self, now: Micros, release_id: u64) {
+        let first_pause = self.span(FIRST_PAUSE);
+        let repeats = REPEATS.map(|share| self.span(share));
+        let Some(release) = self.pending.get_mut(&release_id) else {
+            return;
+        };
+        if release.confirmed || release.repeats >= REPEATS.len() {
+            self.remove(release_id);
+            return;
+        }
+        if release.waits_for_repeat(now) {
+            // The answer to an earlier attempt.
+            return;
+        }
+        let previous = if release.repeats == 0 {
+            0
+        } else {
+            repeats[release.repeats - 1]
+        };
+        let at = now + repeats[release.repeats] - previous;
+        release.repeats += 1;
+        release.since = at;
+        release.pause = first_pause;
+        release.attempted.clear();
+        self.reschedule(release_id, at);
+    }
+
+    fn on_failed(&mut self, now: Micros, release_id: u64) {
+        let span = self.span(1.0);
+        let further_hedge_delay = self.span(FURTHER_HEDGE_DELAY);
+        let Some(release) = self.pending.get(&release_id) else {
+            return;
+        };
+        if release.waits_for_repeat(now) {
+            return;
+        }
+        let at = if !release.is_hedged(now, span) {
+            release.next_attempt.min(now + release.pause)
+        } else if release.in_flight > 0 {
+            // Another engine that was asked just now may answer yet.
+            now.max(release.last_attempt + further_hedge_delay)
+        } else {
+            now
+        };
+        self.reschedule(release_id, at);
+    }
+
+    fn reschedule(&mut self, release_id: u64, at: Micros) {
+        if let Some(release) = self.pending.get_mut(&release_id) {
+            self.due.remove(&DueRelease {
+                at: release.next_attempt,
+                release_id,
+            });
+            release.next_attempt = at;
+            self.due.insert(DueRelease { at, release_id });
         }
     }
 
-    fn forget(&mut self, release_id: u64) -> Option<PendingRelease> {
-        let owed = self.owed.remove(&release_id)?;
-        self.by_request.remove(&owed.request);
-        self.due.remove(&(owed.next, release_id));
-        Some(owed)
+    fn remove(&mut self, release_id: u64) -> Option<PendingRelease> {
+        let release = self.pending.remove(&release_id)?;
+        self.by_request.remove(&release.request);
+        self.due.remove(&DueRelease {
+            at: release.next_attempt,
+            release_id,
+        });
+        Some(release)
     }
 
-    fn leave_oldest(&mut self) -> Option<u64> {
-        let release_id = *self.owed.first_key_value()?.0;
-        self.forget(release_id).map(|o| o.request)
+    fn abandon_oldest(&mut self) -> Option<u64> {
+        let release_id = *self.pending.first_key_value()?.0;
+        self.remove(release_id).map(|release| release.request)
     }
 }
