--- a/crates/ivyward-core/src/invariants.rs
+++ b/crates/ivyward-core/src/invariants.rs
@@ -1,8 +1,8 @@
-//! The rules of the node as invariants, checked at run time: one guard that every send, repeat, answer and change of the
-//! node's phase passes before it takes effect.
+//! Run-time checks of the node's invariants: every send, retry, final answer and change of the node's phase passes a
+//! guard before it takes effect.
 //!
-//! It knows nothing of how the decisions are made. It keeps a state machine for each open request and one for the node,
-//! and says which step would break a rule; the caller counts that and leaves the step out. No I/O, no clock.
+//! The guard is independent of the decisions. It keeps a state machine for each open request and one for the node, and
+//! returns which step would break a rule; the caller counts the violation and skips the step. No I/O, no clock.
 
 use crate::interface::{
     ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency, ListKind,
@@ -18,15 +18,15 @@
     OneAnswer,
     /// Nothing is sent for a request that has its answer or whose time is over.
     NothingAfterAnswer,
-    /// A request has one attempt out at a time.
+    /// A request has one attempt in flight at a time.
     OneAttempt,
-    /// Nothing that may have run is run again, unless its engines drop the repeat.
+    /// A request that may have run is not run again, unless its engines drop repeats.
     NoEffectTwice,
-    /// A refusal promises that trying again is harmless.
+    /// A rejection promises that trying again is harmless.
     HarmlessRefusal,
-    /// Nothing new goes to an engine past the grace of its drain.
+    /// No new request goes to a draining engine after the drain grace.
     NothingToDraining,
-    /// The node starts, serves, stops and ends, in this order.
+    /// The node starts, serves, stops and has stopped, in this order.
     NodePhase,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// A step that was not taken, because it would break a rule.
+/// A step that was skipped, because it would break a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// Which rule.
@@ -74,60 +74,69 @@
 pub enum AttemptReason {
     /// It is the request's first.
     First,
-    /// The stage before it ended well.
+    /// The previous stage (prefill) succeeded.
     NextStage,
-    /// The attempt before it ended so.
+    /// The previous attempt ended with this outcome.
     Retry(Outcome),
 }
 
-/// A request's final answer, as far as the rules go.
+/// A request's final answer, as far as the rules distinguish it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// Its stream came to its end.
+    /// Its stream was complete.
     Served,
-    /// Refused: trying again is harmless.
+    /// Rejected: trying again is harmless.
     Rejected,
     /// Failed: nothing is promised.
     Failed,
-    /// Its client left and is owed nothing.
+    /// Its client disconnected and gets no answer.
     ClientDisconnected,
 }
 
-/// What the node is at.
+/// The phase of the node's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodePhase {
-    /// It holds no list yet.
+    /// It has no endpoint list yet.
     Starting,
     /// It takes requests.
     Serving,
-    /// It ends what it took.
+    /// It finishes the requests that it accepted.
     Stopping,
     /// It has ended.
     Stopped,
 }
 
+/// The endpoint of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptTarget {
+    /// Which endpoint.
+    pub endpoint: EndpointId,
+    /// It only prefills the prompt, which has no effect that must not happen twice.
+    pub prefill_only: bool,
+}
+
+/// Where an endpoint is.
 #[derive(Clone, Copy, Debug)]
-struct Site {
+struct Location {
     zone: u8,
-    cell: u16,
+    rack: u16,
 }
 
 /// The latest attempt of a request.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     number: u16,
-    /// It reads a prompt, which has no effect.
-    reads: bool,
+    prefill_only: bool,
     sent: Micros,
-    site: Option<Site>,
-    /// How it ended; `None` while it is out.
+    location: Option<Location>,
+    /// How it ended; `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
-/// Something that may have had its effect: where and when it was sent.
+/// An attempt that may have run: where and when it was sent.
 #[derive(Clone, Copy, Debug)]
 struct MayHaveRun {
-    site: Option<Site>,
+    location: Option<Location>,
     sent: Micros,
 }
 
@@ -147,20 +156,20 @@
     drain_grace: Micros,
     phase: NodePhase,
     requests: BTreeMap<RequestId, TrackedRequest>,
-    sites: BTreeMap<EndpointId, Site>,
-    /// Since when each engine that drains is known to.
+    locations: BTreeMap<EndpointId, Location>,
+    /// Since when each draining endpoint is known to drain.
     draining: BTreeMap<EndpointId, Micros>,
 }
 
 impl Guard {
-    /// A node that starts.
+    /// The guard of a node that starts.
     pub fn new(settings: &Settings) -> Guard {
         Guard {
             classes: settings.classes.clone(),
             drain_grace: settings.drain_grace,
             phase: NodePhase::Starting,
             requests: BTreeMap::new(),
-            sites: BTreeMap::new(),
+            locations: BTreeMap::new(),
             draining: BTreeMap::new(),
         }
     }
@@ -170,10 +179,10 @@
         self.phase
     }
 
-    /// The node goes on to a phase; to the one it is in is no change.
+    /// The node enters a phase; entering the current one is no change.
     ///
     /// # Errors
-    /// When that lies behind it.
+    /// When the phase is over, or requests are still open at the end.
     pub fn enter(&mut self, phase: NodePhase) -> Result<(), Violation> {
         if phase < self.phase {
             return violation(Rule::NodePhase, "a phase that is over begins again");
@@ -185,41 +194,42 @@
         Ok(())
     }
 
-    /// A list of engines was told.
-    pub fn listed(&mut self, now: Micros, kind: ListKind, entries: &[Endpoint]) {
+    /// The endpoint list changed.
+    pub fn listed(&mut self, now: Micros, kind: ListKind, endpoints: &[Endpoint]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
-            self.sites.retain(|id, _| named.contains(id));
+            let named: BTreeSet<EndpointId> =
+                endpoints.iter().map(|endpoint| endpoint.id).collect();
+            self.locations.retain(|id, _| named.contains(id));
             self.draining.retain(|id, _| named.contains(id));
         }
-        for entry in entries {
-            match entry.state {
+        for endpoint in endpoints {
+            match endpoint.state {
                 EndpointState::Ready => {
-                    self.draining.remove(&entry.id);
+                    self.draining.remove(&endpoint.id);
                 }
                 EndpointState::Draining => {
-                    self.draining.entry(entry.id).or_insert(now);
+                    self.draining.entry(endpoint.id).or_insert(now);
                 }
                 EndpointState::Removed => {
-                    self.draining.remove(&entry.id);
-                    self.sites.remove(&entry.id);
+                    self.draining.remove(&endpoint.id);
+                    self.locations.remove(&endpoint.id);
                     continue;
                 }
             }
-            self.sites.insert(
-                entry.id,
-                Site {
-                    zone: entry.zone,
-                    cell: entry.rack,
+            self.locations.insert(
+                endpoint.id,
+                Location {
+                    zone: endpoint.zone,
+                    rack: endpoint.rack,
                 },
             );
         }
     }
 
-    /// A request is taken; its client waits until `deadline`.
+    /// A request is accepted; its client waits until `deadline`.
     ///
     /// # Errors
-    /// When one with this number is open, or the node has ended.
+    /// When a request with this id is open, or the node has stopped.
     pub fn take(&mut self, id: RequestId, class: usize, deadline: Micros) -> Result<(), Violation> {
         if self.phase == NodePhase::Stopped {
             return violation(Rule::NodePhase, "a request is taken after the end");
@@ -240,7 +250,7 @@
         }
     }
 
-    /// An attempt is about to be sent. Without a violation it is out from now on.
+    /// An attempt is about to be sent. Without a violation it counts as in flight from now on.
     ///
     /// # Errors
     /// When it may not be sent.
@@ -249,16 +259,16 @@
         now: Micros,
         id: RequestId,
         number: u16,
-        (server, reads): (EndpointId, bool),
+        target: AttemptTarget,
     ) -> Result<AttemptReason, Violation> {
-        let site = self.sites.get(&server).copied();
+        let location = self.locations.get(&target.endpoint).copied();
         let Some(request) = self.requests.get(&id) else {
             return Err(Violation {
                 rule: Rule::NothingAfterAnswer,
                 reason: "the request is not open",
             });
         };
-        self.check_send(now, request, (server, site), reads)?;
+        self.check_send(now, request, target)?;
         let reason = match request.last.map(|last| last.outcome) {
             None => AttemptReason::First,
             Some(Some(Outcome::Prefilled)) => AttemptReason::NextStage,
@@ -268,9 +278,9 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.last = Some(Attempt {
                 number,
-                reads,
+                prefill_only: target.prefill_only,
                 sent: now,
-                site,
+                location,
                 outcome: None,
             });
         }
@@ -281,8 +291,7 @@
         &self,
         now: Micros,
         request: &TrackedRequest,
-        (server, site): (EndpointId, Option<Site>),
-        reads: bool,
+        target: AttemptTarget,
     ) -> Result<(), Violation> {
         if request.answered {
             return violation(Rule::NothingAfterAnswer, "the request has its answer");
@@ -293,15 +302,18 @@
         if request.last.is_some_and(|last| last.outcome.is_none()) {
             return violation(Rule::OneAttempt, "the attempt before is out");
         }
-        let told = self.draining.get(&server);
-        if told.is_some_and(|told| now > told.saturating_add(self.drain_grace)) {
+        let draining_since = self.draining.get(&target.endpoint);
+        if draining_since.is_some_and(|since| now > since.saturating_add(self.drain_grace)) {
             return violation(
                 Rule::NothingToDraining,
                 "the engine drains, and the grace is over",
             );
         }
-        match request.may_have_run.filter(|_| !reads) {
-            Some(ran) => self.check_repeat(now, request, ran, site),
+        match request.may_have_run.filter(|_| !target.prefill_only) {
+            Some(ran) => {
+                let to = self.locations.get(&target.endpoint).copied();
+                self.check_repeat(now, request, ran, to)
+            }
             None => Ok(()),
         }
     }
@@ -311,7 +323,7 @@
         now: Micros,
         request: &TrackedRequest,
         ran: MayHaveRun,
-        to: Option<Site>,
+        to: Option<Location>,
     ) -> Result<(), Violation> {
         let Some(class) = self.classes.get(request.class) else {
             return Ok(());
@@ -326,11 +338,11 @@
         if now >= ran.sent.saturating_add(class.deduplication_window) {
             return violation(Rule::NoEffectTwice, "the window of repeats is over");
         }
-        let same = |field: fn(Site) -> u16| matches!((ran.site, to), (Some(a), Some(b)) if field(a) == field(b));
+        let same = |field: fn(Location) -> u16| matches!((ran.location, to), (Some(a), Some(b)) if field(a) == field(b));
         let inside = match class.deduplication_scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => same(|site| u16::from(site.zone)),
-            DeduplicationScope::Rack => same(|site| site.cell),
+            DeduplicationScope::Zone => same(|location| u16::from(location.zone)),
+            DeduplicationScope::Rack => same(|location| location.rack),
         };
         match inside {
             true => Ok(()),
@@ -350,15 +362,15 @@
             return;
         };
         last.outcome = Some(outcome);
-        if !last.reads && outcome.may_have_run() && request.may_have_run.is_none() {
+        if !last.prefill_only && outcome.may_have_run() && request.may_have_run.is_none() {
             request.may_have_run = Some(MayHaveRun {
-                site: last.site,
+                location: last.location,
                 sent: last.sent,
             });
         }
     }
 
-    /// A request is about to get its final answer. Without a violation it has it from now on.
+    /// A request is about to get its final answer. Without a violation it counts as answered from now on.
     ///
     /// # Errors
     /// When this answer may not be given.
@@ -379,11 +391,11 @@
                 }
                 Idempotency::NonIdempotent => request.may_have_run.is_none(),
             });
-            let write_out = request
+            let decode_in_flight = request
                 .last
-                .is_some_and(|last| !last.reads && last.outcome.is_none());
-            let safe = class.is_none_or(|class| class.idempotency == Idempotency::Idempotent);
-            if !harmless || (write_out && !safe) {
+                .is_some_and(|last| !last.prefill_only && last.outcome.is_none());
+            let idempotent = class.is_none_or(|class| class.idempotency == Idempotency::Idempotent);
+            if !harmless || (decode_in_flight && !idempotent) {
                 return violation(Rule::HarmlessRefusal, "an attempt may have run");
             }
         }
@@ -391,10 +403,10 @@
         Ok(())
     }
 
-    /// A request is over: it is answered and has nothing out.
+    /// A request is over: it is answered and has no attempt in flight.
     ///
     /// # Errors
-    /// When it is not.
+    /// When it is not answered.
     pub fn forget(&mut self, id: RequestId) -> Result<(), Violation> {
         match self.requests.remove(&id) {
             Some(request) if !request.answered => {
--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -1,32 +1,32 @@
-//! The membership decider: lists, revisions, notices and silences in, fleet events for the module out.
+//! Membership of engines: turns the lists, watch events and failures of a store into endpoint lists for the router.
 //!
-//! It decides what counts as told, what a gap means, when an old list is still better than an empty one, and what an
-//! engine that came back is. No I/O, no clock: the follower of a store (etcd, or a fixed list) tells it what was heard
-//! and when, and passes on what it returns.
+//! It decides which list to believe, what a gap in the watch means, when an old list is better than an empty one, and
+//! what to make of an engine that came back. No I/O, no clock: the watcher of a store (etcd, or a fixed list) passes in
+//! what it received and when, and carries out the returned actions.
 //!
-//! What it holds to:
-//! - MembershipAction at once: a drain or a departure is passed on in the step in which it is heard.
-//! - A gap (a compacted watch, a lost connection) changes nothing by itself: engines stay as they were last known, and
-//!   the next complete list tells what became of them. Whoever is missing from it is gone.
-//! - An empty complete list beside a fleet that was there is doubted: a store that was restored empty, or a wrong
-//!   prefix, must not stop the service. It is taken only once it was heard again after `empty_grace`, or in single
-//!   steps by deletions, each of which was told as such.
-//! - The same id with another start time is a new engine: nothing that the old one kept is there any more. A record with
-//!   an older start than the one known was written by a process of the past, and does not bring it back; but the store's
-//!   last word that the engine drains is heeded, whoever wrote it. A record without a start says nothing of it.
-//! - Revisions never go back within one store. A list of a lower revision than one heard is an old answer (of a member
-//!   that lags behind, after a failover) and is ignored; but a store that answers nothing else for `behind_grace` was
-//!   restored from an older copy under its old name, and begins anew, as one whose cluster id changed.
+//! Rules:
+//! - A drain or a removal is passed on in the step in which it is received.
+//! - A gap (a compacted watch, a lost connection) changes nothing by itself: engines stay as last known until the next
+//!   complete list. Engines missing from that list are removed.
+//! - An empty complete list is not believed at first while engines are known: a store restored empty, or a wrong key
+//!   prefix, must not stop the service. It is believed once it is received again after `empty_grace`. Deletions of single
+//!   engines are believed at once.
+//! - The same id with another start time is a new process without the old one's KV cache. A record with an older start
+//!   than the known one was written by an earlier process and does not bring that back; but a drain in the store's latest
+//!   record counts, whoever wrote it. A record without a start time leaves the known one.
+//! - Revisions never go back within one store. A list with a lower revision than a known one is stale (from a member that
+//!   lags behind after a failover) and is ignored; but a store that sends nothing else for `behind_grace` was restored
+//!   from an older backup, and is treated like one whose cluster id changed.
 
 use crate::interface::{Endpoint, EndpointId, EndpointState, ListKind, Micros};
 use crate::mutations::{self, Mutation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a list or notice says of one engine.
+/// What the store says about one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// As the module is told. `started` is on the store's clock and only compared.
+    /// The endpoint for the router. `started_at` is on the store's clock and only compared.
     pub endpoint: Endpoint,
     /// Where it listens.
     pub address: SocketAddr,
@@ -34,41 +34,41 @@
     pub revision: i64,
 }
 
-/// Something heard from the store.
+/// Something received from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// All records at a revision.
     List {
-        /// Which store.
+        /// The store's cluster id.
         cluster: u64,
         /// The revision of the list.
         revision: i64,
-        /// The records; those that could not be read are left out and named in `unreadable`.
+        /// The readable records.
         members: Vec<Member>,
-        /// Engines whose records are there and cannot be read: what was known of them stands.
+        /// Engines whose records exist but cannot be decoded: they stay as last known.
         unreadable: Vec<EndpointId>,
     },
     /// A record was written.
     Put(Member),
     /// A record was deleted, by hand or with its lease.
     Deleted {
-        /// Whose.
+        /// The engine.
         id: EndpointId,
-        /// At which revision.
+        /// The revision of the deletion.
         revision: i64,
     },
     /// The watch is known to be complete up to this revision.
     Progress(i64),
     /// The watch broke, was compacted away or cancelled: something may have been missed.
     Gap,
-    /// The list as kept in a file from an earlier run.
+    /// The list from the snapshot file of an earlier run.
     Snapshot(Vec<Member>),
 }
 
-/// What the follower should do or pass on.
+/// What the watcher is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// For the module.
+    /// Pass an endpoint list to the router.
     EndpointList {
         /// How it relates to the one before.
         kind: ListKind,
@@ -77,85 +77,99 @@
     },
     /// Read the complete list again.
     Relist,
-    /// An empty list was not believed yet; list again at this time.
+    /// An empty list was not believed yet: read the list again at this time.
     RelistAt(Micros),
-    /// The list changed: keep it.
+    /// The list changed: save it.
     SaveSnapshot,
 }
 
-/// Settings of the decider.
+/// Settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// An empty complete list beside a known fleet is believed when it was heard for so long.
+    /// An empty complete list is believed after this time while engines are known.
     pub empty_grace: Micros,
-    /// A store whose lists stay behind a revision that was heard is believed when nothing else was heard for so long.
+    /// Lists behind a known revision are believed after this time without others.
     pub behind_grace: Micros,
 }
 
-/// The decider. See the module's page.
+/// All records at one revision.
+struct CompleteList {
+    cluster: u64,
+    revision: i64,
+    members: Vec<Member>,
+    unreadable: Vec<EndpointId>,
+}
+
+/// The known engines of one store. See the module's documentation.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
     cluster: Option<u64>,
-    /// All up to here was heard.
+    /// All changes up to this revision are known.
     revision: i64,
     members: BTreeMap<EndpointId, Member>,
-    /// What is known comes from a file of an earlier run.
-    from_file: bool,
-    /// Since when the store says that there is no engine.
+    /// The members come from the snapshot file of an earlier run.
+    from_snapshot: bool,
+    /// Since when the store sends empty lists.
     empty_since: Option<Micros>,
-    /// Since when lists are behind the revision that was heard.
+    /// Since when lists are behind the known revision.
     behind_since: Option<Micros>,
-    /// Something may have been missed since the last complete list.
+    /// Changes may have been missed since the last complete list.
     gap: bool,
 }
 
 impl Membership {
-    /// A decider that knows nobody.
+    /// Without any known engine.
     pub fn new(settings: MembershipSettings) -> Membership {
         Membership {
             settings,
             cluster: None,
             revision: 0,
             members: BTreeMap::new(),
-            from_file: false,
+            from_snapshot: false,
             empty_since: None,
             behind_since: None,
             gap: true,
         }
     }
-    /// The store whose list was last believed.
+    /// The cluster id of the store whose list was last believed.
     pub fn cluster(&self) -> Option<u64> {
         self.cluster
     }
-    /// The revision up to which all was heard; a watch goes on from the next.
+    /// The revision up to which all changes are known; a watch starts at the next one.
     pub fn revision(&self) -> i64 {
         self.revision
     }
-    /// Whether something may have been missed since the last complete list.
+    /// Whether changes may have been missed since the last complete list.
     pub fn has_gap(&self) -> bool {
         self.gap
     }
-    /// Those known now.
+    /// The known engines.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Takes in what was heard and appends what follows.
+    /// Takes in an event and appends the resulting actions.
     pub fn handle_event(
         &mut self,
         now: Micros,
-        heard: WatchEvent,
+        event: WatchEvent,
         out: &mut Vec<MembershipAction>,
     ) {
-        match heard {
+        match event {
             WatchEvent::List {
                 cluster,
                 revision,
                 members,
                 unreadable,
             } => {
-                self.on_list(now, (cluster, revision), members, &unreadable, out);
+                let list = CompleteList {
+                    cluster,
+                    revision,
+                    members,
+                    unreadable,
+                };
+                self.on_list(now, list, out);
             }
             WatchEvent::Put(member) => self.on_put(member, out),
             WatchEvent::Deleted { id, revision } => self.on_deleted(id, revision, out),
@@ -167,86 +181,100 @@
                 self.gap = true;
                 out.push(MembershipAction::Relist);
             }
-            // A file tells nothing to one who heard the store itself.
+            // A snapshot is older than anything received from the store itself.
             WatchEvent::Snapshot(members) if self.cluster.is_none() => {
-                self.members = members.into_iter().map(|m| (m.endpoint.id, m)).collect();
-                self.from_file = true;
-                let members = self.members.values().copied().collect();
-                out.push(MembershipAction::EndpointList {
-                    kind: ListKind::Cached,
-                    members,
-                });
+                self.members = members
+                    .into_iter()
+                    .map(|member| (member.endpoint.id, member))
+                    .collect();
+                self.from_snapshot = true;
+                out.push(self.endpoint_list(ListKind::Cached));
             }
             WatchEvent::Snapshot(_) => {}
         }
     }
 
-    fn on_list(
-        &mut self,
-        now: Micros,
-        (cluster, revision): (u64, i64),
-        members: Vec<Member>,
-        unreadable: &[EndpointId],
-        out: &mut Vec<MembershipAction>,
-    ) {
-        let mut same_store = self.cluster == Some(cluster);
-        if same_store && revision < self.revision {
-            let since = *self.behind_since.get_or_insert(now);
-            if now.saturating_sub(since) < self.settings.behind_grace {
-                out.push(MembershipAction::Relist);
-                return;
-            }
-            // Its revisions are others now: nothing that was heard before can be compared with them.
-            same_store = false;
+    fn on_list(&mut self, now: Micros, list: CompleteList, out: &mut Vec<MembershipAction>) {
+        if self.is_stale(now, &list) {
+            out.push(MembershipAction::Relist);
+            return;
         }
+        // Revisions of a restored store cannot be compared with those known before.
+        let same_store = self.cluster == Some(list.cluster) && list.revision >= self.revision;
         self.behind_since = None;
-        if members.is_empty() && unreadable.is_empty() && !self.members.is_empty() {
-            let since = *self.empty_since.get_or_insert(now);
-            if now.saturating_sub(since) < self.settings.empty_grace {
-                out.push(MembershipAction::RelistAt(
-                    since + self.settings.empty_grace,
-                ));
-                return;
-            }
+        if let Some(relist_at) = self.doubts_empty(now, &list) {
+            out.push(MembershipAction::RelistAt(relist_at));
+            return;
         }
         self.empty_since = None;
-        let before = std::mem::take(&mut self.members);
-        for mut member in members {
-            let old = before.get(&member.endpoint.id).filter(|_| same_store);
-            if let Some(old) = old.filter(|_| mutations::is_active(Mutation::DrainLostInList)) {
-                member.endpoint.state = old.endpoint.state;
+        let members = self.merge(&list, same_store);
+        let changed =
+            self.members != members || self.from_snapshot || self.cluster != Some(list.cluster);
+        self.members = members;
+        self.cluster = Some(list.cluster);
+        self.revision = list.revision;
+        self.gap = false;
+        self.from_snapshot = false;
+        if changed {
+            out.push(self.endpoint_list(ListKind::Full));
+            out.push(MembershipAction::SaveSnapshot);
+        }
+    }
+
+    /// Whether a list is behind the known revision, and not for `behind_grace` yet.
+    fn is_stale(&mut self, now: Micros, list: &CompleteList) -> bool {
+        if self.cluster != Some(list.cluster) || list.revision >= self.revision {
+            return false;
+        }
+        let since = *self.behind_since.get_or_insert(now);
+        now.saturating_sub(since) < self.settings.behind_grace
+    }
+
+    /// When to read the list again, if it is empty while engines are known, and not for `empty_grace` yet.
+    fn doubts_empty(&mut self, now: Micros, list: &CompleteList) -> Option<Micros> {
+        if !list.members.is_empty() || !list.unreadable.is_empty() || self.members.is_empty() {
+            return None;
+        }
+        let since = *self.empty_since.get_or_insert(now);
+        let grace_is_over = now.saturating_sub(since) >= self.settings.empty_grace;
+        (!grace_is_over).then(|| since + self.settings.empty_grace)
+    }
+
+    /// The engines after a complete list.
+    fn merge(&self, list: &CompleteList, same_store: bool) -> BTreeMap<EndpointId, Member> {
+        let mut members = BTreeMap::new();
+        for mut member in list.members.iter().copied() {
+            let id = member.endpoint.id;
+            let known = self.members.get(&id).filter(|_| same_store);
+            if let Some(known) = known.filter(|_| mutations::is_active(Mutation::DrainLostInList)) {
+                member.endpoint.state = known.endpoint.state;
             }
-            self.members.insert(
-                member.endpoint.id,
-                old.map_or(member, |old| newer(&member, old)),
-            );
+            members.insert(id, known.map_or(member, |known| newer(&member, known)));
         }
         if mutations::is_active(Mutation::MissingStay) {
-            for (id, old) in &before {
-                self.members.entry(*id).or_insert(*old);
+            for (id, known) in &self.members {
+                members.entry(*id).or_insert(*known);
             }
         }
-        for id in unreadable {
-            if let Some(old) = before.get(id) {
-                self.members.entry(*id).or_insert(*old);
+        for id in &list.unreadable {
+            if let Some(known) = self.members.get(id) {
+                members.entry(*id).or_insert(*known);
             }
         }
-        let changed = before != self.members || self.from_file || self.cluster != Some(cluster);
-        (self.cluster, self.revision, self.gap, self.from_file) =
-            (Some(cluster), revision, false, false);
-        if changed {
-            let members = self.members.values().copied().collect();
-            out.push(MembershipAction::EndpointList {
-                kind: ListKind::Full,
-                members,
-            });
-            out.push(MembershipAction::SaveSnapshot);
+        members
+    }
+
+    /// The action that passes all known engines to the router.
+    fn endpoint_list(&self, kind: ListKind) -> MembershipAction {
+        MembershipAction::EndpointList {
+            kind,
+            members: self.members.values().copied().collect(),
         }
     }
 
     fn on_put(&mut self, member: Member, out: &mut Vec<MembershipAction>) {
-        // Notices are passed on also while there is a gap: a drain that was heard is told. But only an unbroken watch
-        // moves the revision from which the next one starts.
+        // Events are passed on also while there is a gap, so that a drain takes effect at once. But only an unbroken
+        // watch moves the revision from which the next one starts.
         if !self.gap {
             self.revision = self.revision.max(member.revision);
         }
@@ -268,30 +296,24 @@
         if !self.gap {
             self.revision = self.revision.max(revision);
         }
-        // A deletion from before the record that is known is an echo.
+        // A deletion from before the known record is stale.
         let known = self
             .members
             .get(&id)
-            .filter(|m| m.revision < revision || self.from_file)
+            .filter(|member| member.revision < revision || self.from_snapshot)
             .copied();
-        let Some(member) = known else { return };
+        let Some(mut member) = known else { return };
         self.members.remove(&id);
-        let entry = Endpoint {
-            state: EndpointState::Removed,
-            ..member.endpoint
-        };
+        member.endpoint.state = EndpointState::Removed;
         out.push(MembershipAction::EndpointList {
             kind: ListKind::Changes,
-            members: vec![Member {
-                endpoint: entry,
-                ..member
-            }],
+            members: vec![member],
         });
         out.push(MembershipAction::SaveSnapshot);
     }
 }
 
-/// What is known of an engine after another record of it, from the same store.
+/// Merges a record of an engine with the known one from the same store.
 fn newer(new: &Member, old: &Member) -> Member {
     if new.revision < old.revision {
         return *old;
@@ -308,17 +330,17 @@
     if new.endpoint.started_at >= old.endpoint.started_at {
         return *new;
     }
-    // Guards against a drain that is overheard: written by a tool that does not know when the engine started, or by the
-    // process before this one, it is what the store says now. That the engine is ready is for itself to say.
+    // Guards against a drain that is missed: also written by a tool that does not know when the engine started, or by
+    // the process before this one, it is what the store says now. Only the engine itself may say that it is ready.
     let drains = new.endpoint.state != EndpointState::Ready;
-    let condition = if drains {
+    let state = if drains {
         new.endpoint.state
     } else {
         old.endpoint.state
     };
     Member {
         endpoint: Endpoint {
-            state: condition,
+            state,
             ..old.endpoint
         },
         revision: new.revision,
--- a/crates/ivyward-core/tests/invariants.rs
+++ b/crates/ivyward-core/tests/invariants.rs
@@ -4,14 +4,23 @@
 
 use common::{server, settings, SECOND};
 use ivyward_core::interface::*;
-use ivyward_core::invariants::{AnswerKind, AttemptReason, Guard, NodePhase, Rule};
+use ivyward_core::invariants::{AnswerKind, AttemptReason, AttemptTarget, Guard, NodePhase, Rule};
 
-const SAFE: usize = 0;
-const UNSAFE: usize = 1;
-const KEYED_IN_ZONE: usize = 2;
-const READER: (EndpointId, bool) = (EndpointId(1), true);
-const WRITER: (EndpointId, bool) = (EndpointId(2), false);
-const FAR_WRITER: (EndpointId, bool) = (EndpointId(3), false);
+const IDEMPOTENT: usize = 0;
+const NON_IDEMPOTENT: usize = 1;
+const WITH_KEY_IN_ZONE: usize = 2;
+const PREFILL: AttemptTarget = AttemptTarget {
+    endpoint: EndpointId(1),
+    prefill_only: true,
+};
+const DECODE: AttemptTarget = AttemptTarget {
+    endpoint: EndpointId(2),
+    prefill_only: false,
+};
+const FAR_DECODE: AttemptTarget = AttemptTarget {
+    endpoint: EndpointId(3),
+    prefill_only: false,
+};
 const REQUEST: RequestId = RequestId(9);
 
 /// A node that serves, with a reader and a writer in zone 0 and a writer in zone 1, and one request.
@@ -33,11 +42,14 @@
 
 #[test]
 fn a_request_goes_from_its_read_to_its_write_to_one_answer() {
-    let mut guard = serving(UNSAFE);
-    assert_eq!(guard.send(10, REQUEST, 0, READER), Ok(AttemptReason::First));
+    let mut guard = serving(NON_IDEMPOTENT);
+    assert_eq!(
+        guard.send(10, REQUEST, 0, PREFILL),
+        Ok(AttemptReason::First)
+    );
     guard.ended(REQUEST, 0, Outcome::Prefilled);
     assert_eq!(
-        guard.send(20, REQUEST, 1, WRITER),
+        guard.send(20, REQUEST, 1, DECODE),
         Ok(AttemptReason::NextStage)
     );
     guard.ended(REQUEST, 1, Outcome::Served);
@@ -52,37 +64,37 @@
 
 #[test]
 fn nothing_is_sent_after_the_answer_or_the_clients_time() {
-    let mut guard = serving(SAFE);
+    let mut guard = serving(IDEMPOTENT);
     assert_eq!(
-        forbidden(guard.send(6 * SECOND + 1, REQUEST, 0, READER)),
+        forbidden(guard.send(6 * SECOND + 1, REQUEST, 0, PREFILL)),
         Rule::NothingAfterAnswer
     );
-    assert!(guard.send(6 * SECOND, REQUEST, 0, READER).is_ok());
+    assert!(guard.send(6 * SECOND, REQUEST, 0, PREFILL).is_ok());
     guard.ended(REQUEST, 0, Outcome::Reset);
     guard
         .answer(REQUEST, AnswerKind::ClientDisconnected)
         .unwrap();
     assert_eq!(
-        forbidden(guard.send(6 * SECOND, REQUEST, 1, READER)),
+        forbidden(guard.send(6 * SECOND, REQUEST, 1, PREFILL)),
         Rule::NothingAfterAnswer
     );
     assert_eq!(
-        forbidden(guard.send(10, RequestId(5), 0, READER)),
+        forbidden(guard.send(10, RequestId(5), 0, PREFILL)),
         Rule::NothingAfterAnswer
     );
 }
 
 #[test]
 fn one_attempt_is_out_at_a_time() {
-    let mut guard = serving(SAFE);
-    guard.send(10, REQUEST, 0, WRITER).unwrap();
+    let mut guard = serving(IDEMPOTENT);
+    guard.send(10, REQUEST, 0, DECODE).unwrap();
     assert_eq!(
-        forbidden(guard.send(11, REQUEST, 1, FAR_WRITER)),
+        forbidden(guard.send(11, REQUEST, 1, FAR_DECODE)),
         Rule::OneAttempt
     );
     guard.ended(REQUEST, 0, Outcome::Reset);
     assert_eq!(
-        guard.send(12, REQUEST, 1, FAR_WRITER),
+        guard.send(12, REQUEST, 1, FAR_DECODE),
         Ok(AttemptReason::Retry(Outcome::Reset))
     );
 }
@@ -98,10 +110,10 @@
         (Outcome::Error, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut guard = serving(UNSAFE);
-        guard.send(10, REQUEST, 0, WRITER).unwrap();
+        let mut guard = serving(NON_IDEMPOTENT);
+        guard.send(10, REQUEST, 0, DECODE).unwrap();
         guard.ended(REQUEST, 0, outcome);
-        let sent = guard.clone().send(20, REQUEST, 1, WRITER);
+        let sent = guard.clone().send(20, REQUEST, 1, DECODE);
         let refused = guard.answer(REQUEST, AnswerKind::Rejected);
         if again {
             assert!(sent.is_ok() && refused.is_ok(), "{outcome:?}");
@@ -111,32 +123,32 @@
         }
     }
     // A read has no effect.
-    let mut guard = serving(UNSAFE);
-    guard.send(10, REQUEST, 0, READER).unwrap();
+    let mut guard = serving(NON_IDEMPOTENT);
+    guard.send(10, REQUEST, 0, PREFILL).unwrap();
     guard.ended(REQUEST, 0, Outcome::Reset);
-    assert!(guard.send(20, REQUEST, 1, WRITER).is_ok());
+    assert!(guard.send(20, REQUEST, 1, DECODE).is_ok());
 }
 
 #[test]
 fn a_keyed_request_goes_again_inside_its_group_and_window() {
-    let mut guard = serving(KEYED_IN_ZONE);
-    guard.send(10, REQUEST, 0, WRITER).unwrap();
+    let mut guard = serving(WITH_KEY_IN_ZONE);
+    guard.send(10, REQUEST, 0, DECODE).unwrap();
     guard.ended(REQUEST, 0, Outcome::Reset);
     assert_eq!(
-        forbidden(guard.clone().send(20, REQUEST, 1, FAR_WRITER)),
+        forbidden(guard.clone().send(20, REQUEST, 1, FAR_DECODE)),
         Rule::NoEffectTwice
     );
     assert_eq!(
-        forbidden(guard.clone().send(10 + 5 * SECOND, REQUEST, 1, WRITER)),
+        forbidden(guard.clone().send(10 + 5 * SECOND, REQUEST, 1, DECODE)),
         Rule::NoEffectTwice
     );
-    assert!(guard.send(9 + 5 * SECOND, REQUEST, 1, WRITER).is_ok());
+    assert!(guard.send(9 + 5 * SECOND, REQUEST, 1, DECODE).is_ok());
 }
 
 #[test]
 fn a_refusal_while_a_write_is_out_promises_too_much() {
-    let mut guard = serving(UNSAFE);
-    guard.send(10, REQUEST, 0, WRITER).unwrap();
+    let mut guard = serving(NON_IDEMPOTENT);
+    guard.send(10, REQUEST, 0, DECODE).unwrap();
     assert_eq!(
         forbidden(guard.answer(REQUEST, AnswerKind::Rejected)),
         Rule::HarmlessRefusal
@@ -146,7 +158,7 @@
 
 #[test]
 fn a_drain_has_a_grace_that_runs_from_the_first_word() {
-    let mut guard = serving(SAFE);
+    let mut guard = serving(IDEMPOTENT);
     let drains = Endpoint {
         state: EndpointState::Draining,
         ..server(2, 1)
@@ -154,18 +166,18 @@
     guard.listed(SECOND, ListKind::Changes, &[drains]);
     // Told again, it drains no later.
     guard.listed(2 * SECOND, ListKind::Full, &[server(1, 0), drains]);
-    assert!(guard.clone().send(2 * SECOND, REQUEST, 0, WRITER).is_ok());
+    assert!(guard.clone().send(2 * SECOND, REQUEST, 0, DECODE).is_ok());
     assert_eq!(
-        forbidden(guard.clone().send(2 * SECOND + 1, REQUEST, 0, WRITER)),
+        forbidden(guard.clone().send(2 * SECOND + 1, REQUEST, 0, DECODE)),
         Rule::NothingToDraining
     );
     guard.listed(3 * SECOND, ListKind::Changes, &[server(2, 1)]);
-    assert!(guard.send(3 * SECOND, REQUEST, 0, WRITER).is_ok());
+    assert!(guard.send(3 * SECOND, REQUEST, 0, DECODE).is_ok());
 }
 
 #[test]
 fn a_node_goes_through_its_phases_once() {
-    let mut guard = serving(SAFE);
+    let mut guard = serving(IDEMPOTENT);
     guard.enter(NodePhase::Stopping).unwrap();
     guard.enter(NodePhase::Stopping).unwrap();
     assert_eq!(forbidden(guard.enter(NodePhase::Serving)), Rule::NodePhase);
@@ -173,7 +185,7 @@
     guard.answer(REQUEST, AnswerKind::Failed).unwrap();
     guard.enter(NodePhase::Stopped).unwrap();
     assert_eq!(
-        forbidden(guard.take(RequestId(10), SAFE, SECOND)),
+        forbidden(guard.take(RequestId(10), IDEMPOTENT, SECOND)),
         Rule::NodePhase
     );
 }
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -815,7 +815,11 @@
             return;
         };
         let no = open.attempts.len() as u16;
-        let check = self.guard.send(now, RequestId(id), no, (server, reads));
+        let target = ivyward_core::invariants::AttemptTarget {
+            endpoint: server,
+            prefill_only: reads,
+        };
+        let check = self.guard.send(now, RequestId(id), no, target);
         let reason = self.checked(id, check);
         if let Some(AttemptReason::Retry(outcome)) = reason {
             shared.metrics.retry_after(outcome);
