--- a/crates/ivyward-core/src/connect_backoff.rs
+++ b/crates/ivyward-core/src/connect_backoff.rs
@@ -1,11 +1,11 @@
-//! When a connection that could not be opened for want of something on this machine is tried again. No I/O, no clock.
+//! When to retry a connection that failed for want of local resources. No I/O, no clock.
 
 use crate::interface::Micros;
 
-/// A moment without a port, a buffer or a descriptor is short: connections that close free them.
+/// Pause in microseconds: lack of ports, buffers or descriptors is short, as closing connections free them.
 const PAUSE: Micros = 10_000;
 
-/// When to try again a dial that failed on this machine at `now` and has time until `until`; `None` where none is left.
+/// When to retry a connection that failed locally at `now` and has time until `until`; `None` if no time is left.
 pub fn retry_at(now: Micros, until: Micros) -> Option<Micros> {
     let at = now.saturating_add(PAUSE);
     (at < until).then_some(at)
--- a/crates/ivyward-core/src/long_poll.rs
+++ b/crates/ivyward-core/src/long_poll.rs
@@ -1,156 +1,161 @@
-//! How a list is followed by long polls, so that a change is known in a told time whatever call fails.
+//! Long polling of an endpoint list, so that a change is known within a configured time whatever call fails.
 //!
-//! A call that waits for news may fall silent, and nobody says so. So each is asked to wait for a part of the told time
-//! only, and soon after that the next one begins beside it, for a silent call has cost time enough. The silent one is kept
-//! for a while: a service under load answers late, and calls that are given up before they are answered would only add to its
-//! load. Only what fails quickly (refused, reset, malformed) is followed by a pause, which grows while it goes on, so that a
-//! fleet does not run against a service that is down. A service that turns calls away has more of them than it can take: the
-//! pause then grows further, by lot, so that the nodes of a fleet do not come back together, and a call waits for news
-//! longer, for each one costs the service as much as any other. An answer that still comes is not a silent one: a long list over a
-//! slow connection has more time at each try. No I/O, no clock.
+//! A call that waits for changes may fall silent without any error. So each call is asked to wait for a part of the time
+//! only, and soon after that the next one begins beside it. The silent one is kept for a while: a service under load answers
+//! late, and abandoned calls would only add to its load. Only quick failures (refused, reset, malformed) are followed by a
+//! pause, which grows, so that nodes don't hammer a service that is down. A service that rejects calls is overloaded: the
+//! pause then grows further, with jitter, so that nodes don't return together, and calls wait for changes longer, for each
+//! costs the service the same. A response that is still arriving is not silent: a long list over a slow connection
+//! gets more time at each try. No I/O, no clock.
 
 use crate::hash::{mix, unit_interval};
 use crate::interface::Micros;
 
-/// Parts of the told time: a call waits for news so long, is taken for silent without a byte so long after that, and a
-/// connection comes up in so long. One call that falls silent as it begins and three that are accepted and never answered fit into the
-/// time, and so does the whole list that follows; [`LongPoll::worst_case_delay`] adds them up.
+// Shares of the configured time. One call that falls silent as it begins, three that are accepted and never answered, and
+// the complete list that follows fit into the time; `LongPoll::worst_case_delay` adds them up.
+
+/// How long a call asks to wait for changes.
 const WAIT: f64 = 1.0 / 4.0;
+/// A call without a byte for this long after its wait is silent.
 const SILENCE: f64 = 1.0 / 12.0;
-const DIAL: f64 = 1.0 / 15.0;
-/// A silent call is kept for this part beside those that follow it, of which there are so many at once at most.
-const PATIENCE: f64 = 1.0 / 3.0;
-const MOST_CALLS: usize = 4;
-/// First pause after a call that was turned away, and the longest; each is drawn between half of it and all of it.
-const BACKOFF: f64 = 1.0 / 60.0;
-const BACKOFF_MOST: f64 = 1.0;
-/// Signs of load that count at most.
-const MOST_LOAD: u32 = 8;
-/// An answer that comes so late is one.
-const LATE: f64 = 1.0 / 48.0;
-/// Longest wait for news under a service that turns calls away.
-const WAIT_MOST: f64 = 5.0 / 3.0;
-/// First pause after a quick failure, and the longest.
-const PAUSE: f64 = 1.0 / 120.0;
-const PAUSE_MOST: f64 = 1.0 / 15.0;
-/// An answer that comes slowly is read for this part at first, and for twice as long after each that was cut off so, up to
-/// so many times the told time.
-const WHOLE: f64 = 1.0 / 3.0;
-const WHOLE_MOST: f64 = 10.0;
-/// No told time is taken for shorter.
-const SHORTEST: Micros = 100_000;
+/// Time to connect.
+const CONNECT_TIMEOUT: f64 = 1.0 / 15.0;
+/// How long a silent call is kept beside those that follow it,
+const CALL_TIMEOUT: f64 = 1.0 / 3.0;
+/// and how many calls are in flight at once.
+const MAX_CALLS: usize = 4;
+/// The first pause after a rejected call, and the longest; each is drawn between half of it and all of it.
+const FIRST_BACKOFF: f64 = 1.0 / 60.0;
+const MAX_BACKOFF: f64 = 1.0;
+/// Signs of overload beyond this number don't count.
+const MAX_LOAD: u32 = 8;
+/// An answer this much later than asked for is a sign of overload.
+const LATE_ANSWER: f64 = 1.0 / 48.0;
+/// The longest wait for changes under an overloaded service.
+const MAX_WAIT: f64 = 5.0 / 3.0;
+/// The first pause after a quick failure, and the longest.
+const FIRST_PAUSE: f64 = 1.0 / 120.0;
+const MAX_PAUSE: f64 = 1.0 / 15.0;
+/// The first time limit for a response body that arrives slowly; it doubles after each that was cut off, up to
+/// `MAX_BODY_TIMEOUT`.
+const FIRST_BODY_TIMEOUT: f64 = 1.0 / 3.0;
+const MAX_BODY_TIMEOUT: f64 = 10.0;
+/// Failures in a row that lengthen pauses and time limits.
+const MAX_FAILURES: u32 = 16;
+/// The shortest configured time, in microseconds.
+const SHORTEST_TIME: Micros = 100_000;
 
-/// How a call for the list ended without one.
+/// How a call ended without a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// It was given up in silence, its connection's coming up included.
+    /// It timed out without a byte, while connecting or afterwards.
     Silent,
-    /// It was given up while its answer still came.
+    /// It timed out while its response was arriving.
     Slow,
-    /// It ended by itself.
+    /// It failed.
     Failed,
-    /// The service said that it has too much to do.
+    /// The service rejected it because of overload.
     Rejected,
 }
 
-/// The pace of a watch. See the module's page.
+/// Timing of the calls. See the module's documentation.
 #[derive(Clone, Debug)]
 pub struct LongPoll {
     within: Micros,
-    quick: u32,
-    slow: u32,
-    /// Each call costs the service.
+    failures: u32,
+    slow_bodies: u32,
+    /// Each call has a cost for the service.
     costly: bool,
-    /// Signs that the service has too much to do, less those that it has not.
+    /// Signs that the service is overloaded, less signs that it is not.
     load: u32,
     random: u64,
 }
 
 impl LongPoll {
-    /// Changes are to be known `within` this time of their being there to be read. Calls are `costly` where lists come only
-    /// to those who ask. `seed` tells the nodes of a fleet apart.
+    /// Changes are to be known `within` this time after the service has them. Calls are `costly` if the service sends lists on
+    /// request only. `seed` distinguishes the nodes.
     pub fn new(within: Micros, costly: bool, seed: u64) -> LongPoll {
         LongPoll {
-            within: within.max(SHORTEST),
-            quick: 0,
-            slow: 0,
+            within: within.max(SHORTEST_TIME),
+            failures: 0,
+            slow_bodies: 0,
             costly,
             load: 0,
             random: mix(seed),
         }
     }
-    fn part(&self, part: f64) -> Micros {
-        (self.within as f64 * part) as Micros
+    fn share(&self, share: f64) -> Micros {
+        (self.within as f64 * share) as Micros
     }
-    /// How long a call is asked to wait for news.
+    /// How long a call asks to wait for changes.
     pub fn wait(&self) -> Micros {
-        self.part((WAIT * 2f64.powi(self.load as i32)).min(WAIT_MOST))
+        self.share((WAIT * 2f64.powi(self.load as i32)).min(MAX_WAIT))
     }
-    /// A call from which no byte came for so long, past the time that it was asked to wait, is silent: another begins.
+    /// A call without a byte for this long after its wait is silent: another one begins.
     pub fn silence(&self) -> Micros {
-        self.part(SILENCE)
+        self.share(SILENCE)
     }
-    /// The call after a silent one begins so long after it.
+    /// When the call after a silent one begins.
     pub fn next_call_delay(&self) -> Micros {
         self.connect_timeout() + self.silence()
     }
-    /// A call from which no byte came for so long, past the time that it was asked to wait, is given up.
+    /// A call without a byte for this long after its wait is abandoned.
     pub fn call_timeout(&self) -> Micros {
-        self.part(PATIENCE)
+        self.share(CALL_TIMEOUT)
     }
-    /// So many calls are out at once at most.
+    /// The most calls in flight at once.
     pub fn max_calls(&self) -> usize {
-        MOST_CALLS
+        MAX_CALLS
     }
-    /// A connection that is not open after this is given up.
+    /// Time limit to connect.
     pub fn connect_timeout(&self) -> Micros {
-        self.part(DIAL)
+        self.share(CONNECT_TIMEOUT)
     }
-    /// An answer that has begun is read for so long in all.
+    /// Time limit for a response body.
     pub fn body_timeout(&self) -> Micros {
-        self.part((WHOLE * 2f64.powi(self.slow as i32)).min(WHOLE_MOST))
+        self.share((FIRST_BODY_TIMEOUT * 2f64.powi(self.slow_bodies as i32)).min(MAX_BODY_TIMEOUT))
     }
-    /// A list came, or the word that there is no news.
+    /// A list was received, or the answer that nothing changed.
     pub fn list_received(&mut self) {
-        (self.quick, self.slow) = (0, 0);
+        (self.failures, self.slow_bodies) = (0, 0);
     }
-    /// The word that there is no news, so much later than it was asked for. Guards against nodes that got through and take
-    /// up, with one short call after the other, a service that turns the others away.
+    /// Nothing changed; the answer came this much `late`. Guards against nodes whose calls are accepted keeping an
+    /// overloaded service busy, with one short call after the other, while it rejects the others.
     pub fn no_changes_received(&mut self, late: Micros) {
         self.list_received();
-        if self.costly && late > self.part(LATE) {
-            self.loaded();
+        if self.costly && late > self.share(LATE_ANSWER) {
+            self.record_load();
         } else {
             self.load = self.load.saturating_sub(1);
         }
     }
-    fn loaded(&mut self) {
-        self.load = (self.load + 1).min(MOST_LOAD);
+    fn record_load(&mut self) {
+        self.load = (self.load + 1).min(MAX_LOAD);
     }
-    /// A call brought nothing. Returns the pause before the next one.
-    pub fn call_failed(&mut self, how: CallFailure) -> Micros {
-        match how {
+    /// A call failed. Returns the pause before the next one.
+    pub fn call_failed(&mut self, failure: CallFailure) -> Micros {
+        match failure {
             CallFailure::Silent => 0,
             CallFailure::Slow => {
-                self.slow = (self.slow + 1).min(16);
+                self.slow_bodies = (self.slow_bodies + 1).min(MAX_FAILURES);
                 0
             }
             CallFailure::Failed => {
-                let pause = PAUSE * 2f64.powi(self.quick as i32);
-                self.quick = (self.quick + 1).min(16);
-                self.part(pause.min(PAUSE_MOST))
+                let pause = FIRST_PAUSE * 2f64.powi(self.failures as i32);
+                self.failures = (self.failures + 1).min(MAX_FAILURES);
+                self.share(pause.min(MAX_PAUSE))
             }
             CallFailure::Rejected => {
-                let pause = BACKOFF * 2f64.powi(self.load as i32);
-                self.loaded();
+                let pause = FIRST_BACKOFF * 2f64.powi(self.load as i32);
+                self.record_load();
                 self.random = mix(self.random.wrapping_add(1));
-                self.part(pause.min(BACKOFF_MOST) * (1.0 + unit_interval(self.random)) / 2.0)
+                self.share(pause.min(MAX_BACKOFF) * (1.0 + unit_interval(self.random)) / 2.0)
             }
         }
     }
-    /// The longest time from a change until its list has begun to come, when the call that should have told it fell silent
-    /// as it began and `more` further ones were accepted and never answered.
-    pub fn worst_case_delay(&self, more: u32) -> Micros {
-        self.wait() + self.silence() + u64::from(more + 1) * self.next_call_delay()
+    /// The longest time from a change until its list begins to arrive, if the call that should have brought it fell silent as
+    /// it began and `unanswered` further ones were accepted and never answered.
+    pub fn worst_case_delay(&self, unanswered: u32) -> Micros {
+        self.wait() + self.silence() + u64::from(unanswered + 1) * self.next_call_delay()
     }
 }
--- a/crates/ivyward-core/src/mutations.rs
+++ b/crates/ivyward-core/src/mutations.rs
@@ -1,65 +1,65 @@
-//! Defects put in on purpose, to see that the checks find them.
+//! Deliberate defects for mutation testing: they show that the checks find them.
 //!
-//! They are compiled in with `RUSTFLAGS="--cfg mutations"` alone; without it [`is_active`] is `false` for all of them, and nothing
-//! of them is in the program. At most one is active at a time, for the whole process.
+//! They are compiled in with `RUSTFLAGS="--cfg mutations"` only; without it [`is_active`] is `false` for all of them, and the
+//! program contains none. At most one is active at a time, for the whole process.
 
 /// A defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutation {
-    /// What is kept for a request is not let go when its client leaves.
+    /// Reservations of a request are not released when its client disconnects.
     ReleaseForgotten = 1,
     /// An attempt whose stream was reset is sent once more, inside the attempt.
     SentTwice,
-    /// A reset after the bytes left is taken for proof that nothing ran.
+    /// A reset after the request was sent counts as proof that nothing ran.
     ResetAsProof,
-    /// A status from the engine's side is taken for proof that nothing ran.
+    /// An error status of the engine counts as proof that nothing ran.
     StatusAsProof,
-    /// A drain that is first seen in a list read again is not heeded.
+    /// A drain that is first seen in a list read again is ignored.
     DrainLostInList,
-    /// Engines that are missing from a whole list stay.
+    /// Engines that are missing from a complete list stay.
     MissingStay,
-    /// A watch goes on one revision too late.
+    /// A watch resumes one revision too late.
     WatchSkips,
-    /// The client's time counts from later than its request came.
+    /// The client's timeout counts from later than its request's arrival.
     TimeoutLate,
-    /// The last tokens are handed out twice.
+    /// The last tokens are sent twice.
     AnsweredTwice,
-    /// A connection that is not usable any more is used again.
+    /// A connection that is no longer usable is used again.
     StaleConnection,
-    /// A slow client does not hold up its engine.
+    /// A slow client exerts no backpressure on its engine.
     NoBound,
-    /// A place counts as used by any write at its engine.
+    /// A reserved slot counts as used by any decode at its engine.
     PlaceForgotten,
-    /// Work that waited for a connection goes to an engine that drains meanwhile.
+    /// An attempt that waited for a connection is sent to an engine that drains meanwhile.
     ClosingIgnored,
-    /// A client that left is not told of to the module.
+    /// The router is not told of a disconnected client.
     LeavingIgnored,
-    /// A read whose end is not known leaves its state behind.
+    /// A prefill without a known end leaves its KV state behind.
     ReadForgotten,
-    /// Who knows better than a doubt keeps it to itself.
+    /// A node does not refute a suspicion that it knows to be wrong.
     RefutationKept,
-    /// The count of nodes falls for one in doubt.
+    /// The replica count falls for a suspected node.
     CountOnDoubt,
-    /// The dead are remembered for good.
+    /// Tombstones never expire.
     TombstoneStays,
-    /// Datagrams are answered where they seem to come from.
+    /// Datagrams are answered to their source address.
     AnswersToSource,
-    /// A node that slept takes the others for dead.
+    /// A node that was paused takes the others for dead.
     NeverDoubtsItself,
-    /// A call leaves on a connection that rested for long, unchecked.
+    /// A call uses a connection that was idle for long without a check.
     UncheckedUse,
-    /// A call leaves on a connection whose check was not answered.
+    /// A call uses a connection whose check was not answered.
     DoubtfulReused,
-    /// Connections at rest are checked whatever the budget says.
+    /// Idle connections are checked regardless of the budget.
     BudgetIgnored,
-    /// All connections at rest ask for their checks in one moment.
+    /// All idle connections ask for their checks at the same time.
     NoJitter,
-    /// Connections that calls take up still count as resting.
+    /// Connections used by calls still count as idle.
     RousedUncounted,
 }
 
-/// Those of the keepalive, which their own scenes find.
+/// Those of the keepalive, which tests of their own find.
 pub const KEEPALIVE: [Mutation; 5] = [
     Mutation::UncheckedUse,
     Mutation::DoubtfulReused,
@@ -68,7 +68,7 @@
     Mutation::RousedUncounted,
 ];
 
-/// Those of the peers, which their own scenes find.
+/// Those of the peers, which tests of their own find.
 pub const PEERS: [Mutation; 5] = [
     Mutation::RefutationKept,
     Mutation::CountOnDoubt,
@@ -97,21 +97,21 @@
 ];
 
 #[cfg(mutations)]
-static WHICH: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
+static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Plants one, or takes it out again.
+/// Activates a mutation, or none.
 #[cfg(mutations)]
-pub fn activate(defect: Option<Mutation>) {
-    WHICH.store(
-        defect.map_or(0, |d| d as u8),
+pub fn activate(mutation: Option<Mutation>) {
+    ACTIVE.store(
+        mutation.map_or(0, |mutation| mutation as u8),
         std::sync::atomic::Ordering::SeqCst,
     );
 }
 
 /// Whether this mutation is active.
 #[cfg(mutations)]
-pub fn is_active(defect: Mutation) -> bool {
-    WHICH.load(std::sync::atomic::Ordering::Relaxed) == defect as u8
+pub fn is_active(mutation: Mutation) -> bool {
+    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == mutation as u8
 }
 
 /// Whether this mutation is active: never.
--- a/crates/ivyward-core/src/start_time.rs
+++ b/crates/ivyward-core/src/start_time.rs
@@ -1,51 +1,59 @@
-//! What an engine's told start means on this node's clock.
+//! Start times of engines on this node's clock.
 //!
-//! Engines write when they started by clocks of their own, which may be wrong by hours. Too young costs a little work for
-//! the time to warm; too old lets all nodes push a cold engine over. So an age is taken at its word only where nothing
-//! better is known: in the first whole list that a node hears. Whoever is new to a node that already held a whole list
-//! was not there a moment ago, and counts as started now, whatever its clock says; so does one that comes back with
-//! another start. One that comes back with the start that it had (its lease was lost, or its store restored) is the
-//! same process, and keeps its age. No I/O, no clock.
+//! Engines report when they started by clocks of their own, which may be wrong by hours. An age that is too low wastes some
+//! capacity during the warm-up; one that is too high lets all nodes overload a cold engine. So a reported age is believed
+//! only where nothing better is known: in the first complete list that a node receives. An engine that is new to a node
+//! with a complete list was not there a moment ago and counts as started now, whatever its clock says; so does one that
+//! comes back with another start time. One that comes back with the same start time (its lease was lost, or its store
+//! restored) is the same process and keeps its age. No I/O, no clock.
 
 use crate::interface::{Endpoint, EndpointId, Micros};
 use std::collections::BTreeMap;
 
-/// Most engines that are gone and remembered, in case they come back as they were; the oldest are forgotten first, and
-/// then count as new.
+/// How many removed engines are remembered, in case the same process comes back; the oldest are forgotten first and then
+/// count as new.
 pub const MAX_REMEMBERED: usize = 10_000;
 
-/// An engine may be listed so long after its start; a told start that lies further back is one of another clock.
-const MOST_LATE: Micros = 60_000_000;
+/// The longest time from an engine's start until it is listed, in microseconds; a reported start further back is of another
+/// clock.
+const MAX_LISTING_DELAY: Micros = 60_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Start {
-    /// As the engine wrote it.
-    written: Micros,
+struct StartTime {
+    /// As the engine reported it.
+    reported: Micros,
     /// On this node's clock; 0 for long ago.
-    own: Micros,
+    local: Micros,
 }
 
-/// Start times by engine. See the module's page.
+/// An engine that was removed.
+#[derive(Clone, Copy, Debug)]
+struct RemovedEngine {
+    start: StartTime,
+    /// Its number in the order of removals.
+    order: u64,
+}
+
+/// Start times of engines. See the module's documentation.
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
-    here: BTreeMap<EndpointId, Start>,
-    /// With a number that says in which order they left.
-    gone: BTreeMap<EndpointId, (Start, u64)>,
-    left: BTreeMap<u64, EndpointId>,
-    leaves: u64,
-    /// A whole list was heard: whoever is new from then on has just come.
-    whole: bool,
-    /// When a list was heard last, for callers of [`StartTimes::resolve_listed`].
-    heard: Option<Micros>,
+    listed: BTreeMap<EndpointId, StartTime>,
+    removed: BTreeMap<EndpointId, RemovedEngine>,
+    removal_order: BTreeMap<u64, EndpointId>,
+    removals: u64,
+    /// A complete list was received: an engine that is new from then on has just started.
+    has_complete_list: bool,
+    /// When a list was last received, for callers of [`StartTimes::resolve_listed`].
+    last_response: Option<Micros>,
 }
 
 impl StartTimes {
-    /// Nobody is known yet.
+    /// Without any known engine.
     pub fn new() -> StartTimes {
         StartTimes::default()
     }
 
-    /// The start to tell the module for an engine that is there, `unix` being this node's own clock.
+    /// The start time to pass to the router for a listed engine; `unix` is this node's own clock.
     pub fn resolve(
         &mut self,
         entry: &Endpoint,
@@ -53,20 +61,16 @@
         unix: Micros,
         warm_up_duration: Micros,
     ) -> Micros {
-        let (id, written) = (entry.id, entry.started_at);
-        let known = self
-            .here
-            .get(&id)
-            .or_else(|| self.gone.get(&id).map(|g| &g.0))
-            .copied();
-        let own = match known {
-            Some(start) if start.written == written => start.own,
-            _ if written == 0 => 0,
-            // Not there a moment ago, or there as another process.
-            _ if self.whole || known.is_some() => now.max(1),
+        let (id, reported) = (entry.id, entry.started_at);
+        let known = self.known(id);
+        let local = match known {
+            Some(start) if start.reported == reported => start.local,
+            _ if reported == 0 => 0,
+            // Not listed a moment ago, or listed as another process.
+            _ if self.has_complete_list || known.is_some() => now.max(1),
             _ => {
-                // A start in the future is just now.
-                let age = unix.saturating_sub(written);
+                // A start in the future counts as now.
+                let age = unix.saturating_sub(reported);
                 if age >= warm_up_duration {
                     0
                 } else {
@@ -74,75 +78,84 @@
                 }
             }
         };
-        self.remember(id, Start { written, own });
-        own
+        self.remember(id, StartTime { reported, local });
+        local
     }
 
-    /// The same for lists by one clock of all machines, `unix` being what this node takes for it. That clock is believed
-    /// as far as the lists allow: no engine starts in the future, and one that is new to a node which follows the list and
-    /// says that it started long before the list was heard without it counts from then. So an hour's step of a clock, on
-    /// either side, makes nobody warm who has just come, and nobody cold for an hour; a list that is merely late does not
+    /// The same for lists by one clock of all machines, `unix` being this node's estimate of it. That clock is believed as
+    /// far as the lists allow: no engine starts in the future, and an engine that is new to a node which follows the list,
+    /// but reports a start long before the last list without it, counts from that list. So a step of the clock by an
+    /// hour, either way, makes no new engine warm and no engine cold for an hour; a list that is merely late does not
     /// make an engine younger than it is.
     pub fn resolve_listed(&mut self, entry: &Endpoint, now: Micros, unix: Micros) -> Micros {
-        let (id, written) = (entry.id, entry.started_at);
-        let known = self
-            .here
-            .get(&id)
-            .or_else(|| self.gone.get(&id).map(|g| &g.0))
-            .copied();
-        let own = match known {
-            Some(start) if start.written == written => start.own,
-            _ if written == 0 => 0,
+        let (id, reported) = (entry.id, entry.started_at);
+        let known = self.known(id);
+        let local = match known {
+            Some(start) if start.reported == reported => start.local,
+            _ if reported == 0 => 0,
             _ => {
-                let told = written
+                let start = reported
                     .saturating_add(now)
                     .saturating_sub(unix)
                     .clamp(1, now.max(1));
-                // In the first list nothing better than the told start is known.
-                let age = unix.saturating_sub(written);
-                match self.heard.filter(|_| self.whole) {
-                    Some(heard) if age > now.saturating_sub(heard).saturating_add(MOST_LATE) => {
-                        heard.min(now)
+                // In the first list nothing better than the reported start is known.
+                let age = unix.saturating_sub(reported);
+                match self.last_response.filter(|_| self.has_complete_list) {
+                    Some(last)
+                        if age > now.saturating_sub(last).saturating_add(MAX_LISTING_DELAY) =>
+                    {
+                        last.min(now)
                     }
-                    _ => told,
+                    _ => start,
                 }
             }
         };
-        self.remember(id, Start { written, own });
-        own
+        self.remember(id, StartTime { reported, local });
+        local
     }
 
-    /// A list, or the word that there is no news, was heard from who has the list.
+    /// A list, or the answer that nothing changed, was received.
     pub fn record_response(&mut self, now: Micros) {
-        self.heard = Some(now);
+        self.last_response = Some(now);
+    }
+
+    fn known(&self, id: EndpointId) -> Option<StartTime> {
+        let removed = || self.removed.get(&id).map(|removed| &removed.start);
+        self.listed.get(&id).or_else(removed).copied()
     }
 
-    fn remember(&mut self, id: EndpointId, start: Start) {
-        self.here.insert(id, start);
-        if let Some((_, order)) = self.gone.remove(&id) {
-            self.left.remove(&order);
+    fn remember(&mut self, id: EndpointId, start: StartTime) {
+        self.listed.insert(id, start);
+        if let Some(removed) = self.removed.remove(&id) {
+            self.removal_order.remove(&removed.order);
         }
     }
 
-    /// An engine left.
+    /// An engine was removed.
     pub fn remove(&mut self, id: EndpointId) {
-        let Some(start) = self.here.remove(&id) else {
+        let Some(start) = self.listed.remove(&id) else {
             return;
         };
-        self.leaves += 1;
-        self.gone.insert(id, (start, self.leaves));
-        self.left.insert(self.leaves, id);
-        if self.left.len() > MAX_REMEMBERED {
-            if let Some((_, oldest)) = self.left.pop_first() {
-                self.gone.remove(&oldest);
+        self.removals += 1;
+        let order = self.removals;
+        self.removed.insert(id, RemovedEngine { start, order });
+        self.removal_order.insert(order, id);
+        if self.removal_order.len() > MAX_REMEMBERED {
+            if let Some((_, oldest)) = self.removal_order.pop_first() {
+                self.removed.remove(&oldest);
             }
         }
     }
 
-    /// A whole list was heard, and named these alone.
+    /// A complete list was received: engines that it does not name are removed.
     pub fn complete_list(&mut self, named: impl Fn(EndpointId) -> bool) {
-        let missing: Vec<EndpointId> = self.here.keys().copied().filter(|id| !named(*id)).collect();
+        let missing: Vec<EndpointId> = self
+            .listed
+            .keys()
+            .copied()
+            .filter(|id| !named(*id))
+            .collect();
         missing.into_iter().for_each(|id| self.remove(id));
-        self.whole = true;
+        self.has_complete_list = true;
     }
 }
