--- a/crates/ivyward-core/src/lib.rs
+++ b/crates/ivyward-core/src/lib.rs
@@ -50,6 +50,7 @@
 pub mod mutations;
 pub mod peers;
 pub mod release;
+pub mod reservations;
 pub mod router;
 pub mod start_time;
 mod state;
--- a/crates/ivyward-testbed/src/soak/node.rs
+++ b/crates/ivyward-testbed/src/soak/node.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// What the guard of a node writes when an invariant does not hold.
-const VIOLATION: &str = "an invariant does not hold";
+const VIOLATION: &str = "invariant violated";
 
 /// Where a node's files are, and how it is started.
 #[derive(Clone)]
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -12,6 +12,7 @@
 use crate::response::{FinalStatus, StreamEnd, TokenBuffer};
 use futures_lite::future::{or, poll_fn};
 use ivyward_core::interface::{Endpoint, EndpointId, LoadReport, Micros, Outcome};
+pub use ivyward_core::reservations::ReservationStatus;
 use ivyward_runtime::{BoxFuture, RuntimeRef};
 use std::any::Any;
 use std::future::Future;
@@ -261,31 +262,8 @@
     }
 }
 
-/// Whether a place is held.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReservationStatus {
-    /// The engine said so.
-    Granted,
-    /// The engine said no, or nothing left for it.
-    Denied,
-    /// It may be.
-    Unknown,
-}
-
-/// Something that may be kept at an engine for a request.
-#[derive(Clone)]
-pub struct Reservation {
-    /// Where.
-    pub engine: EngineHandle,
-    /// The attempt whose key it is kept under.
-    pub attempt: u16,
-    /// A place, not a state.
-    pub is_decode_slot: bool,
-    /// The engine said so; else its call was given up, and may still be on its way: a release may come before it.
-    pub confirmed: bool,
-    /// The write that was sent when the place was known to be held: its engine uses it for that one.
-    pub(crate) used_by: Option<u16>,
-}
+/// Something that an engine may hold for a request.
+pub type Reservation = ivyward_core::reservations::Reservation<EngineHandle>;
 
 /// Something to let go.
 pub struct ReleaseRequest {
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -6,7 +6,7 @@
 use crate::peers::PeersHandle;
 use crate::recording::Recorder;
 use crate::request::clients::ClientConnections;
-use crate::request::driver::Driver;
+use crate::request::driver::{Driver, DriverParts};
 use crate::request::grpc::{Grpc, GrpcCall};
 use crate::request::messages::{AcceptedRequest, DriverHandle, DriverMessage};
 use crate::response::{FailureReason, FinalStatus, RejectReason, ResponsePart, TokenBuffer};
@@ -94,7 +94,13 @@
             metrics: Metrics::default(),
         });
         let (finished, done) = async_channel::bounded::<()>(1);
-        let driver = Driver::new(context.clone(), protocol, (inbox.clone(), told), recorder);
+        let driver = Driver::new(DriverParts {
+            context: context.clone(),
+            protocol,
+            handle: inbox.clone(),
+            messages: told,
+            recorder,
+        });
         runtime.run(async move {
             driver.run().await;
             drop(finished);
--- /dev/null
+++ b/crates/ivyward/src/request/attempts.rs
@@ -0,0 +1,291 @@
+//! Starting and cancelling attempts, and what follows from their ends.
+
+use crate::engines::{AttemptRequest, AttemptResult, CancelReason, EngineHandle};
+use crate::request::driver::Driver;
+use crate::request::messages::{AttemptEnded, DriverMessage};
+use crate::request::open_requests::{final_deadline, Attempt, OpenRequest};
+use crate::response::{FailureReason, FinalStatus};
+use ivyward_core::interface::{EndpointId, Event, Micros, Outcome, RequestId};
+use ivyward_core::invariants::AttemptReason;
+use ivyward_core::reservations::AttemptEnd;
+use ivyward_runtime::RuntimeExt;
+use tracing::debug;
+
+/// What the router says of an attempt: see [`ivyward_core::interface::Action::Send`].
+pub(super) struct SendOrder {
+    pub(super) endpoint: EndpointId,
+    /// 0 for until the client's time is over.
+    pub(super) timeout: Micros,
+    /// 0 for no such time.
+    pub(super) send_deadline: Micros,
+}
+
+impl SendOrder {
+    /// When the attempt ends without a first token.
+    fn first_token_deadline(&self, now: Micros, request_deadline: Micros) -> Micros {
+        if self.timeout == 0 {
+            request_deadline
+        } else {
+            request_deadline.min(now.saturating_add(self.timeout))
+        }
+    }
+
+    /// When the attempt ends unless its last byte left.
+    fn last_byte_deadline(&self, first_token_deadline: Micros) -> Micros {
+        if self.send_deadline == 0 {
+            first_token_deadline
+        } else {
+            first_token_deadline.min(self.send_deadline)
+        }
+    }
+}
+
+impl Driver {
+    /// Starts an attempt as a task of its own. One to an engine that is not known, or one that breaks a rule, ends at once.
+    pub(super) fn start_attempt(&mut self, now: Micros, id: u64, order: SendOrder) {
+        let endpoint = order.endpoint;
+        let engine = self.engines.get(endpoint).cloned();
+        let prefill_only = self.engines.is_prefill_only(&self.context, endpoint);
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let number = open.attempts.len() as u16;
+        let check = self
+            .guard
+            .send(now, RequestId(id), number, (endpoint, prefill_only));
+        let reason = self.log_violation(id, check);
+        if let Some(AttemptReason::Retry(outcome)) = reason {
+            self.context.metrics.retry_after(outcome);
+        }
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        log_start(now, open, &order, reason, prefill_only);
+        let (cancel, cancelled) = async_channel::bounded(1);
+        let permitted = engine.clone().filter(|_| reason.is_some());
+        let run = permitted.map(|engine| {
+            let request = self.attempt_request(now, open, &order, prefill_only, cancelled);
+            (engine, request)
+        });
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        open.reservations
+            .attempt_started(number, endpoint, prefill_only);
+        open.attempts.push(Attempt {
+            engine,
+            prefill_only,
+            in_flight: true,
+            cancel,
+        });
+        self.run_attempt(id, number, run);
+    }
+
+    fn attempt_request(
+        &self,
+        now: Micros,
+        open: &OpenRequest,
+        order: &SendOrder,
+        prefill_only: bool,
+        cancel: async_channel::Receiver<CancelReason>,
+    ) -> AttemptRequest {
+        let accepted = &open.accepted;
+        let (id, number) = (accepted.request.id.0, open.attempts.len() as u16);
+        let deadline = order.first_token_deadline(now, accepted.first_token_deadline);
+        let kv_state = open.reservations.kv_state().filter(|_| !prefill_only);
+        let handle = self.handle.clone();
+        AttemptRequest {
+            context: self.context.clone(),
+            call: accepted.call.clone(),
+            request: id,
+            attempt: number,
+            prefill_only,
+            kv_state: kv_state.map(|state| (state.engine.clone(), state.attempt)),
+            deadline,
+            // The engine is told when this node will end the stream, so that it never does so first.
+            stream_deadline: accepted
+                .response_deadline
+                .map(|at| final_deadline(&self.context, at)),
+            send_deadline: order.last_byte_deadline(deadline),
+            cancel,
+            on_first_token: Box::new(move || handle.send(DriverMessage::FirstToken(id, number))),
+        }
+    }
+
+    fn run_attempt(&self, id: u64, number: u16, run: Option<(EngineHandle, AttemptRequest)>) {
+        let handle = self.handle.clone();
+        let report_end = move |result| {
+            handle.send(DriverMessage::AttemptEnded(AttemptEnded {
+                request: id,
+                attempt: number,
+                result,
+            }));
+        };
+        match run {
+            Some((engine, request)) => {
+                self.context.metrics.attempts.add(1);
+                self.context.runtime.clone().run(async move {
+                    let result = engine.run_attempt(request).await;
+                    report_end(result);
+                });
+            }
+            None => report_end(AttemptResult::new(Outcome::NotSent, "")),
+        }
+    }
+
+    /// The router no longer waits for an attempt.
+    pub(super) fn cancel_attempt(&mut self, id: u64, number: u16) {
+        let open = self.open.get(&id);
+        if let Some(attempt) = open.and_then(|open| open.attempt_in_flight(number)) {
+            let _ = attempt.cancel.try_send(CancelReason::ByRouter);
+        }
+    }
+
+    /// Nobody wants the answer of a request any more.
+    pub(super) fn cancel_attempts(&mut self, id: u64) {
+        if let Some(open) = self.open.get(&id) {
+            open.cancel_attempts();
+        }
+    }
+
+    pub(super) fn on_first_token(&mut self, id: u64, attempt: u16) {
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
+            return;
+        };
+        open.streaming = true;
+        open.pending_reserves.clear();
+        self.timers.clear_deadline(open.deadline, id);
+        // From now on only the call's own deadline counts; the first token's is that less the margin.
+        open.deadline = open
+            .accepted
+            .response_deadline
+            .map_or(Micros::MAX, |at| final_deadline(&self.context, at));
+        if open.deadline != Micros::MAX {
+            self.timers.set_deadline(open.deadline, id);
+        }
+        let unused = open.reservations.first_token(attempt);
+        let call = open.accepted.call.clone();
+        self.release(id, &call, unused);
+        self.handle_event(Event::FirstToken {
+            request: RequestId(id),
+            attempt,
+        });
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, ended: AttemptEnded) {
+        let AttemptEnded {
+            request: id,
+            attempt: number,
+            result,
+        } = ended;
+        self.context.metrics.outcome(result.outcome);
+        self.guard.ended(RequestId(id), number, result.outcome);
+        if !self.settle_attempt(id, number, &result) {
+            return;
+        }
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let served = result.outcome == Outcome::Served;
+        let stream_broken = open.streaming && !served;
+        self.handle_event(Event::AttemptEnded {
+            request: RequestId(id),
+            attempt: number,
+            outcome: result.outcome,
+            cached_tokens: result.cached_tokens,
+            finished: open.answered || open.streaming || served,
+            report: result.report,
+        });
+        if served {
+            self.finish_request(id, FinalStatus::Served);
+        } else if stream_broken {
+            let reason = FailureReason::StreamBroken(result.detail);
+            self.finish_request(id, FinalStatus::Failed(reason));
+        }
+        self.remove_if_done(id);
+    }
+
+    /// Takes an attempt off those in flight, with its reservations. Whether it was one of them.
+    fn settle_attempt(&mut self, id: u64, number: u16, result: &AttemptResult) -> bool {
+        let Some(open) = self.open.get_mut(&id) else {
+            return false;
+        };
+        let attempt = open.attempts.get_mut(usize::from(number));
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
+            return false;
+        };
+        attempt.in_flight = false;
+        let (engine, prefill_only) = (attempt.engine.clone(), attempt.prefill_only);
+        let engine = engine.map(|engine| {
+            let endpoint = engine.id();
+            (engine, endpoint)
+        });
+        let outcome = result.outcome;
+        log_end(open, number, result, prefill_only, &engine);
+        if !matches!(outcome, Outcome::Served | Outcome::Prefilled) {
+            open.last_error = result.detail.clone();
+        }
+        let prefilled = engine.is_some() && prefill_only && outcome == Outcome::Prefilled;
+        let release = open.reservations.attempt_ended(AttemptEnd {
+            attempt: number,
+            engine,
+            prefill_only,
+            outcome,
+            // What an earlier release still has to do is done with this state's.
+            release_withdrawn: prefilled && self.protocol.withdraw_release(id),
+        });
+        let call = open.accepted.call.clone();
+        self.release(id, &call, release);
+        true
+    }
+}
+
+fn log_start(
+    now: Micros,
+    open: &OpenRequest,
+    order: &SendOrder,
+    reason: Option<AttemptReason>,
+    prefill_only: bool,
+) {
+    let request = &open.accepted.request;
+    debug!(
+        request = request.id.0,
+        name = open.accepted.call.name(),
+        attempt = open.attempts.len() as u16,
+        ?reason,
+        engine = order.endpoint.0,
+        reads = prefill_only,
+        timeout = order.timeout,
+        leave_in = order.send_deadline.saturating_sub(now),
+        client_timeout = request.client_timeout,
+        repeat = request.is_retry,
+        prefix = request.prefix,
+        session = request.session,
+        prompt = request.prompt_tokens,
+        shared = request.prefix_tokens,
+        "attempt started"
+    );
+}
+
+fn log_end(
+    open: &OpenRequest,
+    number: u16,
+    result: &AttemptResult,
+    prefill_only: bool,
+    engine: &Option<(EngineHandle, EndpointId)>,
+) {
+    let request = &open.accepted.request;
+    debug!(
+        request = request.id.0,
+        name = open.accepted.call.name(),
+        attempt = number,
+        class = request.class,
+        tenant = request.tenant,
+        engine = engine.as_ref().map_or(0, |(_, endpoint)| endpoint.0),
+        reads = prefill_only,
+        outcome = ?result.outcome,
+        kept = result.cached_tokens,
+        text = result.detail,
+        "attempt ended"
+    );
+}
--- /dev/null
+++ b/crates/ivyward/src/request/finish.rs
@@ -0,0 +1,155 @@
+//! From a request's acceptance to its one final answer, and to its removal.
+
+use crate::request::driver::Driver;
+use crate::request::messages::AcceptedRequest;
+use crate::request::open_requests::{final_deadline, OpenRequest};
+use crate::response::{FailureReason, FinalStatus};
+use ivyward_core::interface::{Event, Micros, RequestId};
+use ivyward_core::invariants::{AnswerKind, Rule};
+use ivyward_core::mutations::{self, Mutation};
+use std::sync::atomic::Ordering;
+use tracing::debug;
+
+impl Driver {
+    pub(super) fn on_request(&mut self, accepted: Box<AcceptedRequest>) {
+        let now = self.context.runtime.now();
+        let mut request = accepted.request;
+        let id = request.id.0;
+        // The router's time ends at once with ours, whenever this message was handled.
+        request.client_timeout = accepted.first_token_deadline.saturating_sub(now);
+        let deadline = final_deadline(&self.context, accepted.first_token_deadline);
+        self.timers.set_deadline(deadline, id);
+        let open = OpenRequest::new(accepted, deadline, self.release_mode());
+        self.open.insert(id, open);
+        let taken = self.guard.take(RequestId(id), request.class, deadline);
+        self.log_violation(id, taken);
+        self.handle_event_at(now, Event::Request(request));
+        if self.stop_deadline_passed {
+            // It was accepted while the node stopped.
+            self.fail_now(id, FailureReason::NodeStopped);
+        }
+        self.remove_if_done(id);
+    }
+
+    pub(super) fn on_client_disconnected(&mut self, id: u64) {
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
+            return;
+        };
+        if mutations::is_active(Mutation::LeavingIgnored) && !open.streaming && id % 4 == 0 {
+            return;
+        }
+        open.answered = true;
+        open.pending_reserves.clear();
+        open.reservations.client_disconnected();
+        self.context.metrics.gone.add(1);
+        let disconnected = self
+            .guard
+            .answer(RequestId(id), AnswerKind::ClientDisconnected);
+        self.log_violation(id, disconnected);
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        // Tokens that an attempt still has in hand go nowhere.
+        let reason = FailureReason::StreamBroken("the client left".into());
+        open.accepted.call.finish(FinalStatus::Failed(reason));
+        let streaming = open.streaming;
+        self.handle_event(Event::ClientDisconnected(RequestId(id)));
+        if streaming {
+            self.cancel_attempts(id);
+        }
+        self.remove_if_done(id);
+    }
+
+    /// The client's time, or the node's, is over: the request gets its answer now, whatever is in flight.
+    pub(super) fn fail_now(&mut self, id: u64, reason: FailureReason) {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        if !open.answered {
+            open.answered = true;
+            open.pending_reserves.clear();
+            if open.accepted.call.finish(FinalStatus::Failed(reason)) {
+                self.context.metrics.failed.add(1);
+            }
+            let answered = self.guard.answer(RequestId(id), AnswerKind::Failed);
+            self.log_violation(id, answered);
+            self.handle_event(Event::ClientDisconnected(RequestId(id)));
+        }
+        self.cancel_attempts(id);
+        self.remove_if_done(id);
+    }
+
+    /// The router gave the request up.
+    pub(super) fn fail_request(&mut self, now: Micros, id: u64) {
+        let in_time = self
+            .open
+            .get(&id)
+            .filter(|open| now < open.accepted.first_token_deadline);
+        let reason = in_time.map_or(FailureReason::Deadline, |open| {
+            FailureReason::AttemptsExhausted(open.last_error.clone())
+        });
+        self.finish_request(id, FinalStatus::Failed(reason));
+    }
+
+    /// Gives a request its final answer, unless it has one.
+    pub(super) fn finish_request(&mut self, id: u64, status: FinalStatus) {
+        if self.open.get(&id).is_none_or(|open| open.answered) {
+            return;
+        }
+        let status = self.permitted(id, status);
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        open.answered = true;
+        let metrics = &self.context.metrics;
+        let counter = match status {
+            FinalStatus::Served => &metrics.served,
+            FinalStatus::Rejected { .. } => &metrics.refused,
+            FinalStatus::Failed(_) => &metrics.failed,
+        };
+        let name = open.accepted.call.name();
+        debug!(request = id, name, end = ?status, "request finished");
+        if let FinalStatus::Rejected { reason, .. } = status {
+            metrics.refused_for(reason);
+        }
+        if open.accepted.call.finish(status) {
+            counter.add(1);
+        }
+    }
+
+    /// The answer itself, or a failure where it would promise what may not hold.
+    fn permitted(&mut self, id: u64, status: FinalStatus) -> FinalStatus {
+        let kind = match status {
+            FinalStatus::Served => AnswerKind::Served,
+            FinalStatus::Rejected { .. } => AnswerKind::Rejected,
+            FinalStatus::Failed(_) => AnswerKind::Failed,
+        };
+        let check = self.guard.answer(RequestId(id), kind);
+        let breaks_promise = check.is_err_and(|violation| violation.rule == Rule::HarmlessRefusal);
+        self.log_violation(id, check);
+        if !breaks_promise {
+            return status;
+        }
+        let failed = self.guard.answer(RequestId(id), AnswerKind::Failed);
+        self.log_violation(id, failed);
+        let last_error = self
+            .open
+            .get(&id)
+            .map_or(String::new(), |open| open.last_error.clone());
+        FinalStatus::Failed(FailureReason::AttemptsExhausted(last_error))
+    }
+
+    /// Forgets a request that is answered and has no attempt in flight.
+    pub(super) fn remove_if_done(&mut self, id: u64) {
+        if !self.open.get(&id).is_some_and(OpenRequest::is_done) {
+            return;
+        }
+        self.release_all(id);
+        let forgotten = self.guard.forget(RequestId(id));
+        self.log_violation(id, forgotten);
+        if let Some(open) = self.open.remove(&id) {
+            self.timers.clear_deadline(open.deadline, id);
+            self.context.open.fetch_sub(1, Ordering::SeqCst);
+        }
+    }
+}
--- a/crates/ivyward/src/request/messages.rs
+++ b/crates/ivyward/src/request/messages.rs
@@ -1,38 +1,43 @@
-//! What the driver is told, and the way to it. What its parts tell each other stands here, below all of them.
+//! The messages to the driver, and the handle that sends them. The parts of the request path that exchange them all depend on
+//! this module.
 
 use crate::engines::{AttemptResult, Call, Engine, EngineHandle, ReservationStatus};
 use ivyward_core::interface::{EndpointId, ListKind, LoadReport, Micros, Request};
 use std::sync::Arc;
 
-/// A request that was taken in.
+/// A request that the node has accepted.
 pub(crate) struct AcceptedRequest {
     pub(crate) request: Request,
-    /// Without a first token by then, the client gives up.
+    /// The client stops waiting if it has no first token by then.
     pub(crate) first_token_deadline: Micros,
-    /// Without the end by then, the client gives up; `None` for never.
+    /// The client stops waiting if the answer has not ended by then; `None` for no such time.
     pub(crate) response_deadline: Option<Micros>,
     pub(crate) call: Arc<dyn Call>,
 }
 
+/// The end of an attempt.
 pub(crate) struct AttemptEnded {
     pub(crate) request: u64,
     pub(crate) attempt: u16,
     pub(crate) result: AttemptResult,
 }
 
-/// What the driver is told.
+/// The end of a call for a decode slot.
+pub(crate) struct ReservationResult {
+    pub(crate) request: u64,
+    pub(crate) attempt: u16,
+    pub(crate) engine: EngineHandle,
+    pub(crate) call: Arc<dyn Call>,
+    pub(crate) status: ReservationStatus,
+}
+
+/// A message to the driver.
 pub(crate) enum DriverMessage {
     Request(Box<AcceptedRequest>),
     ClientDisconnected(u64),
     FirstToken(u64, u16),
     AttemptEnded(AttemptEnded),
-    ReservationResult {
-        request: u64,
-        attempt: u16,
-        engine: EngineHandle,
-        call: Arc<dyn Call>,
-        status: ReservationStatus,
-    },
+    ReservationResult(ReservationResult),
     HealthCheckResult {
         server: EndpointId,
         alive: bool,
@@ -43,18 +48,18 @@
         engines: Vec<Engine>,
         done: async_channel::Sender<()>,
     },
-    /// So many nodes may be sending.
+    /// How many nodes may be sending.
     ReplicaCount(u32),
     Stop {
         deadline: Micros,
     },
     FlushRecording(async_channel::Sender<()>),
-    /// Who asks wants the links to all engines in the list.
+    /// Asks for the clients of all engines in the list.
     ListEngines(async_channel::Sender<Vec<EngineHandle>>),
 }
 
-/// The way to the driver. It holds at most a few notices for each open request (its arrival, its end, and each attempt's
-/// first token and end) beside what the node's owner tells and awaits, so `most_open` bounds it.
+/// The sender to the driver. The channel holds at most a few messages for each open request (its arrival, its end, and each
+/// attempt's first token and end) beside what the node's owner sends and awaits, so `most_open` bounds it.
 #[derive(Clone)]
 pub(crate) struct DriverHandle(async_channel::Sender<DriverMessage>);
 
--- a/crates/ivyward/src/request/mod.rs
+++ b/crates/ivyward/src/request/mod.rs
@@ -1,12 +1,22 @@
-//! The way of a request: [`door`] (gRPC) or a library call -> [`driver`], the one task that owns the module ->
-//! [`attempt`], a task each -> tokens back through the bounded buffer of [`crate::response`].
+//! The path of a request: [`grpc_server`] or a library call -> [`driver`], the one task that owns the router -> [`attempt`], a
+//! task each -> tokens back through the bounded buffer of [`crate::response`].
 //!
-//! - [`notices`]: what the driver is told, and by which way.
+//! - [`messages`]: the messages to the driver.
+//! - [`driver`]: the event loop; its steps: [`attempts`] (start, cancel, end), [`reservations`] (reserve, release) and
+//!   [`finish`] (acceptance, final answer, removal).
+//! - [`open_requests`], [`engine_table`], [`timers`]: what the driver keeps.
 //! - [`grpc`]: gRPC to engines, behind the seam of [`crate::engines`].
+//! - [`clients`]: open client connections.
 
 pub(crate) mod attempt;
+mod attempts;
 pub(crate) mod clients;
 pub(crate) mod driver;
+mod engine_table;
+mod finish;
 pub(crate) mod grpc;
 pub mod grpc_server;
 pub(crate) mod messages;
+mod open_requests;
+mod reservations;
+mod timers;
--- /dev/null
+++ b/crates/ivyward/src/request/reservations.rs
@@ -0,0 +1,130 @@
+//! Carries out what [`ivyward_core::reservations`] decides: asks engines for decode slots, and to release what they hold.
+
+use crate::engines::{Call, ReleaseRequest, Reservation, ReservationStatus, ReserveRequest};
+use crate::request::driver::Driver;
+use crate::request::messages::{DriverMessage, ReservationResult};
+use ivyward_core::interface::{EndpointId, Event, RequestId};
+use ivyward_core::reservations::ReleaseMode;
+use ivyward_runtime::RuntimeExt;
+use std::sync::Arc;
+use tracing::debug;
+
+impl Driver {
+    /// Asks an engine for a decode slot, as a task of its own.
+    pub(super) fn reserve_decode_slot(&mut self, id: u64, endpoint: EndpointId) {
+        let engine = self.engines.get(endpoint).cloned();
+        let (Some(open), Some(engine)) = (self.open.get_mut(&id), engine) else {
+            return;
+        };
+        let attempt = (open.attempts.len() as u16).saturating_sub(1);
+        let (stop, finished) = async_channel::bounded(1);
+        open.pending_reserves.push(stop);
+        self.context.add_pending_releases(1);
+        let (context, handle) = (self.context.clone(), self.handle.clone());
+        let call = open.accepted.call.clone();
+        let deadline = open.accepted.first_token_deadline;
+        context.runtime.clone().run(async move {
+            let reserve = ReserveRequest {
+                context: context.clone(),
+                call: call.clone(),
+                request: id,
+                attempt,
+                deadline,
+                finished,
+            };
+            let status = engine.clone().reserve(reserve).await;
+            handle.send(DriverMessage::ReservationResult(ReservationResult {
+                request: id,
+                attempt,
+                engine,
+                call,
+                status,
+            }));
+        });
+    }
+
+    pub(super) fn on_reservation_result(&mut self, result: ReservationResult) {
+        let ReservationResult {
+            request: id,
+            attempt,
+            engine,
+            call,
+            status,
+        } = result;
+        let endpoint = engine.id();
+        debug!(
+            request = id,
+            name = call.name(),
+            attempt,
+            engine = endpoint.0,
+            held = ?status,
+            "decode slot reservation finished"
+        );
+        let slot = Reservation::decode_slot(engine, endpoint, attempt, status);
+        self.context.finish_pending_releases(1);
+        let waiting = self
+            .open
+            .get_mut(&id)
+            .filter(|open| !open.answered && !open.streaming);
+        let Some(open) = waiting else {
+            // The request ended meanwhile, or its stream began.
+            self.release(id, &call, slot.into_iter().collect());
+            return;
+        };
+        let in_flight = open.is_in_flight(attempt);
+        let unneeded = slot.and_then(|slot| open.reservations.slot_reserved(slot, in_flight));
+        self.release(id, &call, unneeded.into_iter().collect());
+        self.handle_event(Event::ReservationResult {
+            request: RequestId(id),
+            endpoint,
+            reserved: status == ReservationStatus::Granted,
+        });
+    }
+
+    /// Releases everything that may be held for a request.
+    pub(super) fn release_all(&mut self, id: u64) {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        open.pending_reserves.clear();
+        let (started, in_flight) = (open.attempts.len() as u16, open.any_in_flight());
+        let reservations = open.reservations.release_all(started, in_flight);
+        let call = open.accepted.call.clone();
+        self.release(id, &call, reservations);
+    }
+
+    /// Asks engines to release reservations, each by a call of its own where the protocol works so. The first try leaves at
+    /// once.
+    pub(super) fn release(
+        &self,
+        request: u64,
+        call: &Arc<dyn Call>,
+        reservations: Vec<Reservation>,
+    ) {
+        match self.release_mode() {
+            ReleaseMode::Individually => {
+                for reservation in reservations {
+                    self.send_release(request, call.clone(), vec![reservation]);
+                }
+            }
+            ReleaseMode::Together if reservations.is_empty() => {}
+            ReleaseMode::Together => self.send_release(request, call.clone(), reservations),
+        }
+    }
+
+    fn send_release(&self, request: u64, call: Arc<dyn Call>, reservations: Vec<Reservation>) {
+        let kept = || {
+            reservations
+                .iter()
+                .map(|r| (r.endpoint.0, r.attempt, r.is_decode_slot, r.confirmed))
+                .collect::<Vec<_>>()
+        };
+        debug!(request, name = call.name(), kept = ?kept(), "release started");
+        let release = ReleaseRequest {
+            call,
+            request,
+            reservations,
+        };
+        self.protocol.release(&self.context, release);
+    }
+}
