--- a/crates/ivyward-testbed/src/badday.rs
+++ b/crates/ivyward-testbed/src/badday.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use ivyward::core::interface::{EndpointState, Micros};
 use ivyward::registration::State;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::NodeSettings;
 use ivyward_fakes::audit::RULES;
 use ivyward_fakes::engine::Threads;
@@ -115,12 +115,12 @@
             })?)
         }
     };
-    let follow = store.as_ref().map(|store| Follow {
+    let follow = store.as_ref().map(|store| WatcherOptions {
         endpoints: store.doors().to_vec(),
         silence: 400_000,
         empty_grace: 2_000_000,
         pauses: (10_000, 200_000),
-        ..Follow::default()
+        ..WatcherOptions::default()
     });
     let make = Make {
         seed: day.plan.seed,
--- a/crates/ivyward-testbed/src/drains.rs
+++ b/crates/ivyward-testbed/src/drains.rs
@@ -6,7 +6,7 @@
 use crate::scene::{fleet, io, settings, Make, Scene, SceneError};
 use ivyward::core::interface::Micros;
 use ivyward::registration::State;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::engine::Threads;
 use ivyward_fakes::etcd::{Store, StoreFaults};
@@ -107,9 +107,9 @@
     store
         .open_doors(nodes)
         .map_err(io("opening doors of a store"))?;
-    let mut follow = Follow {
+    let mut follow = WatcherOptions {
         endpoints: store.doors().to_vec(),
-        ..Follow::default()
+        ..WatcherOptions::default()
     };
     if faults {
         (follow.silence, follow.pauses) = (150_000, (10_000, 100_000));
@@ -254,9 +254,9 @@
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
         let node = Node::start(as_ref.clone(), NodeSettings { ..settings() }, None)?;
-        let follow = Follow {
+        let follow = WatcherOptions {
             endpoints: vec![store.address()],
-            ..Follow::default()
+            ..WatcherOptions::default()
         };
         let (following, began) = (node.clone(), as_ref.now());
         runtime.run(async move { following.follow(follow).await });
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use crate::scale::usage::{Counted, Counters};
 use crate::scale::ScaleError;
 use crate::scene::classes;
-use ivyward::watcher::{EtcdOptions, Follow};
+use ivyward::watcher::{EtcdOptions, WatcherOptions};
 use ivyward::{Class, Node, NodeSettings, PeerOptions, PeerStore, Tenant};
 use ivyward_fakes::engine::{Kill, Together};
 use ivyward_fakes::etcd::Store;
@@ -171,9 +171,9 @@
         ..NodeSettings::default()
     };
     let node = Node::start(runtime.clone(), settings, None).map_err(|e| failed(&e))?;
-    let follow = Follow {
+    let follow = WatcherOptions {
         endpoints: vec![store],
-        ..Follow::default()
+        ..WatcherOptions::default()
     };
     let following = node.clone();
     runtime.run(async move { following.follow(follow).await });
--- a/crates/ivyward-testbed/src/scene.rs
+++ b/crates/ivyward-testbed/src/scene.rs
@@ -140,7 +140,7 @@
     /// What may be in flight on this machine, for the auditor.
     pub flight: Micros,
     /// Nodes in this process follow engines through a store instead of being told.
-    pub follow: Option<ivyward::watcher::Follow>,
+    pub follow: Option<ivyward::watcher::WatcherOptions>,
     /// Records the first node's run.
     pub record: Option<Memory>,
 }
--- a/crates/ivyward-testbed/src/seeds.rs
+++ b/crates/ivyward-testbed/src/seeds.rs
@@ -12,7 +12,7 @@
 use ivyward::metrics::OUTCOMES;
 use ivyward::recording::{replay, RecordingReader};
 use ivyward::registration::{State, PREFIX};
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::engine::Kill;
 use ivyward_fakes::etcd::Store;
@@ -485,12 +485,12 @@
         place.address = listener.address();
         let (serving, following) = (node.clone(), node.clone());
         runtime.run(async move { serving.serve(listener).await });
-        let follow = Follow {
+        let follow = WatcherOptions {
             endpoints: lock(&self.store).doors()[i..=i].to_vec(),
             silence: 400_000,
             empty_grace: 3_000_000,
             pauses: (10_000, 200_000),
-            ..Follow::default()
+            ..WatcherOptions::default()
         };
         runtime.run(async move { following.follow(follow).await });
         lock(&self.records).push((i, record));
--- a/crates/ivyward-testbed/tests/alone.rs
+++ b/crates/ivyward-testbed/tests/alone.rs
@@ -4,7 +4,7 @@
 mod stage;
 
 use ivyward::registration::State;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::{FinalStatus, Node, ResponsePart};
 use ivyward_core::interface::ListKind;
 use ivyward_fakes::etcd::Store;
@@ -148,9 +148,9 @@
     }
     let (node, address, _) = stage.node(7);
     let (runtime, log) = (stage.runtime.clone(), stage.log.clone());
-    let follow = Follow {
+    let follow = WatcherOptions {
         endpoints: vec![store.address()],
-        ..Follow::default()
+        ..WatcherOptions::default()
     };
     let following = node.clone();
     stage
--- a/crates/ivyward-testbed/tests/byhand.rs
+++ b/crates/ivyward-testbed/tests/byhand.rs
@@ -126,9 +126,9 @@
     let door = listener.address().to_string();
     let (serving, following) = (node.clone(), node.clone());
     ivyward_runtime::RuntimeExt::run(&*as_ref, async move { serving.serve(listener).await });
-    let follow = ivyward::watcher::Follow {
+    let follow = ivyward::watcher::WatcherOptions {
         endpoints: vec![endpoint.parse().unwrap()],
-        ..ivyward::watcher::Follow::default()
+        ..ivyward::watcher::WatcherOptions::default()
     };
     ivyward_runtime::RuntimeExt::run(&*as_ref, async move { following.follow(follow).await });
     // Its process, the store and the node need their time; how long is the machine's matter.
--- a/crates/ivyward-testbed/tests/cold.rs
+++ b/crates/ivyward-testbed/tests/cold.rs
@@ -2,7 +2,7 @@
 //! one may, so the load must be the same in each run.
 
 use ivyward::core::interface::Settings;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::sight::{Effect, Seen};
@@ -77,9 +77,9 @@
             .unwrap();
         let (serving, following, door) = (node.clone(), node.clone(), listener.address());
         its_runtime.run(async move { serving.serve(listener).await });
-        let follow = Follow {
+        let follow = WatcherOptions {
             endpoints: vec![address],
-            ..Follow::default()
+            ..WatcherOptions::default()
         };
         its_runtime.run(async move { following.follow(follow).await });
         nodes.push((node, door));
--- a/crates/ivyward-testbed/tests/drains.rs
+++ b/crates/ivyward-testbed/tests/drains.rs
@@ -5,7 +5,7 @@
 use common::*;
 use futures_lite::future::block_on;
 use ivyward::registration::State;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward_fakes::engine::Threads;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::sight::{Heard, Sight};
@@ -37,15 +37,20 @@
 }
 
 /// Nodes that follow a store with so many doors.
-fn rig_from(seed: u64, nodes: usize, doors: usize, change: impl FnOnce(&mut Follow)) -> Rig {
+fn rig_from(
+    seed: u64,
+    nodes: usize,
+    doors: usize,
+    change: impl FnOnce(&mut WatcherOptions),
+) -> Rig {
     let host: Arc<dyn Host> = Arc::new(Threads);
     let mut store = Store::start(&host, 1).unwrap();
     store.open_doors(doors).unwrap();
     let mut make = Make::new(seed, pools(4, 8));
-    let mut follow = Follow {
+    let mut follow = WatcherOptions {
         endpoints: store.doors().to_vec(),
         pauses: (5_000, 100_000),
-        ..Follow::default()
+        ..WatcherOptions::default()
     };
     change(&mut follow);
     (make.nodes, make.follow) = (nodes, Some(follow));
@@ -321,11 +326,11 @@
     let follow = rig.scene.make().follow.clone().unwrap();
     rig.put_all();
     block_on(async {
-        let keeping = Follow {
+        let keeping = WatcherOptions {
             snapshot: Some(path.clone()),
             ..follow.clone()
         };
-        let start = |seed: u64, follow: Follow| {
+        let start = |seed: u64, follow: WatcherOptions| {
             let runtime = ivyward_runtime::SmolRuntime::start(1, seed);
             let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
             let node =
@@ -375,7 +380,7 @@
         let node = ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
         let (following, keeping) = (
             node.clone(),
-            Follow {
+            WatcherOptions {
                 snapshot: Some(path.clone()),
                 ..follow
             },
--- a/crates/ivyward/src/membership/mod.rs
+++ b/crates/ivyward/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which engines there are: [`follow`] by etcd's watch API, [`registration`]: the records there, [`snapshot`]: the last
+//! Which engines there are. [`watcher`] follows the store, [`registration`] reads the records there, [`snapshot`] keeps the last
 //! list in a file.
 
 pub mod registration;
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -9,7 +9,7 @@
 };
 use ivyward::core::peers::PeerSettings;
 use ivyward::settings::RESTING_CHECKS;
-use ivyward::watcher::{EtcdOptions, Follow};
+use ivyward::watcher::{EtcdOptions, WatcherOptions};
 use ivyward::{Class, Engine, NodeSettings, PeerOptions, PeerStore, SettingsError, Tenant};
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -543,9 +543,9 @@
         self.resting_checks.unwrap_or(usual)
     }
     /// Where and how to follow the engines; without endpoints nobody is followed.
-    pub fn follow(&self) -> Follow {
+    pub fn follow(&self) -> WatcherOptions {
         let login = self.etcd_user.clone().zip(self.etcd_password.clone());
-        Follow {
+        WatcherOptions {
             endpoints: self.etcd_endpoints.clone(),
             prefix: self.etcd_prefix.clone(),
             etcd: EtcdOptions {
@@ -556,7 +556,7 @@
             behind_grace: self.etcd_behind_grace,
             silence: self.etcd_silence,
             snapshot: self.snapshot.clone(),
-            ..Follow::default()
+            ..WatcherOptions::default()
         }
     }
 
