--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -214,7 +214,7 @@
         let of_one = |name: &String| {
             process.map_or(0, |p| {
                 p.said(&[
-                    "a peer changed",
+                    "peer state changed",
                     &format!("\"peer\":\"{name}\""),
                     "\"is\":\"dead\"",
                 ])
--- a/crates/ivyward-testbed/src/peerscene.rs
+++ b/crates/ivyward-testbed/src/peerscene.rs
@@ -82,7 +82,7 @@
         let Some(peers) = node.as_ref().and_then(Node::known_peers) else {
             continue;
         };
-        let (alive, count) = peers.look(|p| {
+        let (alive, count) = peers.with_view(|p| {
             let alive = p
                 .peers()
                 .filter(|peer| peer.state == PeerState::Alive)
@@ -106,7 +106,7 @@
         .enumerate()
         .filter_map(|(i, node)| Some((i, node.as_ref()?.known_peers()?)));
     let mut low = counts
-        .map(|(i, peers)| (i, peers.look(|p| p.replica_count())))
+        .map(|(i, peers)| (i, peers.with_view(|p| p.replica_count())))
         .filter(|c| c.1 < there);
     low.next()
         .map(|(i, count)| format!("node {i} counts {count} of {there} nodes that may be sending"))
--- a/crates/ivyward/src/context.rs
+++ b/crates/ivyward/src/context.rs
@@ -43,6 +43,16 @@
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
+    /// Returns when the node stops taking requests.
+    pub(crate) async fn stopped(&self) {
+        loop {
+            let listener = self.stopping_event.listen();
+            if self.stopping.load(Ordering::SeqCst) {
+                return;
+            }
+            listener.await;
+        }
+    }
     /// Takes a place among the releases under way. At the bound the oldest is left to its engine's own limit, which is
     /// the next to let go of it anyway.
     pub(crate) fn begin_release(self: &Arc<Self>) -> ReleasePermit {
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -3,7 +3,7 @@
 use crate::context::NodeContext;
 use crate::engines::{Call, Engine, Protocol};
 use crate::metrics::Metrics;
-use crate::peers::PeersHandle;
+use crate::peers::{self, PeerError, PeerHost, PeerOptions, PeersHandle};
 use crate::recording::Recorder;
 use crate::request::clients::ClientConnections;
 use crate::request::driver::{Driver, DriverParts};
@@ -348,8 +348,26 @@
         before(runtime, by, self.clients.all_closed()).await;
     }
 
-    pub(crate) fn tell(&self, notice: DriverMessage) {
-        self.inbox.send(notice);
+    /// Starts to know other nodes. The settings' replica count holds as the least one until a complete view was seen.
+    ///
+    /// # Errors
+    /// [`PeerError`].
+    pub fn peers(&self, options: PeerOptions) -> Result<PeersHandle, PeerError> {
+        let node = self.clone();
+        let host = PeerHost {
+            context: self.context.clone(),
+            report_replica_count: Arc::new(move |count| {
+                node.inbox.send(DriverMessage::ReplicaCount(count));
+            }),
+        };
+        let handle = peers::start(host, options)?;
+        let _ = self.peers.set(handle.clone());
+        Ok(handle)
+    }
+
+    /// The node's peers, if it was told to know any.
+    pub fn known_peers(&self) -> Option<&PeersHandle> {
+        self.peers.get()
     }
 
     /// Asks the first `most` engines of the list, by their ids, how they are, which leaves a connection to each. How many
@@ -386,13 +404,7 @@
 
     /// Returns when the node stops taking requests.
     pub(crate) async fn closed(&self) {
-        loop {
-            let listener = self.context.stopping_event.listen();
-            if !self.is_accepting() {
-                return;
-            }
-            listener.await;
-        }
+        self.context.stopped().await;
     }
 
     /// The node's counters.
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -1,7 +1,9 @@
 //! Nodes' records in the store: each writes its own under a lease, and reads those of the others.
 
-use crate::node::Node;
-use crate::peers::{PeerCommand, PeerStore};
+use super::handle::PeerCommand;
+use super::options::PeerStore;
+use super::PeerHost;
+use futures_lite::future::or;
 use garde::Validate;
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{NodeInfo, PeerId};
@@ -9,19 +11,22 @@
 use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Nodes' records stand below it where nothing else is said.
+/// Default prefix of the nodes' records.
 pub const NODES: &str = "ivyward/nodes/";
 /// Longest record, in bytes.
-const MOST_RECORD: usize = 1 << 10;
-/// First and longest pause after the store failed; it doubles, half of it by chance.
+const MAX_RECORD: usize = 1 << 10;
+/// Most keys of bad records that are remembered as logged.
+const MAX_LOGGED_RECORDS: usize = 1_024;
+/// First and longest pause after the store failed; it doubles in between, and half of it is random.
 const PAUSES: (Micros, Micros) = (100_000, 5_000_000);
-/// A watch without a word for so long is asked, and after as long again left.
+/// A watch that was silent for this span is asked for its progress; silent for as long again, it is left.
 const SILENCE: Micros = 2_000_000;
 
-/// A node's record, as JSON. Fields that are not known are passed over.
+/// A node's record, as JSON. Unknown fields are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate)]
 pub struct NodeRecord {
     /// 1.
@@ -62,18 +67,18 @@
         format!("{prefix}{:016x}", id.0)
     }
 
-    fn of(card: &NodeInfo) -> NodeRecord {
+    fn of(node: &NodeInfo) -> NodeRecord {
         NodeRecord {
             version: 1,
-            id: card.id.0,
-            start: card.incarnation,
-            zone: card.zone,
-            address: card.address.to_string(),
+            id: node.id.0,
+            start: node.incarnation,
+            zone: node.zone,
+            address: node.address.to_string(),
         }
     }
 
     /// The node that a key names.
-    fn named(prefix: &str, key: &[u8]) -> Result<PeerId, NodeRecordError> {
+    fn id_of_key(prefix: &str, key: &[u8]) -> Result<PeerId, NodeRecordError> {
         let name = key
             .strip_prefix(prefix.as_bytes())
             .and_then(|k| std::str::from_utf8(k).ok());
@@ -91,11 +96,11 @@
     /// # Errors
     /// [`NodeRecordError`].
     pub fn read(prefix: &str, key: &[u8], value: &[u8]) -> Result<NodeInfo, NodeRecordError> {
-        let id = NodeRecord::named(prefix, key)?;
+        let id = NodeRecord::id_of_key(prefix, key)?;
         let malformed = |e: String| NodeRecordError::Malformed(e);
-        if value.len() > MOST_RECORD {
+        if value.len() > MAX_RECORD {
             return Err(malformed(format!(
-                "{} bytes; {MOST_RECORD} at most",
+                "{} bytes; {MAX_RECORD} at most",
                 value.len()
             )));
         }
@@ -123,72 +128,98 @@
     }
 }
 
-/// Writes this node's record and follows those of the others, until the node ends.
-pub(crate) fn begin(
-    node: &Node,
+/// Writes this node's record and follows those of the others, until the node stops.
+pub(super) fn start(
+    host: PeerHost,
     store: &PeerStore,
-    me: NodeInfo,
-    orders: async_channel::Sender<PeerCommand>,
+    local: NodeInfo,
+    commands: async_channel::Sender<PeerCommand>,
 ) {
-    let runtime = metered(&node.context.runtime, &node.context.metrics.peer_traffic);
-    let client =
-        |runtime: &RuntimeRef| Client::new(runtime, store.endpoints.clone(), store.etcd.clone());
-    let keeper = client(&runtime);
-    let (key, seconds) = (NodeRecord::key(&store.prefix, me.id), store.lease);
+    let context = &host.context;
+    let runtime = metered(&context.runtime, &context.metrics.peer_traffic);
+    keep_record(&host, &runtime, store, local);
+    let mut watcher = RecordWatcher {
+        client: client(&runtime, store),
+        runtime: runtime.clone(),
+        prefix: store.prefix.clone(),
+        commands,
+        known: BTreeSet::new(),
+        logged_bad_records: BTreeSet::new(),
+        pause: PAUSES.0,
+    };
+    runtime.run(async move { or(watcher.run(), host.context.stopped()).await });
+}
+
+fn client(runtime: &RuntimeRef, store: &PeerStore) -> Client {
+    Client::new(runtime, store.endpoints.clone(), store.etcd.clone())
+}
+
+/// Keeps this node's record in the store, as a task of its own.
+fn keep_record(host: &PeerHost, runtime: &RuntimeRef, store: &PeerStore, local: NodeInfo) {
+    let keeper = client(runtime, store);
+    let (key, lease) = (NodeRecord::key(&store.prefix, local.id), store.lease);
     // A record of these fields is always JSON.
-    let value = serde_json::to_vec(&NodeRecord::of(&me)).unwrap_or_default();
-    let (as_ref, ending) = (runtime.clone(), node.clone());
+    let value = serde_json::to_vec(&NodeRecord::of(&local)).unwrap_or_default();
+    let (keeper_runtime, host) = (runtime.clone(), host.clone());
     runtime.run(async move {
-        let mut troubled = false;
-        let told = |kept: Kept| match kept {
+        let mut failing = false;
+        let log = |kept: Kept| match kept {
             Kept::Written(lease) => {
-                troubled = false;
-                info!(key, lease = %format_args!("{lease:x}"), "this node's record is in the store");
+                failing = false;
+                info!(key, lease = %format_args!("{lease:x}"), "node record written");
             }
-            Kept::Trouble(e) if !troubled => {
-                troubled = true;
-                warn!(error = %e, "this node's record cannot be kept; tried again, peers go on");
+            Kept::Trouble(error) if !failing => {
+                failing = true;
+                warn!(%error, "node record write failed, will retry; gossip continues");
             }
             Kept::Trouble(_) | Kept::Changed => {}
-            Kept::Deleted => warn!(key, "this node's record was deleted; it is left so"),
-            Kept::Taken(_) => warn!(key, "another process holds the record of this node's name"),
+            Kept::Deleted => warn!(
+                key,
+                "node record deleted by someone else, not written again"
+            ),
+            Kept::Taken(_) => warn!(key, "node record held by another process of this name"),
         };
-        let keep = keeper.keep(&as_ref, key.as_bytes(), value, seconds, told);
-        futures_lite::future::or(keep, ending.closed()).await;
+        let keep = keeper.keep(&keeper_runtime, key.as_bytes(), value, lease, log);
+        or(keep, host.context.stopped()).await;
     });
-    let mut follower = Follower {
-        client: client(&runtime),
-        runtime: runtime.clone(),
-        prefix: store.prefix.clone(),
-        orders,
-        known: BTreeSet::new(),
-        unread: BTreeSet::new(),
-        pause: PAUSES.0,
-    };
-    let ending = node.clone();
-    runtime.run(async move { futures_lite::future::or(follower.run(), ending.closed()).await });
 }
 
-struct Follower {
+/// Why the list of records is read again.
+#[derive(Debug, thiserror::Error)]
+enum WatchEnd {
+    #[error(transparent)]
+    Store(#[from] EtcdError),
+    #[error("the watch is silent")]
+    Silent,
+    #[error("another store answers than the one that was listed")]
+    OtherStore,
+    #[error("compacted up to {0}")]
+    Compacted(i64),
+    #[error("cancelled: {0}")]
+    Cancelled(String),
+}
+
+/// Follows the records of other nodes.
+struct RecordWatcher {
     client: Client,
     runtime: RuntimeRef,
     prefix: String,
-    orders: async_channel::Sender<PeerCommand>,
-    /// Whose records stand there. While the store cannot be reached they stand on.
+    commands: async_channel::Sender<PeerCommand>,
+    /// Nodes that have a record. While the store cannot be reached they stay known.
     known: BTreeSet<PeerId>,
-    /// Keys whose bad record was logged; cleared at this many.
-    unread: BTreeSet<Vec<u8>>,
+    /// Keys whose bad record was logged; cleared at [`MAX_LOGGED_RECORDS`].
+    logged_bad_records: BTreeSet<Vec<u8>>,
     pause: Micros,
 }
 
-impl Follower {
+impl RecordWatcher {
     async fn run(&mut self) {
         loop {
-            let why = match self.once().await {
-                Ok(why) => why,
-                Err(e) => e.to_string(),
+            let why = match self.list_and_watch().await {
+                Ok(never) => match never {},
+                Err(why) => why,
             };
-            info!(why, "nodes' records are read again");
+            info!(%why, "node records watch interrupted, listing again");
             self.client.leave_endpoint();
             let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
             self.pause = (self.pause * 2).min(PAUSES.1);
@@ -196,80 +227,85 @@
         }
     }
 
-    /// Lists, then watches until something is missed.
-    async fn once(&mut self) -> Result<String, EtcdError> {
+    /// Lists, then watches until something may have been missed.
+    async fn list_and_watch(&mut self) -> Result<Infallible, WatchEnd> {
         let prefix = self.prefix.clone().into_bytes();
         let list = self.client.list(&prefix).await?;
-        let mut seen = BTreeSet::new();
-        for kv in &list.kvs {
-            seen.extend(NodeRecord::named(&self.prefix, &kv.key));
-            self.put(kv).await;
-        }
-        let missing: Vec<PeerId> = self.known.difference(&seen).copied().collect();
-        for id in missing {
-            self.gone(id).await;
-        }
+        self.apply_list(&list.kvs).await;
         let mut watch = self.client.watch(&prefix, list.revision + 1).await?;
-        let mut asked = false;
+        let mut progress_requested = false;
         loop {
             let until = self.runtime.now().saturating_add(SILENCE);
             let Some(notice) = before(&self.runtime, until, watch.next()).await else {
-                if asked {
-                    return Ok("the watch is silent".into());
+                if progress_requested {
+                    return Err(WatchEnd::Silent);
                 }
-                asked = true;
+                progress_requested = true;
                 watch.ask_progress();
                 continue;
             };
             let notice = notice?;
-            (asked, self.pause) = (false, PAUSES.0);
+            (progress_requested, self.pause) = (false, PAUSES.0);
             if watch.cluster().is_some_and(|c| c != list.cluster) {
-                return Ok("another store answers than the one that was listed".into());
+                return Err(WatchEnd::OtherStore);
             }
             match notice {
                 Notice::Progress(_) => {}
-                Notice::Compacted(revision) => return Ok(format!("compacted up to {revision}")),
-                Notice::Cancelled(reason) => return Ok(format!("cancelled: {reason}")),
+                Notice::Compacted(revision) => return Err(WatchEnd::Compacted(revision)),
+                Notice::Cancelled(reason) => return Err(WatchEnd::Cancelled(reason)),
                 Notice::Events { events, .. } => {
                     for event in events {
-                        let deleted = event.r#type() == mvccpb::event::EventType::Delete;
-                        let Some(kv) = event.kv else { continue };
-                        match deleted {
-                            true => {
-                                if let Ok(id) = NodeRecord::named(&self.prefix, &kv.key) {
-                                    self.gone(id).await;
-                                }
-                            }
-                            false => self.put(&kv).await,
-                        }
+                        self.apply_event(event).await;
                     }
                 }
             }
         }
     }
 
-    async fn put(&mut self, kv: &mvccpb::KeyValue) {
-        match NodeRecord::read(&self.prefix, &kv.key, &kv.value) {
-            Ok(card) => {
-                self.known.insert(card.id);
-                // Fails only when the peers' task is over.
-                let _ = self.orders.send(PeerCommand::Record(card)).await;
+    async fn apply_list(&mut self, records: &[mvccpb::KeyValue]) {
+        let mut listed = BTreeSet::new();
+        for record in records {
+            listed.extend(NodeRecord::id_of_key(&self.prefix, &record.key));
+            self.add(record).await;
+        }
+        let missing: Vec<PeerId> = self.known.difference(&listed).copied().collect();
+        for id in missing {
+            self.remove(id).await;
+        }
+    }
+
+    async fn apply_event(&mut self, event: mvccpb::Event) {
+        let deleted = event.r#type() == mvccpb::event::EventType::Delete;
+        let Some(record) = event.kv else { return };
+        if !deleted {
+            self.add(&record).await;
+        } else if let Ok(id) = NodeRecord::id_of_key(&self.prefix, &record.key) {
+            self.remove(id).await;
+        }
+    }
+
+    async fn add(&mut self, record: &mvccpb::KeyValue) {
+        match NodeRecord::read(&self.prefix, &record.key, &record.value) {
+            Ok(node) => {
+                self.known.insert(node.id);
+                // Fails only when the gossip task is over.
+                let _ = self.commands.send(PeerCommand::RecordAdded(node)).await;
             }
             Err(problem) => {
-                if self.unread.len() >= 1_024 {
-                    self.unread.clear();
+                if self.logged_bad_records.len() >= MAX_LOGGED_RECORDS {
+                    self.logged_bad_records.clear();
                 }
-                if self.unread.insert(kv.key.clone()) {
-                    let key = String::from_utf8_lossy(&kv.key);
-                    warn!(%key, %problem, "a node's record is left out");
+                if self.logged_bad_records.insert(record.key.clone()) {
+                    let key = String::from_utf8_lossy(&record.key);
+                    warn!(%key, %problem, "node record ignored");
                 }
             }
         }
     }
 
-    async fn gone(&mut self, id: PeerId) {
+    async fn remove(&mut self, id: PeerId) {
         if self.known.remove(&id) {
-            let _ = self.orders.send(PeerCommand::Gone(id)).await;
+            let _ = self.commands.send(PeerCommand::RecordRemoved(id)).await;
         }
     }
 }
--- a/crates/ivyward/src/peers/records/tests.rs
+++ b/crates/ivyward/src/peers/records/tests.rs
@@ -42,7 +42,7 @@
         (key.as_str(), "{".into(), "malformed"),
         (
             key.as_str(),
-            format!("{text}{}", " ".repeat(MOST_RECORD)),
+            format!("{text}{}", " ".repeat(MAX_RECORD)),
             "bytes",
         ),
         ("ivyward/nodes/ab", text.clone(), "16 hexadecimal"),
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -40,7 +40,7 @@
     cluster
         .process(at)
         .unwrap()
-        .said(&["a peer changed", &name, "\"is\":\"dead\""])
+        .said(&["peer state changed", &name, "\"is\":\"dead\""])
 }
 
 fn all_deaths(cluster: &Cluster, nodes: usize) -> usize {
