--- a/crates/ivyward/src/recording/tests.rs
+++ b/crates/ivyward/src/recording/tests.rs
@@ -1,6 +1,11 @@
-//! Tests of the parts of `mod` that nobody outside sees.
+//! Tests of the codec.
 
-use super::*;
+use super::codec::{
+    decode_action, decode_event, decode_settings, encode_action, encode_event, encode_settings,
+    DecodeError,
+};
+use ivyward_core::interface as core;
+use ivyward_core::interface::{Action, EndpointId, Event, RequestId};
 
 #[test]
 fn every_event_and_action_comes_back_as_it_was() {
@@ -57,7 +62,7 @@
         Event::ReplicaCount(300),
     ];
     for event in events {
-        assert_eq!(event_in(event_out(&event)), Ok(event));
+        assert_eq!(decode_event(encode_event(&event)), Ok(event));
     }
     let actions = [
         Action::Send {
@@ -86,6 +91,69 @@
         Action::Log("doubted".into()),
     ];
     for action in actions {
-        assert_eq!(action_in(action_out(&action)), Ok(action));
+        assert_eq!(decode_action(encode_action(&action)), Ok(action));
     }
 }
+
+#[test]
+fn settings_come_back_as_they_were() {
+    let settings = core::Settings {
+        replica_count: 3,
+        zone: 7,
+        roles: vec![core::Role::Prefill, core::Role::Mixed],
+        memory_tokens: vec![1.5],
+        classes: vec![core::ClassSettings {
+            ttft_objective: 1,
+            ttft_objective_per_1000: 2.0,
+            tpot_objective: 3.0,
+            deadline: 4,
+            priority_weight: 5.0,
+            late_weight: 6.0,
+            idempotency: core::Idempotency::WithKey,
+            deduplication_scope: core::DeduplicationScope::Rack,
+            deduplication_window: 7,
+        }],
+        tenants: vec![core::TenantSettings {
+            quota_per_s: Some(8.0),
+        }],
+        over_quota_weight: 0.9,
+        decode_may_prefill: true,
+        reserve_decode_slot: true,
+        transfer_price: 10.0,
+        cross_zone_price: 11.0,
+        release_within: 12,
+        in_flight_after_last_byte: true,
+        drain_grace: 13,
+        overload_multiple: 14.0,
+        overload_window: 15,
+        initial_capacity: 0.16,
+        warm_up_duration: 17,
+        must_subscribe: true,
+        max_attempts: 18,
+        may_cancel: true,
+        health_checks: true,
+        hedging: true,
+        max_retry_after: 19,
+        report_fields: vec![core::ReportField::Backlog, core::ReportField::Other],
+    };
+    assert_eq!(decode_settings(&encode_settings(&settings)), Ok(settings));
+}
+
+#[test]
+fn bad_value_is_named_with_its_field() {
+    let mut settings = encode_settings(&core::Settings::default());
+    settings.roles = vec![0, 9];
+    let bad_role = DecodeError::Value {
+        field: "roles",
+        value: 9,
+    };
+    assert_eq!(decode_settings(&settings), Err(bad_role));
+    assert_eq!(bad_role.to_string(), "roles cannot be 9");
+    settings.roles.clear();
+    settings.zone = 256;
+    let bad_zone = DecodeError::Value {
+        field: "zone",
+        value: 256,
+    };
+    assert_eq!(decode_settings(&settings), Err(bad_zone));
+}
