--- a/crates/ivyward/src/request/mod.rs
+++ b/crates/ivyward/src/request/mod.rs
@@ -1,6 +1,7 @@
 //! The path of a request: [`grpc_server`] or a library call -> [`driver`], the one task that owns the router -> [`attempt`], a
 //! task each -> tokens back through the bounded buffer of [`crate::response`].
 //!
+//! - [`validation`]: checks on a client's request.
 //! - [`messages`]: the messages to the driver.
 //! - [`driver`]: the event loop; its steps: [`attempts`] (start, cancel, end), [`reservations`] (reserve, release) and
 //!   [`finish`] (acceptance, final answer, removal).
@@ -20,3 +21,4 @@
 mod open_requests;
 mod reservations;
 mod timers;
+pub(crate) mod validation;
--- /dev/null
+++ b/crates/ivyward/src/request/validation.rs
@@ -0,0 +1,192 @@
+//! Checks a client's request, and fills in what the router needs to know of it.
+
+use crate::context::NodeContext;
+use crate::request::grpc::GrpcCall;
+use crate::request::messages::AcceptedRequest;
+use crate::response::TokenBuffer;
+use crate::settings::{Class, NodeSettings};
+use ivyward_core::interface::{Idempotency, Micros, Request, RequestId};
+use ivyward_core::mutations::{self, Mutation};
+use ivyward_proto::front::GenerateRequest;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Why a request is invalid. Clients get the text.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum InvalidRequest {
+    #[error("{field} {name:?} is none of: {}", known.join(", "))]
+    UnknownName {
+        field: &'static str,
+        name: String,
+        known: Vec<String>,
+    },
+    #[error("a prompt of {length} tokens; 1 to {max} are taken")]
+    PromptLength { length: usize, max: usize },
+    #[error("max_output_tokens {value} must be from 1 to {max}")]
+    MaxOutput { value: usize, max: usize },
+    #[error("shared_opening_tokens {prefix} is over the prompt's {length}")]
+    PrefixLength { prefix: usize, length: usize },
+    #[error("class {class:?} needs an idempotency_key")]
+    MissingIdempotencyKey { class: String },
+}
+
+/// A request's deadlines, on the node's clock.
+struct Deadlines {
+    first_token: Micros,
+    response: Option<Micros>,
+}
+
+/// Accepts a request of a client that waits for `client_timeout`, if it said so.
+///
+/// # Errors
+/// When the request is invalid: no number was given to it.
+pub(crate) fn accept(
+    context: &NodeContext,
+    request: GenerateRequest,
+    client_timeout: Option<Micros>,
+    buffer: Arc<TokenBuffer>,
+) -> Result<AcceptedRequest, InvalidRequest> {
+    let settings = &context.settings;
+    let class = find_class(settings, &request.class)?;
+    let tenant = find_tenant(settings, &request.tenant)?;
+    check_lengths(settings, &request)?;
+    let class_settings = &settings.classes[class];
+    check_idempotency_key(class_settings, &request)?;
+    let deadlines = deadlines(context, class_settings, &request, client_timeout);
+    let id = context.next_id.fetch_add(1, Ordering::Relaxed);
+    let routed = Request {
+        id: RequestId(id),
+        class,
+        tenant,
+        session: session_key(&request),
+        prefix: prefix_key(&request),
+        client_timeout: 0,
+        prompt_tokens: request.prompt.len() as f64,
+        prefix_tokens: f64::from(request.shared_opening_tokens),
+        max_output: f64::from(request.max_output_tokens),
+        hinted_output: (request.expected_output_tokens > 0)
+            .then(|| f64::from(request.expected_output_tokens)),
+        is_retry: request.repeat,
+        is_resumed: request.resumed,
+    };
+    let call = GrpcCall {
+        arrival: routed,
+        prompt: Arc::new(request.prompt),
+        class: class_settings.name.clone(),
+        call_id: request.call_id,
+        key: request.idempotency_key,
+        buffer,
+    };
+    Ok(AcceptedRequest {
+        request: routed,
+        first_token_deadline: deadlines.first_token,
+        response_deadline: deadlines.response,
+        call: Arc::new(call),
+    })
+}
+
+fn find_class(settings: &NodeSettings, name: &str) -> Result<usize, InvalidRequest> {
+    let names = settings.classes.iter().map(|class| class.name.as_str());
+    find_name("class", name, names)
+}
+
+/// Without tenants in the settings every name is the first one.
+fn find_tenant(settings: &NodeSettings, name: &str) -> Result<usize, InvalidRequest> {
+    if settings.tenants.is_empty() {
+        return Ok(0);
+    }
+    let names = settings.tenants.iter().map(|tenant| tenant.name.as_str());
+    find_name("tenant", name, names)
+}
+
+/// The index of a name; an empty one stands for the first.
+fn find_name<'a>(
+    field: &'static str,
+    name: &str,
+    known: impl Iterator<Item = &'a str> + Clone,
+) -> Result<usize, InvalidRequest> {
+    let found = known.clone().position(|one| one == name);
+    found
+        .or(name.is_empty().then_some(0))
+        .ok_or_else(|| InvalidRequest::UnknownName {
+            field,
+            name: name.to_owned(),
+            known: known.map(str::to_owned).collect(),
+        })
+}
+
+fn check_lengths(settings: &NodeSettings, request: &GenerateRequest) -> Result<(), InvalidRequest> {
+    let (length, max) = (request.prompt.len(), settings.most_prompt);
+    if !(1..=max).contains(&length) {
+        return Err(InvalidRequest::PromptLength { length, max });
+    }
+    let (value, max) = (request.max_output_tokens as usize, settings.most_output);
+    if !(1..=max).contains(&value) {
+        return Err(InvalidRequest::MaxOutput { value, max });
+    }
+    let prefix = request.shared_opening_tokens as usize;
+    if prefix > length {
+        return Err(InvalidRequest::PrefixLength { prefix, length });
+    }
+    Ok(())
+}
+
+fn check_idempotency_key(class: &Class, request: &GenerateRequest) -> Result<(), InvalidRequest> {
+    let needed = class.settings.idempotency == Idempotency::WithKey;
+    if needed && request.idempotency_key.is_empty() {
+        return Err(InvalidRequest::MissingIdempotencyKey {
+            class: class.name.clone(),
+        });
+    }
+    Ok(())
+}
+
+/// The key of the shared prefix; 0 for none.
+fn prefix_key(request: &GenerateRequest) -> u64 {
+    let tokens = request.shared_opening_tokens as usize;
+    if tokens == 0 {
+        return 0;
+    }
+    let bytes: Vec<u8> = request.prompt[..tokens]
+        .iter()
+        .flat_map(|token| token.to_le_bytes())
+        .collect();
+    xxh3_64(&bytes).max(1)
+}
+
+/// The key of the session; 0 for none.
+fn session_key(request: &GenerateRequest) -> u64 {
+    if request.session.is_empty() {
+        return 0;
+    }
+    xxh3_64(request.session.as_bytes()).max(1)
+}
+
+/// Each deadline lies the answer margin before the moment at which the client stops waiting.
+fn deadlines(
+    context: &NodeContext,
+    class: &Class,
+    request: &GenerateRequest,
+    client_timeout: Option<Micros>,
+) -> Deadlines {
+    let margin = context.settings.answer_margin;
+    let late = if mutations::is_active(Mutation::TimeoutLate) {
+        2 * margin
+    } else {
+        0
+    };
+    let now = context.runtime.now() + late;
+    let first_token_timeout = match request.first_token_patience_ms {
+        0 => client_timeout.unwrap_or(class.settings.deadline),
+        ms => (u64::from(ms) * 1_000).min(client_timeout.unwrap_or(Micros::MAX)),
+    };
+    let deadline = |timeout: Micros| now.saturating_add(timeout).saturating_sub(margin);
+    Deadlines {
+        first_token: deadline(first_token_timeout),
+        response: client_timeout.map(deadline),
+    }
+}
+
+#[cfg(test)]
+mod tests;
