--- a/crates/ivyward-core/src/lib.rs
+++ b/crates/ivyward-core/src/lib.rs
@@ -52,6 +52,7 @@
 pub mod mutations;
 pub mod peers;
 pub mod release;
+pub mod reservations;
 pub mod router;
 pub mod start_time;
 pub mod update_interval;
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -6,7 +6,7 @@
 use crate::local_cluster::{fleet, io, settings, ClusterBuilder, LocalCluster, LocalClusterError};
 use ivyward::core::interface::Micros;
 use ivyward::registration::State;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::{Store, StoreFaults};
@@ -107,9 +107,9 @@
     store
         .open_endpoints(nodes)
         .map_err(io("opening doors of a store"))?;
-    let mut follow = Follow {
+    let mut follow = WatcherOptions {
         endpoints: store.endpoints().to_vec(),
-        ..Follow::default()
+        ..WatcherOptions::default()
     };
     if faults {
         (follow.silence, follow.pauses) = (150_000, (10_000, 100_000));
@@ -254,9 +254,9 @@
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
         let node = Node::start(as_ref.clone(), NodeSettings { ..settings() }, None)?;
-        let follow = Follow {
+        let follow = WatcherOptions {
             endpoints: vec![store.address()],
-            ..Follow::default()
+            ..WatcherOptions::default()
         };
         let (following, began) = (node.clone(), as_ref.now());
         runtime.run(async move { following.follow(follow).await });
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use ivyward::core::interface::{EndpointState, Micros};
 use ivyward::registration::State;
-use ivyward::watcher::Follow;
+use ivyward::watcher::WatcherOptions;
 use ivyward::NodeSettings;
 use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
@@ -117,12 +117,12 @@
             })?)
         }
     };
-    let follow = store.as_ref().map(|store| Follow {
+    let follow = store.as_ref().map(|store| WatcherOptions {
         endpoints: store.endpoints().to_vec(),
         silence: 400_000,
         empty_grace: 2_000_000,
         pauses: (10_000, 200_000),
-        ..Follow::default()
+        ..WatcherOptions::default()
     });
     let make = ClusterBuilder {
         seed: day.plan.seed,
