--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -93,7 +93,7 @@
     progress: Mutex<Option<Progress>>,
     moved: Event,
     client: Arc<dyn Peer>,
-    left: AtomicBool,
+    disconnected: AtomicBool,
     /// An attempt that has an effect may have run.
     may_have_run: AtomicBool,
     /// The engine's events. A slow client holds up its own engine: no more is read while the bound waits.
@@ -119,22 +119,22 @@
             progress: Mutex::new(None),
             moved: Event::new(),
             client,
-            left: AtomicBool::new(false),
+            disconnected: AtomicBool::new(false),
             may_have_run: AtomicBool::new(false),
             outlet: TokenBuffer::new(bound),
         }
     }
     /// The client has left: it is known from now on.
-    pub(crate) fn leave(&self) {
-        self.left.store(true, Ordering::SeqCst);
+    pub(crate) fn set_disconnected(&self) {
+        self.disconnected.store(true, Ordering::SeqCst);
     }
     /// Whether the client has left. Its connection is looked at as well: on a busy node the word of its end may still wait
     /// to be read, or stand in a queue.
-    pub(crate) fn left(&self) -> bool {
-        if !self.left.load(Ordering::SeqCst) && self.client.left() {
-            self.leave();
+    pub(crate) fn is_disconnected(&self) -> bool {
+        if !self.disconnected.load(Ordering::SeqCst) && self.client.left() {
+            self.set_disconnected();
         }
-        self.left.load(Ordering::SeqCst)
+        self.disconnected.load(Ordering::SeqCst)
     }
     /// Takes note of how an attempt that has an effect ended.
     pub(crate) fn note_outcome(&self, outcome: Outcome) {
--- a/crates/ivyward-platform/src/call/tests.rs
+++ b/crates/ivyward-platform/src/call/tests.rs
@@ -39,10 +39,10 @@
             _share: Share::new(&Budget::new(1)),
         };
         let call = PlatformCall::new("x", &request, true, prompt, ours.peer(), 1);
-        assert!(!call.left());
+        assert!(!call.is_disconnected());
         drop(theirs);
         runtime.sleep(1_000).await;
-        assert!(call.left(), "its end has come");
+        assert!(call.is_disconnected(), "its end has come");
         drop(ours);
     });
     played.unwrap();
--- a/crates/ivyward-platform/src/discovery.rs
+++ b/crates/ivyward-platform/src/discovery.rs
@@ -2,8 +2,10 @@
 
 mod list;
 
+use crate::buffered_connection::{
+    read_response_body, read_response_head, BufferedConnection, ResponseHeadError,
+};
 use crate::call::lock;
-use crate::wire::{answer, rest, NoHead, Wire};
 use event_listener::Event;
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::{ListKind, Micros};
@@ -102,7 +104,10 @@
     /// The whole list, at once.
     Whole,
     /// What is newer than a version, when there is something: on the connection of the call before, or on a new one.
-    NewerThan { version: u64, wire: Option<Wire> },
+    NewerThan {
+        version: u64,
+        connection: Option<BufferedConnection>,
+    },
 }
 
 /// A call that is out.
@@ -113,12 +118,12 @@
     /// Bytes of its answer that came, and as many as were seen last.
     came: Arc<AtomicU64>,
     seen: u64,
-    answer: BoxFuture<Result<(Wire, List), Missed>>,
+    answer: BoxFuture<Result<(BufferedConnection, List), Missed>>,
 }
 
 /// A call that was answered.
 struct Answered {
-    wire: Wire,
+    connection: BufferedConnection,
     list: List,
     /// How much later than it was asked for the word came that there is no news.
     late: Option<Micros>,
@@ -133,7 +138,7 @@
     /// The version of the list as it is held.
     newest: Option<u64>,
     /// The connection on which it was answered.
-    wire: Option<Wire>,
+    connection: Option<BufferedConnection>,
     pending: Vec<PendingCall>,
     /// Nothing was answered since something went wrong.
     failing: bool,
@@ -147,7 +152,7 @@
             limits: *limits,
             pace: LongPoll::new(TOLD_WITHIN, costly, runtime.random()),
             newest: None,
-            wire: None,
+            connection: None,
             pending: Vec::new(),
             failing: false,
         }
@@ -162,7 +167,11 @@
             let answered = before(&runtime, next_at, self.answered()).await;
             let now = runtime.now();
             match answered.map(|answer| answer.and_then(|a| self.newer(a))) {
-                Some(Ok(Answered { wire, list, late })) => {
+                Some(Ok(Answered {
+                    connection,
+                    list,
+                    late,
+                })) => {
                     match late {
                         Some(late) => self.pace.no_changes_received(late),
                         None => self.pace.list_received(),
@@ -170,7 +179,7 @@
                     self.failing = false;
                     // The others are asked the same.
                     self.pending.clear();
-                    (self.newest, self.wire) = (Some(list.version), Some(wire));
+                    (self.newest, self.connection) = (Some(list.version), Some(connection));
                     return list;
                 }
                 Some(Err(Missed { how, error })) => {
@@ -220,8 +229,11 @@
         let now = self.runtime.now();
         match self.newest {
             Some(version) => {
-                let wire = self.wire.take();
-                self.begin(Asked::NewerThan { version, wire });
+                let connection = self.connection.take();
+                self.begin(Asked::NewerThan {
+                    version,
+                    connection,
+                });
                 now.saturating_add(self.pace.wait() + self.pace.silence())
             }
             None => {
@@ -271,7 +283,7 @@
         let call = self.pending.remove(index);
         let took = self.runtime.now() - call.began;
         match answer {
-            Ok((wire, list)) => {
+            Ok((connection, list)) => {
                 let (version, full, entries) = (list.version, list.full, list.servers.len());
                 debug!(
                     took,
@@ -280,7 +292,11 @@
                 // Only a call that waited for news in vain tells how late its answer is.
                 let idle = call.wait > 0 && !list.full && list.servers.is_empty();
                 let late = idle.then(|| took.saturating_sub(call.wait));
-                Ok(Answered { wire, list, late })
+                Ok(Answered {
+                    connection,
+                    list,
+                    late,
+                })
             }
             Err(missed) => {
                 debug!(took, how = ?missed.how, error = %missed.error, "a call for the list brought nothing");
@@ -319,40 +335,47 @@
 }
 
 impl Call {
-    async fn run(self, asked: Asked) -> Result<(Wire, List), Missed> {
-        let (wire, target) = match asked {
-            Asked::NewerThan { version, wire } => (
-                wire,
+    async fn run(self, asked: Asked) -> Result<(BufferedConnection, List), Missed> {
+        let (connection, target) = match asked {
+            Asked::NewerThan {
+                version,
+                connection,
+            } => (
+                connection,
                 format!("/v1/servers?from={version}&hold_ms={}", self.wait / 1_000),
             ),
             Asked::Whole => (None, "/v1/servers".to_owned()),
         };
-        let mut wire = match wire {
-            Some(wire) => wire,
+        let mut connection = match connection {
+            Some(connection) => connection,
             None => self.dial().await?,
         };
-        wire.count(self.came.clone());
-        let list = self.list(&mut wire, &target).await?;
-        Ok((wire, list))
+        connection.count_received(self.came.clone());
+        let list = self.list(&mut connection, &target).await?;
+        Ok((connection, list))
     }
 
-    async fn dial(&self) -> Result<Wire, Missed> {
+    async fn dial(&self) -> Result<BufferedConnection, Missed> {
         let until = self
             .runtime
             .now()
             .saturating_add(self.pace.connect_timeout());
         match before(&self.runtime, until, self.runtime.connect(self.address)).await {
-            Some(Ok(conn)) => Ok(Wire::new(conn)),
+            Some(Ok(conn)) => Ok(BufferedConnection::new(conn)),
             Some(Err(error)) => Err(Missed::new(CallFailure::Failed, error)),
             None => Err(Missed::new(CallFailure::Silent, io::ErrorKind::TimedOut)),
         }
     }
 
     /// One call, given up when nothing of its answer comes for too long, or when it comes for too long.
-    async fn list(&self, wire: &mut Wire, target: &str) -> Result<List, Missed> {
+    async fn list(
+        &self,
+        connection: &mut BufferedConnection,
+        target: &str,
+    ) -> Result<List, Missed> {
         let runtime = &self.runtime;
         let late = |how| Err(Missed::new(how, io::ErrorKind::TimedOut));
-        let mut asked = pin!(ask(wire, target, self.address, &self.limits));
+        let mut asked = pin!(ask(connection, target, self.address, &self.limits));
         let step = self.pace.silence() / LOOKS;
         // Nothing has come: the answer's first byte is waited for beyond the time that discovery may wait itself.
         let (mut last, mut seen) = (runtime.now().saturating_add(self.wait), 0);
@@ -386,7 +409,7 @@
 
 /// One call, and the list that it answers.
 async fn ask(
-    wire: &mut Wire,
+    connection: &mut BufferedConnection,
     target: &str,
     host: SocketAddr,
     limits: &Limits,
@@ -403,15 +426,21 @@
         &format!("GET {target} HTTP/1.1"),
         &[("Host", &host.to_string())],
     );
-    wire.write(&request, &[])
+    connection
+        .write(&request, &[])
         .await
         .map_err(|error| Missed::new(CallFailure::Failed, error))?;
-    let answer = answer(wire, limits).await.map_err(|e| match e {
-        NoHead::Broken(_) => Missed::new(CallFailure::Failed, io::ErrorKind::UnexpectedEof),
-        NoHead::Bad(text) => spoilt(text),
-        NoHead::Unreachable => Missed::new(CallFailure::Silent, io::ErrorKind::TimedOut),
-    })?;
-    let text = rest(wire, &answer, limits)
+    let answer = read_response_head(connection, limits)
+        .await
+        .map_err(|error| match error {
+            ResponseHeadError::Closed | ResponseHeadError::Io(_) => {
+                Missed::new(CallFailure::Failed, io::ErrorKind::UnexpectedEof)
+            }
+            ResponseHeadError::Invalid(_) | ResponseHeadError::TooManyInterimResponses => {
+                spoilt(error.to_string())
+            }
+        })?;
+    let text = read_response_body(connection, &answer, limits)
         .await
         .ok_or_else(|| spoilt("the list is spoilt or too long".into()))?;
     match answer.status {
--- a/crates/ivyward-platform/src/engine.rs
+++ b/crates/ivyward-platform/src/engine.rs
@@ -7,12 +7,12 @@
 //! Nothing is ever sent again at this level.
 
 mod attempt;
+mod endpoint;
 mod events;
-mod link;
 mod pool;
 mod report;
 
-pub(crate) use link::{CallError, EngineLink};
+pub(crate) use endpoint::{CallError, HttpEngineClient};
 pub(crate) use pool::EnginePool;
 
 use crate::release::Releases;
@@ -21,11 +21,11 @@
 use std::sync::Arc;
 
 /// The platform's engines, as the driver asks for them.
-pub(crate) struct Platform(pub(crate) Arc<EnginePool>);
+pub(crate) struct HttpProtocol(pub(crate) Arc<EnginePool>);
 
-impl Protocol for Platform {
+impl Protocol for HttpProtocol {
     fn engine_client(&self, _: &Arc<NodeContext>, engine: &Engine) -> EngineHandle {
-        EngineLink::new(engine, &self.0)
+        HttpEngineClient::new(engine, &self.0)
     }
     fn releases_individually(&self) -> bool {
         false
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -1,11 +1,11 @@
 //! One attempt at an engine, from its connection to its one outcome.
 
+use super::endpoint::{CallError, HttpEngineClient};
 use super::events::Events;
-use super::link::{CallError, EngineLink};
 use super::pool::EngineConnection;
+use crate::buffered_connection::{read_response_body, read_response_head, ResponseHeadError};
 use crate::call::{PlatformCall, Progress};
 use crate::config::LIMITS;
-use crate::wire::{answer, rest, NoHead};
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::connection_reuse::{self, AttemptTraits, DeliveryCheck};
 use ivyward::core::interface::{LoadReport, Micros, Outcome};
@@ -25,9 +25,20 @@
 /// The same for one that does not take new connections either: a round trip, should it be reachable all the same.
 const UNREACHABLE_TIMEOUT: Micros = 10_000;
 
+/// Why an attempt has no response head.
+#[derive(Debug, thiserror::Error)]
+enum AwaitError {
+    /// The engine takes no new connection while its response is overdue.
+    #[error("the engine cannot be reached any more")]
+    Unreachable,
+    /// The connection ended, or brought no response head.
+    #[error(transparent)]
+    Head(#[from] ResponseHeadError),
+}
+
 /// One attempt at one engine.
 pub(super) struct Attempt<'a> {
-    pub(super) link: &'a Arc<EngineLink>,
+    pub(super) link: &'a Arc<HttpEngineClient>,
     pub(super) job: &'a AttemptRequest,
     pub(super) call: &'a PlatformCall,
 }
@@ -36,7 +47,7 @@
     pub(super) async fn run(&self) -> AttemptResult {
         let (link, job, runtime) = (self.link, self.job, &self.link.engines.runtime);
         let gone = || AttemptResult::new(Outcome::NotSent, "called off before it was sent");
-        if self.call.left() {
+        if self.call.is_disconnected() {
             return gone();
         }
         if job.deadline <= runtime.now() {
@@ -51,11 +62,11 @@
             last_answer: link.last_answer.load(Ordering::Relaxed),
         };
         let reuse = connection_reuse::reuse_policy(runtime.now(), &carried);
-        let mut wire = match job
+        let mut connection = match job
             .until_cancelled(&mut timer, link.connect(job.send_deadline, reuse, 0))
             .await
         {
-            WaitResult::Completed(Ok(wire)) => wire,
+            WaitResult::Completed(Ok(connection)) => connection,
             // Of an engine that was not asked nothing is known.
             WaitResult::Completed(Err(why @ CallError::Local(_))) => {
                 return AttemptResult::new(Outcome::NotSent, why.to_string())
@@ -100,15 +111,15 @@
             &format!("{} {} HTTP/1.1", self.call.method, self.call.target),
             &headers,
         );
-        let written = self.while_wanted(self.write(&mut wire, &request, &prompt.bytes));
+        let written = self.while_wanted(self.write(&mut connection, &request, &prompt.bytes));
         match job.until_cancelled(&mut timer, written).await {
             WaitResult::Completed(None) => return gone(),
             WaitResult::Completed(Some(Ok(()))) => {}
             // Its last byte never left, so it never ran; the connection is closed with the rest of it.
             WaitResult::Completed(Some(Err(e))) => {
-                link.note_end(wire.idle, true);
+                link.note_end(connection.idle, true);
                 // A kept connection that its engine had left says nothing of the engine.
-                let outcome = if wire.idle.is_some() {
+                let outcome = if connection.idle.is_some() {
                     Outcome::NotSent
                 } else {
                     Outcome::ConnectFailed
@@ -126,45 +137,51 @@
         drop(prompt);
         self.call.mark(Progress::Sent(job.attempt));
         timer = runtime.sleep_until(job.deadline);
-        let check = carried.state_deadline.filter(|_| wire.idle.is_some());
+        let check = carried.state_deadline.filter(|_| connection.idle.is_some());
         let check = check.map(|within| connection_reuse::delivery_check(runtime.now(), within));
         let answer = match job
-            .wait(&mut timer, self.answer_or_cut(&mut wire, check))
+            .wait(&mut timer, self.answer_or_cut(&mut connection, check))
             .await
         {
             WaitResult::Completed(Ok(answer)) => {
-                link.note_end(wire.idle, false);
+                link.note_end(connection.idle, false);
                 link.note_answer();
                 answer
             }
-            WaitResult::Completed(Err(NoHead::Broken(text))) => {
-                link.note_end(wire.idle, true);
-                return AttemptResult::new(Outcome::Reset, text);
-            }
-            WaitResult::Completed(Err(NoHead::Unreachable)) => {
+            WaitResult::Completed(Err(AwaitError::Unreachable)) => {
                 link.note_failure();
                 let text = "the engine cannot be reached any more";
                 return self
-                    .abandon_by(wire, UNREACHABLE_TIMEOUT, Outcome::TimedOut, text)
+                    .abandon_by(connection, UNREACHABLE_TIMEOUT, Outcome::TimedOut, text)
                     .await;
             }
-            WaitResult::Completed(Err(NoHead::Bad(text))) => {
-                return self.abandon(wire, Outcome::Error, text).await
-            }
+            WaitResult::Completed(Err(AwaitError::Head(error))) => match error {
+                ResponseHeadError::Closed | ResponseHeadError::Io(_) => {
+                    link.note_end(connection.idle, true);
+                    return AttemptResult::new(Outcome::Reset, error.to_string());
+                }
+                ResponseHeadError::Invalid(_) | ResponseHeadError::TooManyInterimResponses => {
+                    return self
+                        .abandon(connection, Outcome::Error, error.to_string())
+                        .await
+                }
+            },
             WaitResult::TimedOut => {
                 return self
-                    .abandon(wire, Outcome::TimedOut, "no answer in time")
+                    .abandon(connection, Outcome::TimedOut, "no answer in time")
                     .await
             }
             WaitResult::Cancelled(_) => {
-                return self.abandon(wire, Outcome::Cancelled, "called off").await
+                return self
+                    .abandon(connection, Outcome::Cancelled, "called off")
+                    .await
             }
         };
         let report = link.report(answer.head.text("x-server-load"));
         let never_ran = answer.head.text("x-not-processed") == Some("1");
         let mut end = match (answer.status, job.prefill_only) {
-            (200, false) => return self.stream(wire, answer, report, timer).await,
-            (202, true) => return self.read(wire, answer, report, timer).await,
+            (200, false) => return self.stream(connection, answer, report, timer).await,
+            (202, true) => return self.read(connection, answer, report, timer).await,
             (503 | 504, _) if never_ran => AttemptResult::new(
                 Outcome::Rejected,
                 format!("turned away with {}", answer.status),
@@ -174,8 +191,14 @@
         };
         end.report = report;
         let soon = runtime.now().saturating_add(ABANDON_TIMEOUT);
-        if let Some(Some(_)) = before(runtime, soon, rest(&mut wire, &answer, &LIMITS)).await {
-            link.keep_idle(wire, answer.head.keeps());
+        if let Some(Some(_)) = before(
+            runtime,
+            soon,
+            read_response_body(&mut connection, &answer, &LIMITS),
+        )
+        .await
+        {
+            link.keep_idle(connection, answer.head.keeps());
         }
         end
     }
@@ -184,16 +207,16 @@
     /// the state that it was to fetch would wait for as long as the write.
     async fn answer_or_cut(
         &self,
-        wire: &mut EngineConnection,
+        connection: &mut EngineConnection,
         check: Option<DeliveryCheck>,
-    ) -> Result<Answer, NoHead> {
+    ) -> Result<Answer, AwaitError> {
         let runtime = &self.link.engines.runtime;
-        let mut head = pin!(answer(wire, &LIMITS));
+        let mut head = pin!(read_response_head(connection, &LIMITS));
         let Some(check) = check else {
-            return head.await;
+            return Ok(head.await?);
         };
         if let Some(head) = before(runtime, check.connect_at, head.as_mut()).await {
-            return head;
+            return Ok(head?);
         }
         let reachable = async {
             self.link
@@ -207,7 +230,7 @@
                 None => None,
             }
         });
-        first.await.unwrap_or(Err(NoHead::Unreachable))
+        Ok(first.await.ok_or(AwaitError::Unreachable)??)
     }
 
     /// Goes on with what is to be sent only while the client waits for it. Guards against an attempt that begins after its
@@ -215,7 +238,7 @@
     /// called off or not, what has not left yet stays here.
     async fn while_wanted<T>(&self, sending: impl Future<Output = T>) -> Option<T> {
         let mut sending = pin!(sending);
-        poll_fn(|cx| match self.call.left() {
+        poll_fn(|cx| match self.call.is_disconnected() {
             true => Poll::Ready(None),
             false => sending.as_mut().poll(cx).map(Some),
         })
@@ -227,16 +250,17 @@
     /// or stands still says nothing, and is waited for no longer than for the rest of an answer.
     async fn abandon(
         &self,
-        wire: EngineConnection,
+        connection: EngineConnection,
         outcome: Outcome,
         text: impl Into<String>,
     ) -> AttemptResult {
-        self.abandon_by(wire, ABANDON_TIMEOUT, outcome, text).await
+        self.abandon_by(connection, ABANDON_TIMEOUT, outcome, text)
+            .await
     }
 
     async fn abandon_by(
         &self,
-        mut wire: EngineConnection,
+        mut connection: EngineConnection,
         timeout: Micros,
         outcome: Outcome,
         text: impl Into<String>,
@@ -244,10 +268,10 @@
         let runtime = &self.link.engines.runtime;
         let known = runtime.now().saturating_add(timeout);
         let ended = async {
-            wire.end_sending().await;
-            while wire.fill().await.is_ok_and(|n| n > 0) {
-                let n = wire.bytes().len();
-                wire.used(n);
+            connection.close_write().await;
+            while connection.fill().await.is_ok_and(|n| n > 0) {
+                let n = connection.unread().len();
+                connection.consume(n);
             }
         };
         before(runtime, known, ended).await;
@@ -259,22 +283,22 @@
     /// can have run.
     async fn write(
         &self,
-        wire: &mut EngineConnection,
+        connection: &mut EngineConnection,
         head: &[u8],
         body: &[u8],
     ) -> std::io::Result<()> {
-        wire.under_way = true;
+        connection.under_way = true;
         if self.job.prefill_only || self.call.again || body.is_empty() {
-            return wire.write(head, body).await;
+            return connection.write(head, body).await;
         }
         let runtime = &self.link.engines.runtime;
         let (most, last) = body.split_at(body.len() - 1);
-        wire.write(head, most).await?;
-        let shown = runtime.now().saturating_add(2 * wire.round_trip);
-        match before(runtime, shown, wire.fill()).await {
+        connection.write(head, most).await?;
+        let shown = runtime.now().saturating_add(2 * connection.round_trip);
+        match before(runtime, shown, connection.fill()).await {
             // Silence is what an engine that takes the request says.
-            None => wire.write(last, &[]).await,
-            Some(Ok(n)) if n > 0 => wire.write(last, &[]).await,
+            None => connection.write(last, &[]).await,
+            Some(Ok(n)) if n > 0 => connection.write(last, &[]).await,
             Some(Ok(_)) => Err(std::io::ErrorKind::UnexpectedEof.into()),
             Some(Err(e)) => Err(e),
         }
@@ -282,32 +306,41 @@
 
     async fn read(
         &self,
-        mut wire: EngineConnection,
+        mut connection: EngineConnection,
         answer: Answer,
         report: LoadReport,
         mut timer: BoxFuture<()>,
     ) -> AttemptResult {
         let text = match self
             .job
-            .wait(&mut timer, rest(&mut wire, &answer, &LIMITS))
+            .wait(
+                &mut timer,
+                read_response_body(&mut connection, &answer, &LIMITS),
+            )
             .await
         {
             WaitResult::Completed(text) => text,
             WaitResult::TimedOut => {
                 return self
-                    .abandon(wire, Outcome::TimedOut, "the end of a read did not come")
+                    .abandon(
+                        connection,
+                        Outcome::TimedOut,
+                        "the end of a read did not come",
+                    )
                     .await
             }
             WaitResult::Cancelled(_) => {
-                return self.abandon(wire, Outcome::Cancelled, "called off").await
+                return self
+                    .abandon(connection, Outcome::Cancelled, "called off")
+                    .await
             }
         };
         let Some(text) = text else {
             return self
-                .abandon(wire, Outcome::Error, "the answer to a read is spoilt")
+                .abandon(connection, Outcome::Error, "the answer to a read is spoilt")
                 .await;
         };
-        self.link.keep_idle(wire, answer.head.keeps());
+        self.link.keep_idle(connection, answer.head.keeps());
         let said: serde_json::Value = serde_json::from_slice(&text).unwrap_or_default();
         let kept = said["cached_tokens"]
             .as_u64()
@@ -323,7 +356,7 @@
     /// Passes a stream's events on as they come whole.
     async fn stream(
         &self,
-        mut wire: EngineConnection,
+        mut connection: EngineConnection,
         answer: Answer,
         report: LoadReport,
         mut timer: BoxFuture<()>,
@@ -339,15 +372,19 @@
         // Set with the first event: from then on the attempt's own time no longer counts.
         let mut stall: Option<StallDetector> = None;
         loop {
-            let step = match wire.take(&mut body, &mut events.pending) {
+            let step = match connection.read_body_step(&mut body, &mut events.pending) {
                 Ok(step) => step,
-                Err(e) => return self.abandon(wire, Outcome::Error, e.to_string()).await,
+                Err(e) => {
+                    return self
+                        .abandon(connection, Outcome::Error, e.to_string())
+                        .await
+                }
             };
             match step {
                 Step::Data(_) => {
                     let whole = match events.whole() {
                         Ok(whole) => whole,
-                        Err(text) => return self.abandon(wire, Outcome::Error, text).await,
+                        Err(text) => return self.abandon(connection, Outcome::Error, text).await,
                     };
                     if whole.is_empty() {
                         continue;
@@ -370,10 +407,10 @@
                 Step::Done => {
                     if stall.is_none() || !events.done || !events.pending.is_empty() {
                         return self
-                            .abandon(wire, Outcome::Error, "a stream that is not whole")
+                            .abandon(connection, Outcome::Error, "a stream that is not whole")
                             .await;
                     }
-                    self.link.keep_idle(wire, answer.head.keeps());
+                    self.link.keep_idle(connection, answer.head.keeps());
                     let report = events
                         .report
                         .as_deref()
@@ -386,7 +423,10 @@
                 }
                 Step::More => {
                     let timer = stall.as_mut().map_or(&mut timer, |s| &mut s.timer);
-                    match (self.job.wait(timer, wire.fill()).await, stall.as_mut()) {
+                    match (
+                        self.job.wait(timer, connection.fill()).await,
+                        stall.as_mut(),
+                    ) {
                         (WaitResult::Completed(Ok(0)), _) => {
                             return AttemptResult::new(Outcome::Reset, "the stream ended early")
                         }
@@ -397,7 +437,9 @@
                         // A stream that has begun is not called off.
                         (WaitResult::Cancelled(CancelReason::ByRouter), Some(_)) => {}
                         (WaitResult::Cancelled(_), _) => {
-                            return self.abandon(wire, Outcome::Cancelled, "called off").await
+                            return self
+                                .abandon(connection, Outcome::Cancelled, "called off")
+                                .await
                         }
                         (WaitResult::TimedOut, Some(stall)) => {
                             if stall.is_stalled(runtime) {
@@ -406,7 +448,7 @@
                         }
                         (WaitResult::TimedOut, None) => {
                             return self
-                                .abandon(wire, Outcome::TimedOut, "no event in time")
+                                .abandon(connection, Outcome::TimedOut, "no event in time")
                                 .await
                         }
                     }
--- a/crates/ivyward-platform/src/engine/link.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -3,9 +3,9 @@
 use super::attempt::Attempt;
 use super::pool::{EngineConnection, EnginePool};
 use super::report::report;
+use crate::buffered_connection::{read_response_body, read_response_head, BufferedConnection};
 use crate::call::{lock, PlatformCall, Progress};
 use crate::config::LIMITS;
-use crate::wire::{answer, rest, Wire};
 use futures_lite::future::or;
 use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::{EndpointId, LoadReport, Micros, Outcome};
@@ -39,7 +39,7 @@
 }
 
 /// One engine as this node reaches it.
-pub(crate) struct EngineLink {
+pub(crate) struct HttpEngineClient {
     pub(crate) id: EndpointId,
     pub(super) address: SocketAddr,
     pub(super) engines: Arc<EnginePool>,
@@ -52,10 +52,10 @@
     pub(super) last_failure: AtomicU64,
 }
 
-impl EngineLink {
+impl HttpEngineClient {
     /// A link to an engine that is new or has moved, known to the pool for as long as somebody holds it.
-    pub(super) fn new(engine: &Engine, engines: &Arc<EnginePool>) -> Arc<EngineLink> {
-        let link = Arc::new(EngineLink {
+    pub(super) fn new(engine: &Engine, engines: &Arc<EnginePool>) -> Arc<HttpEngineClient> {
+        let link = Arc::new(HttpEngineClient {
             id: engine.endpoint.id,
             address: engine.address,
             engines: engines.clone(),
@@ -107,8 +107,8 @@
             ReusePolicy::ProvenSafe => self.take_idle(false),
             ReusePolicy::Never => None,
         };
-        if let Some(wire) = idle {
-            return Ok(wire);
+        if let Some(connection) = idle {
+            return Ok(connection);
         }
         let no_descriptor = || CallError::Local("no descriptor is left".into());
         let permit = self.engines.permit(spare).ok_or_else(no_descriptor)?;
@@ -116,7 +116,7 @@
         let failed = match dial(runtime, self.address, until).await {
             Ok(Dialed { conn, took }) => {
                 return Ok(EngineConnection {
-                    wire: Wire::new(conn),
+                    connection: BufferedConnection::new(conn),
                     idle: None,
                     round_trip: took.clamp(ROUND_TRIP_BOUNDS.0, ROUND_TRIP_BOUNDS.1),
                     under_way: false,
@@ -138,14 +138,14 @@
         };
         match dial(&self.engines.runtime, self.address, until).await {
             Ok(Dialed { conn, took }) => {
-                let wire = EngineConnection {
-                    wire: Wire::new(conn),
+                let connection = EngineConnection {
+                    connection: BufferedConnection::new(conn),
                     idle: None,
                     round_trip: took.clamp(ROUND_TRIP_BOUNDS.0, ROUND_TRIP_BOUNDS.1),
                     under_way: false,
                     _permit: permit,
                 };
-                self.keep_idle(wire, true);
+                self.keep_idle(connection, true);
                 true
             }
             Err(failure) => matches!(failure, DialFailure::Local(_)),
@@ -165,10 +165,10 @@
             if age >= self.engines.keep || !kept_connections.allows_reuse(now, age, again) {
                 continue;
             }
-            if let Some((mut wire, _)) = idle.remove(at) {
-                if wire.quiet() {
-                    wire.idle = Some(age);
-                    return Some(wire);
+            if let Some((mut connection, _)) = idle.remove(at) {
+                if connection.is_quiet() {
+                    connection.idle = Some(age);
+                    return Some(connection);
                 }
             }
         }
@@ -181,10 +181,10 @@
     }
 
     /// Keeps a connection whose answer was whole.
-    pub(super) fn keep_idle(&self, mut wire: EngineConnection, keeps: bool) {
-        wire.under_way = false;
-        if keeps && !self.closing.load(Ordering::Relaxed) && wire.quiet() {
-            lock(&self.idle).push_back((wire, self.engines.runtime.now()));
+    pub(super) fn keep_idle(&self, mut connection: EngineConnection, keeps: bool) {
+        connection.under_way = false;
+        if keeps && !self.closing.load(Ordering::Relaxed) && connection.is_quiet() {
+            lock(&self.idle).push_back((connection, self.engines.runtime.now()));
         }
     }
 
@@ -195,19 +195,19 @@
         target: &str,
         until: Micros,
     ) -> Result<(u16, LoadReport), CallError> {
-        let mut wire = self
+        let mut connection = self
             .connect(until, ReusePolicy::Any, self.engines.spare)
             .await?;
         let ended = |text: String| CallError::Unanswered(text);
         let asked = async {
-            self.ask(&mut wire, method, target)
+            self.ask(&mut connection, method, target)
                 .await
                 .map_err(|e| ended(e.to_string()))?;
-            let answer = answer(&mut wire, &LIMITS)
+            let answer = read_response_head(&mut connection, &LIMITS)
                 .await
                 .map_err(|_| ended("no answer".into()))?;
             self.note_answer();
-            let rest = rest(&mut wire, &answer, &LIMITS).await;
+            let rest = read_response_body(&mut connection, &answer, &LIMITS).await;
             Ok((answer, rest))
         };
         let Some(asked) = before(&self.engines.runtime, until, asked).await else {
@@ -219,17 +219,17 @@
         if let Some(text) = rest.as_deref().filter(|_| report.len == 0) {
             report = self.report(std::str::from_utf8(text).ok());
         }
-        self.keep_idle(wire, rest.is_some() && answer.head.keeps());
+        self.keep_idle(connection, rest.is_some() && answer.head.keeps());
         Ok((answer.status, report))
     }
 
     async fn ask(
         &self,
-        wire: &mut EngineConnection,
+        connection: &mut EngineConnection,
         method: &str,
         target: &str,
     ) -> std::io::Result<()> {
-        wire.under_way = true;
+        connection.under_way = true;
         let mut request = Vec::new();
         let host = self.address.to_string();
         let headers = [("Host", host.as_str()), ("Content-Length", "0")];
@@ -238,7 +238,7 @@
             &format!("{method} {target} HTTP/1.1"),
             &headers,
         );
-        wire.write(&request, &[]).await
+        connection.write(&request, &[]).await
     }
 
     pub(super) fn report(&self, text: Option<&str>) -> LoadReport {
@@ -248,7 +248,7 @@
     }
 }
 
-impl EngineClient for EngineLink {
+impl EngineClient for HttpEngineClient {
     fn id(&self) -> EndpointId {
         self.id
     }
@@ -304,24 +304,29 @@
             let until = runtime.now().saturating_add(self.engines.hold_wait);
             let mut left = false;
             let asked = async {
-                let Ok(mut wire) = self.connect(until, ReusePolicy::Any, 0).await else {
+                let Ok(mut connection) = self.connect(until, ReusePolicy::Any, 0).await else {
                     return ReservationStatus::Denied;
                 };
                 // Told during the dial: nothing new goes to an engine that drains or is gone.
-                if self.closing.load(Ordering::Relaxed) || job.is_finished() || call.left() {
+                if self.closing.load(Ordering::Relaxed)
+                    || job.is_finished()
+                    || call.is_disconnected()
+                {
                     return ReservationStatus::Denied;
                 }
                 left = true;
                 let target = format!("/v1/holds/{}", call.id);
-                if self.ask(&mut wire, "POST", &target).await.is_err() {
+                if self.ask(&mut connection, "POST", &target).await.is_err() {
                     return ReservationStatus::Unknown;
                 }
-                let Ok(answer) = answer(&mut wire, &LIMITS).await else {
+                let Ok(answer) = read_response_head(&mut connection, &LIMITS).await else {
                     return ReservationStatus::Unknown;
                 };
                 self.note_answer();
-                let whole = rest(&mut wire, &answer, &LIMITS).await.is_some();
-                self.keep_idle(wire, whole && answer.head.keeps());
+                let whole = read_response_body(&mut connection, &answer, &LIMITS)
+                    .await
+                    .is_some();
+                self.keep_idle(connection, whole && answer.head.keeps());
                 match answer.status {
                     200 => ReservationStatus::Granted,
                     404 | 409 => ReservationStatus::Denied,
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -1,9 +1,9 @@
 //! The node's connections to engines: how many there may be, and which are closed to make room.
 
-use super::link::EngineLink;
+use super::endpoint::HttpEngineClient;
+use crate::buffered_connection::BufferedConnection;
 use crate::call::lock;
 use crate::release::Releases;
-use crate::wire::Wire;
 use ivyward::core::connection_reuse::ReuseHistory;
 use ivyward::core::interface::Micros;
 use ivyward::core::release::ReleaseSettings;
@@ -30,7 +30,7 @@
     pub(super) hold_wait: Micros,
     pub(super) fields: Vec<String>,
     pub(super) kept_connections: Mutex<ReuseHistory>,
-    pub(super) links: Mutex<Vec<Weak<EngineLink>>>,
+    pub(super) links: Mutex<Vec<Weak<HttpEngineClient>>>,
     pub(crate) releases: Arc<Releases>,
 }
 
@@ -66,7 +66,7 @@
     pub(crate) fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
-    pub(crate) fn living(&self) -> Vec<Arc<EngineLink>> {
+    pub(crate) fn living(&self) -> Vec<Arc<HttpEngineClient>> {
         lock(&self.links).iter().filter_map(Weak::upgrade).collect()
     }
     /// Closes what was idle too long, and forgets links that are gone.
@@ -75,7 +75,8 @@
         let oldest = self.runtime.now().saturating_sub(self.keep);
         for link in self.living() {
             // One that its engine closed holds a descriptor for nothing.
-            lock(&link.idle).retain_mut(|(wire, since)| *since > oldest && wire.quiet());
+            lock(&link.idle)
+                .retain_mut(|(connection, since)| *since > oldest && connection.is_quiet());
         }
     }
     /// Takes a descriptor for a connection: at the bound the one idle longest anywhere goes. Releases have some to spare,
@@ -83,7 +84,7 @@
     pub(super) fn permit(self: &Arc<Self>, spare: usize) -> Option<ConnectionPermit> {
         let most = self.most + spare;
         if self.connections.load(Ordering::Relaxed) >= most {
-            let oldest = |l: &Arc<EngineLink>| lock(&l.idle).front().map(|(_, since)| *since);
+            let oldest = |l: &Arc<HttpEngineClient>| lock(&l.idle).front().map(|(_, since)| *since);
             let links = self.living();
             let link = links
                 .iter()
@@ -110,7 +111,7 @@
 
 /// A connection to an engine.
 pub(super) struct EngineConnection {
-    pub(super) wire: Wire,
+    pub(super) connection: BufferedConnection,
     /// How long it had been idle before its present request; `None` for a new one.
     pub(super) idle: Option<Micros>,
     /// What a way there and back takes, by its connecting.
@@ -125,21 +126,21 @@
     /// system when it ends, after the last release of their request. A reset takes them back.
     fn drop(&mut self) {
         if self.under_way {
-            self.wire.reset_on_close();
+            self.connection.reset_on_close();
         }
     }
 }
 
 impl Deref for EngineConnection {
-    type Target = Wire;
-    fn deref(&self) -> &Wire {
-        &self.wire
+    type Target = BufferedConnection;
+    fn deref(&self) -> &BufferedConnection {
+        &self.connection
     }
 }
 
 impl DerefMut for EngineConnection {
-    fn deref_mut(&mut self) -> &mut Wire {
-        &mut self.wire
+    fn deref_mut(&mut self) -> &mut BufferedConnection {
+        &mut self.connection
     }
 }
 
--- a/crates/ivyward-platform/src/lib.rs
+++ b/crates/ivyward-platform/src/lib.rs
@@ -3,10 +3,11 @@
 //! - [`config`]: the file, and the bounds that follow from its limits.
 //! - [`service`]: a node in service: what the daemon starts, reloads and stops.
 //! - `server`: clients; `engine`: connections, attempts, holds and releases at engines; `discovery`: the list of engines.
-//! - `call`: a request as this protocol holds it; `wire`: a connection with what came and was not used yet.
+//! - `call`: a request as this protocol holds it; `connection`: a connection with what came and was not used yet.
 //!
 //! It implements [`ivyward::engines`] for the one driver, and decides nothing.
 
+mod buffered_connection;
 mod call;
 pub mod config;
 mod discovery;
@@ -14,7 +15,6 @@
 mod release;
 mod server;
 pub mod service;
-mod wire;
 
 pub use config::{Config, ConfigError};
 pub use service::Service;
--- a/crates/ivyward-platform/src/release.rs
+++ b/crates/ivyward-platform/src/release.rs
@@ -1,7 +1,7 @@
 //! Letting go of what is held: carries out what [`ivyward::core::release`] decides, for all requests of the node.
 
 use crate::call::{lock, PlatformCall};
-use crate::engine::{CallError, EngineLink, EnginePool};
+use crate::engine::{CallError, EnginePool, HttpEngineClient};
 use event_listener::Event;
 use futures_lite::future::or;
 use ivyward::core::interface::{EndpointId, Micros};
@@ -123,7 +123,7 @@
     }
 
     fn act(self: &Arc<Self>, shared: &Arc<NodeContext>, engines: &Arc<EnginePool>) {
-        let mut links: BTreeMap<EndpointId, Arc<EngineLink>> = BTreeMap::new();
+        let mut links: BTreeMap<EndpointId, Arc<HttpEngineClient>> = BTreeMap::new();
         for link in engines.living() {
             // One engine may have two, where it moved: the one that is listed counts.
             if links.get(&link.id).is_none_or(|l| l.leaving()) {
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -3,15 +3,16 @@
 //! - `table`: which connections there are; `connection`: requests on one of them; `arrival`: what a request's headers say.
 //! - `response`: an answer on its way to its client; `open`: requests in hand.
 
-mod arrival;
 mod connection;
-mod open;
+mod connection_table;
+mod in_flight;
+mod request_headers;
 mod response;
-mod table;
 
+use crate::buffered_connection::BufferedConnection;
 use crate::call::Budget;
 use crate::config::Bounds;
-use crate::wire::Wire;
+use connection_table::ConnectionTable;
 use futures_lite::future::{or, poll_once};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{Conn, ErrorOrigin, Listener, RuntimeExt, RuntimeRef};
@@ -20,7 +21,6 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
-use table::ConnectionTable;
 use tracing::debug;
 
 /// Between accepts that this machine could not carry out.
@@ -140,7 +140,9 @@
                 table: &self.table,
                 id,
             };
-            let reason = self.client(Wire::new(conn), id, told_to_close).await;
+            let reason = self
+                .client(BufferedConnection::new(conn), id, told_to_close)
+                .await;
             self.node.metrics().closed(reason);
             debug!(
                 connection = id,
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -1,11 +1,11 @@
 //! Requests on one client connection, one after the other.
 
-use super::open::{OpenId, TakenRequest};
+use super::in_flight::{OpenId, TakenRequest};
 use super::response::{error_body, PIPELINED_BYTES};
 use super::Server;
+use crate::buffered_connection::BufferedConnection;
 use crate::call::{PlatformCall, Prompt, Share};
 use crate::config::{LIMITS, MOST_BODY};
-use crate::wire::Wire;
 use futures_lite::future::or;
 use ivyward::core::interface::{Idempotency, Micros};
 use ivyward::runtime::before;
@@ -62,7 +62,7 @@
     /// Serves a client's connection to its end; why it ended.
     pub(super) async fn client(
         &self,
-        mut wire: Wire,
+        mut connection: BufferedConnection,
         id: u64,
         told_to_close: async_channel::Receiver<()>,
     ) -> CloseReason {
@@ -75,7 +75,7 @@
                 KEEP_ALIVE_TIMEOUT
             });
             first = false;
-            if wire.bytes().is_empty() {
+            if connection.unread().is_empty() {
                 self.table.set_idle(id, now);
                 let close = async {
                     // Ends when the entry is dropped.
@@ -85,7 +85,7 @@
                 let came = before(
                     &self.runtime,
                     by,
-                    or(async { Some(wire.fill().await) }, close),
+                    or(async { Some(connection.fill().await) }, close),
                 )
                 .await;
                 match came.flatten() {
@@ -96,14 +96,14 @@
             }
             self.table.set_busy(id);
             let by = self.runtime.now().saturating_add(REQUEST_TIMEOUT);
-            let bad = match self.receive(&mut wire, by).await {
+            let bad = match self.receive(&mut connection, by).await {
                 Received::Closed => return CloseReason::ClientLeft,
                 Received::Invalid(bad) => Some(bad),
                 Received::Request(request, prompt) => {
                     let keeps = request.head.keeps();
-                    match self.serve_one(&mut wire, *request, prompt).await {
-                        Ok(_) if wire.dropped() > 0 => {
-                            self.linger(wire).await;
+                    match self.serve_one(&mut connection, *request, prompt).await {
+                        Ok(_) if connection.discarded_bytes() > 0 => {
+                            self.linger(connection).await;
                             return CloseReason::Pipelined;
                         }
                         Ok(true) if keeps && !self.stops() => None,
@@ -119,13 +119,19 @@
             if let Some(bad) = bad {
                 let closes = bad.closes || self.stops();
                 if !self
-                    .respond(&mut wire, bad.status, &[], &error_body(&bad.text), closes)
+                    .respond(
+                        &mut connection,
+                        bad.status,
+                        &[],
+                        &error_body(&bad.text),
+                        closes,
+                    )
                     .await
                 {
                     return CloseReason::ClientLeft;
                 }
                 if closes {
-                    self.linger(wire).await;
+                    self.linger(connection).await;
                     return self.unless_stopping(CloseReason::InvalidRequest);
                 }
             }
@@ -140,14 +146,14 @@
     }
 
     /// Ends our sending, and reads away what still comes.
-    async fn linger(&self, mut wire: Wire) {
-        wire.end_sending().await;
+    async fn linger(&self, mut connection: BufferedConnection) {
+        connection.close_write().await;
         let until = self.runtime.now().saturating_add(LINGER_TIMEOUT);
         let all = async {
             let mut left = LINGER_BYTES;
-            wire.used(wire.bytes().len());
-            while let Ok(n) = wire.fill().await {
-                wire.used(n);
+            connection.consume(connection.unread().len());
+            while let Ok(n) = connection.fill().await {
+                connection.consume(n);
                 left = left.saturating_sub(n);
                 if n == 0 || left == 0 {
                     break;
@@ -158,8 +164,8 @@
     }
 
     /// Waits for a whole request.
-    async fn receive(&self, wire: &mut Wire, by: Micros) -> Received {
-        match before(&self.runtime, by, self.read_request(wire)).await {
+    async fn receive(&self, connection: &mut BufferedConnection, by: Micros) -> Received {
+        match before(&self.runtime, by, self.read_request(connection)).await {
             Some(came) => came,
             None => Received::Invalid(RequestError::closing(
                 408,
@@ -168,9 +174,9 @@
         }
     }
 
-    async fn read_request(&self, wire: &mut Wire) -> Received {
+    async fn read_request(&self, connection: &mut BufferedConnection) -> Received {
         let (request, used) = loop {
-            match Request::read(wire.bytes(), &LIMITS) {
+            match Request::read(connection.unread(), &LIMITS) {
                 Ok(Some(read)) => break read,
                 Ok(None) => {}
                 Err(fault) => {
@@ -182,17 +188,17 @@
                     return Received::Invalid(RequestError::closing(status, fault.to_string()));
                 }
             }
-            match wire.fill().await {
+            match connection.fill().await {
                 Ok(n) if n > 0 => {}
                 _ => return Received::Closed,
             }
         };
-        wire.used(used);
+        connection.consume(used);
         if request
             .head
             .text("expect")
             .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"))
-            && wire
+            && connection
                 .write(b"HTTP/1.1 100 Continue\r\n\r\n", &[])
                 .await
                 .is_err()
@@ -205,7 +211,7 @@
         let mut bytes = Vec::new();
         loop {
             let before = bytes.len();
-            let step = match wire.take(&mut body, &mut bytes) {
+            let step = match connection.read_body_step(&mut body, &mut bytes) {
                 Ok(step) => step,
                 Err(e) => return Received::Invalid(RequestError::closing(400, e.to_string())),
             };
@@ -228,7 +234,7 @@
                 _ if bytes.len() > MOST_BODY => {
                     return Received::Invalid(RequestError::closing(413, "the body is too long"));
                 }
-                Step::More => match wire.fill().await {
+                Step::More => match connection.fill().await {
                     Ok(n) if n > 0 => {}
                     _ => return Received::Closed,
                 },
@@ -240,7 +246,7 @@
     /// Answers one request. Whether its connection may go on; an error is said by the caller.
     pub(super) async fn serve_one(
         &self,
-        wire: &mut Wire,
+        connection: &mut BufferedConnection,
         request: Request,
         prompt: Prompt,
     ) -> Result<bool, RequestError> {
@@ -249,7 +255,7 @@
             let serves = self.ready.load(Ordering::SeqCst) && !self.stops();
             return Ok(self
                 .respond(
-                    wire,
+                    connection,
                     if serves { 200 } else { 503 },
                     &[],
                     "{}",
@@ -274,7 +280,7 @@
             .ok_or_else(|| RequestError::new(409, "a request with this id is open"))?;
         let bound = self.bounds.outlet;
         // Guards against work for a client that left while its request waited to be read.
-        if wire.ended(PIPELINED_BYTES) {
+        if connection.peer_has_closed(PIPELINED_BYTES) {
             return Ok(false);
         }
         let again = self.told.module.classes[arrival.class].idempotency == Idempotency::Idempotent;
@@ -283,7 +289,7 @@
             &request,
             again,
             prompt,
-            wire.peer(),
+            connection.peer(),
             bound,
         ));
         let first_by = self.runtime.now().saturating_add(arrival.client_timeout);
@@ -296,9 +302,9 @@
             },
             Err(why) => {
                 let retry_after = Some(self.node.settings().rules.max_retry_after);
-                return Ok(self.refuse(wire, retry_after, why).await);
+                return Ok(self.refuse(connection, retry_after, why).await);
             }
         };
-        Ok(self.answer(wire, &taken).await)
+        Ok(self.answer(connection, &taken).await)
     }
 }
--- a/crates/ivyward-platform/src/server/open.rs
+++ b/crates/ivyward-platform/src/server/in_flight.rs
@@ -31,7 +31,7 @@
 impl Drop for TakenRequest<'_> {
     fn drop(&mut self) {
         if !self.call.outlet.is_delivered() {
-            self.call.leave();
+            self.call.set_disconnected();
             self.node.client_disconnected(self.number);
         }
     }
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -1,9 +1,9 @@
 //! Answers on their way to their clients.
 
-use super::open::TakenRequest;
+use super::in_flight::TakenRequest;
 use super::Server;
+use crate::buffered_connection::BufferedConnection;
 use crate::call::PlatformCall;
-use crate::wire::Wire;
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::RuntimeExt;
@@ -23,7 +23,7 @@
     /// Writes a short answer; whether it left.
     pub(super) async fn respond(
         &self,
-        wire: &mut Wire,
+        connection: &mut BufferedConnection,
         status: u16,
         more: &[(&str, &str)],
         text: &str,
@@ -45,14 +45,15 @@
             &headers,
         );
         out.extend_from_slice(text.as_bytes());
-        wire.write_slowly(&self.runtime, WRITE_STALL, &out)
+        connection
+            .write_with_stall_timeout(&self.runtime, WRITE_STALL, &out)
             .await
             .is_ok()
     }
 
     pub(super) async fn refuse(
         &self,
-        wire: &mut Wire,
+        connection: &mut BufferedConnection,
         retry_after: Option<Micros>,
         why: RejectReason,
     ) -> bool {
@@ -68,14 +69,20 @@
             .iter()
             .map(|s| ("Retry-After", s.as_str()))
             .collect();
-        self.respond(wire, status, &headers, &error_body("refused"), self.stops())
-            .await
+        self.respond(
+            connection,
+            status,
+            &headers,
+            &error_body("refused"),
+            self.stops(),
+        )
+        .await
     }
 
     /// Waits for the next part of the answer, or for the client's leaving.
     async fn next_part(
         &self,
-        wire: &mut Wire,
+        connection: &mut BufferedConnection,
         call: &PlatformCall,
     ) -> Option<Result<Vec<u8>, FinalStatus>> {
         let next = async {
@@ -88,11 +95,11 @@
         or(next, async {
             loop {
                 // Guards against a client whose leaving hides behind a flood: what it sent is read away to its end.
-                if wire.dropped() >= UNPACED_BYTES {
+                if connection.discarded_bytes() >= UNPACED_BYTES {
                     self.runtime.sleep(FLOOD_PAUSE).await;
                 }
-                match wire.fill().await {
-                    Ok(n) if n > 0 => wire.keep(PIPELINED_BYTES),
+                match connection.fill().await {
+                    Ok(n) if n > 0 => connection.truncate_unread(PIPELINED_BYTES),
                     _ => return None,
                 }
             }
@@ -101,10 +108,14 @@
     }
 
     /// Passes the answer on. Whether the connection may go on.
-    pub(super) async fn answer(&self, wire: &mut Wire, taken: &TakenRequest<'_>) -> bool {
+    pub(super) async fn answer(
+        &self,
+        connection: &mut BufferedConnection,
+        taken: &TakenRequest<'_>,
+    ) -> bool {
         let mut begun = false;
         loop {
-            let Some(part) = self.next_part(wire, taken.call).await else {
+            let Some(part) = self.next_part(connection, taken.call).await else {
                 return false;
             };
             let mut out = Vec::new();
@@ -129,20 +140,20 @@
                 Err(FinalStatus::Rejected {
                     retry_after,
                     reason: why,
-                }) => return self.refuse(wire, retry_after, why).await,
+                }) => return self.refuse(connection, retry_after, why).await,
                 Err(end) => {
                     let (status, text) = match end {
                         FinalStatus::Failed(FailureReason::Deadline) => (504, "the time was over"),
                         _ => (502, "no engine answered"),
                     };
                     return self
-                        .respond(wire, status, &[], &error_body(text), self.stops())
+                        .respond(connection, status, &[], &error_body(text), self.stops())
                         .await;
                 }
             }
             let last = out.ends_with(body::LAST) && taken.call.outlet.is_delivered();
-            if wire
-                .write_slowly(&self.runtime, WRITE_STALL, &out)
+            if connection
+                .write_with_stall_timeout(&self.runtime, WRITE_STALL, &out)
                 .await
                 .is_err()
             {
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{list_limits, Config};
 use crate::discovery::{Discovery, ListReader};
-use crate::engine::{EnginePool, Platform};
+use crate::engine::{EnginePool, HttpProtocol};
 use crate::release::Releases;
 use crate::server::Server;
 use ivyward::core::interface::{ListKind, Micros};
@@ -74,7 +74,7 @@
             let_go,
         );
         let releases = engines.releases.clone();
-        let protocol = Arc::new(Platform(engines.clone()));
+        let protocol = Arc::new(HttpProtocol(engines.clone()));
         let node = Node::start_with(runtime.clone(), settings, None, protocol)?;
         let mut reader = ListReader::new(told.clone(), &runtime);
         if let Some(known) = &config.known {
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -339,16 +339,18 @@
                 let waiting = job
                     .buffer
                     .push(&run.ids)
-                    .map_err(|crate::response::StreamEnd| AttemptResult::new(Outcome::Cancelled, "given up"))?;
+                    .map_err(|crate::response::StreamEnd| {
+                        AttemptResult::new(Outcome::Cancelled, "given up")
+                    })?;
                 job.context.metrics.buffered_most.most(waiting as u64);
                 if !told {
                     told = true;
                     job.notify_first_token();
                 }
                 // A slow client holds up its own stream alone: its engine is read on when there is room.
-                job.wait_for_capacity(&job.buffer)
-                    .await
-                    .map_err(|crate::response::StreamEnd| AttemptResult::new(Outcome::Cancelled, "given up"))?;
+                job.wait_for_capacity(&job.buffer).await.map_err(
+                    |crate::response::StreamEnd| AttemptResult::new(Outcome::Cancelled, "given up"),
+                )?;
                 stall.last_progress = runtime.now();
             }
             Some(pb::write_event::Event::Done(done)) => {
