--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -216,9 +216,7 @@
         let known = match file.known {
             serde_json::Value::Null => None,
             value => List::deserialize(value)
-                .inspect_err(|e| {
-                    warn!("the list as last held cannot be read, and is left out: {e}")
-                })
+                .inspect_err(|error| warn!(%error, "cached endpoint list ignored"))
                 .ok(),
         };
         Ok(Config {
--- a/crates/ivyward-platform/src/engine.rs
+++ b/crates/ivyward-platform/src/engine.rs
@@ -1,39 +1,58 @@
-//! Engines over HTTP/1.1: connections, attempts, holds and releases.
+//! Engines over HTTP/1.1: connections, attempts, reservations and releases.
 //!
-//! - `pool`: how many connections there may be; `link`: one engine, its idle connections and short calls.
-//! - `attempt`: one attempt; `events`: the events of its answer; `report`: load reports.
+//! Each module uses only modules above it:
 //!
-//! What proves that an attempt never ran is decided here, by the platform's table; what follows from it is the module's.
-//! Nothing is ever sent again at this level.
+//! - `load_report`, `event_parser`: what engines write.
+//! - `connection`: a connection to an engine, and the limit on them.
+//! - `pending_releases`: releases that no engine has accepted yet.
+//! - `pool`: idle connections of all endpoints, and what their clients share.
+//! - `endpoint`: the client of one engine: connecting, and calls without a prompt.
+//! - `stream`: passes a streamed response on; `attempt`: one attempt; `reservation`: one reservation.
+//! - `release_dispatcher`: sends releases.
+//! - `client`: implements [`ivyward::engines::EngineClient`].
+//!
+//! What proves that an attempt never ran is decided here, by the platform's table; what follows from it is the router's
+//! decision. Nothing is retried at this level.
 
 mod attempt;
+mod client;
+mod connection;
 mod endpoint;
-mod events;
+mod event_parser;
+mod load_report;
+mod pending_releases;
 mod pool;
-mod report;
+mod release_dispatcher;
+mod reservation;
+mod stream;
 
-pub(crate) use endpoint::{CallError, HttpEngineClient};
-pub(crate) use pool::EnginePool;
+pub(crate) use pending_releases::PendingReleases;
+pub(crate) use pool::{EnginePool, EnginePoolSettings};
 
-use crate::release::Releases;
+use endpoint::HttpEngineClient;
 use ivyward::engines::{EngineHandle, Protocol, ReleaseRequest};
 use ivyward::{Engine, NodeContext};
 use std::sync::Arc;
 
-/// The platform's engines, as the driver asks for them.
-pub(crate) struct HttpProtocol(pub(crate) Arc<EnginePool>);
+/// HTTP/1.1 as the driver's protocol to engines.
+pub(crate) struct HttpProtocol {
+    pub(crate) pool: Arc<EnginePool>,
+}
 
 impl Protocol for HttpProtocol {
     fn engine_client(&self, _: &Arc<NodeContext>, engine: &Engine) -> EngineHandle {
-        HttpEngineClient::new(engine, &self.0)
+        Arc::new(HttpEngineClient::new(engine, &self.pool))
     }
+
     fn releases_individually(&self) -> bool {
         false
     }
-    fn release(&self, shared: &Arc<NodeContext>, job: ReleaseRequest) {
-        Releases::owe(&self.0, shared, job);
+
+    fn release(&self, context: &Arc<NodeContext>, request: ReleaseRequest) {
+        release_dispatcher::release(&self.pool, context, request);
     }
+
     fn withdraw_release(&self, request: u64) -> bool {
-        self.0.releases.needed(request)
+        self.pool.releases.withdraw(request)
     }
 }
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -1,28 +1,30 @@
 //! One attempt at an engine, from its connection to its one outcome.
 
+use super::connection::EngineConnection;
 use super::endpoint::{CallError, HttpEngineClient};
-use super::events::Events;
-use super::pool::EngineConnection;
+use super::event_parser::cached_tokens;
+use super::stream::{StreamRelay, StreamResult};
 use crate::buffered_connection::{read_response_body, read_response_head, ResponseHeadError};
-use crate::call::{PlatformCall, Progress};
+use crate::call::{HttpCall, Progress};
 use crate::config::LIMITS;
+use crate::prompt_budget::Prompt;
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::connection_reuse::{self, AttemptTraits, DeliveryCheck};
 use ivyward::core::interface::{LoadReport, Micros, Outcome};
-use ivyward::engines::{AttemptRequest, AttemptResult, CancelReason, StallDetector, WaitResult};
-use ivyward::runtime::{before, BoxFuture};
-use ivyward_http1::{head, Answer, Body, Step};
+use ivyward::engines::{AttemptRequest, AttemptResult, WaitResult};
+use ivyward::runtime::{before, BoxFuture, RuntimeRef};
+use ivyward_http1::{head, Answer};
 use std::future::Future;
+use std::io;
 use std::pin::pin;
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::task::Poll;
 
-/// How long the rest of an answer that is known already, or the engine's end of an attempt that is given up, is waited for.
-/// Some round trips and an engine's own pause: a matter of networks and machines, not of a deployment's deadlines.
+/// How long the rest of a response that is known already, or the engine's close after an attempt was given up, is waited
+/// for. Some round trips and an engine's own pause: a matter of networks and machines, not of a deployment's deadlines.
 const ABANDON_TIMEOUT: Micros = 50_000;
 
-/// The same for one that does not take new connections either: a round trip, should it be reachable all the same.
+/// The same for an engine that takes no new connections: a round trip, should it be reachable all the same.
 const UNREACHABLE_TIMEOUT: Micros = 10_000;
 
 /// Why an attempt has no response head.
@@ -36,207 +38,184 @@
     Head(#[from] ResponseHeadError),
 }
 
+/// The result of an attempt that ended before it was sent because nobody waits for it.
+fn not_sent() -> AttemptResult {
+    AttemptResult::new(Outcome::NotSent, "called off before it was sent")
+}
+
 /// One attempt at one engine.
 pub(super) struct Attempt<'a> {
-    pub(super) link: &'a Arc<HttpEngineClient>,
-    pub(super) job: &'a AttemptRequest,
-    pub(super) call: &'a PlatformCall,
+    pub(super) client: &'a HttpEngineClient,
+    pub(super) request: &'a AttemptRequest,
+    pub(super) call: &'a HttpCall,
 }
 
 impl Attempt<'_> {
+    /// Runs the attempt to its one outcome.
     pub(super) async fn run(&self) -> AttemptResult {
-        let (link, job, runtime) = (self.link, self.job, &self.link.engines.runtime);
-        let gone = || AttemptResult::new(Outcome::NotSent, "called off before it was sent");
+        match self.run_steps().await {
+            Ok(result) | Err(result) => result,
+        }
+    }
+
+    /// The steps of an attempt; `Err` is the result of one that ended early.
+    async fn run_steps(&self) -> Result<AttemptResult, AttemptResult> {
+        self.check_wanted()?;
+        let mut timer = self.runtime().sleep_until(self.request.send_deadline);
+        let traits = self.traits();
+        let mut connection = self.connect(&mut timer, &traits).await?;
+        self.send(&mut connection, &mut timer).await?;
+        self.call.set_progress(Progress::Sent(self.request.attempt));
+        timer = self.runtime().sleep_until(self.request.deadline);
+        let check = self.delivery_check(&traits, &connection);
+        let response = self
+            .receive_head(&mut connection, &mut timer, check)
+            .await?;
+        Ok(self.handle_response(connection, response, timer).await)
+    }
+
+    fn runtime(&self) -> &RuntimeRef {
+        &self.client.pool.runtime
+    }
+
+    /// Ends an attempt whose client has disconnected or whose time is over.
+    fn check_wanted(&self) -> Result<(), AttemptResult> {
         if self.call.is_disconnected() {
-            return gone();
+            return Err(not_sent());
         }
-        if job.deadline <= runtime.now() {
-            return AttemptResult::new(Outcome::NotSent, "no time left");
+        if self.request.deadline <= self.runtime().now() {
+            return Err(AttemptResult::new(Outcome::NotSent, "no time left"));
         }
-        let mut timer = runtime.sleep_until(job.send_deadline);
-        let release_within = job.context.settings().rules.release_within;
-        let carried = AttemptTraits {
-            repeatable: job.prefill_only || self.call.again,
+        Ok(())
+    }
+
+    /// Whether the attempt may be sent again without harm.
+    fn is_repeatable(&self) -> bool {
+        self.request.prefill_only || self.call.is_idempotent
+    }
+
+    fn traits(&self) -> AttemptTraits {
+        let release_within = self.request.context.settings().rules.release_within;
+        AttemptTraits {
+            repeatable: self.is_repeatable(),
             repeats_effect: self.call.repeats_effect(),
-            state_deadline: job.kv_state.as_ref().map(|_| release_within),
-            last_answer: link.last_answer.load(Ordering::Relaxed),
-        };
-        let reuse = connection_reuse::reuse_policy(runtime.now(), &carried);
-        let mut connection = match job
-            .until_cancelled(&mut timer, link.connect(job.send_deadline, reuse, 0))
-            .await
-        {
-            WaitResult::Completed(Ok(connection)) => connection,
-            // Of an engine that was not asked nothing is known.
-            WaitResult::Completed(Err(why @ CallError::Local(_))) => {
-                return AttemptResult::new(Outcome::NotSent, why.to_string())
-            }
-            WaitResult::Completed(Err(why)) => {
-                return AttemptResult::new(Outcome::ConnectFailed, why.to_string())
-            }
+            state_deadline: self.request.kv_state.as_ref().map(|_| release_within),
+            last_answer: self.client.endpoint.last_response(),
+        }
+    }
+
+    /// Takes a connection for the request.
+    async fn connect(
+        &self,
+        timer: &mut BoxFuture<()>,
+        traits: &AttemptTraits,
+    ) -> Result<EngineConnection, AttemptResult> {
+        let reuse = connection_reuse::reuse_policy(self.runtime().now(), traits);
+        let connecting = self.client.connect(self.request.send_deadline, reuse, 0);
+        match self.request.until_cancelled(timer, connecting).await {
+            WaitResult::Completed(Ok(connection)) => Ok(connection),
+            WaitResult::Completed(Err(error)) => Err(connect_failed(&error)),
             WaitResult::TimedOut => {
-                link.note_failure();
-                return AttemptResult::new(Outcome::ConnectFailed, "no connection in time");
+                self.client.record_failure();
+                Err(AttemptResult::new(
+                    Outcome::ConnectFailed,
+                    "no connection in time",
+                ))
             }
-            WaitResult::Cancelled(_) => return gone(),
-        };
-        // Told during the dial: nothing new goes to an engine that drains or is gone.
-        if link.closing.load(Ordering::Relaxed) {
-            return AttemptResult::new(Outcome::NotSent, "the engine drains or is gone");
+            WaitResult::Cancelled(_) => Err(not_sent()),
         }
-        let Some(prompt) = self.call.prompt() else {
-            return gone();
-        };
-        let left = (job.deadline.saturating_sub(runtime.now()) / 1_000)
-            .max(1)
-            .to_string();
-        let (host, length) = (link.address.to_string(), prompt.bytes.len().to_string());
-        let mut request = Vec::with_capacity(256);
+    }
+
+    /// Sends the request to its last byte.
+    async fn send(
+        &self,
+        connection: &mut EngineConnection,
+        timer: &mut BoxFuture<()>,
+    ) -> Result<(), AttemptResult> {
+        // The engine may have begun to drain while the connection was opened.
+        if self.client.endpoint.is_draining() {
+            let detail = "the engine drains or is gone";
+            return Err(AttemptResult::new(Outcome::NotSent, detail));
+        }
+        let prompt = self.call.prompt().ok_or_else(not_sent)?;
+        let head = self.request_head(&prompt);
+        let writing = self.while_connected(self.write(connection, &head, &prompt.bytes));
+        match self.request.until_cancelled(timer, writing).await {
+            WaitResult::Completed(Some(Ok(()))) => Ok(()),
+            WaitResult::Completed(Some(Err(error))) => Err(self.write_failed(connection, &error)),
+            WaitResult::TimedOut => Err(AttemptResult::new(
+                Outcome::ConnectFailed,
+                "the engine does not take the request",
+            )),
+            WaitResult::Completed(None) | WaitResult::Cancelled(_) => Err(not_sent()),
+        }
+    }
+
+    /// The head of the request, with the time that is left for its response.
+    fn request_head(&self, prompt: &Arc<Prompt>) -> Vec<u8> {
+        let time_left = self.request.deadline.saturating_sub(self.runtime().now());
+        let timeout_ms = (time_left / 1_000).max(1).to_string();
+        let host = self.client.endpoint.address.to_string();
+        let length = prompt.bytes.len().to_string();
         let mut headers = vec![
             ("Host", host.as_str()),
             ("X-Request-ID", &self.call.id),
-            ("X-Timeout-Ms", &left),
+            ("X-Timeout-Ms", &timeout_ms),
             ("Content-Type", "application/json"),
             ("Content-Length", &length),
         ];
-        // Guards against an effect twice: an engine drops the repeats of a request by this key alone.
-        headers.extend(
-            self.call
-                .idempotency_key
-                .as_deref()
-                .map(|key| ("Idempotency-Key", key)),
-        );
-        head::write(
-            &mut request,
-            &format!("{} {} HTTP/1.1", self.call.method, self.call.target),
-            &headers,
-        );
-        let written = self.while_wanted(self.write(&mut connection, &request, &prompt.bytes));
-        match job.until_cancelled(&mut timer, written).await {
-            WaitResult::Completed(None) => return gone(),
-            WaitResult::Completed(Some(Ok(()))) => {}
-            // Its last byte never left, so it never ran; the connection is closed with the rest of it.
-            WaitResult::Completed(Some(Err(e))) => {
-                link.note_end(connection.idle, true);
-                // A kept connection that its engine had left says nothing of the engine.
-                let outcome = if connection.idle.is_some() {
-                    Outcome::NotSent
-                } else {
-                    Outcome::ConnectFailed
-                };
-                return AttemptResult::new(outcome, e.to_string());
-            }
-            WaitResult::TimedOut => {
-                return AttemptResult::new(
-                    Outcome::ConnectFailed,
-                    "the engine does not take the request",
-                )
-            }
-            WaitResult::Cancelled(_) => return gone(),
-        }
-        drop(prompt);
-        self.call.mark(Progress::Sent(job.attempt));
-        timer = runtime.sleep_until(job.deadline);
-        let check = carried.state_deadline.filter(|_| connection.idle.is_some());
-        let check = check.map(|within| connection_reuse::delivery_check(runtime.now(), within));
-        let answer = match job
-            .wait(&mut timer, self.answer_or_cut(&mut connection, check))
-            .await
-        {
-            WaitResult::Completed(Ok(answer)) => {
-                link.note_end(connection.idle, false);
-                link.note_answer();
-                answer
-            }
-            WaitResult::Completed(Err(AwaitError::Unreachable)) => {
-                link.note_failure();
-                let text = "the engine cannot be reached any more";
-                return self
-                    .abandon_by(connection, UNREACHABLE_TIMEOUT, Outcome::TimedOut, text)
-                    .await;
-            }
-            WaitResult::Completed(Err(AwaitError::Head(error))) => match error {
-                ResponseHeadError::Closed | ResponseHeadError::Io(_) => {
-                    link.note_end(connection.idle, true);
-                    return AttemptResult::new(Outcome::Reset, error.to_string());
-                }
-                ResponseHeadError::Invalid(_) | ResponseHeadError::TooManyInterimResponses => {
-                    return self
-                        .abandon(connection, Outcome::Error, error.to_string())
-                        .await
-                }
-            },
-            WaitResult::TimedOut => {
-                return self
-                    .abandon(connection, Outcome::TimedOut, "no answer in time")
-                    .await
-            }
-            WaitResult::Cancelled(_) => {
-                return self
-                    .abandon(connection, Outcome::Cancelled, "called off")
-                    .await
-            }
-        };
-        let report = link.report(answer.head.text("x-server-load"));
-        let never_ran = answer.head.text("x-not-processed") == Some("1");
-        let mut end = match (answer.status, job.prefill_only) {
-            (200, false) => return self.stream(connection, answer, report, timer).await,
-            (202, true) => return self.read(connection, answer, report, timer).await,
-            (503 | 504, _) if never_ran => AttemptResult::new(
-                Outcome::Rejected,
-                format!("turned away with {}", answer.status),
-            ),
-            (410, _) if never_ran => AttemptResult::new(Outcome::KvCacheMiss, "no state to fetch"),
-            (status, _) => AttemptResult::new(Outcome::Error, format!("status {status}")),
-        };
-        end.report = report;
-        let soon = runtime.now().saturating_add(ABANDON_TIMEOUT);
-        if let Some(Some(_)) = before(
-            runtime,
-            soon,
-            read_response_body(&mut connection, &answer, &LIMITS),
-        )
-        .await
-        {
-            link.keep_idle(connection, answer.head.keeps());
-        }
-        end
+        // Guards against an effect that happens twice: an engine recognises the retries of a request by this key alone.
+        let idempotency_key = self.call.idempotency_key.as_deref();
+        headers.extend(idempotency_key.map(|key| ("Idempotency-Key", key)));
+        let request_line = format!("{} {} HTTP/1.1", self.call.method, self.call.target);
+        let mut request = Vec::with_capacity(256);
+        head::write(&mut request, &request_line, &headers);
+        request
     }
 
-    /// Waits for the answer's head. Guards against a write that left into a cut which had just begun: it has not arrived, and
-    /// the state that it was to fetch would wait for as long as the write.
-    async fn answer_or_cut(
+    /// Writes the request. The last byte of one that may not be sent again is held back for two round trips: a connection
+    /// that is closed at the first bytes of a request, as kept ones are, or under a busy engine, has shown it by then, and
+    /// nothing can have run.
+    async fn write(
         &self,
         connection: &mut EngineConnection,
-        check: Option<DeliveryCheck>,
-    ) -> Result<Answer, AwaitError> {
-        let runtime = &self.link.engines.runtime;
-        let mut head = pin!(read_response_head(connection, &LIMITS));
-        let Some(check) = check else {
-            return Ok(head.await?);
-        };
-        if let Some(head) = before(runtime, check.connect_at, head.as_mut()).await {
-            return Ok(head?);
+        head: &[u8],
+        body: &[u8],
+    ) -> io::Result<()> {
+        connection.has_pending_request = true;
+        if self.is_repeatable() || body.is_empty() {
+            return connection.write(head, body).await;
+        }
+        let (most, last_byte) = body.split_at(body.len() - 1);
+        connection.write(head, most).await?;
+        let until = self
+            .runtime()
+            .now()
+            .saturating_add(2 * connection.round_trip);
+        match before(self.runtime(), until, connection.fill()).await {
+            // An engine that takes the request is silent.
+            None => connection.write(last_byte, &[]).await,
+            Some(Ok(received)) if received > 0 => connection.write(last_byte, &[]).await,
+            Some(Ok(_)) => Err(io::ErrorKind::UnexpectedEof.into()),
+            Some(Err(error)) => Err(error),
         }
-        let reachable = async {
-            self.link
-                .is_reachable(check.reachable_by)
-                .await
-                .then_some(())
+    }
+
+    /// The last byte was never sent, so the request never ran; the connection is closed with the rest of it.
+    fn write_failed(&self, connection: &EngineConnection, error: &io::Error) -> AttemptResult {
+        self.client.pool.record_use(connection.idle_time, true);
+        // That its engine closed an idle connection says nothing of the engine.
+        let outcome = match connection.idle_time {
+            Some(_) => Outcome::NotSent,
+            None => Outcome::ConnectFailed,
         };
-        let first = or(async { Some(head.as_mut().await) }, async {
-            match reachable.await {
-                Some(()) => std::future::pending().await,
-                None => None,
-            }
-        });
-        Ok(first.await.ok_or(AwaitError::Unreachable)??)
+        AttemptResult::new(outcome, error.to_string())
     }
 
-    /// Goes on with what is to be sent only while the client waits for it. Guards against an attempt that begins after its
-    /// client has gone, where a node is busy, a connection comes up late or a body leaves slowly: whether calls may be
-    /// called off or not, what has not left yet stays here.
-    async fn while_wanted<T>(&self, sending: impl Future<Output = T>) -> Option<T> {
+    /// Runs `sending` only while the client is connected. Guards against an attempt that begins after its client has
+    /// disconnected, where a node is busy, a connection is opened late or a body is sent slowly: whether attempts may be
+    /// cancelled or not, what was not sent by then stays here.
+    async fn while_connected<T>(&self, sending: impl Future<Output = T>) -> Option<T> {
         let mut sending = pin!(sending);
         poll_fn(|cx| match self.call.is_disconnected() {
             true => Poll::Ready(None),
@@ -245,215 +224,213 @@
         .await
     }
 
-    /// Gives up what its engine may still be at. Guards against an attempt that reaches another engine before this one's
-    /// end reaches the first: for so long there would be two. The engine's own end says that it knows. One that is cut off
-    /// or stands still says nothing, and is waited for no longer than for the rest of an answer.
-    async fn abandon(
+    /// When to check that a request on a reused connection, for which a state waits at another engine, was delivered.
+    fn delivery_check(
         &self,
-        connection: EngineConnection,
-        outcome: Outcome,
-        text: impl Into<String>,
-    ) -> AttemptResult {
-        self.abandon_by(connection, ABANDON_TIMEOUT, outcome, text)
-            .await
+        traits: &AttemptTraits,
+        connection: &EngineConnection,
+    ) -> Option<DeliveryCheck> {
+        connection.idle_time?;
+        let within = traits.state_deadline?;
+        Some(connection_reuse::delivery_check(
+            self.runtime().now(),
+            within,
+        ))
     }
 
-    async fn abandon_by(
+    /// Waits for the head of the response.
+    async fn receive_head(
         &self,
-        mut connection: EngineConnection,
-        timeout: Micros,
-        outcome: Outcome,
-        text: impl Into<String>,
-    ) -> AttemptResult {
-        let runtime = &self.link.engines.runtime;
-        let known = runtime.now().saturating_add(timeout);
-        let ended = async {
-            connection.close_write().await;
-            while connection.fill().await.is_ok_and(|n| n > 0) {
-                let n = connection.unread().len();
-                connection.consume(n);
+        connection: &mut EngineConnection,
+        timer: &mut BoxFuture<()>,
+        check: Option<DeliveryCheck>,
+    ) -> Result<Answer, AttemptResult> {
+        let head = match check {
+            Some(check) => {
+                let checked = self.read_head_checking_delivery(connection, check);
+                self.request.wait(timer, checked).await
+            }
+            None => {
+                let unchecked = async { Ok(read_response_head(connection, &LIMITS).await?) };
+                self.request.wait(timer, unchecked).await
+            }
+        };
+        let error = match head {
+            WaitResult::Completed(Ok(response)) => {
+                self.client.pool.record_use(connection.idle_time, false);
+                self.client.record_response();
+                return Ok(response);
+            }
+            WaitResult::Completed(Err(error)) => error,
+            WaitResult::TimedOut => {
+                let detail = "no answer in time";
+                return Err(self.abandon(connection, Outcome::TimedOut, detail).await);
+            }
+            WaitResult::Cancelled(_) => {
+                let detail = "called off";
+                return Err(self.abandon(connection, Outcome::Cancelled, detail).await);
             }
         };
-        before(runtime, known, ended).await;
-        AttemptResult::new(outcome, text)
+        Err(self.head_failed(connection, &error).await)
     }
 
-    /// Writes the request. Of one that may not be sent again, the last byte is held back for two round trips: a connection
-    /// that ends at the first bytes of a request, as kept ones do, or under a busy engine, has then shown it, and nothing
-    /// can have run.
-    async fn write(
+    /// Waits for the head of the response, and checks meanwhile that the engine is reachable. Guards against a request that
+    /// was sent into a network partition which had just begun: it has not arrived, and the state that it was to fetch would
+    /// wait for as long as the request.
+    async fn read_head_checking_delivery(
         &self,
         connection: &mut EngineConnection,
-        head: &[u8],
-        body: &[u8],
-    ) -> std::io::Result<()> {
-        connection.under_way = true;
-        if self.job.prefill_only || self.call.again || body.is_empty() {
-            return connection.write(head, body).await;
+        check: DeliveryCheck,
+    ) -> Result<Answer, AwaitError> {
+        let mut head = pin!(read_response_head(connection, &LIMITS));
+        if let Some(head) = before(self.runtime(), check.connect_at, head.as_mut()).await {
+            return Ok(head?);
         }
-        let runtime = &self.link.engines.runtime;
-        let (most, last) = body.split_at(body.len() - 1);
-        connection.write(head, most).await?;
-        let shown = runtime.now().saturating_add(2 * connection.round_trip);
-        match before(runtime, shown, connection.fill()).await {
-            // Silence is what an engine that takes the request says.
-            None => connection.write(last, &[]).await,
-            Some(Ok(n)) if n > 0 => connection.write(last, &[]).await,
-            Some(Ok(_)) => Err(std::io::ErrorKind::UnexpectedEof.into()),
-            Some(Err(e)) => Err(e),
+        let received = async { Ok(head.as_mut().await?) };
+        let unreachable = async {
+            if self.client.is_reachable(check.reachable_by).await {
+                std::future::pending::<()>().await;
+            }
+            Err(AwaitError::Unreachable)
+        };
+        or(received, unreachable).await
+    }
+
+    /// The result of an attempt without a response head.
+    async fn head_failed(
+        &self,
+        connection: &mut EngineConnection,
+        error: &AwaitError,
+    ) -> AttemptResult {
+        let detail = error.to_string();
+        match error {
+            AwaitError::Unreachable => {
+                self.client.record_failure();
+                connection
+                    .abandon(self.runtime(), UNREACHABLE_TIMEOUT)
+                    .await;
+                AttemptResult::new(Outcome::TimedOut, detail)
+            }
+            AwaitError::Head(ResponseHeadError::Closed | ResponseHeadError::Io(_)) => {
+                self.client.pool.record_use(connection.idle_time, true);
+                AttemptResult::new(Outcome::Reset, detail)
+            }
+            AwaitError::Head(
+                ResponseHeadError::Invalid(_) | ResponseHeadError::TooManyInterimResponses,
+            ) => self.abandon(connection, Outcome::Error, detail).await,
         }
     }
 
-    async fn read(
+    /// Reads the rest of the response as its status asks for.
+    async fn handle_response(
         &self,
         mut connection: EngineConnection,
-        answer: Answer,
-        report: LoadReport,
+        response: Answer,
         mut timer: BoxFuture<()>,
     ) -> AttemptResult {
-        let text = match self
-            .job
-            .wait(
-                &mut timer,
-                read_response_body(&mut connection, &answer, &LIMITS),
-            )
-            .await
-        {
-            WaitResult::Completed(text) => text,
-            WaitResult::TimedOut => {
+        let report = self.client.load_report(response.head.text("x-server-load"));
+        match (response.status, self.request.prefill_only) {
+            (200, false) => {
                 return self
-                    .abandon(
-                        connection,
-                        Outcome::TimedOut,
-                        "the end of a read did not come",
-                    )
+                    .relay_stream(connection, &response, report, &mut timer)
                     .await
             }
-            WaitResult::Cancelled(_) => {
+            (202, true) => {
                 return self
-                    .abandon(connection, Outcome::Cancelled, "called off")
+                    .read_prefill_result(connection, &response, report, &mut timer)
                     .await
             }
-        };
-        let Some(text) = text else {
-            return self
-                .abandon(connection, Outcome::Error, "the answer to a read is spoilt")
-                .await;
-        };
-        self.link.keep_idle(connection, answer.head.keeps());
-        let said: serde_json::Value = serde_json::from_slice(&text).unwrap_or_default();
-        let kept = said["cached_tokens"]
-            .as_u64()
-            .unwrap_or(0)
-            .min(u64::from(u32::MAX)) as u32;
+            _ => {}
+        }
+        let until = self.runtime().now().saturating_add(ABANDON_TIMEOUT);
+        let body = read_response_body(&mut connection, &response, &LIMITS);
+        if let Some(Some(_)) = before(self.runtime(), until, body).await {
+            self.client.keep_idle(connection, response.head.keeps());
+        }
         AttemptResult {
-            cached_tokens: kept,
             report,
-            ..AttemptResult::new(Outcome::Prefilled, "read")
+            ..error_result(&response)
         }
     }
 
-    /// Passes a stream's events on as they come whole.
-    async fn stream(
+    /// Reads the body of a response to a prefill-only request.
+    async fn read_prefill_result(
         &self,
         mut connection: EngineConnection,
-        answer: Answer,
+        response: &Answer,
         report: LoadReport,
-        mut timer: BoxFuture<()>,
+        timer: &mut BoxFuture<()>,
     ) -> AttemptResult {
-        let runtime = &self.link.engines.runtime;
-        let mut body = Body::new(answer.framing, &LIMITS);
-        let mut events = Events {
-            pending: Vec::new(),
-            kept: 0,
-            report: None,
-            done: false,
+        let reading = read_response_body(&mut connection, response, &LIMITS);
+        let (outcome, detail) = match self.request.wait(timer, reading).await {
+            WaitResult::Completed(Some(body)) => {
+                self.client.keep_idle(connection, response.head.keeps());
+                let result: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+                return AttemptResult {
+                    cached_tokens: cached_tokens(&result),
+                    report,
+                    ..AttemptResult::new(Outcome::Prefilled, "read")
+                };
+            }
+            WaitResult::Completed(None) => (Outcome::Error, "the answer to a read is spoilt"),
+            WaitResult::TimedOut => (Outcome::TimedOut, "the end of a read did not come"),
+            WaitResult::Cancelled(_) => (Outcome::Cancelled, "called off"),
         };
-        // Set with the first event: from then on the attempt's own time no longer counts.
-        let mut stall: Option<StallDetector> = None;
-        loop {
-            let step = match connection.read_body_step(&mut body, &mut events.pending) {
-                Ok(step) => step,
-                Err(e) => {
-                    return self
-                        .abandon(connection, Outcome::Error, e.to_string())
-                        .await
-                }
-            };
-            match step {
-                Step::Data(_) => {
-                    let whole = match events.whole() {
-                        Ok(whole) => whole,
-                        Err(text) => return self.abandon(connection, Outcome::Error, text).await,
-                    };
-                    if whole.is_empty() {
-                        continue;
-                    }
-                    if self.call.outlet.push(&whole).is_err() {
-                        return AttemptResult::new(Outcome::Cancelled, "given up");
-                    }
-                    if stall.is_none() {
-                        self.job.notify_first_token();
-                        self.call.drop_prompt();
-                    }
-                    if self.job.wait_for_capacity(&self.call.outlet).await.is_err() {
-                        return AttemptResult::new(Outcome::Cancelled, "given up");
-                    }
-                    let span = self.job.context.settings().stream_stall;
-                    stall
-                        .get_or_insert_with(|| StallDetector::new(runtime, span))
-                        .last_progress = runtime.now();
-                }
-                Step::Done => {
-                    if stall.is_none() || !events.done || !events.pending.is_empty() {
-                        return self
-                            .abandon(connection, Outcome::Error, "a stream that is not whole")
-                            .await;
-                    }
-                    self.link.keep_idle(connection, answer.head.keeps());
-                    let report = events
-                        .report
-                        .as_deref()
-                        .map_or(report, |t| self.link.report(Some(t)));
-                    return AttemptResult {
-                        cached_tokens: events.kept,
-                        report,
-                        ..AttemptResult::new(Outcome::Served, "served")
-                    };
-                }
-                Step::More => {
-                    let timer = stall.as_mut().map_or(&mut timer, |s| &mut s.timer);
-                    match (
-                        self.job.wait(timer, connection.fill()).await,
-                        stall.as_mut(),
-                    ) {
-                        (WaitResult::Completed(Ok(0)), _) => {
-                            return AttemptResult::new(Outcome::Reset, "the stream ended early")
-                        }
-                        (WaitResult::Completed(Ok(_)), _) => {}
-                        (WaitResult::Completed(Err(e)), _) => {
-                            return AttemptResult::new(Outcome::Reset, e.to_string())
-                        }
-                        // A stream that has begun is not called off.
-                        (WaitResult::Cancelled(CancelReason::ByRouter), Some(_)) => {}
-                        (WaitResult::Cancelled(_), _) => {
-                            return self
-                                .abandon(connection, Outcome::Cancelled, "called off")
-                                .await
-                        }
-                        (WaitResult::TimedOut, Some(stall)) => {
-                            if stall.is_stalled(runtime) {
-                                return AttemptResult::new(Outcome::Reset, "no event for too long");
-                            }
-                        }
-                        (WaitResult::TimedOut, None) => {
-                            return self
-                                .abandon(connection, Outcome::TimedOut, "no event in time")
-                                .await
-                        }
-                    }
+        self.abandon(&mut connection, outcome, detail).await
+    }
+
+    /// Passes a streamed response on to the client.
+    async fn relay_stream(
+        &self,
+        mut connection: EngineConnection,
+        response: &Answer,
+        report: LoadReport,
+        timer: &mut BoxFuture<()>,
+    ) -> AttemptResult {
+        let mut relay = StreamRelay::new(self.client, self.request, self.call, response.framing);
+        match relay.run(&mut connection, timer, report).await {
+            StreamResult::Ended(result) => {
+                if result.outcome == Outcome::Served {
+                    self.client.keep_idle(connection, response.head.keeps());
                 }
+                result
             }
+            StreamResult::Abandoned { outcome, detail } => {
+                self.abandon(&mut connection, outcome, detail).await
+            }
+        }
+    }
+
+    /// Gives the attempt up while its engine may still work on it.
+    async fn abandon(
+        &self,
+        connection: &mut EngineConnection,
+        outcome: Outcome,
+        detail: impl Into<String>,
+    ) -> AttemptResult {
+        connection.abandon(self.runtime(), ABANDON_TIMEOUT).await;
+        AttemptResult::new(outcome, detail)
+    }
+}
+
+/// The result of an attempt without a connection.
+fn connect_failed(error: &CallError) -> AttemptResult {
+    let outcome = match error.is_local() {
+        // Nothing is known of an engine that was not asked.
+        true => Outcome::NotSent,
+        false => Outcome::ConnectFailed,
+    };
+    AttemptResult::new(outcome, error.to_string())
+}
+
+/// The result of an attempt whose response is an error.
+fn error_result(response: &Answer) -> AttemptResult {
+    let never_ran = response.head.text("x-not-processed") == Some("1");
+    match response.status {
+        status @ (503 | 504) if never_ran => {
+            AttemptResult::new(Outcome::Rejected, format!("turned away with {status}"))
         }
+        410 if never_ran => AttemptResult::new(Outcome::KvCacheMiss, "no state to fetch"),
+        status => AttemptResult::new(Outcome::Error, format!("status {status}")),
     }
 }
--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -1,237 +1,195 @@
-//! One engine: its idle connections, and the calls that carry no prompt.
+//! One engine as the node reaches it: connections, and the calls that carry no prompt.
 
-use super::attempt::Attempt;
-use super::pool::{EngineConnection, EnginePool};
-use super::report::report;
-use crate::buffered_connection::{read_response_body, read_response_head, BufferedConnection};
-use crate::call::{lock, PlatformCall, Progress};
+use super::connection::EngineConnection;
+use super::load_report;
+use super::pool::{EnginePool, PooledEndpoint};
+use crate::buffered_connection::{read_response_body, read_response_head, ResponseHeadError};
 use crate::config::LIMITS;
-use futures_lite::future::or;
 use ivyward::core::connection_reuse::ReusePolicy;
-use ivyward::core::interface::{EndpointId, LoadReport, Micros, Outcome};
-use ivyward::core::release::ReleaseTarget;
+use ivyward::core::interface::{LoadReport, Micros};
 use ivyward::engines::dial::{dial, DialFailure, Dialed};
-use ivyward::engines::{
-    AttemptRequest, AttemptResult, EngineClient, ReservationStatus, ReserveRequest,
-};
-use ivyward::runtime::{before, BoxFuture};
-use ivyward::{Engine, NodeContext};
+use ivyward::runtime::before;
+use ivyward::Engine;
 use ivyward_http1::head;
-use std::any::Any;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 
-/// A round trip is taken for no less and no more than this: what a clock and a busy machine show is not the way.
-const ROUND_TRIP_BOUNDS: (Micros, Micros) = (200, 3_000);
-
-/// Why a call without a prompt has no answer.
-#[derive(Clone, Debug, thiserror::Error)]
-pub(crate) enum CallError {
-    /// No connection could be opened for want of something on this machine (a descriptor, a port, a buffer, a route), which
-    /// says nothing of the engine.
+/// Why a call without a prompt has no response.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum CallError {
+    /// The node has no file descriptor left for a connection.
+    #[error("this machine could not open a connection: no descriptor is left")]
+    NoDescriptor,
+    /// This machine lacks something for a connection (a port, a buffer, a route), which says nothing of the engine.
     #[error("this machine could not open a connection: {0}")]
-    Local(String),
-    /// No connection, or none that lasted, or no answer in time.
+    NoLocalResources(std::io::Error),
+    /// The engine could not be connected to.
+    #[error("cannot connect to {address}: {failure}")]
+    Connect {
+        /// Where.
+        address: SocketAddr,
+        /// Why not.
+        failure: DialFailure,
+    },
+    /// The request could not be written.
     #[error("{0}")]
-    Unanswered(String),
+    Write(std::io::Error),
+    /// The connection brought no response.
+    #[error("no answer")]
+    NoResponse(#[source] ResponseHeadError),
+    /// No response came in time.
+    #[error("no answer from {0} in time")]
+    TimedOut(SocketAddr),
+}
+
+impl CallError {
+    /// Whether the call failed on this machine, so that nothing is known of the engine.
+    pub(super) fn is_local(&self) -> bool {
+        matches!(
+            self,
+            CallError::NoDescriptor | CallError::NoLocalResources(_)
+        )
+    }
+}
+
+/// The response to a call without a prompt.
+#[derive(Debug)]
+pub(super) struct CallResponse {
+    pub(super) status: u16,
+    /// The load report of its head or body.
+    pub(super) report: LoadReport,
 }
 
-/// One engine as this node reaches it.
-pub(crate) struct HttpEngineClient {
-    pub(crate) id: EndpointId,
-    pub(super) address: SocketAddr,
-    pub(super) engines: Arc<EnginePool>,
-    /// Connections without a request, the one idle longest first.
-    pub(super) idle: Mutex<VecDeque<(EngineConnection, Micros)>>,
-    pub(super) closing: AtomicBool,
-    /// When it answered anything last; 0 for never.
-    pub(super) last_answer: AtomicU64,
-    /// When a call to it last ended without an answer or a connection; 0 for never.
-    pub(super) last_failure: AtomicU64,
+/// The client of one engine, as the driver holds it.
+#[derive(Clone)]
+pub(super) struct HttpEngineClient {
+    pub(super) endpoint: Arc<PooledEndpoint>,
+    pub(super) pool: Arc<EnginePool>,
 }
 
 impl HttpEngineClient {
-    /// A link to an engine that is new or has moved, known to the pool for as long as somebody holds it.
-    pub(super) fn new(engine: &Engine, engines: &Arc<EnginePool>) -> Arc<HttpEngineClient> {
-        let link = Arc::new(HttpEngineClient {
-            id: engine.endpoint.id,
-            address: engine.address,
-            engines: engines.clone(),
-            idle: Mutex::default(),
-            closing: AtomicBool::new(false),
-            last_answer: AtomicU64::new(0),
-            last_failure: AtomicU64::new(0),
-        });
-        lock(&engines.links).push(Arc::downgrade(&link));
-        link
-    }
-    pub(crate) fn leaving(&self) -> bool {
-        self.closing.load(Ordering::Relaxed)
-    }
-    /// What is known of it as one that may take a release.
-    pub(crate) fn taker(&self) -> ReleaseTarget {
-        ReleaseTarget {
-            id: self.id,
-            last_response: self.last_answer.load(Ordering::Relaxed),
-            last_failure: self.last_failure.load(Ordering::Relaxed),
-            has_idle_connection: !lock(&self.idle).is_empty(),
-            is_draining: self.leaving(),
+    /// The client of an engine that is new or has moved.
+    pub(super) fn new(engine: &Engine, pool: &Arc<EnginePool>) -> HttpEngineClient {
+        HttpEngineClient {
+            endpoint: pool.add(engine),
+            pool: pool.clone(),
         }
     }
-    pub(super) fn note_answer(&self) {
-        let silent =
-            self.last_failure.load(Ordering::Relaxed) > self.last_answer.load(Ordering::Relaxed);
-        self.last_answer
-            .store(self.engines.runtime.now(), Ordering::Relaxed);
-        if silent {
-            self.engines.releases.heard();
+
+    /// Records that the engine responded; after a silence, pending releases may be sent to it again.
+    pub(super) fn record_response(&self) {
+        if self.endpoint.record_response(self.pool.runtime.now()) {
+            self.pool.releases.endpoint_recovered();
         }
     }
-    pub(super) fn note_failure(&self) {
-        self.last_failure
-            .store(self.engines.runtime.now(), Ordering::Relaxed);
+
+    /// Records that a call ended without a response or a connection.
+    pub(super) fn record_failure(&self) {
+        self.endpoint.record_failure(self.pool.runtime.now());
     }
 
-    /// An idle connection that may be used, or a new one.
+    /// An idle connection that may be reused, or a new one.
     pub(super) async fn connect(
         &self,
         until: Micros,
         reuse: ReusePolicy,
-        spare: usize,
+        reserve: usize,
     ) -> Result<EngineConnection, CallError> {
-        let runtime = &self.engines.runtime;
         let idle = match reuse {
-            ReusePolicy::Any => self.take_idle(true),
-            ReusePolicy::ProvenSafe => self.take_idle(false),
+            ReusePolicy::Any => self.pool.take_idle(&self.endpoint, true),
+            ReusePolicy::ProvenSafe => self.pool.take_idle(&self.endpoint, false),
             ReusePolicy::Never => None,
         };
         if let Some(connection) = idle {
             return Ok(connection);
         }
-        let no_descriptor = || CallError::Local("no descriptor is left".into());
-        let permit = self.engines.permit(spare).ok_or_else(no_descriptor)?;
-        let until = until.min(runtime.now().saturating_add(self.engines.dial_timeout));
-        let failed = match dial(runtime, self.address, until).await {
-            Ok(Dialed { conn, took }) => {
-                return Ok(EngineConnection {
-                    connection: BufferedConnection::new(conn),
-                    idle: None,
-                    round_trip: took.clamp(ROUND_TRIP_BOUNDS.0, ROUND_TRIP_BOUNDS.1),
-                    under_way: false,
-                    _permit: permit,
-                });
-            }
-            Err(DialFailure::Local(error)) => return Err(CallError::Local(error.to_string())),
-            Err(failure) => format!("cannot connect to {}: {failure}", self.address),
-        };
-        self.note_failure();
-        Err(CallError::Unanswered(failed))
+        let timeout = self.pool.connect_timeout;
+        let until = until.min(self.pool.runtime.now().saturating_add(timeout));
+        let opened = self.open_connection(until, reserve).await;
+        if opened.as_ref().is_err_and(|error| !error.is_local()) {
+            self.record_failure();
+        }
+        opened
     }
 
-    /// Whether a new connection comes up by a time; it is kept for the next request. Where this machine cannot open one,
-    /// nothing is known, and the engine is taken for reachable.
-    pub(super) async fn is_reachable(&self, until: Micros) -> bool {
-        let Some(permit) = self.engines.permit(0) else {
-            return true;
-        };
-        match dial(&self.engines.runtime, self.address, until).await {
-            Ok(Dialed { conn, took }) => {
-                let connection = EngineConnection {
-                    connection: BufferedConnection::new(conn),
-                    idle: None,
-                    round_trip: took.clamp(ROUND_TRIP_BOUNDS.0, ROUND_TRIP_BOUNDS.1),
-                    under_way: false,
-                    _permit: permit,
-                };
-                self.keep_idle(connection, true);
-                true
-            }
-            Err(failure) => matches!(failure, DialFailure::Local(_)),
+    /// Opens a new connection by `until`.
+    async fn open_connection(
+        &self,
+        until: Micros,
+        reserve: usize,
+    ) -> Result<EngineConnection, CallError> {
+        let permit = self.pool.permit(reserve).ok_or(CallError::NoDescriptor)?;
+        let address = self.endpoint.address;
+        match dial(&self.pool.runtime, address, until).await {
+            Ok(Dialed { conn, took }) => Ok(EngineConnection::new(conn, took, permit)),
+            Err(DialFailure::Local(error)) => Err(CallError::NoLocalResources(error)),
+            Err(failure) => Err(CallError::Connect { address, failure }),
         }
     }
 
-    /// The youngest of the idle connections that may be used. One that its engine closed, or that brought more than its
-    /// answer, serves no further.
-    fn take_idle(&self, again: bool) -> Option<EngineConnection> {
-        let (now, mut idle, kept_connections) = (
-            self.engines.runtime.now(),
-            lock(&self.idle),
-            lock(&self.engines.kept_connections),
-        );
-        for at in (0..idle.len()).rev() {
-            let age = now.saturating_sub(idle[at].1);
-            if age >= self.engines.keep || !kept_connections.allows_reuse(now, age, again) {
-                continue;
-            }
-            if let Some((mut connection, _)) = idle.remove(at) {
-                if connection.is_quiet() {
-                    connection.idle = Some(age);
-                    return Some(connection);
-                }
+    /// Whether a new connection can be opened by `until`; it is kept for the next request. If this machine cannot open one,
+    /// nothing is known, and the engine counts as reachable.
+    pub(super) async fn is_reachable(&self, until: Micros) -> bool {
+        match self.open_connection(until, 0).await {
+            Ok(connection) => {
+                self.keep_idle(connection, true);
+                true
             }
+            Err(error) => error.is_local(),
         }
-        None
-    }
-
-    /// Takes note of how a connection fared under a request.
-    pub(super) fn note_end(&self, idle: Option<Micros>, ended: bool) {
-        lock(&self.engines.kept_connections).record_use(self.engines.runtime.now(), idle, ended);
     }
 
-    /// Keeps a connection whose answer was whole.
-    pub(super) fn keep_idle(&self, mut connection: EngineConnection, keeps: bool) {
-        connection.under_way = false;
-        if keeps && !self.closing.load(Ordering::Relaxed) && connection.is_quiet() {
-            lock(&self.idle).push_back((connection, self.engines.runtime.now()));
-        }
+    /// Keeps a connection whose response was received completely, if it `can_be_kept`.
+    pub(super) fn keep_idle(&self, connection: EngineConnection, can_be_kept: bool) {
+        self.pool.keep_idle(&self.endpoint, connection, can_be_kept);
     }
 
-    /// A call without a body: its status and the load report of its head or body.
-    pub(crate) async fn short(
+    /// Sends a request without a body, and reads its response.
+    pub(super) async fn call(
         &self,
         method: &str,
         target: &str,
         until: Micros,
-    ) -> Result<(u16, LoadReport), CallError> {
-        let mut connection = self
-            .connect(until, ReusePolicy::Any, self.engines.spare)
-            .await?;
-        let ended = |text: String| CallError::Unanswered(text);
-        let asked = async {
-            self.ask(&mut connection, method, target)
+    ) -> Result<CallResponse, CallError> {
+        let reserve = self.pool.reserved_connections;
+        let mut connection = self.connect(until, ReusePolicy::Any, reserve).await?;
+        let exchange = async {
+            self.write_empty_request(&mut connection, method, target)
                 .await
-                .map_err(|e| ended(e.to_string()))?;
-            let answer = read_response_head(&mut connection, &LIMITS)
+                .map_err(CallError::Write)?;
+            let head = read_response_head(&mut connection, &LIMITS)
                 .await
-                .map_err(|_| ended("no answer".into()))?;
-            self.note_answer();
-            let rest = read_response_body(&mut connection, &answer, &LIMITS).await;
-            Ok((answer, rest))
+                .map_err(CallError::NoResponse)?;
+            self.record_response();
+            let body = read_response_body(&mut connection, &head, &LIMITS).await;
+            Ok((head, body))
         };
-        let Some(asked) = before(&self.engines.runtime, until, asked).await else {
-            self.note_failure();
-            return Err(ended(format!("no answer from {} in time", self.address)));
+        let Some(exchange) = before(&self.pool.runtime, until, exchange).await else {
+            self.record_failure();
+            return Err(CallError::TimedOut(self.endpoint.address));
         };
-        let (answer, rest) = asked?;
-        let mut report = self.report(answer.head.text("x-server-load"));
-        if let Some(text) = rest.as_deref().filter(|_| report.len == 0) {
-            report = self.report(std::str::from_utf8(text).ok());
+        let (head, body) = exchange?;
+        let mut report = self.load_report(head.head.text("x-server-load"));
+        if let Some(body) = body.as_deref().filter(|_| report.len == 0) {
+            report = self.load_report(std::str::from_utf8(body).ok());
         }
-        self.keep_idle(connection, rest.is_some() && answer.head.keeps());
-        Ok((answer.status, report))
+        self.keep_idle(connection, body.is_some() && head.head.keeps());
+        Ok(CallResponse {
+            status: head.status,
+            report,
+        })
     }
 
-    async fn ask(
+    /// Writes a request without a body.
+    pub(super) async fn write_empty_request(
         &self,
         connection: &mut EngineConnection,
         method: &str,
         target: &str,
     ) -> std::io::Result<()> {
-        connection.under_way = true;
+        connection.has_pending_request = true;
         let mut request = Vec::new();
-        let host = self.address.to_string();
+        let host = self.endpoint.address.to_string();
         let headers = [("Host", host.as_str()), ("Content-Length", "0")];
         head::write(
             &mut request,
@@ -241,129 +199,10 @@
         connection.write(&request, &[]).await
     }
 
-    pub(super) fn report(&self, text: Option<&str>) -> LoadReport {
+    /// The load report in a text, if there is one.
+    pub(super) fn load_report(&self, text: Option<&str>) -> LoadReport {
         text.map_or(LoadReport::default(), |text| {
-            report(text, &self.engines.fields)
-        })
-    }
-}
-
-impl EngineClient for HttpEngineClient {
-    fn id(&self) -> EndpointId {
-        self.id
-    }
-    fn address(&self) -> SocketAddr {
-        self.address
-    }
-    fn set_draining(&self, closing: bool) {
-        self.closing.store(closing, Ordering::Relaxed);
-        if closing {
-            self.close();
-        }
-    }
-    fn close(&self) {
-        lock(&self.idle).clear();
-    }
-    fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync> {
-        self
-    }
-    fn run_attempt(self: Arc<Self>, job: AttemptRequest) -> BoxFuture<AttemptResult> {
-        Box::pin(async move {
-            let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
-                return AttemptResult::new(Outcome::NotSent, "a request of another protocol");
-            };
-            // A connection that is not kept is closed when this returns, so that nothing follows beside the attempt.
-            let end = Attempt {
-                link: &self,
-                job: &job,
-                call,
-            }
-            .run()
-            .await;
-            if !job.prefill_only {
-                call.note_outcome(end.outcome);
-            }
-            call.mark(Progress::Ended(job.attempt));
-            end
-        })
-    }
-    fn reserve(self: Arc<Self>, job: ReserveRequest) -> BoxFuture<ReservationStatus> {
-        Box::pin(async move {
-            let Some(call) = job.call.as_any().downcast_ref::<PlatformCall>() else {
-                return ReservationStatus::Denied;
-            };
-            // A hold is known to an engine only beside its read, so it leaves behind the read's last byte.
-            let read = or(call.sent(job.attempt), async {
-                job.until_finished().await;
-                false
-            });
-            if !read.await {
-                return ReservationStatus::Denied;
-            }
-            let runtime = &self.engines.runtime;
-            let until = runtime.now().saturating_add(self.engines.hold_wait);
-            let mut left = false;
-            let asked = async {
-                let Ok(mut connection) = self.connect(until, ReusePolicy::Any, 0).await else {
-                    return ReservationStatus::Denied;
-                };
-                // Told during the dial: nothing new goes to an engine that drains or is gone.
-                if self.closing.load(Ordering::Relaxed)
-                    || job.is_finished()
-                    || call.is_disconnected()
-                {
-                    return ReservationStatus::Denied;
-                }
-                left = true;
-                let target = format!("/v1/holds/{}", call.id);
-                if self.ask(&mut connection, "POST", &target).await.is_err() {
-                    return ReservationStatus::Unknown;
-                }
-                let Ok(answer) = read_response_head(&mut connection, &LIMITS).await else {
-                    return ReservationStatus::Unknown;
-                };
-                self.note_answer();
-                let whole = read_response_body(&mut connection, &answer, &LIMITS)
-                    .await
-                    .is_some();
-                self.keep_idle(connection, whole && answer.head.keeps());
-                match answer.status {
-                    200 => ReservationStatus::Granted,
-                    404 | 409 => ReservationStatus::Denied,
-                    _ => ReservationStatus::Unknown,
-                }
-            };
-            let ended = or(before(runtime, until, asked), async {
-                job.until_finished().await;
-                None
-            });
-            let ended = ended.await;
-            ended.unwrap_or(if left {
-                ReservationStatus::Unknown
-            } else {
-                ReservationStatus::Denied
-            })
-        })
-    }
-    fn health_check(self: Arc<Self>, shared: Arc<NodeContext>) -> BoxFuture<(bool, LoadReport)> {
-        Box::pin(async move {
-            let until = shared
-                .runtime()
-                .now()
-                .saturating_add(2 * self.engines.dial_timeout);
-            let path = if self.engines.fields.is_empty() {
-                "/healthz"
-            } else {
-                "/load"
-            };
-            let answer = self.short("GET", path, until).await;
-            let alive = answer
-                .as_ref()
-                .is_ok_and(|(status, _)| *status == 200 || *status == 503);
-            (
-                alive,
-                answer.map_or(LoadReport::default(), |(_, report)| report),
-            )
+            load_report::parse(text, &self.pool.report_fields)
         })
     }
 }
--- /dev/null
+++ b/crates/ivyward-platform/src/engine/event_parser.rs
@@ -0,0 +1,88 @@
+//! Parses the server-sent events of a streamed response.
+
+use crate::config::MOST_BODY;
+
+/// Why a stream cannot be passed on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum EventError {
+    /// An event is longer than any body may be.
+    #[error("an event without end")]
+    Unterminated,
+    /// A line belongs to no event.
+    #[error("noise in a stream")]
+    Malformed,
+}
+
+/// Collects the bytes of a stream, and what its events say about the response.
+#[derive(Default)]
+pub(super) struct EventParser {
+    /// Bytes that were received and are no complete event yet.
+    pub(super) pending: Vec<u8>,
+    /// Prompt tokens that the engine found in its cache.
+    pub(super) cached_tokens: u32,
+    /// The load report in the stream's comments.
+    pub(super) load_report: Option<String>,
+    /// Whether the stream's terminating event was received.
+    pub(super) is_done: bool,
+}
+
+impl EventParser {
+    /// Removes the complete events from the pending bytes and returns them.
+    pub(super) fn take_complete_events(&mut self) -> Result<Vec<u8>, EventError> {
+        let end = self
+            .pending
+            .windows(2)
+            .rposition(|window| window == b"\n\n")
+            .map_or(0, |start| start + 2);
+        if end == 0 && self.pending.len() > MOST_BODY {
+            return Err(EventError::Unterminated);
+        }
+        let rest = self.pending.split_off(end);
+        let complete = std::mem::replace(&mut self.pending, rest);
+        for line in complete.split(|byte| *byte == b'\n') {
+            self.inspect_line(line.strip_suffix(b"\r").unwrap_or(line))?;
+        }
+        Ok(complete)
+    }
+
+    fn inspect_line(&mut self, line: &[u8]) -> Result<(), EventError> {
+        if let Some(data) = line.strip_prefix(b"data:") {
+            return self.inspect_data(data.trim_ascii());
+        }
+        if let Some(comment) = line.strip_prefix(b":") {
+            self.inspect_comment(&String::from_utf8_lossy(comment));
+            return Ok(());
+        }
+        match line.is_empty() {
+            true => Ok(()),
+            false => Err(EventError::Malformed),
+        }
+    }
+
+    fn inspect_comment(&mut self, comment: &str) {
+        if let Some((name, value)) = comment.split_once(':') {
+            if name.trim().eq_ignore_ascii_case("x-server-load") {
+                self.load_report = Some(value.trim().to_owned());
+            }
+        }
+    }
+
+    fn inspect_data(&mut self, data: &[u8]) -> Result<(), EventError> {
+        if data == b"[DONE]" {
+            self.is_done = true;
+        } else if !data.starts_with(b"{") || !data.ends_with(b"}") {
+            return Err(EventError::Malformed);
+        } else if data.windows(13).any(|window| window == b"cached_tokens") {
+            let event: serde_json::Value = serde_json::from_slice(data).unwrap_or_default();
+            let usage = &event["usage"]["prompt_tokens_details"];
+            self.cached_tokens = cached_tokens(usage);
+        }
+        Ok(())
+    }
+}
+
+/// The number of cached tokens in an engine's JSON object; 0 if it says none.
+pub(super) fn cached_tokens(object: &serde_json::Value) -> u32 {
+    let tokens = object["cached_tokens"].as_u64().unwrap_or(0);
+    tokens.min(u64::from(u32::MAX)) as u32
+}
--- a/crates/ivyward-platform/src/engine/report/tests.rs
+++ b/crates/ivyward-platform/src/engine/load_report/tests.rs
@@ -1,11 +1,11 @@
-//! How load reports are read.
+//! Parsing of load reports.
 
 use super::*;
 
 #[test]
-fn reports_are_read_whole_or_not_at_all() {
+fn a_report_is_parsed_completely_or_not_at_all() {
     let fields: Vec<String> = ["utilization", "backlog", "x0"].map(str::to_owned).to_vec();
-    let values = |text: &str| report(text, &fields).values[..report(text, &fields).len].to_vec();
+    let values = |text: &str| parse(text, &fields).values[..parse(text, &fields).len].to_vec();
     assert_eq!(
         values("TEXT utilization=0.5, backlog=3, x0=0.25"),
         [0.5, 3.0, 0.25]
@@ -13,7 +13,7 @@
     assert_eq!(
         values("TEXT x0=1, queue=7,util=0.61, more=9"),
         [0.61, 7.0, 1.0],
-        "as the wire calls them"
+        "the names used on the wire"
     );
     for bad in [
         "",
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -1,146 +1,244 @@
-//! The node's connections to engines: how many there may be, and which are closed to make room.
+//! The pool of connections to engines: idle connections of each endpoint, and which are closed to make room.
 
-use super::endpoint::HttpEngineClient;
-use crate::buffered_connection::BufferedConnection;
-use crate::call::lock;
-use crate::release::Releases;
+use super::connection::{ConnectionLimit, ConnectionPermit, EngineConnection};
+use super::pending_releases::PendingReleases;
+use crate::sync::lock;
 use ivyward::core::connection_reuse::ReuseHistory;
-use ivyward::core::interface::Micros;
-use ivyward::core::release::ReleaseSettings;
+use ivyward::core::interface::{EndpointId, Micros};
+use ivyward::core::release::{ReleaseSettings, ReleaseTarget};
 use ivyward::runtime::RuntimeRef;
-use std::ops::{Deref, DerefMut};
-use std::sync::atomic::{AtomicUsize, Ordering};
+use ivyward::Engine;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 
-/// Part of the engines' idle time after which a connection is left: a request that crosses their close ends as a reset.
+/// Part of the engines' keep-alive time after which a connection is closed: a request that crosses the engine's own close
+/// ends as a reset.
 const IDLE_FRACTION: f64 = 0.6;
-/// Where no idle time is told.
-const IDLE_TIMEOUT: Micros = 5_000_000;
+/// Used where the settings state no keep-alive time.
+const DEFAULT_IDLE_TIMEOUT: Micros = 5_000_000;
 
-/// What all links of a node share.
+/// What the connections of a node to its engines are bound to.
+pub(crate) struct EnginePoolSettings {
+    /// A connection attempt fails after this.
+    pub(crate) connect_timeout: Micros,
+    /// Engines close a connection that was idle for so long; 0 where that is not known.
+    pub(crate) keep_alive: Micros,
+    /// Most open connections, besides the reserve of releases and health checks.
+    pub(crate) max_connections: usize,
+    /// Fields of a load report, in the router's order.
+    pub(crate) report_fields: Vec<String>,
+    /// How releases are sent.
+    pub(crate) release: ReleaseSettings,
+}
+
+/// What all engine clients of a node share.
 pub(crate) struct EnginePool {
     pub(super) runtime: RuntimeRef,
-    pub(super) keep: Micros,
-    pub(super) dial_timeout: Micros,
-    /// Connections there are, and may be.
-    pub(super) connections: AtomicUsize,
-    pub(super) most: usize,
-    /// Beside those, what only releases and probes may take.
-    pub(super) spare: usize,
-    pub(super) hold_wait: Micros,
-    pub(super) fields: Vec<String>,
-    pub(super) kept_connections: Mutex<ReuseHistory>,
-    pub(super) links: Mutex<Vec<Weak<HttpEngineClient>>>,
-    pub(crate) releases: Arc<Releases>,
+    pub(super) connect_timeout: Micros,
+    pub(super) reserve_timeout: Micros,
+    pub(super) report_fields: Vec<String>,
+    /// Connections that only releases and health checks may open beyond the limit.
+    pub(super) reserved_connections: usize,
+    pub(crate) releases: Arc<PendingReleases>,
+    idle_timeout: Micros,
+    limit: Arc<ConnectionLimit>,
+    reuse_history: Mutex<ReuseHistory>,
+    endpoints: Mutex<Vec<Weak<PooledEndpoint>>>,
 }
 
 impl EnginePool {
-    pub(crate) fn new(
-        runtime: &RuntimeRef,
-        dial_timeout: Micros,
-        keepalive: Micros,
-        most: usize,
-        fields: &[String],
-        let_go: ReleaseSettings,
-    ) -> Arc<EnginePool> {
-        let spare = let_go.max_concurrent_attempts;
-        let keep = if keepalive > 0 {
-            (keepalive as f64 * IDLE_FRACTION) as Micros
-        } else {
-            IDLE_TIMEOUT
+    pub(crate) fn new(runtime: &RuntimeRef, settings: EnginePoolSettings) -> Arc<EnginePool> {
+        let idle_timeout = match settings.keep_alive {
+            0 => DEFAULT_IDLE_TIMEOUT,
+            keep_alive => (keep_alive as f64 * IDLE_FRACTION) as Micros,
         };
         Arc::new(EnginePool {
             runtime: runtime.clone(),
-            keep,
-            dial_timeout,
-            connections: AtomicUsize::new(0),
-            most,
-            spare,
-            hold_wait: let_go.reserve_timeout(),
-            fields: fields.to_vec(),
-            kept_connections: Mutex::default(),
-            links: Mutex::default(),
-            releases: Arc::new(Releases::new(let_go)),
+            connect_timeout: settings.connect_timeout,
+            reserve_timeout: settings.release.reserve_timeout(),
+            report_fields: settings.report_fields,
+            reserved_connections: settings.release.max_concurrent_attempts,
+            releases: Arc::new(PendingReleases::new(settings.release)),
+            idle_timeout,
+            limit: ConnectionLimit::new(settings.max_connections),
+            reuse_history: Mutex::default(),
+            endpoints: Mutex::default(),
         })
     }
-    pub(crate) fn connections(&self) -> usize {
-        self.connections.load(Ordering::Relaxed)
+
+    /// Connections that are open now.
+    pub(crate) fn open_connections(&self) -> usize {
+        self.limit.open()
     }
-    pub(crate) fn living(&self) -> Vec<Arc<HttpEngineClient>> {
-        lock(&self.links).iter().filter_map(Weak::upgrade).collect()
+
+    /// Adds an endpoint, which belongs to the pool for as long as somebody else holds it.
+    pub(super) fn add(&self, engine: &Engine) -> Arc<PooledEndpoint> {
+        let endpoint = Arc::new(PooledEndpoint::new(engine));
+        lock(&self.endpoints).push(Arc::downgrade(&endpoint));
+        endpoint
     }
-    /// Closes what was idle too long, and forgets links that are gone.
+
+    /// All endpoints that are still held, in the order of their adding.
+    pub(super) fn endpoints(&self) -> Vec<Arc<PooledEndpoint>> {
+        let endpoints = lock(&self.endpoints);
+        endpoints.iter().filter_map(Weak::upgrade).collect()
+    }
+
+    /// Closes connections that were idle for too long or that their engine closed, and forgets dropped endpoints.
     pub(crate) fn sweep(&self) {
-        lock(&self.links).retain(|l| l.strong_count() > 0);
-        let oldest = self.runtime.now().saturating_sub(self.keep);
-        for link in self.living() {
+        lock(&self.endpoints).retain(|endpoint| endpoint.strong_count() > 0);
+        let oldest = self.runtime.now().saturating_sub(self.idle_timeout);
+        for endpoint in self.endpoints() {
             // One that its engine closed holds a descriptor for nothing.
-            lock(&link.idle)
-                .retain_mut(|(connection, since)| *since > oldest && connection.is_quiet());
+            lock(&endpoint.idle)
+                .retain_mut(|idle| idle.since > oldest && idle.connection.is_quiet());
         }
     }
-    /// Takes a descriptor for a connection: at the bound the one idle longest anywhere goes. Releases have some to spare,
-    /// so that what is held is let go of also while every other connection is in use.
-    pub(super) fn permit(self: &Arc<Self>, spare: usize) -> Option<ConnectionPermit> {
-        let most = self.most + spare;
-        if self.connections.load(Ordering::Relaxed) >= most {
-            let oldest = |l: &Arc<HttpEngineClient>| lock(&l.idle).front().map(|(_, since)| *since);
-            let links = self.living();
-            let link = links
-                .iter()
-                .filter(|l| oldest(l).is_some())
-                .min_by_key(|l| oldest(l));
-            drop(link.and_then(|l| lock(&l.idle).pop_front()));
+
+    /// Takes a permit for a new connection. At the limit, the connection idle longest at any endpoint is closed. Releases
+    /// have a `reserve`, so that reservations are released even while all other connections are in use.
+    pub(super) fn permit(&self, reserve: usize) -> Option<ConnectionPermit> {
+        if self.limit.is_reached(reserve) {
+            self.close_longest_idle();
         }
-        if self.connections.load(Ordering::Relaxed) >= most {
-            return None;
+        match self.limit.is_reached(reserve) {
+            true => None,
+            false => Some(self.limit.acquire()),
         }
-        self.connections.fetch_add(1, Ordering::Relaxed);
-        Some(ConnectionPermit(self.clone()))
     }
-}
 
-/// A connection's place among all; given back when it is closed.
-pub(super) struct ConnectionPermit(Arc<EnginePool>);
+    fn close_longest_idle(&self) {
+        let endpoints = self.endpoints();
+        let longest_idle = endpoints
+            .iter()
+            .filter(|endpoint| endpoint.idle_since().is_some())
+            .min_by_key(|endpoint| endpoint.idle_since());
+        drop(longest_idle.and_then(|endpoint| lock(&endpoint.idle).pop_front()));
+    }
+
+    /// The most recently used idle connection that may be reused for a request, which may or may not be sent again. A
+    /// connection that its engine closed, or that brought more than its response, is dropped.
+    pub(super) fn take_idle(
+        &self,
+        endpoint: &PooledEndpoint,
+        is_repeatable: bool,
+    ) -> Option<EngineConnection> {
+        let now = self.runtime.now();
+        let mut idle = lock(&endpoint.idle);
+        let reuse_history = lock(&self.reuse_history);
+        for index in (0..idle.len()).rev() {
+            let idle_time = now.saturating_sub(idle[index].since);
+            if idle_time >= self.idle_timeout
+                || !reuse_history.allows_reuse(now, idle_time, is_repeatable)
+            {
+                continue;
+            }
+            if let Some(IdleConnection { mut connection, .. }) = idle.remove(index) {
+                if connection.is_quiet() {
+                    connection.idle_time = Some(idle_time);
+                    return Some(connection);
+                }
+            }
+        }
+        None
+    }
 
-impl Drop for ConnectionPermit {
-    fn drop(&mut self) {
-        self.0.connections.fetch_sub(1, Ordering::Relaxed);
+    /// Keeps a connection whose response was received completely, if it `can_be_kept`.
+    pub(super) fn keep_idle(
+        &self,
+        endpoint: &PooledEndpoint,
+        mut connection: EngineConnection,
+        can_be_kept: bool,
+    ) {
+        connection.has_pending_request = false;
+        if can_be_kept && !endpoint.is_draining() && connection.is_quiet() {
+            lock(&endpoint.idle).push_back(IdleConnection {
+                connection,
+                since: self.runtime.now(),
+            });
+        }
+    }
+
+    /// Records whether a connection with this idle time was closed under a request.
+    pub(super) fn record_use(&self, idle_time: Option<Micros>, was_closed: bool) {
+        lock(&self.reuse_history).record_use(self.runtime.now(), idle_time, was_closed);
     }
 }
 
-/// A connection to an engine.
-pub(super) struct EngineConnection {
-    pub(super) connection: BufferedConnection,
-    /// How long it had been idle before its present request; `None` for a new one.
-    pub(super) idle: Option<Micros>,
-    /// What a way there and back takes, by its connecting.
-    pub(super) round_trip: Micros,
-    /// A request has begun to leave on it, and its answer has not come whole.
-    pub(super) under_way: bool,
-    pub(super) _permit: ConnectionPermit,
+/// A connection without a request.
+struct IdleConnection {
+    connection: EngineConnection,
+    since: Micros,
 }
 
-impl Drop for EngineConnection {
-    /// Guards against what was given up and lands long after: bytes on their way when a cut begins are sent again by the
-    /// system when it ends, after the last release of their request. A reset takes them back.
-    fn drop(&mut self) {
-        if self.under_way {
-            self.connection.reset_on_close();
+/// An engine at one address: its idle connections, and when it last responded.
+pub(super) struct PooledEndpoint {
+    pub(super) id: EndpointId,
+    pub(super) address: SocketAddr,
+    /// The connection idle longest first.
+    idle: Mutex<VecDeque<IdleConnection>>,
+    draining: AtomicBool,
+    /// When any call to it last brought a response; 0 for never.
+    last_response: AtomicU64,
+    /// When a call to it last ended without a response or a connection; 0 for never.
+    last_failure: AtomicU64,
+}
+
+impl PooledEndpoint {
+    fn new(engine: &Engine) -> PooledEndpoint {
+        PooledEndpoint {
+            id: engine.endpoint.id,
+            address: engine.address,
+            idle: Mutex::default(),
+            draining: AtomicBool::new(false),
+            last_response: AtomicU64::new(0),
+            last_failure: AtomicU64::new(0),
         }
     }
-}
 
-impl Deref for EngineConnection {
-    type Target = BufferedConnection;
-    fn deref(&self) -> &BufferedConnection {
-        &self.connection
+    /// Whether the engine drains or was removed: nothing new is sent to it.
+    pub(super) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Relaxed)
+    }
+
+    pub(super) fn set_draining(&self, draining: bool) {
+        self.draining.store(draining, Ordering::Relaxed);
+    }
+
+    pub(super) fn close_idle(&self) {
+        lock(&self.idle).clear();
+    }
+
+    fn idle_since(&self) -> Option<Micros> {
+        lock(&self.idle).front().map(|idle| idle.since)
+    }
+
+    pub(super) fn last_response(&self) -> Micros {
+        self.last_response.load(Ordering::Relaxed)
+    }
+
+    /// Records a response; whether it ends a silence that began with a failure.
+    pub(super) fn record_response(&self, now: Micros) -> bool {
+        let was_silent = self.last_failure.load(Ordering::Relaxed) > self.last_response();
+        self.last_response.store(now, Ordering::Relaxed);
+        was_silent
+    }
+
+    pub(super) fn record_failure(&self, now: Micros) {
+        self.last_failure.store(now, Ordering::Relaxed);
     }
-}
 
-impl DerefMut for EngineConnection {
-    fn deref_mut(&mut self) -> &mut BufferedConnection {
-        &mut self.connection
+    /// What is known of it as a target of releases.
+    pub(super) fn release_target(&self) -> ReleaseTarget {
+        ReleaseTarget {
+            id: self.id,
+            last_response: self.last_response(),
+            last_failure: self.last_failure.load(Ordering::Relaxed),
+            has_idle_connection: !lock(&self.idle).is_empty(),
+            is_draining: self.is_draining(),
+        }
     }
 }
 
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -1,27 +1,33 @@
-//! Bounds on connections.
+//! Limits on connections.
 
 use super::*;
 use ivyward_sim::{Net, Sim};
 
 #[test]
-fn releases_have_connections_to_spare() {
+fn releases_have_reserved_connections() {
     let runtime = Sim::new(1, Net::default()).host(1).runtime();
-    const SPARE: usize = 12;
-    let let_go = ReleaseSettings {
-        within: 300_000,
-        max_concurrent_attempts: SPARE,
-        max_pending: 10,
+    const RESERVE: usize = 12;
+    let settings = EnginePoolSettings {
+        connect_timeout: 1,
+        keep_alive: 1,
+        max_connections: 2,
+        report_fields: Vec::new(),
+        release: ReleaseSettings {
+            within: 300_000,
+            max_concurrent_attempts: RESERVE,
+            max_pending: 10,
+        },
     };
-    let engines = EnginePool::new(&runtime, 1, 1, 2, &[], let_go);
-    let taken: Vec<ConnectionPermit> = (0..2)
-        .map(|_| engines.permit(0).expect("within the bound"))
+    let pool = EnginePool::new(&runtime, settings);
+    let usual: Vec<ConnectionPermit> = (0..2)
+        .map(|_| pool.permit(0).expect("within the limit"))
         .collect();
-    assert!(engines.permit(0).is_none());
-    let spared: Vec<ConnectionPermit> = (0..SPARE)
-        .map(|_| engines.permit(SPARE).expect("to spare"))
+    assert!(pool.permit(0).is_none());
+    let reserved: Vec<ConnectionPermit> = (0..RESERVE)
+        .map(|_| pool.permit(RESERVE).expect("from the reserve"))
         .collect();
-    assert!(engines.permit(SPARE).is_none());
-    drop(spared);
-    drop(taken);
-    assert_eq!(engines.connections(), 0);
+    assert!(pool.permit(RESERVE).is_none());
+    drop(reserved);
+    drop(usual);
+    assert_eq!(pool.open_connections(), 0);
 }
--- /dev/null
+++ b/crates/ivyward-platform/src/engine/stream.rs
@@ -0,0 +1,166 @@
+//! Passes the events of an engine's streamed response on to the client.
+
+use super::connection::EngineConnection;
+use super::endpoint::HttpEngineClient;
+use super::event_parser::EventParser;
+use crate::call::HttpCall;
+use crate::config::LIMITS;
+use ivyward::core::interface::{LoadReport, Outcome};
+use ivyward::engines::{AttemptRequest, AttemptResult, CancelReason, StallDetector, WaitResult};
+use ivyward::runtime::BoxFuture;
+use ivyward_http1::{Body, Framing, Step};
+
+/// How a stream ended, and whether the engine may still work on it.
+pub(super) enum StreamResult {
+    /// The attempt is over at both sides.
+    Ended(AttemptResult),
+    /// The engine has to learn that the attempt was given up.
+    Abandoned {
+        /// What the router is told.
+        outcome: Outcome,
+        /// For people.
+        detail: String,
+    },
+}
+
+impl StreamResult {
+    fn ended(outcome: Outcome, detail: impl Into<String>) -> StreamResult {
+        StreamResult::Ended(AttemptResult::new(outcome, detail))
+    }
+
+    fn abandoned(outcome: Outcome, detail: impl Into<String>) -> StreamResult {
+        StreamResult::Abandoned {
+            outcome,
+            detail: detail.into(),
+        }
+    }
+}
+
+/// A stream on its way from an engine to the client.
+pub(super) struct StreamRelay<'a> {
+    client: &'a HttpEngineClient,
+    request: &'a AttemptRequest,
+    call: &'a HttpCall,
+    body: Body,
+    events: EventParser,
+    /// Set with the first event: from then on the attempt's own deadline no longer counts.
+    stall: Option<StallDetector>,
+}
+
+impl<'a> StreamRelay<'a> {
+    pub(super) fn new(
+        client: &'a HttpEngineClient,
+        request: &'a AttemptRequest,
+        call: &'a HttpCall,
+        framing: Framing,
+    ) -> StreamRelay<'a> {
+        StreamRelay {
+            client,
+            request,
+            call,
+            body: Body::new(framing, &LIMITS),
+            events: EventParser::default(),
+            stall: None,
+        }
+    }
+
+    /// Passes events on as they become complete, until the stream ends; `report` is that of the response's head.
+    pub(super) async fn run(
+        &mut self,
+        connection: &mut EngineConnection,
+        timer: &mut BoxFuture<()>,
+        report: LoadReport,
+    ) -> StreamResult {
+        loop {
+            let step = match connection.read_body_step(&mut self.body, &mut self.events.pending) {
+                Ok(step) => step,
+                Err(error) => return StreamResult::abandoned(Outcome::Error, error.to_string()),
+            };
+            let progress = match step {
+                Step::Data(_) => self.forward_events().await,
+                Step::Done => Err(self.finish(report)),
+                Step::More => self.receive(connection, timer).await,
+            };
+            if let Err(result) = progress {
+                return result;
+            }
+        }
+    }
+
+    /// Passes complete events on, and waits until the client has room for more.
+    async fn forward_events(&mut self) -> Result<(), StreamResult> {
+        let events = self
+            .events
+            .take_complete_events()
+            .map_err(|error| StreamResult::abandoned(Outcome::Error, error.to_string()))?;
+        if events.is_empty() {
+            return Ok(());
+        }
+        let given_up = || StreamResult::ended(Outcome::Cancelled, "given up");
+        let buffer = &self.call.response_buffer;
+        buffer.push(&events).map_err(|_| given_up())?;
+        if self.stall.is_none() {
+            self.request.notify_first_token();
+            self.call.drop_prompt();
+        }
+        let capacity = self.request.wait_for_capacity(buffer).await;
+        capacity.map_err(|_| given_up())?;
+        let runtime = &self.client.pool.runtime;
+        let timeout = self.request.context.settings().stream_stall;
+        self.stall
+            .get_or_insert_with(|| StallDetector::new(runtime, timeout))
+            .last_progress = runtime.now();
+        Ok(())
+    }
+
+    /// The result of a stream whose body is complete.
+    fn finish(&self, report: LoadReport) -> StreamResult {
+        if self.stall.is_none() || !self.events.is_done || !self.events.pending.is_empty() {
+            return StreamResult::abandoned(Outcome::Error, "a stream that is not whole");
+        }
+        let report = match self.events.load_report.as_deref() {
+            Some(text) => self.client.load_report(Some(text)),
+            None => report,
+        };
+        StreamResult::Ended(AttemptResult {
+            cached_tokens: self.events.cached_tokens,
+            report,
+            ..AttemptResult::new(Outcome::Served, "served")
+        })
+    }
+
+    /// Waits for more bytes.
+    async fn receive(
+        &mut self,
+        connection: &mut EngineConnection,
+        timer: &mut BoxFuture<()>,
+    ) -> Result<(), StreamResult> {
+        let timer = self.stall.as_mut().map_or(timer, |stall| &mut stall.timer);
+        let received = self.request.wait(timer, connection.fill()).await;
+        match (received, self.stall.as_mut()) {
+            (WaitResult::Completed(Ok(0)), _) => Err(StreamResult::ended(
+                Outcome::Reset,
+                "the stream ended early",
+            )),
+            (WaitResult::Completed(Ok(_)), _) => Ok(()),
+            (WaitResult::Completed(Err(error)), _) => {
+                Err(StreamResult::ended(Outcome::Reset, error.to_string()))
+            }
+            // A stream that has begun is not cancelled by the router.
+            (WaitResult::Cancelled(CancelReason::ByRouter), Some(_)) => Ok(()),
+            (WaitResult::Cancelled(_), _) => {
+                Err(StreamResult::abandoned(Outcome::Cancelled, "called off"))
+            }
+            (WaitResult::TimedOut, Some(stall)) => {
+                match stall.is_stalled(&self.client.pool.runtime) {
+                    true => Err(StreamResult::ended(Outcome::Reset, "no event for too long")),
+                    false => Ok(()),
+                }
+            }
+            (WaitResult::TimedOut, None) => Err(StreamResult::abandoned(
+                Outcome::TimedOut,
+                "no event in time",
+            )),
+        }
+    }
+}
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -1,18 +1,22 @@
-//! The HTTP/1.1 server: client connections in, final answers out.
+//! The HTTP/1.1 server for clients.
 //!
-//! - `table`: which connections there are; `connection`: requests on one of them; `arrival`: what a request's headers say.
-//! - `response`: an answer on its way to its client; `open`: requests in hand.
+//! - `connection_table`: which client connections there are; `connection`: the requests on one of them.
+//! - `request_reader`: reads a request; `request_headers`: what its headers say.
+//! - `request`: handles one request; `in_flight`: requests that are being handled.
+//! - `response`: writes responses.
 
 mod connection;
 mod connection_table;
 mod in_flight;
+mod request;
 mod request_headers;
+mod request_reader;
 mod response;
 
 use crate::buffered_connection::BufferedConnection;
-use crate::call::Budget;
 use crate::config::Bounds;
-use connection_table::ConnectionTable;
+use crate::prompt_budget::PromptBudget;
+use connection_table::{ConnectionTable, TableEntry};
 use futures_lite::future::{or, poll_once};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{Conn, ErrorOrigin, Listener, RuntimeExt, RuntimeRef};
@@ -23,12 +27,12 @@
 use std::sync::{Arc, Mutex};
 use tracing::debug;
 
-/// Between accepts that this machine could not carry out.
+/// Pause after an accept that failed on this machine.
 const ACCEPT_PAUSE: Micros = 5_000;
 /// Accepts that may fail in a row without a pause.
-const FAILED_AT_ONCE: usize = 16;
-/// Failed accepts at a stop, before what the system still holds is given up.
-const MOST_FAILED_ACCEPTS: usize = 200;
+const MAX_FAILURES_WITHOUT_PAUSE: usize = 16;
+/// Failed accepts at a stop, before the connections that the system still queues are given up.
+const MAX_FAILURES_AT_STOP: usize = 200;
 
 /// The server of one node.
 pub(crate) struct Server {
@@ -36,10 +40,10 @@
     runtime: RuntimeRef,
     told: Told,
     bounds: Bounds,
-    budget: Arc<Budget>,
+    prompt_budget: Arc<PromptBudget>,
     table: ConnectionTable,
-    /// Ids of open requests; no more than there are connections.
-    open: Mutex<BTreeSet<String>>,
+    /// Ids of the requests in flight; no more than there are connections.
+    request_ids: Mutex<BTreeSet<String>>,
     pub(crate) ready: AtomicBool,
     pub(crate) stopping: AtomicBool,
 }
@@ -50,33 +54,40 @@
             node,
             runtime,
             told,
-            budget: Budget::new(bounds.prompts),
+            prompt_budget: PromptBudget::new(bounds.prompts),
             bounds,
             table: ConnectionTable::new(bounds.clients),
-            open: Mutex::default(),
+            request_ids: Mutex::default(),
             ready: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
         })
     }
+
+    /// Client connections in the table.
     pub(crate) fn connections(&self) -> usize {
         self.table.len()
     }
-    /// Connections that have not closed yet, those that were told to among them.
-    pub(crate) fn unclosed(&self) -> usize {
+
+    /// Client connections that have not closed yet, those that were told to close among them.
+    pub(crate) fn unclosed_connections(&self) -> usize {
         self.table.unclosed()
     }
+
+    /// Bytes of prompts that are held.
     pub(crate) fn prompt_bytes(&self) -> usize {
-        self.budget.held()
+        self.prompt_budget.used()
     }
-    /// Closes connections that have no request.
+
+    /// Closes connections without a request.
     pub(crate) fn close_idle(&self) {
         self.table.close_idle();
     }
-    fn stops(&self) -> bool {
+
+    fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Takes connections until the sender of `stop` is dropped, and then those that the system has taken by itself.
+    /// Accepts connections until the sender of `stop` is dropped, and then those that the system still queues.
     pub(crate) async fn serve(
         self: Arc<Self>,
         mut listener: Box<dyn Listener>,
@@ -86,52 +97,63 @@
             // Ends when the sender is dropped.
             let _ = stop.recv().await;
         };
-        or(self.accept(&mut *listener), stopped).await;
-        // Guards against clients that connected just then, or while evicted ones closed: with the listener they would be
-        // reset, a request behind them or not.
-        let mut failed = 0;
+        or(self.accept_all(&mut *listener), stopped).await;
+        self.accept_queued(&mut *listener).await;
+    }
+
+    async fn accept_all(self: &Arc<Self>, listener: &mut dyn Listener) {
+        let mut failures_in_a_row = 0;
+        loop {
+            match listener.accept().await {
+                Ok((conn, _)) => {
+                    failures_in_a_row = 0;
+                    self.clone().admit(conn);
+                    self.table.all_closed().await;
+                }
+                Err(error) => {
+                    failures_in_a_row += 1;
+                    self.accept_failed(&error, failures_in_a_row).await;
+                }
+            }
+        }
+    }
+
+    /// Accepts the connections that the system queues. Guards against clients that connected just then, or while evicted
+    /// connections closed: with the listener they would be reset, whether a request was sent on them or not.
+    async fn accept_queued(self: &Arc<Self>, listener: &mut dyn Listener) {
+        let mut failures = 0;
         while let Some(accepted) = poll_once(listener.accept()).await {
             match accepted {
                 Ok((conn, _)) => self.clone().admit(conn),
                 // Guards against one connection that was aborted, or a moment without descriptors: the others behind it
                 // would be reset.
-                Err(error) if failed < MOST_FAILED_ACCEPTS => {
-                    failed += 1;
-                    self.accept_failed(&error, failed).await;
+                Err(error) if failures < MAX_FAILURES_AT_STOP => {
+                    failures += 1;
+                    self.accept_failed(&error, failures).await;
                 }
                 Err(_) => return,
             }
         }
     }
 
-    /// A failed accept. One connection's own end (ECONNABORTED and the like) says nothing of the next one in the queue;
-    /// where this machine lacks something, connections that close make room.
-    async fn accept_failed(&self, error: &std::io::Error, in_a_row: usize) {
-        debug!(%error, "a connection is not taken");
-        if ErrorOrigin::of(error) == ErrorOrigin::Local || in_a_row > FAILED_AT_ONCE {
+    /// Logs a failed accept, and waits if need be. An aborted connection (ECONNABORTED and the like) says nothing of the next
+    /// one in the queue; where this machine lacks something, connections that close make room.
+    async fn accept_failed(&self, error: &std::io::Error, failures_in_a_row: usize) {
+        debug!(%error, "accept failed");
+        if ErrorOrigin::of(error) == ErrorOrigin::Local
+            || failures_in_a_row > MAX_FAILURES_WITHOUT_PAUSE
+        {
             self.runtime.sleep(ACCEPT_PAUSE).await;
         }
     }
 
-    async fn accept(self: &Arc<Self>, listener: &mut dyn Listener) {
-        let mut failed_in_a_row = 0;
-        loop {
-            match listener.accept().await {
-                Ok((conn, _)) => {
-                    failed_in_a_row = 0;
-                    self.clone().admit(conn);
-                    self.table.all_closed().await;
-                }
-                Err(error) => {
-                    failed_in_a_row += 1;
-                    self.accept_failed(&error, failed_in_a_row).await;
-                }
-            }
-        }
-    }
-
+    /// Serves a new connection in a task of its own, if the table has room for it.
     fn admit(self: Arc<Self>, conn: Conn) {
-        let Some((id, told_to_close)) = self.table.admit(self.runtime.now()) else {
+        let Some(TableEntry {
+            id,
+            close_requested,
+        }) = self.table.admit(self.runtime.now())
+        else {
             return;
         };
         let runtime = self.runtime.clone();
@@ -140,20 +162,19 @@
                 table: &self.table,
                 id,
             };
-            let reason = self
-                .client(BufferedConnection::new(conn), id, told_to_close)
-                .await;
+            let connection = BufferedConnection::new(conn);
+            let reason = self.serve_connection(connection, id, close_requested).await;
             self.node.metrics().closed(reason);
             debug!(
                 connection = id,
                 reason = reason.name(),
-                "a client's connection is closed"
+                "client connection closed"
             );
         });
     }
 }
 
-/// A connection, for as long as its task runs.
+/// Removes a connection from the table when its task ends.
 struct ConnectionGuard<'a> {
     table: &'a ConnectionTable,
     id: u64,
--- a/crates/ivyward-platform/src/server/connection_table.rs
+++ b/crates/ivyward-platform/src/server/connection_table.rs
@@ -1,16 +1,16 @@
-//! Client connections: how many there may be, in which state each is, and which one closes to make room.
+//! The table of client connections: their limit, the state of each, and which one closes to make room.
 
-use crate::call::lock;
+use crate::sync::lock;
 use event_listener::Event;
 use ivyward::core::interface::Micros;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// What a client connection is at.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum State {
-    /// It has never brought a request.
+    /// It has not received a request yet.
     New { since: Micros },
     /// It waits for its next request.
     Idle { since: Micros },
@@ -18,27 +18,45 @@
     Busy,
 }
 
+impl State {
+    /// Waits for a request: one that never received any stays new.
+    fn wait(self, now: Micros) -> State {
+        match self {
+            State::New { .. } => State::New { since: now },
+            State::Idle { .. } | State::Busy => State::Idle { since: now },
+        }
+    }
+}
+
+/// What a new connection's task needs of the table.
+pub(super) struct TableEntry {
+    pub(super) id: u64,
+    /// Closed when the connection is to close.
+    pub(super) close_requested: async_channel::Receiver<()>,
+}
+
 struct ClientConnection {
     state: State,
     /// Dropped to close the connection.
     _close: async_channel::Sender<()>,
 }
 
-/// Client connections, at most `most`. One that is told to close leaves the table at once, and is counted until it has
-/// closed: it still holds its descriptor.
+/// Client connections, at most `max`. One that is told to close leaves the table at once, and is counted as closing until it
+/// has closed: it still holds its file descriptor.
 pub(super) struct ConnectionTable {
     connections: Mutex<BTreeMap<u64, ClientConnection>>,
-    most: usize,
+    max: usize,
     next_id: AtomicU64,
+    /// Connections that were told to close and have not yet.
     closing: AtomicUsize,
     closed: Event,
 }
 
 impl ConnectionTable {
-    pub(super) fn new(most: usize) -> ConnectionTable {
+    pub(super) fn new(max: usize) -> ConnectionTable {
         ConnectionTable {
             connections: Mutex::default(),
-            most,
+            max,
             next_id: AtomicU64::new(1),
             closing: AtomicUsize::new(0),
             closed: Event::new(),
@@ -49,20 +67,19 @@
         lock(&self.connections).len()
     }
 
-    /// Connections that have not closed yet, those that were told to among them: each may still bring a request that
-    /// crosses the word.
+    /// Connections that have not closed yet, closing ones among them: each may still receive a request that was sent before
+    /// its client saw the close.
     pub(super) fn unclosed(&self) -> usize {
         let connections = lock(&self.connections);
         connections.len() + self.closing.load(Ordering::SeqCst)
     }
 
-    /// Takes a new connection, if need be in another one's place: its id, and what ends when it is to close. `None` where
-    /// all have a request.
-    pub(super) fn admit(&self, now: Micros) -> Option<(u64, async_channel::Receiver<()>)> {
-        let (close, told_to_close) = async_channel::bounded(1);
+    /// Adds a new connection, if need be in place of another one. `None` if all have a request.
+    pub(super) fn admit(&self, now: Micros) -> Option<TableEntry> {
+        let (close, close_requested) = async_channel::bounded(1);
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let mut connections = lock(&self.connections);
-        if connections.len() >= self.most && !self.evict(&mut connections) {
+        if connections.len() >= self.max && !self.evict(&mut connections) {
             return None;
         }
         connections.insert(
@@ -72,14 +89,20 @@
                 _close: close,
             },
         );
-        Some((id, told_to_close))
+        Some(TableEntry {
+            id,
+            close_requested,
+        })
     }
 
-    /// At the bound a connection without a request goes: the new ones first, then the one idle longest. `false` where all
-    /// have one.
+    /// Closes a connection without a request: new ones first, then the one idle longest. `false` if all have one.
     fn evict(&self, connections: &mut BTreeMap<u64, ClientConnection>) -> bool {
-        let without = connections.iter().filter(|(_, c)| c.state != State::Busy);
-        let Some(id) = without.min_by_key(|(_, c)| c.state).map(|(id, _)| *id) else {
+        let candidate = connections
+            .iter()
+            .filter(|(_, connection)| connection.state != State::Busy)
+            .min_by_key(|(_, connection)| connection.state)
+            .map(|(id, _)| *id);
+        let Some(id) = candidate else {
             return false;
         };
         connections.remove(&id);
@@ -90,10 +113,7 @@
     /// The connection waits for a request from now on.
     pub(super) fn set_idle(&self, id: u64, now: Micros) {
         if let Some(connection) = lock(&self.connections).get_mut(&id) {
-            connection.state = match connection.state {
-                State::New { .. } => State::New { since: now },
-                State::Idle { .. } | State::Busy => State::Idle { since: now },
-            };
+            connection.state = connection.state.wait(now);
         }
     }
 
@@ -104,10 +124,10 @@
             connection.state = State::Busy;
             return;
         }
-        // Guards against a request that comes in the moment in which its connection was told to close: it is served, and
-        // nobody waits for that connection's end; another one goes in its place.
+        // Guards against a request that is received in the moment in which its connection was told to close: it is served,
+        // and the connection no longer counts as closing; another one is closed in its place.
         let (close, _) = async_channel::bounded(1);
-        if connections.len() >= self.most {
+        if connections.len() >= self.max {
             self.evict(&mut connections);
         }
         connections.insert(
@@ -136,8 +156,8 @@
             .fetch_add(before - connections.len(), Ordering::SeqCst);
     }
 
-    /// Waits until what was told to close has closed. Guards against a crowd that connects faster than others go: each
-    /// would hold a descriptor beyond the bound, and discovery and engines found none.
+    /// Waits until all closing connections have closed. Guards against clients that connect faster than others close: each
+    /// would hold a descriptor beyond the limit, and none would be left for discovery and engines.
     pub(super) async fn all_closed(&self) {
         loop {
             let closed = self.closed.listen();
@@ -148,7 +168,7 @@
         }
     }
 
-    /// One less of those that were told to close.
+    /// One closing connection less.
     fn note_closed(&self) {
         self.closing.fetch_sub(1, Ordering::SeqCst);
         self.closed.notify(usize::MAX);
--- /dev/null
+++ b/crates/ivyward-platform/src/server/request.rs
@@ -0,0 +1,98 @@
+//! Handles one request of a client.
+
+use super::connection::RequestError;
+use super::in_flight::{InFlightRequest, RequestId};
+use super::response::{Delivery, ShortResponse, PIPELINED_BYTES};
+use super::Server;
+use crate::buffered_connection::BufferedConnection;
+use crate::call::HttpCall;
+use crate::prompt_budget::Prompt;
+use ivyward::core::interface::{Idempotency, Request as RouterRequest};
+use ivyward_http1::Request;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+const HEALTH_PATH: &str = "/healthz";
+const CHAT_PATH: &str = "/v1/chat/completions";
+
+impl Server {
+    /// Responds to one request. The caller writes the error, if there is one.
+    pub(super) async fn handle_request(
+        &self,
+        connection: &mut BufferedConnection,
+        request: Request,
+        prompt: Prompt,
+    ) -> Result<Delivery, RequestError> {
+        let path = request.target.split('?').next().unwrap_or("");
+        if path == HEALTH_PATH {
+            return Ok(self.respond_with_health(connection).await);
+        }
+        if path != CHAT_PATH {
+            let text = "POST /v1/chat/completions and GET /healthz are served";
+            return Err(RequestError::new(404, text));
+        }
+        if request.method != "POST" {
+            return Err(RequestError::new(405, "POST is taken"));
+        }
+        let (id, router_request) = self.parse_headers(&request, prompt.bytes.len())?;
+        if serde_json::from_slice::<serde::de::IgnoredAny>(&prompt.bytes).is_err() {
+            return Err(RequestError::new(400, "the body is no JSON"));
+        }
+        let _id = RequestId::register(self, &id)
+            .ok_or_else(|| RequestError::new(409, "a request with this id is open"))?;
+        // Guards against work for a client that disconnected while its request waited to be read.
+        if connection.peer_has_closed(PIPELINED_BYTES) {
+            return Ok(Delivery::Broken);
+        }
+        let call = Arc::new(HttpCall::new(
+            &id,
+            &request,
+            self.is_idempotent(&router_request),
+            prompt,
+            connection.peer(),
+            self.bounds.outlet,
+        ));
+        Ok(self.route(connection, router_request, &call).await)
+    }
+
+    async fn respond_with_health(&self, connection: &mut BufferedConnection) -> Delivery {
+        let is_serving = self.ready.load(Ordering::SeqCst) && !self.is_stopping();
+        let response = ShortResponse {
+            status: if is_serving { 200 } else { 503 },
+            headers: &[],
+            body: "{}",
+            closes: self.is_stopping(),
+        };
+        self.respond(connection, &response).await
+    }
+
+    fn is_idempotent(&self, request: &RouterRequest) -> bool {
+        let class = &self.told.module.classes[request.class];
+        class.idempotency == Idempotency::Idempotent
+    }
+
+    /// Passes a request to the node, and its response to the client.
+    async fn route(
+        &self,
+        connection: &mut BufferedConnection,
+        request: RouterRequest,
+        call: &Arc<HttpCall>,
+    ) -> Delivery {
+        let deadline = self.runtime.now().saturating_add(request.client_timeout);
+        let deadline = deadline.saturating_sub(self.node.settings().answer_margin);
+        match self.node.accept(request, deadline, call.clone()) {
+            Ok(number) => {
+                let request = InFlightRequest {
+                    node: &self.node,
+                    number,
+                    call,
+                };
+                self.relay_response(connection, &request).await
+            }
+            Err(reason) => {
+                let retry_after = Some(self.node.settings().rules.max_retry_after);
+                self.reject(connection, retry_after, reason).await
+            }
+        }
+    }
+}
--- a/crates/ivyward-platform/src/server/request_headers.rs
+++ b/crates/ivyward-platform/src/server/request_headers.rs
@@ -1,99 +1,145 @@
-//! What a request's headers say.
+//! What the headers of a request say to the router.
 
 use super::connection::RequestError;
 use super::Server;
 use crate::call::IDEMPOTENCY_KEY;
-use ivyward::core::interface::Request;
-use ivyward_http1::Request as HttpRequest;
+use ivyward::core::interface::{Micros, Request as RouterRequest};
+use ivyward_http1::Request;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Longest request id.
-const MOST_ID: usize = 128;
+const MAX_ID_LENGTH: usize = 128;
+/// Most output tokens that a client may state.
+const MAX_OUTPUT_TOKENS: f64 = 1e7;
+/// Bytes of a prompt for each token, where the client does not state their number.
+const BYTES_PER_TOKEN: f64 = 4.0;
+
+fn bad_request(text: String) -> RequestError {
+    RequestError::new(400, text)
+}
+
+/// The value of a header that must be there.
+fn required<'a>(request: &'a Request, name: &str) -> Result<&'a str, RequestError> {
+    let value = request.head.text(name);
+    value.ok_or_else(|| bad_request(format!("{name} is missing")))
+}
+
+/// The index of a name that a header states.
+fn index_of(what: &str, names: &[String], name: &str) -> Result<usize, RequestError> {
+    ivyward_settings::place(names, name)
+        .ok_or_else(|| bad_request(format!("{what} {name:?} is not known")))
+}
+
+/// A hash of a name; 0 stands for none.
+fn hash_of(name: Option<&str>) -> u64 {
+    name.filter(|name| !name.is_empty())
+        .map_or(0, |name| xxh3_64(name.as_bytes()).max(1))
+}
+
+/// The attributes in `x-attrs`, written as `name=value,name=value`.
+struct Attributes<'a>(&'a str);
+
+impl<'a> Attributes<'a> {
+    fn get(&self, name: &str) -> Option<&'a str> {
+        self.0
+            .split(',')
+            .find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
+    }
+
+    /// A number from 0 to `max`; `None` if it is not stated.
+    fn number(&self, name: &str, max: f64) -> Result<Option<f64>, RequestError> {
+        let Some(text) = self.get(name) else {
+            return Ok(None);
+        };
+        match text.parse::<f64>() {
+            Ok(number) if (0.0..=max).contains(&number) => Ok(Some(number)),
+            _ => Err(bad_request(format!(
+                "x-attrs: {name}={text} must be from 0 to {max}"
+            ))),
+        }
+    }
+}
 
 impl Server {
-    /// What a request's headers say, checked.
-    pub(super) fn arrival(
+    /// Parses and checks the headers of a request with a body of `length` bytes: its id, and what the router is told.
+    pub(super) fn parse_headers(
         &self,
-        request: &HttpRequest,
+        request: &Request,
         length: usize,
-    ) -> Result<(String, Request), RequestError> {
-        let bad = |text: String| RequestError::new(400, text);
-        let head = &request.head;
-        let need = |name: &str| {
-            head.text(name)
-                .ok_or_else(|| bad(format!("{name} is missing")))
-        };
-        let id = need("x-request-id")?;
-        if id.is_empty()
-            || id.len() > MOST_ID
-            || !id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
-        {
-            return Err(bad(format!(
-                "x-request-id must be 1 to {MOST_ID} visible letters"
-            )));
-        }
-        let place = |what: &str, names: &[String], name: &str| {
-            ivyward_settings::place(names, name)
-                .ok_or_else(|| bad(format!("{what} {name:?} is not known")))
-        };
-        // Its engines would take a repeat for something new.
-        if head.get(IDEMPOTENCY_KEY).is_some()
-            && head.text(IDEMPOTENCY_KEY).is_none_or(str::is_empty)
-        {
-            return Err(bad(format!("{IDEMPOTENCY_KEY} must be visible letters")));
-        }
-        let class = place("class", &self.told.classes, need("x-priority-class")?)?;
-        let tenant = match self.told.tenants.is_empty() {
-            true => 0,
-            false => place("tenant", &self.told.tenants, need("x-tenant-id")?)?,
-        };
-        let timeout = need("x-timeout-ms")?;
-        let client_timeout = timeout
-            .parse::<u64>()
-            .ok()
-            .filter(|ms| *ms > 0 && !timeout.starts_with('+'));
-        let client_timeout = client_timeout
-            .ok_or_else(|| bad(format!("x-timeout-ms {timeout:?} must be over 0")))?;
-        // Nobody waits longer than the class's clients do.
-        let longest = self.told.module.classes[class].deadline;
-        let client_timeout = client_timeout.saturating_mul(1_000).min(longest);
-        // A token is four characters, so a body holds no more tokens than bytes.
-        let most = length as f64;
-        let attrs = head.text("x-attrs").unwrap_or("");
-        let attr = |name: &str| {
-            attrs
-                .split(',')
-                .find_map(|a| a.trim().strip_prefix(name)?.strip_prefix('='))
-        };
-        let number = |name: &str, most: f64| match attr(name) {
-            None => Ok(None),
-            Some(text) => match text.parse::<f64>() {
-                Ok(n) if (0.0..=most).contains(&n) => Ok(Some(n)),
-                _ => Err(bad(format!(
-                    "x-attrs: {name}={text} must be from 0 to {most}"
-                ))),
-            },
-        };
-        let prompt_tokens = number("prompt_len", most)?.unwrap_or(most / 4.0);
-        let key = |text: Option<&str>| {
-            text.filter(|t| !t.is_empty())
-                .map_or(0, |t| xxh3_64(t.as_bytes()).max(1))
-        };
-        let arrival = Request {
+    ) -> Result<(String, RouterRequest), RequestError> {
+        let id = parse_id(request)?;
+        check_idempotency_key(request)?;
+        let class_name = required(request, "x-priority-class")?;
+        let class = index_of("class", &self.told.classes, class_name)?;
+        let tenant = self.parse_tenant(request)?;
+        let client_timeout = self.parse_timeout(request, class)?;
+        // A body holds no more tokens than bytes.
+        let max_tokens = length as f64;
+        let attributes = Attributes(request.head.text("x-attrs").unwrap_or(""));
+        let prompt_tokens = attributes
+            .number("prompt_len", max_tokens)?
+            .unwrap_or(max_tokens / BYTES_PER_TOKEN);
+        let prefix_tokens = attributes.number("prefix_len", max_tokens)?;
+        let max_output = attributes.number("max_out", MAX_OUTPUT_TOKENS)?;
+        let retried = request.head.text("x-retried");
+        let router_request = RouterRequest {
             class,
             tenant,
-            session: key(head.text("x-route-key")),
-            prefix: key(attr("prefix")),
+            session: hash_of(request.head.text("x-route-key")),
+            prefix: hash_of(attributes.get("prefix")),
             client_timeout,
             prompt_tokens,
-            prefix_tokens: number("prefix_len", most)?
-                .unwrap_or(0.0)
-                .min(prompt_tokens),
-            max_output: number("max_out", 1e7)?.unwrap_or(0.0),
-            is_retry: head.text("x-retried") == Some("1"),
-            is_resumed: head.text("x-retried") == Some("again"),
-            ..Request::default()
+            prefix_tokens: prefix_tokens.unwrap_or(0.0).min(prompt_tokens),
+            max_output: max_output.unwrap_or(0.0),
+            is_retry: retried == Some("1"),
+            is_resumed: retried == Some("again"),
+            ..RouterRequest::default()
         };
-        Ok((id.to_owned(), arrival))
+        Ok((id, router_request))
+    }
+
+    fn parse_tenant(&self, request: &Request) -> Result<usize, RequestError> {
+        if self.told.tenants.is_empty() {
+            return Ok(0);
+        }
+        let name = required(request, "x-tenant-id")?;
+        index_of("tenant", &self.told.tenants, name)
+    }
+
+    /// The time after which the client gives up: never longer than that of its class.
+    fn parse_timeout(&self, request: &Request, class: usize) -> Result<Micros, RequestError> {
+        let text = required(request, "x-timeout-ms")?;
+        let timeout_ms = text
+            .parse::<u64>()
+            .ok()
+            .filter(|ms| *ms > 0 && !text.starts_with('+'))
+            .ok_or_else(|| bad_request(format!("x-timeout-ms {text:?} must be over 0")))?;
+        let longest = self.told.module.classes[class].deadline;
+        Ok(timeout_ms.saturating_mul(1_000).min(longest))
+    }
+}
+
+fn parse_id(request: &Request) -> Result<String, RequestError> {
+    let id = required(request, "x-request-id")?;
+    let is_valid = !id.is_empty()
+        && id.len() <= MAX_ID_LENGTH
+        && id
+            .bytes()
+            .all(|byte| byte.is_ascii_graphic() && byte != b'/');
+    match is_valid {
+        true => Ok(id.to_owned()),
+        false => Err(bad_request(format!(
+            "x-request-id must be 1 to {MAX_ID_LENGTH} visible letters"
+        ))),
+    }
+}
+
+/// Guards against an idempotency key that cannot be passed on: engines would take a retry for a new request.
+fn check_idempotency_key(request: &Request) -> Result<(), RequestError> {
+    let is_present = request.head.get(IDEMPOTENCY_KEY).is_some();
+    if is_present && request.head.text(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+        let text = format!("{IDEMPOTENCY_KEY} must be visible letters");
+        return Err(bad_request(text));
     }
+    Ok(())
 }
--- /dev/null
+++ b/crates/ivyward-platform/src/server/request_reader.rs
@@ -0,0 +1,121 @@
+//! Reads a request with its body from a client connection.
+
+use super::connection::RequestError;
+use super::Server;
+use crate::buffered_connection::BufferedConnection;
+use crate::config::{LIMITS, MOST_BODY};
+use crate::prompt_budget::{BudgetShare, Prompt};
+use ivyward::core::interface::Micros;
+use ivyward::runtime::before;
+use ivyward_http1::{Body, Fault, Request, Step};
+
+/// Why no request was received.
+pub(super) enum ReadError {
+    /// Something else was, which is answered with an error.
+    Invalid(RequestError),
+    /// The client closed the connection.
+    Closed,
+}
+
+impl From<RequestError> for ReadError {
+    fn from(error: RequestError) -> ReadError {
+        ReadError::Invalid(error)
+    }
+}
+
+impl Server {
+    /// Waits for a complete request.
+    pub(super) async fn receive(
+        &self,
+        connection: &mut BufferedConnection,
+        until: Micros,
+    ) -> Result<(Request, Prompt), ReadError> {
+        let request = before(&self.runtime, until, self.read_request(connection)).await;
+        request.unwrap_or_else(|| {
+            let text = "the request did not come whole in time";
+            Err(RequestError::closing(408, text).into())
+        })
+    }
+
+    async fn read_request(
+        &self,
+        connection: &mut BufferedConnection,
+    ) -> Result<(Request, Prompt), ReadError> {
+        let request = read_head(connection).await?;
+        let expects_continue = request
+            .head
+            .text("expect")
+            .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
+        if expects_continue {
+            connection
+                .write(b"HTTP/1.1 100 Continue\r\n\r\n", &[])
+                .await
+                .map_err(|_| ReadError::Closed)?;
+        }
+        let prompt = self.read_body(connection, &request).await?;
+        Ok((request, prompt))
+    }
+
+    async fn read_body(
+        &self,
+        connection: &mut BufferedConnection,
+        request: &Request,
+    ) -> Result<Prompt, ReadError> {
+        let mut body = Body::new(request.framing, &LIMITS);
+        let mut share = BudgetShare::new(&self.prompt_budget);
+        // A stated length alone costs nothing: only what was received is counted and held.
+        let mut bytes = Vec::new();
+        loop {
+            let length_before = bytes.len();
+            let step = connection
+                .read_body_step(&mut body, &mut bytes)
+                .map_err(|error| RequestError::closing(400, error.to_string()))?;
+            let added = bytes.len() - length_before;
+            if added > 0 && !share.grow(added) {
+                let text = "the node holds as many prompts as it can";
+                return Err(RequestError::closing(503, text).into());
+            }
+            match step {
+                Step::Done => {
+                    return Ok(Prompt {
+                        bytes,
+                        _share: share,
+                    })
+                }
+                _ if bytes.len() > MOST_BODY => {
+                    return Err(RequestError::closing(413, "the body is too long").into());
+                }
+                Step::More => fill(connection).await?,
+                Step::Data(_) => {}
+            }
+        }
+    }
+}
+
+async fn read_head(connection: &mut BufferedConnection) -> Result<Request, ReadError> {
+    loop {
+        match Request::read(connection.unread(), &LIMITS) {
+            Ok(Some((request, used))) => {
+                connection.consume(used);
+                return Ok(request);
+            }
+            Ok(None) => fill(connection).await?,
+            Err(fault) => {
+                let status = match fault {
+                    Fault::TooLarge => 413,
+                    Fault::TooLong => 431,
+                    _ => 400,
+                };
+                return Err(RequestError::closing(status, fault.to_string()).into());
+            }
+        }
+    }
+}
+
+/// Waits for more bytes of a request.
+async fn fill(connection: &mut BufferedConnection) -> Result<(), ReadError> {
+    match connection.fill().await {
+        Ok(received) if received > 0 => Ok(()),
+        _ => Err(ReadError::Closed),
+    }
+}
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -1,177 +1,203 @@
-//! Answers on their way to their clients.
+//! Writes responses to clients.
 
-use super::in_flight::TakenRequest;
+use super::in_flight::InFlightRequest;
 use super::Server;
 use crate::buffered_connection::BufferedConnection;
-use crate::call::PlatformCall;
+use crate::call::HttpCall;
 use futures_lite::future::{or, poll_fn};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::RuntimeExt;
 use ivyward::{FailureReason, FinalStatus, RejectReason};
 use ivyward_http1::{body, head};
 
-/// A client that takes no byte of its answer for this span has gone away: a matter of its machine, not of its deadline.
-const WRITE_STALL: Micros = 5_000_000;
-/// Bytes that may wait behind an open request. More are read all the same, for the client's end may follow them, and
-/// dropped: then the connection ends with the answer.
+/// A client that takes no byte of its response for this span counts as disconnected: a matter of its machine, not of its
+/// deadline.
+const WRITE_STALL_TIMEOUT: Micros = 5_000_000;
+/// Bytes that are kept behind a request in flight. More are read all the same, for the client's close may follow them, and
+/// dropped: then the connection ends with the response.
 pub(super) const PIPELINED_BYTES: usize = 16 << 10;
-/// After so many dropped bytes there is a pause before each piece, so that no client takes up the node.
+/// After so many dropped bytes there is a pause before each read, so that no client takes up the node.
 const UNPACED_BYTES: usize = 4 << 20;
 const FLOOD_PAUSE: Micros = 500;
 
+/// How much of a response was delivered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Delivery {
+    /// All of it: the connection may go on.
+    Complete,
+    /// Not all: the connection cannot go on.
+    Broken,
+}
+
+/// A response with a short JSON body.
+pub(super) struct ShortResponse<'a> {
+    pub(super) status: u16,
+    /// Headers besides those of the body.
+    pub(super) headers: &'a [(&'a str, &'a str)],
+    pub(super) body: &'a str,
+    /// Whether the connection closes after it.
+    pub(super) closes: bool,
+}
+
 impl Server {
-    /// Writes a short answer; whether it left.
+    /// Writes a short response.
     pub(super) async fn respond(
         &self,
         connection: &mut BufferedConnection,
-        status: u16,
-        more: &[(&str, &str)],
-        text: &str,
-        closes: bool,
-    ) -> bool {
-        let length = text.len().to_string();
+        response: &ShortResponse<'_>,
+    ) -> Delivery {
+        let length = response.body.len().to_string();
         let mut headers = vec![
             ("Content-Type", "application/json"),
             ("Content-Length", length.as_str()),
         ];
-        headers.extend_from_slice(more);
-        if closes {
+        headers.extend_from_slice(response.headers);
+        if response.closes {
             headers.push(("Connection", "close"));
         }
-        let mut out = Vec::new();
-        head::write(
-            &mut out,
-            &format!("HTTP/1.1 {status} {}", reason(status)),
-            &headers,
-        );
-        out.extend_from_slice(text.as_bytes());
-        connection
-            .write_with_stall_timeout(&self.runtime, WRITE_STALL, &out)
-            .await
-            .is_ok()
+        let status = response.status;
+        let status_line = format!("HTTP/1.1 {status} {}", reason_phrase(status));
+        let mut output = Vec::new();
+        head::write(&mut output, &status_line, &headers);
+        output.extend_from_slice(response.body.as_bytes());
+        self.write(connection, &output).await
     }
 
-    pub(super) async fn refuse(
+    /// Rejects a request.
+    pub(super) async fn reject(
         &self,
         connection: &mut BufferedConnection,
         retry_after: Option<Micros>,
-        why: RejectReason,
-    ) -> bool {
-        let status = if why == RejectReason::Overloaded {
-            429
-        } else {
-            503
-        };
+        reason: RejectReason,
+    ) -> Delivery {
         let seconds = retry_after
-            .filter(|r| *r > 0)
-            .map(|r| format!("{:.3}", r as f64 / 1e6));
+            .filter(|span| *span > 0)
+            .map(|span| format!("{:.3}", span as f64 / 1e6));
         let headers: Vec<(&str, &str)> = seconds
             .iter()
-            .map(|s| ("Retry-After", s.as_str()))
+            .map(|seconds| ("Retry-After", seconds.as_str()))
             .collect();
-        self.respond(
-            connection,
-            status,
-            &headers,
-            &error_body("refused"),
-            self.stops(),
-        )
-        .await
+        let response = ShortResponse {
+            status: match reason {
+                RejectReason::Overloaded => 429,
+                _ => 503,
+            },
+            headers: &headers,
+            body: &error_body("refused"),
+            closes: self.is_stopping(),
+        };
+        self.respond(connection, &response).await
+    }
+
+    /// Passes the response to a request on to its client.
+    pub(super) async fn relay_response(
+        &self,
+        connection: &mut BufferedConnection,
+        request: &InFlightRequest<'_>,
+    ) -> Delivery {
+        let mut has_begun = false;
+        loop {
+            let Some(part) = self.next_part(connection, request.call).await else {
+                return Delivery::Broken;
+            };
+            let mut output = Vec::new();
+            match part {
+                Ok(events) => {
+                    if !std::mem::replace(&mut has_begun, true) {
+                        self.write_stream_head(&mut output);
+                    }
+                    body::chunk(&mut output, &events);
+                }
+                Err(FinalStatus::Served) if has_begun => {
+                    return self.write(connection, body::LAST).await;
+                }
+                // Without the last chunk the client knows that the stream broke.
+                Err(_) if has_begun => return Delivery::Broken,
+                Err(status) => return self.respond_with_status(connection, status).await,
+            }
+            if self.write(connection, &output).await == Delivery::Broken {
+                return Delivery::Broken;
+            }
+        }
     }
 
-    /// Waits for the next part of the answer, or for the client's leaving.
+    /// Waits for the next part of the response; `None` if the client disconnects.
     async fn next_part(
         &self,
         connection: &mut BufferedConnection,
-        call: &PlatformCall,
+        call: &HttpCall,
     ) -> Option<Result<Vec<u8>, FinalStatus>> {
-        let next = async {
-            Some(
-                poll_fn(|cx| call.outlet.poll_items(cx))
-                    .await
-                    .map(|(_, data)| data),
-            )
+        let part = async {
+            let items = poll_fn(|cx| call.response_buffer.poll_items(cx)).await;
+            Some(items.map(|(_, events)| events))
         };
-        or(next, async {
+        let disconnected = async {
             loop {
-                // Guards against a client whose leaving hides behind a flood: what it sent is read away to its end.
+                // Guards against a client whose close hides behind a flood: what it sends is read up to its end.
                 if connection.discarded_bytes() >= UNPACED_BYTES {
                     self.runtime.sleep(FLOOD_PAUSE).await;
                 }
                 match connection.fill().await {
-                    Ok(n) if n > 0 => connection.truncate_unread(PIPELINED_BYTES),
+                    Ok(received) if received > 0 => connection.truncate_unread(PIPELINED_BYTES),
                     _ => return None,
                 }
             }
-        })
-        .await
+        };
+        or(part, disconnected).await
     }
 
-    /// Passes the answer on. Whether the connection may go on.
-    pub(super) async fn answer(
+    fn write_stream_head(&self, output: &mut Vec<u8>) {
+        let mut headers = vec![
+            ("Content-Type", "text/event-stream"),
+            ("Transfer-Encoding", "chunked"),
+        ];
+        if self.is_stopping() {
+            headers.push(("Connection", "close"));
+        }
+        head::write(output, "HTTP/1.1 200 OK", &headers);
+    }
+
+    /// Responds to a request that ended before its stream began.
+    async fn respond_with_status(
         &self,
         connection: &mut BufferedConnection,
-        taken: &TakenRequest<'_>,
-    ) -> bool {
-        let mut begun = false;
-        loop {
-            let Some(part) = self.next_part(connection, taken.call).await else {
-                return false;
-            };
-            let mut out = Vec::new();
-            match part {
-                Ok(data) => {
-                    if !begun {
-                        begun = true;
-                        let mut headers = vec![
-                            ("Content-Type", "text/event-stream"),
-                            ("Transfer-Encoding", "chunked"),
-                        ];
-                        if self.stops() {
-                            headers.push(("Connection", "close"));
-                        }
-                        head::write(&mut out, "HTTP/1.1 200 OK", &headers);
-                    }
-                    body::chunk(&mut out, &data);
-                }
-                Err(FinalStatus::Served) if begun => out.extend_from_slice(body::LAST),
-                // Without the last chunk the client knows that the stream broke.
-                Err(_) if begun => return false,
-                Err(FinalStatus::Rejected {
-                    retry_after,
-                    reason: why,
-                }) => return self.refuse(connection, retry_after, why).await,
-                Err(end) => {
-                    let (status, text) = match end {
-                        FinalStatus::Failed(FailureReason::Deadline) => (504, "the time was over"),
-                        _ => (502, "no engine answered"),
-                    };
-                    return self
-                        .respond(connection, status, &[], &error_body(text), self.stops())
-                        .await;
-                }
-            }
-            let last = out.ends_with(body::LAST) && taken.call.outlet.is_delivered();
-            if connection
-                .write_with_stall_timeout(&self.runtime, WRITE_STALL, &out)
-                .await
-                .is_err()
-            {
-                return false;
-            }
-            if last {
-                return true;
-            }
+        status: FinalStatus,
+    ) -> Delivery {
+        let (status, text) = match status {
+            FinalStatus::Rejected {
+                retry_after,
+                reason,
+            } => return self.reject(connection, retry_after, reason).await,
+            FinalStatus::Failed(FailureReason::Deadline) => (504, "the time was over"),
+            _ => (502, "no engine answered"),
+        };
+        let response = ShortResponse {
+            status,
+            headers: &[],
+            body: &error_body(text),
+            closes: self.is_stopping(),
+        };
+        self.respond(connection, &response).await
+    }
+
+    async fn write(&self, connection: &mut BufferedConnection, bytes: &[u8]) -> Delivery {
+        let written = connection
+            .write_with_stall_timeout(&self.runtime, WRITE_STALL_TIMEOUT, bytes)
+            .await;
+        match written {
+            Ok(()) => Delivery::Complete,
+            Err(_) => Delivery::Broken,
         }
     }
 }
 
-/// An error's body. What a client sent may stand in the text, so it is written as JSON writes it.
+/// The JSON body of an error. The text may hold what a client sent, so it is escaped.
 pub(super) fn error_body(text: &str) -> String {
     serde_json::json!({"error": {"message": text}}).to_string()
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of RFC 9110 for a status.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/ivyward-platform/src/server/response/tests.rs
+++ b/crates/ivyward-platform/src/server/response/tests.rs
@@ -1,6 +1,6 @@
-//! What stands in an answer's first line.
+//! Status lines of responses.
 
-use super::reason;
+use super::reason_phrase;
 
 /// The phrases of RFC 9110 for every status that the server sends.
 #[test]
@@ -20,6 +20,6 @@
         (504, "Gateway Timeout"),
     ];
     for (status, phrase) in phrases {
-        assert_eq!(reason(status), phrase, "{status}");
+        assert_eq!(reason_phrase(status), phrase, "{status}");
     }
 }
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -1,27 +1,29 @@
-//! A node in service: what the daemon starts, reloads and stops.
+//! A running node: what the daemon starts, reloads and stops.
 
-use crate::config::{list_limits, Config};
-use crate::discovery::{Discovery, ListReader};
-use crate::engine::{EnginePool, HttpProtocol};
-use crate::release::Releases;
+use crate::config::{list_limits, Bounds, Config};
+use crate::discovery::{Discovery, ListReader, Watch};
+use crate::engine::{EnginePool, EnginePoolSettings, HttpProtocol, PendingReleases};
 use crate::server::Server;
 use ivyward::core::interface::{ListKind, Micros};
 use ivyward::core::release::ReleaseSettings;
 use ivyward::runtime::{RuntimeExt, RuntimeRef};
-use ivyward::{Node, StartError};
+use ivyward::{Node, NodeSettings, StartError};
+use ivyward_settings::Told;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use tracing::info;
 
-/// New connections are taken for so long after the word to stop: the front learns of it late.
-const ACCEPTS: Micros = 650_000;
-/// How often idle connections to engines are looked through.
-const SWEEP: Micros = 500_000;
-/// How often the counters are logged.
-const REPORT: Micros = 10_000_000;
+/// New connections are accepted for this span after the stop signal: the load balancer in front learns of it late.
+const ACCEPT_AFTER_STOP: Micros = 650_000;
+/// Between two sweeps of the idle connections to engines.
+const SWEEP_INTERVAL: Micros = 500_000;
+/// Between two log lines of the counters.
+const REPORT_INTERVAL: Micros = 10_000_000;
+/// Between two looks at something that should happen soon.
+const POLL_INTERVAL: Micros = 5_000;
 
-/// Why a node is not in service.
+/// Why a node does not run.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
     /// It cannot listen.
@@ -32,158 +34,203 @@
     Start(#[from] StartError),
 }
 
-/// A node in service.
+/// A running node.
 pub struct Service {
     node: Node,
     runtime: RuntimeRef,
     server: Arc<Server>,
     discovery: Arc<Discovery>,
-    releases: Arc<Releases>,
-    /// Dropped to stop listening.
-    listening: Option<async_channel::Sender<()>>,
-    /// Ends when the listener is gone, and what the system had taken by then is in the table of connections.
-    accepting: async_channel::Receiver<()>,
+    releases: Arc<PendingReleases>,
+    acceptor: Acceptor,
+}
+
+/// The task that accepts connections.
+struct Acceptor {
     address: SocketAddr,
+    /// Dropped to stop listening.
+    stop: Option<async_channel::Sender<()>>,
+    /// Closed when the listener is gone, and all connections that it had accepted are in the connection table.
+    stopped: async_channel::Receiver<()>,
 }
 
 impl Service {
-    /// Starts a node: it listens when this returns, and is ready when it holds a list.
+    /// Starts a node: it listens when this returns, and is ready when it has a list of engines.
     ///
     /// # Errors
     /// When it cannot listen or the node does not start.
     pub async fn start(runtime: RuntimeRef, config: Config) -> Result<Service, ServiceError> {
         let Config {
+            name,
+            listen,
+            discovery,
+            known,
             told,
             bounds,
             node: settings,
-            ..
         } = config;
-        let costly = told.module.must_subscribe;
-        let let_go = ReleaseSettings {
-            within: settings.rules.release_within,
-            max_concurrent_attempts: bounds.spare,
-            max_pending: bounds.releases,
-        };
-        let (dial, fields) = (settings.dial_timeout, &told.report_fields);
-        let engines = EnginePool::new(
-            &runtime,
-            dial,
-            told.keepalive,
-            bounds.engines,
-            fields,
-            let_go,
-        );
-        let releases = engines.releases.clone();
-        let protocol = Arc::new(HttpProtocol(engines.clone()));
+        let pool = EnginePool::new(&runtime, pool_settings(&told, &bounds, &settings));
+        let protocol = Arc::new(HttpProtocol { pool: pool.clone() });
         let node = Node::start_with(runtime.clone(), settings, None, protocol)?;
         let mut reader = ListReader::new(told.clone(), &runtime);
-        if let Some(known) = &config.known {
-            node.update_endpoints(ListKind::Cached, reader.read_held(known))
+        if let Some(known) = &known {
+            node.update_endpoints(ListKind::Cached, reader.read_cached(known))
                 .await;
         }
-        let listener = runtime
-            .listen(config.listen)
-            .map_err(|e| ServiceError::Listen(config.listen, e))?;
-        let address = listener.address();
+        let watch = Watch {
+            node: node.clone(),
+            reader,
+            runtime: runtime.clone(),
+            limits: list_limits(&bounds),
+            is_costly: told.module.must_subscribe,
+        };
         let server = Server::new(node.clone(), runtime.clone(), told, bounds);
-        let (listening, stopped) = async_channel::bounded::<()>(1);
-        let accepting = server.clone();
-        let (accepts, accepting_ends) = async_channel::bounded::<()>(1);
-        runtime.run(async move {
-            let _accepts = accepts;
-            accepting.serve(listener, stopped).await;
-        });
-        let discovery = Arc::new(Discovery::new(config.discovery));
-        let (follows, following, clock) = (discovery.clone(), node.clone(), runtime.clone());
-        let limits = list_limits(&bounds);
-        runtime.run(async move {
-            follows
-                .follow(&following, &mut reader, &clock, &limits, costly)
-                .await
-        });
-        let (looks, counted, clock) = (server.clone(), node.clone(), runtime.clone());
-        runtime.run(async move {
-            let mut next = clock.now().saturating_add(REPORT);
+        let acceptor = start_accepting(&runtime, &server, listen)?;
+        let address = acceptor.address;
+        let service = Service {
+            node,
+            runtime,
+            server,
+            discovery: Arc::new(Discovery::new(discovery)),
+            releases: pool.releases.clone(),
+            acceptor,
+        };
+        service.start_watch(watch);
+        service.start_maintenance(pool);
+        info!(name, %address, %discovery, ?bounds, "taking requests");
+        Ok(service)
+    }
+
+    /// Starts the task that follows discovery.
+    fn start_watch(&self, mut watch: Watch) {
+        let discovery = self.discovery.clone();
+        self.runtime
+            .run(async move { discovery.follow(&mut watch).await });
+    }
+
+    /// Starts the task that sweeps idle connections, logs the counters, and says when the node is ready.
+    fn start_maintenance(&self, pool: Arc<EnginePool>) {
+        let (server, node) = (self.server.clone(), self.node.clone());
+        let runtime = self.runtime.clone();
+        self.runtime.run(async move {
+            let mut report_at = runtime.now().saturating_add(REPORT_INTERVAL);
             loop {
-                if counted.metrics().engines.get() > 0 {
-                    looks.ready.store(true, Ordering::SeqCst);
-                    clock.sleep(SWEEP).await;
+                if node.metrics().engines.get() > 0 {
+                    server.ready.store(true, Ordering::SeqCst);
+                    runtime.sleep(SWEEP_INTERVAL).await;
                 } else {
-                    clock.sleep(5_000).await;
+                    runtime.sleep(POLL_INTERVAL).await;
                 }
-                engines.sweep();
-                if clock.now() >= next {
-                    next = clock.now().saturating_add(REPORT);
-                    let m = counted.metrics();
-                    info!(
-                        open = counted.open_requests(),
-                        clients = looks.connections(),
-                        connections = engines.connections(),
-                        prompt_bytes = looks.prompt_bytes(),
-                        engines = m.engines.get(),
-                        known = m.engines_known.get(),
-                        requests = m.requests.get(),
-                        served = m.served.get(),
-                        refused = m.refused.get(),
-                        failed = m.failed.get(),
-                        gone = m.gone.get(),
-                        violations = m.all_violations(),
-                        attempts = m.attempts.get(),
-                        module_us = m.module_us.get(),
-                        driver_us = m.driver_us.get(),
-                        "counters"
-                    );
+                pool.sweep();
+                if runtime.now() >= report_at {
+                    report_at = runtime.now().saturating_add(REPORT_INTERVAL);
+                    log_counters(&node, &server, &pool);
                 }
             }
         });
-        info!(name = config.name, %address, discovery = %config.discovery, ?bounds, "taking requests");
-        Ok(Service {
-            node,
-            runtime,
-            server,
-            discovery,
-            releases,
-            listening: Some(listening),
-            accepting: accepting_ends,
-            address,
-        })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.address
+        self.acceptor.address
     }
+
     /// The node.
     pub fn node(&self) -> &Node {
         &self.node
     }
-    /// A new configuration: discovery may answer elsewhere. Other values need a restart.
+
+    /// Applies a new configuration: the address of discovery may change. Other values need a restart.
     pub fn reload(&self, config: &Config) {
         self.discovery.move_to(config.discovery);
     }
-    /// Takes what still comes for the stated time, lets all that was taken end, and returns when nothing is open. How
-    /// long that may take is for whoever called: a node that ends before its requests loses them.
+
+    /// Accepts connections for a while, finishes all accepted requests, and returns when none is open and nothing is left to
+    /// release. The caller bounds how long that may take: a node that ends before its requests loses them.
     pub async fn stop(&mut self) {
         self.server.stopping.store(true, Ordering::SeqCst);
         info!(open = self.node.open_requests(), "stopping");
-        self.runtime.sleep(ACCEPTS).await;
-        self.listening = None;
-        // Guards against an end before the last connections are looked at. Ends when the sender is dropped.
-        let _ = self.accepting.recv().await;
+        self.runtime.sleep(ACCEPT_AFTER_STOP).await;
+        self.acceptor.stop = None;
+        // Guards against an end before the last accepted connections are in the table. Ends when the sender is dropped.
+        let _ = self.acceptor.stopped.recv().await;
         self.server.close_idle();
-        let mut told = false;
-        // Guards against a node that ends in the midst of a cut and leaves pinned what it held, and against one that ends
-        // before a connection that was told to close, and may bring a request just then, has closed.
-        while self.node.open_requests() > 0
-            || self.server.unclosed() > 0
-            || self.node.pending_releases() > 0
-        {
-            if self.node.open_requests() == 0 && !std::mem::replace(&mut told, true) {
-                self.releases.ends();
+        let mut releases_shut_down = false;
+        while !self.is_drained() {
+            if self.node.open_requests() == 0 && !releases_shut_down {
+                releases_shut_down = true;
+                self.releases.shut_down();
             }
-            self.runtime.sleep(5_000).await;
+            self.runtime.sleep(POLL_INTERVAL).await;
             self.server.close_idle();
         }
         info!("stopped");
     }
+
+    /// Whether nothing is in progress. Guards against a node that ends during a network partition and leaves what it reserved,
+    /// and against one that ends before a connection that is closing, and may bring a request just then, has closed.
+    fn is_drained(&self) -> bool {
+        self.node.open_requests() == 0
+            && self.server.unclosed_connections() == 0
+            && self.node.pending_releases() == 0
+    }
+}
+
+fn pool_settings(told: &Told, bounds: &Bounds, settings: &NodeSettings) -> EnginePoolSettings {
+    EnginePoolSettings {
+        connect_timeout: settings.dial_timeout,
+        keep_alive: told.keepalive,
+        max_connections: bounds.engines,
+        report_fields: told.report_fields.clone(),
+        release: ReleaseSettings {
+            within: settings.rules.release_within,
+            max_concurrent_attempts: bounds.spare,
+            max_pending: bounds.releases,
+        },
+    }
+}
+
+/// Listens, and starts the task that accepts connections.
+fn start_accepting(
+    runtime: &RuntimeRef,
+    server: &Arc<Server>,
+    listen: SocketAddr,
+) -> Result<Acceptor, ServiceError> {
+    let listener = runtime
+        .listen(listen)
+        .map_err(|error| ServiceError::Listen(listen, error))?;
+    let address = listener.address();
+    let (stop, stopping) = async_channel::bounded::<()>(1);
+    let (running, stopped) = async_channel::bounded::<()>(1);
+    let server = server.clone();
+    runtime.run(async move {
+        let _running = running;
+        server.serve(listener, stopping).await;
+    });
+    Ok(Acceptor {
+        address,
+        stop: Some(stop),
+        stopped,
+    })
+}
+
+fn log_counters(node: &Node, server: &Server, pool: &EnginePool) {
+    let metrics = node.metrics();
+    info!(
+        open = node.open_requests(),
+        clients = server.connections(),
+        connections = pool.open_connections(),
+        prompt_bytes = server.prompt_bytes(),
+        engines = metrics.engines.get(),
+        known = metrics.engines_known.get(),
+        requests = metrics.requests.get(),
+        served = metrics.served.get(),
+        refused = metrics.refused.get(),
+        failed = metrics.failed.get(),
+        gone = metrics.gone.get(),
+        violations = metrics.all_violations(),
+        attempts = metrics.attempts.get(),
+        module_us = metrics.module_us.get(),
+        driver_us = metrics.driver_us.get(),
+        "counters"
+    );
 }
--- a/crates/ivywardd/src/main.rs
+++ b/crates/ivywardd/src/main.rs
@@ -168,6 +168,6 @@
         Err(Stop::Bad(line)) => {
             error!("the settings do not hold and nothing was taken over: {line}")
         }
-        Err(Stop::Page(_)) => warn!("nothing to take over"),
+        Err(Stop::Page(_)) => warn!("no configuration changes"),
     }
 }
--- a/crates/ivywardd/tests/platform.rs
+++ b/crates/ivywardd/tests/platform.rs
@@ -71,7 +71,7 @@
         config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:10\",\"seed"),
     )
     .unwrap();
-    until("discovery moved");
+    until("discovery address updated");
     assert_eq!(health(&runtime, address), 200);
     child.signal("-TERM");
     until("stopping");
@@ -106,10 +106,12 @@
     )
     .unwrap();
     process.signal("-HUP");
-    let line =
-        log.find(|line| line.contains("discovery moved") || line.contains("stays as it was"));
+    let line = log.find(|line| {
+        line.contains("discovery address updated") || line.contains("stays as it was")
+    });
     assert!(
-        line.as_deref().is_some_and(|l| l.contains("moved")),
+        line.as_deref()
+            .is_some_and(|l| l.contains("discovery address updated")),
         "{line:?}"
     );
     std::fs::write(&file.0, "{").unwrap();
