--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -151,7 +151,7 @@
         target: &str,
         until: Micros,
     ) -> Result<CallResponse, CallError> {
-        let reserve = self.pool.reserved_connections;
+        let reserve = self.pool.release_connections;
         let mut connection = self.connect(until, ReusePolicy::Any, reserve).await?;
         let exchange = async {
             self.write_empty_request(&mut connection, method, target)
--- a/crates/ivyward-platform/src/engine/event_parser.rs
+++ b/crates/ivyward-platform/src/engine/event_parser.rs
@@ -1,6 +1,6 @@
 //! Parses the server-sent events of a streamed response.
 
-use crate::config::MOST_BODY;
+use crate::config::MAX_BODY_BYTES;
 
 /// Why a stream cannot be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -34,7 +34,7 @@
             .windows(2)
             .rposition(|window| window == b"\n\n")
             .map_or(0, |start| start + 2);
-        if end == 0 && self.pending.len() > MOST_BODY {
+        if end == 0 && self.pending.len() > MAX_BODY_BYTES {
             return Err(EventError::Unterminated);
         }
         let rest = self.pending.split_off(end);
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -40,7 +40,7 @@
     pub(super) reserve_timeout: Micros,
     pub(super) report_fields: Vec<String>,
     /// Connections that only releases and health checks may open beyond the limit.
-    pub(super) reserved_connections: usize,
+    pub(super) release_connections: usize,
     pub(crate) releases: Arc<PendingReleases>,
     idle_timeout: Micros,
     limit: Arc<ConnectionLimit>,
@@ -59,7 +59,7 @@
             connect_timeout: settings.connect_timeout,
             reserve_timeout: settings.release.reserve_timeout(),
             report_fields: settings.report_fields,
-            reserved_connections: settings.release.max_concurrent_attempts,
+            release_connections: settings.release.max_concurrent_attempts,
             releases: Arc::new(PendingReleases::new(settings.release)),
             idle_timeout,
             limit: ConnectionLimit::new(settings.max_connections),
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -4,7 +4,7 @@
 use ivyward_sim::{Net, Sim};
 
 #[test]
-fn releases_have_reserved_connections() {
+fn releases_have_release_connections() {
     let runtime = Sim::new(1, Net::default()).host(1).runtime();
     const RESERVE: usize = 12;
     let settings = EnginePoolSettings {
--- a/crates/ivyward-platform/src/server/request.rs
+++ b/crates/ivyward-platform/src/server/request.rs
@@ -50,7 +50,7 @@
             self.is_idempotent(&router_request),
             prompt,
             connection.peer(),
-            self.bounds.outlet,
+            self.bounds.response_buffer,
         ));
         Ok(self.route(connection, router_request, &call).await)
     }
--- a/crates/ivyward-platform/src/server/request_reader.rs
+++ b/crates/ivyward-platform/src/server/request_reader.rs
@@ -3,7 +3,7 @@
 use super::connection::RequestError;
 use super::Server;
 use crate::buffered_connection::BufferedConnection;
-use crate::config::{LIMITS, MOST_BODY};
+use crate::config::{LIMITS, MAX_BODY_BYTES};
 use crate::prompt_budget::{BudgetShare, Prompt};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::before;
@@ -82,7 +82,7 @@
                         _share: share,
                     })
                 }
-                _ if bytes.len() > MOST_BODY => {
+                _ if bytes.len() > MAX_BODY_BYTES => {
                     return Err(RequestError::closing(413, "the body is too long").into());
                 }
                 Step::More => fill(connection).await?,
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -63,7 +63,7 @@
             name,
             listen,
             discovery,
-            known,
+            cached_list,
             told,
             bounds,
             node: settings,
@@ -72,8 +72,8 @@
         let protocol = Arc::new(HttpProtocol { pool: pool.clone() });
         let node = Node::start_with(runtime.clone(), settings, None, protocol)?;
         let mut reader = ListReader::new(told.clone(), &runtime);
-        if let Some(known) = &known {
-            node.update_endpoints(ListKind::Cached, reader.read_cached(known))
+        if let Some(list) = &cached_list {
+            node.update_endpoints(ListKind::Cached, reader.read_cached(list))
                 .await;
         }
         let watch = Watch {
@@ -179,12 +179,12 @@
     EnginePoolSettings {
         connect_timeout: settings.dial_timeout,
         keep_alive: told.keepalive,
-        max_connections: bounds.engines,
+        max_connections: bounds.engine_connections,
         report_fields: told.report_fields.clone(),
         release: ReleaseSettings {
             within: settings.rules.release_within,
-            max_concurrent_attempts: bounds.spare,
-            max_pending: bounds.releases,
+            max_concurrent_attempts: bounds.release_connections,
+            max_pending: bounds.pending_releases,
         },
     }
 }
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -156,7 +156,7 @@
 #[test]
 fn silent_connections_crowd_nobody_out() {
     let rig = Rig::with(160, |_| Play::Usual);
-    let bound = rig.config().bounds.clients;
+    let bound = rig.config().bounds.client_connections;
     rig.play(move |scene| async move {
         let mut old = scene.connect().await;
         old.write_all(&request("old0", "draft", 4_800))
@@ -316,7 +316,7 @@
 #[test]
 fn prompts_past_the_bytes_that_are_held_are_turned_away() {
     let rig = Rig::new(|_| Play::Usual);
-    let bound = rig.config().bounds.prompts;
+    let bound = rig.config().bounds.prompt_bytes;
     rig.play(move |scene| async move {
         let head = changed(
             &format!("Content-Length: {}", BODY.len()),
@@ -411,7 +411,7 @@
                 Play::Usual
             }
         });
-        let bound = rig.config().bounds.clients;
+        let bound = rig.config().bounds.client_connections;
         rig.sim.net(|net| net.jitter = 0);
         let (sim, node) = (rig.sim.clone(), rig.node.id());
         rig.play(move |scene| async move {
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -58,13 +58,17 @@
 fn bounds_fit_into_the_limits() {
     for sockets in [160, 256, 512, 1024] {
         let bounds = Rig::with(sockets, |_| Play::Usual).config().bounds;
-        assert!(bounds.clients + bounds.engines < sockets, "{bounds:?}");
         assert!(
-            bounds.clients >= sockets / 3,
+            bounds.client_connections + bounds.engine_connections < sockets,
+            "{bounds:?}"
+        );
+        assert!(
+            bounds.client_connections >= sockets / 3,
             "usual clients hold a third: {bounds:?}"
         );
         assert!(
-            bounds.prompts + bounds.outlet * bounds.clients < 64_000_000 / 2,
+            bounds.prompt_bytes + bounds.response_buffer * bounds.client_connections
+                < 64_000_000 / 2,
             "{bounds:?}"
         );
     }
