--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -1,4 +1,4 @@
-//! A client that closes or cancels has gone: no attempt, first or further, begins more than 0.1 s after that.
+//! No attempt, first or further, begins more than 0.1 s after its client has disconnected.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
 const MS: Micros = 1_000;
 const WITHIN: Micros = 100 * MS;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Leaves {
     Closes,
@@ -20,8 +20,8 @@
 
 const WAYS: [Leaves; 3] = [Leaves::Closes, Leaves::Resets, Leaves::HalfCloses];
 
-/// Leaves, and returns what has to stay open for that.
-async fn leave(mut conn: Conn, how: Leaves) -> Option<Conn> {
+/// Disconnects, and returns what has to stay open for that.
+async fn disconnect(mut conn: Conn, how: Leaves) -> Option<Conn> {
     match how {
         Leaves::Closes => None,
         Leaves::Resets => {
@@ -35,24 +35,24 @@
     }
 }
 
-/// Deployments that allow attempts to be called off, and such that do not.
-fn rigs(
-    script: impl Fn(&Seen) -> Play + Send + Sync + Clone + 'static,
-) -> impl Iterator<Item = (bool, Rig)> {
+/// Deployments in which attempts may be cancelled, and in which they may not.
+fn setups(
+    script: impl Fn(&EngineRequest) -> EngineBehavior + Send + Sync + Clone + 'static,
+) -> impl Iterator<Item = (bool, ClusterSetup)> {
     [true, false].into_iter().map(move |may| {
-        let mut rig = Rig::new(script.clone());
-        assert!(rig.config.contains("\"may_cancel\":true"));
-        rig.config = rig
+        let mut setup = ClusterSetup::new(script.clone());
+        assert!(setup.config.contains("\"may_cancel\":true"));
+        setup.config = setup
             .config
             .replace("\"may_cancel\":true", &format!("\"may_cancel\":{may}"));
-        (may, rig)
+        (may, setup)
     })
 }
 
-/// When the last attempt of these requests came to an engine, after `gone`.
-fn latest(scene: &Scene, ids: &[String], gone: Micros) -> Micros {
-    let came = scene
-        .seen()
+/// How long after `gone` the last attempt of these requests reached an engine.
+fn latest(cluster: &Cluster, ids: &[String], gone: Micros) -> Micros {
+    let came = cluster
+        .engine_requests()
         .into_iter()
         .filter(|s| ids.contains(&s.id))
         .map(|s| s.at)
@@ -60,25 +60,25 @@
     came.unwrap_or(0).saturating_sub(gone)
 }
 
-/// Connections to engines come up late, and the client leaves meanwhile.
+/// Connections to engines come up late, and the client disconnects meanwhile.
 #[test]
-fn while_a_connection_is_being_opened() {
+fn disconnect_while_a_connection_is_opened() {
     for how in WAYS {
-        for (may, rig) in rigs(|_| Play::Usual) {
+        for (may, setup) in setups(|_| EngineBehavior::Normal) {
             // A dial takes 220 ms, of 250 that it may take.
-            for engine in &rig.engines {
-                rig.sim.lag(rig.node.id(), engine.id(), 110 * MS);
+            for engine in &setup.engines {
+                setup.sim.lag(setup.node.id(), engine.id(), 110 * MS);
             }
-            rig.play(move |scene| async move {
-                let mut conn = scene.connect().await;
+            setup.run(move |cluster| async move {
+                let mut conn = cluster.connect().await;
                 conn.write_all(&request("one", "draft", 4_800))
                     .await
                     .unwrap();
-                scene.runtime.sleep(50 * MS).await;
-                let gone = scene.runtime.now();
-                let _held = leave(conn, how).await;
-                scene.runtime.sleep(3_000 * MS).await;
-                let late = latest(&scene, &["one".into()], gone);
+                cluster.runtime.sleep(50 * MS).await;
+                let gone = cluster.runtime.now();
+                let _held = disconnect(conn, how).await;
+                cluster.runtime.sleep(3_000 * MS).await;
+                let late = latest(&cluster, &["one".into()], gone);
                 // What had left before is on its way as long.
                 assert!(
                     late <= WITHIN,
@@ -89,37 +89,37 @@
     }
 }
 
-/// The read goes on where it may not be called off, and no write follows it.
+/// The prefill goes on where it may not be cancelled, and no decode follows it.
 #[test]
-fn between_read_and_write() {
+fn disconnect_between_prefill_and_decode() {
     for how in WAYS {
         for class in ["draft", "send"] {
-            for (may, rig) in rigs(|seen| {
-                if reads(seen) {
-                    Play::Late(500 * MS)
+            for (may, setup) in setups(|seen| {
+                if is_prefill(seen) {
+                    EngineBehavior::Delayed(500 * MS)
                 } else {
-                    Play::Usual
+                    EngineBehavior::Normal
                 }
             }) {
-                rig.play(move |scene| async move {
-                    let mut conn = scene.connect().await;
+                setup.run(move |cluster| async move {
+                    let mut conn = cluster.connect().await;
                     conn.write_all(&request("one", class, 4_800)).await.unwrap();
-                    until(&scene.runtime, "a read", || {
-                        scene.sends("one").iter().any(reads)
+                    wait_until(&cluster.runtime, "a read", || {
+                        cluster.attempts("one").iter().any(is_prefill)
                     })
                     .await;
-                    let gone = scene.runtime.now();
-                    let _held = leave(conn, how).await;
-                    scene.runtime.sleep(3_000 * MS).await;
+                    let gone = cluster.runtime.now();
+                    let _held = disconnect(conn, how).await;
+                    cluster.runtime.sleep(3_000 * MS).await;
                     assert_eq!(
-                        latest(&scene, &["one".into()], gone),
+                        latest(&cluster, &["one".into()], gone),
                         0,
                         "{how:?}, {class}, may cancel {may}"
                     );
                     assert_eq!(
                         (
-                            scene.service.node().open_requests(),
-                            scene.service.node().pending_releases()
+                            cluster.service.node().open_requests(),
+                            cluster.service.node().pending_releases()
                         ),
                         (0, 0)
                     );
@@ -129,16 +129,17 @@
     }
 }
 
-/// A long body leaves slowly: its last byte stays here.
+/// A long body is sent slowly: its last byte is never sent.
 #[test]
-fn while_a_body_is_being_sent() {
+fn disconnect_while_a_body_is_sent() {
     for how in WAYS {
-        for (may, rig) in rigs(|_| Play::Usual) {
+        for (may, setup) in setups(|_| EngineBehavior::Normal) {
             // 200 kB at 100 kB a second.
-            rig.sim
+            setup
+                .sim
                 .net(|net| (net.rate, net.buffer) = (100_000, 8 << 10));
-            rig.play(move |scene| async move {
-                scene.sim.net(|net| net.rate = 0);
+            setup.run(move |cluster| async move {
+                cluster.sim.net(|net| net.rate = 0);
                 let filler = "x".repeat(200_000);
                 let body = format!(r#"{{"messages":[{{"role":"user","content":"{filler}"}}]}}"#);
                 let text = String::from_utf8(request("long", "draft", 7_000)).unwrap();
@@ -147,17 +148,17 @@
                     &format!("Content-Length: {}", BODY.len()),
                     &format!("Content-Length: {}", body.len()),
                 );
-                let mut conn = scene.connect().await;
+                let mut conn = cluster.connect().await;
                 conn.write_all(format!("{head}\r\n\r\n{body}").as_bytes())
                     .await
                     .unwrap();
-                scene.sim.net(|net| net.rate = 100_000);
-                scene.runtime.sleep(300 * MS).await;
-                let gone = scene.runtime.now();
-                let _held = leave(conn, how).await;
-                scene.runtime.sleep(6_000 * MS).await;
+                cluster.sim.net(|net| net.rate = 100_000);
+                cluster.runtime.sleep(300 * MS).await;
+                let gone = cluster.runtime.now();
+                let _held = disconnect(conn, how).await;
+                cluster.runtime.sleep(6_000 * MS).await;
                 assert_eq!(
-                    latest(&scene, &["long".into()], gone),
+                    latest(&cluster, &["long".into()], gone),
                     0,
                     "{how:?}, may cancel {may}"
                 );
@@ -166,35 +167,35 @@
     }
 }
 
-/// More bytes than the node keeps wait behind the request, and then the client's end.
+/// More bytes than the node keeps wait behind the request, and then the client's close.
 #[test]
-fn behind_pipelined_bytes() {
+fn disconnect_behind_pipelined_bytes() {
     for how in WAYS {
         for more in [100, 20_000, 300_000, 30_000_000] {
-            for (may, rig) in rigs(|seen| {
-                if reads(seen) {
-                    Play::Late(500 * MS)
+            for (may, setup) in setups(|seen| {
+                if is_prefill(seen) {
+                    EngineBehavior::Delayed(500 * MS)
                 } else {
-                    Play::Usual
+                    EngineBehavior::Normal
                 }
             }) {
-                rig.play(move |scene| async move {
-                    let mut conn = scene.connect().await;
+                setup.run(move |cluster| async move {
+                    let mut conn = cluster.connect().await;
                     conn.write_all(&request("one", "draft", 4_800))
                         .await
                         .unwrap();
                     // A client that is not read any more leaves with a part of it unsent.
-                    let by = scene.client.now() + 200 * MS;
-                    let sent = before(&scene.client, by, conn.write_all(&vec![b'x'; more])).await;
+                    let by = cluster.client.now() + 200 * MS;
+                    let sent = before(&cluster.client, by, conn.write_all(&vec![b'x'; more])).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
-                    until(&scene.runtime, "a read", || {
-                        scene.sends("one").iter().any(reads)
+                    wait_until(&cluster.runtime, "a read", || {
+                        cluster.attempts("one").iter().any(is_prefill)
                     })
                     .await;
-                    let gone = scene.runtime.now();
-                    let _held = leave(conn, how).await;
-                    scene.runtime.sleep(3_000 * MS).await;
-                    let late = latest(&scene, &["one".into()], gone);
+                    let gone = cluster.runtime.now();
+                    let _held = disconnect(conn, how).await;
+                    cluster.runtime.sleep(3_000 * MS).await;
+                    let late = latest(&cluster, &["one".into()], gone);
                     assert!(
                         late <= WITHIN,
                         "{how:?}, {more} behind, may cancel {may}: {late} us"
@@ -205,19 +206,19 @@
     }
 }
 
-/// A client that waits gets its answer though it sent much behind its request; the connection ends after it.
+/// A client that sent much behind its request gets its response; the connection ends after it.
 #[test]
-fn much_behind_a_request_ends_the_connection_after_the_answer() {
+fn many_pipelined_bytes_end_the_connection_after_the_response() {
     for (more, closes) in [(1_000, false), (300_000, true)] {
-        Rig::new(|seen| {
-            if writes(seen) {
-                Play::Late(300 * MS)
+        ClusterSetup::new(|seen| {
+            if is_decode(seen) {
+                EngineBehavior::Delayed(300 * MS)
             } else {
-                Play::Usual
+                EngineBehavior::Normal
             }
         })
-        .play(move |scene| async move {
-            let mut conn = scene.connect().await;
+        .run(move |cluster| async move {
+            let mut conn = cluster.connect().await;
             conn.write_all(&request("one", "draft", 4_800))
                 .await
                 .unwrap();
@@ -229,7 +230,7 @@
                 .take(next.len() * (more / next.len()))
                 .collect();
             conn.write_all(&many).await.unwrap();
-            let first = got(&scene.client, &mut conn).await;
+            let first = read_response(&cluster.client, &mut conn).await;
             assert_eq!((first.status, first.whole), (200, true));
             let mut rest = Vec::new();
             if closes {
@@ -241,7 +242,7 @@
                 );
             } else {
                 assert_eq!(
-                    got(&scene.client, &mut conn).await.status,
+                    read_response(&cluster.client, &mut conn).await.status,
                     200,
                     "the next one is read"
                 );
@@ -250,24 +251,24 @@
     }
 }
 
-/// The node stands still while hundreds of clients send and leave: what it finds when it goes on is over.
+/// The node is frozen while hundreds of clients send and disconnect: it serves none of them when it goes on.
 #[test]
-fn hundreds_leave_a_node_that_is_busy() {
+fn hundreds_of_clients_disconnect_from_a_busy_node() {
     for how in WAYS {
-        for (may, rig) in rigs(|_| Play::Usual) {
-            let (sim, node) = (rig.sim.clone(), rig.node.id());
-            rig.play(move |scene| async move {
-                assert_eq!(scene.ask("before", "draft").await.status, 200);
+        for (may, setup) in setups(|_| EngineBehavior::Normal) {
+            let (sim, node) = (setup.sim.clone(), setup.node.id());
+            setup.run(move |cluster| async move {
+                assert_eq!(cluster.send_request("before", "draft").await.status, 200);
                 let ids: Vec<String> = (0..300).map(|n| format!("h{n}")).collect();
                 let mut conns = Vec::new();
                 for _ in &ids {
-                    conns.push(scene.connect().await);
+                    conns.push(cluster.connect().await);
                 }
                 sim.freeze(node, true);
-                let client = scene.client.clone();
+                let client = cluster.client.clone();
                 let (done, wait) = async_channel::bounded(1);
                 let (sent, sims) = (ids.clone(), sim.clone());
-                scene.client.run(async move {
+                cluster.client.run(async move {
                     let mut held = Vec::new();
                     for (mut conn, id) in conns.into_iter().zip(&sent) {
                         conn.write_all(&request(id, "draft", 4_800)).await.unwrap();
@@ -277,7 +278,7 @@
                     let gone = client.now();
                     let mut kept = Vec::new();
                     for conn in held {
-                        kept.extend(leave(conn, how).await);
+                        kept.extend(disconnect(conn, how).await);
                     }
                     client.sleep(300 * MS).await;
                     sims.freeze(node, false);
@@ -285,9 +286,9 @@
                     done.send((gone, kept)).await.unwrap();
                 });
                 let (gone, _kept) = wait.recv().await.unwrap();
-                let late = latest(&scene, &ids, gone);
+                let late = latest(&cluster, &ids, gone);
                 assert!(late <= WITHIN, "{how:?}, may cancel {may}: {late} us");
-                assert_eq!(scene.service.node().open_requests(), 0);
+                assert_eq!(cluster.service.node().open_requests(), 0);
             });
         }
     }
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what cannot be read is answered or closed in time and reaches no engine; usual ones go on beside it.
+//! Clients: malformed requests get an error or a close in time and reach no engine; others are served beside them.
 
 mod common;
 use common::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_gets_an_error_or_a_close_in_time() {
+fn malformed_requests_get_an_error_or_a_close_in_time() {
     let length = format!("Content-Length: {}", BODY.len());
     let mut bad: Vec<(&str, Vec<u8>)> = vec![
         (
@@ -78,38 +78,45 @@
             .into_iter()
             .map(|(what, from, to)| (what, changed(from, to))),
     );
-    Rig::new(|_| Play::Usual).play(move |scene| async move {
+    ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
         for (what, bytes) in bad {
-            let begun = scene.client.now();
-            let mut conn = scene.connect().await;
+            let begun = cluster.client.now();
+            let mut conn = cluster.connect().await;
             // The peer may close while we still write.
             let _ = conn.write_all(&bytes).await;
-            let got = got(&scene.client, &mut conn).await;
+            let response = read_response(&cluster.client, &mut conn).await;
             assert!(
-                got.status == 0 || got.status >= 400,
+                response.status == 0 || response.status >= 400,
                 "{what}: {}",
-                got.status
+                response.status
+            );
+            assert!(
+                response.at - begun < 3_000_000,
+                "{what}: {} us",
+                response.at - begun
             );
-            assert!(got.at - begun < 3_000_000, "{what}: {} us", got.at - begun);
             if !matches!(what, "no byte" | "half a head") {
-                assert!(got.status >= 400, "{what}: an error, not a close");
+                assert!(response.status >= 400, "{what}: an error, not a close");
             }
-            if got.status >= 400 {
-                let said: serde_json::Value = serde_json::from_slice(&got.body).expect(what);
+            if response.status >= 400 {
+                let said: serde_json::Value = serde_json::from_slice(&response.body).expect(what);
                 assert!(said["error"]["message"].is_string(), "{what}: {said}");
             }
-            assert!(scene.seen().is_empty(), "{what}: reached an engine");
-            assert_eq!(scene.service.node().open_requests(), 0, "{what}");
+            assert!(
+                cluster.engine_requests().is_empty(),
+                "{what}: reached an engine"
+            );
+            assert_eq!(cluster.service.node().open_requests(), 0, "{what}");
         }
-        assert_eq!(scene.ask("good", "draft").await.status, 200);
+        assert_eq!(cluster.send_request("good", "draft").await.status, 200);
     });
 }
 
-/// 60 MB at full speed: the error reaches a client that reads it only when all is sent, and is not held in memory.
+/// A client that reads the error only after it has sent all of a long body gets it, and the body is not kept in memory.
 #[test]
-fn a_body_too_long_is_read_away_behind_its_error() {
-    Rig::new(|_| Play::Usual).play(|scene| async move {
-        let mut conn = scene.connect().await;
+fn a_body_that_is_too_long_is_discarded_after_its_error() {
+    ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
+        let mut conn = cluster.connect().await;
         let head = changed(
             &format!("Content-Length: {}", BODY.len()),
             "Content-Length: 4000000",
@@ -118,213 +125,237 @@
         for _ in 0..40 {
             conn.write_all(&vec![b'x'; 99_000]).await.unwrap();
         }
-        assert_eq!(got(&scene.client, &mut conn).await.status, 413);
+        assert_eq!(read_response(&cluster.client, &mut conn).await.status, 413);
     });
 }
 
-/// The id of another client's open request is turned away, and the open one goes on unharmed.
+/// A request with the id of one in flight is rejected, and the one in flight goes on unharmed.
 #[test]
-fn an_id_that_is_open_is_turned_away() {
-    let rig = Rig::new(|seen| {
+fn the_id_of_a_request_in_flight_is_rejected() {
+    let setup = ClusterSetup::new(|seen| {
         if seen.id == "same" {
-            Play::Late(400_000)
+            EngineBehavior::Delayed(400_000)
         } else {
-            Play::Usual
+            EngineBehavior::Normal
         }
     });
-    rig.play(|scene| async move {
-        let mut first = scene.connect().await;
+    setup.run(|cluster| async move {
+        let mut first = cluster.connect().await;
         first
             .write_all(&request("same", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.runtime, "an attempt", || {
-            !scene.sends("same").is_empty()
+        wait_until(&cluster.runtime, "an attempt", || {
+            !cluster.attempts("same").is_empty()
         })
         .await;
-        assert_eq!(scene.ask("same", "send").await.status, 409);
-        let got = got(&scene.client, &mut first).await;
-        assert_eq!((got.status, got.whole), (200, true));
-        assert_eq!(scene.sends("same").len(), 2, "one read, one write");
+        assert_eq!(cluster.send_request("same", "send").await.status, 409);
+        let response = read_response(&cluster.client, &mut first).await;
+        assert_eq!((response.status, response.whole), (200, true));
+        assert_eq!(cluster.attempts("same").len(), 2, "one read, one write");
         // Once it is answered the id may come again.
-        assert_eq!(scene.ask("same", "send").await.status, 200);
+        assert_eq!(cluster.send_request("same", "send").await.status, 200);
     });
 }
 
-/// More silent connections than descriptors: a usual client is served beside them, on a connection that was there before
-/// and on a new one, and the node's own connections stay within their bound.
+/// With more silent connections than descriptors another client is served, on an older connection and on a new one, and the
+/// node's own connections stay within their limit.
 #[test]
-fn silent_connections_crowd_nobody_out() {
-    let rig = Rig::with(160, |_| Play::Usual);
-    let bound = rig.config().bounds.client_connections;
-    rig.play(move |scene| async move {
-        let mut old = scene.connect().await;
+fn silent_connections_do_not_starve_others() {
+    let setup = ClusterSetup::with_sockets(160, |_| EngineBehavior::Normal);
+    let bound = setup.config().bounds.client_connections;
+    setup.run(move |cluster| async move {
+        let mut old = cluster.connect().await;
         old.write_all(&request("old0", "draft", 4_800))
             .await
             .unwrap();
-        assert_eq!(got(&scene.client, &mut old).await.status, 200);
+        assert_eq!(read_response(&cluster.client, &mut old).await.status, 200);
         let mut silent: Vec<Conn> = Vec::new();
         for n in 0..5 * bound {
-            silent.push(scene.connect().await);
+            silent.push(cluster.connect().await);
             if n % bound == 0 {
-                assert_eq!(scene.ask(&format!("new{n}"), "draft").await.status, 200);
+                assert_eq!(
+                    cluster
+                        .send_request(&format!("new{n}"), "draft")
+                        .await
+                        .status,
+                    200
+                );
             }
         }
         old.write_all(&request("old1", "draft", 4_800))
             .await
             .unwrap();
         assert_eq!(
-            got(&scene.client, &mut old).await.status,
+            read_response(&cluster.client, &mut old).await.status,
             200,
             "the silent ones go first"
         );
         let mut open = 0;
         for conn in &mut silent {
             let mut byte = [0];
-            let ended = before(&scene.client, scene.client.now() + 1, conn.read(&mut byte)).await;
+            let ended = before(
+                &cluster.client,
+                cluster.client.now() + 1,
+                conn.read(&mut byte),
+            )
+            .await;
             open += usize::from(ended.is_none());
         }
         assert!(open <= bound, "{open} silent connections stand of {bound}");
         // And the rest of them within 3 s of their connecting.
-        scene.client.sleep(2_500_000).await;
+        cluster.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
-            assert!(
-                before(&scene.client, scene.client.now() + 1, conn.read(&mut byte))
-                    .await
-                    .is_some()
-            );
+            assert!(before(
+                &cluster.client,
+                cluster.client.now() + 1,
+                conn.read(&mut byte)
+            )
+            .await
+            .is_some());
         }
     });
 }
 
-/// A flood of requests past the bound on what is open: each one gets an answer, and the refusals came of nothing sent.
+/// In a flood beyond the limit on open requests each one gets a response, and nothing was sent for the rejected ones.
 #[test]
-fn a_flood_is_answered_to_the_last() {
-    let rig = Rig::with(256, |seen| {
+fn every_request_of_a_flood_gets_a_response() {
+    let setup = ClusterSetup::with_sockets(256, |seen| {
         if seen.engine >= 2 {
-            Play::Late(200_000)
+            EngineBehavior::Delayed(200_000)
         } else {
-            Play::Usual
+            EngineBehavior::Normal
         }
     });
-    rig.play(|scene| async move {
+    setup.run(|cluster| async move {
         let (done, answers) = async_channel::unbounded();
         for n in 0..300 {
-            let (client, address, done) = (scene.client.clone(), scene.address, done.clone());
-            scene.client.run(async move {
+            let (client, address, done) = (cluster.client.clone(), cluster.address, done.clone());
+            cluster.client.run(async move {
                 let id = format!("f{n}");
-                let got = match client.connect(address).await {
+                let response = match client.connect(address).await {
                     Ok(mut conn) => {
                         let _ = conn.write_all(&request(&id, "draft", 3_000)).await;
-                        got(&client, &mut conn).await
+                        read_response(&client, &mut conn).await
                     }
-                    Err(_) => Got::default(),
+                    Err(_) => Response::default(),
                 };
-                let _ = done.send((id, got)).await;
+                let _ = done.send((id, response)).await;
             });
         }
         drop(done);
         let mut served = 0;
-        while let Ok((id, got)) = answers.recv().await {
-            served += usize::from(got.status == 200 && got.whole);
-            if got.status == 503 {
+        while let Ok((id, response)) = answers.recv().await {
+            served += usize::from(response.status == 200 && response.whole);
+            if response.status == 503 {
                 assert!(
-                    scene.sends(&id).is_empty(),
+                    cluster.attempts(&id).is_empty(),
                     "{id} was refused by the door and sent all the same"
                 );
             }
-            assert!(got.status != 200 || got.whole, "{id} was cut");
+            assert!(response.status != 200 || response.whole, "{id} was cut");
         }
         assert!(served > 20, "{served} served");
-        assert_eq!(scene.service.node().open_requests(), 0);
+        assert_eq!(cluster.service.node().open_requests(), 0);
     });
 }
 
-/// Bytes behind an open request wait for its end, and are then a request like any other.
+/// Bytes behind a request in flight wait for its end, and are then read as the next request.
 #[test]
-fn requests_on_one_connection_are_answered_in_turn() {
-    Rig::new(|_| Play::Usual).play(|scene| async move {
-        let mut conn = scene.connect().await;
+fn pipelined_requests_are_served_in_order() {
+    ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
+        let mut conn = cluster.connect().await;
         let both = [request("a", "draft", 4_800), request("b", "draft", 4_800)].concat();
         conn.write_all(&both).await.unwrap();
         for _ in 0..2 {
-            let got = got(&scene.client, &mut conn).await;
-            assert_eq!((got.status, got.whole), (200, true));
+            let response = read_response(&cluster.client, &mut conn).await;
+            assert_eq!((response.status, response.whole), (200, true));
         }
-        assert_eq!(scene.sends("b").len(), 2);
+        assert_eq!(cluster.attempts("b").len(), 2);
     });
 }
 
-/// A client that goes away takes its attempt along: the engine's connection ends.
+/// When a client disconnects, its attempt's connection to the engine is closed.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
-    let rig = Rig::new(|seen| {
+fn a_disconnected_client_ends_its_attempt() {
+    let setup = ClusterSetup::new(|seen| {
         if seen.engine >= 2 {
-            Play::Silent
+            EngineBehavior::Silent
         } else {
-            Play::Usual
+            EngineBehavior::Normal
         }
     });
-    rig.play(|scene| async move {
-        let mut conn = scene.connect().await;
+    setup.run(|cluster| async move {
+        let mut conn = cluster.connect().await;
         conn.write_all(&request("one", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.runtime, "a write", || scene.sends("one").len() == 2).await;
-        let at = scene.sends("one")[1].connection;
+        wait_until(&cluster.runtime, "a write", || {
+            cluster.attempts("one").len() == 2
+        })
+        .await;
+        let at = cluster.attempts("one")[1].connection;
         drop(conn);
-        let closed = || scene.book.lock().unwrap().closed.iter().any(|c| c.1 == at);
-        let left = scene.runtime.now();
-        until(&scene.runtime, "a close", closed).await;
-        assert!(scene.runtime.now() - left < 50_000);
-        assert_eq!(scene.service.node().open_requests(), 0);
+        let closed = || cluster.log.lock().unwrap().closed_at(at).is_some();
+        let left = cluster.runtime.now();
+        wait_until(&cluster.runtime, "a close", closed).await;
+        assert!(cluster.runtime.now() - left < 50_000);
+        assert_eq!(cluster.service.node().open_requests(), 0);
     });
 }
 
-/// The client's time: a request that no engine answers has failed before it ends, and nothing is sent later.
+/// A request without a response of any engine fails before its client's timeout, and nothing is sent later.
 #[test]
-fn a_request_without_an_answer_fails_in_time() {
-    let rig = Rig::new(|seen| {
+fn a_request_without_a_response_fails_in_time() {
+    let setup = ClusterSetup::new(|seen| {
         if seen.id.is_empty() {
-            Play::Usual
+            EngineBehavior::Normal
         } else {
-            Play::Silent
+            EngineBehavior::Silent
         }
     });
-    rig.play(|scene| async move {
-        let begun = scene.client.now();
-        let mut conn = scene.connect().await;
+    setup.run(|cluster| async move {
+        let begun = cluster.client.now();
+        let mut conn = cluster.connect().await;
         conn.write_all(&request("one", "send", 2_000))
             .await
             .unwrap();
-        let got = got(&scene.client, &mut conn).await;
-        assert!(matches!(got.status, 429 | 502 | 504), "{}", got.status);
-        assert!(got.at - begun <= 2_010_000, "{} us", got.at - begun);
-        let sends = scene.sends("one").len();
-        scene.runtime.sleep(5_000_000).await;
+        let response = read_response(&cluster.client, &mut conn).await;
+        assert!(
+            matches!(response.status, 429 | 502 | 504),
+            "{}",
+            response.status
+        );
+        assert!(
+            response.at - begun <= 2_010_000,
+            "{} us",
+            response.at - begun
+        );
+        let sends = cluster.attempts("one").len();
+        cluster.runtime.sleep(5_000_000).await;
         assert_eq!(
-            scene.sends("one").len(),
+            cluster.attempts("one").len(),
             sends,
             "nothing is sent after the answer"
         );
     });
 }
 
-/// More bytes of prompts than the node may hold: those beyond are turned away, nothing was sent for them, and when the
-/// others are gone a usual client is served again.
+/// Prompts beyond the node's budget are rejected and nothing is sent for them; when the others have ended, clients are served
+/// again.
 #[test]
-fn prompts_past_the_bytes_that_are_held_are_turned_away() {
-    let rig = Rig::new(|_| Play::Usual);
-    let bound = rig.config().bounds.prompt_bytes;
-    rig.play(move |scene| async move {
+fn prompts_beyond_the_budget_are_rejected() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    let bound = setup.config().bounds.prompt_bytes;
+    setup.run(move |cluster| async move {
         let head = changed(
             &format!("Content-Length: {}", BODY.len()),
             "Content-Length: 250000",
         );
         let mut conns = Vec::new();
         for _ in 0..bound / 240_000 + 12 {
-            let mut conn = scene.connect().await;
+            let mut conn = cluster.connect().await;
             // One that is turned away may be closed under our writing.
             let _ = conn
                 .write_all(&[head.clone(), vec![b'x'; 240_000]].concat())
@@ -333,122 +364,128 @@
         }
         let mut turned_away = 0;
         for conn in &mut conns {
-            let got = got(&scene.client, conn).await;
-            assert!(matches!(got.status, 503 | 408), "{}", got.status);
-            turned_away += usize::from(got.status == 503);
+            let response = read_response(&cluster.client, conn).await;
+            assert!(matches!(response.status, 503 | 408), "{}", response.status);
+            turned_away += usize::from(response.status == 503);
         }
         assert!(
             (1..=12).contains(&turned_away),
             "{turned_away} were turned away"
         );
-        assert!(scene.seen().is_empty());
-        assert_eq!(scene.ask("good", "draft").await.status, 200);
+        assert!(cluster.engine_requests().is_empty());
+        assert_eq!(cluster.send_request("good", "draft").await.status, 200);
     });
 }
 
-/// A request comes in the very moment in which its idle connection is told to go, and takes seconds: those who connect
-/// meanwhile are taken all the same.
-/// A client that takes its answer slowly and steadily gets all of it; one that takes nothing for long has gone away, and its
-/// engine is let go.
+/// A client that reads its response slowly and steadily gets all of it; one that reads nothing for long counts as
+/// disconnected, and its engine's connection is closed.
 #[test]
-fn a_slow_reader_gets_its_whole_answer_and_a_still_one_is_closed() {
+fn a_slow_reader_gets_its_whole_response_and_a_stalled_one_is_closed() {
     for reads_on in [true, false] {
         let event = format!("data: {{\"x\":\"{}\"}}\n\n", "y".repeat(1_000));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         let rest = format!(
-            "{}{:x}\r\n{SERVED}\r\n0\r\n\r\n",
+            "{}{:x}\r\n{SERVED_EVENTS}\r\n0\r\n\r\n",
             chunk.repeat(60),
-            SERVED.len()
+            SERVED_EVENTS.len()
         );
-        let rig = Rig::new(move |seen| match writes(seen) {
-            true => Play::AfterFirst(rest.clone().into_bytes()),
-            false => Play::Usual,
+        let setup = ClusterSetup::new(move |seen| match is_decode(seen) {
+            true => EngineBehavior::RespondAfterFirstEvent(rest.clone().into_bytes()),
+            false => EngineBehavior::Normal,
         });
-        rig.sim.net(|net| net.buffer = 2 << 10);
-        rig.play(move |scene| async move {
-            let mut conn = scene.connect().await;
+        setup.sim.net(|net| net.buffer = 2 << 10);
+        setup.run(move |cluster| async move {
+            let mut conn = cluster.connect().await;
             conn.write_all(&request("slow", "send", 4_800))
                 .await
                 .unwrap();
-            until(&scene.runtime, "a stream", || {
-                scene.sends("slow").iter().any(writes)
+            wait_until(&cluster.runtime, "a stream", || {
+                cluster.attempts("slow").iter().any(is_decode)
             })
             .await;
             if !reads_on {
-                scene.runtime.sleep(12_000_000).await;
+                cluster.runtime.sleep(12_000_000).await;
                 assert_eq!(
-                    scene.service.node().open_requests(),
+                    cluster.service.node().open_requests(),
                     0,
                     "nothing waits for it"
                 );
                 return;
             }
-            let mut got = Vec::new();
+            let mut response = Vec::new();
             let mut piece = [0; 400];
-            while !got.ends_with(b"0\r\n\r\n") {
-                scene.client.sleep(200_000).await;
+            while !response.ends_with(b"0\r\n\r\n") {
+                cluster.client.sleep(200_000).await;
                 match conn.read(&mut piece).await {
-                    Ok(n) if n > 0 => got.extend_from_slice(&piece[..n]),
+                    Ok(n) if n > 0 => response.extend_from_slice(&piece[..n]),
                     _ => break,
                 }
             }
             assert!(
-                got.len() > 60_000 && got.ends_with(b"0\r\n\r\n"),
+                response.len() > 60_000 && response.ends_with(b"0\r\n\r\n"),
                 "{} bytes",
-                got.len()
+                response.len()
             );
         });
     }
 }
 
+/// A request arrives at the moment in which its idle connection is evicted, and takes seconds: clients that connect meanwhile
+/// are accepted all the same.
 #[test]
-fn a_request_that_crosses_its_eviction_holds_up_nobody() {
+fn a_request_that_crosses_its_eviction_does_not_block_others() {
     for offset in (0..300u64).step_by(10) {
-        let rig = Rig::with(160, |seen| {
+        let setup = ClusterSetup::with_sockets(160, |seen| {
             if seen.id == "long" {
-                Play::Late(3_000_000)
+                EngineBehavior::Delayed(3_000_000)
             } else {
-                Play::Usual
+                EngineBehavior::Normal
             }
         });
-        let bound = rig.config().bounds.client_connections;
-        rig.sim.net(|net| net.jitter = 0);
-        let (sim, node) = (rig.sim.clone(), rig.node.id());
-        rig.play(move |scene| async move {
-            let mut first = scene.connect().await;
+        let bound = setup.config().bounds.client_connections;
+        setup.sim.net(|net| net.jitter = 0);
+        let (sim, node) = (setup.sim.clone(), setup.node.id());
+        setup.run(move |cluster| async move {
+            let mut first = cluster.connect().await;
             let mut rest = Vec::new();
             for _ in 1..bound {
-                rest.push(scene.connect().await);
+                rest.push(cluster.connect().await);
             }
-            let (client, address) = (scene.client.clone(), scene.address);
+            let (client, address) = (cluster.client.clone(), cluster.address);
             let (done, other) = async_channel::bounded(1);
             // The node comes to both at once.
             sim.freeze(node, true);
-            let (asks, thaws) = (scene.client.clone(), scene.client.clone());
-            scene.client.run(async move {
+            let (asks, thaws) = (cluster.client.clone(), cluster.client.clone());
+            cluster.client.run(async move {
                 asks.sleep(offset).await;
                 // It may have been told to go already.
                 let _ = first.write_all(&request("long", "draft", 7_000)).await;
                 std::future::pending::<()>().await;
                 drop(first);
             });
-            scene.client.run(async move {
+            cluster.client.run(async move {
                 // A dial takes a way there; the request may come before it, with it or after it.
                 client.sleep(150).await;
                 let dialled = client.connect(address).await;
                 client.sleep(10_000).await;
                 done.send(dialled).await.unwrap();
             });
-            scene.client.run(async move {
+            cluster.client.run(async move {
                 thaws.sleep(2_000).await;
                 sim.freeze(node, false);
             });
             let _both = other.recv().await.unwrap();
-            let begun = scene.client.now();
+            let begun = cluster.client.now();
             for n in 0..3 {
-                assert_eq!(scene.ask(&format!("new{n}"), "draft").await.status, 200);
+                assert_eq!(
+                    cluster
+                        .send_request(&format!("new{n}"), "draft")
+                        .await
+                        .status,
+                    200
+                );
             }
-            let took = scene.client.now() - begun;
+            let took = cluster.client.now() - begun;
             assert!(took < 500_000, "offset {offset}: {took} us");
         });
     }
--- /dev/null
+++ b/crates/ivyward-platform/tests/common/engine.rs
@@ -0,0 +1,243 @@
+//! A fake of an engine, which does with each request what a script says.
+
+use super::deployment::address;
+use super::read_request;
+use super::request_log::{ClosedConnection, RequestLog};
+use futures_lite::AsyncWriteExt;
+use ivyward::core::interface::Micros;
+use ivyward::runtime::{Conn, RuntimeExt, RuntimeRef};
+use ivyward_sim::Host;
+use std::sync::{Arc, Mutex};
+
+/// Engines below this number prefill, the others decode.
+const FIRST_DECODE_ENGINE: usize = 2;
+/// Before the rest of a response, and before the response to a reservation that the engine does not know.
+const PAUSE: Micros = 300_000;
+
+/// The events of a complete stream.
+pub const SERVED_EVENTS: &str = concat!(
+    "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"},\"finish_reason\":null}]}\n\n",
+    "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"ab\"},\"finish_reason\":\"stop\"}]}\n\n",
+    "data: {\"choices\":[],\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":7}}}\n\n",
+    "data: [DONE]\n\n: X-Server-Load: TEXT inflight=1, queue=0, util=0.5\n\n"
+);
+const STREAM_HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+const PREFILLED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":4}";
+const RESERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const NO_CONTENT: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// The response of an engine that rejects a request without processing it.
+pub const REJECTED_UNPROCESSED: &str =
+    "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+
+/// What an engine does with a request that was received completely.
+#[derive(Clone, Debug)]
+pub enum EngineBehavior {
+    /// Responds as an engine does.
+    Normal,
+    /// Writes these bytes, and keeps the connection.
+    Respond(Vec<u8>),
+    /// Writes the first event, then these bytes, and keeps the connection.
+    RespondAfterFirstEvent(Vec<u8>),
+    /// Writes these bytes, and closes the connection.
+    RespondAndClose(Vec<u8>),
+    /// Responds normally after this span.
+    Delayed(Micros),
+    /// Writes nothing, and keeps the connection.
+    Silent,
+}
+
+/// Writes this text, and keeps the connection.
+pub fn respond_with(text: &str) -> EngineBehavior {
+    EngineBehavior::Respond(text.as_bytes().to_vec())
+}
+
+/// A request that an engine received completely.
+#[derive(Clone, Debug)]
+pub struct EngineRequest {
+    pub at: Micros,
+    pub engine: usize,
+    pub connection: usize,
+    pub method: String,
+    pub target: String,
+    pub id: String,
+    pub idempotency_key: String,
+    pub timeout_ms: u64,
+    pub body: Vec<u8>,
+}
+
+impl EngineRequest {
+    /// The id of the request that this one reserves a slot for.
+    fn reservation(&self) -> Option<&str> {
+        let id = self.target.strip_prefix("/v1/holds/")?;
+        (self.method == "POST").then_some(id)
+    }
+}
+
+fn is_prefill_engine(engine: usize) -> bool {
+    engine < FIRST_DECODE_ENGINE
+}
+
+/// Whether this is an attempt at a prefill engine.
+pub fn is_prefill(request: &EngineRequest) -> bool {
+    is_prefill_engine(request.engine) && request.method == "POST" && !request.id.is_empty()
+}
+
+/// Whether this is an attempt at a decode engine.
+pub fn is_decode(request: &EngineRequest) -> bool {
+    !is_prefill_engine(request.engine) && request.method == "POST" && !request.id.is_empty()
+}
+
+pub type Script = Arc<dyn Fn(&EngineRequest) -> EngineBehavior + Send + Sync>;
+
+/// Starts an engine on a host.
+pub fn start_engine(
+    host: &Arc<Host>,
+    engine: usize,
+    log: &Arc<Mutex<RequestLog>>,
+    script: &Script,
+) {
+    let runtime = host.runtime();
+    let mut listener = runtime.listen(address(engine)).unwrap();
+    let (log, script) = (log.clone(), script.clone());
+    runtime.clone().run(async move {
+        while let Ok((conn, _)) = listener.accept().await {
+            let connection = log.lock().unwrap().connection_opened();
+            let task = EngineConnection {
+                runtime: runtime.clone(),
+                engine,
+                connection,
+                log: log.clone(),
+                script: script.clone(),
+            };
+            runtime.run(async move {
+                task.serve(conn).await;
+                let closed = ClosedConnection {
+                    engine,
+                    connection,
+                    at: task.runtime.now(),
+                };
+                task.log.lock().unwrap().connection_closed(closed);
+            });
+        }
+    });
+}
+
+/// What an engine writes, and what it does then.
+struct Output {
+    bytes: Vec<u8>,
+    closes: bool,
+}
+
+impl Output {
+    fn new(bytes: impl Into<Vec<u8>>) -> Output {
+        Output {
+            bytes: bytes.into(),
+            closes: false,
+        }
+    }
+}
+
+fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// What an engine responds normally.
+fn normal_response(request: &EngineRequest) -> Output {
+    if request.method == "DELETE" {
+        Output::new(NO_CONTENT)
+    } else if request.reservation().is_some() {
+        Output::new(RESERVED)
+    } else if is_prefill_engine(request.engine) {
+        Output::new(PREFILLED)
+    } else {
+        Output::new(format!("{STREAM_HEAD}{}0\r\n\r\n", chunk(SERVED_EVENTS)))
+    }
+}
+
+/// One connection of an engine.
+struct EngineConnection {
+    runtime: RuntimeRef,
+    engine: usize,
+    connection: usize,
+    log: Arc<Mutex<RequestLog>>,
+    script: Script,
+}
+
+impl EngineConnection {
+    async fn serve(&self, mut conn: Conn) {
+        let mut bytes = Vec::new();
+        while let Some((request, body)) = read_request(&mut conn, &mut bytes).await {
+            let text = |name: &str| request.head.text(name).unwrap_or("").to_owned();
+            let request = EngineRequest {
+                at: self.runtime.now(),
+                engine: self.engine,
+                connection: self.connection,
+                method: request.method.clone(),
+                target: request.target.clone(),
+                id: text("x-request-id"),
+                idempotency_key: text("idempotency-key"),
+                timeout_ms: text("x-timeout-ms").parse().unwrap_or(0),
+                body,
+            };
+            let index = self.log.lock().unwrap().add(&request);
+            let behavior = (self.script)(&request);
+            if matches!(behavior, EngineBehavior::Normal) && self.is_unknown_reservation(&request) {
+                // An engine knows a reservation only beside its prefill; otherwise it waits, and cannot say.
+                self.runtime.sleep(PAUSE).await;
+                if conn.write_all(NO_CONTENT.as_bytes()).await.is_err() {
+                    return;
+                }
+                continue;
+            }
+            let Ok(output) = self.respond(&mut conn, &request, behavior).await else {
+                return;
+            };
+            if !output.bytes.is_empty() {
+                let now = self.runtime.now();
+                let mut log = self.log.lock().unwrap();
+                log.responded(index, now, output.bytes.starts_with(b"HTTP/1.1 200"));
+            }
+            if conn.write_all(&output.bytes).await.is_err() || output.closes {
+                return;
+            }
+        }
+    }
+
+    fn is_unknown_reservation(&self, request: &EngineRequest) -> bool {
+        let Some(id) = request.reservation() else {
+            return false;
+        };
+        let log = self.log.lock().unwrap();
+        log.reservations_need_prefills && !log.has_pending_prefill(id)
+    }
+
+    /// Does what a script says, up to the last write.
+    async fn respond(
+        &self,
+        conn: &mut Conn,
+        request: &EngineRequest,
+        behavior: EngineBehavior,
+    ) -> std::io::Result<Output> {
+        match behavior {
+            EngineBehavior::Normal => Ok(normal_response(request)),
+            EngineBehavior::Respond(bytes) => Ok(Output::new(bytes)),
+            EngineBehavior::RespondAndClose(bytes) => Ok(Output {
+                bytes,
+                closes: true,
+            }),
+            EngineBehavior::RespondAfterFirstEvent(bytes) => {
+                let first = SERVED_EVENTS.split_inclusive("\n\n").next().unwrap();
+                let begin = format!("{STREAM_HEAD}{}", chunk(first));
+                conn.write_all(begin.as_bytes()).await?;
+                self.runtime.sleep(PAUSE).await;
+                Ok(Output::new(bytes))
+            }
+            EngineBehavior::Delayed(span) => {
+                self.runtime.sleep(span).await;
+                Ok(normal_response(request))
+            }
+            EngineBehavior::Silent => Ok(Output::new(Vec::new())),
+        }
+    }
+}
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -1,5 +1,5 @@
-//! The time told to an engine is at most what its client has left, 0.15 s of slack: on first and further attempts, after late
-//! dials, after a wait behind other work and beside holds. And a request that was read on a new connection is answered.
+//! The timeout sent to an engine is at most what its client has left, with 0.15 s of slack: on first and further attempts,
+//! after late connects, after queueing and beside reservations. And a request that was read on a new connection is answered.
 
 mod common;
 use common::*;
@@ -10,41 +10,41 @@
 
 const MS: Micros = 1_000;
 const SLACK: Micros = 150 * MS;
-/// Says nothing of what ran: the next attempt follows where that is allowed.
+/// Does not say whether anything ran: the next attempt follows where that is allowed.
 const FAILS: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn engines_are_told_what_the_client_has_left() {
+fn engines_are_sent_the_clients_remaining_time() {
     for lag in [0, 80 * MS] {
         // One attempt of nine fails, two are turned away, one is late.
         let count = AtomicUsize::new(0);
-        let rig = Rig::new(move |seen| {
-            if !reads(seen) && !writes(seen) {
-                return Play::Usual;
+        let setup = ClusterSetup::new(move |seen| {
+            if !is_prefill(seen) && !is_decode(seen) {
+                return EngineBehavior::Normal;
             }
             match count.fetch_add(1, Ordering::SeqCst) % 9 {
-                0 => say(FAILS),
-                3 | 5 => say(AWAY),
-                7 => Play::Late(200 * MS),
-                _ => Play::Usual,
+                0 => respond_with(FAILS),
+                3 | 5 => respond_with(REJECTED_UNPROCESSED),
+                7 => EngineBehavior::Delayed(200 * MS),
+                _ => EngineBehavior::Normal,
             }
         });
-        for engine in &rig.engines {
-            rig.sim.lag(rig.node.id(), engine.id(), lag);
+        for engine in &setup.engines {
+            setup.sim.lag(setup.node.id(), engine.id(), lag);
         }
-        rig.play(move |scene| async move {
+        setup.run(move |cluster| async move {
             let (mut sent, mut further) = (0, 0);
             for n in 0..40_u64 {
                 let (id, timeout_ms) = (format!("r{n}"), 1_200 + 100 * n);
                 // Long enough for engines that failed to be tried again.
-                scene.runtime.sleep(3_000 * MS).await;
-                let mut conn = scene.connect().await;
-                let began = scene.runtime.now();
+                cluster.runtime.sleep(3_000 * MS).await;
+                let mut conn = cluster.connect().await;
+                let began = cluster.runtime.now();
                 conn.write_all(&request(&id, "draft", timeout_ms))
                     .await
                     .unwrap();
-                got(&scene.client, &mut conn).await;
-                let sends = scene.sends(&id);
+                read_response(&cluster.client, &mut conn).await;
+                let sends = cluster.attempts(&id);
                 for send in &sends {
                     let left = (began + timeout_ms * MS).saturating_sub(send.at);
                     let told = send.timeout_ms * MS;
@@ -61,25 +61,25 @@
     }
 }
 
-/// A request on a new connection, in the very moment in which the node closes it for silence: answered, or not read at all,
-/// which the client sees as a reset or as a close before its request was sent on.
+/// A request on a new connection, at the moment in which the node closes it as idle, is answered or not read at all, which
+/// the client sees as a reset or a close.
 #[test]
-fn a_request_in_the_moment_of_a_new_connections_end_is_answered_or_not_read() {
+fn a_request_that_crosses_a_new_connections_close_is_answered_or_not_read() {
     let (mut answered, mut closed) = (0, 0);
     // A connection on which nothing came is closed after 2 s; the way to it takes 200 us.
     for sent_at in (1_998_500..2_001_000).step_by(50) {
-        let (tell, told) = std::sync::mpsc::channel();
-        let rig = Rig::new(|_| Play::Usual);
-        rig.sim.net(|net| net.jitter = 0);
-        rig.play(move |scene| async move {
-            let mut silent = scene.connect().await;
-            scene.client.sleep(sent_at).await;
+        let (outcome, outcomes) = std::sync::mpsc::channel();
+        let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        setup.sim.net(|net| net.jitter = 0);
+        setup.run(move |cluster| async move {
+            let mut silent = cluster.connect().await;
+            cluster.client.sleep(sent_at).await;
             // It may be closed by now.
             let _ = silent.write_all(&request("crosses", "send", 4_800)).await;
-            let answer = got(&scene.client, &mut silent).await;
-            scene.runtime.sleep(2_000 * MS).await;
+            let answer = read_response(&cluster.client, &mut silent).await;
+            cluster.runtime.sleep(2_000 * MS).await;
             assert_eq!(
-                scene.sends("crosses").is_empty(),
+                cluster.attempts("crosses").is_empty(),
                 answer.status == 0,
                 "{sent_at}: {answer:?}"
             );
@@ -87,9 +87,9 @@
                 answer.status == 0 || answer.status == 200 && answer.whole,
                 "{sent_at}: {answer:?}"
             );
-            tell.send(answer.status).unwrap();
+            outcome.send(answer.status).unwrap();
         });
-        match told.recv().unwrap() {
+        match outcomes.recv().unwrap() {
             0 => closed += 1,
             _ => answered += 1,
         }
--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -1,4 +1,4 @@
-//! The five rules on a rough day, checked from what crossed the engines' and the clients' sockets.
+//! The platform's five rules under many faults, checked from what crossed the engines' and the clients' sockets.
 
 mod common;
 use common::*;
@@ -19,75 +19,77 @@
     })
 }
 
-/// What an engine does with a request, drawn from the request's id and its own number.
-fn fault(seen: &Seen) -> u64 {
+/// The fault of an engine under a request, drawn from the request's id and the engine's number.
+fn fault(seen: &EngineRequest) -> u64 {
     if seen.id.is_empty() {
         return 99;
     }
     hash(&seen.id, seen.engine as u64) % 24
 }
 
-fn play(seen: &Seen) -> Play {
+fn script(seen: &EngineRequest) -> EngineBehavior {
     match fault(seen) {
-        0 => say("\u{1}\u{2} noise\r\n\r\n"),
-        1 => say("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
-        2 => Play::SayAndClose(Vec::new()),
-        3 | 4 => say(AWAY),
-        5 => Play::Silent,
-        6 if seen.engine >= 2 => Play::AfterFirst(b"zz\r\n".to_vec()),
-        7 => Play::Late(400_000),
-        _ => Play::Usual,
+        0 => respond_with("\u{1}\u{2} noise\r\n\r\n"),
+        1 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
+        2 => EngineBehavior::RespondAndClose(Vec::new()),
+        3 | 4 => respond_with(REJECTED_UNPROCESSED),
+        5 => EngineBehavior::Silent,
+        6 if seen.engine >= 2 => EngineBehavior::RespondAfterFirstEvent(b"zz\r\n".to_vec()),
+        7 => EngineBehavior::Delayed(400_000),
+        _ => EngineBehavior::Normal,
     }
 }
 
-/// Turned away by an engine's own word: nothing ran.
-fn turned_away(seen: &Seen) -> bool {
+/// Whether the engine rejects the request unprocessed.
+fn is_rejected(seen: &EngineRequest) -> bool {
     matches!(fault(seen), 3 | 4)
 }
 
 /// A client's side of one request.
-struct Told {
+struct ClientRecord {
     class: &'static str,
     sent: Micros,
     timeout: Micros,
     /// `None` where the client left, at the time beside it.
-    got: Option<Got>,
+    response: Option<Response>,
     over: Micros,
 }
 
 #[test]
-fn a_rough_day_keeps_the_rules() {
-    let rig = Rig::new(play);
-    rig.play(|scene| async move {
+fn the_rules_hold_under_many_faults() {
+    let setup = ClusterSetup::new(script);
+    setup.run(|cluster| async move {
         let (done, answers) = async_channel::unbounded();
-        let begun = scene.runtime.now();
+        let begun = cluster.runtime.now();
         for n in 0..400u64 {
-            let (client, address, done) = (scene.client.clone(), scene.address, done.clone());
+            let (client, address, done) = (cluster.client.clone(), cluster.address, done.clone());
             let id = format!("q{n}");
             let class = if n % 3 == 0 { "send" } else { "draft" };
             let timeout = 600_000 + hash(&id, 7) % 4_000_000;
             let leaves = n % 11 == 5;
-            scene.client.run(async move {
+            cluster.client.run(async move {
                 client.sleep(n * 25_000).await;
                 let mut conn = client.connect(address).await.unwrap();
                 let sent = client.now();
                 conn.write_all(&request(&id, class, timeout / 1_000))
                     .await
                     .unwrap();
-                let got = match leaves {
-                    true => before(&client, sent + 150_000, got(&client, &mut conn)).await,
-                    false => Some(got(&client, &mut conn).await),
+                let response = match leaves {
+                    true => {
+                        before(&client, sent + 150_000, read_response(&client, &mut conn)).await
+                    }
+                    false => Some(read_response(&client, &mut conn).await),
                 };
                 drop(conn);
                 let over = client.now();
                 let _ = done
                     .send((
                         id,
-                        Told {
+                        ClientRecord {
                             class,
                             sent,
                             timeout,
-                            got,
+                            response,
                             over,
                         },
                     ))
@@ -95,47 +97,47 @@
             });
         }
         drop(done);
-        scene.runtime.sleep(3_000_000).await;
-        scene.relist(list(&["up", "draining", "up", "draining"]));
-        let drained = scene.runtime.now();
-        scene.runtime.sleep(3_000_000).await;
-        scene.relist(list(&["up"; 4]));
-        let back = scene.runtime.now();
+        cluster.runtime.sleep(3_000_000).await;
+        cluster.update_list(list(&["up", "draining", "up", "draining"]));
+        let drained = cluster.runtime.now();
+        cluster.runtime.sleep(3_000_000).await;
+        cluster.update_list(list(&["up"; 4]));
+        let back = cluster.runtime.now();
         let mut told = BTreeMap::new();
         while let Ok((id, one)) = answers.recv().await {
             told.insert(id, one);
         }
-        scene.runtime.sleep(3_000_000).await;
+        cluster.runtime.sleep(3_000_000).await;
         assert_eq!(told.len(), 400);
-        let book = scene.book.lock().unwrap();
-        let mut sends: BTreeMap<&str, Vec<&Seen>> = BTreeMap::new();
-        for seen in book.seen.iter().filter(|s| !s.id.is_empty()) {
+        let log = cluster.log.lock().unwrap();
+        let mut sends: BTreeMap<&str, Vec<&EngineRequest>> = BTreeMap::new();
+        for seen in log.requests.iter().filter(|s| !s.id.is_empty()) {
             sends.entry(seen.id.as_str()).or_default().push(seen);
         }
-        let ended = |connection: usize| book.closed.iter().find(|c| c.1 == connection).map(|c| c.2);
+        let ended = |connection: usize| log.closed_at(connection);
         let (mut repeated, mut released, mut refused, mut broken) = (0, 0, 0, 0);
         for (id, one) in &told {
             let sends = sends.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-            let writes: Vec<&&Seen> = sends.iter().filter(|s| s.engine >= 2).collect();
+            let writes: Vec<&&EngineRequest> = sends.iter().filter(|s| s.engine >= 2).collect();
             // Rule 1: one final answer in time, and nothing sent after it.
-            let status = one.got.as_ref().map_or(0, |g| g.status);
-            if let Some(got) = &one.got {
-                assert_ne!(got.status, 0, "{id}: no answer");
-                if got.status != 200 {
-                    let took = got.at - one.sent;
+            let status = one.response.as_ref().map_or(0, |g| g.status);
+            if let Some(response) = &one.response {
+                assert_ne!(response.status, 0, "{id}: no answer");
+                if response.status != 200 {
+                    let took = response.at - one.sent;
                     assert!(
                         took <= one.timeout + MORE,
                         "{id}: answered after {took} us of {}",
                         one.timeout
                     );
                 }
-                broken += usize::from(got.status == 200 && !got.whole);
+                broken += usize::from(response.status == 200 && !response.whole);
             }
             for send in sends {
                 assert!(send.at <= one.over + 1_000, "{id}: sent after its end");
             }
             // Rule 2: no effect twice, and a refusal only where nothing ran.
-            let may_have_run = writes.iter().filter(|s| !turned_away(s)).count();
+            let may_have_run = writes.iter().filter(|s| !is_rejected(s)).count();
             if one.class == "send" {
                 assert!(may_have_run <= 1, "{id}: may have run {may_have_run} times");
                 if matches!(status, 429 | 503) {
@@ -156,11 +158,11 @@
             let streamed = writes.iter().any(|s| matches!(fault(s), 6..));
             let held = sends
                 .iter()
-                .any(|s| s.engine < 2 && !turned_away(s) && !matches!(fault(s), 0 | 1));
+                .any(|s| s.engine < 2 && !is_rejected(s) && !matches!(fault(s), 0 | 1));
             if held && !streamed {
                 let last = sends.iter().map(|s| s.at).max().unwrap_or(0).max(one.over);
-                let let_go = book
-                    .seen
+                let let_go = log
+                    .requests
                     .iter()
                     .filter(|s| s.method == "DELETE" && s.target.ends_with(&format!("/{id}")));
                 let at = let_go.map(|s| s.at).max();
@@ -172,8 +174,8 @@
             }
         }
         // Rule 3: drains.
-        for seen in book
-            .seen
+        for seen in log
+            .requests
             .iter()
             .filter(|s| matches!(s.engine, 1 | 3) && s.method == "POST")
         {
@@ -191,26 +193,26 @@
             "{repeated} {released} {refused} {broken}"
         );
         assert!(
-            book.seen.iter().any(|s| s.at > begun && s.engine == 1),
+            log.requests.iter().any(|s| s.at > begun && s.engine == 1),
             "engine 1 was used at all"
         );
-        assert_eq!(scene.service.node().open_requests(), 0);
+        assert_eq!(cluster.service.node().open_requests(), 0);
     });
 }
 
-/// Rule 4: an engine that has just started is told with its start, and gets no more in the stated time than its share of
-/// what a warm one takes, times the stated multiple, though no other is left.
+/// Rule 4: a cold engine gets no more requests in the overload window than its share of a warm one's, times the stated
+/// multiple, though no other engine is left.
 #[test]
-fn a_cold_engine_is_not_pushed_over() {
+fn a_cold_engine_is_not_overloaded() {
     const WINDOW: Micros = 3_000_000;
-    let mut rig = Rig::new(|_| Play::Usual);
-    rig.config = rig
+    let mut setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    setup.config = setup
         .config
         .replace("\"fall_multiple\":2.5", "\"fall_multiple\":1.0");
-    rig.play(|scene| async move {
-        let (client, address) = (scene.client.clone(), scene.address);
-        scene.relist(list(&["up", "up", "up", "removed"]));
-        scene.client.run(async move {
+    setup.run(|cluster| async move {
+        let (client, address) = (cluster.client.clone(), cluster.address);
+        cluster.update_list(list(&["up", "up", "up", "removed"]));
+        cluster.client.run(async move {
             for n in 0..1_200u64 {
                 let (client, inner) = (client.clone(), client.clone());
                 inner.run(async move {
@@ -218,22 +220,23 @@
                     conn.write_all(&request(&format!("c{n}"), "draft", 4_800))
                         .await
                         .unwrap();
-                    got(&client, &mut conn).await;
+                    read_response(&client, &mut conn).await;
                 });
                 inner.sleep(10_000).await;
             }
         });
-        scene.runtime.sleep(5_000_000).await;
-        let started = scene.runtime.unix_micros() / 1_000;
-        let cold = entry(3, "up").replace("\"started_ms\":0", &format!("\"started_ms\":{started}"));
-        scene.relist(format!("{},{cold}", list(&["up", "up", "draining"])));
-        let told = scene.runtime.now();
-        scene.runtime.sleep(6_000_000).await;
-        let book = scene.book.lock().unwrap();
+        cluster.runtime.sleep(5_000_000).await;
+        let started = cluster.runtime.unix_micros() / 1_000;
+        let cold =
+            list_entry(3, "up").replace("\"started_ms\":0", &format!("\"started_ms\":{started}"));
+        cluster.update_list(format!("{},{cold}", list(&["up", "up", "draining"])));
+        let told = cluster.runtime.now();
+        cluster.runtime.sleep(6_000_000).await;
+        let log = cluster.log.lock().unwrap();
         let writes = |engine: usize, from: Micros| {
             let span = from..from + WINDOW;
-            let ours = book
-                .seen
+            let ours = log
+                .requests
                 .iter()
                 .filter(|s| s.engine == engine && !s.id.is_empty());
             ours.filter(|s| span.contains(&s.at)).count() as f64
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Engines: what proves that an attempt never ran, spoilt and stalled streams, connections, and what is let go of.
+//! Engines: what proves that an attempt never ran, malformed and stalled streams, connections, and releases.
 
 mod common;
 use common::*;
@@ -9,13 +9,13 @@
 use std::sync::{Arc, OnceLock};
 
 #[test]
-fn a_request_is_read_then_written_and_passes_unchanged() {
-    Rig::new(|_| Play::Usual).play(|scene| async move {
+fn a_request_is_prefilled_then_decoded_and_passed_on_unchanged() {
+    ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
         for id in ["one", "two"] {
-            let got = scene.ask(id, "draft").await;
-            assert_eq!((got.status, got.whole), (200, true));
-            assert_eq!(String::from_utf8(got.body).unwrap(), SERVED);
-            let sends = scene.sends(id);
+            let response = cluster.send_request(id, "draft").await;
+            assert_eq!((response.status, response.whole), (200, true));
+            assert_eq!(String::from_utf8(response.body).unwrap(), SERVED_EVENTS);
+            let sends = cluster.attempts(id);
             assert_eq!(sends.len(), 2, "{sends:?}");
             assert!(
                 sends[0].engine < 2 && sends[1].engine >= 2,
@@ -32,52 +32,55 @@
             }
         }
         // A place is asked for behind the read's last byte, and a connection serves again.
-        let mut holds = scene
-            .seen()
+        let mut holds = cluster
+            .engine_requests()
             .into_iter()
             .filter(|s| s.target == "/v1/holds/one" && s.method == "POST");
-        let (hold, read) = (holds.next().unwrap(), &scene.sends("one")[0]);
+        let (hold, read) = (holds.next().unwrap(), &cluster.attempts("one")[0]);
         assert!(hold.at >= read.at && hold.engine >= 2);
         assert_eq!(
-            scene.sends("one")[0].connection,
-            scene.sends("two")[0].connection
+            cluster.attempts("one")[0].connection,
+            cluster.attempts("two")[0].connection
         );
         assert!(
-            scene.releases("one").is_empty(),
+            cluster.releases("one").is_empty(),
             "the stream itself lets go"
         );
     });
 }
 
-/// Engines drop the repeats of a keyed request by its `Idempotency-Key`: every attempt brings it as the client sent it, and one
-/// that cannot be passed on is turned away.
+/// Engines deduplicate the retries of a keyed request by its `Idempotency-Key`: every attempt carries the key as the client
+/// sent it, and a key that cannot be passed on is rejected.
 #[test]
 fn an_idempotency_key_reaches_every_attempt_unchanged() {
-    let mut rig = Rig::new(|seen| {
-        if writes(seen) && seen.engine == 2 {
-            say(AWAY)
+    let mut setup = ClusterSetup::new(|seen| {
+        if is_decode(seen) && seen.engine == 2 {
+            respond_with(REJECTED_UNPROCESSED)
         } else {
-            Play::Usual
+            EngineBehavior::Normal
         }
     });
-    rig.config = rig.config.replace("\"retryable\"", "\"dedup\"");
-    rig.play(|scene| async move {
+    setup.config = setup.config.replace("\"retryable\"", "\"dedup\"");
+    setup.run(|cluster| async move {
         for n in 0..4 {
             let (id, key) = (format!("k{n}"), format!("a81b-{n}"));
             let with_key = format!("\r\nIdempotency-Key: {key}\r\nContent-Length");
             let text = String::from_utf8(request(&id, "draft", 4_800)).unwrap();
-            let mut conn = scene.connect().await;
+            let mut conn = cluster.connect().await;
             let keyed = text.replace("\r\nContent-Length", &with_key);
             conn.write_all(keyed.as_bytes()).await.unwrap();
-            assert_eq!(got(&scene.client, &mut conn).await.status, 200);
-            let sends = scene.sends(&id);
+            assert_eq!(read_response(&cluster.client, &mut conn).await.status, 200);
+            let sends = cluster.attempts(&id);
             assert!(
                 sends.len() >= 2 && sends.iter().all(|s| s.idempotency_key == key),
                 "{sends:?}"
             );
         }
         assert!(
-            scene.seen().iter().any(|s| writes(s) && s.engine == 2),
+            cluster
+                .engine_requests()
+                .iter()
+                .any(|s| is_decode(s) && s.engine == 2),
             "some were turned away and sent again"
         );
         for value in [&b""[..], b"\xff\xfe"] {
@@ -94,61 +97,72 @@
                 &text[at..],
             ]
             .concat();
-            let mut conn = scene.connect().await;
+            let mut conn = cluster.connect().await;
             conn.write_all(&keyed).await.unwrap();
-            assert_eq!(got(&scene.client, &mut conn).await.status, 400);
+            assert_eq!(read_response(&cluster.client, &mut conn).await.status, 400);
         }
-        assert!(scene.sends("bad").is_empty());
+        assert!(cluster.attempts("bad").is_empty());
     });
 }
 
-/// A keyed request that may have run at one writer is repeated at the other within its window. That one is cut off just then:
-/// bytes that left on a connection of before would land when the cut ends, after the window.
+/// A keyed request that may have run at one decode engine is retried at the other within its window. That one is partitioned
+/// just then: bytes that were sent on an older connection would arrive when the partition ends, after the window.
 #[test]
-fn a_keyed_repeat_does_not_land_after_a_cut() {
+fn a_keyed_retry_does_not_arrive_after_a_partition() {
     // Set when the rig stands: the network, the node's host and the engines'.
     let network: Arc<OnceLock<(Sim, HostId, Vec<HostId>)>> = Arc::default();
     let cut: Arc<OnceLock<usize>> = Arc::default();
     let (cuts, cut_now) = (network.clone(), cut.clone());
-    let mut rig = Rig::new(move |seen| {
-        if !writes(seen) || seen.id != "keyed" || cut_now.get().is_some() {
-            return Play::Usual;
+    let mut setup = ClusterSetup::new(move |seen| {
+        if !is_decode(seen) || seen.id != "keyed" || cut_now.get().is_some() {
+            return EngineBehavior::Normal;
         }
         let other = 5 - seen.engine;
         let (sim, node, engines) = cuts.get().unwrap();
         sim.cut(*node, engines[other], true);
         sim.cut(engines[other], *node, true);
         cut_now.set(other).unwrap();
-        Play::SayAndClose(Vec::new())
+        EngineBehavior::RespondAndClose(Vec::new())
     });
-    let hosts: Vec<HostId> = rig.engines.iter().map(|e| e.id()).collect();
-    assert!(network.set((rig.sim.clone(), rig.node.id(), hosts)).is_ok());
-    let keyed = rig.config.replace("\"fragile\"", "\"dedup\"");
-    rig.config = keyed.replace("\"key_ttl_us\":5000000", "\"key_ttl_us\":1000000");
-    rig.play(move |scene| async move {
+    let hosts: Vec<HostId> = setup.engines.iter().map(|e| e.id()).collect();
+    assert!(network
+        .set((setup.sim.clone(), setup.node.id(), hosts))
+        .is_ok());
+    let keyed = setup.config.replace("\"fragile\"", "\"dedup\"");
+    setup.config = keyed.replace("\"key_ttl_us\":5000000", "\"key_ttl_us\":1000000");
+    setup.run(move |cluster| async move {
         // Connections to both writers, idle for less than they are kept.
-        while !(2..4).all(|engine| scene.seen().iter().any(|s| writes(s) && s.engine == engine)) {
-            let id = format!("warm{}", scene.seen().len());
-            assert_eq!(scene.ask(&id, "send").await.status, 200);
+        while !(2..4).all(|engine| {
+            cluster
+                .engine_requests()
+                .iter()
+                .any(|s| is_decode(s) && s.engine == engine)
+        }) {
+            let id = format!("warm{}", cluster.engine_requests().len());
+            assert_eq!(cluster.send_request(&id, "send").await.status, 200);
         }
-        let mut conn = scene.connect().await;
+        let mut conn = cluster.connect().await;
         conn.write_all(&request("keyed", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.runtime, "a write", || cut.get().is_some()).await;
+        wait_until(&cluster.runtime, "a write", || cut.get().is_some()).await;
         let other = *cut.get().unwrap();
-        scene.runtime.sleep(3_000_000).await;
-        scene.cut(&[other], false);
-        got(&scene.client, &mut conn).await;
-        scene.runtime.sleep(2_000_000).await;
-        let writes: Vec<Seen> = scene.sends("keyed").into_iter().filter(writes).collect();
+        cluster.runtime.sleep(3_000_000).await;
+        cluster.partition(&[other], false);
+        read_response(&cluster.client, &mut conn).await;
+        cluster.runtime.sleep(2_000_000).await;
+        let writes: Vec<EngineRequest> = cluster
+            .attempts("keyed")
+            .into_iter()
+            .filter(is_decode)
+            .collect();
         assert_eq!(writes.len(), 1, "{writes:?}");
     });
 }
 
-/// Spoilt before the first event: the attempt may have run, so a safe request is sent again and an unsafe one is not.
+/// Malformed before the first event: the attempt may have run, so an idempotent request is retried and another one is not.
 #[test]
-fn what_is_spoilt_before_its_first_event_may_have_run() {
+fn a_response_malformed_before_its_first_event_may_have_run() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
     let spoilt = [
         "\x01\x02\x03 noise \r\n\r\n".to_owned(),
@@ -165,27 +179,31 @@
     ];
     for (i, noise) in spoilt.into_iter().enumerate() {
         let spoil = noise.clone();
-        let rig = Rig::new(move |seen| match writes(seen) && seen.engine == 2 {
-            true => say(&spoil),
-            false => Play::Usual,
+        let setup = ClusterSetup::new(move |seen| match is_decode(seen) && seen.engine == 2 {
+            true => respond_with(&spoil),
+            false => EngineBehavior::Normal,
         });
-        rig.play(move |scene| async move {
+        setup.run(move |cluster| async move {
             for n in 0..6 {
                 let (safe, once) = (format!("safe{n}"), format!("once{n}"));
-                let got = scene.ask(&safe, "draft").await;
-                assert_eq!((got.status, got.whole), (200, true), "spoilt {i}");
-                assert_eq!(got.body, SERVED.as_bytes(), "spoilt {i}");
-                let got = scene.ask(&once, "send").await;
-                let sends: Vec<Seen> = scene.sends(&once).into_iter().filter(writes).collect();
+                let response = cluster.send_request(&safe, "draft").await;
+                assert_eq!((response.status, response.whole), (200, true), "spoilt {i}");
+                assert_eq!(response.body, SERVED_EVENTS.as_bytes(), "spoilt {i}");
+                let response = cluster.send_request(&once, "send").await;
+                let sends: Vec<EngineRequest> = cluster
+                    .attempts(&once)
+                    .into_iter()
+                    .filter(is_decode)
+                    .collect();
                 assert_eq!(sends.len(), 1, "spoilt {i}: no effect twice");
                 let want = if sends[0].engine == 2 { 502 } else { 200 };
-                assert_eq!(got.status, want, "spoilt {i}");
-                scene.runtime.sleep(3_000_000).await;
+                assert_eq!(response.status, want, "spoilt {i}");
+                cluster.runtime.sleep(3_000_000).await;
             }
-            let met = scene
-                .seen()
+            let met = cluster
+                .engine_requests()
                 .iter()
-                .filter(|s| writes(s) && s.engine == 2)
+                .filter(|s| is_decode(s) && s.engine == 2)
                 .count();
             assert!(
                 met >= 2,
@@ -195,44 +213,51 @@
     }
 }
 
-/// An engine's own word that nothing ran lets an unsafe request go elsewhere; so does a connection that never came up.
+/// A non-idempotent request is retried elsewhere after an engine says that nothing ran, or when no connection came up.
 #[test]
-fn what_never_ran_is_sent_again() {
+fn attempts_that_never_ran_are_retried() {
     for status in [503, 504, 410] {
         let turned = std::sync::Mutex::new(std::collections::BTreeSet::new());
-        let rig = Rig::new(move |seen| {
-            let first =
-                writes(seen) && seen.engine == 2 && turned.lock().unwrap().insert(seen.id.clone());
+        let setup = ClusterSetup::new(move |seen| {
+            let first = is_decode(seen)
+                && seen.engine == 2
+                && turned.lock().unwrap().insert(seen.id.clone());
             match first {
-                true => say(&format!(
+                true => respond_with(&format!(
                     "HTTP/1.1 {status} No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
                 )),
-                false => Play::Usual,
+                false => EngineBehavior::Normal,
             }
         });
-        rig.play(move |scene| async move {
+        setup.run(move |cluster| async move {
             for n in 0..4 {
-                let got = scene.ask(&format!("r{n}"), "send").await;
-                assert_eq!((got.status, got.whole), (200, true), "{status}");
+                let response = cluster.send_request(&format!("r{n}"), "send").await;
+                assert_eq!((response.status, response.whole), (200, true), "{status}");
             }
             assert!(
-                scene.seen().iter().any(|s| writes(s) && s.engine == 2),
+                cluster
+                    .engine_requests()
+                    .iter()
+                    .any(|s| is_decode(s) && s.engine == 2),
                 "{status}: never met"
             );
         });
     }
-    let rig = Rig::new(|_| Play::Usual);
-    rig.sim.kill(rig.engines[2].id(), true);
-    rig.play(|scene| async move {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    setup.sim.kill(setup.engines[2].id(), true);
+    setup.run(|cluster| async move {
         for n in 0..4 {
-            assert_eq!(scene.ask(&format!("r{n}"), "send").await.status, 200);
+            assert_eq!(
+                cluster.send_request(&format!("r{n}"), "send").await.status,
+                200
+            );
         }
     });
 }
 
-/// After the first event the stream is the client's: it ends without its last chunk, and nothing is sent again.
+/// After the first event nothing is retried: the client's stream ends without its last chunk.
 #[test]
-fn what_is_spoilt_later_breaks_the_clients_stream() {
+fn a_response_malformed_after_its_first_event_breaks_the_clients_stream() {
     for noise in [
         "zz\r\n",
         "5\r\ndata:qq",
@@ -241,47 +266,51 @@
         "0\r\n\r\n",
         "",
     ] {
-        let rig = Rig::new(move |seen| match writes(seen) {
-            true => Play::AfterFirst(noise.as_bytes().to_vec()),
-            false => Play::Usual,
+        let setup = ClusterSetup::new(move |seen| match is_decode(seen) {
+            true => EngineBehavior::RespondAfterFirstEvent(noise.as_bytes().to_vec()),
+            false => EngineBehavior::Normal,
         });
-        rig.play(move |scene| async move {
-            let got = scene.ask("one", "draft").await;
-            assert_eq!((got.status, got.whole), (200, false), "{noise:?}");
+        setup.run(move |cluster| async move {
+            let response = cluster.send_request("one", "draft").await;
+            assert_eq!((response.status, response.whole), (200, false), "{noise:?}");
             assert!(
-                SERVED.as_bytes().starts_with(&got.body) && !got.body.is_empty(),
+                SERVED_EVENTS.as_bytes().starts_with(&response.body) && !response.body.is_empty(),
                 "{noise:?}"
             );
             assert!(
-                got.at - got.last < 5_000_000,
+                response.at - response.last < 5_000_000,
                 "{noise:?}: left waiting {} us",
-                got.at - got.last
+                response.at - response.last
             );
-            scene.runtime.sleep(1_000_000).await;
+            cluster.runtime.sleep(1_000_000).await;
             assert_eq!(
-                scene.sends("one").iter().filter(|s| writes(s)).count(),
+                cluster
+                    .attempts("one")
+                    .iter()
+                    .filter(|s| is_decode(s))
+                    .count(),
                 1,
                 "{noise:?}"
             );
             // The engine's connection ended too.
-            let at = scene
-                .sends("one")
+            let at = cluster
+                .attempts("one")
                 .into_iter()
-                .find(writes)
+                .find(is_decode)
                 .unwrap()
                 .connection;
             assert!(
-                scene.book.lock().unwrap().closed.iter().any(|c| c.1 == at),
+                cluster.log.lock().unwrap().closed_at(at).is_some(),
                 "{noise:?}"
             );
         });
     }
 }
 
-/// More than belongs to an answer is survived, and its connection is not used again where it stays unclear.
+/// Extra bytes around a response are tolerated, and its connection is not reused where they stay ambiguous.
 #[test]
-fn extras_around_a_good_answer_are_survived() {
-    let body = format!("{:x}\r\n{SERVED}\r\n0\r\n\r\n", SERVED.len());
+fn extra_bytes_around_a_response_are_tolerated() {
+    let body = format!("{:x}\r\n{SERVED_EVENTS}\r\n0\r\n\r\n", SERVED_EVENTS.len());
     let head =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Server-Load: TEXT inflight=\x7e, util\r\n\r\n";
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhey";
@@ -293,30 +322,30 @@
         (format!("{head}{body}{second}"), false),
     ];
     for (extra, again) in extras {
-        let rig = Rig::new(move |seen| {
-            if writes(seen) {
-                say(&extra)
+        let setup = ClusterSetup::new(move |seen| {
+            if is_decode(seen) {
+                respond_with(&extra)
             } else {
-                Play::Usual
+                EngineBehavior::Normal
             }
         });
-        rig.play(move |scene| async move {
+        setup.run(move |cluster| async move {
             let mut connections = Vec::new();
             for n in 0..8 {
                 let id = format!("r{n}");
-                let got = scene.ask(&id, "draft").await;
+                let response = cluster.send_request(&id, "draft").await;
                 assert_eq!(
-                    (got.status, got.whole, got.body.as_slice()),
-                    (200, true, SERVED.as_bytes())
+                    (response.status, response.whole, response.body.as_slice()),
+                    (200, true, SERVED_EVENTS.as_bytes())
                 );
                 connections.extend(
-                    scene
-                        .sends(&id)
+                    cluster
+                        .attempts(&id)
                         .iter()
-                        .filter(|s| writes(s))
+                        .filter(|s| is_decode(s))
                         .map(|s| s.connection),
                 );
-                scene.runtime.sleep(10_000).await;
+                cluster.runtime.sleep(10_000).await;
             }
             let all = connections.len();
             connections.sort_unstable();
@@ -326,26 +355,26 @@
     }
 }
 
-/// A read that was not used is let go of in time, and not before its last attempt is over.
+/// An unused prefill is released in time, and not before its last attempt is over.
 #[test]
-fn what_is_held_is_let_go_in_time() {
-    let rig = Rig::new(|seen| match writes(seen) {
-        true => say(AWAY),
-        false => Play::Usual,
+fn an_unused_prefill_is_released_in_time() {
+    let setup = ClusterSetup::new(|seen| match is_decode(seen) {
+        true => respond_with(REJECTED_UNPROCESSED),
+        false => EngineBehavior::Normal,
     });
-    rig.play(|scene| async move {
-        let got = scene.ask("one", "draft").await;
-        assert_eq!(got.status, 429, "refused: nothing ran");
-        assert!(got
+    setup.run(|cluster| async move {
+        let response = cluster.send_request("one", "draft").await;
+        assert_eq!(response.status, 429, "refused: nothing ran");
+        assert!(response
             .retry_after
             .is_some_and(|r| r.parse::<f64>().is_ok_and(|r| r > 0.0)));
-        until(&scene.runtime, "a release", || {
-            !scene.releases("one").is_empty()
+        wait_until(&cluster.runtime, "a release", || {
+            !cluster.releases("one").is_empty()
         })
         .await;
         let (release, last) = (
-            scene.releases("one")[0].at,
-            scene.sends("one").last().unwrap().at,
+            cluster.releases("one")[0].at,
+            cluster.attempts("one").last().unwrap().at,
         );
         assert!(
             release >= last && release - last <= 300_000,
@@ -355,38 +384,36 @@
     });
 }
 
-/// An attempt that is given up is over at its engine before the next one is anywhere, however much longer the first one's
-/// way is: with effects that may not be repeated it would be a second copy.
+/// An abandoned attempt is over at its engine before the next one reaches any engine, however much longer the first one's
+/// network path is: for a non-idempotent request it would be a duplicate.
 #[test]
-fn what_is_given_up_is_over_before_the_next_attempt_comes() {
-    let rig = Rig::new(|seen| {
+fn an_abandoned_attempt_is_over_before_the_next_one_arrives() {
+    let setup = ClusterSetup::new(|seen| {
         match seen.engine < 2 && seen.id.starts_with('h') && seen.timeout_ms > 3_000 {
-            true => Play::Silent,
-            false => Play::Usual,
+            true => EngineBehavior::Silent,
+            false => EngineBehavior::Normal,
         }
     });
-    rig.sim.lag(rig.node.id(), rig.engines[0].id(), 1_500);
-    rig.play(|scene| async move {
+    setup.sim.lag(setup.node.id(), setup.engines[0].id(), 1_500);
+    setup.run(|cluster| async move {
         let mut over = 0;
         for n in 0..40 {
             // Both readers are usual ones again for the node.
             for usual in 0..4 {
-                scene.ask(&format!("u{n}-{usual}"), "draft").await;
-                scene.runtime.sleep(1_000_000).await;
+                cluster
+                    .send_request(&format!("u{n}-{usual}"), "draft")
+                    .await;
+                cluster.runtime.sleep(1_000_000).await;
             }
             let id = format!("h{n}");
-            scene.ask(&id, "send").await;
-            let sends = scene.sends(&id);
-            let book = scene.book.lock().unwrap();
+            cluster.send_request(&id, "send").await;
+            let sends = cluster.attempts(&id);
+            let log = cluster.log.lock().unwrap();
             for pair in sends
                 .windows(2)
                 .filter(|p| p[0].engine == 0 && p[0].timeout_ms > 3_000)
             {
-                let end = book
-                    .closed
-                    .iter()
-                    .find(|c| c.1 == pair[0].connection)
-                    .map(|c| c.2);
+                let end = log.closed_at(pair[0].connection);
                 assert!(
                     end.is_some_and(|at| at <= pair[1].at),
                     "{id}: {end:?}, next at {}",
@@ -399,25 +426,27 @@
     });
 }
 
-/// Behind a cut no writer's connection comes up: what was read is let go of in time all the same, however many are tried.
+/// In a partition no connection to a decode engine comes up: the prefill is released in time, however many are tried.
 #[test]
-fn writers_that_cannot_be_reached_keep_no_state_waiting() {
+fn unreachable_decode_engines_do_not_delay_a_release() {
     for class in ["draft", "send"] {
-        let rig = Rig::new(|_| Play::Usual);
+        let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         for writer in 2..4 {
-            rig.sim.cut(rig.node.id(), rig.engines[writer].id(), true);
+            setup
+                .sim
+                .cut(setup.node.id(), setup.engines[writer].id(), true);
         }
-        rig.play(move |scene| async move {
-            let got = scene.ask("one", class).await;
-            assert_eq!(got.status, 429, "refused: nothing ran");
-            until(&scene.runtime, "a release", || {
-                !scene.releases("one").is_empty()
+        setup.run(move |cluster| async move {
+            let response = cluster.send_request("one", class).await;
+            assert_eq!(response.status, 429, "refused: nothing ran");
+            wait_until(&cluster.runtime, "a release", || {
+                !cluster.releases("one").is_empty()
             })
             .await;
-            let reads = scene.sends("one");
+            let reads = cluster.attempts("one");
             for (i, read) in reads.iter().enumerate() {
                 let next = reads.get(i + 1).map_or(Micros::MAX, |r| r.at);
-                let release = scene
+                let release = cluster
                     .releases("one")
                     .iter()
                     .map(|r| r.at)
@@ -432,79 +461,85 @@
     }
 }
 
-/// Where the engine that holds something does not answer, another one is asked: any engine takes a release.
+/// If the engine with the reservation does not respond, the release is sent to another one: any engine accepts it.
 #[test]
-fn a_release_finds_an_engine_that_answers() {
-    let rig = Rig::new(|seen| match (seen.method.as_str(), seen.engine) {
-        ("DELETE", engine) if engine != 3 => Play::Silent,
-        ("POST", engine) if engine >= 2 && !seen.id.is_empty() => Play::Silent,
-        _ => Play::Usual,
+fn a_release_is_sent_to_an_engine_that_responds() {
+    let setup = ClusterSetup::new(|seen| match (seen.method.as_str(), seen.engine) {
+        ("DELETE", engine) if engine != 3 => EngineBehavior::Silent,
+        ("POST", engine) if engine >= 2 && !seen.id.is_empty() => EngineBehavior::Silent,
+        _ => EngineBehavior::Normal,
     });
-    rig.play(|scene| async move {
-        let mut conn = scene.connect().await;
+    setup.run(|cluster| async move {
+        let mut conn = cluster.connect().await;
         conn.write_all(&request("one", "draft", 4_800))
             .await
             .unwrap();
-        until(&scene.runtime, "a write", || {
-            scene.sends("one").iter().any(writes)
+        wait_until(&cluster.runtime, "a write", || {
+            cluster.attempts("one").iter().any(is_decode)
         })
         .await;
-        let left = scene.runtime.now();
+        let left = cluster.runtime.now();
         drop(conn);
-        until(&scene.runtime, "a release", || {
-            scene.releases("one").iter().any(|s| s.engine == 3)
+        wait_until(&cluster.runtime, "a release", || {
+            cluster.releases("one").iter().any(|s| s.engine == 3)
         })
         .await;
-        let took = scene.runtime.now() - left;
+        let took = cluster.runtime.now() - left;
         assert!(took < 600_000, "{took} us");
         // Nothing is sent for a client that left.
-        let sends = scene.sends("one").len();
-        scene.runtime.sleep(2_000_000).await;
-        assert_eq!(scene.sends("one").len(), sends);
+        let sends = cluster.attempts("one").len();
+        cluster.runtime.sleep(2_000_000).await;
+        assert_eq!(cluster.attempts("one").len(), sends);
     });
 }
 
-/// Descriptors: connections to engines stay within their bound while engines are replaced, and those to engines that
-/// are gone are closed.
+/// Connections to engines stay within their limit while engines are replaced, and those to removed engines are closed.
 #[test]
-fn engines_that_are_replaced_leave_no_connections() {
-    let rig = Rig::new(|_| Play::Usual);
-    rig.play(|scene| async move {
+fn replaced_engines_leave_no_connections() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    setup.run(|cluster| async move {
         for round in 0..10 {
             // The same four addresses under ids that were never there before.
             let text = list(&["up"; 4]).replace("\"s-", &format!("\"r{round}-"));
-            scene.relist(text);
-            scene.runtime.sleep(50_000).await;
+            cluster.update_list(text);
+            cluster.runtime.sleep(50_000).await;
             for n in 0..3 {
                 assert_eq!(
-                    scene.ask(&format!("q{round}-{n}"), "draft").await.status,
+                    cluster
+                        .send_request(&format!("q{round}-{n}"), "draft")
+                        .await
+                        .status,
                     200
                 );
             }
         }
-        scene.runtime.sleep(50_000).await;
-        let book = scene.book.lock().unwrap();
-        assert!(book.standing <= 6, "{} connections stand", book.standing);
+        cluster.runtime.sleep(50_000).await;
+        let log = cluster.log.lock().unwrap();
+        assert!(
+            log.open_connections <= 6,
+            "{} connections stand",
+            log.open_connections
+        );
         assert!(
-            book.connections >= 20,
+            log.connections >= 20,
             "each new engine had connections of its own: {}",
-            book.connections
+            log.connections
         );
-        let metrics = scene.service.node().metrics();
+        let metrics = cluster.service.node().metrics();
         assert_eq!(
             (metrics.engines.get(), metrics.engines_known.get()),
             (4, 4),
             "the module forgot the others"
         );
-        assert_eq!(scene.service.node().open_requests(), 0);
+        assert_eq!(cluster.service.node().open_requests(), 0);
     });
 }
 
-/// A connection that ends while a request comes: an engine that got no whole request ran nothing, and the node can tell.
+/// A connection is closed while a request arrives: an engine without the whole request ran nothing, and the node can tell.
 #[test]
-fn a_connection_that_ends_under_a_coming_request_ran_nothing() {
-    let rig = Rig::new(|_| Play::Usual);
-    let (host, at) = (rig.sim.host(50), address(9));
+fn a_connection_closed_within_a_request_ran_nothing() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    let (host, at) = (setup.sim.host(50), address(9));
     let runtime = host.runtime();
     let mut listener = runtime.listen(at).unwrap();
     let met = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
@@ -521,16 +556,16 @@
             });
         }
     });
-    rig.play(move |scene| async move {
-        let breaks = entry(2, "up")
+    setup.run(move |cluster| async move {
+        let breaks = list_entry(2, "up")
             .replace("s-2", "s-9")
             .replace(&address(2).to_string(), &at.to_string());
-        scene.relist(format!("{},{breaks}", list(&["up", "up", "up", "removed"])));
-        scene.runtime.sleep(20_000).await;
+        cluster.update_list(format!("{},{breaks}", list(&["up", "up", "up", "removed"])));
+        cluster.runtime.sleep(20_000).await;
         for n in 0..12 {
-            let got = scene.ask(&format!("r{n}"), "send").await;
-            assert_eq!((got.status, got.whole), (200, true), "r{n}");
-            scene.runtime.sleep(2_000_000).await;
+            let response = cluster.send_request(&format!("r{n}"), "send").await;
+            assert_eq!((response.status, response.whole), (200, true), "r{n}");
+            cluster.runtime.sleep(2_000_000).await;
         }
         assert!(
             met.load(std::sync::atomic::Ordering::SeqCst) >= 2,
@@ -539,27 +574,27 @@
     });
 }
 
-/// Engines that end a connection kept for a tenth of a second at its next request: what may not be sent again is not
-/// lost to that, and the rest learns to leave such connections alone.
+/// Engines close a connection that was idle for a tenth of a second at its next request: non-idempotent requests are not
+/// lost to that, and others learn not to reuse such connections.
 #[test]
-fn kept_connections_that_end_at_the_next_request() {
+fn idle_connections_that_are_closed_at_the_next_request() {
     let last = std::sync::Mutex::new(std::collections::BTreeMap::new());
-    let rig = Rig::new(move |seen| {
+    let setup = ClusterSetup::new(move |seen| {
         let before = last.lock().unwrap().insert(seen.connection, seen.at);
         let idle = before.map_or(0, |b| seen.at - b);
         match !seen.id.is_empty() && (100_000..1_000_000).contains(&idle) {
-            true => Play::SayAndClose(Vec::new()),
-            false => Play::Usual,
+            true => EngineBehavior::RespondAndClose(Vec::new()),
+            false => EngineBehavior::Normal,
         }
     });
-    rig.play(|scene| async move {
+    setup.run(|cluster| async move {
         let mut sends = 0;
         for n in 0..60 {
             let (id, class) = (format!("r{n}"), if n % 3 == 0 { "send" } else { "draft" });
-            let got = scene.ask(&id, class).await;
-            assert_eq!((got.status, got.whole), (200, true), "{id}");
-            sends += scene.sends(&id).len();
-            scene.runtime.sleep(250_000).await;
+            let response = cluster.send_request(&id, class).await;
+            assert_eq!((response.status, response.whole), (200, true), "{id}");
+            sends += cluster.attempts(&id).len();
+            cluster.runtime.sleep(250_000).await;
         }
         assert!(
             sends <= 2 * 60 + 8,
--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -1,8 +1,8 @@
-//! Calls that fail on the node's own machine: accepts and dials, through a world that makes them fail.
+//! Accepts and connects that fail on the node's own machine, through a runtime that makes them fail.
 
 mod common;
 
-use common::{request, Play, Rig, Seen};
+use common::{request, ClusterSetup, EngineBehavior, EngineRequest};
 use futures_lite::AsyncWriteExt;
 use ivyward::runtime::{
     BorrowedFuture, BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeExt, RuntimeRef,
@@ -16,7 +16,7 @@
 const ECONNABORTED: i32 = 103;
 const EADDRNOTAVAIL: i32 = 99;
 
-/// What fails in a world.
+/// What fails in a runtime.
 #[derive(Default)]
 struct Failing {
     /// The next accept waits for good; those behind it fail in turn.
@@ -103,25 +103,25 @@
         conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
             .await
             .unwrap();
-        if common::got(client, &mut conn).await.status == 200 {
+        if common::read_response(client, &mut conn).await.status == 200 {
             return;
         }
         client.sleep(10_000).await;
     }
 }
 
-/// Guards against one aborted connection that ends the emptying of the system's queue at a stop: those behind it were reset
-/// with the listener.
+/// Guards against an aborted connection that ends the accepting of queued connections at a stop: those behind it would be
+/// reset with the listener.
 #[test]
-fn an_aborted_connection_at_a_stop_leaves_those_behind_it_their_answers() {
-    let rig = Rig::new(|_: &Seen| Play::Usual);
+fn queued_connections_behind_an_aborted_one_are_served_at_a_stop() {
+    let setup = ClusterSetup::new(|_: &EngineRequest| EngineBehavior::Normal);
     let failing = Arc::<Failing>::default();
     let runtime: RuntimeRef = Arc::new(FailingRuntime {
-        runtime: rig.runtime.clone(),
+        runtime: setup.runtime.clone(),
         failing: failing.clone(),
     });
-    let (config, client) = (rig.config(), rig.client.runtime());
-    let played = rig.sim.run(&rig.node, common::DAY, async move {
+    let (config, client) = (setup.config(), setup.client.runtime());
+    let played = setup.sim.run(&setup.node, common::RUN_TIMEOUT, async move {
         let mut service = Service::start(runtime.clone(), config).await.unwrap();
         let address = service.address();
         healthy(&client, address).await;
@@ -143,9 +143,9 @@
             drop(done);
         });
         for (n, conn) in queued.iter_mut().enumerate() {
-            let got = common::got(&client, conn).await;
+            let response = common::read_response(&client, conn).await;
             assert_eq!(
-                (got.status, got.whole),
+                (response.status, response.whole),
                 (200, true),
                 "request {n} of the queue"
             );
@@ -156,18 +156,18 @@
     played.unwrap();
 }
 
-/// Guards against a moment without local ports that is taken for failures of the engines.
+/// Guards against a moment without local ports that counts as failures of the engines.
 #[test]
-fn a_moment_without_local_ports_refuses_nobody_and_doubts_no_engine() {
+fn a_moment_without_local_ports_fails_no_request_and_no_engine() {
     const DIALS: usize = 8;
-    let rig = Rig::new(|_: &Seen| Play::Usual);
+    let setup = ClusterSetup::new(|_: &EngineRequest| EngineBehavior::Normal);
     let failing = Arc::<Failing>::default();
     let runtime: RuntimeRef = Arc::new(FailingRuntime {
-        runtime: rig.runtime.clone(),
+        runtime: setup.runtime.clone(),
         failing: failing.clone(),
     });
-    let (config, client) = (rig.config(), rig.client.runtime());
-    let played = rig.sim.run(&rig.node, common::DAY, async move {
+    let (config, client) = (setup.config(), setup.client.runtime());
+    let played = setup.sim.run(&setup.node, common::RUN_TIMEOUT, async move {
         let service = Service::start(runtime.clone(), config).await.unwrap();
         let address = service.address();
         healthy(&client, address).await;
@@ -177,8 +177,12 @@
             conn.write_all(&request(&format!("d{n}"), "draft", 4_800))
                 .await
                 .unwrap();
-            let got = common::got(&client, &mut conn).await;
-            assert_eq!((got.status, got.whole), (200, true), "request {n}");
+            let response = common::read_response(&client, &mut conn).await;
+            assert_eq!(
+                (response.status, response.whole),
+                (200, true),
+                "request {n}"
+            );
         }
         assert_eq!(failing.failed_dials.load(Ordering::SeqCst), DIALS);
         let failed = ivyward::metrics::OUTCOMES
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -7,8 +7,8 @@
 use ivyward_platform::Config;
 
 #[test]
-fn a_configuration_that_cannot_hold_names_field_value_and_reason() {
-    let good = Rig::new(|_| Play::Usual).config;
+fn an_invalid_configuration_is_reported_with_field_value_and_reason() {
+    let good = ClusterSetup::new(|_| EngineBehavior::Normal).config;
     assert!(Config::parse("f", good.as_bytes()).is_ok());
     let bad = [
         (
@@ -57,7 +57,9 @@
 #[test]
 fn bounds_fit_into_the_limits() {
     for sockets in [160, 256, 512, 1024] {
-        let bounds = Rig::with(sockets, |_| Play::Usual).config().bounds;
+        let bounds = ClusterSetup::with_sockets(sockets, |_| EngineBehavior::Normal)
+            .config()
+            .bounds;
         assert!(
             bounds.client_connections + bounds.engine_connections < sockets,
             "{bounds:?}"
@@ -74,69 +76,75 @@
     }
 }
 
-/// Rule 3: once a drain was told nothing new goes there; one entry that cannot be read leaves the others.
+/// Rule 3: nothing new is sent to a draining engine; a malformed entry of the list leaves the others.
 #[test]
-fn drains_and_unreadable_entries() {
-    Rig::new(|_| Play::Usual).play(|scene| async move {
-        assert_eq!(scene.ask("before", "draft").await.status, 200);
+fn drains_and_malformed_entries() {
+    ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
+        assert_eq!(cluster.send_request("before", "draft").await.status, 200);
         let text = list(&["up", "draining", "up", "removed"]);
-        scene.relist(format!(
+        cluster.update_list(format!(
             "{text},{},{}",
             r#"{"id":"s-9","addr":"nowhere","state":"up"}"#, "17"
         ));
-        scene.runtime.sleep(20_000).await;
-        let told = scene.runtime.now();
+        cluster.runtime.sleep(20_000).await;
+        let told = cluster.runtime.now();
         for n in 0..12 {
-            assert_eq!(scene.ask(&format!("r{n}"), "draft").await.status, 200);
+            assert_eq!(
+                cluster.send_request(&format!("r{n}"), "draft").await.status,
+                200
+            );
         }
-        let late: Vec<Seen> = scene
-            .seen()
+        let late: Vec<EngineRequest> = cluster
+            .engine_requests()
             .into_iter()
             .filter(|s| s.at > told && matches!(s.engine, 1 | 3))
             .collect();
         assert!(late.is_empty(), "{late:?}");
         // The one that is up again is used again.
-        scene.relist(list(&["draining", "up", "up", "up"]));
-        scene.runtime.sleep(20_000).await;
-        assert_eq!(scene.ask("after", "draft").await.status, 200);
-        assert_eq!(scene.sends("after")[0].engine, 1);
+        cluster.update_list(list(&["draining", "up", "up", "up"]));
+        cluster.runtime.sleep(20_000).await;
+        assert_eq!(cluster.send_request("after", "draft").await.status, 200);
+        assert_eq!(cluster.attempts("after")[0].engine, 1);
     });
 }
 
-/// Discovery that falls silent leaves the list; a new configuration moves the watch, and what the new address says counts.
+/// While discovery is silent the list stays; a new configuration moves the watch, and the list of the new address counts.
 #[test]
-fn discovery_may_fall_silent_and_move() {
-    let rig = Rig::new(|_| Play::Usual);
+fn discovery_falls_silent_and_moves() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     let (other, new) = (
-        rig.sim.host(44),
+        setup.sim.host(44),
         std::net::SocketAddr::from(([127, 0, 2, 2], 8500)),
     );
     let newer = std::sync::Arc::new(std::sync::Mutex::new((
         70,
         list(&["up", "draining", "up", "draining"]),
     )));
-    discover(&other, new, &newer, &Default::default());
+    start_discovery(&other, new, &newer, &Default::default());
     let moved = config(new, 1024);
-    let sim = rig.sim.clone();
-    rig.play(move |scene| async move {
+    let sim = setup.sim.clone();
+    setup.run(move |cluster| async move {
         // The first discovery dies: host 2 in the order of their making.
         sim.kill(2, false);
-        scene.runtime.sleep(30_000_000).await;
+        cluster.runtime.sleep(30_000_000).await;
         assert_eq!(
-            scene.ask("one", "draft").await.status,
+            cluster.send_request("one", "draft").await.status,
             200,
             "the old list stays"
         );
-        scene
+        cluster
             .service
             .reload(&Config::parse("f", moved.as_bytes()).unwrap());
-        scene.runtime.sleep(1_000_000).await;
-        let told = scene.runtime.now();
+        cluster.runtime.sleep(1_000_000).await;
+        let told = cluster.runtime.now();
         for n in 0..8 {
-            assert_eq!(scene.ask(&format!("r{n}"), "draft").await.status, 200);
+            assert_eq!(
+                cluster.send_request(&format!("r{n}"), "draft").await.status,
+                200
+            );
         }
-        let late = scene
-            .seen()
+        let late = cluster
+            .engine_requests()
             .into_iter()
             .filter(|s| s.at > told && matches!(s.engine, 1 | 3))
             .count();
@@ -144,49 +152,51 @@
     });
 }
 
-/// SIGTERM: new requests are taken for the stated time, all that was taken is answered, and then the node ends.
+/// SIGTERM: new requests are accepted for the stated time, all accepted ones are answered, and then the node ends.
 #[test]
-fn a_stop_answers_all_that_was_taken() {
-    let rig = Rig::new(|seen| {
+fn a_stop_answers_all_accepted_requests() {
+    let setup = ClusterSetup::new(|seen| {
         if seen.engine >= 2 {
-            Play::Late(900_000)
+            EngineBehavior::Delayed(900_000)
         } else {
-            Play::Usual
+            EngineBehavior::Normal
         }
     });
-    rig.play(|mut scene| async move {
-        let (client, address) = (scene.client.clone(), scene.address);
-        let mut kept = scene.connect().await;
+    setup.run(|mut cluster| async move {
+        let (client, address) = (cluster.client.clone(), cluster.address);
+        let mut kept = cluster.connect().await;
         kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
             .await
             .unwrap();
-        assert_eq!(got(&client, &mut kept).await.status, 200);
-        let mut early = scene.connect().await;
+        assert_eq!(read_response(&client, &mut kept).await.status, 200);
+        let mut early = cluster.connect().await;
         early
             .write_all(&request("early", "send", 4_800))
             .await
             .unwrap();
-        until(&scene.runtime, "an attempt", || {
-            !scene.sends("early").is_empty()
+        wait_until(&cluster.runtime, "an attempt", || {
+            !cluster.attempts("early").is_empty()
         })
         .await;
         let (done, answers) = async_channel::unbounded();
         for (id, after) in [("late1", 100_000), ("late2", 390_000)] {
             let (client, done) = (client.clone(), done.clone());
-            scene.client.run(async move {
+            cluster.client.run(async move {
                 client.sleep(after).await;
                 let mut conn = client.connect(address).await.unwrap();
                 conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
                     .await
                     .unwrap();
-                assert_eq!(got(&client, &mut conn).await.status, 503);
+                assert_eq!(read_response(&client, &mut conn).await.status, 503);
                 let mut conn = client.connect(address).await.unwrap();
                 conn.write_all(&request(id, "send", 4_800)).await.unwrap();
-                done.send(got(&client, &mut conn).await).await.unwrap();
+                done.send(read_response(&client, &mut conn).await)
+                    .await
+                    .unwrap();
             });
         }
-        scene.service.stop().await;
-        let early = got(&client, &mut early).await;
+        cluster.service.stop().await;
+        let early = read_response(&client, &mut early).await;
         assert_eq!((early.status, early.whole), (200, true));
         for _ in 0..2 {
             let late = answers.recv().await.unwrap();
@@ -199,93 +209,95 @@
     });
 }
 
-/// Two nodes of different deployments in one process: what one was told shows nowhere in the other.
+/// Two nodes of different deployments in one process share no settings.
 #[test]
-fn two_deployments_in_one_process_share_nothing() {
-    let rig = Rig::new(|_| Play::Usual);
+fn two_deployments_in_one_process_are_isolated() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     let (host, discovery) = (
-        rig.sim.host(70),
+        setup.sim.host(70),
         std::net::SocketAddr::from(([127, 0, 2, 9], 8500)),
     );
     let empty = std::sync::Arc::new(std::sync::Mutex::new((
         5,
         list(&["up", "removed", "up", "removed"]),
     )));
-    discover(&host, discovery, &empty, &Default::default());
+    start_discovery(&host, discovery, &empty, &Default::default());
     let other = config(discovery, 256)
         .replace("127.0.0.9:8080", "127.0.0.8:8080")
         .replace("\"name\":\"draft\"", "\"name\":\"quote\"")
         .replace("\"deadline_us\":7500000", "\"deadline_us\":400000")
         .replace("\"name\":\"acme\"", "\"name\":\"zeta\"");
-    rig.play(move |scene| async move {
+    setup.run(move |cluster| async move {
         let other = Config::parse("other", other.as_bytes()).unwrap();
-        let second = ivyward_platform::Service::start(scene.runtime.clone(), other)
+        let second = ivyward_platform::Service::start(cluster.runtime.clone(), other)
             .await
             .unwrap();
-        until(&scene.runtime, "the second list", || {
+        wait_until(&cluster.runtime, "the second list", || {
             second.node().metrics().engines.get() == 2
         })
         .await;
         assert_eq!(
-            scene.service.node().metrics().engines.get(),
+            cluster.service.node().metrics().engines.get(),
             4,
             "each has its own list"
         );
-        assert_eq!(scene.ask("one", "draft").await.status, 200);
+        assert_eq!(cluster.send_request("one", "draft").await.status, 200);
         assert_eq!(
-            scene.ask("two", "quote").await.status,
+            cluster.send_request("two", "quote").await.status,
             400,
             "a class of the other deployment"
         );
-        let sent = scene.sends("one");
+        let sent = cluster.attempts("one");
         assert!(
             sent[0].timeout_ms > 1_000,
             "a deadline of the other deployment: {sent:?}"
         );
-        let mut conn = scene.client.connect(second.address()).await.unwrap();
+        let mut conn = cluster.client.connect(second.address()).await.unwrap();
         let text = String::from_utf8(request("three", "quote", 4_800))
             .unwrap()
             .replace("acme", "zeta");
         conn.write_all(text.as_bytes()).await.unwrap();
-        assert_eq!(got(&scene.client, &mut conn).await.status, 200);
-        assert!(scene
-            .sends("three")
+        assert_eq!(read_response(&cluster.client, &mut conn).await.status, 200);
+        assert!(cluster
+            .attempts("three")
             .iter()
             .all(|s| s.timeout_ms <= 400 && s.engine % 2 == 0));
-        assert_eq!(scene.service.node().metrics().requests.get(), 1);
+        assert_eq!(cluster.service.node().metrics().requests.get(), 1);
         assert_eq!(second.node().metrics().requests.get(), 1);
     });
 }
 
-/// A request on a resting connection, in the very moment in which a stopping node closes it: it is answered, or not read at
-/// all. Nothing is sent on once the stop is over, for the process ends then.
+/// A request on an idle connection, at the moment in which a stopping node closes it, is answered or not read at all. Nothing
+/// is sent to engines once the stop is over, for the process ends then.
 #[test]
-fn a_request_in_the_moment_of_its_connections_end_is_answered_or_not_read() {
+fn a_request_that_crosses_its_connections_close_is_answered_or_not_read() {
     let (mut answered, mut closed) = (0, 0);
     // The node closes it 650 ms after the word to stop; the way to it takes 200 us.
     for sent_at in 649_780..649_820 {
-        let (tell, told) = std::sync::mpsc::channel();
-        let rig = Rig::new(|_| Play::Usual);
-        rig.sim.net(|net| net.jitter = 0);
-        rig.play(move |mut scene| async move {
-            let client = scene.client.clone();
-            let mut resting = scene.connect().await;
+        let (outcome, outcomes) = std::sync::mpsc::channel();
+        let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        setup.sim.net(|net| net.jitter = 0);
+        setup.run(move |mut cluster| async move {
+            let client = cluster.client.clone();
+            let mut resting = cluster.connect().await;
             resting
                 .write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
                 .await
                 .unwrap();
-            assert_eq!(got(&client, &mut resting).await.status, 200);
+            assert_eq!(read_response(&client, &mut resting).await.status, 200);
             let (done, answer) = async_channel::bounded(1);
-            scene.client.run(async move {
+            cluster.client.run(async move {
                 client.sleep(sent_at).await;
                 // It may be closed by now.
                 let _ = resting.write_all(&request("crosses", "send", 4_800)).await;
-                done.send(got(&client, &mut resting).await).await.unwrap();
+                done.send(read_response(&client, &mut resting).await)
+                    .await
+                    .unwrap();
             });
-            scene.service.stop().await;
-            let stopped = scene.runtime.now();
-            scene.runtime.sleep(2_000_000).await;
-            let sends = scene.sends("crosses");
+            cluster.service.stop().await;
+            let stopped = cluster.runtime.now();
+            cluster.runtime.sleep(2_000_000).await;
+            let sends = cluster.attempts("crosses");
             assert!(
                 sends.iter().all(|s| s.at <= stopped),
                 "{sent_at}: sent on after the end: {sends:?}"
@@ -297,9 +309,9 @@
                 "{sent_at}: {answer:?}"
             );
             assert!(answer.status == 0 || (answer.status == 200 && answer.whole && answer.closes));
-            tell.send(answer.status).unwrap();
+            outcome.send(answer.status).unwrap();
         });
-        match told.recv().unwrap() {
+        match outcomes.recv().unwrap() {
             0 => closed += 1,
             _ => answered += 1,
         }
--- a/crates/ivyward-platform/tests/shutdown.rs
+++ b/crates/ivyward-platform/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown on real sockets, with what crosses it put in order by barriers.
+//! Shutdown on real sockets, with concurrent events ordered by barriers.
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -18,10 +18,10 @@
         "limits":{"try_limit":5,"retry_after":true,"max_retry_after_us":2000000,"dial_timeout_us":250000}}}"#;
 const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\n\r\n";
 
-/// Client connections of a node with so many descriptors.
+/// Client connections of a node with so many file descriptors.
 const MOST_CLIENTS: usize = 60;
 
-/// The first line of an answer, or `None` where the connection ends without one.
+/// The status line of a response, or `None` if the connection ends without one.
 async fn status(conn: &mut Conn) -> Option<String> {
     let mut answer = Vec::new();
     let mut byte = [0; 1];
@@ -36,10 +36,10 @@
     Some(String::from_utf8_lossy(&answer).lines().next()?.to_owned())
 }
 
-/// Connections that wait in the system's queue when the listener goes are answered, also while others that were told to
-/// close have not yet: with the listener they would be reset.
+/// Connections that the system queues when the listener closes are served, also while evicted ones have not closed yet: with
+/// the listener they would be reset.
 #[test]
-fn what_the_system_accepted_before_the_listener_went_is_answered() {
+fn connections_queued_before_the_listener_closed_are_served() {
     let node = SmolRuntime::start(1, 1);
     let clients: RuntimeRef = SmolRuntime::start(1, 2);
     node.block_on(async {
@@ -58,10 +58,10 @@
             resting.push(conn);
         }
         // The node's one thread stands still from here until it is let go.
-        let (standing, stands) = async_channel::bounded(1);
+        let (open_connections, stands) = async_channel::bounded(1);
         let (let_go, held) = mpsc::channel::<()>();
         node.run(async move {
-            standing.send(()).await.unwrap();
+            open_connections.send(()).await.unwrap();
             let _ = held.recv();
         });
         stands.recv().await.unwrap();
--- a/crates/ivyward-platform/tests/watch_latency.rs
+++ b/crates/ivyward-platform/tests/watch_latency.rs
@@ -1,4 +1,4 @@
-//! A change of the list is heeded 6 s after discovery had it and could be reached, whatever call failed meanwhile.
+//! A change of the list takes effect 6 s after discovery had it and could be reached, whatever call failed meanwhile.
 
 mod common;
 use common::*;
@@ -8,48 +8,48 @@
 use std::net::SocketAddr;
 
 const MS: Micros = 1_000;
-/// The term, less what a node with a fifth of a core may take to act on what it read.
-const TOLD: Micros = 5_900 * MS;
+/// The longest delay, less what a node with a fifth of a core may take to act on a list.
+const MAX_DELAY: Micros = 5_900 * MS;
 
-/// One reader and one writer drain at a moment at which discovery does `faults`; asked all the time, the node sends them
-/// nothing from the term on.
-fn drained(name: &str, silence: bool, faults: &[Told]) {
+/// One prefill and one decode engine begin to drain while discovery has `faults`; under steady requests the node sends them
+/// nothing after the longest delay.
+fn check_drain_delay(name: &str, silence: bool, faults: &[DiscoveryBehavior]) {
     // Just after an answer, in the middle of a wait, just before its end.
     for after in [2, 700, 1_490] {
         let faults = faults.to_vec();
         let name = format!("{name}, {after} ms");
-        Rig::new(|_| Play::Usual).play(move |scene| async move {
+        ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
             // From the begin of a watch's wait on.
-            scene.relist(list(&["up"; 4]));
-            scene.runtime.sleep(after * MS).await;
+            cluster.update_list(list(&["up"; 4]));
+            cluster.runtime.sleep(after * MS).await;
             {
-                let mut told = scene.faults.lock().unwrap();
+                let mut told = cluster.faults.lock().unwrap();
                 told.next = faults.into();
                 if silence {
                     told.silence();
                 }
             }
-            scene.relist(list(&["draining", "up", "draining", "up"]));
-            let told = scene.runtime.now();
+            cluster.update_list(list(&["draining", "up", "draining", "up"]));
+            let told = cluster.runtime.now();
             for n in 0..100 {
-                scene.ask(&format!("r{n}"), "draft").await;
-                scene.runtime.sleep(60 * MS).await;
+                cluster.send_request(&format!("r{n}"), "draft").await;
+                cluster.runtime.sleep(60 * MS).await;
             }
-            let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST";
-            let last = scene
-                .seen()
+            let at = |seen: &&EngineRequest| matches!(seen.engine, 0 | 2) && seen.method == "POST";
+            let last = cluster
+                .engine_requests()
                 .iter()
                 .filter(at)
                 .map(|s| s.at)
                 .max()
                 .unwrap_or(0);
             assert!(
-                last < told + TOLD,
+                last < told + MAX_DELAY,
                 "{name}: a send {} us after the change",
                 last - told
             );
             assert!(
-                scene.faults.lock().unwrap().calls < 60,
+                cluster.faults.lock().unwrap().calls < 60,
                 "{name}: discovery is not run against"
             );
         });
@@ -57,45 +57,53 @@
 }
 
 #[test]
-fn an_open_watch_falls_silent() {
-    drained("silent", true, &[]);
+fn an_open_long_poll_falls_silent() {
+    check_drain_delay("silent", true, &[]);
 }
 
 #[test]
-fn silent_watch_then_calls_that_are_accepted_and_never_answered() {
-    drained(
+fn a_silent_long_poll_then_calls_without_a_response() {
+    check_drain_delay(
         "silent, three more",
         true,
-        &[Told::Silent, Told::Silent, Told::Silent],
+        &[
+            DiscoveryBehavior::Silent,
+            DiscoveryBehavior::Silent,
+            DiscoveryBehavior::Silent,
+        ],
     );
 }
 
 #[test]
 fn calls_that_fail_quickly_one_after_the_other() {
     let faults = [
-        Told::Reset,
-        Told::Close,
-        Told::Status(503),
-        Told::Cut(30),
-        Told::Cut(200),
-        Told::Close,
+        DiscoveryBehavior::Reset,
+        DiscoveryBehavior::Close,
+        DiscoveryBehavior::Status(503),
+        DiscoveryBehavior::Truncate(30),
+        DiscoveryBehavior::Truncate(200),
+        DiscoveryBehavior::Close,
     ];
-    drained("quick", false, &faults);
-    drained("silent, then quick", true, &faults);
+    check_drain_delay("quick", false, &faults);
+    check_drain_delay("silent, then quick", true, &faults);
 }
 
 #[test]
-fn an_answer_that_stops_in_the_middle_of_its_head_or_body() {
-    drained("part", false, &[Told::Part(10), Told::Part(120)]);
-    drained(
+fn responses_that_stall_within_their_head_or_body() {
+    check_drain_delay(
+        "part",
+        false,
+        &[DiscoveryBehavior::Stall(10), DiscoveryBehavior::Stall(120)],
+    );
+    check_drain_delay(
         "silent, then part",
         true,
-        &[Told::Part(10), Told::Part(120)],
+        &[DiscoveryBehavior::Stall(10), DiscoveryBehavior::Stall(120)],
     );
 }
 
 #[test]
-fn answers_that_are_malformed() {
+fn malformed_responses() {
     let bodies = [
         "{",
         "[]",
@@ -104,77 +112,87 @@
         "{\"version\":-1,\"full\":true,\"servers\":[]}",
         "{\"version\":2,\"full\":true,\"servers\":{}}",
     ];
-    let faults: Vec<Told> = bodies.iter().map(|b| Told::Body((*b).to_owned())).collect();
-    drained("malformed", false, &faults);
-    drained("silent, then malformed", true, &faults);
+    let faults: Vec<DiscoveryBehavior> = bodies
+        .iter()
+        .map(|b| DiscoveryBehavior::Body((*b).to_owned()))
+        .collect();
+    check_drain_delay("malformed", false, &faults);
+    check_drain_delay("silent, then malformed", true, &faults);
 }
 
-/// Changes of an older version say what was; what is follows with the next call.
+/// Changes of an older version are outdated; the present list follows with the next call.
 #[test]
-fn versions_that_go_back() {
+fn versions_that_go_backwards() {
     let old = format!(
         r#"{{"version":0,"full":false,"servers":[{}]}}"#,
-        entry(0, "up")
+        list_entry(0, "up")
+    );
+    check_drain_delay(
+        "back",
+        false,
+        &[
+            DiscoveryBehavior::Body(old.clone()),
+            DiscoveryBehavior::Body(old),
+        ],
     );
-    drained("back", false, &[Told::Body(old.clone()), Told::Body(old)]);
 }
 
-/// A drain that was told is not undone by changes of an older version, though nothing newer is told for long.
+/// A drain is not undone by changes of an older version, though nothing newer is received for long.
 #[test]
-fn changes_of_an_older_version_undo_no_drain() {
-    Rig::new(|_| Play::Usual).play(|scene| async move {
-        scene.relist(list(&["draining", "up", "draining", "up"]));
-        scene.runtime.sleep(20 * MS).await;
-        let told = scene.runtime.now();
+fn changes_of_an_older_version_do_not_undo_a_drain() {
+    ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
+        cluster.update_list(list(&["draining", "up", "draining", "up"]));
+        cluster.runtime.sleep(20 * MS).await;
+        let told = cluster.runtime.now();
         let older = format!(
             r#"{{"version":1,"full":false,"servers":[{},{}]}}"#,
-            entry(0, "up"),
-            entry(2, "up")
+            list_entry(0, "up"),
+            list_entry(2, "up")
         );
         {
-            let mut faults = scene.faults.lock().unwrap();
+            let mut faults = cluster.faults.lock().unwrap();
             // The next watch is answered so; the list is asked for after it, and that call hangs.
-            faults.next = [Told::Body(older), Told::Silent].into();
+            faults.next = [DiscoveryBehavior::Body(older), DiscoveryBehavior::Silent].into();
         }
         for n in 0..60 {
-            scene.ask(&format!("r{n}"), "draft").await;
-            scene.runtime.sleep(50 * MS).await;
+            cluster.send_request(&format!("r{n}"), "draft").await;
+            cluster.runtime.sleep(50 * MS).await;
         }
-        let late = scene
-            .seen()
+        let late = cluster
+            .engine_requests()
             .iter()
             .filter(|s| s.at > told && matches!(s.engine, 0 | 2))
             .count();
         assert_eq!(late, 0);
         assert!(
-            scene.faults.lock().unwrap().next.is_empty(),
+            cluster.faults.lock().unwrap().next.is_empty(),
             "both were asked for"
         );
     });
 }
 
-/// A service that turns calls away is asked for the news again, which cost it less than the whole list; after any other
-/// failure the whole list is asked for.
+/// After a rejection the changes are asked for again, which cost discovery less than the full list; after any other failure
+/// the full list is asked for.
 #[test]
-fn after_a_refusal_the_news_are_asked_for_again() {
+fn after_a_rejection_changes_are_asked_for_again() {
     for (fault, news) in [
-        (Told::Status(503), true),
-        (Told::Status(429), true),
-        (Told::Status(500), false),
+        (DiscoveryBehavior::Status(503), true),
+        (DiscoveryBehavior::Status(429), true),
+        (DiscoveryBehavior::Status(500), false),
     ] {
-        Rig::new(|_| Play::Usual).play(move |scene| async move {
-            scene.relist(list(&["up"; 4]));
-            scene.runtime.sleep(100 * MS).await;
+        ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
+            cluster.update_list(list(&["up"; 4]));
+            cluster.runtime.sleep(100 * MS).await;
             let asked = {
-                let mut faults = scene.faults.lock().unwrap();
+                let mut faults = cluster.faults.lock().unwrap();
                 faults.next = [fault.clone()].into();
                 faults.targets.len()
             };
-            until(&scene.runtime, "three calls", || {
-                scene.faults.lock().unwrap().targets.len() >= asked + 3
+            wait_until(&cluster.runtime, "three calls", || {
+                cluster.faults.lock().unwrap().targets.len() >= asked + 3
             })
             .await;
-            let targets = scene.faults.lock().unwrap().targets[asked..asked + 3].to_vec();
+            let targets = cluster.faults.lock().unwrap().targets[asked..asked + 3].to_vec();
             // The fault meets the watch that follows the one that is out.
             let again: Vec<bool> = targets.iter().map(|t| t.contains("from=2")).collect();
             assert_eq!(again[1], news, "{fault:?}: {targets:?}");
@@ -183,68 +201,74 @@
     }
 }
 
-/// A service that needs 1.6 s for each call, and more while many wait, is heard all the same: a call that it was asked is not
-/// given up for the next one, and it is not run against.
+/// A discovery that needs 1.6 s for each call, and more while many wait, is followed all the same: a call is not abandoned for
+/// the next one, and discovery is not overloaded.
 #[test]
-fn a_service_under_load_is_waited_for() {
-    let rig = Rig::new(|_| Play::Usual);
-    rig.play(|scene| async move {
+fn calls_to_an_overloaded_discovery_are_not_abandoned() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    setup.run(|cluster| async move {
         {
-            let mut told = scene.faults.lock().unwrap();
-            told.always = Some(Told::Late(1_600 * MS));
+            let mut told = cluster.faults.lock().unwrap();
+            told.always = Some(DiscoveryBehavior::Delayed(1_600 * MS));
             told.silence();
         }
-        scene.relist(list(&["draining", "up", "draining", "up"]));
-        let (told, calls) = (scene.runtime.now(), scene.faults.lock().unwrap().calls);
+        cluster.update_list(list(&["draining", "up", "draining", "up"]));
+        let (told, calls) = (cluster.runtime.now(), cluster.faults.lock().unwrap().calls);
         for n in 0..140 {
-            scene.ask(&format!("r{n}"), "draft").await;
-            scene.runtime.sleep(60 * MS).await;
+            cluster.send_request(&format!("r{n}"), "draft").await;
+            cluster.runtime.sleep(60 * MS).await;
         }
-        let at = |seen: &&Seen| matches!(seen.engine, 0 | 2) && seen.method == "POST";
-        let last = scene
-            .seen()
+        let at = |seen: &&EngineRequest| matches!(seen.engine, 0 | 2) && seen.method == "POST";
+        let last = cluster
+            .engine_requests()
             .iter()
             .filter(at)
             .map(|s| s.at)
             .max()
             .unwrap_or(0);
         assert!(
-            last < told + TOLD,
+            last < told + MAX_DELAY,
             "a send {} us after the change",
             last - told
         );
-        let calls = scene.faults.lock().unwrap().calls - calls;
+        let calls = cluster.faults.lock().unwrap().calls - calls;
         assert!(calls <= 10, "{calls} calls in 8 s");
     });
 }
 
-/// While discovery is down the held list serves; what it has at its return is heeded soon after.
+/// While discovery is down the present list is used; its list at its return takes effect soon after.
 #[test]
 fn discovery_is_silent_for_eight_seconds_and_back() {
-    for down in [Told::Silent, Told::Reset] {
-        let rig = Rig::new(|_| Play::Usual);
-        rig.play(move |scene| async move {
+    for down in [DiscoveryBehavior::Silent, DiscoveryBehavior::Reset] {
+        let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        setup.run(move |cluster| async move {
             {
-                let mut told = scene.faults.lock().unwrap();
+                let mut told = cluster.faults.lock().unwrap();
                 told.always = Some(down.clone());
                 told.silence();
             }
-            scene.relist(list(&["draining", "up", "draining", "up"]));
+            cluster.update_list(list(&["draining", "up", "draining", "up"]));
             for n in 0..80 {
-                assert_eq!(scene.ask(&format!("down{n}"), "draft").await.status, 200);
-                scene.runtime.sleep(100 * MS).await;
+                assert_eq!(
+                    cluster
+                        .send_request(&format!("down{n}"), "draft")
+                        .await
+                        .status,
+                    200
+                );
+                cluster.runtime.sleep(100 * MS).await;
             }
-            scene.faults.lock().unwrap().always = None;
-            let back = scene.runtime.now();
+            cluster.faults.lock().unwrap().always = None;
+            let back = cluster.runtime.now();
             for n in 0..60 {
-                scene.ask(&format!("up{n}"), "draft").await;
-                scene.runtime.sleep(50 * MS).await;
+                cluster.send_request(&format!("up{n}"), "draft").await;
+                cluster.runtime.sleep(50 * MS).await;
             }
-            let at = |seen: &&Seen| {
+            let at = |seen: &&EngineRequest| {
                 matches!(seen.engine, 0 | 2) && seen.method == "POST" && seen.at > back
             };
-            let last = scene
-                .seen()
+            let last = cluster
+                .engine_requests()
                 .iter()
                 .filter(at)
                 .map(|s| s.at)
@@ -255,14 +279,14 @@
     }
 }
 
-/// A node that starts while discovery is down and has nothing of before is ready as soon as discovery is back.
+/// A node that starts without a cached list while discovery is down is ready soon after discovery is back.
 #[test]
 fn a_start_without_discovery_is_ready_soon_after_its_return() {
-    let rig = Rig::new(|_| Play::Usual);
-    rig.faults.lock().unwrap().always = Some(Told::Silent);
-    let (faults, client) = (rig.faults.clone(), rig.client.runtime());
-    let (runtime, config) = (rig.runtime.clone(), rig.config());
-    let played = rig.sim.run(&rig.node, DAY, async move {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    setup.faults.lock().unwrap().always = Some(DiscoveryBehavior::Silent);
+    let (faults, client) = (setup.faults.clone(), setup.client.runtime());
+    let (runtime, config) = (setup.runtime.clone(), setup.config());
+    let played = setup.sim.run(&setup.node, RUN_TIMEOUT, async move {
         let service = ivyward_platform::Service::start(runtime.clone(), config)
             .await
             .unwrap();
@@ -273,39 +297,39 @@
         futures_lite::AsyncWriteExt::write_all(&mut conn, b"GET /healthz HTTP/1.1\r\n\r\n")
             .await
             .unwrap();
-        assert_eq!(got(&client, &mut conn).await.status, 200);
+        assert_eq!(read_response(&client, &mut conn).await.status, 200);
     });
     played.unwrap();
 }
 
-/// Moved while a call to the old address hangs: the new one is asked at once.
+/// If discovery moves while a call to the old address hangs, the new one is asked at once.
 #[test]
-fn moved_while_a_call_hangs() {
-    let rig = Rig::new(|_| Play::Usual);
-    let (other, new) = (rig.sim.host(44), SocketAddr::from(([127, 0, 2, 2], 8500)));
+fn discovery_moves_while_a_call_hangs() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    let (other, new) = (setup.sim.host(44), SocketAddr::from(([127, 0, 2, 2], 8500)));
     let newer = std::sync::Arc::new(std::sync::Mutex::new((
         70,
         list(&["draining", "up", "draining", "up"]),
     )));
-    discover(&other, new, &newer, &Default::default());
+    start_discovery(&other, new, &newer, &Default::default());
     let moved = config(new, 1024);
-    rig.play(move |scene| async move {
+    setup.run(move |cluster| async move {
         {
-            let mut told = scene.faults.lock().unwrap();
-            told.always = Some(Told::Silent);
+            let mut told = cluster.faults.lock().unwrap();
+            told.always = Some(DiscoveryBehavior::Silent);
             told.silence();
         }
-        scene.runtime.sleep(100 * MS).await;
-        scene
+        cluster.runtime.sleep(100 * MS).await;
+        cluster
             .service
             .reload(&Config::parse("f", moved.as_bytes()).unwrap());
-        scene.runtime.sleep(50 * MS).await;
-        let told = scene.runtime.now();
+        cluster.runtime.sleep(50 * MS).await;
+        let told = cluster.runtime.now();
         for n in 0..20 {
-            scene.ask(&format!("r{n}"), "draft").await;
+            cluster.send_request(&format!("r{n}"), "draft").await;
         }
-        let late = scene
-            .seen()
+        let late = cluster
+            .engine_requests()
             .iter()
             .filter(|s| s.at > told && matches!(s.engine, 0 | 2))
             .count();
@@ -313,13 +337,13 @@
     });
 }
 
-/// A list of 1,500 engines, indented, over a slow connection: more than a body of a request may have, and more than the
-/// first try's time.
+/// A list of 1,500 engines, indented, over a slow connection: longer than a request's body may be, and slower than the first
+/// call's timeout.
 #[test]
 fn a_long_list_over_a_slow_connection() {
-    let rig = Rig::new(|_| Play::Usual);
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     {
-        let mut list = rig.list.lock().unwrap();
+        let mut list = setup.list.lock().unwrap();
         for n in 0..1_500 {
             let more = format!(
                 ",\n        {{\n            \"id\": \"s-x{n:06}\",\n            \"addr\": \"127.0.3.1:{}\",\n            \"zone\": \"a\",\n            \"kind\": \"prefill\",\n            \"cell\": 3,\n            \"state\": \"draining\",\n            \"weight\": 1.0,\n            \"started_ms\": 0\n        }}",
@@ -330,16 +354,16 @@
         assert!(list.1.len() > 256 << 10);
     }
     // 100 kB a second: some four seconds.
-    rig.faults.lock().unwrap().always = Some(Told::Slow(5_000, 50 * MS));
-    rig.play(|scene| async move {
-        assert_eq!(scene.service.node().metrics().engines.get(), 1_504);
-        assert_eq!(scene.ask("one", "draft").await.status, 200);
+    setup.faults.lock().unwrap().always = Some(DiscoveryBehavior::Slow(5_000, 50 * MS));
+    setup.run(|cluster| async move {
+        assert_eq!(cluster.service.node().metrics().engines.get(), 1_504);
+        assert_eq!(cluster.send_request("one", "draft").await.status, 200);
     });
 }
 
-/// One entry that cannot be read, and a list as last held that cannot, keep no node from starting.
+/// A cached list that is malformed, or has a malformed entry, does not prevent a start.
 #[test]
-fn a_held_list_that_cannot_be_read_is_left_out() {
+fn a_malformed_cached_list_is_ignored() {
     for known in [
         "17",
         "\"x\"",
@@ -347,12 +371,12 @@
         "{\"version\":1,\"full\":true,\"servers\":[{},7]}",
         "null",
     ] {
-        let mut rig = Rig::new(|_| Play::Usual);
-        rig.config = rig
+        let mut setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        setup.config = setup
             .config
             .replacen('{', &format!("{{\"known\":{known},"), 1);
-        rig.play(|scene| async move {
-            assert_eq!(scene.ask("one", "draft").await.status, 200);
+        setup.run(|cluster| async move {
+            assert_eq!(cluster.send_request("one", "draft").await.status, 200);
         });
     }
 }
