--- /dev/null
+++ b/crates/ivyward-platform/tests/reservations.rs
@@ -0,0 +1,453 @@
+//! Rule 5: a reservation without an attempt at an engine is used or released in the settings' time, in partitions too.
+
+mod common;
+use common::*;
+use futures_lite::AsyncWriteExt;
+use ivyward::core::interface::Micros;
+use ivyward::runtime::RuntimeExt;
+
+const WITHIN: Micros = 300_000;
+const MS: Micros = 1_000;
+
+/// The longest reservation of any of these requests, up to now.
+fn longest_reservation(cluster: &Cluster, ids: &[String]) -> Micros {
+    let (log, now) = (cluster.log.lock().unwrap(), cluster.runtime.now());
+    ids.iter()
+        .map(|id| log.longest_reservation(id, now))
+        .max()
+        .unwrap_or(0)
+}
+
+/// Without a reachable engine releases stay pending, are retried without spinning, and are accepted once one is back.
+#[test]
+fn releases_stay_pending_until_an_engine_is_reachable() {
+    let setup = ClusterSetup::new(|seen| {
+        if is_decode(seen) {
+            respond_with(REJECTED_UNPROCESSED)
+        } else {
+            EngineBehavior::Normal
+        }
+    });
+    setup.run(|cluster| async move {
+        // Each request is at its reader when all are cut off.
+        let mut conns = Vec::new();
+        for n in 0..20 {
+            let mut conn = cluster.connect().await;
+            conn.write_all(&request(&format!("a{n}"), "send", 4_800))
+                .await
+                .unwrap();
+            conns.push(conn);
+        }
+        cluster.runtime.sleep(600).await;
+        cluster.partition(&[0, 1, 2, 3], true);
+        drop(conns);
+        cluster.runtime.sleep(30_000 * MS).await;
+        let owed = cluster.service.node().pending_releases();
+        assert!(owed > 0, "what they may have left is owed");
+        let asked = cluster.service.node().metrics().releases.get();
+        assert!(asked < 20 * 60, "{asked} asks in half a minute");
+        cluster.partition(&[3], false);
+        let back = cluster.runtime.now();
+        wait_until(&cluster.runtime, "all is let go of", || {
+            cluster.service.node().pending_releases() == 0
+        })
+        .await;
+        let took = cluster.runtime.now() - back;
+        // Nothing else is heard here: each of four engines is asked after a pause of eight spans at most.
+        assert!(took < (4 * 8 + 2) * WITHIN, "{took} us");
+        assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
+    });
+}
+
+/// Stopped within a partition, a node releases first, and ends all the same if no engine can be reached.
+#[test]
+fn a_stopping_node_releases_first() {
+    for reachable in [true, false] {
+        let setup = ClusterSetup::new(|seen| {
+            if is_decode(seen) {
+                respond_with(REJECTED_UNPROCESSED)
+            } else {
+                EngineBehavior::Normal
+            }
+        });
+        setup.run(move |mut cluster| async move {
+            let mut conn = cluster.connect().await;
+            conn.write_all(&request("last", "send", 4_800))
+                .await
+                .unwrap();
+            wait_until(&cluster.runtime, "a read", || {
+                cluster.attempts("last").iter().any(is_prefill)
+            })
+            .await;
+            let last = cluster.runtime.now();
+            cluster.partition(if reachable { &[0, 1, 2] } else { &[0, 1, 2, 3] }, true);
+            drop(conn);
+            cluster.service.stop().await;
+            let took = cluster.runtime.now() - last;
+            assert_eq!(cluster.service.node().open_requests(), 0);
+            match reachable {
+                true => {
+                    let log = cluster.log.lock().unwrap();
+                    assert!(log.longest_reservation("last", cluster.runtime.now()) <= WITHIN);
+                    assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
+                }
+                false => {
+                    assert_eq!(
+                        cluster.service.node().metrics().releases_dropped.get(),
+                        1,
+                        "and it is counted"
+                    )
+                }
+            }
+            assert!(took < 12 * WITHIN + 1_000 * MS, "{took} us");
+        });
+    }
+}
+
+/// Engines break, stay silent, lose their response or confirm a reservation too late; clients disconnect at any moment;
+/// classes are idempotent or not; 60 requests are open at once.
+#[test]
+fn no_reservation_outlives_its_request_however_attempts_end() {
+    for salt in 0..12u64 {
+        let setup = ClusterSetup::new(move |seen| {
+            let hash = |text: &str| {
+                text.bytes().fold(salt, |h, b| {
+                    (h ^ u64::from(b))
+                        .wrapping_mul(0x100_0000_01b3)
+                        .rotate_left(17)
+                })
+            };
+            let of = if seen.id.is_empty() {
+                seen.target.trim_start_matches("/v1/holds/")
+            } else {
+                &seen.id
+            };
+            match (hash(of) ^ (seen.engine as u64 * 7)) % 16 {
+                _ if seen.method == "DELETE" => EngineBehavior::Normal,
+                // 202 is lost on its way back, or the connection breaks before it.
+                0 | 1 => EngineBehavior::RespondAndClose(Vec::new()),
+                2 | 3 => respond_with(REJECTED_UNPROCESSED),
+                4 => EngineBehavior::Silent,
+                5 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
+                // Not known, and only after a while.
+                6 | 7 if seen.id.is_empty() => EngineBehavior::Delayed(300 * MS),
+                8 => EngineBehavior::Delayed(900 * MS),
+                9 if is_decode(seen) => respond_with(
+                    "HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
+                ),
+                _ => EngineBehavior::Normal,
+            }
+        });
+        setup.run(move |cluster| async move {
+            let ids: Vec<String> = (0..120).map(|n| format!("w{n}")).collect();
+            for (n, id) in ids.iter().enumerate() {
+                let (client, address, id) = (cluster.client.clone(), cluster.address, id.clone());
+                cluster.client.run(async move {
+                    client.sleep(n as Micros * 25 * MS).await;
+                    let class = if n % 3 == 0 { "send" } else { "draft" };
+                    let mut conn = client.connect(address).await.unwrap();
+                    conn.write_all(&request(&id, class, 800 + n as u64 * 31))
+                        .await
+                        .unwrap();
+                    if n % 4 == 1 {
+                        // Leaves in each moment of a request's life.
+                        client.sleep((n as Micros * 37) % 900 * 1_000).await;
+                    } else {
+                        read_response(&client, &mut conn).await;
+                    }
+                });
+            }
+            cluster.runtime.sleep(15_000 * MS).await;
+            let kept = longest_reservation(&cluster, &ids);
+            assert!(kept <= WITHIN + 50 * MS, "salt {salt}: kept for {kept} us");
+            assert_eq!(
+                (
+                    cluster.service.node().open_requests(),
+                    cluster.service.node().pending_releases()
+                ),
+                (0, 0)
+            );
+        });
+    }
+}
+
+/// The engine with the reservation leaves the list, or is replaced by another process.
+#[test]
+fn the_reserving_engine_leaves_the_list() {
+    for left in ["removed", "draining"] {
+        let setup = ClusterSetup::new(|seen| {
+            if is_decode(seen) {
+                EngineBehavior::Delayed(500 * MS)
+            } else {
+                EngineBehavior::Normal
+            }
+        });
+        setup.run(move |cluster| async move {
+            let mut conn = cluster.connect().await;
+            conn.write_all(&request("one", "draft", 4_800))
+                .await
+                .unwrap();
+            wait_until(&cluster.runtime, "a write", || {
+                cluster.attempts("one").iter().any(is_decode)
+            })
+            .await;
+            cluster.update_list(list(&[left, left, "up", "up"]));
+            cluster.runtime.sleep(50 * MS).await;
+            drop(conn);
+            cluster.runtime.sleep(3_000 * MS).await;
+            let kept = longest_reservation(&cluster, &["one".into()]);
+            assert!(kept <= WITHIN, "{left}: kept for {kept} us");
+            assert!(
+                cluster.releases("one").iter().all(|r| r.engine >= 2),
+                "one that is listed is asked"
+            );
+            assert_eq!(cluster.service.node().pending_releases(), 0);
+        });
+    }
+}
+
+/// A very short release time is kept as far as the round trip allows.
+#[test]
+fn a_short_release_time_is_kept() {
+    for within in [20, 60, 120] {
+        let mut setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        setup.config = setup.config.replace(
+            "\"let_go_by_us\":300000",
+            &format!("\"let_go_by_us\":{}", within * MS),
+        );
+        for writer in 2..4 {
+            setup
+                .sim
+                .cut(setup.node.id(), setup.engines[writer].id(), true);
+        }
+        setup.run(move |cluster| async move {
+            let ids: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
+            for id in &ids {
+                cluster.send_request(id, "send").await;
+            }
+            cluster.runtime.sleep(2_000 * MS).await;
+            let kept = longest_reservation(&cluster, &ids);
+            assert!(kept <= within * MS, "{within} ms told: kept for {kept} us");
+        });
+    }
+}
+
+/// Deployments in which a time is not stated, or shorter than usual, are served all the same.
+#[test]
+fn unusual_times_do_not_prevent_a_start() {
+    let changes = [
+        ("\"let_go_by_us\":300000", "\"let_go_by_us\":20000"),
+        ("\"drain_grace_us\":1000000", "\"drain_grace_us\":100000"),
+        ("\"retry_after\":true", "\"retry_after\":false"),
+        ("\"dial_timeout_us\":250000", "\"dial_timeout_us\":1500000"),
+        ("\"fall_us\":3000000", "\"fall_us\":0"),
+        ("\"warm_after_us\":10000000", "\"warm_after_us\":0"),
+        ("\"let_go_by_us\":300000", "\"let_go_by_us\":0"),
+        ("\"dial_timeout_us\":250000", "\"dial_timeout_us\":400"),
+        ("\"target_us\":1500000", "\"target_us\":9500000"),
+        ("\"target_us\":1500000", "\"target_us\":0"),
+        ("\"deadline_us\":7500000", "\"deadline_us\":400000"),
+        ("\"deadline_us\":7500000", "\"deadline_us\":36000000000"),
+        (
+            "fragile\",\"target_us\":1500000,\"deadline_us\":7500000",
+            "fragile\",\"target_us\":9,\"deadline_us\":9",
+        ),
+        ("\"semantics\":\"fragile\"", "\"semantics\":\"dedup\""),
+        ("\"key_ttl_us\":5000000", "\"key_ttl_us\":0"),
+    ];
+    for (usual, other) in changes {
+        let mut setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        assert!(setup.config.contains(usual), "{usual}");
+        setup.config = setup.config.replace(usual, other);
+        setup.run(|cluster| async move {
+            assert_eq!(cluster.send_request("one", "draft").await.status, 200);
+        });
+    }
+}
+
+/// A keyed class without a deduplication window is served, and nothing of it is retried.
+#[test]
+fn a_keyed_class_without_a_window_is_never_retried() {
+    let mut setup = ClusterSetup::new(|seen| {
+        if is_decode(seen) {
+            EngineBehavior::RespondAndClose(Vec::new())
+        } else {
+            EngineBehavior::Normal
+        }
+    });
+    setup.config = setup
+        .config
+        .replace("fragile", "dedup")
+        .replace("\"key_ttl_us\":5000000", "\"key_ttl_us\":0");
+    setup.run(|cluster| async move {
+        assert_ne!(cluster.send_request("one", "send").await.status, 200);
+        assert_eq!(
+            cluster
+                .attempts("one")
+                .iter()
+                .filter(|s| is_decode(s))
+                .count(),
+            1
+        );
+    });
+}
+
+/// Over a hundred requests that hang at engines end together, of three hundred that arrived at once.
+#[test]
+fn releases_are_sent_while_all_descriptors_are_used() {
+    let setup = ClusterSetup::with_sockets(700, |seen| match seen.method.as_str() {
+        "POST" if seen.id.starts_with('h') => EngineBehavior::Silent,
+        _ => EngineBehavior::Normal,
+    });
+    setup.run(|cluster| async move {
+        let ids: Vec<String> = (0..300).map(|n| format!("h{n}")).collect();
+        let mut conns = Vec::new();
+        for id in &ids {
+            let mut conn = cluster.connect().await;
+            conn.write_all(&request(id, "draft", 9_000)).await.unwrap();
+            conns.push(conn);
+        }
+        let came = || {
+            let log = cluster.log.lock().unwrap();
+            log.requests
+                .iter()
+                .filter(|s| s.method == "POST" && !s.id.is_empty())
+                .count()
+        };
+        wait_until(&cluster.runtime, "many are at an engine", || came() >= 100).await;
+        drop(conns);
+        cluster.runtime.sleep(3_000 * MS).await;
+        let kept = longest_reservation(&cluster, &ids);
+        assert!(kept <= WITHIN, "kept for {kept} us");
+        assert_eq!(cluster.service.node().pending_releases(), 0);
+    });
+}
+
+/// A partition begins while a prefill, a reservation or a decode is being sent, and ends after the last release of its
+/// request: what was abandoned does not arrive then.
+#[test]
+fn requests_sent_into_a_partition_do_not_arrive_after_it() {
+    for engines in [vec![0, 1], vec![2, 3], vec![0, 1, 2, 3], vec![0, 2]] {
+        for leaves in [false, true] {
+            for after in (0..1_600).step_by(100) {
+                let engines = engines.clone();
+                ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
+                    cluster.log.lock().unwrap().reservations_need_prefills = true;
+                    // Connections stand, so that all leaves at once.
+                    for n in 0..4 {
+                        cluster.send_request(&format!("w{n}"), "draft").await;
+                    }
+                    let mut conn = cluster.connect().await;
+                    conn.write_all(&request("one", "draft", 700)).await.unwrap();
+                    cluster.runtime.sleep(after).await;
+                    cluster.partition(&engines, true);
+                    if leaves {
+                        cluster.runtime.sleep(100 * MS).await;
+                        drop(conn);
+                    } else {
+                        read_response(&cluster.client, &mut conn).await;
+                    }
+                    cluster.runtime.sleep(5_000 * MS).await;
+                    let over = cluster.runtime.now();
+                    cluster.partition(&engines, false);
+                    cluster.runtime.sleep(3_000 * MS).await;
+                    let what = format!("cut {engines:?} {after} us after, leaves {leaves}");
+                    let of = |s: &&EngineRequest| {
+                        s.id == "one" || s.target.ends_with("/one") && s.method == "POST"
+                    };
+                    let late = cluster
+                        .engine_requests()
+                        .iter()
+                        .filter(of)
+                        .filter(|s| s.at > over)
+                        .count();
+                    assert_eq!(late, 0, "{what}: what was given up landed");
+                    // Behind other cuts a write may be lost, or nobody can be asked, for as long as the cut lasts.
+                    if engines == [0, 1] {
+                        let kept = longest_reservation(&cluster, &["one".into()]);
+                        assert!(kept <= WITHIN, "{what}: {kept} us");
+                    }
+                    assert_eq!(
+                        (
+                            cluster.service.node().open_requests(),
+                            cluster.service.node().pending_releases()
+                        ),
+                        (0, 0)
+                    );
+                });
+            }
+        }
+    }
+}
+
+/// Guards against a decode that is sent on an open connection into a partition: it has not arrived, and the state that it
+/// was to fetch would wait until the decode's own deadline.
+#[test]
+fn a_decode_sent_into_a_partition_does_not_delay_the_release() {
+    for class in ["draft", "send"] {
+        let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+        setup.run(move |cluster| async move {
+            // Standing connections to all engines, which then rest for a while.
+            for n in 0..8 {
+                assert_eq!(
+                    cluster
+                        .send_request(&format!("warm{n}"), class)
+                        .await
+                        .status,
+                    200
+                );
+            }
+            cluster.runtime.sleep(1_500 * MS).await;
+            cluster.partition(&[2, 3], true);
+            let mut conns = Vec::new();
+            for n in 0..4 {
+                let mut conn = cluster.connect().await;
+                conn.write_all(&request(&format!("cut{n}"), class, 4_800))
+                    .await
+                    .unwrap();
+                conns.push(conn);
+            }
+            cluster.runtime.sleep(3_000 * MS).await;
+            let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
+            assert!(
+                longest_reservation(&cluster, &ids) <= WITHIN,
+                "{class}: held for {} us",
+                longest_reservation(&cluster, &ids)
+            );
+        });
+    }
+}
+
+/// The same in a partition that begins right after the engines' last response, so that nothing shows it before the send.
+#[test]
+fn a_decode_sent_into_a_new_partition_does_not_delay_the_release() {
+    let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
+    setup.run(|cluster| async move {
+        for n in 0..8 {
+            assert_eq!(
+                cluster
+                    .send_request(&format!("warm{n}"), "draft")
+                    .await
+                    .status,
+                200
+            );
+        }
+        cluster.runtime.sleep(20 * MS).await;
+        cluster.partition(&[2, 3], true);
+        let mut conns = Vec::new();
+        for n in 0..4 {
+            let mut conn = cluster.connect().await;
+            conn.write_all(&request(&format!("cut{n}"), "draft", 4_800))
+                .await
+                .unwrap();
+            conns.push(conn);
+        }
+        cluster.runtime.sleep(3_000 * MS).await;
+        let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
+        assert!(
+            longest_reservation(&cluster, &ids) <= WITHIN,
+            "held for {} us",
+            longest_reservation(&cluster, &ids)
+        );
+    });
+}
