--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -14,7 +14,7 @@
 //!   hears nobody waits several times as long.
 //! - A heartbeat ahead of what the time since the first one allows is a lie or a broken clock, and is dropped; one far behind
 //!   the last is a repeat of something old. The answer to this node's own question is proof in itself.
-//! - The count of nodes that may still be sending ([`Peers::count`]) falls for those who said that they leave, were started
+//! - The count of nodes that may still be sending ([`Peers::replica_count`]) falls for those who said that they leave, were started
 //!   again, or are silent and their lease and its grace are over; never for silence alone.
 //! - Answers go to the address a node announces; the source of a message is never seen here.
 
--- a/crates/ivyward-fakes/src/lib.rs
+++ b/crates/ivyward-fakes/src/lib.rs
@@ -1,12 +1,12 @@
-//! Engines and clients that the project plays itself, and the auditor of the five rules.
+//! Fakes of engines, stores and clients, and the checker of the five rules.
 //!
 //! - [`text`]: answers as a function of the prompt.
-//! - [`sight`]: what engines, clients and the script saw, in one log.
+//! - [`event_log`]: what engines, clients and the script observed, in one log.
 //! - [`engine`]: an engine on a loopback socket; [`faults`]: what may be wrong with it.
 //! - [`etcd`]: a small store that speaks etcd's API.
 //! - [`client`]: a scripted client of a node's door.
 //! - [`platform`]: engines and discovery of a platform that speaks HTTP/1.1.
-//! - [`audit`]: the five rules, checked from the log.
+//! - [`rule_checker`]: the five rules, checked from the log.
 
 pub mod client;
 pub mod engine;
--- a/crates/ivyward-fakes/src/rule_checker.rs
+++ b/crates/ivyward-fakes/src/rule_checker.rs
@@ -189,7 +189,7 @@
 }
 
 /// The auditor beside a run: after each thing seen it checks what that may have broken. What breaks by time alone (a call
-/// that nobody answers, a state that nobody lets go) is for [`audit_so_far`].
+/// that nobody answers, a state that nobody lets go) is for [`check_so_far`].
 pub struct RuleChecker {
     facts: Facts,
     limits: RuleLimits,
--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`Runtime`]: what a node, an engine stand-in or a client may ask of its surroundings.
 //! - [`SmolRuntime`]: the real surroundings, on async-io and async-executor.
-//! - [`metered`]: the same world, with what goes through a handle counted.
+//! - [`metered()`]: the same runtime, with what goes through a handle counted.
 //! - [`io`]: the same connections under the I/O traits of hyper and h2.
 //!
 //! Nothing above this package names a socket, a timer or a clock of the system, so that a virtual clock and a
--- a/crates/ivyward-testbed/src/peer_simulation.rs
+++ b/crates/ivyward-testbed/src/peer_simulation.rs
@@ -2,7 +2,9 @@
 //! on it. Only the deciders run here: what is asked is how soon a view is right, and how often it is wrong.
 
 use ivyward_core::interface::Micros;
-use ivyward_core::peers::*;
+use ivyward_core::peers::{
+    Message, MessageBody, NodeInfo, PeerAction, PeerId, PeerSettings, PeerState, Peers,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -3,7 +3,7 @@
 use ivyward_core::interface as core;
 use ivyward_core::interface::{ClassSettings, Idempotency, Micros, Role, TenantSettings};
 
-/// The kinds of engines, in the order of their numbers: [`core::Endpoint::kind`] is an index into it.
+/// The kinds of engines, in the order of their numbers: [`core::Endpoint::machine_type`] is an index into it.
 pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// A request class with its name.
