--- a/crates/ivyward-platform/src/engine/link.rs
+++ b/crates/ivyward-platform/src/engine/link.rs
@@ -10,7 +10,7 @@
 use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::{EndpointId, LoadReport, Micros, Outcome};
 use ivyward::core::release::ReleaseTarget;
-use ivyward::engines::dial::{dial, DialFailure, Dialed};
+use ivyward::engines::connect::{connect, ConnectFailure, Connected};
 use ivyward::engines::{
     AttemptRequest, AttemptResult, EngineClient, ReservationStatus, ReserveRequest,
 };
@@ -113,8 +113,8 @@
         let no_descriptor = || CallError::Local("no descriptor is left".into());
         let permit = self.engines.permit(spare).ok_or_else(no_descriptor)?;
         let until = until.min(runtime.now().saturating_add(self.engines.dial_timeout));
-        let failed = match dial(runtime, self.address, until).await {
-            Ok(Dialed { conn, took }) => {
+        let failed = match connect(runtime, self.address, until).await {
+            Ok(Connected { conn, took }) => {
                 return Ok(EngineConnection {
                     wire: Wire::new(conn),
                     idle: None,
@@ -123,7 +123,7 @@
                     _permit: permit,
                 });
             }
-            Err(DialFailure::Local(error)) => return Err(CallError::Local(error.to_string())),
+            Err(ConnectFailure::Local(error)) => return Err(CallError::Local(error.to_string())),
             Err(failure) => format!("cannot connect to {}: {failure}", self.address),
         };
         self.note_failure();
@@ -136,8 +136,8 @@
         let Some(permit) = self.engines.permit(0) else {
             return true;
         };
-        match dial(&self.engines.runtime, self.address, until).await {
-            Ok(Dialed { conn, took }) => {
+        match connect(&self.engines.runtime, self.address, until).await {
+            Ok(Connected { conn, took }) => {
                 let wire = EngineConnection {
                     wire: Wire::new(conn),
                     idle: None,
@@ -148,7 +148,7 @@
                 self.keep_idle(wire, true);
                 true
             }
-            Err(failure) => matches!(failure, DialFailure::Local(_)),
+            Err(failure) => matches!(failure, ConnectFailure::Local(_)),
         }
     }
 
--- a/crates/ivyward/src/engines/dial.rs
+++ b/crates/ivyward/src/engines/connect.rs
@@ -7,17 +7,17 @@
 use std::net::SocketAddr;
 
 /// A connection that came up.
-pub struct Dialed {
+pub struct Connected {
     /// The connection.
     pub conn: Conn,
-    /// How long its last try took: about a way there and back.
+    /// How long its last try took: about one round trip.
     pub took: Micros,
 }
 
-/// Why none came up.
+/// Why no connection came up.
 #[derive(Debug, thiserror::Error)]
-pub enum DialFailure {
-    /// This machine could not open one, which says nothing of the engine.
+pub enum ConnectFailure {
+    /// This machine could not open one, which says nothing about the engine.
     #[error("this machine could not open a connection: {0}")]
     Local(io::Error),
     /// The engine's side refused it, or it broke.
@@ -29,33 +29,33 @@
 }
 
 /// Opens a connection by `until`. Guards against a moment without ports, buffers, descriptors or routes on this machine:
-/// taken for failures of the engines, it would doubt the whole fleet at once.
+/// counted as failures of the engines, it would eject the whole fleet at once.
 ///
 /// # Errors
-/// [`DialFailure`], which says whose failure it was.
-pub async fn dial(
+/// [`ConnectFailure`], which says whose failure it was.
+pub async fn connect(
     runtime: &RuntimeRef,
     address: SocketAddr,
     until: Micros,
-) -> Result<Dialed, DialFailure> {
+) -> Result<Connected, ConnectFailure> {
     loop {
         let began = runtime.now();
         let error = match before(runtime, until, runtime.connect(address)).await {
             Some(Ok(conn)) => {
-                return Ok(Dialed {
+                return Ok(Connected {
                     conn,
                     took: runtime.now() - began,
                 })
             }
             Some(Err(error)) => error,
-            None => return Err(DialFailure::Late),
+            None => return Err(ConnectFailure::Late),
         };
         if ErrorOrigin::of(&error) == ErrorOrigin::Remote {
-            return Err(DialFailure::Remote(error));
+            return Err(ConnectFailure::Remote(error));
         }
         match connect_backoff::retry_at(runtime.now(), until) {
             Some(at) => runtime.sleep_until(at).await,
-            None => return Err(DialFailure::Local(error)),
+            None => return Err(ConnectFailure::Local(error)),
         }
     }
 }
--- a/crates/ivyward/src/engines/link.rs
+++ b/crates/ivyward/src/engines/link.rs
@@ -1,6 +1,6 @@
 //! Connections to one engine: pooled, dialled by need, and again with growing and jittered pauses.
 
-use crate::engines::dial::dial;
+use crate::engines::connect::connect;
 use crate::engines::keepalive::EngineKeepalive;
 use crate::settings::NodeSettings;
 use event_listener::Event;
@@ -245,12 +245,12 @@
         }
         let dial = async {
             let until = self.runtime.now() + self.dial_timeout;
-            let dialed = dial(&self.runtime, self.address, until)
+            let connected = connect(&self.runtime, self.address, until)
                 .await
                 .map_err(|e| e.to_string())?;
             let resting: Option<Arc<dyn RestingChecks>> = Some(self.keepalive.clone());
             let channel =
-                Channel::begin_resting(&self.runtime, dialed.conn, self.options, resting).await;
+                Channel::begin_resting(&self.runtime, connected.conn, self.options, resting).await;
             channel.map_err(|e| e.to_string())
         };
         let result = before(&self.runtime, self.runtime.now() + self.dial_timeout, dial).await;
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -4,7 +4,7 @@
 //! A protocol knows how a prompt, an answer and the keys under which engines hold things look; the driver passes them on
 //! unseen. The driver knows requests, deadlines, timers and what may be held where; a protocol decides nothing of that.
 
-pub mod dial;
+pub mod connect;
 pub(crate) mod keepalive;
 pub(crate) mod link;
 
