--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -3,7 +3,7 @@
 //! What proves that an attempt never ran is decided here, in [`never_ran`] and [`turned_away`]; what follows from
 //! it is the module's.
 
-use crate::engines::link::{DialError, GrpcLink};
+use crate::engines::connection_pool::{ChannelError, GrpcEngineClient};
 use crate::engines::{AttemptRequest, AttemptResult, CancelReason, StallDetector, WaitResult};
 use crate::response::TokenBuffer;
 use futures_lite::future::{or, poll_fn};
@@ -36,7 +36,7 @@
 /// An attempt in gRPC's terms.
 pub(crate) struct Work {
     pub(crate) job: AttemptRequest,
-    pub(crate) link: Arc<GrpcLink>,
+    pub(crate) link: Arc<GrpcEngineClient>,
     pub(crate) ask: Ask,
     pub(crate) buffer: Arc<TokenBuffer>,
 }
@@ -156,7 +156,9 @@
     let send_deadline = job.deadline.min(job.send_deadline);
     let channel = match unless_over(job, heeding(job, job.link.channel(send_deadline))).await {
         Some(WaitResult::Completed(Ok(channel))) => channel,
-        Some(WaitResult::Completed(Err(e @ (DialError::Failed(..) | DialError::Late(_))))) => {
+        Some(WaitResult::Completed(Err(
+            e @ (ChannelError::Failed(..) | ChannelError::Late(_)),
+        ))) => {
             return AttemptResult::new(Outcome::ConnectFailed, e.to_string());
         }
         _ => return AttemptResult::new(Outcome::NotSent, "called off before it was sent"),
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -1,8 +1,8 @@
 //! gRPC to engines, behind the seam of [`crate::engines`].
 
 use crate::context::NodeContext;
+use crate::engines::connection_pool::GrpcEngineClient;
 use crate::engines::keepalive::EngineKeepalive;
-use crate::engines::link::GrpcLink;
 use crate::engines::Engine;
 use crate::engines::{
     AttemptRequest, AttemptResult, Call, EngineClient, EngineHandle, Protocol, ReleaseRequest,
@@ -59,7 +59,7 @@
 impl Protocol for Grpc {
     fn engine_client(&self, context: &Arc<NodeContext>, engine: &Engine) -> EngineHandle {
         let runtime = metered(&context.runtime, &context.metrics.engine_traffic);
-        GrpcLink::new(
+        GrpcEngineClient::new(
             &runtime,
             engine.endpoint.id,
             engine.address,
@@ -72,7 +72,7 @@
     }
     fn release(&self, shared: &Arc<NodeContext>, job: ReleaseRequest) {
         for kept in job.reservations {
-            if let Ok(link) = kept.engine.as_any_arc().downcast::<GrpcLink>() {
+            if let Ok(link) = kept.engine.as_any_arc().downcast::<GrpcEngineClient>() {
                 let_go(shared, job.request, &link, kept.attempt, kept.confirmed);
             }
         }
@@ -136,7 +136,7 @@
     })
 }
 
-impl EngineClient for GrpcLink {
+impl EngineClient for GrpcEngineClient {
     fn id(&self) -> EndpointId {
         self.id
     }
@@ -144,10 +144,10 @@
         self.address
     }
     fn set_draining(&self, closing: bool) {
-        GrpcLink::set_draining(self, closing);
+        GrpcEngineClient::set_draining(self, closing);
     }
     fn close(&self) {
-        GrpcLink::close(self);
+        GrpcEngineClient::close(self);
     }
     fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync> {
         self
@@ -203,7 +203,13 @@
 
 /// Asks an engine to let go. What may still be on its way is asked for again while a state may be
 /// kept: a release on another connection may come before the call that it is about.
-fn let_go(shared: &Arc<NodeContext>, id: u64, link: &Arc<GrpcLink>, attempt: u16, sure: bool) {
+fn let_go(
+    shared: &Arc<NodeContext>,
+    id: u64,
+    link: &Arc<GrpcEngineClient>,
+    attempt: u16,
+    sure: bool,
+) {
     let (shared, link) = (shared.clone(), link.clone());
     let place = shared.begin_release();
     shared.metrics.releases.add(1);
@@ -245,7 +251,11 @@
 
 /// Asks for a place until the request no longer needs one. Guards against holds that outlast their request: one that waits
 /// for a connection is never sent, one that has left is let go of at once.
-async fn hold(link: &Arc<GrpcLink>, body: bytes::Bytes, job: &ReserveRequest) -> ReservationStatus {
+async fn hold(
+    link: &Arc<GrpcEngineClient>,
+    body: bytes::Bytes,
+    job: &ReserveRequest,
+) -> ReservationStatus {
     let shared = &job.context;
     let until = job.deadline.min(
         shared
@@ -294,7 +304,7 @@
 /// A short call whose failure is nobody's outcome.
 async fn unary<M: prost::Message + Default>(
     runtime: &RuntimeRef,
-    link: &Arc<GrpcLink>,
+    link: &Arc<GrpcEngineClient>,
     path: &'static str,
     body: bytes::Bytes,
     shared: &NodeContext,
