--- /dev/null
+++ b/crates/ivyward/src/request/answer_stream.rs
@@ -0,0 +1,170 @@
+//! The stream of an answer, from the engine's first event to its end.
+
+use crate::engines::{AttemptResult, CancelReason, StallDetector, WaitResult};
+use crate::request::attempt::{check_engine, GrpcAttempt};
+use crate::response::StreamEnd;
+use ivyward_core::interface::Outcome;
+use ivyward_grpc::{Call, CallError, Cause};
+use ivyward_proto::engine as pb;
+
+/// Passes an engine's tokens on to the client.
+pub(super) struct AnswerStream<'a> {
+    attempt: &'a GrpcAttempt,
+    call: &'a mut Call,
+    stall: StallDetector,
+    /// Tokens received so far.
+    received: u32,
+    /// Whether the driver knows of the first token.
+    notified: bool,
+}
+
+fn protocol_error(detail: impl Into<String>) -> AttemptResult {
+    AttemptResult::new(Outcome::Error, detail)
+}
+
+fn abandoned(_: StreamEnd) -> AttemptResult {
+    AttemptResult::new(Outcome::Cancelled, "given up")
+}
+
+/// The outcome of a stream that broke. Once it has begun, nothing proves that it never ran.
+fn broken_stream_outcome(error: &CallError) -> Outcome {
+    match error.cause {
+        Cause::Broken(_) | Cause::Reset(_) | Cause::Late => Outcome::Reset,
+        Cause::Status(_) | Cause::Frame(_) => Outcome::Error,
+    }
+}
+
+impl<'a> AnswerStream<'a> {
+    pub(super) fn new(attempt: &'a GrpcAttempt, call: &'a mut Call) -> AnswerStream<'a> {
+        let span = attempt.context.settings.stream_stall;
+        AnswerStream {
+            stall: StallDetector::new(&attempt.context.runtime, span),
+            attempt,
+            call,
+            received: 0,
+            notified: false,
+        }
+    }
+
+    /// Passes the stream on until its end.
+    pub(super) async fn run(mut self, first: pb::WriteEvent) -> AttemptResult {
+        let mut next = Ok(first);
+        loop {
+            let handled = match next {
+                Ok(event) => self.handle(event).await,
+                Err(result) => return result,
+            };
+            match handled {
+                Ok(None) => next = self.next_event().await,
+                Ok(Some(result)) | Err(result) => return result,
+            }
+        }
+    }
+
+    async fn next_event(&mut self) -> Result<pb::WriteEvent, AttemptResult> {
+        loop {
+            let next = self.call.next::<pb::WriteEvent>();
+            match self.attempt.wait(&mut self.stall.timer, next).await {
+                WaitResult::Cancelled(CancelReason::RequestFinished) => {
+                    return Err(abandoned(StreamEnd));
+                }
+                // A stream that has begun is not cancelled.
+                WaitResult::Cancelled(CancelReason::ByRouter) => {}
+                WaitResult::TimedOut => {
+                    if self.stall.is_stalled(&self.attempt.context.runtime) {
+                        let detail = "no token for too long";
+                        return Err(AttemptResult::new(Outcome::Reset, detail));
+                    }
+                }
+                WaitResult::Completed(Err(error)) => {
+                    let outcome = broken_stream_outcome(&error);
+                    return Err(AttemptResult::new(outcome, error.to_string()));
+                }
+                WaitResult::Completed(Ok(None)) => {
+                    return Err(protocol_error("a stream ended without its last word"));
+                }
+                WaitResult::Completed(Ok(Some(event))) => return Ok(event),
+            }
+        }
+    }
+
+    /// Takes in one event. Returns the attempt's result, if the answer ended with it.
+    async fn handle(
+        &mut self,
+        event: pb::WriteEvent,
+    ) -> Result<Option<AttemptResult>, AttemptResult> {
+        check_engine(self.attempt, event.engine)?;
+        match event.event {
+            Some(pb::write_event::Event::Tokens(run)) => {
+                self.on_tokens(&run).await?;
+                Ok(None)
+            }
+            Some(pb::write_event::Event::Done(done)) => self.on_done(&done).map(Some),
+            Some(pb::write_event::Event::TurnedAway(_)) => {
+                Err(protocol_error("turned away after the stream had begun"))
+            }
+            None => Err(protocol_error("an engine's message says nothing")),
+        }
+    }
+
+    async fn on_tokens(&mut self, run: &pb::WriteTokens) -> Result<(), AttemptResult> {
+        let attempt = self.attempt;
+        self.check_tokens(run)?;
+        let waiting = attempt.buffer.push(&run.ids).map_err(abandoned)?;
+        attempt.context.metrics.buffered_most.most(waiting as u64);
+        self.notify_first_token();
+        // A slow client holds up its own stream alone: more is read from its engine when there is room.
+        attempt
+            .wait_for_capacity(&attempt.buffer)
+            .await
+            .map_err(abandoned)?;
+        self.stall.last_progress = attempt.context.runtime.now();
+        Ok(())
+    }
+
+    fn check_tokens(&mut self, run: &pb::WriteTokens) -> Result<(), AttemptResult> {
+        let expected = self.received;
+        if run.first_index != expected {
+            return Err(protocol_error(format!(
+                "token {} came where token {expected} was due",
+                run.first_index
+            )));
+        }
+        let (length, bound) = (run.ids.len(), self.attempt.buffer.bound());
+        if run.ids.is_empty() || length > bound {
+            return Err(protocol_error(format!(
+                "a run of {length} tokens; 1 to {bound} are taken"
+            )));
+        }
+        self.received = expected.saturating_add(length as u32);
+        let max = self.attempt.engine_call.max_tokens();
+        if self.received > max {
+            return Err(protocol_error(format!(
+                "more than the {max} tokens that were asked for"
+            )));
+        }
+        Ok(())
+    }
+
+    fn on_done(&mut self, done: &pb::WriteDone) -> Result<AttemptResult, AttemptResult> {
+        if done.tokens != self.received {
+            return Err(protocol_error(format!(
+                "the engine counts {} tokens, {} came",
+                done.tokens, self.received
+            )));
+        }
+        self.notify_first_token();
+        Ok(AttemptResult {
+            cached_tokens: done.kept_tokens,
+            report: self.attempt.report(done.load.as_ref()),
+            ..AttemptResult::new(Outcome::Served, "served")
+        })
+    }
+
+    fn notify_first_token(&mut self) {
+        if !self.notified {
+            self.notified = true;
+            self.attempt.notify_first_token();
+        }
+    }
+}
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -1,14 +1,13 @@
-//! gRPC to engines, behind the seam of [`crate::engines`].
+//! gRPC to engines, behind the interface of [`crate::engines`].
 
 use crate::context::NodeContext;
 use crate::engines::connection_pool::GrpcEngineClient;
 use crate::engines::keepalive::EngineKeepalive;
-use crate::engines::Engine;
 use crate::engines::{
-    AttemptRequest, AttemptResult, Call, EngineClient, EngineHandle, Protocol, ReleaseRequest,
-    ReservationStatus, ReserveRequest,
+    AttemptRequest, AttemptResult, Call, Engine, EngineClient, EngineHandle, Protocol,
+    ReleaseRequest, ReservationStatus, ReserveRequest,
 };
-use crate::request::attempt::{self, Ask, Work};
+use crate::request::attempt::{self, EngineCall, GrpcAttempt};
 use crate::response::{FinalStatus, TokenBuffer};
 use crate::settings::NodeSettings;
 use futures_lite::future::or;
@@ -21,13 +20,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A request as the gRPC door took it.
+const HOLD: &str = "/ivyward.engine.v1.Engine/Hold";
+const RELEASE: &str = "/ivyward.engine.v1.Engine/Release";
+const PROBE: &str = "/ivyward.engine.v1.Engine/Probe";
+
+/// A request that the gRPC server accepted.
 pub(crate) struct GrpcCall {
-    pub(crate) arrival: Request,
+    pub(crate) request: Request,
     pub(crate) prompt: Arc<Vec<u32>>,
     pub(crate) class: String,
     pub(crate) call_id: u64,
-    pub(crate) key: String,
+    pub(crate) idempotency_key: String,
     pub(crate) buffer: Arc<TokenBuffer>,
 }
 
@@ -70,48 +73,49 @@
     fn releases_individually(&self) -> bool {
         true
     }
-    fn release(&self, shared: &Arc<NodeContext>, job: ReleaseRequest) {
-        for kept in job.reservations {
-            if let Ok(link) = kept.engine.as_any_arc().downcast::<GrpcEngineClient>() {
-                let_go(shared, job.request, &link, kept.attempt, kept.confirmed);
+    fn release(&self, context: &Arc<NodeContext>, release: ReleaseRequest) {
+        for reservation in release.reservations {
+            let engine = reservation.engine.as_any_arc();
+            if let Ok(engine) = engine.downcast::<GrpcEngineClient>() {
+                let key = key(context, release.request, reservation.attempt);
+                spawn_release(context, engine, key, reservation.confirmed);
             }
         }
     }
 }
 
-/// An attempt as engines know it.
-fn key(shared: &NodeContext, request: u64, attempt: u16) -> Option<pb::AttemptKey> {
+/// The key of an attempt at engines.
+fn key(context: &NodeContext, request: u64, attempt: u16) -> Option<pb::AttemptKey> {
     Some(pb::AttemptKey {
-        node: shared.incarnation,
+        node: context.incarnation,
         request,
         attempt: u32::from(attempt),
     })
 }
 
 fn header(
-    shared: &NodeContext,
+    context: &NodeContext,
     call: &GrpcCall,
     attempt: u16,
-    server: EndpointId,
+    engine: EndpointId,
 ) -> Option<pb::Header> {
     Some(pb::Header {
-        key: key(shared, call.arrival.id.0, attempt),
-        engine: server.0,
+        key: key(context, call.request.id.0, attempt),
+        engine: engine.0,
         call_id: call.call_id,
         class: call.class.clone(),
-        idempotency_key: call.key.clone(),
+        idempotency_key: call.idempotency_key.clone(),
     })
 }
 
-fn ask(job: &AttemptRequest, call: &GrpcCall, server: EndpointId) -> Ask {
-    let (a, header) = (
-        &call.arrival,
-        header(&job.context, call, job.attempt, server),
-    );
-    let (opening, opening_tokens) = (a.prefix, a.prefix_tokens as u32);
-    let (prompt, session) = (call.prompt.to_vec(), a.session);
-    if job.prefill_only {
-        return Ask::Read(pb::ReadRequest {
+fn engine_call(attempt: &AttemptRequest, call: &GrpcCall, engine: EndpointId) -> EngineCall {
+    let context = &attempt.context;
+    let header = header(context, call, attempt.attempt, engine);
+    let request = &call.request;
+    let (opening, opening_tokens) = (request.prefix, request.prefix_tokens as u32);
+    let (prompt, session) = (call.prompt.to_vec(), request.session);
+    if attempt.prefill_only {
+        return EngineCall::Read(pb::ReadRequest {
             header,
             prompt,
             opening,
@@ -119,19 +123,21 @@
             session,
         });
     }
-    let state = job.kv_state.as_ref().map(|(at, attempt)| pb::StateRef {
-        key: key(&job.context, job.request, *attempt),
-        engine: at.id().0,
-        address: at.address().to_string(),
-    });
-    let max_output_tokens = a.max_output as u32;
-    Ask::Write(pb::WriteRequest {
+    let state = attempt
+        .kv_state
+        .as_ref()
+        .map(|(holder, prefill)| pb::StateRef {
+            key: key(context, attempt.request, *prefill),
+            engine: holder.id().0,
+            address: holder.address().to_string(),
+        });
+    EngineCall::Write(pb::WriteRequest {
         header,
         prompt,
         opening,
         opening_tokens,
         session,
-        max_output_tokens,
+        max_output_tokens: request.max_output as u32,
         state,
     })
 }
@@ -143,8 +149,8 @@
     fn address(&self) -> SocketAddr {
         self.address
     }
-    fn set_draining(&self, closing: bool) {
-        GrpcEngineClient::set_draining(self, closing);
+    fn set_draining(&self, draining: bool) {
+        GrpcEngineClient::set_draining(self, draining);
     }
     fn close(&self) {
         GrpcEngineClient::close(self);
@@ -152,170 +158,161 @@
     fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync> {
         self
     }
-    fn run_attempt(self: Arc<Self>, job: AttemptRequest) -> BoxFuture<AttemptResult> {
+    fn run_attempt(self: Arc<Self>, request: AttemptRequest) -> BoxFuture<AttemptResult> {
         Box::pin(async move {
-            let Some(call) = job.call.as_any().downcast_ref::<GrpcCall>() else {
+            let Some(call) = request.call.as_any().downcast_ref::<GrpcCall>() else {
                 return AttemptResult::new(Outcome::NotSent, "a request of another protocol");
             };
-            let (ask, buffer) = (ask(&job, call, self.id), call.buffer.clone());
-            attempt::run(Work {
-                job,
-                link: self,
-                ask,
+            let engine_call = engine_call(&request, call, self.id);
+            let buffer = call.buffer.clone();
+            attempt::run(GrpcAttempt {
+                request,
+                engine: self,
+                engine_call,
                 buffer,
             })
             .await
         })
     }
-    fn reserve(self: Arc<Self>, job: ReserveRequest) -> BoxFuture<ReservationStatus> {
+    fn reserve(self: Arc<Self>, request: ReserveRequest) -> BoxFuture<ReservationStatus> {
         Box::pin(async move {
-            let Some(call) = job.call.as_any().downcast_ref::<GrpcCall>() else {
+            let Some(call) = request.call.as_any().downcast_ref::<GrpcCall>() else {
                 return ReservationStatus::Denied;
             };
-            let prompt_tokens = call.prompt.len() as u32;
-            let header = header(&job.context, call, job.attempt, self.id);
-            hold(
-                &self,
-                encode(&pb::HoldRequest {
-                    header,
-                    prompt_tokens,
-                }),
-                &job,
-            )
-            .await
+            let body = encode(&pb::HoldRequest {
+                header: header(&request.context, call, request.attempt, self.id),
+                prompt_tokens: call.prompt.len() as u32,
+            });
+            reserve(&self, body, &request).await
         })
     }
     fn health_check(self: Arc<Self>, context: Arc<NodeContext>) -> BoxFuture<(bool, LoadReport)> {
         Box::pin(async move {
             let body = encode(&pb::ProbeRequest { engine: self.id.0 });
-            let path = "/ivyward.engine.v1.Engine/Probe";
             let reply =
-                unary::<pb::ProbeReply>(&context.runtime, &self, path, body, &context).await;
+                unary::<pb::ProbeReply>(&context.runtime, &self, PROBE, body, &context).await;
             let alive = reply.as_ref().is_some_and(|r| r.engine == self.id.0);
             let load = reply.and_then(|r| r.load);
-            (
-                alive,
-                attempt::report(load.as_ref(), &context.router_settings.report_fields),
-            )
+            let fields = &context.router_settings.report_fields;
+            (alive, attempt::report(load.as_ref(), fields))
         })
     }
 }
 
-/// Asks an engine to let go. What may still be on its way is asked for again while a state may be
-/// kept: a release on another connection may come before the call that it is about.
-fn let_go(
-    shared: &Arc<NodeContext>,
-    id: u64,
-    link: &Arc<GrpcEngineClient>,
-    attempt: u16,
-    sure: bool,
+/// Asks an engine for a release, as a task of its own.
+fn spawn_release(
+    context: &Arc<NodeContext>,
+    engine: Arc<GrpcEngineClient>,
+    key: Option<pb::AttemptKey>,
+    confirmed: bool,
 ) {
-    let (shared, link) = (shared.clone(), link.clone());
-    let place = shared.begin_release();
-    shared.metrics.releases.add(1);
+    let context = context.clone();
+    let permit = context.begin_release();
+    context.metrics.releases.add(1);
     let body = encode(&pb::ReleaseRequest {
-        key: key(&shared, id, attempt),
-        engine: link.id.0,
+        key,
+        engine: engine.id.0,
     });
-    let runtime = shared.runtime.clone();
-    runtime.clone().run(async move {
-        let give_up = runtime.now().saturating_add(shared.settings.release_tries);
-        let look_until = runtime
-            .now()
-            .saturating_add(shared.router_settings.release_within);
-        let mut pause = shared.settings.redial_first;
-        let asking = async {
-            loop {
-                let reply =
-                    unary::<pb::ReleaseReply>(&runtime, &link, RELEASE, body.clone(), &shared)
-                        .await;
-                let next = runtime.now().saturating_add(pause);
-                match reply {
-                    Some(reply) if reply.released || sure || next > look_until => return true,
-                    None if next > give_up => return false,
-                    _ => {}
-                }
-                runtime.sleep(pause).await;
-                pause = (pause * 2).min(shared.settings.redial_most);
-            }
-        };
-        let given_up = async {
-            place.evicted().await;
+    context.runtime.clone().run(async move {
+        let released = release(&context, &engine, body, confirmed);
+        let evicted = async {
+            permit.evicted().await;
             false
         };
-        if !or(asking, given_up).await {
-            shared.metrics.releases_dropped.add(1);
+        if !or(released, evicted).await {
+            context.metrics.releases_dropped.add(1);
         }
     });
 }
 
-/// Asks for a place until the request no longer needs one. Guards against holds that outlast their request: one that waits
-/// for a connection is never sent, one that has left is let go of at once.
-async fn hold(
-    link: &Arc<GrpcEngineClient>,
+/// Asks an engine for a release until it is done; whether it was. A reservation that is not confirmed is asked for again
+/// while it may still arrive: a release on another connection may overtake the call that it is about.
+async fn release(
+    context: &NodeContext,
+    engine: &Arc<GrpcEngineClient>,
     body: bytes::Bytes,
-    job: &ReserveRequest,
+    confirmed: bool,
+) -> bool {
+    let (runtime, settings) = (&context.runtime, &context.settings);
+    let give_up_at = runtime.now().saturating_add(settings.release_tries);
+    let may_arrive_until = runtime
+        .now()
+        .saturating_add(context.router_settings.release_within);
+    let mut pause = settings.redial_first;
+    loop {
+        let reply =
+            unary::<pb::ReleaseReply>(runtime, engine, RELEASE, body.clone(), context).await;
+        let next = runtime.now().saturating_add(pause);
+        match reply {
+            Some(reply) if reply.released || confirmed || next > may_arrive_until => return true,
+            None if next > give_up_at => return false,
+            _ => {}
+        }
+        runtime.sleep(pause).await;
+        pause = (pause * 2).min(settings.redial_most);
+    }
+}
+
+/// Reserves a decode slot, unless the request stops needing one first. Guards against slots that outlast their request: a
+/// call that waits for a connection is never sent then, one that has left is released at once.
+async fn reserve(
+    engine: &Arc<GrpcEngineClient>,
+    body: bytes::Bytes,
+    request: &ReserveRequest,
 ) -> ReservationStatus {
-    let shared = &job.context;
-    let until = job.deadline.min(
-        shared
-            .runtime
-            .now()
-            .saturating_add(2 * shared.settings.dial_timeout),
-    );
-    let dialed = or(async { link.channel(until).await.ok() }, async {
-        job.until_finished().await;
+    let (runtime, settings) = (&request.context.runtime, &request.context.settings);
+    let latest = runtime.now().saturating_add(2 * settings.dial_timeout);
+    let until = request.deadline.min(latest);
+    let opened = or(async { engine.channel(until).await.ok() }, async {
+        request.until_finished().await;
         None
     });
-    let Some(channel) = dialed.await else {
+    let Some(channel) = opened.await else {
         return ReservationStatus::Denied;
     };
-    // Told during the dial: nothing new goes to an engine that drains or is gone.
-    if link.is_draining() && !mutations::is_active(Mutation::ClosingIgnored) || job.is_finished() {
+    // The engine may have begun to drain while the connection was opened.
+    let draining = engine.is_draining() && !mutations::is_active(Mutation::ClosingIgnored);
+    if draining || request.is_finished() {
         return ReservationStatus::Denied;
     }
-    let path = "/ivyward.engine.v1.Engine/Hold";
-    let Ok(mut call) = channel.call_before(path, body, Some(until)).await else {
+    let Ok(mut call) = channel.call_before(HOLD, body, Some(until)).await else {
         return ReservationStatus::Denied;
     };
     let reply = or(
-        async { before(&shared.runtime, until, call.next::<pb::HoldReply>()).await },
+        async { before(runtime, until, call.next::<pb::HoldReply>()).await },
         async {
-            job.until_finished().await;
+            request.until_finished().await;
             None
         },
     );
     let reply = reply.await;
-    // Its reset goes ahead of the release, so that an engine that hangs never takes the hold up after it.
-    let left = call.abandon(shared.settings.reset_wait).await;
-    link.call_ended();
+    // Its reset leaves before the release, so that an engine that hangs never takes the call up after it.
+    let left = call.abandon(settings.reset_wait).await;
+    engine.call_ended();
     match reply {
-        Some(Ok(Some(reply))) if reply.engine == link.id.0 => match reply.held {
-            true => ReservationStatus::Granted,
-            false => ReservationStatus::Denied,
-        },
+        Some(Ok(Some(reply))) if reply.engine == engine.id.0 && reply.held => {
+            ReservationStatus::Granted
+        }
+        Some(Ok(Some(reply))) if reply.engine == engine.id.0 => ReservationStatus::Denied,
         _ if left => ReservationStatus::Unknown,
         _ => ReservationStatus::Denied,
     }
 }
 
-const RELEASE: &str = "/ivyward.engine.v1.Engine/Release";
-
-/// A short call whose failure is nobody's outcome.
+/// A short call whose failure is no attempt's outcome.
 async fn unary<M: prost::Message + Default>(
     runtime: &RuntimeRef,
-    link: &Arc<GrpcEngineClient>,
+    engine: &Arc<GrpcEngineClient>,
     path: &'static str,
     body: bytes::Bytes,
-    shared: &NodeContext,
+    context: &NodeContext,
 ) -> Option<M> {
-    let until = runtime
-        .now()
-        .saturating_add(2 * shared.settings.dial_timeout);
-    let channel = link.channel(until).await.ok()?;
+    let timeout = 2 * context.settings.dial_timeout;
+    let until = runtime.now().saturating_add(timeout);
+    let channel = engine.channel(until).await.ok()?;
     let mut call = channel.call_before(path, body, Some(until)).await.ok()?;
     let reply = before(runtime, until, call.next::<M>()).await;
     drop(call);
-    link.call_ended();
+    engine.call_ended();
     reply?.ok()?
 }
--- a/crates/ivyward/src/request/mod.rs
+++ b/crates/ivyward/src/request/mod.rs
@@ -6,9 +6,10 @@
 //! - [`driver`]: the event loop; its steps: [`attempts`] (start, cancel, end), [`reservations`] (reserve, release) and
 //!   [`finish`] (acceptance, final answer, removal).
 //! - [`open_requests`], [`engine_table`], [`timers`]: what the driver keeps.
-//! - [`grpc`]: gRPC to engines, behind the seam of [`crate::engines`].
+//! - [`grpc`]: gRPC to engines, behind the interface of [`crate::engines`]; [`answer_stream`]: an answer on its way.
 //! - [`clients`]: open client connections.
 
+mod answer_stream;
 pub(crate) mod attempt;
 mod attempts;
 pub(crate) mod clients;
--- a/crates/ivyward/src/request/validation.rs
+++ b/crates/ivyward/src/request/validation.rs
@@ -71,11 +71,11 @@
         is_resumed: request.resumed,
     };
     let call = GrpcCall {
-        arrival: routed,
+        request: routed,
         prompt: Arc::new(request.prompt),
         class: class_settings.name.clone(),
         call_id: request.call_id,
-        key: request.idempotency_key,
+        idempotency_key: request.idempotency_key,
         buffer,
     };
     Ok(AcceptedRequest {
