--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -7,7 +7,7 @@
 use crate::config::LIMITS;
 use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::{LoadReport, Micros};
-use ivyward::engines::dial::{dial, DialFailure, Dialed};
+use ivyward::engines::connect::{connect, ConnectFailure, Connected};
 use ivyward::runtime::before;
 use ivyward::Engine;
 use ivyward_http1::head;
@@ -29,7 +29,7 @@
         /// Where.
         address: SocketAddr,
         /// Why not.
-        failure: DialFailure,
+        failure: ConnectFailure,
     },
     /// The request could not be written.
     #[error("{0}")]
@@ -120,9 +120,9 @@
     ) -> Result<EngineConnection, CallError> {
         let permit = self.pool.permit(reserve).ok_or(CallError::NoDescriptor)?;
         let address = self.endpoint.address;
-        match dial(&self.pool.runtime, address, until).await {
-            Ok(Dialed { conn, took }) => Ok(EngineConnection::new(conn, took, permit)),
-            Err(DialFailure::Local(error)) => Err(CallError::NoLocalResources(error)),
+        match connect(&self.pool.runtime, address, until).await {
+            Ok(Connected { conn, took }) => Ok(EngineConnection::new(conn, took, permit)),
+            Err(ConnectFailure::Local(error)) => Err(CallError::NoLocalResources(error)),
             Err(failure) => Err(CallError::Connect { address, failure }),
         }
     }
--- a/crates/ivyward-testbed/src/peer_simulation.rs
+++ b/crates/ivyward-testbed/src/peer_simulation.rs
@@ -3,7 +3,7 @@
 
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{
-    Message, MessageBody, NodeInfo, PeerAction, PeerId, PeerSettings, PeerState, Peers,
+    Message, MessageBody, NodeInfo, PeerAction, PeerId, PeerSettings, PeerState, Peers, MAX_UPDATES,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
