--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -141,7 +141,7 @@
     /// The list of engines as this node last had it.
     pub cached_list: Option<List>,
     /// The deployment's settings, with their names.
-    pub told: Told,
+    pub deployment: Told,
     /// The bounds that follow from the limits.
     pub bounds: Bounds,
     /// The node's settings.
@@ -245,9 +245,10 @@
             path: path.into(),
             error,
         })?;
-        let told = ivyward_settings::from_json(&file.settings).map_err(ConfigError::Settings)?;
+        let deployment =
+            ivyward_settings::from_json(&file.settings).map_err(ConfigError::Settings)?;
         let bounds = Bounds::new(&file.limits)?;
-        let node = node_settings(&told, &bounds, &file.seed);
+        let node = node_settings(&deployment, &bounds, &file.seed);
         node.check()?;
         let cached_list = parse_cached_list(file.cached_list);
         Ok(Config {
@@ -255,7 +256,7 @@
             listen: parse_address("listen", &file.listen)?,
             discovery: parse_address("discovery", &file.discovery)?,
             cached_list,
-            told,
+            deployment,
             bounds,
             node,
         })
@@ -286,8 +287,8 @@
 }
 
 /// The router's settings, as this node can keep them.
-fn router_settings(told: &Told) -> RouterSettings {
-    let mut rules = told.module.clone();
+fn router_settings(deployment: &Told) -> RouterSettings {
+    let mut rules = deployment.module.clone();
     // This node has one attempt of a request in flight at a time, wherever more would be allowed.
     rules.hedging = false;
     rules.classes.iter_mut().for_each(make_consistent);
@@ -299,8 +300,8 @@
     rules
 }
 
-fn named_classes(told: &Told, rules: &RouterSettings) -> Vec<Class> {
-    let classes = told.classes.iter().zip(&rules.classes);
+fn named_classes(deployment: &Told, rules: &RouterSettings) -> Vec<Class> {
+    let classes = deployment.classes.iter().zip(&rules.classes);
     classes
         .map(|(name, settings)| Class {
             name: name.clone(),
@@ -309,8 +310,8 @@
         .collect()
 }
 
-fn named_tenants(told: &Told, rules: &RouterSettings) -> Vec<Tenant> {
-    let tenants = told.tenants.iter().zip(&rules.tenants);
+fn named_tenants(deployment: &Told, rules: &RouterSettings) -> Vec<Tenant> {
+    let tenants = deployment.tenants.iter().zip(&rules.tenants);
     tenants
         .map(|(name, settings)| Tenant {
             name: name.clone(),
@@ -333,21 +334,21 @@
         .max(MIN_SPAN)
 }
 
-fn node_settings(told: &Told, bounds: &Bounds, seed: &str) -> NodeSettings {
-    let rules = router_settings(told);
+fn node_settings(deployment: &Told, bounds: &Bounds, seed: &str) -> NodeSettings {
+    let rules = router_settings(deployment);
     let default = NodeSettings::default();
-    let connect_timeout = match told.dial_timeout {
+    let connect_timeout = match deployment.dial_timeout {
         0 => default.dial_timeout,
         stated => stated,
     };
-    let max_open = match told.most_open {
+    let max_open = match deployment.most_open {
         0 => bounds.client_connections,
         stated => bounds.client_connections.min(stated),
     };
     NodeSettings {
         seed: parse_seed(seed),
-        classes: named_classes(told, &rules),
-        tenants: named_tenants(told, &rules),
+        classes: named_classes(deployment, &rules),
+        tenants: named_tenants(deployment, &rules),
         answer_margin: response_margin(&rules),
         dial_timeout: connect_timeout.min(rules.drain_grace).max(MIN_SPAN),
         reset_wait: default.reset_wait.min(rules.release_within / 2),
--- a/crates/ivyward-platform/src/discovery/list_reader.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader.rs
@@ -33,7 +33,7 @@
 
 /// Reads lists on this node's clock, and remembers the engines of the last ones.
 pub(crate) struct ListReader {
-    told: Told,
+    deployment: Told,
     runtime: RuntimeRef,
     /// How far this node's clock is behind Unix time, as it was at the start: later steps of the wall clock change nothing.
     clock_offset: Micros,
@@ -42,9 +42,9 @@
 }
 
 impl ListReader {
-    pub(crate) fn new(told: Told, runtime: &RuntimeRef) -> ListReader {
+    pub(crate) fn new(deployment: Told, runtime: &RuntimeRef) -> ListReader {
         ListReader {
-            told,
+            deployment,
             runtime: runtime.clone(),
             clock_offset: runtime.unix_micros().saturating_sub(runtime.now()),
             known: BTreeMap::new(),
@@ -131,10 +131,10 @@
         if !entry.weight.is_finite() || entry.weight <= 0.0 {
             return Err(EntryError::Weight(entry.weight));
         }
-        let Some(zone) = index_of(&self.told.zones, &entry.zone) else {
+        let Some(zone) = index_of(&self.deployment.zones, &entry.zone) else {
             return Err(EntryError::Zone(entry.zone));
         };
-        let Some(machine_type) = index_of(&self.told.kinds, &entry.machine_type) else {
+        let Some(machine_type) = index_of(&self.deployment.kinds, &entry.machine_type) else {
             return Err(EntryError::MachineType(entry.machine_type));
         };
         let Ok(address) = entry.address.parse::<SocketAddr>() else {
--- a/crates/ivyward-platform/src/discovery/list_reader/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader/tests.rs
@@ -1,4 +1,4 @@
-//! How lists are read.
+//! Parsing of lists.
 
 use super::*;
 use ivyward_sim::{Net, Sim};
@@ -25,8 +25,8 @@
     json!({"id": id, "addr": "10.0.0.1:80", "zone": "a", "kind": "m2", "state": state})
 }
 
-/// What a list of these entries tells: ids and conditions, in its order.
-fn conditions(
+/// The ids and states of the engines in a list with these entries, in its order.
+fn read_states(
     reader: &mut ListReader,
     full: bool,
     servers: Vec<Value>,
@@ -42,15 +42,15 @@
         .collect()
 }
 
-/// A whole list in which an entry cannot be read does not take its engine away; a drain in it counts all the same.
+/// A malformed entry of a full list does not remove its engine; that it drains or is removed counts all the same.
 #[test]
-fn an_entry_that_cannot_be_read_leaves_its_engine_as_it_was_known() {
-    let spoil = |field: &str, value: Value, state: &str| {
+fn a_malformed_entry_leaves_its_engine_unchanged() {
+    let malformed = |field: &str, value: Value, state: &str| {
         let mut entry = entry("s-1", state);
         entry[field] = value;
         entry
     };
-    let spoilt = [
+    let fields = [
         ("addr", json!("nowhere")),
         ("addr", json!(7)),
         ("zone", json!("z")),
@@ -60,56 +60,65 @@
         ("cell", json!(1e9)),
         ("started_ms", json!("soon")),
     ];
-    for (field, value) in spoilt {
+    for (field, value) in fields {
         for full in [true, false] {
             let (mut reader, _) = reader();
             let one = endpoint_id("s-1");
             assert_eq!(
-                conditions(&mut reader, true, vec![spoil(field, value.clone(), "up")]),
+                read_states(
+                    &mut reader,
+                    true,
+                    vec![malformed(field, value.clone(), "up")]
+                ),
                 []
             );
-            conditions(&mut reader, true, vec![entry("s-1", "up")]);
-            let mut told =
-                |state| conditions(&mut reader, full, vec![spoil(field, value.clone(), state)]);
-            assert_eq!(told("up"), [(one, EndpointState::Ready)], "{field} {value}");
+            read_states(&mut reader, true, vec![entry("s-1", "up")]);
+            let mut read = |state| {
+                read_states(
+                    &mut reader,
+                    full,
+                    vec![malformed(field, value.clone(), state)],
+                )
+            };
+            assert_eq!(read("up"), [(one, EndpointState::Ready)], "{field} {value}");
             assert_eq!(
-                told("sleeping"),
+                read("sleeping"),
                 [(one, EndpointState::Ready)],
                 "{field} {value}"
             );
             assert_eq!(
-                told("draining"),
+                read("draining"),
                 [(one, EndpointState::Draining)],
                 "{field} {value}"
             );
             // It may be up again, or not: that entry cannot be trusted to send something there.
             assert_eq!(
-                told("up"),
+                read("up"),
                 [(one, EndpointState::Draining)],
                 "{field} {value}"
             );
             assert_eq!(
-                told("removed"),
+                read("removed"),
                 [(one, EndpointState::Removed)],
                 "{field} {value}"
             );
-            assert_eq!(told("up"), [], "{field} {value}");
+            assert_eq!(read("up"), [], "{field} {value}");
         }
     }
 }
 
-/// Two entries under one id: the last one counts, once.
+/// Of two entries with one id the last one counts.
 #[test]
-fn an_id_that_comes_twice_counts_once() {
+fn the_last_entry_of_an_id_counts() {
     let (mut reader, _) = reader();
     let servers = vec![
         entry("s-1", "up"),
         entry("s-2", "up"),
         entry("s-1", "draining"),
     ];
-    let told = conditions(&mut reader, true, servers);
+    let states = read_states(&mut reader, true, servers);
     assert_eq!(
-        told,
+        states,
         [
             (endpoint_id("s-1"), EndpointState::Draining),
             (endpoint_id("s-2"), EndpointState::Ready)
@@ -118,20 +127,20 @@
     );
 }
 
-/// A change for an engine that no list named brings it in, or is nothing where it takes it away.
+/// A change adds an engine that no list has named; the removal of such an engine is ignored.
 #[test]
-fn changes_of_engines_never_listed() {
+fn changes_of_unknown_engines() {
     let (mut reader, _) = reader();
-    let told = conditions(
+    let states = read_states(
         &mut reader,
         false,
         vec![entry("s-1", "up"), json!({"id": "s-2", "state": "removed"})],
     );
-    assert_eq!(told, [(endpoint_id("s-1"), EndpointState::Ready)]);
+    assert_eq!(states, [(endpoint_id("s-1"), EndpointState::Ready)]);
 }
 
 proptest! {
-    /// Whatever entries hold, a list is read without a panic, and names no engine twice.
+    /// A list with any entries is read without a panic, and names no engine twice.
     #[test]
     fn any_entries_are_read(texts in prop::collection::vec("(s-[0-3]|[a-z]{0,3}|-?[0-9]{1,20})", 0..40)) {
         let (mut reader, _) = reader();
@@ -140,17 +149,16 @@
             let odd = json!({"id": field(0), "addr": field(1), "zone": field(2), "kind": field(3), "state": field(4),
                 "weight": field(5), "started_ms": field(6)});
             let servers = vec![odd, entry("s-1", "up"), field(0)];
-            let told = conditions(&mut reader, servers.len() % 2 == 0, servers);
-            let ids: std::collections::BTreeSet<_> = told.iter().map(|t| t.0).collect();
-            prop_assert_eq!(ids.len(), told.len());
+            let states = read_states(&mut reader, servers.len() % 2 == 0, servers);
+            let ids: std::collections::BTreeSet<_> = states.iter().map(|t| t.0).collect();
+            prop_assert_eq!(ids.len(), states.len());
         }
     }
 }
 
-/// Every machine reads one clock, so an engine that started just before this node is cold to it, and one of long ago
-/// is not.
+/// All machines share one clock: an engine that started just before this node is cold, and one of long ago is not.
 #[test]
-fn starts_are_told_on_this_nodes_clock() {
+fn start_times_are_converted_to_this_nodes_clock() {
     let (mut reader, runtime) = reader();
     let unix_ms = runtime.unix_micros() / 1_000;
     let entry = |id: &str, started: u64| serde_json::json!({"id": id, "addr": "10.0.0.1:80", "zone": "a", "kind": "m2", "state": "up", "started_ms": started});
@@ -167,8 +175,8 @@
     let started: Vec<Micros> = engines.iter().map(|e| e.endpoint.started_at).collect();
     assert_eq!(started[0], runtime.now() - 500_000);
     assert_eq!(started[1], 0, "long ago");
-    assert_eq!(started[2], 1, "before the clock's begin");
-    // What is removed needs no more than its id.
+    assert_eq!(started[2], 1, "before the clock began");
+    // A removal needs no more than the id.
     let servers = vec![
         serde_json::json!({"id": "s-1", "state": "removed"}),
         serde_json::json!({"id": "s-7"}),
@@ -185,11 +193,10 @@
     );
 }
 
-/// Guards against a wall clock that is an hour off at the node's start: an engine that has just come would count as warm, or
-/// every engine as cold for an hour.
+/// Guards against a wall clock that is an hour off at the node's start: a new engine would count as warm, or every engine as
+/// cold for an hour.
 #[test]
-fn a_clock_that_is_an_hour_off_makes_nobody_warm_who_has_just_come_and_nobody_start_in_the_future()
-{
+fn with_a_clock_an_hour_off_new_engines_are_cold_and_none_starts_in_the_future() {
     const HOUR_MS: u64 = 3_600_000;
     let (mut reader, runtime) = reader();
     let started = |reader: &mut ListReader, full: bool, id: &str, started_ms: u64| {
@@ -209,10 +216,10 @@
         runtime.now(),
         "an hour behind"
     );
-    let came = started(&mut reader, false, "s-2", unix_ms.saturating_sub(HOUR_MS));
+    let started_at = started(&mut reader, false, "s-2", unix_ms.saturating_sub(HOUR_MS));
     assert_eq!(
-        came,
+        started_at,
         runtime.now(),
-        "an hour ahead: it was not there when the list was read before"
+        "an hour ahead: it was not in the list before"
     );
 }
--- a/crates/ivyward-platform/src/engine/stream.rs
+++ b/crates/ivyward-platform/src/engine/stream.rs
@@ -16,7 +16,7 @@
     Ended(AttemptResult),
     /// The engine has to learn that the attempt was given up.
     Abandoned {
-        /// What the router is told.
+        /// What the router gets.
         outcome: Outcome,
         /// For people.
         detail: String,
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -38,7 +38,7 @@
 pub(crate) struct Server {
     node: Node,
     runtime: RuntimeRef,
-    told: Told,
+    deployment: Told,
     bounds: Bounds,
     prompt_budget: Arc<PromptBudget>,
     table: ConnectionTable,
@@ -49,11 +49,16 @@
 }
 
 impl Server {
-    pub(crate) fn new(node: Node, runtime: RuntimeRef, told: Told, bounds: Bounds) -> Arc<Server> {
+    pub(crate) fn new(
+        node: Node,
+        runtime: RuntimeRef,
+        deployment: Told,
+        bounds: Bounds,
+    ) -> Arc<Server> {
         Arc::new(Server {
             node,
             runtime,
-            told,
+            deployment,
             prompt_budget: PromptBudget::new(bounds.prompt_bytes),
             bounds,
             table: ConnectionTable::new(bounds.client_connections),
--- a/crates/ivyward-platform/src/server/request_headers.rs
+++ b/crates/ivyward-platform/src/server/request_headers.rs
@@ -61,7 +61,7 @@
 }
 
 impl Server {
-    /// Parses and checks the headers of a request with a body of `length` bytes: its id, and what the router is told.
+    /// Parses and checks the headers of a request with a body of `length` bytes: its id, and what the router is given.
     pub(super) fn parse_headers(
         &self,
         request: &Request,
@@ -70,7 +70,7 @@
         let id = parse_id(request)?;
         check_idempotency_key(request)?;
         let class_name = required(request, "x-priority-class")?;
-        let class = index_of("class", &self.told.classes, class_name)?;
+        let class = index_of("class", &self.deployment.classes, class_name)?;
         let tenant = self.parse_tenant(request)?;
         let client_timeout = self.parse_timeout(request, class)?;
         // A body holds no more tokens than bytes.
@@ -99,11 +99,11 @@
     }
 
     fn parse_tenant(&self, request: &Request) -> Result<usize, RequestError> {
-        if self.told.tenants.is_empty() {
+        if self.deployment.tenants.is_empty() {
             return Ok(0);
         }
         let name = required(request, "x-tenant-id")?;
-        index_of("tenant", &self.told.tenants, name)
+        index_of("tenant", &self.deployment.tenants, name)
     }
 
     /// The time after which the client gives up: never longer than that of its class.
@@ -114,7 +114,7 @@
             .ok()
             .filter(|ms| *ms > 0 && !text.starts_with('+'))
             .ok_or_else(|| bad_request(format!("x-timeout-ms {text:?} must be over 0")))?;
-        let longest = self.told.module.classes[class].deadline;
+        let longest = self.deployment.module.classes[class].deadline;
         Ok(timeout_ms.saturating_mul(1_000).min(longest))
     }
 }
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -64,14 +64,14 @@
             listen,
             discovery,
             cached_list,
-            told,
+            deployment,
             bounds,
             node: settings,
         } = config;
-        let pool = EnginePool::new(&runtime, pool_settings(&told, &bounds, &settings));
+        let pool = EnginePool::new(&runtime, pool_settings(&deployment, &bounds, &settings));
         let protocol = Arc::new(HttpProtocol { pool: pool.clone() });
         let node = Node::start_with(runtime.clone(), settings, None, protocol)?;
-        let mut reader = ListReader::new(told.clone(), &runtime);
+        let mut reader = ListReader::new(deployment.clone(), &runtime);
         if let Some(list) = &cached_list {
             node.update_endpoints(ListKind::Cached, reader.read_cached(list))
                 .await;
@@ -81,9 +81,9 @@
             reader,
             runtime: runtime.clone(),
             limits: list_limits(&bounds),
-            is_costly: told.module.must_subscribe,
+            is_costly: deployment.module.must_subscribe,
         };
-        let server = Server::new(node.clone(), runtime.clone(), told, bounds);
+        let server = Server::new(node.clone(), runtime.clone(), deployment, bounds);
         let acceptor = start_accepting(&runtime, &server, listen)?;
         let address = acceptor.address;
         let service = Service {
@@ -175,12 +175,16 @@
     }
 }
 
-fn pool_settings(told: &Told, bounds: &Bounds, settings: &NodeSettings) -> EnginePoolSettings {
+fn pool_settings(
+    deployment: &Told,
+    bounds: &Bounds,
+    settings: &NodeSettings,
+) -> EnginePoolSettings {
     EnginePoolSettings {
         connect_timeout: settings.dial_timeout,
-        keep_alive: told.keepalive,
+        keep_alive: deployment.keepalive,
         max_connections: bounds.engine_connections,
-        report_fields: told.report_fields.clone(),
+        report_fields: deployment.report_fields.clone(),
         release: ReleaseSettings {
             within: settings.rules.release_within,
             max_concurrent_attempts: bounds.release_connections,
--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -11,24 +11,28 @@
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
+enum Disconnect {
     Closes,
     Resets,
     /// It ends its sending and still reads.
     HalfCloses,
 }
 
-const WAYS: [Leaves; 3] = [Leaves::Closes, Leaves::Resets, Leaves::HalfCloses];
+const DISCONNECTS: [Disconnect; 3] = [
+    Disconnect::Closes,
+    Disconnect::Resets,
+    Disconnect::HalfCloses,
+];
 
 /// Disconnects, and returns what has to stay open for that.
-async fn disconnect(mut conn: Conn, how: Leaves) -> Option<Conn> {
+async fn disconnect(mut conn: Conn, how: Disconnect) -> Option<Conn> {
     match how {
-        Leaves::Closes => None,
-        Leaves::Resets => {
+        Disconnect::Closes => None,
+        Disconnect::Resets => {
             conn.reset_on_close();
             None
         }
-        Leaves::HalfCloses => {
+        Disconnect::HalfCloses => {
             conn.close().await.unwrap();
             Some(conn)
         }
@@ -49,21 +53,21 @@
     })
 }
 
-/// How long after `gone` the last attempt of these requests reached an engine.
-fn latest(cluster: &Cluster, ids: &[String], gone: Micros) -> Micros {
+/// How long after `disconnected_at` the last attempt of these requests reached an engine.
+fn last_attempt_after(cluster: &Cluster, ids: &[String], disconnected_at: Micros) -> Micros {
     let came = cluster
         .engine_requests()
         .into_iter()
         .filter(|s| ids.contains(&s.id))
         .map(|s| s.at)
         .max();
-    came.unwrap_or(0).saturating_sub(gone)
+    came.unwrap_or(0).saturating_sub(disconnected_at)
 }
 
 /// Connections to engines come up late, and the client disconnects meanwhile.
 #[test]
 fn disconnect_while_a_connection_is_opened() {
-    for how in WAYS {
+    for how in DISCONNECTS {
         for (may, setup) in setups(|_| EngineBehavior::Normal) {
             // A dial takes 220 ms, of 250 that it may take.
             for engine in &setup.engines {
@@ -75,10 +79,10 @@
                     .await
                     .unwrap();
                 cluster.runtime.sleep(50 * MS).await;
-                let gone = cluster.runtime.now();
-                let _held = disconnect(conn, how).await;
+                let disconnected_at = cluster.runtime.now();
+                let _open = disconnect(conn, how).await;
                 cluster.runtime.sleep(3_000 * MS).await;
-                let late = latest(&cluster, &["one".into()], gone);
+                let late = last_attempt_after(&cluster, &["one".into()], disconnected_at);
                 // What had left before is on its way as long.
                 assert!(
                     late <= WITHIN,
@@ -92,10 +96,10 @@
 /// The prefill goes on where it may not be cancelled, and no decode follows it.
 #[test]
 fn disconnect_between_prefill_and_decode() {
-    for how in WAYS {
+    for how in DISCONNECTS {
         for class in ["draft", "send"] {
-            for (may, setup) in setups(|seen| {
-                if is_prefill(seen) {
+            for (may, setup) in setups(|received| {
+                if is_prefill(received) {
                     EngineBehavior::Delayed(500 * MS)
                 } else {
                     EngineBehavior::Normal
@@ -104,15 +108,15 @@
                 setup.run(move |cluster| async move {
                     let mut conn = cluster.connect().await;
                     conn.write_all(&request("one", class, 4_800)).await.unwrap();
-                    wait_until(&cluster.runtime, "a read", || {
+                    wait_until(&cluster.runtime, "a prefill", || {
                         cluster.attempts("one").iter().any(is_prefill)
                     })
                     .await;
-                    let gone = cluster.runtime.now();
-                    let _held = disconnect(conn, how).await;
+                    let disconnected_at = cluster.runtime.now();
+                    let _open = disconnect(conn, how).await;
                     cluster.runtime.sleep(3_000 * MS).await;
                     assert_eq!(
-                        latest(&cluster, &["one".into()], gone),
+                        last_attempt_after(&cluster, &["one".into()], disconnected_at),
                         0,
                         "{how:?}, {class}, may cancel {may}"
                     );
@@ -132,7 +136,7 @@
 /// A long body is sent slowly: its last byte is never sent.
 #[test]
 fn disconnect_while_a_body_is_sent() {
-    for how in WAYS {
+    for how in DISCONNECTS {
         for (may, setup) in setups(|_| EngineBehavior::Normal) {
             // 200 kB at 100 kB a second.
             setup
@@ -154,11 +158,11 @@
                     .unwrap();
                 cluster.sim.net(|net| net.rate = 100_000);
                 cluster.runtime.sleep(300 * MS).await;
-                let gone = cluster.runtime.now();
-                let _held = disconnect(conn, how).await;
+                let disconnected_at = cluster.runtime.now();
+                let _open = disconnect(conn, how).await;
                 cluster.runtime.sleep(6_000 * MS).await;
                 assert_eq!(
-                    latest(&cluster, &["long".into()], gone),
+                    last_attempt_after(&cluster, &["long".into()], disconnected_at),
                     0,
                     "{how:?}, may cancel {may}"
                 );
@@ -170,10 +174,10 @@
 /// More bytes than the node keeps wait behind the request, and then the client's close.
 #[test]
 fn disconnect_behind_pipelined_bytes() {
-    for how in WAYS {
+    for how in DISCONNECTS {
         for more in [100, 20_000, 300_000, 30_000_000] {
-            for (may, setup) in setups(|seen| {
-                if is_prefill(seen) {
+            for (may, setup) in setups(|received| {
+                if is_prefill(received) {
                     EngineBehavior::Delayed(500 * MS)
                 } else {
                     EngineBehavior::Normal
@@ -188,14 +192,14 @@
                     let by = cluster.client.now() + 200 * MS;
                     let sent = before(&cluster.client, by, conn.write_all(&vec![b'x'; more])).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
-                    wait_until(&cluster.runtime, "a read", || {
+                    wait_until(&cluster.runtime, "a prefill", || {
                         cluster.attempts("one").iter().any(is_prefill)
                     })
                     .await;
-                    let gone = cluster.runtime.now();
-                    let _held = disconnect(conn, how).await;
+                    let disconnected_at = cluster.runtime.now();
+                    let _open = disconnect(conn, how).await;
                     cluster.runtime.sleep(3_000 * MS).await;
-                    let late = latest(&cluster, &["one".into()], gone);
+                    let late = last_attempt_after(&cluster, &["one".into()], disconnected_at);
                     assert!(
                         late <= WITHIN,
                         "{how:?}, {more} behind, may cancel {may}: {late} us"
@@ -210,8 +214,8 @@
 #[test]
 fn many_pipelined_bytes_end_the_connection_after_the_response() {
     for (more, closes) in [(1_000, false), (300_000, true)] {
-        ClusterSetup::new(|seen| {
-            if is_decode(seen) {
+        ClusterSetup::new(|received| {
+            if is_decode(received) {
                 EngineBehavior::Delayed(300 * MS)
             } else {
                 EngineBehavior::Normal
@@ -254,7 +258,7 @@
 /// The node is frozen while hundreds of clients send and disconnect: it serves none of them when it goes on.
 #[test]
 fn hundreds_of_clients_disconnect_from_a_busy_node() {
-    for how in WAYS {
+    for how in DISCONNECTS {
         for (may, setup) in setups(|_| EngineBehavior::Normal) {
             let (sim, node) = (setup.sim.clone(), setup.node.id());
             setup.run(move |cluster| async move {
@@ -269,24 +273,24 @@
                 let (done, wait) = async_channel::bounded(1);
                 let (sent, sims) = (ids.clone(), sim.clone());
                 cluster.client.run(async move {
-                    let mut held = Vec::new();
+                    let mut open = Vec::new();
                     for (mut conn, id) in conns.into_iter().zip(&sent) {
                         conn.write_all(&request(id, "draft", 4_800)).await.unwrap();
-                        held.push(conn);
+                        open.push(conn);
                     }
                     client.sleep(5 * MS).await;
-                    let gone = client.now();
+                    let disconnected_at = client.now();
                     let mut kept = Vec::new();
-                    for conn in held {
+                    for conn in open {
                         kept.extend(disconnect(conn, how).await);
                     }
                     client.sleep(300 * MS).await;
                     sims.freeze(node, false);
                     client.sleep(3_000 * MS).await;
-                    done.send((gone, kept)).await.unwrap();
+                    done.send((disconnected_at, kept)).await.unwrap();
                 });
-                let (gone, _kept) = wait.recv().await.unwrap();
-                let late = latest(&cluster, &ids, gone);
+                let (disconnected_at, _kept) = wait.recv().await.unwrap();
+                let late = last_attempt_after(&cluster, &ids, disconnected_at);
                 assert!(late <= WITHIN, "{how:?}, may cancel {may}: {late} us");
                 assert_eq!(cluster.service.node().open_requests(), 0);
             });
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -132,8 +132,8 @@
 /// A request with the id of one in flight is rejected, and the one in flight goes on unharmed.
 #[test]
 fn the_id_of_a_request_in_flight_is_rejected() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.id == "same" {
+    let setup = ClusterSetup::new(|received| {
+        if received.id == "same" {
             EngineBehavior::Delayed(400_000)
         } else {
             EngineBehavior::Normal
@@ -221,8 +221,8 @@
 /// In a flood beyond the limit on open requests each one gets a response, and nothing was sent for the rejected ones.
 #[test]
 fn every_request_of_a_flood_gets_a_response() {
-    let setup = ClusterSetup::with_sockets(256, |seen| {
-        if seen.engine >= 2 {
+    let setup = ClusterSetup::with_sockets(256, |received| {
+        if received.engine >= 2 {
             EngineBehavior::Delayed(200_000)
         } else {
             EngineBehavior::Normal
@@ -254,7 +254,10 @@
                     "{id} was refused by the door and sent all the same"
                 );
             }
-            assert!(response.status != 200 || response.whole, "{id} was cut");
+            assert!(
+                response.status != 200 || response.whole,
+                "{id} was truncated"
+            );
         }
         assert!(served > 20, "{served} served");
         assert_eq!(cluster.service.node().open_requests(), 0);
@@ -279,8 +282,8 @@
 /// When a client disconnects, its attempt's connection to the engine is closed.
 #[test]
 fn a_disconnected_client_ends_its_attempt() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.engine >= 2 {
+    let setup = ClusterSetup::new(|received| {
+        if received.engine >= 2 {
             EngineBehavior::Silent
         } else {
             EngineBehavior::Normal
@@ -291,7 +294,7 @@
         conn.write_all(&request("one", "send", 4_800))
             .await
             .unwrap();
-        wait_until(&cluster.runtime, "a write", || {
+        wait_until(&cluster.runtime, "a decode", || {
             cluster.attempts("one").len() == 2
         })
         .await;
@@ -308,8 +311,8 @@
 /// A request without a response of any engine fails before its client's timeout, and nothing is sent later.
 #[test]
 fn a_request_without_a_response_fails_in_time() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.id.is_empty() {
+    let setup = ClusterSetup::new(|received| {
+        if received.id.is_empty() {
             EngineBehavior::Normal
         } else {
             EngineBehavior::Silent
@@ -356,22 +359,19 @@
         let mut conns = Vec::new();
         for _ in 0..bound / 240_000 + 12 {
             let mut conn = cluster.connect().await;
-            // One that is turned away may be closed under our writing.
+            // The node may close a rejected one while we write.
             let _ = conn
                 .write_all(&[head.clone(), vec![b'x'; 240_000]].concat())
                 .await;
             conns.push(conn);
         }
-        let mut turned_away = 0;
+        let mut rejected = 0;
         for conn in &mut conns {
             let response = read_response(&cluster.client, conn).await;
             assert!(matches!(response.status, 503 | 408), "{}", response.status);
-            turned_away += usize::from(response.status == 503);
+            rejected += usize::from(response.status == 503);
         }
-        assert!(
-            (1..=12).contains(&turned_away),
-            "{turned_away} were turned away"
-        );
+        assert!((1..=12).contains(&rejected), "{rejected} were rejected");
         assert!(cluster.engine_requests().is_empty());
         assert_eq!(cluster.send_request("good", "draft").await.status, 200);
     });
@@ -389,7 +389,7 @@
             chunk.repeat(60),
             SERVED_EVENTS.len()
         );
-        let setup = ClusterSetup::new(move |seen| match is_decode(seen) {
+        let setup = ClusterSetup::new(move |received| match is_decode(received) {
             true => EngineBehavior::RespondAfterFirstEvent(rest.clone().into_bytes()),
             false => EngineBehavior::Normal,
         });
@@ -435,8 +435,8 @@
 #[test]
 fn a_request_that_crosses_its_eviction_does_not_block_others() {
     for offset in (0..300u64).step_by(10) {
-        let setup = ClusterSetup::with_sockets(160, |seen| {
-            if seen.id == "long" {
+        let setup = ClusterSetup::with_sockets(160, |received| {
+            if received.id == "long" {
                 EngineBehavior::Delayed(3_000_000)
             } else {
                 EngineBehavior::Normal
@@ -458,7 +458,7 @@
             let (asks, thaws) = (cluster.client.clone(), cluster.client.clone());
             cluster.client.run(async move {
                 asks.sleep(offset).await;
-                // It may have been told to go already.
+                // It may have been evicted already.
                 let _ = first.write_all(&request("long", "draft", 7_000)).await;
                 std::future::pending::<()>().await;
                 drop(first);
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -16,10 +16,10 @@
 #[test]
 fn engines_are_sent_the_clients_remaining_time() {
     for lag in [0, 80 * MS] {
-        // One attempt of nine fails, two are turned away, one is late.
+        // One attempt of nine fails, two are rejected, one is late.
         let count = AtomicUsize::new(0);
-        let setup = ClusterSetup::new(move |seen| {
-            if !is_prefill(seen) && !is_decode(seen) {
+        let setup = ClusterSetup::new(move |received| {
+            if !is_prefill(received) && !is_decode(received) {
                 return EngineBehavior::Normal;
             }
             match count.fetch_add(1, Ordering::SeqCst) % 9 {
@@ -47,15 +47,18 @@
                 let sends = cluster.attempts(&id);
                 for send in &sends {
                     let left = (began + timeout_ms * MS).saturating_sub(send.at);
-                    let told = send.timeout_ms * MS;
-                    assert!(told <= left + SLACK, "{id}: {told} us told, {left} us left");
-                    assert!(send.timeout_ms > 0, "{id}: no time was told");
+                    let timeout = send.timeout_ms * MS;
+                    assert!(
+                        timeout <= left + SLACK,
+                        "{id}: a timeout of {timeout} us, {left} us left"
+                    );
+                    assert!(send.timeout_ms > 0, "{id}: no timeout was sent");
                 }
                 sent += sends.len();
                 further += sends.len().saturating_sub(2);
             }
             assert!(sent >= 40, "{sent} sent");
-            // Where dials take as long, what a read left is let go of before a write can leave.
+            // Where connecting takes as long, a prefill is released before a decode can be sent.
             assert!(lag > 0 || further >= 10, "{further} further ones of {sent}");
         });
     }
--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -4,13 +4,14 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, RuntimeExt};
+use ivyward::runtime::{before, RuntimeExt, RuntimeRef};
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
-const GRACE: Micros = 1_000_000;
-const HELD: Micros = 300_000;
+const DRAIN_GRACE: Micros = 1_000_000;
+const RELEASE_WITHIN: Micros = 300_000;
 /// What the platform adds to every time limit.
-const MORE: Micros = 50_000;
+const TOLERANCE: Micros = 50_000;
 
 fn hash(text: &str, salt: u64) -> u64 {
     let mix = |h: u64, b: u64| (h ^ b).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
@@ -20,180 +21,240 @@
 }
 
 /// The fault of an engine under a request, drawn from the request's id and the engine's number.
-fn fault(seen: &EngineRequest) -> u64 {
-    if seen.id.is_empty() {
+fn fault(received: &EngineRequest) -> u64 {
+    if received.id.is_empty() {
         return 99;
     }
-    hash(&seen.id, seen.engine as u64) % 24
+    hash(&received.id, received.engine as u64) % 24
 }
 
-fn script(seen: &EngineRequest) -> EngineBehavior {
-    match fault(seen) {
+fn script(received: &EngineRequest) -> EngineBehavior {
+    match fault(received) {
         0 => respond_with("\u{1}\u{2} noise\r\n\r\n"),
         1 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
         2 => EngineBehavior::RespondAndClose(Vec::new()),
         3 | 4 => respond_with(REJECTED_UNPROCESSED),
         5 => EngineBehavior::Silent,
-        6 if seen.engine >= 2 => EngineBehavior::RespondAfterFirstEvent(b"zz\r\n".to_vec()),
+        6 if received.engine >= 2 => EngineBehavior::RespondAfterFirstEvent(b"zz\r\n".to_vec()),
         7 => EngineBehavior::Delayed(400_000),
         _ => EngineBehavior::Normal,
     }
 }
 
 /// Whether the engine rejects the request unprocessed.
-fn is_rejected(seen: &EngineRequest) -> bool {
-    matches!(fault(seen), 3 | 4)
+fn is_rejected(received: &EngineRequest) -> bool {
+    matches!(fault(received), 3 | 4)
 }
 
 /// A client's side of one request.
 struct ClientRecord {
+    id: String,
     class: &'static str,
     sent: Micros,
     timeout: Micros,
-    /// `None` where the client left, at the time beside it.
+    /// `None` if the client disconnected before its response.
     response: Option<Response>,
-    over: Micros,
+    /// When the client had its response or disconnected.
+    ended: Micros,
+}
+
+impl ClientRecord {
+    fn status(&self) -> u16 {
+        self.response.as_ref().map_or(0, |response| response.status)
+    }
+
+    fn is_rejected(&self) -> bool {
+        matches!(self.status(), 429 | 503)
+    }
+}
+
+/// How often something happened in a run, so that it is known to have tested something.
+#[derive(Debug, Default)]
+struct Counts {
+    retried: usize,
+    released: usize,
+    rejected: usize,
+    broken: usize,
+}
+
+/// One client: sends a request, and waits for its response or disconnects.
+async fn run_client(client: RuntimeRef, address: SocketAddr, n: u64) -> ClientRecord {
+    let id = format!("q{n}");
+    let class = if n % 3 == 0 { "send" } else { "draft" };
+    let timeout = 600_000 + hash(&id, 7) % 4_000_000;
+    let disconnects = n % 11 == 5;
+    client.sleep(n * 25_000).await;
+    let mut conn = client.connect(address).await.unwrap();
+    let sent = client.now();
+    conn.write_all(&request(&id, class, timeout / 1_000))
+        .await
+        .unwrap();
+    let response = match disconnects {
+        true => before(&client, sent + 150_000, read_response(&client, &mut conn)).await,
+        false => Some(read_response(&client, &mut conn).await),
+    };
+    drop(conn);
+    ClientRecord {
+        id,
+        class,
+        sent,
+        timeout,
+        response,
+        ended: client.now(),
+    }
+}
+
+/// Rule 1: one final response in time, and nothing sent after it.
+fn check_final_response(record: &ClientRecord, attempts: &[&EngineRequest]) {
+    let id = &record.id;
+    if let Some(response) = &record.response {
+        assert_ne!(response.status, 0, "{id}: no response");
+        if response.status != 200 {
+            let took = response.at - record.sent;
+            assert!(
+                took <= record.timeout + TOLERANCE,
+                "{id}: a response after {took} us of {}",
+                record.timeout
+            );
+        }
+    }
+    for attempt in attempts {
+        assert!(
+            attempt.at <= record.ended + 1_000,
+            "{id}: sent after its end"
+        );
+    }
+}
+
+/// Rule 2: no effect twice, and a rejection only where nothing ran.
+fn check_effects(record: &ClientRecord, decodes: &[&EngineRequest]) {
+    let id = &record.id;
+    let may_have_run = decodes.iter().filter(|d| !is_rejected(d)).count();
+    if record.class == "send" {
+        assert!(may_have_run <= 1, "{id}: may have run {may_have_run} times");
+        if record.is_rejected() {
+            assert_eq!(may_have_run, 0, "{id}: rejected, and may have run");
+        }
+    }
+}
+
+/// No two attempts at once: one without a response is over when its connection is closed.
+fn check_one_attempt_at_a_time(id: &str, attempts: &[&EngineRequest], log: &RequestLog) {
+    for pair in attempts.windows(2).filter(|pair| fault(pair[0]) == 5) {
+        let closed_at = log.closed_at(pair[0].connection);
+        assert!(
+            closed_at.is_some_and(|at| at <= pair[1].at),
+            "{id}: two attempts at once"
+        );
+    }
+}
+
+/// Rule 5: an unused prefill is released. Whether there was one.
+fn check_release(record: &ClientRecord, attempts: &[&EngineRequest], log: &RequestLog) -> bool {
+    let id = &record.id;
+    let streamed = attempts
+        .iter()
+        .any(|a| a.engine >= 2 && matches!(fault(a), 6..));
+    let prefilled = attempts
+        .iter()
+        .any(|a| a.engine < 2 && !is_rejected(a) && !matches!(fault(a), 0 | 1));
+    if !prefilled || streamed {
+        return false;
+    }
+    let last_attempt = attempts.iter().map(|a| a.at).max().unwrap_or(0);
+    let last = last_attempt.max(record.ended);
+    let path_end = format!("/{id}");
+    let releases = log
+        .requests
+        .iter()
+        .filter(|request| request.method == "DELETE" && request.target.ends_with(&path_end));
+    let at = releases.map(|request| request.at).max();
+    assert!(
+        at.is_some_and(|at| at <= last + RELEASE_WITHIN + TOLERANCE + RELEASE_WITHIN),
+        "{id}: not released: {at:?} after {last}"
+    );
+    true
+}
+
+/// Rule 3: nothing is sent to engines 1 and 3 while they drain, after the grace time.
+fn check_drains(log: &RequestLog, drained: Micros, back: Micros) {
+    let forbidden = drained + DRAIN_GRACE + TOLERANCE..back;
+    let requests = log.requests.iter();
+    for request in requests.filter(|r| matches!(r.engine, 1 | 3) && r.method == "POST") {
+        assert!(
+            !forbidden.contains(&request.at),
+            "{} sent to a draining engine, {} us late",
+            request.id,
+            request.at - drained
+        );
+    }
+}
+
+/// Checks the rules of single requests.
+fn check_requests(records: &[ClientRecord], log: &RequestLog) -> Counts {
+    let mut attempts_by_id: BTreeMap<&str, Vec<&EngineRequest>> = BTreeMap::new();
+    for request in log.requests.iter().filter(|r| !r.id.is_empty()) {
+        attempts_by_id.entry(&request.id).or_default().push(request);
+    }
+    let mut counts = Counts::default();
+    for record in records {
+        let attempts = attempts_by_id
+            .get(record.id.as_str())
+            .map_or(&[][..], Vec::as_slice);
+        let decodes: Vec<&EngineRequest> =
+            attempts.iter().copied().filter(|a| a.engine >= 2).collect();
+        check_final_response(record, attempts);
+        check_effects(record, &decodes);
+        check_one_attempt_at_a_time(&record.id, attempts, log);
+        let is_broken = record
+            .response
+            .as_ref()
+            .is_some_and(|response| response.status == 200 && !response.whole);
+        counts.broken += usize::from(is_broken);
+        counts.rejected += usize::from(record.is_rejected());
+        counts.retried += usize::from(decodes.len() > 1);
+        counts.released += usize::from(check_release(record, attempts, log));
+    }
+    counts
 }
 
 #[test]
 fn the_rules_hold_under_many_faults() {
     let setup = ClusterSetup::new(script);
     setup.run(|cluster| async move {
-        let (done, answers) = async_channel::unbounded();
+        let (sender, receiver) = async_channel::unbounded();
         let begun = cluster.runtime.now();
         for n in 0..400u64 {
-            let (client, address, done) = (cluster.client.clone(), cluster.address, done.clone());
-            let id = format!("q{n}");
-            let class = if n % 3 == 0 { "send" } else { "draft" };
-            let timeout = 600_000 + hash(&id, 7) % 4_000_000;
-            let leaves = n % 11 == 5;
+            let (client, address, sender) =
+                (cluster.client.clone(), cluster.address, sender.clone());
             cluster.client.run(async move {
-                client.sleep(n * 25_000).await;
-                let mut conn = client.connect(address).await.unwrap();
-                let sent = client.now();
-                conn.write_all(&request(&id, class, timeout / 1_000))
-                    .await
-                    .unwrap();
-                let response = match leaves {
-                    true => {
-                        before(&client, sent + 150_000, read_response(&client, &mut conn)).await
-                    }
-                    false => Some(read_response(&client, &mut conn).await),
-                };
-                drop(conn);
-                let over = client.now();
-                let _ = done
-                    .send((
-                        id,
-                        ClientRecord {
-                            class,
-                            sent,
-                            timeout,
-                            response,
-                            over,
-                        },
-                    ))
-                    .await;
+                let record = run_client(client, address, n).await;
+                let _ = sender.send(record).await;
             });
         }
-        drop(done);
+        drop(sender);
         cluster.runtime.sleep(3_000_000).await;
         cluster.update_list(list(&["up", "draining", "up", "draining"]));
         let drained = cluster.runtime.now();
         cluster.runtime.sleep(3_000_000).await;
         cluster.update_list(list(&["up"; 4]));
         let back = cluster.runtime.now();
-        let mut told = BTreeMap::new();
-        while let Ok((id, one)) = answers.recv().await {
-            told.insert(id, one);
+        let mut records = Vec::new();
+        while let Ok(record) = receiver.recv().await {
+            records.push(record);
         }
         cluster.runtime.sleep(3_000_000).await;
-        assert_eq!(told.len(), 400);
+        assert_eq!(records.len(), 400);
         let log = cluster.log.lock().unwrap();
-        let mut sends: BTreeMap<&str, Vec<&EngineRequest>> = BTreeMap::new();
-        for seen in log.requests.iter().filter(|s| !s.id.is_empty()) {
-            sends.entry(seen.id.as_str()).or_default().push(seen);
-        }
-        let ended = |connection: usize| log.closed_at(connection);
-        let (mut repeated, mut released, mut refused, mut broken) = (0, 0, 0, 0);
-        for (id, one) in &told {
-            let sends = sends.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-            let writes: Vec<&&EngineRequest> = sends.iter().filter(|s| s.engine >= 2).collect();
-            // Rule 1: one final answer in time, and nothing sent after it.
-            let status = one.response.as_ref().map_or(0, |g| g.status);
-            if let Some(response) = &one.response {
-                assert_ne!(response.status, 0, "{id}: no answer");
-                if response.status != 200 {
-                    let took = response.at - one.sent;
-                    assert!(
-                        took <= one.timeout + MORE,
-                        "{id}: answered after {took} us of {}",
-                        one.timeout
-                    );
-                }
-                broken += usize::from(response.status == 200 && !response.whole);
-            }
-            for send in sends {
-                assert!(send.at <= one.over + 1_000, "{id}: sent after its end");
-            }
-            // Rule 2: no effect twice, and a refusal only where nothing ran.
-            let may_have_run = writes.iter().filter(|s| !is_rejected(s)).count();
-            if one.class == "send" {
-                assert!(may_have_run <= 1, "{id}: may have run {may_have_run} times");
-                if matches!(status, 429 | 503) {
-                    assert_eq!(may_have_run, 0, "{id}: refused, and may have run");
-                }
-            }
-            refused += usize::from(matches!(status, 429 | 503));
-            repeated += usize::from(writes.len() > 1);
-            // No two attempts at once: one that got no answer is over when its connection is.
-            for pair in sends.windows(2).filter(|p| fault(p[0]) == 5) {
-                let over = ended(pair[0].connection);
-                assert!(
-                    over.is_some_and(|at| at <= pair[1].at),
-                    "{id}: two attempts at once"
-                );
-            }
-            // Rule 5: what was read and not written is let go.
-            let streamed = writes.iter().any(|s| matches!(fault(s), 6..));
-            let held = sends
-                .iter()
-                .any(|s| s.engine < 2 && !is_rejected(s) && !matches!(fault(s), 0 | 1));
-            if held && !streamed {
-                let last = sends.iter().map(|s| s.at).max().unwrap_or(0).max(one.over);
-                let let_go = log
-                    .requests
-                    .iter()
-                    .filter(|s| s.method == "DELETE" && s.target.ends_with(&format!("/{id}")));
-                let at = let_go.map(|s| s.at).max();
-                assert!(
-                    at.is_some_and(|at| at <= last + HELD + MORE + HELD),
-                    "{id}: not let go: {at:?} after {last}"
-                );
-                released += 1;
-            }
-        }
-        // Rule 3: drains.
-        for seen in log
-            .requests
-            .iter()
-            .filter(|s| matches!(s.engine, 1 | 3) && s.method == "POST")
-        {
-            let late = drained + GRACE + MORE..back;
-            assert!(
-                !late.contains(&seen.at),
-                "{} sent to an engine that drains, {} us late",
-                seen.id,
-                seen.at - drained
-            );
-        }
-        // The day was rough enough to mean something.
+        let counts = check_requests(&records, &log);
+        check_drains(&log, drained, back);
+        // The run had enough faults to mean something.
         assert!(
-            repeated > 20 && released > 20 && broken > 5,
-            "{repeated} {released} {refused} {broken}"
+            counts.retried > 20 && counts.released > 20 && counts.broken > 5,
+            "{counts:?}"
         );
         assert!(
-            log.requests.iter().any(|s| s.at > begun && s.engine == 1),
+            log.requests.iter().any(|r| r.at > begun && r.engine == 1),
             "engine 1 was used at all"
         );
         assert_eq!(cluster.service.node().open_requests(), 0);
@@ -230,10 +291,10 @@
         let cold =
             list_entry(3, "up").replace("\"started_ms\":0", &format!("\"started_ms\":{started}"));
         cluster.update_list(format!("{},{cold}", list(&["up", "up", "draining"])));
-        let told = cluster.runtime.now();
+        let listed_at = cluster.runtime.now();
         cluster.runtime.sleep(6_000_000).await;
         let log = cluster.log.lock().unwrap();
-        let writes = |engine: usize, from: Micros| {
+        let requests_to = |engine: usize, from: Micros| {
             let span = from..from + WINDOW;
             let ours = log
                 .requests
@@ -242,11 +303,14 @@
             ours.filter(|s| span.contains(&s.at)).count() as f64
         };
         // What one warm writer took for all in such a span, before the other one came.
-        let warm = writes(2, told - WINDOW);
+        let warm = requests_to(2, listed_at - WINDOW);
         assert!(warm > 250.0, "{warm}");
         // By then it has at most 0.4 and six tenths of what is missing, at three seconds and six.
-        for (from, share) in [(told, 0.4 + 0.6 * 0.3), (told + WINDOW, 0.4 + 0.6 * 0.6)] {
-            let sent = writes(3, from);
+        for (from, share) in [
+            (listed_at, 0.4 + 0.6 * 0.3),
+            (listed_at + WINDOW, 0.4 + 0.6 * 0.6),
+        ] {
+            let sent = requests_to(3, from);
             assert!(sent > 0.0, "it is used all the same");
             assert!(sent <= share * warm, "{sent} of {warm}");
         }
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -53,8 +53,8 @@
 /// sent it, and a key that cannot be passed on is rejected.
 #[test]
 fn an_idempotency_key_reaches_every_attempt_unchanged() {
-    let mut setup = ClusterSetup::new(|seen| {
-        if is_decode(seen) && seen.engine == 2 {
+    let mut setup = ClusterSetup::new(|received| {
+        if is_decode(received) && received.engine == 2 {
             respond_with(REJECTED_UNPROCESSED)
         } else {
             EngineBehavior::Normal
@@ -81,7 +81,7 @@
                 .engine_requests()
                 .iter()
                 .any(|s| is_decode(s) && s.engine == 2),
-            "some were turned away and sent again"
+            "some were rejected and retried"
         );
         for value in [&b""[..], b"\xff\xfe"] {
             let text = request("bad", "draft", 4_800);
@@ -111,17 +111,17 @@
 fn a_keyed_retry_does_not_arrive_after_a_partition() {
     // Set when the rig stands: the network, the node's host and the engines'.
     let network: Arc<OnceLock<(Sim, HostId, Vec<HostId>)>> = Arc::default();
-    let cut: Arc<OnceLock<usize>> = Arc::default();
-    let (cuts, cut_now) = (network.clone(), cut.clone());
-    let mut setup = ClusterSetup::new(move |seen| {
-        if !is_decode(seen) || seen.id != "keyed" || cut_now.get().is_some() {
+    let partitioned: Arc<OnceLock<usize>> = Arc::default();
+    let (cuts, partitioned_engine) = (network.clone(), partitioned.clone());
+    let mut setup = ClusterSetup::new(move |received| {
+        if !is_decode(received) || received.id != "keyed" || partitioned_engine.get().is_some() {
             return EngineBehavior::Normal;
         }
-        let other = 5 - seen.engine;
+        let other = 5 - received.engine;
         let (sim, node, engines) = cuts.get().unwrap();
         sim.cut(*node, engines[other], true);
         sim.cut(engines[other], *node, true);
-        cut_now.set(other).unwrap();
+        partitioned_engine.set(other).unwrap();
         EngineBehavior::RespondAndClose(Vec::new())
     });
     let hosts: Vec<HostId> = setup.engines.iter().map(|e| e.id()).collect();
@@ -145,8 +145,8 @@
         conn.write_all(&request("keyed", "send", 4_800))
             .await
             .unwrap();
-        wait_until(&cluster.runtime, "a write", || cut.get().is_some()).await;
-        let other = *cut.get().unwrap();
+        wait_until(&cluster.runtime, "a decode", || partitioned.get().is_some()).await;
+        let other = *partitioned.get().unwrap();
         cluster.runtime.sleep(3_000_000).await;
         cluster.partition(&[other], false);
         read_response(&cluster.client, &mut conn).await;
@@ -173,16 +173,19 @@
         format!("{head}\r\n5\r\ndata:\r\nqq\r\n"),
         format!("{head}\r\n7\r\nnoise\n\n\r\n"),
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n".to_owned(),
-        // Without its own word that nothing ran, a status proves nothing.
+        // Without a statement that nothing ran, a status proves nothing.
         "HTTP/1.1 503 Oh\r\nContent-Length: 0\r\n\r\n".to_owned(),
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: {}\n".to_owned(),
     ];
     for (i, noise) in spoilt.into_iter().enumerate() {
         let spoil = noise.clone();
-        let setup = ClusterSetup::new(move |seen| match is_decode(seen) && seen.engine == 2 {
-            true => respond_with(&spoil),
-            false => EngineBehavior::Normal,
-        });
+        let setup =
+            ClusterSetup::new(
+                move |received| match is_decode(received) && received.engine == 2 {
+                    true => respond_with(&spoil),
+                    false => EngineBehavior::Normal,
+                },
+            );
         setup.run(move |cluster| async move {
             for n in 0..6 {
                 let (safe, once) = (format!("safe{n}"), format!("once{n}"));
@@ -218,10 +221,10 @@
 fn attempts_that_never_ran_are_retried() {
     for status in [503, 504, 410] {
         let turned = std::sync::Mutex::new(std::collections::BTreeSet::new());
-        let setup = ClusterSetup::new(move |seen| {
-            let first = is_decode(seen)
-                && seen.engine == 2
-                && turned.lock().unwrap().insert(seen.id.clone());
+        let setup = ClusterSetup::new(move |received| {
+            let first = is_decode(received)
+                && received.engine == 2
+                && turned.lock().unwrap().insert(received.id.clone());
             match first {
                 true => respond_with(&format!(
                     "HTTP/1.1 {status} No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -266,7 +269,7 @@
         "0\r\n\r\n",
         "",
     ] {
-        let setup = ClusterSetup::new(move |seen| match is_decode(seen) {
+        let setup = ClusterSetup::new(move |received| match is_decode(received) {
             true => EngineBehavior::RespondAfterFirstEvent(noise.as_bytes().to_vec()),
             false => EngineBehavior::Normal,
         });
@@ -322,8 +325,8 @@
         (format!("{head}{body}{second}"), false),
     ];
     for (extra, again) in extras {
-        let setup = ClusterSetup::new(move |seen| {
-            if is_decode(seen) {
+        let setup = ClusterSetup::new(move |received| {
+            if is_decode(received) {
                 respond_with(&extra)
             } else {
                 EngineBehavior::Normal
@@ -358,7 +361,7 @@
 /// An unused prefill is released in time, and not before its last attempt is over.
 #[test]
 fn an_unused_prefill_is_released_in_time() {
-    let setup = ClusterSetup::new(|seen| match is_decode(seen) {
+    let setup = ClusterSetup::new(|received| match is_decode(received) {
         true => respond_with(REJECTED_UNPROCESSED),
         false => EngineBehavior::Normal,
     });
@@ -388,8 +391,8 @@
 /// network path is: for a non-idempotent request it would be a duplicate.
 #[test]
 fn an_abandoned_attempt_is_over_before_the_next_one_arrives() {
-    let setup = ClusterSetup::new(|seen| {
-        match seen.engine < 2 && seen.id.starts_with('h') && seen.timeout_ms > 3_000 {
+    let setup = ClusterSetup::new(|received| {
+        match received.engine < 2 && received.id.starts_with('h') && received.timeout_ms > 3_000 {
             true => EngineBehavior::Silent,
             false => EngineBehavior::Normal,
         }
@@ -464,17 +467,19 @@
 /// If the engine with the reservation does not respond, the release is sent to another one: any engine accepts it.
 #[test]
 fn a_release_is_sent_to_an_engine_that_responds() {
-    let setup = ClusterSetup::new(|seen| match (seen.method.as_str(), seen.engine) {
-        ("DELETE", engine) if engine != 3 => EngineBehavior::Silent,
-        ("POST", engine) if engine >= 2 && !seen.id.is_empty() => EngineBehavior::Silent,
-        _ => EngineBehavior::Normal,
-    });
+    let setup = ClusterSetup::new(
+        |received| match (received.method.as_str(), received.engine) {
+            ("DELETE", engine) if engine != 3 => EngineBehavior::Silent,
+            ("POST", engine) if engine >= 2 && !received.id.is_empty() => EngineBehavior::Silent,
+            _ => EngineBehavior::Normal,
+        },
+    );
     setup.run(|cluster| async move {
         let mut conn = cluster.connect().await;
         conn.write_all(&request("one", "draft", 4_800))
             .await
             .unwrap();
-        wait_until(&cluster.runtime, "a write", || {
+        wait_until(&cluster.runtime, "a decode", || {
             cluster.attempts("one").iter().any(is_decode)
         })
         .await;
@@ -579,10 +584,13 @@
 #[test]
 fn idle_connections_that_are_closed_at_the_next_request() {
     let last = std::sync::Mutex::new(std::collections::BTreeMap::new());
-    let setup = ClusterSetup::new(move |seen| {
-        let before = last.lock().unwrap().insert(seen.connection, seen.at);
-        let idle = before.map_or(0, |b| seen.at - b);
-        match !seen.id.is_empty() && (100_000..1_000_000).contains(&idle) {
+    let setup = ClusterSetup::new(move |received| {
+        let before = last
+            .lock()
+            .unwrap()
+            .insert(received.connection, received.at);
+        let idle = before.map_or(0, |b| received.at - b);
+        match !received.id.is_empty() && (100_000..1_000_000).contains(&idle) {
             true => EngineBehavior::RespondAndClose(Vec::new()),
             false => EngineBehavior::Normal,
         }
--- a/crates/ivyward-platform/tests/reservations.rs
+++ b/crates/ivyward-platform/tests/reservations.rs
@@ -21,15 +21,15 @@
 /// Without a reachable engine releases stay pending, are retried without spinning, and are accepted once one is back.
 #[test]
 fn releases_stay_pending_until_an_engine_is_reachable() {
-    let setup = ClusterSetup::new(|seen| {
-        if is_decode(seen) {
+    let setup = ClusterSetup::new(|received| {
+        if is_decode(received) {
             respond_with(REJECTED_UNPROCESSED)
         } else {
             EngineBehavior::Normal
         }
     });
     setup.run(|cluster| async move {
-        // Each request is at its reader when all are cut off.
+        // Each request is at its prefill engine when the partition begins.
         let mut conns = Vec::new();
         for n in 0..20 {
             let mut conn = cluster.connect().await;
@@ -42,18 +42,21 @@
         cluster.partition(&[0, 1, 2, 3], true);
         drop(conns);
         cluster.runtime.sleep(30_000 * MS).await;
-        let owed = cluster.service.node().pending_releases();
-        assert!(owed > 0, "what they may have left is owed");
-        let asked = cluster.service.node().metrics().releases.get();
-        assert!(asked < 20 * 60, "{asked} asks in half a minute");
+        let pending = cluster.service.node().pending_releases();
+        assert!(pending > 0, "what they may have reserved is to be released");
+        let sent_releases = cluster.service.node().metrics().releases.get();
+        assert!(
+            sent_releases < 20 * 60,
+            "{sent_releases} releases in half a minute"
+        );
         cluster.partition(&[3], false);
         let back = cluster.runtime.now();
-        wait_until(&cluster.runtime, "all is let go of", || {
+        wait_until(&cluster.runtime, "all is released", || {
             cluster.service.node().pending_releases() == 0
         })
         .await;
         let took = cluster.runtime.now() - back;
-        // Nothing else is heard here: each of four engines is asked after a pause of eight spans at most.
+        // No other response arrives here: each of four engines is tried after a pause of eight release times at most.
         assert!(took < (4 * 8 + 2) * WITHIN, "{took} us");
         assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
     });
@@ -63,8 +66,8 @@
 #[test]
 fn a_stopping_node_releases_first() {
     for reachable in [true, false] {
-        let setup = ClusterSetup::new(|seen| {
-            if is_decode(seen) {
+        let setup = ClusterSetup::new(|received| {
+            if is_decode(received) {
                 respond_with(REJECTED_UNPROCESSED)
             } else {
                 EngineBehavior::Normal
@@ -75,7 +78,7 @@
             conn.write_all(&request("last", "send", 4_800))
                 .await
                 .unwrap();
-            wait_until(&cluster.runtime, "a read", || {
+            wait_until(&cluster.runtime, "a prefill", || {
                 cluster.attempts("last").iter().any(is_prefill)
             })
             .await;
@@ -109,7 +112,7 @@
 #[test]
 fn no_reservation_outlives_its_request_however_attempts_end() {
     for salt in 0..12u64 {
-        let setup = ClusterSetup::new(move |seen| {
+        let setup = ClusterSetup::new(move |received| {
             let hash = |text: &str| {
                 text.bytes().fold(salt, |h, b| {
                     (h ^ u64::from(b))
@@ -117,22 +120,22 @@
                         .rotate_left(17)
                 })
             };
-            let of = if seen.id.is_empty() {
-                seen.target.trim_start_matches("/v1/holds/")
+            let of = if received.id.is_empty() {
+                received.target.trim_start_matches("/v1/holds/")
             } else {
-                &seen.id
+                &received.id
             };
-            match (hash(of) ^ (seen.engine as u64 * 7)) % 16 {
-                _ if seen.method == "DELETE" => EngineBehavior::Normal,
-                // 202 is lost on its way back, or the connection breaks before it.
+            match (hash(of) ^ (received.engine as u64 * 7)) % 16 {
+                _ if received.method == "DELETE" => EngineBehavior::Normal,
+                // The 202 is lost, or the connection breaks before it.
                 0 | 1 => EngineBehavior::RespondAndClose(Vec::new()),
                 2 | 3 => respond_with(REJECTED_UNPROCESSED),
                 4 => EngineBehavior::Silent,
                 5 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
-                // Not known, and only after a while.
-                6 | 7 if seen.id.is_empty() => EngineBehavior::Delayed(300 * MS),
+                // An unknown reservation, and only after a while.
+                6 | 7 if received.id.is_empty() => EngineBehavior::Delayed(300 * MS),
                 8 => EngineBehavior::Delayed(900 * MS),
-                9 if is_decode(seen) => respond_with(
+                9 if is_decode(received) => respond_with(
                     "HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
                 ),
                 _ => EngineBehavior::Normal,
@@ -150,7 +153,7 @@
                         .await
                         .unwrap();
                     if n % 4 == 1 {
-                        // Leaves in each moment of a request's life.
+                        // Disconnects at each stage of a request.
                         client.sleep((n as Micros * 37) % 900 * 1_000).await;
                     } else {
                         read_response(&client, &mut conn).await;
@@ -158,8 +161,11 @@
                 });
             }
             cluster.runtime.sleep(15_000 * MS).await;
-            let kept = longest_reservation(&cluster, &ids);
-            assert!(kept <= WITHIN + 50 * MS, "salt {salt}: kept for {kept} us");
+            let longest = longest_reservation(&cluster, &ids);
+            assert!(
+                longest <= WITHIN + 50 * MS,
+                "salt {salt}: reserved for {longest} us"
+            );
             assert_eq!(
                 (
                     cluster.service.node().open_requests(),
@@ -171,12 +177,12 @@
     }
 }
 
-/// The engine with the reservation leaves the list, or is replaced by another process.
+/// The engine with the reservation disconnects the list, or is replaced by another process.
 #[test]
 fn the_reserving_engine_leaves_the_list() {
     for left in ["removed", "draining"] {
-        let setup = ClusterSetup::new(|seen| {
-            if is_decode(seen) {
+        let setup = ClusterSetup::new(|received| {
+            if is_decode(received) {
                 EngineBehavior::Delayed(500 * MS)
             } else {
                 EngineBehavior::Normal
@@ -187,7 +193,7 @@
             conn.write_all(&request("one", "draft", 4_800))
                 .await
                 .unwrap();
-            wait_until(&cluster.runtime, "a write", || {
+            wait_until(&cluster.runtime, "a decode", || {
                 cluster.attempts("one").iter().any(is_decode)
             })
             .await;
@@ -195,8 +201,8 @@
             cluster.runtime.sleep(50 * MS).await;
             drop(conn);
             cluster.runtime.sleep(3_000 * MS).await;
-            let kept = longest_reservation(&cluster, &["one".into()]);
-            assert!(kept <= WITHIN, "{left}: kept for {kept} us");
+            let longest = longest_reservation(&cluster, &["one".into()]);
+            assert!(longest <= WITHIN, "{left}: reserved for {longest} us");
             assert!(
                 cluster.releases("one").iter().all(|r| r.engine >= 2),
                 "one that is listed is asked"
@@ -206,7 +212,7 @@
     }
 }
 
-/// A very short release time is kept as far as the round trip allows.
+/// A very short release time is longest as far as the round trip allows.
 #[test]
 fn a_short_release_time_is_kept() {
     for within in [20, 60, 120] {
@@ -226,8 +232,11 @@
                 cluster.send_request(id, "send").await;
             }
             cluster.runtime.sleep(2_000 * MS).await;
-            let kept = longest_reservation(&cluster, &ids);
-            assert!(kept <= within * MS, "{within} ms told: kept for {kept} us");
+            let longest = longest_reservation(&cluster, &ids);
+            assert!(
+                longest <= within * MS,
+                "{within} ms stated: reserved for {longest} us"
+            );
         });
     }
 }
@@ -268,8 +277,8 @@
 /// A keyed class without a deduplication window is served, and nothing of it is retried.
 #[test]
 fn a_keyed_class_without_a_window_is_never_retried() {
-    let mut setup = ClusterSetup::new(|seen| {
-        if is_decode(seen) {
+    let mut setup = ClusterSetup::new(|received| {
+        if is_decode(received) {
             EngineBehavior::RespondAndClose(Vec::new())
         } else {
             EngineBehavior::Normal
@@ -295,8 +304,8 @@
 /// Over a hundred requests that hang at engines end together, of three hundred that arrived at once.
 #[test]
 fn releases_are_sent_while_all_descriptors_are_used() {
-    let setup = ClusterSetup::with_sockets(700, |seen| match seen.method.as_str() {
-        "POST" if seen.id.starts_with('h') => EngineBehavior::Silent,
+    let setup = ClusterSetup::with_sockets(700, |received| match received.method.as_str() {
+        "POST" if received.id.starts_with('h') => EngineBehavior::Silent,
         _ => EngineBehavior::Normal,
     });
     setup.run(|cluster| async move {
@@ -317,8 +326,8 @@
         wait_until(&cluster.runtime, "many are at an engine", || came() >= 100).await;
         drop(conns);
         cluster.runtime.sleep(3_000 * MS).await;
-        let kept = longest_reservation(&cluster, &ids);
-        assert!(kept <= WITHIN, "kept for {kept} us");
+        let longest = longest_reservation(&cluster, &ids);
+        assert!(longest <= WITHIN, "reserved for {longest} us");
         assert_eq!(cluster.service.node().pending_releases(), 0);
     });
 }
@@ -328,12 +337,12 @@
 #[test]
 fn requests_sent_into_a_partition_do_not_arrive_after_it() {
     for engines in [vec![0, 1], vec![2, 3], vec![0, 1, 2, 3], vec![0, 2]] {
-        for leaves in [false, true] {
+        for disconnects in [false, true] {
             for after in (0..1_600).step_by(100) {
                 let engines = engines.clone();
                 ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
                     cluster.log.lock().unwrap().reservations_need_prefills = true;
-                    // Connections stand, so that all leaves at once.
+                    // Connections stand, so that all disconnects at once.
                     for n in 0..4 {
                         cluster.send_request(&format!("w{n}"), "draft").await;
                     }
@@ -341,7 +350,7 @@
                     conn.write_all(&request("one", "draft", 700)).await.unwrap();
                     cluster.runtime.sleep(after).await;
                     cluster.partition(&engines, true);
-                    if leaves {
+                    if disconnects {
                         cluster.runtime.sleep(100 * MS).await;
                         drop(conn);
                     } else {
@@ -351,7 +360,9 @@
                     let over = cluster.runtime.now();
                     cluster.partition(&engines, false);
                     cluster.runtime.sleep(3_000 * MS).await;
-                    let what = format!("cut {engines:?} {after} us after, leaves {leaves}");
+                    let what = format!(
+                        "partition of {engines:?} {after} us after, disconnects {disconnects}"
+                    );
                     let of = |s: &&EngineRequest| {
                         s.id == "one" || s.target.ends_with("/one") && s.method == "POST"
                     };
@@ -361,11 +372,11 @@
                         .filter(of)
                         .filter(|s| s.at > over)
                         .count();
-                    assert_eq!(late, 0, "{what}: what was given up landed");
-                    // Behind other cuts a write may be lost, or nobody can be asked, for as long as the cut lasts.
+                    assert_eq!(late, 0, "{what}: what was abandoned arrived");
+                    // In other partitions a decode may be lost, or no engine is reachable, for as long as they last.
                     if engines == [0, 1] {
-                        let kept = longest_reservation(&cluster, &["one".into()]);
-                        assert!(kept <= WITHIN, "{what}: {kept} us");
+                        let longest = longest_reservation(&cluster, &["one".into()]);
+                        assert!(longest <= WITHIN, "{what}: {longest} us");
                     }
                     assert_eq!(
                         (
@@ -411,7 +422,7 @@
             let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
             assert!(
                 longest_reservation(&cluster, &ids) <= WITHIN,
-                "{class}: held for {} us",
+                "{class}: reserved for {} us",
                 longest_reservation(&cluster, &ids)
             );
         });
@@ -446,7 +457,7 @@
         let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
         assert!(
             longest_reservation(&cluster, &ids) <= WITHIN,
-            "held for {} us",
+            "reserved for {} us",
             longest_reservation(&cluster, &ids)
         );
     });
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -87,7 +87,7 @@
             r#"{"id":"s-9","addr":"nowhere","state":"up"}"#, "17"
         ));
         cluster.runtime.sleep(20_000).await;
-        let told = cluster.runtime.now();
+        let listed_at = cluster.runtime.now();
         for n in 0..12 {
             assert_eq!(
                 cluster.send_request(&format!("r{n}"), "draft").await.status,
@@ -97,7 +97,7 @@
         let late: Vec<EngineRequest> = cluster
             .engine_requests()
             .into_iter()
-            .filter(|s| s.at > told && matches!(s.engine, 1 | 3))
+            .filter(|s| s.at > listed_at && matches!(s.engine, 1 | 3))
             .collect();
         assert!(late.is_empty(), "{late:?}");
         // The one that is up again is used again.
@@ -136,7 +136,7 @@
             .service
             .reload(&Config::parse("f", moved.as_bytes()).unwrap());
         cluster.runtime.sleep(1_000_000).await;
-        let told = cluster.runtime.now();
+        let listed_at = cluster.runtime.now();
         for n in 0..8 {
             assert_eq!(
                 cluster.send_request(&format!("r{n}"), "draft").await.status,
@@ -146,17 +146,17 @@
         let late = cluster
             .engine_requests()
             .into_iter()
-            .filter(|s| s.at > told && matches!(s.engine, 1 | 3))
+            .filter(|s| s.at > listed_at && matches!(s.engine, 1 | 3))
             .count();
-        assert_eq!(late, 0, "drains told by the new address hold");
+        assert_eq!(late, 0, "drains of the new list hold");
     });
 }
 
 /// SIGTERM: new requests are accepted for the stated time, all accepted ones are answered, and then the node ends.
 #[test]
 fn a_stop_answers_all_accepted_requests() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.engine >= 2 {
+    let setup = ClusterSetup::new(|received| {
+        if received.engine >= 2 {
             EngineBehavior::Delayed(900_000)
         } else {
             EngineBehavior::Normal
@@ -204,7 +204,7 @@
         }
         assert!(
             client.connect(address).await.is_err(),
-            "it listens no longer"
+            "it no longer listens"
         );
     });
 }
@@ -272,7 +272,7 @@
 #[test]
 fn a_request_that_crosses_its_connections_close_is_answered_or_not_read() {
     let (mut answered, mut closed) = (0, 0);
-    // The node closes it 650 ms after the word to stop; the way to it takes 200 us.
+    // The node closes it 650 ms after the stop signal; the way to it takes 200 us.
     for sent_at in 649_780..649_820 {
         let (outcome, outcomes) = std::sync::mpsc::channel();
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
--- a/crates/ivyward-platform/tests/shutdown.rs
+++ b/crates/ivyward-platform/tests/shutdown.rs
@@ -57,12 +57,12 @@
             assert!(status(&mut conn).await.is_some());
             resting.push(conn);
         }
-        // The node's one thread stands still from here until it is let go.
+        // The node's one thread is blocked from here until it is resumed.
         let (open_connections, stands) = async_channel::bounded(1);
-        let (let_go, held) = mpsc::channel::<()>();
+        let (resume, blocked) = mpsc::channel::<()>();
         node.run(async move {
             open_connections.send(()).await.unwrap();
-            let _ = held.recv();
+            let _ = blocked.recv();
         });
         stands.recv().await.unwrap();
         let mut waiting = Vec::new();
@@ -71,11 +71,11 @@
             conn.write_all(HEALTH).await.unwrap();
             waiting.push(conn);
         }
-        // The listener is told to go on this thread; then the node's thread goes on.
+        // The listener is stopped on this thread; then the node's thread is resumed.
         let clock = clients.clone();
         or(service.stop(), async move {
             clock.sleep(750_000).await;
-            let_go.send(()).unwrap();
+            resume.send(()).unwrap();
             std::future::pending().await
         })
         .await;
--- a/crates/ivyward-platform/tests/watch_latency.rs
+++ b/crates/ivyward-platform/tests/watch_latency.rs
@@ -14,28 +14,30 @@
 /// One prefill and one decode engine begin to drain while discovery has `faults`; under steady requests the node sends them
 /// nothing after the longest delay.
 fn check_drain_delay(name: &str, silence: bool, faults: &[DiscoveryBehavior]) {
-    // Just after an answer, in the middle of a wait, just before its end.
+    // Just after a response, in the middle of a wait, just before its end.
     for after in [2, 700, 1_490] {
         let faults = faults.to_vec();
         let name = format!("{name}, {after} ms");
         ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
-            // From the begin of a watch's wait on.
+            // The long poll begins to wait.
             cluster.update_list(list(&["up"; 4]));
             cluster.runtime.sleep(after * MS).await;
             {
-                let mut told = cluster.faults.lock().unwrap();
-                told.next = faults.into();
+                let mut discovery = cluster.faults.lock().unwrap();
+                discovery.next = faults.into();
                 if silence {
-                    told.silence();
+                    discovery.silence();
                 }
             }
             cluster.update_list(list(&["draining", "up", "draining", "up"]));
-            let told = cluster.runtime.now();
+            let changed_at = cluster.runtime.now();
             for n in 0..100 {
                 cluster.send_request(&format!("r{n}"), "draft").await;
                 cluster.runtime.sleep(60 * MS).await;
             }
-            let at = |seen: &&EngineRequest| matches!(seen.engine, 0 | 2) && seen.method == "POST";
+            let at = |received: &&EngineRequest| {
+                matches!(received.engine, 0 | 2) && received.method == "POST"
+            };
             let last = cluster
                 .engine_requests()
                 .iter()
@@ -44,13 +46,13 @@
                 .max()
                 .unwrap_or(0);
             assert!(
-                last < told + MAX_DELAY,
+                last < changed_at + MAX_DELAY,
                 "{name}: a send {} us after the change",
-                last - told
+                last - changed_at
             );
             assert!(
                 cluster.faults.lock().unwrap().calls < 60,
-                "{name}: discovery is not run against"
+                "{name}: discovery is not overloaded"
             );
         });
     }
@@ -143,7 +145,7 @@
     ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
         cluster.update_list(list(&["draining", "up", "draining", "up"]));
         cluster.runtime.sleep(20 * MS).await;
-        let told = cluster.runtime.now();
+        let changed_at = cluster.runtime.now();
         let older = format!(
             r#"{{"version":1,"full":false,"servers":[{},{}]}}"#,
             list_entry(0, "up"),
@@ -161,7 +163,7 @@
         let late = cluster
             .engine_requests()
             .iter()
-            .filter(|s| s.at > told && matches!(s.engine, 0 | 2))
+            .filter(|s| s.at > changed_at && matches!(s.engine, 0 | 2))
             .count();
         assert_eq!(late, 0);
         assert!(
@@ -183,16 +185,17 @@
         ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
             cluster.update_list(list(&["up"; 4]));
             cluster.runtime.sleep(100 * MS).await;
-            let asked = {
+            let sent_releases = {
                 let mut faults = cluster.faults.lock().unwrap();
                 faults.next = [fault.clone()].into();
                 faults.targets.len()
             };
             wait_until(&cluster.runtime, "three calls", || {
-                cluster.faults.lock().unwrap().targets.len() >= asked + 3
+                cluster.faults.lock().unwrap().targets.len() >= sent_releases + 3
             })
             .await;
-            let targets = cluster.faults.lock().unwrap().targets[asked..asked + 3].to_vec();
+            let targets =
+                cluster.faults.lock().unwrap().targets[sent_releases..sent_releases + 3].to_vec();
             // The fault meets the watch that follows the one that is out.
             let again: Vec<bool> = targets.iter().map(|t| t.contains("from=2")).collect();
             assert_eq!(again[1], news, "{fault:?}: {targets:?}");
@@ -208,17 +211,19 @@
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     setup.run(|cluster| async move {
         {
-            let mut told = cluster.faults.lock().unwrap();
-            told.always = Some(DiscoveryBehavior::Delayed(1_600 * MS));
-            told.silence();
+            let mut discovery = cluster.faults.lock().unwrap();
+            discovery.always = Some(DiscoveryBehavior::Delayed(1_600 * MS));
+            discovery.silence();
         }
         cluster.update_list(list(&["draining", "up", "draining", "up"]));
-        let (told, calls) = (cluster.runtime.now(), cluster.faults.lock().unwrap().calls);
+        let (changed_at, calls) = (cluster.runtime.now(), cluster.faults.lock().unwrap().calls);
         for n in 0..140 {
             cluster.send_request(&format!("r{n}"), "draft").await;
             cluster.runtime.sleep(60 * MS).await;
         }
-        let at = |seen: &&EngineRequest| matches!(seen.engine, 0 | 2) && seen.method == "POST";
+        let at = |received: &&EngineRequest| {
+            matches!(received.engine, 0 | 2) && received.method == "POST"
+        };
         let last = cluster
             .engine_requests()
             .iter()
@@ -227,9 +232,9 @@
             .max()
             .unwrap_or(0);
         assert!(
-            last < told + MAX_DELAY,
+            last < changed_at + MAX_DELAY,
             "a send {} us after the change",
-            last - told
+            last - changed_at
         );
         let calls = cluster.faults.lock().unwrap().calls - calls;
         assert!(calls <= 10, "{calls} calls in 8 s");
@@ -243,9 +248,9 @@
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         setup.run(move |cluster| async move {
             {
-                let mut told = cluster.faults.lock().unwrap();
-                told.always = Some(down.clone());
-                told.silence();
+                let mut discovery = cluster.faults.lock().unwrap();
+                discovery.always = Some(down.clone());
+                discovery.silence();
             }
             cluster.update_list(list(&["draining", "up", "draining", "up"]));
             for n in 0..80 {
@@ -264,8 +269,8 @@
                 cluster.send_request(&format!("up{n}"), "draft").await;
                 cluster.runtime.sleep(50 * MS).await;
             }
-            let at = |seen: &&EngineRequest| {
-                matches!(seen.engine, 0 | 2) && seen.method == "POST" && seen.at > back
+            let at = |received: &&EngineRequest| {
+                matches!(received.engine, 0 | 2) && received.method == "POST" && received.at > back
             };
             let last = cluster
                 .engine_requests()
@@ -315,23 +320,23 @@
     let moved = config(new, 1024);
     setup.run(move |cluster| async move {
         {
-            let mut told = cluster.faults.lock().unwrap();
-            told.always = Some(DiscoveryBehavior::Silent);
-            told.silence();
+            let mut discovery = cluster.faults.lock().unwrap();
+            discovery.always = Some(DiscoveryBehavior::Silent);
+            discovery.silence();
         }
         cluster.runtime.sleep(100 * MS).await;
         cluster
             .service
             .reload(&Config::parse("f", moved.as_bytes()).unwrap());
         cluster.runtime.sleep(50 * MS).await;
-        let told = cluster.runtime.now();
+        let changed_at = cluster.runtime.now();
         for n in 0..20 {
             cluster.send_request(&format!("r{n}"), "draft").await;
         }
         let late = cluster
             .engine_requests()
             .iter()
-            .filter(|s| s.at > told && matches!(s.engine, 0 | 2))
+            .filter(|s| s.at > changed_at && matches!(s.engine, 0 | 2))
             .count();
         assert_eq!(late, 0);
     });
--- a/crates/ivywardd/src/platform.rs
+++ b/crates/ivywardd/src/platform.rs
@@ -50,7 +50,7 @@
     if flags.check {
         println!(
             "the configuration holds: {} classes, {:?}",
-            config.told.classes.len(),
+            config.deployment.classes.len(),
             config.bounds
         );
         return Ok(());
