--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -38,7 +38,7 @@
 pub(crate) struct Server {
     node: Node,
     runtime: RuntimeRef,
-    told: Told,
+    deployment: Told,
     bounds: Bounds,
     prompt_budget: Arc<PromptBudget>,
     table: ConnectionTable,
@@ -49,11 +49,16 @@
 }
 
 impl Server {
-    pub(crate) fn new(node: Node, runtime: RuntimeRef, told: Told, bounds: Bounds) -> Arc<Server> {
+    pub(crate) fn new(
+        node: Node,
+        runtime: RuntimeRef,
+        deployment: Told,
+        bounds: Bounds,
+    ) -> Arc<Server> {
         Arc::new(Server {
             node,
             runtime,
-            told,
+            deployment,
             prompt_budget: PromptBudget::new(bounds.prompt_bytes),
             bounds,
             table: ConnectionTable::new(bounds.client_connections),
@@ -68,12 +73,12 @@
         self.table.len()
     }
 
-    /// Client connections that have not closed yet, those that were told to close among them.
+    /// Client connections that have not closed yet, closing ones among them.
     pub(crate) fn unclosed_connections(&self) -> usize {
         self.table.unclosed()
     }
 
-    /// Bytes of prompts that are held.
+    /// Bytes of prompts in memory.
     pub(crate) fn prompt_bytes(&self) -> usize {
         self.prompt_budget.used()
     }
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -11,12 +11,12 @@
     text.replace(from, to).into_bytes()
 }
 
-#[test]
-fn malformed_requests_get_an_error_or_a_close_in_time() {
+/// Malformed requests, with what is wrong with each.
+fn malformed_requests() -> Vec<(&'static str, Vec<u8>)> {
     let length = format!("Content-Length: {}", BODY.len());
-    let mut bad: Vec<(&str, Vec<u8>)> = vec![
+    let mut malformed: Vec<(&'static str, Vec<u8>)> = vec![
         (
-            "head without end",
+            "unterminated head",
             [
                 b"POST /v1/chat/completions HTTP/1.1\r\nX: ".to_vec(),
                 vec![b'y'; 60_000],
@@ -73,13 +73,18 @@
         ("path", "POST /v1/chat/completions", "POST /v1/other"),
         ("method", "POST /v1", "PUT /v1"),
     ];
-    bad.extend(
+    malformed.extend(
         changes
             .into_iter()
             .map(|(what, from, to)| (what, changed(from, to))),
     );
+    malformed
+}
+
+#[test]
+fn malformed_requests_get_an_error_or_a_close_in_time() {
     ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
-        for (what, bytes) in bad {
+        for (what, bytes) in malformed_requests() {
             let begun = cluster.client.now();
             let mut conn = cluster.connect().await;
             // The peer may close while we still write.
@@ -132,8 +137,8 @@
 /// A request with the id of one in flight is rejected, and the one in flight goes on unharmed.
 #[test]
 fn the_id_of_a_request_in_flight_is_rejected() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.id == "same" {
+    let setup = ClusterSetup::new(|received| {
+        if received.id == "same" {
             EngineBehavior::Delayed(400_000)
         } else {
             EngineBehavior::Normal
@@ -152,8 +157,8 @@
         assert_eq!(cluster.send_request("same", "send").await.status, 409);
         let response = read_response(&cluster.client, &mut first).await;
         assert_eq!((response.status, response.whole), (200, true));
-        assert_eq!(cluster.attempts("same").len(), 2, "one read, one write");
-        // Once it is answered the id may come again.
+        assert_eq!(cluster.attempts("same").len(), 2, "one prefill, one decode");
+        // After its response the id may be used again.
         assert_eq!(cluster.send_request("same", "send").await.status, 200);
     });
 }
@@ -189,7 +194,7 @@
         assert_eq!(
             read_response(&cluster.client, &mut old).await.status,
             200,
-            "the silent ones go first"
+            "the silent ones are evicted first"
         );
         let mut open = 0;
         for conn in &mut silent {
@@ -203,7 +208,7 @@
             open += usize::from(ended.is_none());
         }
         assert!(open <= bound, "{open} silent connections stand of {bound}");
-        // And the rest of them within 3 s of their connecting.
+        // The rest of them are closed within 3 s of connecting.
         cluster.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
@@ -221,8 +226,8 @@
 /// In a flood beyond the limit on open requests each one gets a response, and nothing was sent for the rejected ones.
 #[test]
 fn every_request_of_a_flood_gets_a_response() {
-    let setup = ClusterSetup::with_sockets(256, |seen| {
-        if seen.engine >= 2 {
+    let setup = ClusterSetup::with_sockets(256, |received| {
+        if received.engine >= 2 {
             EngineBehavior::Delayed(200_000)
         } else {
             EngineBehavior::Normal
@@ -254,7 +259,10 @@
                     "{id} was refused by the door and sent all the same"
                 );
             }
-            assert!(response.status != 200 || response.whole, "{id} was cut");
+            assert!(
+                response.status != 200 || response.whole,
+                "{id} was truncated"
+            );
         }
         assert!(served > 20, "{served} served");
         assert_eq!(cluster.service.node().open_requests(), 0);
@@ -279,8 +287,8 @@
 /// When a client disconnects, its attempt's connection to the engine is closed.
 #[test]
 fn a_disconnected_client_ends_its_attempt() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.engine >= 2 {
+    let setup = ClusterSetup::new(|received| {
+        if received.engine >= 2 {
             EngineBehavior::Silent
         } else {
             EngineBehavior::Normal
@@ -291,7 +299,7 @@
         conn.write_all(&request("one", "send", 4_800))
             .await
             .unwrap();
-        wait_until(&cluster.runtime, "a write", || {
+        wait_until(&cluster.runtime, "a decode", || {
             cluster.attempts("one").len() == 2
         })
         .await;
@@ -308,8 +316,8 @@
 /// A request without a response of any engine fails before its client's timeout, and nothing is sent later.
 #[test]
 fn a_request_without_a_response_fails_in_time() {
-    let setup = ClusterSetup::new(|seen| {
-        if seen.id.is_empty() {
+    let setup = ClusterSetup::new(|received| {
+        if received.id.is_empty() {
             EngineBehavior::Normal
         } else {
             EngineBehavior::Silent
@@ -337,7 +345,7 @@
         assert_eq!(
             cluster.attempts("one").len(),
             sends,
-            "nothing is sent after the answer"
+            "nothing is sent after the response"
         );
     });
 }
@@ -356,22 +364,19 @@
         let mut conns = Vec::new();
         for _ in 0..bound / 240_000 + 12 {
             let mut conn = cluster.connect().await;
-            // One that is turned away may be closed under our writing.
+            // The node may close a rejected one while we write.
             let _ = conn
                 .write_all(&[head.clone(), vec![b'x'; 240_000]].concat())
                 .await;
             conns.push(conn);
         }
-        let mut turned_away = 0;
+        let mut rejected = 0;
         for conn in &mut conns {
             let response = read_response(&cluster.client, conn).await;
             assert!(matches!(response.status, 503 | 408), "{}", response.status);
-            turned_away += usize::from(response.status == 503);
+            rejected += usize::from(response.status == 503);
         }
-        assert!(
-            (1..=12).contains(&turned_away),
-            "{turned_away} were turned away"
-        );
+        assert!((1..=12).contains(&rejected), "{rejected} were rejected");
         assert!(cluster.engine_requests().is_empty());
         assert_eq!(cluster.send_request("good", "draft").await.status, 200);
     });
@@ -389,7 +394,7 @@
             chunk.repeat(60),
             SERVED_EVENTS.len()
         );
-        let setup = ClusterSetup::new(move |seen| match is_decode(seen) {
+        let setup = ClusterSetup::new(move |received| match is_decode(received) {
             true => EngineBehavior::RespondAfterFirstEvent(rest.clone().into_bytes()),
             false => EngineBehavior::Normal,
         });
@@ -408,7 +413,7 @@
                 assert_eq!(
                     cluster.service.node().open_requests(),
                     0,
-                    "nothing waits for it"
+                    "nothing is kept for it"
                 );
                 return;
             }
@@ -435,8 +440,8 @@
 #[test]
 fn a_request_that_crosses_its_eviction_does_not_block_others() {
     for offset in (0..300u64).step_by(10) {
-        let setup = ClusterSetup::with_sockets(160, |seen| {
-            if seen.id == "long" {
+        let setup = ClusterSetup::with_sockets(160, |received| {
+            if received.id == "long" {
                 EngineBehavior::Delayed(3_000_000)
             } else {
                 EngineBehavior::Normal
@@ -453,18 +458,18 @@
             }
             let (client, address) = (cluster.client.clone(), cluster.address);
             let (done, other) = async_channel::bounded(1);
-            // The node comes to both at once.
+            // The node handles both at once.
             sim.freeze(node, true);
             let (asks, thaws) = (cluster.client.clone(), cluster.client.clone());
             cluster.client.run(async move {
                 asks.sleep(offset).await;
-                // It may have been told to go already.
+                // It may have been evicted already.
                 let _ = first.write_all(&request("long", "draft", 7_000)).await;
                 std::future::pending::<()>().await;
                 drop(first);
             });
             cluster.client.run(async move {
-                // A dial takes a way there; the request may come before it, with it or after it.
+                // Connecting takes one way; the request may arrive before, with or after the connection.
                 client.sleep(150).await;
                 let dialled = client.connect(address).await;
                 client.sleep(10_000).await;
--- a/crates/ivyward-platform/tests/reservations.rs
+++ b/crates/ivyward-platform/tests/reservations.rs
@@ -4,9 +4,10 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::runtime::RuntimeExt;
+use ivyward::runtime::{RuntimeExt, RuntimeRef};
+use std::net::SocketAddr;
 
-const WITHIN: Micros = 300_000;
+const RELEASE_WITHIN: Micros = 300_000;
 const MS: Micros = 1_000;
 
 /// The longest reservation of any of these requests, up to now.
@@ -21,15 +22,15 @@
 /// Without a reachable engine releases stay pending, are retried without spinning, and are accepted once one is back.
 #[test]
 fn releases_stay_pending_until_an_engine_is_reachable() {
-    let setup = ClusterSetup::new(|seen| {
-        if is_decode(seen) {
+    let setup = ClusterSetup::new(|received| {
+        if is_decode(received) {
             respond_with(REJECTED_UNPROCESSED)
         } else {
             EngineBehavior::Normal
         }
     });
     setup.run(|cluster| async move {
-        // Each request is at its reader when all are cut off.
+        // Each request is at its prefill engine when the partition begins.
         let mut conns = Vec::new();
         for n in 0..20 {
             let mut conn = cluster.connect().await;
@@ -42,19 +43,22 @@
         cluster.partition(&[0, 1, 2, 3], true);
         drop(conns);
         cluster.runtime.sleep(30_000 * MS).await;
-        let owed = cluster.service.node().pending_releases();
-        assert!(owed > 0, "what they may have left is owed");
-        let asked = cluster.service.node().metrics().releases.get();
-        assert!(asked < 20 * 60, "{asked} asks in half a minute");
+        let pending = cluster.service.node().pending_releases();
+        assert!(pending > 0, "what they may have reserved is to be released");
+        let sent_releases = cluster.service.node().metrics().releases.get();
+        assert!(
+            sent_releases < 20 * 60,
+            "{sent_releases} releases in half a minute"
+        );
         cluster.partition(&[3], false);
         let back = cluster.runtime.now();
-        wait_until(&cluster.runtime, "all is let go of", || {
+        wait_until(&cluster.runtime, "all is released", || {
             cluster.service.node().pending_releases() == 0
         })
         .await;
         let took = cluster.runtime.now() - back;
-        // Nothing else is heard here: each of four engines is asked after a pause of eight spans at most.
-        assert!(took < (4 * 8 + 2) * WITHIN, "{took} us");
+        // No other response arrives here: each of four engines is tried after a pause of eight release times at most.
+        assert!(took < (4 * 8 + 2) * RELEASE_WITHIN, "{took} us");
         assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
     });
 }
@@ -63,8 +67,8 @@
 #[test]
 fn a_stopping_node_releases_first() {
     for reachable in [true, false] {
-        let setup = ClusterSetup::new(|seen| {
-            if is_decode(seen) {
+        let setup = ClusterSetup::new(|received| {
+            if is_decode(received) {
                 respond_with(REJECTED_UNPROCESSED)
             } else {
                 EngineBehavior::Normal
@@ -75,7 +79,7 @@
             conn.write_all(&request("last", "send", 4_800))
                 .await
                 .unwrap();
-            wait_until(&cluster.runtime, "a read", || {
+            wait_until(&cluster.runtime, "a prefill", || {
                 cluster.attempts("last").iter().any(is_prefill)
             })
             .await;
@@ -88,7 +92,9 @@
             match reachable {
                 true => {
                     let log = cluster.log.lock().unwrap();
-                    assert!(log.longest_reservation("last", cluster.runtime.now()) <= WITHIN);
+                    assert!(
+                        log.longest_reservation("last", cluster.runtime.now()) <= RELEASE_WITHIN
+                    );
                     assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
                 }
                 false => {
@@ -99,67 +105,77 @@
                     )
                 }
             }
-            assert!(took < 12 * WITHIN + 1_000 * MS, "{took} us");
+            assert!(took < 12 * RELEASE_WITHIN + 1_000 * MS, "{took} us");
         });
     }
 }
 
+/// A fault of an engine under a request, drawn from the request's id, the engine's number and a salt.
+fn draw_fault(received: &EngineRequest, salt: u64) -> EngineBehavior {
+    let hash = |text: &str| {
+        text.bytes().fold(salt, |hash, byte| {
+            (hash ^ u64::from(byte))
+                .wrapping_mul(0x100_0000_01b3)
+                .rotate_left(17)
+        })
+    };
+    let id = if received.id.is_empty() {
+        received.target.trim_start_matches("/v1/holds/")
+    } else {
+        &received.id
+    };
+    match (hash(id) ^ (received.engine as u64 * 7)) % 16 {
+        _ if received.method == "DELETE" => EngineBehavior::Normal,
+        // The 202 is lost, or the connection breaks before it.
+        0 | 1 => EngineBehavior::RespondAndClose(Vec::new()),
+        2 | 3 => respond_with(REJECTED_UNPROCESSED),
+        4 => EngineBehavior::Silent,
+        5 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
+        // An unknown reservation, and only after a while.
+        6 | 7 if received.id.is_empty() => EngineBehavior::Delayed(300 * MS),
+        8 => EngineBehavior::Delayed(900 * MS),
+        9 if is_decode(received) => {
+            respond_with("HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+        }
+        _ => EngineBehavior::Normal,
+    }
+}
+
+/// One client: sends a request, and waits for its response or disconnects.
+async fn run_client(client: RuntimeRef, address: SocketAddr, n: u64, id: String) {
+    client.sleep(n * 25 * MS).await;
+    let class = if n % 3 == 0 { "send" } else { "draft" };
+    let mut conn = client.connect(address).await.unwrap();
+    conn.write_all(&request(&id, class, 800 + n * 31))
+        .await
+        .unwrap();
+    if n % 4 == 1 {
+        // Disconnects at each stage of a request.
+        client.sleep((n * 37) % 900 * 1_000).await;
+    } else {
+        read_response(&client, &mut conn).await;
+    }
+}
+
 /// Engines break, stay silent, lose their response or confirm a reservation too late; clients disconnect at any moment;
 /// classes are idempotent or not; 60 requests are open at once.
 #[test]
 fn no_reservation_outlives_its_request_however_attempts_end() {
     for salt in 0..12u64 {
-        let setup = ClusterSetup::new(move |seen| {
-            let hash = |text: &str| {
-                text.bytes().fold(salt, |h, b| {
-                    (h ^ u64::from(b))
-                        .wrapping_mul(0x100_0000_01b3)
-                        .rotate_left(17)
-                })
-            };
-            let of = if seen.id.is_empty() {
-                seen.target.trim_start_matches("/v1/holds/")
-            } else {
-                &seen.id
-            };
-            match (hash(of) ^ (seen.engine as u64 * 7)) % 16 {
-                _ if seen.method == "DELETE" => EngineBehavior::Normal,
-                // 202 is lost on its way back, or the connection breaks before it.
-                0 | 1 => EngineBehavior::RespondAndClose(Vec::new()),
-                2 | 3 => respond_with(REJECTED_UNPROCESSED),
-                4 => EngineBehavior::Silent,
-                5 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
-                // Not known, and only after a while.
-                6 | 7 if seen.id.is_empty() => EngineBehavior::Delayed(300 * MS),
-                8 => EngineBehavior::Delayed(900 * MS),
-                9 if is_decode(seen) => respond_with(
-                    "HTTP/1.1 410 Gone\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-                ),
-                _ => EngineBehavior::Normal,
-            }
-        });
+        let setup = ClusterSetup::new(move |received| draw_fault(received, salt));
         setup.run(move |cluster| async move {
             let ids: Vec<String> = (0..120).map(|n| format!("w{n}")).collect();
             for (n, id) in ids.iter().enumerate() {
-                let (client, address, id) = (cluster.client.clone(), cluster.address, id.clone());
-                cluster.client.run(async move {
-                    client.sleep(n as Micros * 25 * MS).await;
-                    let class = if n % 3 == 0 { "send" } else { "draft" };
-                    let mut conn = client.connect(address).await.unwrap();
-                    conn.write_all(&request(&id, class, 800 + n as u64 * 31))
-                        .await
-                        .unwrap();
-                    if n % 4 == 1 {
-                        // Leaves in each moment of a request's life.
-                        client.sleep((n as Micros * 37) % 900 * 1_000).await;
-                    } else {
-                        read_response(&client, &mut conn).await;
-                    }
-                });
+                let (client, address) = (cluster.client.clone(), cluster.address);
+                let task = run_client(client, address, n as u64, id.clone());
+                cluster.client.run(task);
             }
             cluster.runtime.sleep(15_000 * MS).await;
-            let kept = longest_reservation(&cluster, &ids);
-            assert!(kept <= WITHIN + 50 * MS, "salt {salt}: kept for {kept} us");
+            let longest = longest_reservation(&cluster, &ids);
+            assert!(
+                longest <= RELEASE_WITHIN + 50 * MS,
+                "salt {salt}: reserved for {longest} us"
+            );
             assert_eq!(
                 (
                     cluster.service.node().open_requests(),
@@ -175,8 +191,8 @@
 #[test]
 fn the_reserving_engine_leaves_the_list() {
     for left in ["removed", "draining"] {
-        let setup = ClusterSetup::new(|seen| {
-            if is_decode(seen) {
+        let setup = ClusterSetup::new(|received| {
+            if is_decode(received) {
                 EngineBehavior::Delayed(500 * MS)
             } else {
                 EngineBehavior::Normal
@@ -187,7 +203,7 @@
             conn.write_all(&request("one", "draft", 4_800))
                 .await
                 .unwrap();
-            wait_until(&cluster.runtime, "a write", || {
+            wait_until(&cluster.runtime, "a decode", || {
                 cluster.attempts("one").iter().any(is_decode)
             })
             .await;
@@ -195,8 +211,11 @@
             cluster.runtime.sleep(50 * MS).await;
             drop(conn);
             cluster.runtime.sleep(3_000 * MS).await;
-            let kept = longest_reservation(&cluster, &["one".into()]);
-            assert!(kept <= WITHIN, "{left}: kept for {kept} us");
+            let longest = longest_reservation(&cluster, &["one".into()]);
+            assert!(
+                longest <= RELEASE_WITHIN,
+                "{left}: reserved for {longest} us"
+            );
             assert!(
                 cluster.releases("one").iter().all(|r| r.engine >= 2),
                 "one that is listed is asked"
@@ -226,8 +245,11 @@
                 cluster.send_request(id, "send").await;
             }
             cluster.runtime.sleep(2_000 * MS).await;
-            let kept = longest_reservation(&cluster, &ids);
-            assert!(kept <= within * MS, "{within} ms told: kept for {kept} us");
+            let longest = longest_reservation(&cluster, &ids);
+            assert!(
+                longest <= within * MS,
+                "{within} ms stated: reserved for {longest} us"
+            );
         });
     }
 }
@@ -268,8 +290,8 @@
 /// A keyed class without a deduplication window is served, and nothing of it is retried.
 #[test]
 fn a_keyed_class_without_a_window_is_never_retried() {
-    let mut setup = ClusterSetup::new(|seen| {
-        if is_decode(seen) {
+    let mut setup = ClusterSetup::new(|received| {
+        if is_decode(received) {
             EngineBehavior::RespondAndClose(Vec::new())
         } else {
             EngineBehavior::Normal
@@ -295,8 +317,8 @@
 /// Over a hundred requests that hang at engines end together, of three hundred that arrived at once.
 #[test]
 fn releases_are_sent_while_all_descriptors_are_used() {
-    let setup = ClusterSetup::with_sockets(700, |seen| match seen.method.as_str() {
-        "POST" if seen.id.starts_with('h') => EngineBehavior::Silent,
+    let setup = ClusterSetup::with_sockets(700, |received| match received.method.as_str() {
+        "POST" if received.id.starts_with('h') => EngineBehavior::Silent,
         _ => EngineBehavior::Normal,
     });
     setup.run(|cluster| async move {
@@ -317,8 +339,8 @@
         wait_until(&cluster.runtime, "many are at an engine", || came() >= 100).await;
         drop(conns);
         cluster.runtime.sleep(3_000 * MS).await;
-        let kept = longest_reservation(&cluster, &ids);
-        assert!(kept <= WITHIN, "kept for {kept} us");
+        let longest = longest_reservation(&cluster, &ids);
+        assert!(longest <= RELEASE_WITHIN, "reserved for {longest} us");
         assert_eq!(cluster.service.node().pending_releases(), 0);
     });
 }
@@ -328,12 +350,12 @@
 #[test]
 fn requests_sent_into_a_partition_do_not_arrive_after_it() {
     for engines in [vec![0, 1], vec![2, 3], vec![0, 1, 2, 3], vec![0, 2]] {
-        for leaves in [false, true] {
+        for disconnects in [false, true] {
             for after in (0..1_600).step_by(100) {
                 let engines = engines.clone();
                 ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
                     cluster.log.lock().unwrap().reservations_need_prefills = true;
-                    // Connections stand, so that all leaves at once.
+                    // Connections are open already, so that all is sent at once.
                     for n in 0..4 {
                         cluster.send_request(&format!("w{n}"), "draft").await;
                     }
@@ -341,7 +363,7 @@
                     conn.write_all(&request("one", "draft", 700)).await.unwrap();
                     cluster.runtime.sleep(after).await;
                     cluster.partition(&engines, true);
-                    if leaves {
+                    if disconnects {
                         cluster.runtime.sleep(100 * MS).await;
                         drop(conn);
                     } else {
@@ -351,7 +373,9 @@
                     let over = cluster.runtime.now();
                     cluster.partition(&engines, false);
                     cluster.runtime.sleep(3_000 * MS).await;
-                    let what = format!("cut {engines:?} {after} us after, leaves {leaves}");
+                    let what = format!(
+                        "partition of {engines:?} {after} us after, disconnects {disconnects}"
+                    );
                     let of = |s: &&EngineRequest| {
                         s.id == "one" || s.target.ends_with("/one") && s.method == "POST"
                     };
@@ -361,11 +385,11 @@
                         .filter(of)
                         .filter(|s| s.at > over)
                         .count();
-                    assert_eq!(late, 0, "{what}: what was given up landed");
-                    // Behind other cuts a write may be lost, or nobody can be asked, for as long as the cut lasts.
+                    assert_eq!(late, 0, "{what}: what was abandoned arrived");
+                    // In other partitions a decode may be lost, or no engine is reachable, for as long as they last.
                     if engines == [0, 1] {
-                        let kept = longest_reservation(&cluster, &["one".into()]);
-                        assert!(kept <= WITHIN, "{what}: {kept} us");
+                        let longest = longest_reservation(&cluster, &["one".into()]);
+                        assert!(longest <= RELEASE_WITHIN, "{what}: {longest} us");
                     }
                     assert_eq!(
                         (
@@ -410,8 +434,8 @@
             cluster.runtime.sleep(3_000 * MS).await;
             let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
             assert!(
-                longest_reservation(&cluster, &ids) <= WITHIN,
-                "{class}: held for {} us",
+                longest_reservation(&cluster, &ids) <= RELEASE_WITHIN,
+                "{class}: reserved for {} us",
                 longest_reservation(&cluster, &ids)
             );
         });
@@ -445,8 +469,8 @@
         cluster.runtime.sleep(3_000 * MS).await;
         let ids: Vec<String> = (0..4).map(|n| format!("cut{n}")).collect();
         assert!(
-            longest_reservation(&cluster, &ids) <= WITHIN,
-            "held for {} us",
+            longest_reservation(&cluster, &ids) <= RELEASE_WITHIN,
+            "reserved for {} us",
             longest_reservation(&cluster, &ids)
         );
     });
