--- a/crates/ivyward-benchlink/src/main.rs
+++ b/crates/ivyward-benchlink/src/main.rs
@@ -1,10 +1,19 @@
-//! Lets the bench drive the decision module: batches on standard input, replies on standard output.
+//! Lets a simulator drive the router: batches of events on standard input, replies with actions on standard output.
+//!
+//! - `decode`: batches as events; `fields`: the fields of one record.
+//! - `reply`: actions as records.
+//! - `error`: what can go wrong.
 
-mod codec;
+mod decode;
+mod error;
+mod fields;
+mod reply;
 
-use codec::{Input, Reply};
-use ivyward_core::interface::{Action, Event, Settings};
+use decode::Input;
+use error::{AdapterError, FrameError};
+use ivyward_core::interface::{Action, Event, Micros, Settings};
 use ivyward_core::router::Router;
+use reply::Reply;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -15,89 +24,104 @@
     settings: Settings,
 }
 
-/// Reads one frame; `None` at a clean end of the input.
-fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
-    let mut head = [0u8; 4];
-    let mut got = 0;
-    while got < 4 {
-        match input.read(&mut head[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
-            Ok(0) => return Err(format!("batch header cut short at byte {got}")),
-            Ok(n) => got += n,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(format!("cannot read: {e}")),
+/// Bytes of a batch's header behind its length field.
+const HEADER_SIZE: u64 = 12;
+
+/// Reads one frame without its length field; `None` at a clean end of the input.
+fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
+    let mut length_field = [0u8; 4];
+    let mut filled = 0;
+    while filled < length_field.len() {
+        match input.read(&mut length_field[filled..]) {
+            Ok(0) if filled == 0 => return Ok(None),
+            Ok(0) => {
+                let (what, at) = ("batch header", filled);
+                return Err(FrameError::CutShort { what, at }.into());
+            }
+            Ok(n) => filled += n,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(AdapterError::Read(error)),
         }
     }
-    let length = u64::from(u32::from_le_bytes(head)) + 12;
+    let length = u64::from(u32::from_le_bytes(length_field)) + HEADER_SIZE;
     let mut body = Vec::new();
     let read = input
         .by_ref()
         .take(length)
         .read_to_end(&mut body)
-        .map_err(|e| format!("cannot read: {e}"))?;
+        .map_err(AdapterError::Read)?;
     if (read as u64) < length {
-        return Err(format!(
-            "batch of {} bytes cut short at byte {}",
-            length + 4,
-            read + 4
-        ));
+        let (length, at) = (length + 4, read + 4);
+        return Err(FrameError::BatchCutShort { length, at }.into());
     }
     Ok(Some(body))
 }
 
-/// Turns a hint of the answer's length, given as time at the class's pace, into tokens.
+/// Turns a hint of the output length, stated as a time, into tokens by the class's time per token.
 fn hint_in_tokens(event: &mut Event, settings: &Settings) {
-    if let Event::Request(arrival) = event {
-        let pace = settings
-            .classes
-            .get(arrival.class)
-            .map_or(0.0, |c| c.tpot_objective);
-        let hint = arrival
-            .hinted_output
-            .filter(|time| *time > 0.0 && pace > 0.0);
-        arrival.hinted_output = hint.map(|time| time / pace);
-    }
+    let Event::Request(request) = event else {
+        return;
+    };
+    let class = settings.classes.get(request.class);
+    let time_per_token = class.map_or(0.0, |class| class.tpot_objective);
+    let hint = request
+        .hinted_output
+        .filter(|time| *time > 0.0 && time_per_token > 0.0);
+    request.hinted_output = hint.map(|time| time / time_per_token);
+}
+
+/// Gives one event to an instance; the message of a panic in its place.
+fn handle(
+    instance: &mut Instance,
+    now: Micros,
+    mut event: Event,
+    actions: &mut Vec<Action>,
+) -> Result<(), String> {
+    hint_in_tokens(&mut event, &instance.settings);
+    let handled = catch_unwind(AssertUnwindSafe(|| {
+        instance.router.handle(now, event, actions);
+    }));
+    handled.map_err(|panic| {
+        let message = panic.downcast_ref::<String>().map(String::as_str);
+        let message = message.or(panic.downcast_ref::<&str>().copied());
+        message.unwrap_or("panic").to_owned()
+    })
 }
 
-fn answer(body: &[u8], instances: &mut BTreeMap<u32, Instance>) -> Result<Vec<u8>, String> {
-    let batch = codec::decode(body)?;
+/// Carries out one batch and returns the reply to it.
+fn process_batch(
+    body: &[u8],
+    instances: &mut BTreeMap<u32, Instance>,
+) -> Result<Vec<u8>, AdapterError> {
+    let batch = decode::decode(body)?;
     let mut reply = Reply::default();
     let mut target = None;
     let mut actions: Vec<Action> = Vec::new();
     for input in batch.inputs {
-        if let Input::Target(who) = input {
-            target = Some(who);
+        if let Input::Target(id) = input {
+            target = Some(id);
             continue;
         }
-        let who = target.ok_or("an event comes before any TARGET_INSTANCE")?;
+        let id = target.ok_or(AdapterError::NoTarget)?;
         match input {
-            Input::Create { seed, env } => {
-                let settings = ivyward_settings::parse(&env)?;
+            Input::Create { seed, settings } => {
+                let settings = ivyward_settings::parse(&settings)?;
                 let router = Router::new(settings.clone(), seed);
-                instances.insert(who, Instance { router, settings });
+                instances.insert(id, Instance { router, settings });
             }
             Input::Stop => {
-                instances.remove(&who);
+                instances.remove(&id);
             }
-            Input::Event(mut event) => {
-                let instance = instances.get_mut(&who);
-                let instance = instance
-                    .ok_or_else(|| format!("an event for instance {who}, which was not created"))?;
-                hint_in_tokens(&mut event, &instance.settings);
-                let handled = catch_unwind(AssertUnwindSafe(|| {
-                    instance.router.handle(batch.clock, event, &mut actions);
-                }));
-                if let Err(panic) = handled {
-                    let text = panic.downcast_ref::<String>().map(String::as_str);
-                    let text = text
-                        .or(panic.downcast_ref::<&str>().copied())
-                        .unwrap_or("panic");
-                    reply.speak_for(who);
-                    reply.die(text);
+            Input::Event(event) => {
+                let instance = instances.get_mut(&id);
+                let instance = instance.ok_or(AdapterError::UnknownInstance(id))?;
+                if let Err(message) = handle(instance, batch.clock, event, &mut actions) {
+                    reply.begin_instance(id);
+                    reply.panicked(&message);
                     return Ok(reply.finish());
                 }
                 for action in actions.drain(..) {
-                    reply.speak_for(who);
+                    reply.begin_instance(id);
                     reply.push(&action);
                 }
             }
@@ -107,16 +131,16 @@
     Ok(reply.finish())
 }
 
-fn run() -> Result<(), String> {
+fn run() -> Result<(), AdapterError> {
     let mut input = std::io::stdin().lock();
     let mut output = std::io::stdout().lock();
     let mut instances = BTreeMap::new();
     while let Some(body) = read_frame(&mut input)? {
-        let reply = answer(&body, &mut instances)?;
+        let reply = process_batch(&body, &mut instances)?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("cannot write: {e}"))?;
+            .map_err(AdapterError::Write)?;
     }
     Ok(())
 }
@@ -124,8 +148,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("ivyward-benchlink: {text}");
+        Err(error) => {
+            eprintln!("ivyward-benchlink: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/ivyward-benchlink/src/reply.rs
@@ -0,0 +1,99 @@
+//! Replies to the simulator: the router's actions as records.
+
+use ivyward_core::interface::{Action, EndpointId, Micros, RequestId};
+
+/// Bytes of a record.
+const ACTION_SIZE: usize = 24;
+
+/// Collects a reply.
+#[derive(Default)]
+pub(crate) struct Reply {
+    count: u32,
+    records: Vec<u8>,
+    tail: Vec<u8>,
+    instance: Option<u32>,
+}
+
+impl Reply {
+    fn record(&mut self, code: u8, parts: &[&[u8]]) {
+        let start = self.records.len();
+        self.records.push(code);
+        for part in parts {
+            self.records.extend_from_slice(part);
+        }
+        debug_assert!(self.records.len() - start <= ACTION_SIZE);
+        self.records.resize(start + ACTION_SIZE, 0);
+        self.count += 1;
+    }
+
+    fn text(&mut self, code: u8, text: &str) {
+        let (at, len) = (self.tail.len() as u32, text.len() as u32);
+        self.tail.extend_from_slice(text.as_bytes());
+        self.record(code, &[&at.to_le_bytes(), &len.to_le_bytes()]);
+    }
+
+    /// Attributes the following actions to this instance.
+    pub(crate) fn begin_instance(&mut self, instance: u32) {
+        if self.instance != Some(instance) {
+            self.instance = Some(instance);
+            self.record(80, &[&instance.to_le_bytes()]);
+        }
+    }
+
+    /// Reports that the router panicked.
+    pub(crate) fn panicked(&mut self, text: &str) {
+        self.text(74, text);
+    }
+
+    /// Adds an action of the current instance.
+    pub(crate) fn push(&mut self, action: &Action) {
+        let id = |request: &RequestId| request.0.to_le_bytes();
+        let endpoint_id = |endpoint: &EndpointId| -> [u8; 6] {
+            let [_, _, id @ ..] = endpoint.0.to_be_bytes();
+            id
+        };
+        let duration = |micros: &Micros| u32::try_from(*micros).unwrap_or(u32::MAX).to_le_bytes();
+        match action {
+            // The simulator counts an attempt as in flight from its send, so it has no deadline for the last byte.
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+                send_deadline: _,
+            } => {
+                self.record(
+                    65,
+                    &[&id(request), &endpoint_id(endpoint), &duration(timeout)],
+                );
+            }
+            Action::Cancel { request, attempt } => {
+                self.record(68, &[&id(request), &attempt.to_le_bytes()])
+            }
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.record(66, &[&id(request), &duration(retry_after)]),
+            Action::Fail(request) => self.record(67, &[&id(request)]),
+            Action::ReleaseReservation(request) => self.record(79, &[&id(request)]),
+            Action::Reserve { request, endpoint } => {
+                self.record(78, &[&id(request), &endpoint_id(endpoint)])
+            }
+            Action::SetTimer { at, token } => {
+                self.record(69, &[&at.to_le_bytes(), &token.to_le_bytes()])
+            }
+            Action::HealthCheck(endpoint) => self.record(70, &[&endpoint_id(endpoint)]),
+            Action::Subscribe => self.record(75, &[&[1]]),
+            Action::Log(line) => self.text(73, line),
+        }
+    }
+
+    /// The bytes of the reply.
+    pub(crate) fn finish(self) -> Vec<u8> {
+        let mut out = Vec::with_capacity(8 + self.records.len() + self.tail.len());
+        out.extend_from_slice(&self.count.to_le_bytes());
+        out.extend_from_slice(&((self.records.len() + self.tail.len()) as u32).to_le_bytes());
+        out.extend_from_slice(&self.records);
+        out.extend_from_slice(&self.tail);
+        out
+    }
+}
