--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -4,7 +4,7 @@
 use ivyward::core::interface::{ClassSettings, Idempotency, Micros, Settings as RouterSettings};
 use ivyward::{Class, NodeSettings, SettingsError, Tenant};
 use ivyward_http1::Limits;
-use ivyward_settings::Told;
+use ivyward_settings::NamedSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -74,7 +74,7 @@
     },
     /// The settings object is invalid.
     #[error("{0}")]
-    Settings(String),
+    Settings(#[from] ivyward_settings::ParseError),
     /// A value is invalid.
     #[error("{field} {value}: {reason}")]
     Value {
@@ -141,7 +141,7 @@
     /// The list of engines as this node last had it.
     pub cached_list: Option<List>,
     /// The deployment's settings, with their names.
-    pub deployment: Told,
+    pub deployment: NamedSettings,
     /// The bounds that follow from the limits.
     pub bounds: Bounds,
     /// The node's settings.
@@ -287,8 +287,8 @@
 }
 
 /// The router's settings, as this node can keep them.
-fn router_settings(deployment: &Told) -> RouterSettings {
-    let mut rules = deployment.module.clone();
+fn router_settings(deployment: &NamedSettings) -> RouterSettings {
+    let mut rules = deployment.router.clone();
     // This node has one attempt of a request in flight at a time, wherever more would be allowed.
     rules.hedging = false;
     rules.classes.iter_mut().for_each(make_consistent);
@@ -300,7 +300,7 @@
     rules
 }
 
-fn named_classes(deployment: &Told, rules: &RouterSettings) -> Vec<Class> {
+fn named_classes(deployment: &NamedSettings, rules: &RouterSettings) -> Vec<Class> {
     let classes = deployment.classes.iter().zip(&rules.classes);
     classes
         .map(|(name, settings)| Class {
@@ -310,7 +310,7 @@
         .collect()
 }
 
-fn named_tenants(deployment: &Told, rules: &RouterSettings) -> Vec<Tenant> {
+fn named_tenants(deployment: &NamedSettings, rules: &RouterSettings) -> Vec<Tenant> {
     let tenants = deployment.tenants.iter().zip(&rules.tenants);
     tenants
         .map(|(name, settings)| Tenant {
@@ -334,14 +334,14 @@
         .max(MIN_SPAN)
 }
 
-fn node_settings(deployment: &Told, bounds: &Bounds, seed: &str) -> NodeSettings {
+fn node_settings(deployment: &NamedSettings, bounds: &Bounds, seed: &str) -> NodeSettings {
     let rules = router_settings(deployment);
     let default = NodeSettings::default();
-    let connect_timeout = match deployment.dial_timeout {
+    let connect_timeout = match deployment.connect_timeout {
         0 => default.dial_timeout,
         stated => stated,
     };
-    let max_open = match deployment.most_open {
+    let max_open = match deployment.max_open_requests {
         0 => bounds.client_connections,
         stated => bounds.client_connections.min(stated),
     };
--- a/crates/ivyward-platform/src/discovery/list.rs
+++ b/crates/ivyward-platform/src/discovery/list.rs
@@ -70,7 +70,7 @@
 /// The index of a name in a list of names; a number stands for itself.
 pub(super) fn index_of(names: &[String], value: &serde_json::Value) -> Option<u8> {
     let index = match value {
-        serde_json::Value::String(name) => ivyward_settings::place(names, name)?,
+        serde_json::Value::String(name) => ivyward_settings::index_of(names, name)?,
         other => usize::try_from(other.as_u64()?).ok()?,
     };
     u8::try_from(index).ok()
--- a/crates/ivyward-platform/src/discovery/list_reader.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader.rs
@@ -5,7 +5,7 @@
 use ivyward::core::start_time::StartTimes;
 use ivyward::runtime::RuntimeRef;
 use ivyward::Engine;
-use ivyward_settings::Told;
+use ivyward_settings::NamedSettings;
 use serde::Deserialize;
 use std::collections::btree_map::{self, BTreeMap};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 
 /// Reads lists on this node's clock, and remembers the engines of the last ones.
 pub(crate) struct ListReader {
-    deployment: Told,
+    deployment: NamedSettings,
     runtime: RuntimeRef,
     /// How far this node's clock is behind Unix time, as it was at the start: later steps of the wall clock change nothing.
     clock_offset: Micros,
@@ -42,7 +42,7 @@
 }
 
 impl ListReader {
-    pub(crate) fn new(deployment: Told, runtime: &RuntimeRef) -> ListReader {
+    pub(crate) fn new(deployment: NamedSettings, runtime: &RuntimeRef) -> ListReader {
         ListReader {
             deployment,
             runtime: runtime.clone(),
@@ -134,7 +134,8 @@
         let Some(zone) = index_of(&self.deployment.zones, &entry.zone) else {
             return Err(EntryError::Zone(entry.zone));
         };
-        let Some(machine_type) = index_of(&self.deployment.kinds, &entry.machine_type) else {
+        let Some(machine_type) = index_of(&self.deployment.machine_types, &entry.machine_type)
+        else {
             return Err(EntryError::MachineType(entry.machine_type));
         };
         let Ok(address) = entry.address.parse::<SocketAddr>() else {
--- a/crates/ivyward-platform/src/discovery/list_reader/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader/tests.rs
@@ -10,10 +10,10 @@
     let (zones, kinds) = (vec!["a".to_owned()], vec!["m1".to_owned(), "m2".to_owned()]);
     (
         ListReader::new(
-            Told {
+            NamedSettings {
                 zones,
-                kinds,
-                ..Told::default()
+                machine_types: kinds,
+                ..NamedSettings::default()
             },
             &runtime,
         ),
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -21,7 +21,7 @@
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{Conn, ErrorOrigin, Listener, RuntimeExt, RuntimeRef};
 use ivyward::Node;
-use ivyward_settings::Told;
+use ivyward_settings::NamedSettings;
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -38,7 +38,7 @@
 pub(crate) struct Server {
     node: Node,
     runtime: RuntimeRef,
-    deployment: Told,
+    deployment: NamedSettings,
     bounds: Bounds,
     prompt_budget: Arc<PromptBudget>,
     table: ConnectionTable,
@@ -52,7 +52,7 @@
     pub(crate) fn new(
         node: Node,
         runtime: RuntimeRef,
-        deployment: Told,
+        deployment: NamedSettings,
         bounds: Bounds,
     ) -> Arc<Server> {
         Arc::new(Server {
--- a/crates/ivyward-platform/src/server/request.rs
+++ b/crates/ivyward-platform/src/server/request.rs
@@ -67,7 +67,7 @@
     }
 
     fn is_idempotent(&self, request: &RouterRequest) -> bool {
-        let class = &self.deployment.module.classes[request.class];
+        let class = &self.deployment.router.classes[request.class];
         class.idempotency == Idempotency::Idempotent
     }
 
--- a/crates/ivyward-platform/src/server/request_headers.rs
+++ b/crates/ivyward-platform/src/server/request_headers.rs
@@ -26,7 +26,7 @@
 
 /// The index of a name that a header states.
 fn index_of(what: &str, names: &[String], name: &str) -> Result<usize, RequestError> {
-    ivyward_settings::place(names, name)
+    ivyward_settings::index_of(names, name)
         .ok_or_else(|| bad_request(format!("{what} {name:?} is not known")))
 }
 
@@ -114,7 +114,7 @@
             .ok()
             .filter(|ms| *ms > 0 && !text.starts_with('+'))
             .ok_or_else(|| bad_request(format!("x-timeout-ms {text:?} must be over 0")))?;
-        let longest = self.deployment.module.classes[class].deadline;
+        let longest = self.deployment.router.classes[class].deadline;
         Ok(timeout_ms.saturating_mul(1_000).min(longest))
     }
 }
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -8,7 +8,7 @@
 use ivyward::core::release::ReleaseSettings;
 use ivyward::runtime::{RuntimeExt, RuntimeRef};
 use ivyward::{Node, NodeSettings, StartError};
-use ivyward_settings::Told;
+use ivyward_settings::NamedSettings;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
             reader,
             runtime: runtime.clone(),
             limits: list_limits(&bounds),
-            is_costly: deployment.module.must_subscribe,
+            is_costly: deployment.router.must_subscribe,
         };
         let server = Server::new(node.clone(), runtime.clone(), deployment, bounds);
         let acceptor = start_accepting(&runtime, &server, listen)?;
@@ -176,7 +176,7 @@
 }
 
 fn pool_settings(
-    deployment: &Told,
+    deployment: &NamedSettings,
     bounds: &Bounds,
     settings: &NodeSettings,
 ) -> EnginePoolSettings {
