--- a/crates/ivyward/src/response.rs
+++ b/crates/ivyward/src/response.rs
@@ -5,49 +5,49 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 
-/// Why a request was refused: nothing was done for it, and trying again is harmless.
+/// Why a request was rejected: nothing was done for it, and trying again is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The module's decision: overload, or no engine is left that may take it.
+    /// The router's decision: overload, or no engine is left that may take it.
     Overloaded,
-    /// The node has as many requests in hand as it takes.
+    /// The node has as many open requests as it accepts.
     NodeFull,
     /// The node is stopping.
     Stopping,
 }
 
-/// Why a request failed. Whether any engine ran it is not promised.
+/// Why a request failed. An engine may or may not have run it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// The time was over.
+    /// Its deadline has passed.
     Deadline,
-    /// No attempt led to an answer, and another could do harm.
+    /// No attempt led to an answer, and another one could do harm. Holds the last attempt's error.
     AttemptsExhausted(String),
     /// The stream broke after it had begun.
     StreamBroken(String),
     /// The node stopped before the answer's end.
     NodeStopped,
-    /// The request itself was wrong; it was never taken.
+    /// The request is invalid; it was never accepted.
     InvalidRequest(String),
 }
 
-/// The one final answer of a request.
+/// The final answer of a request; each gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
     /// The answer was streamed to its end.
     Served,
-    /// Not done; trying again is harmless.
+    /// Nothing was done; trying again is harmless.
     Rejected {
-        /// When to come back; `None` for no advice.
+        /// When to try again; `None` for no advice.
         retry_after: Option<Micros>,
         /// Why.
         reason: RejectReason,
     },
-    /// Failed; nothing is promised.
+    /// Failed; an engine may or may not have run it.
     Failed(FailureReason),
 }
 
-/// A run of answer tokens.
+/// Consecutive tokens of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenRun {
     /// Index of the first one in the answer.
@@ -56,7 +56,7 @@
     pub ids: Vec<u32>,
 }
 
-/// What a client gets next.
+/// The next part of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
     /// Tokens.
@@ -65,61 +65,61 @@
     End(FinalStatus),
 }
 
-struct Inner<T> {
-    /// Items that were handed out.
-    given: u32,
+struct State<T> {
+    /// How many items were handed out.
+    delivered_items: u32,
     items: Vec<T>,
     end: Option<FinalStatus>,
-    delivered: bool,
+    end_delivered: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
 /// Tokens, or whatever a protocol's answers are made of, on their way from an attempt to the client. It holds at most its
-/// bound and one piece: a piece is taken while fewer items wait than the bound.
+/// bound and one piece: a piece is accepted while fewer items wait than the bound.
 pub struct TokenBuffer<T = u32> {
-    inner: Mutex<Inner<T>>,
+    state: Mutex<State<T>>,
     bound: usize,
 }
 
-/// The request has its final answer; what comes later is not taken.
+/// The request has its final answer; nothing is accepted after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamEnd;
 
 impl<T: Copy> TokenBuffer<T> {
-    /// An empty one.
+    /// An empty buffer.
     pub fn new(bound: usize) -> TokenBuffer<T> {
-        let inner = Inner {
-            given: 0,
+        let state = State {
+            delivered_items: 0,
             items: Vec::new(),
             end: None,
-            delivered: false,
+            end_delivered: false,
             reader: None,
             writer: None,
         };
         TokenBuffer {
-            inner: Mutex::new(inner),
+            state: Mutex::new(state),
             bound,
         }
     }
-    fn lock(&self) -> MutexGuard<'_, Inner<T>> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State<T>> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
     pub(crate) fn bound(&self) -> usize {
         self.bound
     }
-    /// Takes a piece; how many items wait now.
+    /// Adds a piece. Returns how many items wait now.
     ///
     /// # Errors
     /// When the request has its final answer.
     pub fn push(&self, items: &[T]) -> Result<usize, StreamEnd> {
-        let mut inner = self.lock();
-        if inner.end.is_some() {
+        let mut state = self.lock();
+        if state.end.is_some() {
             return Err(StreamEnd);
         }
-        inner.items.extend_from_slice(items);
-        let (reader, waiting) = (inner.reader.take(), inner.items.len());
-        drop(inner);
+        state.items.extend_from_slice(items);
+        let (reader, waiting) = (state.reader.take(), state.items.len());
+        drop(state);
         if let Some(reader) = reader {
             reader.wake();
         }
@@ -127,71 +127,72 @@
     }
     /// Ready when fewer items wait than the bound.
     pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<Result<(), StreamEnd>> {
-        let mut inner = self.lock();
-        if inner.end.is_some() {
+        let mut state = self.lock();
+        if state.end.is_some() {
             return Poll::Ready(Err(StreamEnd));
         }
-        if inner.items.len() < self.bound || mutations::is_active(Mutation::NoBound) {
+        if state.items.len() < self.bound || mutations::is_active(Mutation::NoBound) {
             return Poll::Ready(Ok(()));
         }
-        inner.writer = Some(cx.waker().clone());
+        state.writer = Some(cx.waker().clone());
         Poll::Pending
     }
-    /// Sets the final answer; the first one counts. A failure does not wait behind items that nobody took.
+    /// Sets the final answer; only the first one counts. Returns whether this was the first. A failure does not wait behind
+    /// items that the client has not taken.
     pub fn finish(&self, end: FinalStatus) -> bool {
-        let mut inner = self.lock();
-        if inner.end.is_some() {
+        let mut state = self.lock();
+        if state.end.is_some() {
             return false;
         }
         if end != FinalStatus::Served {
-            inner.items = Vec::new();
+            state.items = Vec::new();
         }
-        inner.end = Some(end);
-        let wakers = [inner.reader.take(), inner.writer.take()];
-        drop(inner);
+        state.end = Some(end);
+        let wakers = [state.reader.take(), state.writer.take()];
+        drop(state);
         wakers.into_iter().flatten().for_each(Waker::wake);
         true
     }
-    /// Ready when the request has its final answer. For the time before the answer begins: it takes the place of
-    /// [`TokenBuffer::poll_capacity`].
+    /// Ready when the request has its final answer. For use before the answer begins, in place of
+    /// [`TokenBuffer::poll_capacity`]: both register the same waker.
     pub(crate) fn poll_finished(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut inner = self.lock();
-        if inner.end.is_some() {
+        let mut state = self.lock();
+        if state.end.is_some() {
             return Poll::Ready(());
         }
-        inner.writer = Some(cx.waker().clone());
+        state.writer = Some(cx.waker().clone());
         Poll::Pending
     }
-    /// All items that wait, with the place of the first one in the answer, or the end.
+    /// All items that wait, with the index of the first one in the answer, or the end.
     pub fn poll_items(&self, cx: &mut Context<'_>) -> Poll<Result<(u32, Vec<T>), FinalStatus>> {
-        let mut inner = self.lock();
-        if !inner.items.is_empty() {
-            let items = std::mem::take(&mut inner.items);
+        let mut state = self.lock();
+        if !state.items.is_empty() {
+            let items = std::mem::take(&mut state.items);
             if mutations::is_active(Mutation::AnsweredTwice)
-                && inner.end.is_some()
+                && state.end.is_some()
                 && items.len() > 1
             {
-                inner.items = items.clone();
+                state.items = items.clone();
             }
-            let first = inner.given;
-            inner.given = first.wrapping_add(items.len() as u32);
-            let writer = inner.writer.take();
-            drop(inner);
+            let first = state.delivered_items;
+            state.delivered_items = first.wrapping_add(items.len() as u32);
+            let writer = state.writer.take();
+            drop(state);
             if let Some(writer) = writer {
                 writer.wake();
             }
             return Poll::Ready(Ok((first, items)));
         }
-        if let Some(end) = inner.end.clone() {
-            inner.delivered = true;
+        if let Some(end) = state.end.clone() {
+            state.end_delivered = true;
             return Poll::Ready(Err(end));
         }
-        inner.reader = Some(cx.waker().clone());
+        state.reader = Some(cx.waker().clone());
         Poll::Pending
     }
     /// Whether the client got its final answer.
     pub fn is_delivered(&self) -> bool {
-        self.lock().delivered
+        self.lock().end_delivered
     }
 }
 
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -1,60 +1,60 @@
-//! What a node is told at its start, and the checks that keep impossible settings out.
+//! The settings of a node, and the checks on them.
 
 use ivyward_core::interface as core;
 use ivyward_core::interface::{ClassSettings, Idempotency, Micros, Role, TenantSettings};
 
-/// The kinds of engines, in the order of their numbers: [`core::Endpoint::kind`] is an index into it.
+/// The machine types of engines: [`core::Endpoint::machine_type`] is an index into this list.
 pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// A request class with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// How clients call it.
+    /// The name that clients use.
     pub name: String,
-    /// What the module is told of it.
+    /// The router's settings for it.
     pub settings: ClassSettings,
 }
 
 /// A tenant with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// How clients call it.
+    /// The name that clients use.
     pub name: String,
-    /// What the module is told of it.
+    /// The router's settings for it.
     pub settings: TenantSettings,
 }
 
 /// Settings of a node. Times are microseconds. Field names stand for flags: `answer_margin` is `--answer-margin`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// Feeds the module's random choices.
+    /// The seed of the router's random choices.
     pub seed: u64,
-    /// The request classes; at least one. The first is taken where a client names none.
+    /// The request classes; at least one. The first one is the default.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What the module is told beside classes and tenants, which are filled in from the fields above. Without roles,
-    /// engines are of the kinds of [`KINDS`].
+    /// The router's other settings. Its classes and tenants are filled in from the fields above, and its roles from [`KINDS`]
+    /// if there are none.
     pub rules: core::Settings,
-    /// The final answer is given so long before the client's patience ends.
+    /// The final answer is given this span before the client stops waiting.
     pub answer_margin: Micros,
-    /// A connection not open after this span counts as failed.
+    /// A connection that is not open after this span counts as failed.
     pub dial_timeout: Micros,
-    /// First pause after a failed dial; it doubles, with jitter.
+    /// First pause after a failed connection attempt; it doubles, with jitter.
     pub redial_first: Micros,
     /// Longest such pause.
     pub redial_most: Micros,
-    /// A connection that does not take the reset of a given-up call for this span is closed.
+    /// A connection that does not take the reset of a cancelled call within this span is closed.
     pub reset_wait: Micros,
     /// A started stream without a token for this span counts as broken.
     pub stream_stall: Micros,
-    /// A release that finds no engine is tried again for this span; then the engine's own limit lets go.
+    /// A release that does not reach its engine is tried again for this span; then the engine's own limit releases.
     pub release_tries: Micros,
-    /// Tokens that wait for a slow client; the engine is not read further while so many wait.
+    /// Most tokens that wait for a slow client; no more is read from the engine while so many wait.
     pub stream_buffer: usize,
-    /// Calls on one connection to an engine.
+    /// Most calls on one connection to an engine.
     pub calls_per_connection: usize,
-    /// Connections to one engine.
+    /// Most connections to one engine.
     pub connections_per_engine: usize,
     /// Span without a byte after which a connection to an engine with calls in flight is pinged; 0 for no pings at all.
     pub ping_every: Micros,
@@ -63,15 +63,15 @@
     /// Connections without calls that are pinged in a second, over all engines; 0 for none. Each is pinged as well before a
     /// call leaves on it, unless something came in within `ping_every` and `ping_timeout` together.
     pub resting_checks: u32,
-    /// Requests that the node has in hand; one more is refused.
+    /// Most open requests; one more is rejected.
     pub most_open: usize,
-    /// Connections that the door takes; one more is closed at once.
+    /// Most client connections; one more is closed at once.
     pub most_clients: usize,
     /// Longest prompt, in tokens; a longer one is an error of the client.
     pub most_prompt: usize,
-    /// Most output tokens a client may ask for.
+    /// Most output tokens that a client may ask for.
     pub most_output: usize,
-    /// Releases under way at once; one more is left to the engine's own limit.
+    /// Most releases under way at once; beyond it the oldest is left to its engine's own limit.
     pub most_releases: usize,
 }
 
@@ -118,10 +118,12 @@
     }
 }
 
-/// Connections at rest that a node checks in a second where nothing else is said.
+/// Default of [`NodeSettings::resting_checks`].
 pub const RESTING_CHECKS: u32 = 16;
-/// Most that it may be told to.
-const MOST_RESTING_CHECKS: u32 = 10_000;
+/// Longest span of most settings.
+const HOUR: Micros = 3_600_000_000;
+/// Largest value of [`NodeSettings::resting_checks`].
+const MAX_RESTING_CHECKS: u32 = 10_000;
 
 /// A setting that cannot hold: which, its value, and why.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -131,7 +133,7 @@
     pub flag: String,
     /// The value it was given.
     pub value: String,
-    /// Why it cannot be, and what would do.
+    /// Why it is not allowed, and what is.
     pub reason: String,
 }
 
@@ -150,13 +152,13 @@
     }
 }
 
-/// A span as people read it.
+/// A span in milliseconds.
 fn ms(span: Micros) -> String {
     format!("{}ms", span as f64 / 1000.0)
 }
 
 impl NodeSettings {
-    /// The module's settings, with classes, tenants and roles filled in.
+    /// The router's settings, with classes, tenants and roles filled in.
     pub fn router(&self) -> core::Settings {
         core::Settings {
             roles: if self.rules.roles.is_empty() {
@@ -172,10 +174,10 @@
         }
     }
 
-    /// Looks for settings that could break a rule or do nothing sensible.
+    /// Checks that the settings cannot break a rule and make sense.
     ///
     /// # Errors
-    /// The first one found, as a line that names flag, value and reason.
+    /// The first setting that does not hold: flag, value and reason.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_spans()?;
         self.check_bounds()?;
@@ -191,26 +193,27 @@
             self.check_class(i, class)?;
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            let bad = |reason: &str| Err(SettingsError::new("--tenant", &tenant.name, reason));
-            if tenant.name.is_empty() {
-                return bad("a tenant needs a name");
-            }
-            if self.tenants[..i].iter().any(|t| t.name == tenant.name) {
-                return bad("the name is given twice");
-            }
-            if tenant
-                .settings
-                .quota_per_s
-                .is_some_and(|q| !q.is_finite() || q <= 0.0)
-            {
-                return bad("quota must be over 0");
-            }
+            self.check_tenant(i, tenant)?;
+        }
+        Ok(())
+    }
+
+    fn check_tenant(&self, index: usize, tenant: &Tenant) -> Result<(), SettingsError> {
+        let bad = |reason: &str| Err(SettingsError::new("--tenant", &tenant.name, reason));
+        if tenant.name.is_empty() {
+            return bad("a tenant needs a name");
+        }
+        if self.tenants[..index].iter().any(|t| t.name == tenant.name) {
+            return bad("the name is given twice");
+        }
+        let quota = tenant.settings.quota_per_s;
+        if quota.is_some_and(|quota| !quota.is_finite() || quota <= 0.0) {
+            return bad("quota must be over 0");
         }
         Ok(())
     }
 
     fn check_spans(&self) -> Result<(), SettingsError> {
-        let hour = 3_600_000_000;
         let spans = [
             ("--answer-margin", self.answer_margin, 1_000),
             ("--dial-timeout", self.dial_timeout, 1_000),
@@ -229,67 +232,55 @@
         ];
         for (flag, span, least) in spans {
             if span < least {
-                return Err(SettingsError::new(
-                    flag,
-                    ms(span),
-                    format!("at least {} is needed", ms(least)),
-                ));
+                let reason = format!("at least {} is needed", ms(least));
+                return Err(SettingsError::new(flag, ms(span), reason));
             }
-            if span > hour {
+            if span > HOUR {
                 return Err(SettingsError::new(flag, ms(span), "an hour at most"));
             }
         }
+        self.check_resting_checks()?;
+        self.check_span_order()
+    }
+
+    fn check_resting_checks(&self) -> Result<(), SettingsError> {
+        let bad = |reason: String| {
+            let flag = "--resting-checks";
+            Err(SettingsError::new(flag, self.resting_checks, reason))
+        };
         if self.ping_every == 0 && self.resting_checks > 0 {
-            let reason =
-                "connections at rest cannot be checked where --ping-every is 0: set one of them";
-            return Err(SettingsError::new(
-                "--resting-checks",
-                self.resting_checks,
-                reason,
-            ));
+            return bad(
+                "connections at rest cannot be checked where --ping-every is 0: set one of them"
+                    .into(),
+            );
         }
-        if self.resting_checks > MOST_RESTING_CHECKS {
-            let reason = format!("{MOST_RESTING_CHECKS} a second at most");
-            return Err(SettingsError::new(
-                "--resting-checks",
-                self.resting_checks,
-                reason,
-            ));
+        if self.resting_checks > MAX_RESTING_CHECKS {
+            return bad(format!("{MAX_RESTING_CHECKS} a second at most"));
         }
+        Ok(())
+    }
+
+    /// Spans that must not be longer than others.
+    fn check_span_order(&self) -> Result<(), SettingsError> {
+        let bad = |flag: &str, span: Micros, reason: String| {
+            Err(SettingsError::new(flag, ms(span), reason))
+        };
         if self.redial_first > self.redial_most {
-            let reason = format!(
-                "longer than --redial-most, which is {}",
-                ms(self.redial_most)
-            );
-            return Err(SettingsError::new(
-                "--redial-first",
-                ms(self.redial_first),
-                reason,
-            ));
+            let most = ms(self.redial_most);
+            let reason = format!("longer than --redial-most, which is {most}");
+            return bad("--redial-first", self.redial_first, reason);
         }
-        // A dial that outlasts the grace would send to an engine that drains.
+        // A connection attempt that outlasts the grace would send to an engine that drains.
         if self.dial_timeout > self.rules.drain_grace {
-            let reason = format!(
-                "longer than --drain-grace, which is {}",
-                ms(self.rules.drain_grace)
-            );
-            return Err(SettingsError::new(
-                "--dial-timeout",
-                ms(self.dial_timeout),
-                reason,
-            ));
+            let grace = ms(self.rules.drain_grace);
+            let reason = format!("longer than --drain-grace, which is {grace}");
+            return bad("--dial-timeout", self.dial_timeout, reason);
         }
-        // A given-up read must be over before what it may have left behind is to be let go.
+        // A cancelled prefill must be over before the state that it may have left is to be released.
         if self.reset_wait >= self.rules.release_within {
-            let reason = format!(
-                "must be under --release-within, which is {}",
-                ms(self.rules.release_within)
-            );
-            return Err(SettingsError::new(
-                "--reset-wait",
-                ms(self.reset_wait),
-                reason,
-            ));
+            let within = ms(self.rules.release_within);
+            let reason = format!("must be under --release-within, which is {within}");
+            return bad("--reset-wait", self.reset_wait, reason);
         }
         Ok(())
     }
@@ -388,41 +379,38 @@
                 return bad(format!("{key}={value} must be from {from} to {to}"));
             }
         }
+        self.check_class_spans(class)?;
+        // Rule 2: keyed requests are sent again only inside a window in which repeats are dropped.
+        if s.idempotency == Idempotency::WithKey && s.deduplication_window == 0 {
+            return bad(
+                "effect=keyed needs repeat-window, the time in which engines drop repeats".into(),
+            );
+        }
+        if s.idempotency != Idempotency::WithKey && s.deduplication_window != 0 {
+            return bad("repeat-window goes with effect=keyed".into());
+        }
+        Ok(())
+    }
+
+    fn check_class_spans(&self, class: &Class) -> Result<(), SettingsError> {
+        let bad = |reason: String| Err(SettingsError::new("--class", &class.name, reason));
+        let s = &class.settings;
+        let (aim, deadline) = (ms(s.ttft_objective), ms(s.deadline));
         if s.ttft_objective < 1_000 {
-            return bad(format!(
-                "ttft-aim={} must be at least 1ms",
-                ms(s.ttft_objective)
-            ));
+            return bad(format!("ttft-aim={aim} must be at least 1ms"));
         }
-        if s.deadline > 3_600_000_000 {
-            return bad(format!(
-                "deadline={} must be an hour at most",
-                ms(s.deadline)
-            ));
+        if s.deadline > HOUR {
+            return bad(format!("deadline={deadline} must be an hour at most"));
         }
-        // Rule 1: the final answer comes before the client gives up.
+        // Rule 1: the final answer comes before the client stops waiting.
         if s.deadline <= 2 * self.answer_margin {
             let margin = ms(self.answer_margin);
             return bad(format!(
-                "deadline={} leaves no time beside --answer-margin {margin}",
-                ms(s.deadline)
+                "deadline={deadline} leaves no time beside --answer-margin {margin}"
             ));
         }
         if s.ttft_objective > s.deadline {
-            return bad(format!(
-                "ttft-aim={} is over deadline={}",
-                ms(s.ttft_objective),
-                ms(s.deadline)
-            ));
-        }
-        // Rule 2: keyed requests are sent again only inside a window in which repeats are dropped.
-        if s.idempotency == Idempotency::WithKey && s.deduplication_window == 0 {
-            return bad(
-                "effect=keyed needs repeat-window, the time in which engines drop repeats".into(),
-            );
-        }
-        if s.idempotency != Idempotency::WithKey && s.deduplication_window != 0 {
-            return bad("repeat-window goes with effect=keyed".into());
+            return bad(format!("ttft-aim={aim} is over deadline={deadline}"));
         }
         Ok(())
     }
