--- a/crates/ivyward-testbed/src/cluster/process.rs
+++ b/crates/ivyward-testbed/src/cluster/process.rs
@@ -142,7 +142,7 @@
         let (mut kept, mut admin, mut run) = (VecDeque::new(), None, None);
         // Its last word before it takes requests names its run.
         for line in logs.by_ref() {
-            if line.contains("\"health and metrics\"") {
+            if line.contains("\"admin server started\"") {
                 admin = field(&line, "address").and_then(|a| a.parse().ok());
             }
             if line.contains("\"taking requests\"") {
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -1,23 +1,19 @@
 //! The flags, defined once, with their checks. Each is also an environment variable; a long list may stand in a file,
 //! one flag a line, given as `@file`.
 
+mod flag_file;
+mod settings;
+mod values;
+
 use clap::error::ErrorKind;
 use clap::Parser;
-use ivyward::core::interface::{
-    ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency, Micros,
-    ReportField, Settings, TenantSettings,
-};
-use ivyward::core::peers::PeerSettings;
-use ivyward::settings::RESTING_CHECKS;
-use ivyward::watcher::{EtcdOptions, WatcherOptions};
-use ivyward::{Class, Engine, NodeSettings, PeerOptions, PeerStore, SettingsError, Tenant};
-use std::collections::BTreeMap;
+use flag_file::FlagFileError;
+use ivyward::core::interface::{Micros, ReportField};
+use ivyward::{Class, Engine, NodeSettings, SettingsError, Tenant};
 use std::ffi::OsString;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-
-/// Most bytes of an `@file`.
-const MOST_FILE: u64 = 16 << 20;
+use values::{class, engine, report_field, span, tenant};
 
 /// A router node for language-model serving with separate prefill and decode engines.
 ///
@@ -41,7 +37,7 @@
     #[arg(long)]
     pub check: bool,
     /// An engine: id=N,address=HOST:PORT,role=prefill|decode|mixed and, if wanted, zone=N,cell=N,weight=X.
-    #[arg(long = "server", env = "IVYWARD_SERVERS", value_name = "ENGINE", value_delimiter = ';', value_parser = server)]
+    #[arg(long = "server", env = "IVYWARD_SERVERS", value_name = "ENGINE", value_delimiter = ';', value_parser = engine)]
     pub servers: Vec<Engine>,
     /// An endpoint of the etcd store that lists the engines, instead of --server; may be given several times.
     #[arg(
@@ -169,7 +165,7 @@
     #[arg(long, env = "IVYWARD_MAY_CANCEL", default_value_t = true, action = clap::ArgAction::Set)]
     pub may_cancel: bool,
     /// Values of the engines' load reports: outstanding, backlog, utilization, recent-ms, memory-share, waiting-ktokens.
-    #[arg(long = "report", env = "IVYWARD_REPORT", value_delimiter = ',', value_parser = report, value_name = "VALUE")]
+    #[arg(long = "report", env = "IVYWARD_REPORT", value_delimiter = ',', value_parser = report_field, value_name = "VALUE")]
     pub report: Vec<ReportField>,
     /// Worth of traffic beyond a tenant's share, as a part of the usual.
     #[arg(long, env = "IVYWARD_OVER_SHARE_WORTH", default_value_t = 1.0)]
@@ -278,186 +274,7 @@
     pub log: String,
 }
 
-/// A span like 250ms, 2s, 1.5s or 500us, in microseconds.
-pub fn span(text: &str) -> Result<Micros, String> {
-    let unit_at = text
-        .find(|c: char| !c.is_ascii_digit() && c != '.')
-        .ok_or("a unit is missing: us, ms, s or m")?;
-    let (number, unit) = text.split_at(unit_at);
-    let number: f64 = number
-        .parse()
-        .map_err(|_| format!("{number:?} is no number"))?;
-    let scale = match unit {
-        "us" => 1.0,
-        "ms" => 1e3,
-        "s" => 1e6,
-        "m" => 60e6,
-        other => return Err(format!("{other:?} is no unit: us, ms, s or m")),
-    };
-    let micros = number * scale;
-    match micros.is_finite() && micros < 1e15 {
-        true => Ok(micros.round() as Micros),
-        false => Err("that is too long".into()),
-    }
-}
-
-/// The pairs of `key=value,key=value`, each key once and known.
-struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
-
-impl<'a> Pairs<'a> {
-    fn read(text: &'a str, known: &[&str]) -> Result<Pairs<'a>, String> {
-        let mut pairs = BTreeMap::new();
-        for part in text.split(',') {
-            let (key, value) = part
-                .split_once('=')
-                .ok_or_else(|| format!("{part:?} is not key=value"))?;
-            if !known.contains(&key) {
-                return Err(format!("{key:?} is none of {}", known.join(", ")));
-            }
-            if value.is_empty() {
-                return Err(format!("{key} has no value"));
-            }
-            if pairs.insert(key, value).is_some() {
-                return Err(format!("{key} is given twice"));
-            }
-        }
-        Ok(Pairs(pairs))
-    }
-    fn get<T>(
-        &self,
-        key: &str,
-        read: impl Fn(&str) -> Result<T, String>,
-    ) -> Result<Option<T>, String> {
-        self.0
-            .get(key)
-            .map(|v| read(v).map_err(|e| format!("{key}={v}: {e}")))
-            .transpose()
-    }
-    fn need<T>(&self, key: &str, read: impl Fn(&str) -> Result<T, String>) -> Result<T, String> {
-        self.get(key, read)?
-            .ok_or_else(|| format!("{key} is missing"))
-    }
-    fn number<T: std::str::FromStr>(&self, key: &str, absent: T) -> Result<T, String> {
-        let read = |text: &str| {
-            text.parse::<T>()
-                .map_err(|_| "no number that fits".to_string())
-        };
-        Ok(self.get(key, read)?.unwrap_or(absent))
-    }
-}
-
-fn word<T: Copy>(text: &str, words: &[(&str, T)]) -> Result<T, String> {
-    let names = || words.iter().map(|w| w.0).collect::<Vec<_>>().join(", ");
-    words
-        .iter()
-        .find(|w| w.0 == text)
-        .map(|w| w.1)
-        .ok_or_else(|| format!("must be one of {}", names()))
-}
-
-fn server(text: &str) -> Result<Engine, String> {
-    let pairs = Pairs::read(text, &["id", "address", "role", "zone", "cell", "weight"])?;
-    let id = pairs.need("id", |t| {
-        t.parse::<u64>().map_err(|_| "no whole number".into())
-    })?;
-    let address = pairs.need("address", |t| {
-        t.parse().map_err(|_| "not IP:PORT".to_string())
-    })?;
-    let kind = pairs.need("role", |t| {
-        word(t, &[("prefill", 0), ("decode", 1), ("mixed", 2)])
-    })?;
-    let weight: f64 = pairs.number("weight", 1.0)?;
-    if !weight.is_finite() || weight <= 0.0 {
-        return Err(format!("weight={weight} must be over 0"));
-    }
-    let entry = Endpoint {
-        id: EndpointId(id),
-        zone: pairs.number("zone", 0)?,
-        machine_type: kind,
-        rack: pairs.number("cell", 0)?,
-        state: EndpointState::Ready,
-        weight,
-        started_at: 0,
-    };
-    Ok(Engine {
-        endpoint: entry,
-        address,
-    })
-}
-
-fn class(text: &str) -> Result<Class, String> {
-    let pairs = Pairs::read(
-        text,
-        &[
-            "name",
-            "ttft-aim",
-            "ttft-aim-per-1000",
-            "tpot-aim",
-            "deadline",
-            "worth",
-            "late-share",
-            "effect",
-            "group",
-            "repeat-window",
-        ],
-    )?;
-    let effects = [
-        ("safe", Idempotency::Idempotent),
-        ("keyed", Idempotency::WithKey),
-        ("unsafe", Idempotency::NonIdempotent),
-    ];
-    let groups = [
-        ("all", DeduplicationScope::All),
-        ("zone", DeduplicationScope::Zone),
-        ("cell", DeduplicationScope::Rack),
-    ];
-    let settings = ClassSettings {
-        ttft_objective: pairs.need("ttft-aim", span)?,
-        ttft_objective_per_1000: pairs.get("ttft-aim-per-1000", span)?.unwrap_or(0) as f64,
-        tpot_objective: pairs.get("tpot-aim", span)?.unwrap_or(50_000) as f64,
-        deadline: pairs.need("deadline", span)?,
-        priority_weight: pairs.number("worth", 1.0)?,
-        late_weight: pairs.number("late-share", 0.0)?,
-        idempotency: pairs
-            .get("effect", |t| word(t, &effects))?
-            .unwrap_or(Idempotency::Idempotent),
-        deduplication_scope: pairs
-            .get("group", |t| word(t, &groups))?
-            .unwrap_or(DeduplicationScope::All),
-        deduplication_window: pairs.get("repeat-window", span)?.unwrap_or(0),
-    };
-    Ok(Class {
-        name: pairs.need("name", |t| Ok(t.to_owned()))?,
-        settings,
-    })
-}
-
-fn tenant(text: &str) -> Result<Tenant, String> {
-    let pairs = Pairs::read(text, &["name", "quota"])?;
-    let quota_per_s = pairs.get("quota", |t| {
-        t.parse::<f64>().map_err(|_| "no number".into())
-    })?;
-    Ok(Tenant {
-        name: pairs.need("name", |t| Ok(t.to_owned()))?,
-        settings: TenantSettings { quota_per_s },
-    })
-}
-
-fn report(text: &str) -> Result<ReportField, String> {
-    word(
-        text,
-        &[
-            ("outstanding", ReportField::Outstanding),
-            ("backlog", ReportField::Backlog),
-            ("utilization", ReportField::Utilization),
-            ("recent-ms", ReportField::RecentMs),
-            ("memory-share", ReportField::MemoryShare),
-            ("waiting-ktokens", ReportField::WaitingKTokens),
-        ],
-    )
-}
-
-/// What a start needs, all checked.
+/// Checked flags with the node's settings.
 #[derive(Debug, Clone)]
 pub struct Start {
     /// The flags as given.
@@ -466,226 +283,43 @@
     pub settings: NodeSettings,
 }
 
-/// Why there is no start: a line for standard error, or a page that was asked for.
-#[derive(Debug)]
-pub enum Stop {
-    /// Settings that cannot hold, in one line.
-    Bad(String),
-    /// Help or version.
+/// Why the flags lead to no start.
+#[derive(Debug, thiserror::Error)]
+pub enum FlagsError {
+    /// Invalid flags, in one line.
+    #[error("{0}")]
+    Invalid(String),
+    /// A file of flags that cannot be used.
+    #[error(transparent)]
+    File(#[from] FlagFileError),
+    /// Settings that cannot hold.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// A page of help or the version was asked for.
+    #[error("{0}")]
     Page(String),
 }
 
-/// Puts the flags of `@file`s in their place.
-fn expand(args: impl IntoIterator<Item = OsString>) -> Result<Vec<OsString>, String> {
-    let mut out = Vec::new();
-    for arg in args {
-        let Some(path) = arg
-            .to_str()
-            .and_then(|a| a.strip_prefix('@'))
-            .map(str::to_owned)
-        else {
-            out.push(arg);
-            continue;
-        };
-        let size = std::fs::metadata(&path)
-            .map_err(|e| format!("@{path}: cannot be read: {e}"))?
-            .len();
-        if size > MOST_FILE {
-            return Err(format!("@{path}: {size} bytes; {MOST_FILE} at most"));
-        }
-        let text =
-            std::fs::read_to_string(&path).map_err(|e| format!("@{path}: cannot be read: {e}"))?;
-        for (no, line) in text.lines().enumerate() {
-            let line = line.trim();
-            if line.is_empty() || line.starts_with('#') {
-                continue;
-            }
-            if !line.starts_with("--") {
-                return Err(format!(
-                    "@{path}: line {}: {line:?} is not a flag like --name=value",
-                    no + 1
-                ));
-            }
-            out.push(line.into());
-        }
-    }
-    Ok(out)
-}
-
-/// Reads and checks the flags, the program's name among `args`.
-pub fn read(args: impl IntoIterator<Item = OsString>) -> Result<Start, Stop> {
-    let args = expand(args).map_err(Stop::Bad)?;
-    let flags = Flags::try_parse_from(args).map_err(|e| match e.kind() {
-        ErrorKind::DisplayHelp | ErrorKind::DisplayVersion => Stop::Page(e.to_string()),
-        // What stands before the first blank line names flag, value and reason; the rest is advice.
-        _ => {
-            let text = e.to_string();
-            let lines = text
-                .lines()
-                .map(str::trim)
-                .take_while(|line| !line.is_empty());
-            let line = lines.collect::<Vec<_>>().join(" ");
-            Stop::Bad(line.strip_prefix("error: ").unwrap_or(&line).to_owned())
-        }
-    })?;
-    let settings = flags.settings().map_err(|e| Stop::Bad(e.to_string()))?;
+/// Reads and checks the flags, the program's name first.
+pub fn read(args: impl IntoIterator<Item = OsString>) -> Result<Start, FlagsError> {
+    let flags = Flags::try_parse_from(flag_file::expand(args)?).map_err(clap_error)?;
+    let settings = flags.settings()?;
     Ok(Start { flags, settings })
 }
 
-impl Flags {
-    /// Checks of connections at rest: as many as usual, or none where there are no pings.
-    fn resting_checks(&self) -> u32 {
-        let usual = if self.ping_every == 0 {
-            0
-        } else {
-            RESTING_CHECKS
-        };
-        self.resting_checks.unwrap_or(usual)
-    }
-    /// Where and how to follow the engines; without endpoints nobody is followed.
-    pub fn follow(&self) -> WatcherOptions {
-        let login = self.etcd_user.clone().zip(self.etcd_password.clone());
-        WatcherOptions {
-            endpoints: self.etcd_endpoints.clone(),
-            prefix: self.etcd_prefix.clone(),
-            etcd: EtcdOptions {
-                login,
-                ..EtcdOptions::default()
-            },
-            empty_grace: self.etcd_empty_grace,
-            behind_grace: self.etcd_behind_grace,
-            silence: self.etcd_silence,
-            snapshot: self.snapshot.clone(),
-            ..WatcherOptions::default()
-        }
-    }
-
-    /// How other nodes are known; without --peer-listen they are not.
-    pub fn peers(&self) -> Option<PeerOptions> {
-        let listen = self.peer_listen?;
-        let store = self.peer_lease.map(|lease| PeerStore {
-            endpoints: self.etcd_endpoints.clone(),
-            prefix: self.peer_prefix.clone(),
-            lease,
-            etcd: self.follow().etcd,
-        });
-        Some(PeerOptions {
-            announce: self.peer_announce,
-            peers: self.peers.clone(),
-            name: self.peer_name.clone(),
-            key: self.peer_key.clone(),
-            store,
-            spans: PeerSettings {
-                death_timeout: self.peer_death_after,
-                ..PeerSettings::default()
-            },
-            ..PeerOptions::at(listen)
-        })
-    }
-
-    fn settings(&self) -> Result<NodeSettings, SettingsError> {
-        let settings = NodeSettings {
-            seed: self.seed.unwrap_or(0),
-            classes: self.classes.clone(),
-            tenants: self.tenants.clone(),
-            rules: Settings {
-                replica_count: self.nodes,
-                zone: self.zone,
-                memory_tokens: self.memory_tokens.clone(),
-                over_quota_weight: self.over_share_worth,
-                decode_may_prefill: self.decode_may_prefill,
-                reserve_decode_slot: self.hold_ahead,
-                transfer_price: self.transfer_price,
-                cross_zone_price: self.cross_zone_price,
-                release_within: self.release_within,
-                drain_grace: self.drain_grace,
-                overload_multiple: self.fall_multiple,
-                overload_window: self.fall_window,
-                initial_capacity: self.start_capacity,
-                warm_up_duration: self.warm_after,
-                max_attempts: self.max_attempts,
-                may_cancel: self.may_cancel,
-                health_checks: self.probes,
-                max_retry_after: self.max_retry_after,
-                report_fields: self.report.clone(),
-                ..Settings::default()
-            },
-            answer_margin: self.answer_margin,
-            dial_timeout: self.dial_timeout,
-            redial_first: self.redial_first,
-            redial_most: self.redial_most,
-            reset_wait: self.reset_wait,
-            stream_stall: self.stream_stall,
-            release_tries: self.release_tries,
-            stream_buffer: self.stream_buffer,
-            calls_per_connection: self.calls_per_connection,
-            connections_per_engine: self.connections_per_engine,
-            ping_every: self.ping_every,
-            ping_timeout: self.ping_timeout,
-            resting_checks: self.resting_checks(),
-            most_open: self.most_open,
-            most_clients: self.most_clients,
-            most_prompt: self.most_prompt,
-            most_output: self.most_output,
-            most_releases: self.most_releases,
-        };
-        settings.check()?;
-        if self.servers.is_empty() && self.etcd_endpoints.is_empty() {
-            return Err(SettingsError::new(
-                "--server",
-                "(none)",
-                "at least one engine or --etcd-endpoint is needed",
-            ));
-        }
-        // Two sources would each take the other's engines for gone.
-        if !self.servers.is_empty() && !self.etcd_endpoints.is_empty() {
-            let first = self.etcd_endpoints[0];
-            return Err(SettingsError::new(
-                "--etcd-endpoint",
-                first,
-                "goes with no --server: the store lists them all",
-            ));
-        }
-        self.follow().check()?;
-        self.peers().map_or(Ok(()), |peers| peers.check())?;
-        for (i, engine) in self.servers.iter().enumerate() {
-            let before = &self.servers[..i];
-            if before.iter().any(|e| e.endpoint.id == engine.endpoint.id) {
-                return Err(SettingsError::new(
-                    "--server",
-                    format!("id={}", engine.endpoint.id.0),
-                    "is given twice",
-                ));
-            }
-            if before.iter().any(|e| e.address == engine.address) {
-                return Err(SettingsError::new(
-                    "--server",
-                    format!("address={}", engine.address),
-                    "is given twice",
-                ));
-            }
-        }
-        if self.admin == Some(self.listen) && self.listen.port() != 0 {
-            return Err(SettingsError::new(
-                "--admin",
-                self.listen,
-                "is the same as --listen",
-            ));
-        }
-        if self.stop_within > 3_600_000_000 {
-            return Err(SettingsError::new(
-                "--stop-within",
-                format!("{}us", self.stop_within),
-                "an hour at most",
-            ));
-        }
-        if self.threads > 1_024 {
-            return Err(SettingsError::new(
-                "--threads",
-                self.threads,
-                "1024 at most",
-            ));
-        }
-        Ok(settings)
+/// What stands before the first blank line names flag, value and reason; the rest is advice.
+fn clap_error(error: clap::Error) -> FlagsError {
+    let text = error.to_string();
+    if matches!(
+        error.kind(),
+        ErrorKind::DisplayHelp | ErrorKind::DisplayVersion
+    ) {
+        return FlagsError::Page(text);
     }
+    let lines = text
+        .lines()
+        .map(str::trim)
+        .take_while(|line| !line.is_empty());
+    let line = lines.collect::<Vec<_>>().join(" ");
+    FlagsError::Invalid(line.strip_prefix("error: ").unwrap_or(&line).to_owned())
 }
--- /dev/null
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -0,0 +1,172 @@
+//! A node that speaks gRPC to clients and engines, set up by flags.
+
+use crate::error::DaemonError;
+use crate::flags::{self, Flags, FlagsError, Start};
+use crate::logging::{self, LogFormat};
+use crate::signals::{SignalListener, SignalRequest};
+use futures_lite::future::or;
+use ivyward::core::interface::ListKind;
+use ivyward::runtime::{Listener, Runtime, RuntimeExt, RuntimeRef, SmolRuntime};
+use ivyward::Node;
+use std::fs::File;
+use std::io::{BufWriter, Write};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+use tracing::{error, info, warn};
+
+/// Bytes of a recording that are buffered before they are written.
+const RECORDING_BUFFER: usize = 64 << 10;
+/// A recording is flushed this often, in microseconds.
+const FLUSH_INTERVAL: u64 = 1_000_000;
+
+/// Runs a node until SIGTERM or SIGINT.
+///
+/// # Errors
+/// When the node cannot be set up.
+pub fn run(mut start: Start) -> Result<(), DaemonError> {
+    logging::init(&start.flags.log, log_format(&start.flags))?;
+    let mut signals = SignalListener::install()?;
+    let threads = threads(&start.flags);
+    // Guards against nodes that are given one seed and then take one incarnation: engines could not tell them apart.
+    let process_seed = u64::from(std::process::id()) << 32 ^ clock();
+    let seed = start.flags.seed.unwrap_or(process_seed);
+    start.settings.seed = seed;
+    let smol = SmolRuntime::start(threads, process_seed);
+    let runtime: RuntimeRef = smol.clone();
+    let recording = start.flags.record.as_deref().map(create_recording);
+    let recording = recording.transpose()?;
+    let is_recording = recording.is_some();
+    let node = Node::start(runtime.clone(), start.settings.clone(), recording)?;
+    let flags = &start.flags;
+    start_membership(&smol, &node, flags)?;
+    let listener = listen(&runtime, "--listen", flags.listen)?;
+    let address = listener.address();
+    if let Some(admin_address) = flags.admin {
+        let admin = listen(&runtime, "--admin", admin_address)?;
+        info!(address = %admin.address(), "admin server started");
+        let node = node.clone();
+        runtime.run(async move { node.serve_admin(admin).await });
+    }
+    let serving = node.clone();
+    runtime.run(async move { serving.serve(listener).await });
+    // Scripts wait for this line.
+    println!("listening on {address}");
+    let run = format!("{:x}", node.incarnation());
+    info!(%address, engines = flags.servers.len(), threads, seed, run, "taking requests");
+    smol.block_on(async {
+        serve_until_stopped(&mut signals, &node, &runtime, flags, is_recording).await;
+        info!(
+            open = node.open_requests(),
+            within_us = flags.stop_within,
+            "stopping"
+        );
+        node.stop(flags.stop_within).await;
+    });
+    info!("stopped");
+    smol.stop();
+    Ok(())
+}
+
+fn log_format(flags: &Flags) -> LogFormat {
+    match flags.log_format.as_str() {
+        "json" => LogFormat::Json,
+        _ => LogFormat::Text { colours: true },
+    }
+}
+
+fn threads(flags: &Flags) -> usize {
+    match flags.threads {
+        0 => std::thread::available_parallelism().map_or(1, usize::from),
+        threads => threads,
+    }
+}
+
+fn clock() -> u64 {
+    SmolRuntime::start(1, 0).unix_micros()
+}
+
+fn create_recording(path: &Path) -> Result<Box<dyn Write + Send>, DaemonError> {
+    let file = File::create(path).map_err(|error| DaemonError::Record {
+        path: path.into(),
+        error,
+    })?;
+    Ok(Box::new(BufWriter::with_capacity(RECORDING_BUFFER, file)))
+}
+
+fn listen(
+    runtime: &RuntimeRef,
+    flag: &'static str,
+    address: SocketAddr,
+) -> Result<Box<dyn Listener>, DaemonError> {
+    runtime
+        .listen(address)
+        .map_err(|error| DaemonError::Listen {
+            flag,
+            address,
+            error,
+        })
+}
+
+/// Hands over the engines of the flags, or watches etcd for them, and starts gossip where it is asked for.
+fn start_membership(
+    smol: &Arc<SmolRuntime>,
+    node: &Node,
+    flags: &Flags,
+) -> Result<(), DaemonError> {
+    if flags.etcd_endpoints.is_empty() {
+        smol.block_on(node.update_endpoints(ListKind::Full, flags.servers.clone()));
+    } else {
+        let (node, options) = (node.clone(), flags.watcher());
+        smol.run(async move { node.follow(options).await });
+    }
+    if let Some(options) = flags.peers() {
+        node.peers(options)?;
+    }
+    Ok(())
+}
+
+/// Serves until SIGTERM or SIGINT; SIGHUP reads the engines of the flags again.
+async fn serve_until_stopped(
+    signals: &mut SignalListener,
+    node: &Node,
+    runtime: &RuntimeRef,
+    flags: &Flags,
+    is_recording: bool,
+) {
+    loop {
+        let flush_due = async {
+            runtime.sleep(FLUSH_INTERVAL).await;
+            None
+        };
+        match or(async { Some(signals.next(runtime).await) }, flush_due).await {
+            // What was recorded is in the file a second later, also when the process is killed.
+            None if is_recording => node.flush_recording().await,
+            None => {}
+            Some(SignalRequest::Reload) if flags.etcd_endpoints.is_empty() => reload(node).await,
+            Some(SignalRequest::Reload) => {
+                info!(
+                    reason = "the endpoint list comes from etcd",
+                    "no configuration changes"
+                );
+            }
+            Some(SignalRequest::Stop) => return,
+        }
+    }
+}
+
+/// Reads the flags again and hands over their engines.
+async fn reload(node: &Node) {
+    match flags::read(std::env::args_os()) {
+        Ok(start) => {
+            let engines = start.flags.servers;
+            info!(
+                engines = engines.len(),
+                "endpoint list reloaded; other settings need a restart"
+            );
+            node.update_endpoints(ListKind::Full, engines).await;
+        }
+        Err(FlagsError::Page(_)) => warn!("no configuration changes"),
+        Err(error) => error!(%error, "configuration reload failed, keeping the current one"),
+    }
+}
--- a/crates/ivywardd/src/platform.rs
+++ b/crates/ivywardd/src/platform.rs
@@ -1,6 +1,8 @@
 //! The daemon's platform form: one thread, one listener, everything else from the platform's configuration file.
 
-use crate::signals::{Request, Requests};
+use crate::error::DaemonError;
+use crate::logging::{self, LogFormat};
+use crate::signals::{SignalListener, SignalRequest};
 use clap::Parser;
 use futures_lite::future::or;
 use ivyward::runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
@@ -12,9 +14,11 @@
 
 /// The first word on the command line that asks for this form.
 pub const COMMAND: &str = "platform";
-/// A file that cannot be read at SIGHUP is tried again so often, with this pause.
-const RELOADS: u32 = 15;
+/// A configuration that cannot be read at SIGHUP is tried so often, with this pause in microseconds.
+const RELOAD_ATTEMPTS: u32 = 15;
 const RELOAD_PAUSE: u64 = 200_000;
+/// Time in microseconds for the last responses to reach their clients.
+const LAST_RESPONSES: u64 = 20_000;
 
 /// A node on the platform: HTTP/1.1 to clients, engines and discovery.
 #[derive(Parser, Debug)]
@@ -35,18 +39,18 @@
 pub fn main(args: impl Iterator<Item = OsString>) -> ExitCode {
     match run(&Flags::parse_from(args)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(line) => {
-            eprintln!("ivywardd: {line}");
+        Err(error) => {
+            eprintln!("ivywardd: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(flags: &Flags) -> Result<(), String> {
+fn run(flags: &Flags) -> Result<(), DaemonError> {
     // Before anything else: a signal without its handler ends the program.
-    let mut requests = Requests::listen()?;
-    crate::logs(&flags.log, "text", false)?;
-    let config = Config::read(&flags.config).map_err(|e| e.to_string())?;
+    let mut signals = SignalListener::install()?;
+    logging::init(&flags.log, LogFormat::Text { colours: false })?;
+    let config = Config::read(&flags.config)?;
     if flags.check {
         println!(
             "the configuration holds: {} classes, {:?}",
@@ -58,57 +62,56 @@
     let smol = SmolRuntime::start(1, config.node.seed);
     let runtime: RuntimeRef = smol.clone();
     smol.block_on(async {
-        let mut service = Service::start(runtime.clone(), config)
-            .await
-            .map_err(|e| e.to_string())?;
+        let mut service = Service::start(runtime.clone(), config).await?;
         // Scripts wait for this line.
         println!("listening on {}", service.address());
-        until_told_to_end(&mut requests, flags, &service, &runtime).await;
+        serve_until_stopped(&mut signals, flags, &service, &runtime).await;
         service.stop().await;
-        // The last answers are on their way to their clients.
-        runtime.sleep(20_000).await;
-        Ok::<(), String>(())
+        runtime.sleep(LAST_RESPONSES).await;
+        Ok::<(), DaemonError>(())
     })?;
     smol.stop();
     Ok(())
 }
 
-/// Serves until SIGTERM or SIGINT comes. Guards against a file that cannot be read holding up the word to end: a
-/// signal goes before the reading of the one before it.
-async fn until_told_to_end(
-    requests: &mut Requests,
+/// Serves until SIGTERM or SIGINT. Guards against a configuration that cannot be read and holds up a shutdown: a signal
+/// interrupts the reload that the one before it began.
+async fn serve_until_stopped(
+    signals: &mut SignalListener,
     flags: &Flags,
     service: &Service,
     runtime: &RuntimeRef,
 ) {
-    let mut told_to_reload = false;
+    let mut reload_requested = false;
     loop {
         let reloading = async {
-            if told_to_reload {
+            if reload_requested {
                 reload(flags, service, runtime).await;
             }
             std::future::pending().await
         };
-        match or(requests.next(runtime), reloading).await {
-            Request::Reload => told_to_reload = true,
-            Request::Stop => return,
+        match or(signals.next(runtime), reloading).await {
+            SignalRequest::Reload => reload_requested = true,
+            SignalRequest::Stop => return,
         }
     }
 }
 
-/// Reads the file again. One that cannot be read changes nothing; it may be half written, so it is tried again.
+/// Reads the configuration again. One that cannot be read changes nothing; it may be half written, so it is retried.
 async fn reload(flags: &Flags, service: &Service, runtime: &RuntimeRef) {
-    for again in 0..RELOADS {
+    for attempt in 0..RELOAD_ATTEMPTS {
         match Config::read(&flags.config) {
             Ok(config) => {
                 service.reload(&config);
-                info!("the configuration was read again");
+                info!("configuration reloaded");
                 return;
             }
-            Err(e) if again == 0 => error!("nothing is taken over yet: {e}"),
+            Err(error) if attempt == 0 => {
+                error!(%error, "configuration reload failed, will retry");
+            }
             Err(_) => {}
         }
         runtime.sleep(RELOAD_PAUSE).await;
     }
-    error!("the configuration could not be read; everything stays as it was");
+    error!("configuration reload failed, keeping the current one");
 }
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -237,7 +237,7 @@
     assert!(wait_for("nothing was taken over"));
     std::fs::write(&path, servers(&[1, 4])).unwrap();
     daemon.signal("-HUP");
-    assert!(wait_for("engines read again"));
+    assert!(wait_for("endpoint list reloaded"));
     let runtime: RuntimeRef = scene.runtime.clone();
     block_on(async {
         let client = Client::connect(&runtime, &scene.log, daemon.address)
--- a/crates/ivywardd/tests/platform.rs
+++ b/crates/ivywardd/tests/platform.rs
@@ -64,7 +64,7 @@
     // A file that cannot be read changes nothing; one that can be is taken over, without another signal.
     std::fs::write(&file.0, "{ half").unwrap();
     child.signal("-HUP");
-    until("nothing is taken over yet");
+    until("configuration reload failed, will retry");
     assert_eq!(health(&runtime, address), 200);
     std::fs::write(
         &file.0,
@@ -99,7 +99,7 @@
         .map_while(Result::ok);
     std::fs::write(&file.0, "{").unwrap();
     process.signal("-HUP");
-    assert!(log.any(|line| line.contains("nothing is taken over yet")));
+    assert!(log.any(|line| line.contains("configuration reload failed, will retry")));
     std::fs::write(
         &file.0,
         config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:19\",\"seed"),
@@ -116,7 +116,7 @@
     );
     std::fs::write(&file.0, "{").unwrap();
     process.signal("-HUP");
-    assert!(log.any(|line| line.contains("nothing is taken over yet")));
+    assert!(log.any(|line| line.contains("configuration reload failed, will retry")));
     process.signal("-TERM");
     let line = log.find(|line| line.contains("stopping") || line.contains("stays as it was"));
     assert!(
@@ -157,7 +157,7 @@
     for _ in 0..2 {
         process.signal("-HUP");
         process.signal("-HUP");
-        assert!(log.any(|line| line.contains("the configuration was read again")));
+        assert!(log.any(|line| line.contains("configuration reloaded")));
     }
     assert_eq!(health(&runtime, address), 503);
     process.signal("-TERM");
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -239,9 +239,9 @@
     }
     for _ in 0..RELOADS {
         platform.process.signal("-HUP");
-        platform.says("the configuration was read again");
+        platform.says("configuration reloaded");
         grpc.process.signal("-HUP");
-        grpc.says("engines read again");
+        grpc.says("endpoint list reloaded");
     }
     platform.ends_at_sigterm();
     grpc.ends_at_sigterm();
