--- a/crates/ivyward-core/src/interface.rs
+++ b/crates/ivyward-core/src/interface.rs
@@ -1,197 +1,197 @@
-//! The types, events and actions through which the decision module is driven.
+//! Settings, events and actions of the router.
 //!
-//! Plain data only: nothing here decides anything. Times are microseconds on the caller's clock.
+//! Plain data only. Times are microseconds on the caller's clock.
 
 /// Microseconds on the caller's clock (a point in time or a span).
 pub type Micros = u64;
 
-/// A server, as an opaque number that is the same at every node and across restarts of its process.
+/// An endpoint, as an opaque number that is the same at every node and across restarts of its process.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// A request try taken by this node; never repeated.
+/// One try of a request accepted by this node; never reused.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What a kind of machine can do.
+/// What a machine type does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Reads prompts and keeps the KV state until a decode server fetches it.
+    /// Prefills prompts and keeps the KV state until a decode endpoint fetches it.
     Prefill,
-    /// Writes answers from a fetched KV state.
+    /// Decodes from a fetched KV state.
     Decode,
     /// Does both.
     Mixed,
 }
 
-/// How far a request of a class may be repeated.
+/// Whether requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated and refused freely.
+    /// May be repeated and rejected freely.
     Idempotent,
-    /// Repeats are dropped inside a group of servers, for a while.
+    /// Carries an idempotency key: repeats are dropped by a group of endpoints, for a while.
     WithKey,
     /// Must not run twice.
     NonIdempotent,
 }
 
-/// The servers that drop repeats of a keyed request.
+/// The endpoints that drop repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every server.
+    /// All endpoints.
     All,
-    /// The servers of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// The servers of one cell (rack).
+    /// The endpoints of one rack.
     Rack,
 }
 
-/// What is told of a request class.
+/// Settings of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// A first token within this span (plus `ttft_objective_per_1000`) earns the full worth.
+    /// The first-token objective (plus `ttft_objective_per_1000`).
     pub ttft_objective: Micros,
-    /// Added to the aim for each 1,000 prompt tokens.
+    /// Added to the objective for each 1,000 prompt tokens.
     pub ttft_objective_per_1000: f64,
-    /// The wanted mean time between tokens.
+    /// The objective of the mean time per output token.
     pub tpot_objective: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits, all its tries included.
     pub deadline: Micros,
-    /// Worth of one request (or of one unit of its work).
+    /// The weight of one request (or of one unit of its work).
     pub priority_weight: f64,
-    /// Part of the worth that a late answer still earns.
+    /// The share of the weight that a late response keeps.
     pub late_weight: f64,
-    /// How far it may be repeated.
+    /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// For keyed classes: who drops repeats.
+    /// For classes with an idempotency key: which endpoints drop repeats.
     pub deduplication_scope: DeduplicationScope,
-    /// For keyed classes: how long repeats are dropped.
+    /// For classes with an idempotency key: how long repeats are dropped.
     pub deduplication_window: Micros,
 }
 
-/// What is told of a tenant.
+/// Settings of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second over all nodes that count as within its share; absent when not told.
+    /// Requests a second over all nodes within its quota; none without a quota.
     pub quota_per_s: Option<f64>,
 }
 
-/// A value that servers may report of their load.
+/// A value of an endpoint's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests held.
+    /// Requests in progress.
     Outstanding,
     /// Requests waiting in the queue.
     Backlog,
     /// Share of slots in use.
     Utilization,
-    /// Recent time to the end of a read or to the first token, in milliseconds.
+    /// Recent time to the end of a prefill or to the first token, in milliseconds.
     RecentMs,
-    /// Share of memory held.
+    /// Share of memory in use.
     MemoryShare,
-    /// Thousands of prompt tokens that wait to be read or fetched.
+    /// Thousands of prompt tokens that wait to be prefilled or fetched.
     WaitingKTokens,
-    /// A value that this version has no use for.
+    /// A value that this version ignores.
     Other,
 }
 
-/// What a node is told at its start.
+/// Settings of a node.
 #[derive(Default, Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many nodes front the service.
+    /// The number of router nodes.
     pub replica_count: u32,
     /// The zone of this node.
     pub zone: u8,
-    /// The role of each kind of machine.
+    /// The role of each machine type.
     pub roles: Vec<Role>,
-    /// The memory of each kind of machine in tokens; may be shorter than `roles`.
+    /// The KV memory of each machine type in tokens; may be shorter than `roles`.
     pub memory_tokens: Vec<f64>,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Worth of traffic beyond a tenant's share, as a part of the usual.
+    /// The weight of traffic beyond a tenant's quota, as a share of the usual.
     pub over_quota_weight: f64,
-    /// A decode server without a state to fetch reads the prompt itself.
+    /// A decode endpoint without KV state to fetch prefills the prompt itself.
     pub decode_may_prefill: bool,
-    /// A place may be held ahead at a writer.
+    /// A slot may be reserved ahead at a decode endpoint.
     pub reserve_decode_slot: bool,
     /// Points lost when all prompt tokens leave their rack.
     pub transfer_price: f64,
     /// Points lost when each request crosses zones once.
     pub cross_zone_price: f64,
-    /// Held state must be taken or let go within this span.
+    /// Reservations must be used or released within this span.
     pub release_within: Micros,
-    /// An attempt is out only once its last byte left: while it connects, that span runs on. Else it is out from its
-    /// send.
+    /// An attempt counts as in flight only after its last byte was sent: while it connects, that span goes on. Else it
+    /// counts from its send.
     pub in_flight_after_last_byte: bool,
-    /// Nothing new may be sent to a draining server after this span.
+    /// No new request may be sent to a draining endpoint after this span.
     pub drain_grace: Micros,
-    /// Multiple of its present capacity at which a cold server falls over.
+    /// Multiple of its present capacity at which a cold endpoint is overloaded.
     pub overload_multiple: f64,
     /// The span over which that is counted.
     pub overload_window: Micros,
-    /// Part of its capacity with which a server starts.
+    /// The share of its capacity with which an endpoint starts.
     pub initial_capacity: f64,
-    /// The span after which a started server is warm.
+    /// The span after which a started endpoint is warm.
     pub warm_up_duration: Micros,
-    /// The server list must be subscribed to.
+    /// The endpoint list must be subscribed to.
     pub must_subscribe: bool,
-    /// Most attempts for one request.
+    /// The most attempts for one request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Servers may be probed.
+    /// Endpoints may be health-checked.
     pub health_checks: bool,
-    /// A request may have two attempts out.
+    /// A request may have two attempts in flight.
     pub hedging: bool,
-    /// The longest advice to stay away that a client follows; 0 where advice is not passed on.
+    /// The longest `retry_after` that clients follow; 0 where it is not passed on.
     pub max_retry_after: Micros,
-    /// The values of a load report, in order; empty where there are none.
+    /// The values of a load report, in order; empty without reports.
     pub report_fields: Vec<ReportField>,
 }
 
-/// A server as a list names it.
+/// An endpoint of the list.
 #[derive(Default, Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Which server.
+    /// Its id.
     pub id: EndpointId,
     /// Its zone.
     pub zone: u8,
-    /// Its kind of machine: an index into [`Settings::roles`].
+    /// Its machine type: an index into [`Settings::roles`].
     pub machine_type: u8,
-    /// Its cell (rack).
+    /// Its rack.
     pub rack: u16,
-    /// What the list says of its process.
+    /// The state of its process.
     pub state: EndpointState,
-    /// Its size against others of its kind.
+    /// Its size relative to others of its machine type.
     pub weight: f64,
     /// When its process last started; 0 for long ago.
     pub started_at: Micros,
 }
 
-/// What the list of servers says of a process.
+/// The state of an endpoint's process.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// It runs.
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// It finishes its work and takes no new requests.
     Draining,
     /// It was removed.
     #[default]
     Removed,
 }
 
-/// How a list of servers relates to the one before.
+/// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Changed endpoints only.
     Changes,
     /// The complete list.
     Full,
-    /// The complete list as last held before a restart.
+    /// The complete list as saved before a restart.
     Cached,
-    /// The call for it failed.
+    /// The list could not be fetched.
     Failed,
 }
 
@@ -206,19 +206,19 @@
     pub tenant: usize,
     /// The session key; 0 for none.
     pub session: u64,
-    /// The key of the shared opening; 0 for none.
+    /// The key of the shared prefix; 0 for none.
     pub prefix: u64,
     /// How long the client waits for this try.
     pub client_timeout: Micros,
     /// Tokens in the prompt.
     pub prompt_tokens: f64,
-    /// How many of them belong to the shared opening.
+    /// How many of them belong to the shared prefix.
     pub prefix_tokens: f64,
-    /// The most tokens in the answer.
+    /// The most output tokens.
     pub max_output: f64,
-    /// A rough guess of the answer's tokens, where hints exist.
+    /// A rough estimate of the output tokens, where hints exist.
     pub hinted_output: Option<f64>,
-    /// The client marks it as a repeat.
+    /// The client marks it as a retry.
     pub is_retry: bool,
     /// It comes back after its stream broke.
     pub is_resumed: bool,
@@ -227,30 +227,30 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer was streamed to its end.
+    /// The response was streamed completely.
     Served,
-    /// The prompt was read; its KV state waits at that server.
+    /// The prompt was prefilled; its KV state waits at that endpoint.
     Prefilled,
-    /// The server answered with an error.
+    /// The endpoint responded with an error.
     Error,
-    /// Turned away: slots and queue full, or draining.
+    /// Rejected: slots and queue are full, or the endpoint drains.
     Rejected,
-    /// Turned away: there was no state to fetch.
+    /// Rejected: there was no KV state to fetch.
     KvCacheMiss,
-    /// No answer in time.
+    /// No response in time.
     TimedOut,
     /// No connection.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Called off by this node.
+    /// Cancelled by this node.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether an attempt that ended so, without an answer, may have run or may run yet.
+    /// Whether an attempt with this outcome may have run, or may still run, without a response.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
@@ -268,117 +268,117 @@
     pub values: [f32; 4],
 }
 
-/// What a node sees.
+/// An input of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A list of servers.
+    /// The endpoint list changed.
     EndpointList {
-        /// How it relates to the one before.
+        /// How the list relates to the previous one.
         kind: ListKind,
-        /// Its entries.
+        /// The endpoints.
         endpoints: Vec<Endpoint>,
     },
     /// A request arrived.
     Request(Request),
-    /// An answer began to stream.
+    /// A response began to stream.
     FirstToken {
-        /// Whose answer.
+        /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
     },
     /// The reply to [`Action::Reserve`].
     ReservationResult {
-        /// For which request.
+        /// The request.
         request: RequestId,
-        /// At which server.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Whether the place is held.
+        /// Whether the slot is reserved.
         reserved: bool,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// For which request.
+        /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
         /// How it ended.
         outcome: Outcome,
-        /// Prompt tokens that were found kept.
+        /// Prompt tokens that were found in the KV cache.
         cached_tokens: u32,
-        /// Nothing more is owed for this request.
+        /// The request needs nothing more.
         finished: bool,
-        /// The server's load report, if one came along.
+        /// The endpoint's load report, if one came along.
         report: LoadReport,
     },
-    /// The client left, or its time is over.
+    /// The client disconnected, or its time is over.
     ClientDisconnected(RequestId),
-    /// A timer fell due.
+    /// A timer is due.
     Timer(u64),
-    /// A probe's result.
+    /// The result of a health check.
     HealthCheckResult {
-        /// Which server.
+        /// The endpoint.
         endpoint: EndpointId,
         /// Whether its process answered.
         alive: bool,
         /// Its load report, if one came along.
         report: LoadReport,
     },
-    /// So many nodes may be sending by now, this one among them: instead of [`Settings::replica_count`].
+    /// The number of router nodes that may be sending, this one included; replaces [`Settings::replica_count`].
     ReplicaCount(u32),
 }
 
-/// What a node does.
+/// An output of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a request to a server; attempts are numbered from 0 in this order.
+    /// Send a request to an endpoint; attempts of a request are numbered from 0 in this order.
     Send {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// To which server.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// The attempt's time-out; 0 for until the client gives up.
+        /// The attempt's time-out; 0 for the client's.
         timeout: Micros,
-        /// When its last byte has to have left, as something is held meanwhile; else it ends as
-        /// [`Outcome::ConnectFailed`]. 0 for no such time.
+        /// When its last byte must have been sent, as reservations wait meanwhile; else it ends as
+        /// [`Outcome::ConnectFailed`]. 0 for no limit.
         send_deadline: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
     },
-    /// Final answer: not done, trying again does no harm.
+    /// Final answer: rejected, trying again does no harm.
     Reject {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// When to come back; 0 for no advice.
+        /// When to try again; 0 for no advice.
         retry_after: Micros,
     },
     /// Final answer: failed, nothing promised.
     Fail(RequestId),
-    /// Let go of every state and place held for a request.
+    /// Release all KV state and slots reserved for a request.
     ReleaseReservation(RequestId),
-    /// Hold a place at a writer while the prompt is read.
+    /// Reserve a slot at a decode endpoint while the prompt is prefilled.
     Reserve {
-        /// For which request.
+        /// The request.
         request: RequestId,
-        /// At which server.
+        /// The endpoint.
         endpoint: EndpointId,
     },
     /// Ask for [`Event::Timer`].
     SetTimer {
-        /// When.
+        /// When the timer is due.
         at: Micros,
-        /// Comes back with the event.
+        /// Passed back with the event.
         token: u64,
     },
-    /// Probe a server.
+    /// Check the health of an endpoint.
     HealthCheck(EndpointId),
-    /// Ask for changes of the server list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Add a line to the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/ivyward-core/src/lib.rs
+++ b/crates/ivyward-core/src/lib.rs
@@ -1,13 +1,22 @@
-//! Decisions of a front for a model service whose prompts are read on some servers (prefill) and answered on
-//! others (decode).
+//! Decisions of a router for an LLM service that prefills prompts on some engines and decodes on others.
 //!
-//! [`router::Router`] holds the decisions on requests, [`interface`] the types it speaks; [`membership`] decides what lists
-//! and notices of engines mean, [`start_time`] what their told start times do, [`update_interval`] how often the module is told of changes,
-//! [`peers`] which other nodes are here, [`connection_reuse`] which kept connections carry a request,
-//! [`keepalive`] when connections are checked, [`release`] who is asked to let
-//! go of what is held, [`long_poll`] how a list is followed, [`connect_backoff`] when a dial is tried again. [`invariants`] checks the rules at run time, apart from all of them.
-//! It does no I/O and has no clock:
-//! give it events, carry out the actions it returns.
+//! Nothing here does I/O or reads a clock: the caller passes in events with the time, and carries out the returned actions.
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | [`interface`] | the settings, events and actions of the router, as plain data |
+//! | [`router`] | where each request is sent, retried, rejected |
+//! | [`invariants`] | run-time checks of the rules, independent of the router |
+//! | [`membership`] | which engines are there, from a store's lists and watch events |
+//! | [`start_time`] | when engines started, on this node's clock |
+//! | [`update_interval`] | how often the router gets changes of the list |
+//! | [`long_poll`] | timing of the calls that follow a list |
+//! | [`peers`] | which other nodes of the router are there |
+//! | [`release`] | which engines to ask to release reservations |
+//! | [`connection_reuse`] | which idle connections may carry a request |
+//! | [`connect_backoff`] | when to retry a connection that failed locally |
+//! | [`keepalive`] | when to check connections |
+//! | [`mutations`] | deliberate defects for mutation testing |
 //!
 //! ```
 //! use ivyward_core::interface::*;
@@ -36,7 +45,7 @@
 //!     prompt_tokens: 1_500.0, prefix_tokens: 1_000.0, max_output: 300.0, hinted_output: None,
 //!     is_retry: false, is_resumed: false,
 //! }), &mut actions);
-//! // A first turn is read at a prefill server.
+//! // A first turn is prefilled at a prefill endpoint.
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { endpoint: EndpointId(1), .. })));
 //! ```
 
--- a/crates/ivyward-core/tests/cold_sum.rs
+++ b/crates/ivyward-core/tests/cold_endpoint_budget.rs
@@ -5,13 +5,13 @@
 //! `IVYWARD_SEEDS` sets how many seeds are played (a few without it); `--nocapture` prints the distribution.
 
 mod common;
-use common::crowd::*;
+use common::multi_node::*;
 use common::*;
 use ivyward_core::interface::*;
 
 /// What is played. Each begins with a fleet of 20 readers and 20 writers that are loaded as much as they bear.
 #[derive(Clone, Copy, Debug)]
-struct Scene {
+struct Scenario {
     nodes: u32,
     /// Requests a second over all nodes.
     rate: f64,
@@ -29,7 +29,7 @@
     replaced: bool,
 }
 
-const PLAIN: Scene = Scene {
+const BASELINE: Scenario = Scenario {
     nodes: 30,
     rate: 200.0,
     cold: 1,
@@ -41,61 +41,62 @@
 };
 
 /// The most sends in a window to any cold server over the budget that it has then, in roots of that budget.
-fn worst(seed: u64, scene: Scene) -> (f64, f64) {
+fn worst(seed: u64, scenario: Scenario) -> (f64, f64) {
     let set = settings();
     let every = |nodes: u32, rate: f64| (f64::from(nodes) / rate * SECOND as f64) as Micros;
-    let span = every(scene.nodes, scene.rate);
+    let span = every(scenario.nodes, scenario.rate);
     let old = both(1..=20, 0);
-    let mut crowd = Crowd::seeded(seed, scene.nodes, span, &old);
-    if scene.uneven {
+    let mut simulation = MultiNodeSimulation::seeded(seed, scenario.nodes, span, &old);
+    if scenario.uneven {
         // One in five sees four times the mean of the others.
-        crowd.pace = (0..scene.nodes)
+        simulation.pace = (0..scenario.nodes)
             .map(|n| if n % 5 == 0 { 0.4 } else { 1.6 })
             .collect();
     }
-    if scene.hot {
-        crowd.prefix = |id| if id % 10 < 3 { 1_000 } else { 1 + id % 20 };
+    if scenario.hot {
+        simulation.prefix = |id| if id % 10 < 3 { 1_000 } else { 1 + id % 20 };
     }
     let at = START + 20 * SECOND + seed % 7 * SECOND / 3;
-    crowd.play(at, span);
-    let mut changed = both(21..=20 + scene.cold, at - SECOND / 2);
-    if scene.replaced {
-        changed.extend(both(1..=scene.cold, 0).into_iter().map(|e| Endpoint {
+    simulation.play(at, span);
+    let mut changed = both(21..=20 + scenario.cold, at - SECOND / 2);
+    if scenario.replaced {
+        changed.extend(both(1..=scenario.cold, 0).into_iter().map(|e| Endpoint {
             state: EndpointState::Draining,
             ..e
         }));
     }
-    crowd.list(at, ListKind::Changes, &changed);
-    let storm = every(scene.nodes, scene.rate * scene.storm);
-    if scene.restarts {
-        crowd.play(at + SECOND, storm);
+    simulation.list(at, ListKind::Changes, &changed);
+    let storm = every(scenario.nodes, scenario.rate * scenario.storm);
+    if scenario.restarts {
+        simulation.play(at + SECOND, storm);
         let mut list = old.clone();
         list.extend(changed.iter().copied());
-        for node in 0..scene.nodes as usize {
+        for node in 0..scenario.nodes as usize {
             if node % 10 < 7 {
-                crowd.restart(node, at + SECOND, &list);
+                simulation.restart(node, at + SECOND, &list);
             }
         }
     }
-    crowd.play(at + 12 * SECOND, storm);
+    simulation.play(at + 12 * SECOND, storm);
     // What a warm one is seen to carry: the guide that the rule names.
     let window = set.overload_window;
-    let stay = if scene.replaced {
-        scene.cold + 1..=20
+    let stay = if scenario.replaced {
+        scenario.cold + 1..=20
     } else {
         1..=20
     };
     let carried = |from: Micros| {
-        crowd.sent_between(stay.clone(), from, from + window) as f64 / stay.clone().count() as f64
+        simulation.sent_between(stay.clone(), from, from + window) as f64
+            / stay.clone().count() as f64
     };
     let most = (0..10)
         .map(|n| carried(at + n * SECOND))
         .fold(0.0, f64::max)
         / window as f64;
-    let each = most.max(scene.rate * scene.storm / 20.0 / SECOND as f64);
+    let each = most.max(scenario.rate * scenario.storm / 20.0 / SECOND as f64);
     let mut worst = (f64::MIN, 0.0);
-    for server in (21..=20 + scene.cold).flat_map(|n| [n, 100 + n]) {
-        let times = crowd.sends.get(&server).cloned().unwrap_or_default();
+    for server in (21..=20 + scenario.cold).flat_map(|n| [n, 100 + n]) {
+        let times = simulation.sends.get(&server).cloned().unwrap_or_default();
         for (i, from) in times.iter().enumerate() {
             // The share that it surely has: the told line is three quarters of what it may be.
             let age = (from.saturating_sub(at - SECOND / 2)) as f64 / set.warm_up_duration as f64;
@@ -117,22 +118,22 @@
     worst
 }
 
-fn scenes() -> Vec<(&'static str, Scene)> {
+fn scenarios() -> Vec<(&'static str, Scenario)> {
     let mut all = Vec::new();
     for nodes in [1, 2, 20, 30, 300] {
-        let plain = Scene { nodes, ..PLAIN };
+        let plain = Scenario { nodes, ..BASELINE };
         all.extend([
             ("plain", plain),
             (
                 "storm",
-                Scene {
+                Scenario {
                     storm: 4.0,
                     ..plain
                 },
             ),
             (
                 "few requests",
-                Scene {
+                Scenario {
                     rate: 40.0,
                     storm: 3.0,
                     ..plain
@@ -140,7 +141,7 @@
             ),
             (
                 "uneven storm",
-                Scene {
+                Scenario {
                     uneven: true,
                     storm: 3.0,
                     ..plain
@@ -148,7 +149,7 @@
             ),
             (
                 "hot opening",
-                Scene {
+                Scenario {
                     hot: true,
                     storm: 2.0,
                     ..plain
@@ -156,7 +157,7 @@
             ),
             (
                 "restarts",
-                Scene {
+                Scenario {
                     restarts: true,
                     storm: 2.0,
                     ..plain
@@ -164,7 +165,7 @@
             ),
             (
                 "several cold",
-                Scene {
+                Scenario {
                     cold: 6,
                     storm: 2.0,
                     ..plain
@@ -172,7 +173,7 @@
             ),
             (
                 "mostly new",
-                Scene {
+                Scenario {
                     cold: 12,
                     replaced: true,
                     ..plain
@@ -180,7 +181,7 @@
             ),
             (
                 "mostly new, hot",
-                Scene {
+                Scenario {
                     cold: 12,
                     replaced: true,
                     hot: true,
@@ -194,23 +195,23 @@
 }
 
 #[test]
-fn sends_of_all_processes_stay_within_the_budget_and_chance() {
+fn sends_of_all_nodes_stay_within_the_cold_budget_and_chance() {
     let seeds = std::env::var("IVYWARD_SEEDS")
         .ok()
         .and_then(|s| s.parse().ok())
         .unwrap_or(3u64);
     let mut broken = Vec::new();
-    for (name, scene) in scenes() {
-        let mut over: Vec<(f64, f64)> = (0..seeds).map(|seed| worst(seed, scene)).collect();
+    for (name, scenario) in scenarios() {
+        let mut over: Vec<(f64, f64)> = (0..seeds).map(|seed| worst(seed, scenario)).collect();
         over.sort_by(|a, b| a.0.total_cmp(&b.0));
         let at = |part: f64| over[((over.len() - 1) as f64 * part) as usize].0;
         let breaks = over.iter().filter(|o| o.1 > 0.0).count();
         println!(
             "{:>4} nodes, {name:<16} (sends - N) / sqrt(N): p50 {:6.2}  p99.9 {:6.2}  most {:6.2}  over the bound {breaks} of {seeds}",
-            scene.nodes, at(0.5), at(0.999), at(1.0)
+            scenario.nodes, at(0.5), at(0.999), at(1.0)
         );
         if breaks > 0 {
-            broken.push((scene.nodes, name, breaks));
+            broken.push((scenario.nodes, name, breaks));
         }
     }
     assert!(broken.is_empty(), "{broken:?}");
--- a/crates/ivyward-core/tests/common/mod.rs
+++ b/crates/ivyward-core/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small harness: a router, its clock, and what it did at the last event.
 #![allow(dead_code)]
 
-pub mod crowd;
+pub mod multi_node;
 
 use ivyward_core::interface::*;
 use ivyward_core::router::Router;
@@ -74,21 +74,21 @@
     }
 }
 
-pub struct Rig {
+pub struct Harness {
     pub router: Router,
     pub now: Micros,
     pub done: Vec<Action>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, servers: &[Endpoint]) -> Rig {
-        let mut rig = Rig {
+impl Harness {
+    pub fn new(settings: Settings, servers: &[Endpoint]) -> Harness {
+        let mut harness = Harness {
             router: Router::new(settings, 1),
             now: 100 * SECOND,
             done: Vec::new(),
         };
-        rig.fleet(ListKind::Full, servers);
-        rig
+        harness.endpoints(ListKind::Full, servers);
+        harness
     }
     /// Gives an event and keeps what it led to.
     pub fn event(&mut self, event: Event) -> &[Action] {
@@ -96,7 +96,7 @@
         self.router.handle(self.now, event, &mut self.done);
         &self.done
     }
-    pub fn fleet(&mut self, kind: ListKind, servers: &[Endpoint]) {
+    pub fn endpoints(&mut self, kind: ListKind, servers: &[Endpoint]) {
         self.event(Event::EndpointList {
             kind,
             endpoints: servers.to_vec(),
@@ -113,9 +113,9 @@
         });
     }
     pub fn end(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Option<EndpointId> {
-        self.end_kept(id, attempt, outcome, 0)
+        self.end_with_cached_tokens(id, attempt, outcome, 0)
     }
-    pub fn end_kept(
+    pub fn end_with_cached_tokens(
         &mut self,
         id: u64,
         attempt: u16,
@@ -156,7 +156,7 @@
             _ => None,
         })
     }
-    pub fn refused(&self) -> bool {
+    pub fn rejected(&self) -> bool {
         self.done.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
     pub fn failed(&self) -> bool {
--- a/crates/ivyward-core/tests/common/crowd.rs
+++ b/crates/ivyward-core/tests/common/multi_node.rs
@@ -15,13 +15,13 @@
 }
 
 /// Nodes, and servers that take any amount of work in a fixed time: what is looked at is who gets how much.
-pub struct Crowd {
-    pub nodes: Vec<Rig>,
+pub struct MultiNodeSimulation {
+    pub nodes: Vec<Harness>,
     due: BinaryHeap<(std::cmp::Reverse<Micros>, usize, Due)>,
     next: u64,
     /// Sends to each server.
     pub sends: BTreeMap<u64, Vec<Micros>>,
-    pub refused: usize,
+    pub rejected: usize,
     pub arrived: usize,
     kinds: BTreeMap<u64, u8>,
     /// A node gets a request once in its span times this.
@@ -29,17 +29,22 @@
     /// The prefix of a request, by its number.
     pub prefix: fn(u64) -> u64,
     seed: u64,
-    born: u64,
+    restarts_so_far: u64,
 }
 
-impl Crowd {
+impl MultiNodeSimulation {
     /// `every` node gets a request once in so many microseconds, their first ones spread over that span.
-    pub fn new(nodes: u32, every: Micros, fleet: &[Endpoint]) -> Crowd {
-        Crowd::seeded(0, nodes, every, fleet)
+    pub fn new(nodes: u32, every: Micros, endpoints: &[Endpoint]) -> MultiNodeSimulation {
+        MultiNodeSimulation::seeded(0, nodes, every, endpoints)
     }
 
-    pub fn seeded(seed: u64, nodes: u32, every: Micros, fleet: &[Endpoint]) -> Crowd {
-        let rig = |node| {
+    pub fn seeded(
+        seed: u64,
+        nodes: u32,
+        every: Micros,
+        endpoints: &[Endpoint],
+    ) -> MultiNodeSimulation {
+        let harness = |node| {
             let router = Router::new(
                 Settings {
                     replica_count: nodes,
@@ -47,41 +52,41 @@
                 },
                 seed * 1_000_003 + u64::from(node) + 1,
             );
-            Rig {
+            Harness {
                 router,
                 now: START,
                 done: Vec::new(),
             }
         };
-        let mut crowd = Crowd {
+        let mut simulation = MultiNodeSimulation {
             pace: vec![1.0; nodes as usize],
             prefix: |id| 1 + id % 20,
             seed,
-            born: 0,
-            nodes: (0..nodes).map(rig).collect(),
+            restarts_so_far: 0,
+            nodes: (0..nodes).map(harness).collect(),
             due: BinaryHeap::new(),
             next: 0,
             sends: BTreeMap::new(),
-            refused: 0,
+            rejected: 0,
             arrived: 0,
             kinds: BTreeMap::new(),
         };
         for node in 0..nodes as usize {
             let first = START + every * node as u64 / u64::from(nodes);
-            crowd
+            simulation
                 .due
                 .push((std::cmp::Reverse(first), node, Due::Arrival));
         }
-        crowd.list(START, ListKind::Full, fleet);
-        crowd
+        simulation.list(START, ListKind::Full, endpoints);
+        simulation
     }
 
     /// A node is there anew: it knows the list and nothing of what its process before did.
     pub fn restart(&mut self, node: usize, at: Micros, list: &[Endpoint]) {
-        self.born += 1;
+        self.restarts_so_far += 1;
         let nodes = self.nodes.len() as u32;
-        let seed = (self.seed + 77) * 1_000_003 + 1_000 * self.born + node as u64;
-        let mut rig = Rig {
+        let seed = (self.seed + 77) * 1_000_003 + 1_000 * self.restarts_so_far + node as u64;
+        let mut harness = Harness {
             router: Router::new(
                 Settings {
                     replica_count: nodes,
@@ -92,8 +97,8 @@
             now: at,
             done: Vec::new(),
         };
-        rig.fleet(ListKind::Full, list);
-        self.nodes[node] = rig;
+        harness.endpoints(ListKind::Full, list);
+        self.nodes[node] = harness;
         self.due
             .retain(|(_, n, due)| *n != node || *due == Due::Arrival);
     }
@@ -103,7 +108,7 @@
             .extend(entries.iter().map(|e| (e.id.0, e.machine_type)));
         for node in &mut self.nodes {
             node.now = at;
-            node.fleet(kind, entries);
+            node.endpoints(kind, entries);
         }
     }
 
@@ -114,28 +119,28 @@
                 self.due.push((at, node, due));
                 return;
             }
-            let rig = &mut self.nodes[node];
-            rig.now = at.0;
+            let harness = &mut self.nodes[node];
+            harness.now = at.0;
             match due {
                 Due::Arrival => {
                     self.next += 1;
                     self.arrived += 1;
                     let id = self.next;
-                    rig.ask(Request {
+                    harness.ask(Request {
                         prefix: (self.prefix)(id),
                         ..arrival(id, 1_000 + id, 1_000.0)
                     });
-                    self.refused += usize::from(rig.refused());
+                    self.rejected += usize::from(harness.rejected());
                     let next = (every as f64 * self.pace[node]) as Micros;
                     self.due
                         .push((std::cmp::Reverse(at.0 + next), node, Due::Arrival));
                 }
                 Due::Read(id, attempt) => {
-                    rig.end(id, attempt, Outcome::Prefilled);
-                    self.refused += usize::from(rig.refused());
+                    harness.end(id, attempt, Outcome::Prefilled);
+                    self.rejected += usize::from(harness.rejected());
                 }
-                Due::First(id, attempt) => rig.first(id, attempt),
-                Due::Served(id, attempt) => drop(rig.end(id, attempt, Outcome::Served)),
+                Due::First(id, attempt) => harness.first(id, attempt),
+                Due::Served(id, attempt) => drop(harness.end(id, attempt, Outcome::Served)),
             }
             let sent: Vec<(u64, u64)> = self.nodes[node]
                 .done
@@ -163,7 +168,7 @@
     }
 
     /// The most that a server got within the window of rule 4, from `from` on.
-    pub fn most_in_a_window(&self, server: u64, from: Micros) -> usize {
+    pub fn max_sends_in_a_window(&self, server: u64, from: Micros) -> usize {
         let times: Vec<Micros> = self
             .sends
             .get(&server)
--- a/crates/ivyward-core/tests/connection_reuse.rs
+++ b/crates/ivyward-core/tests/connection_reuse.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn idle_times_at_which_connections_end_are_not_used() {
+fn idle_times_at_which_connections_fail_are_not_used() {
     let mut keep = ReuseHistory::new();
     assert!(
         keep.allows_reuse(0, 300_000, true),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn two_ends_in_a_row_are_enough_at_the_start() {
+fn two_failures_in_a_row_are_enough_at_the_start() {
     let mut keep = ReuseHistory::new();
     keep.record_use(1, Some(300_000), true);
     keep.record_use(2, Some(300_000), true);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn ends_that_new_connections_suffer_as_well_say_nothing_of_keeping() {
+fn failures_shared_by_new_connections_do_not_prevent_reuse() {
     let mut keep = ReuseHistory::new();
     let mut now = 0;
     for n in 0..400 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_may_not_be_sent_again_takes_a_kept_connection_only_when_that_has_shown_safe() {
+fn non_repeatable_requests_reuse_only_proven_idle_times() {
     let mut keep = ReuseHistory::new();
     assert!(!keep.allows_reuse(0, 50_000, false));
     let now = play(&mut keep, 0, Some(50_000), 0);
--- a/crates/ivyward-core/tests/invariants.rs
+++ b/crates/ivyward-core/tests/invariants.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_request_goes_from_its_read_to_its_write_to_one_answer() {
+fn a_request_goes_from_prefill_to_decode_to_one_answer() {
     let mut guard = serving(NON_IDEMPOTENT);
     assert_eq!(
         guard.send(10, REQUEST, 0, PREFILL),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn nothing_is_sent_after_the_answer_or_the_clients_time() {
+fn nothing_is_sent_after_the_answer_or_the_deadline() {
     let mut guard = serving(IDEMPOTENT);
     assert_eq!(
         forbidden(guard.send(6 * SECOND + 1, REQUEST, 0, PREFILL)),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn one_attempt_is_out_at_a_time() {
+fn one_attempt_is_in_flight_at_a_time() {
     let mut guard = serving(IDEMPOTENT);
     guard.send(10, REQUEST, 0, DECODE).unwrap();
     assert_eq!(
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_unsafe_request_goes_again_only_after_proof() {
+fn a_non_idempotent_request_is_retried_only_if_it_cannot_have_run() {
     for (outcome, again) in [
         (Outcome::NotSent, true),
         (Outcome::ConnectFailed, true),
@@ -114,12 +114,12 @@
         guard.send(10, REQUEST, 0, DECODE).unwrap();
         guard.ended(REQUEST, 0, outcome);
         let sent = guard.clone().send(20, REQUEST, 1, DECODE);
-        let refused = guard.answer(REQUEST, AnswerKind::Rejected);
+        let rejected = guard.answer(REQUEST, AnswerKind::Rejected);
         if again {
-            assert!(sent.is_ok() && refused.is_ok(), "{outcome:?}");
+            assert!(sent.is_ok() && rejected.is_ok(), "{outcome:?}");
         } else {
             assert_eq!(forbidden(sent), Rule::NoEffectTwice, "{outcome:?}");
-            assert_eq!(forbidden(refused), Rule::HarmlessRefusal, "{outcome:?}");
+            assert_eq!(forbidden(rejected), Rule::HarmlessRefusal, "{outcome:?}");
         }
     }
     // A read has no effect.
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_keyed_request_goes_again_inside_its_group_and_window() {
+fn a_keyed_request_is_retried_inside_its_scope_and_window() {
     let mut guard = serving(WITH_KEY_IN_ZONE);
     guard.send(10, REQUEST, 0, DECODE).unwrap();
     guard.ended(REQUEST, 0, Outcome::Reset);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_refusal_while_a_write_is_out_promises_too_much() {
+fn a_rejection_while_a_decode_is_in_flight_is_forbidden() {
     let mut guard = serving(NON_IDEMPOTENT);
     guard.send(10, REQUEST, 0, DECODE).unwrap();
     assert_eq!(
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_drain_has_a_grace_that_runs_from_the_first_word() {
+fn the_drain_grace_runs_from_the_first_report() {
     let mut guard = serving(IDEMPOTENT);
     let drains = Endpoint {
         state: EndpointState::Draining,
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_node_goes_through_its_phases_once() {
+fn a_node_passes_each_phase_once() {
     let mut guard = serving(IDEMPOTENT);
     guard.enter(NodePhase::Stopping).unwrap();
     guard.enter(NodePhase::Stopping).unwrap();
--- a/crates/ivyward-core/tests/keepalive.rs
+++ b/crates/ivyward-core/tests/keepalive.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn connections_that_come_to_rest_together_are_checked_within_the_budget() {
+fn connections_that_become_idle_together_are_checked_within_the_budget() {
     for (connections, budget) in [(5, 16), (40, 16), (1_100, 16), (1_100, 1), (5_000, 200)] {
         let mut keepalive = Keepalive::new(settings(budget));
         let since = 50 * SECOND;
@@ -83,7 +83,7 @@
 
 /// A process that stood still for a minute finds all due: one is checked, and the others take turns within the budget.
 #[test]
-fn what_came_due_in_a_sleep_is_not_made_up_for_at_once() {
+fn checks_due_during_a_pause_are_not_made_up_for_at_once() {
     let mut keepalive = Keepalive::new(settings(16));
     (0..600).for_each(|_| keepalive.connection_idle());
     let woke = 100 * SECOND;
@@ -111,7 +111,7 @@
 
 /// What is taken up again leaves its turn to the others: use takes nothing from the budget.
 #[test]
-fn the_round_is_as_long_as_those_that_rest_are_many() {
+fn a_round_is_proportional_to_the_idle_connections() {
     let mut keepalive = Keepalive::new(settings(10));
     (0..1_000).for_each(|_| keepalive.connection_idle());
     assert_eq!(keepalive.next_check(0, 0.5), Some(100 * SECOND));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn what_could_have_gone_bad_unnoticed_is_checked_before_use() {
+fn long_idle_connections_are_checked_before_use() {
     let keepalive = Keepalive::new(settings(16));
     let now = 100 * SECOND;
     let check = BeforeUse::Check(SECOND / 16);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn settings_at_their_ends() {
+fn settings_at_their_limits() {
     let mut none = Keepalive::new(settings(0));
     assert_eq!(none.next_check(5, 0.5), None);
     assert_eq!(none.request_check(5, 0.5), CheckDecision::RetryAt(u64::MAX));
--- a/crates/ivyward-core/tests/decode_slots.rs
+++ b/crates/ivyward-core/tests/locality.rs
@@ -11,30 +11,30 @@
         rack: cell,
         ..server(id, kind)
     };
-    let mut fleet: Vec<Endpoint> = (1..=10).map(|id| at(id, 0, 1)).collect();
-    fleet.extend((11..=20).map(|id| at(id, 0, 2)));
-    fleet.extend((101..=105).map(|id| at(id, 1, 1)));
-    fleet
+    let mut endpoints: Vec<Endpoint> = (1..=10).map(|id| at(id, 0, 1)).collect();
+    endpoints.extend((11..=20).map(|id| at(id, 0, 2)));
+    endpoints.extend((101..=105).map(|id| at(id, 1, 1)));
+    endpoints
 }
 
 /// Plays requests of openings of their own, whose first tokens take as long as `takes` says of their reader. Returns the part
 /// of reads at readers for which `counts`, in the last third.
 fn played(
     cfg: Settings,
-    fleet: &[Endpoint],
+    endpoints: &[Endpoint],
     takes: impl Fn(u64) -> Micros,
     counts: impl Fn(u64) -> bool,
 ) -> f64 {
-    let mut rig = Rig {
+    let mut harness = Harness {
         router: Router::new(cfg, 5),
         now: 100 * SECOND,
         done: Vec::new(),
     };
-    rig.fleet(ListKind::Full, fleet);
+    harness.endpoints(ListKind::Full, endpoints);
     let (mut of, mut all) = (0.0, 0.0);
     for id in 0..600u64 {
-        rig.now = 100 * SECOND + id * SECOND / 10;
-        let Some(EndpointId(reader)) = rig.ask(Request {
+        harness.now = 100 * SECOND + id * SECOND / 10;
+        let Some(EndpointId(reader)) = harness.ask(Request {
             prefix: 1 + id,
             ..arrival(id, 9_000 + id, 1_000.0)
         }) else {
@@ -45,11 +45,11 @@
             of += f64::from(u8::from(counts(reader)));
         }
         // Each is over before the next: what is slow is the place, not this node's own queue.
-        rig.now += SECOND / 50;
-        if rig.end(id, 0, Outcome::Prefilled).is_some() {
-            rig.now = 100 * SECOND + id * SECOND / 10 + takes(reader);
-            rig.first(id, 1);
-            rig.end(id, 1, Outcome::Served);
+        harness.now += SECOND / 50;
+        if harness.end(id, 0, Outcome::Prefilled).is_some() {
+            harness.now = 100 * SECOND + id * SECOND / 10 + takes(reader);
+            harness.first(id, 1);
+            harness.end(id, 1, Outcome::Served);
         }
     }
     of / all
@@ -60,7 +60,7 @@
 /// Guards against racks without writers that idle while the readers of the others are jammed: of 93 readers 35 stood in racks
 /// with writers, got three quarters of all reads and were late, and the rest waited for work.
 #[test]
-fn racks_do_not_count_while_nothing_is_slow() {
+fn racks_do_not_count_without_latency_differences() {
     let part = played(settings(), &racks(), |_| QUICK, |id| id <= 10);
     assert!(
         (0.38..0.62).contains(&part),
@@ -70,7 +70,7 @@
 
 /// States that cross racks wait for a link: what is read beside no writers comes late, and moves beside them.
 #[test]
-fn reads_move_beside_writers_when_links_between_racks_jam() {
+fn prefills_move_near_decode_endpoints_when_links_between_racks_are_slow() {
     let part = played(
         settings(),
         &racks(),
@@ -82,7 +82,7 @@
 
 /// And back, when those are the slow ones.
 #[test]
-fn reads_do_not_move_where_first_tokens_are_late() {
+fn prefills_do_not_move_where_first_tokens_are_late() {
     let part = played(
         settings(),
         &racks(),
@@ -98,26 +98,26 @@
 /// Ten readers in each of two zones. Crossing has a price: near homes come first, until this zone is jammed and the other is
 /// not; one that is no better gets no more than the even share that a look at it takes.
 #[test]
-fn reads_go_to_the_other_zone_only_while_this_one_is_jammed() {
-    let mut fleet: Vec<Endpoint> = (1..=10).map(|id| server(id, 0)).collect();
-    fleet.extend((11..=20).map(|id| Endpoint {
+fn prefills_go_to_the_other_zone_only_while_this_one_is_overloaded() {
+    let mut endpoints: Vec<Endpoint> = (1..=10).map(|id| server(id, 0)).collect();
+    endpoints.extend((11..=20).map(|id| Endpoint {
         zone: 1,
         ..server(id, 0)
     }));
-    fleet.extend((101..=105).map(|id| server(id, 1)));
+    endpoints.extend((101..=105).map(|id| server(id, 1)));
     let cfg = || Settings {
         cross_zone_price: 0.02,
         ..settings()
     };
     let slow = 9 * SECOND / 10;
-    let calm = played(cfg(), &fleet, |_| QUICK, |id| id > 10);
+    let calm = played(cfg(), &endpoints, |_| QUICK, |id| id > 10);
     let jammed = played(
         cfg(),
-        &fleet,
+        &endpoints,
         |id| if id <= 10 { slow } else { QUICK },
         |id| id > 10,
     );
-    let both = played(cfg(), &fleet, |_| slow, |id| id > 10);
+    let both = played(cfg(), &endpoints, |_| slow, |id| id > 10);
     assert!((0.1..0.35).contains(&calm), "{calm} across on a calm day");
     assert!(
         jammed > calm + 0.15,
--- a/crates/ivyward-core/tests/long_poll.rs
+++ b/crates/ivyward-core/tests/long_poll.rs
@@ -2,14 +2,14 @@
 
 use ivyward_core::long_poll::{CallFailure, LongPoll};
 
-const TOLD: u64 = 6_000_000;
+const CONFIGURED: u64 = 6_000_000;
 
 /// One call that falls silent as it begins and three more that nobody answers leave time for the list itself.
 #[test]
-fn four_silent_calls_fit_into_the_told_time() {
-    let watch = LongPoll::new(TOLD, true, 1);
+fn four_silent_calls_fit_into_the_configured_time() {
+    let watch = LongPoll::new(CONFIGURED, true, 1);
     assert!(
-        watch.worst_case_delay(3) + TOLD / 20 <= TOLD,
+        watch.worst_case_delay(3) + CONFIGURED / 20 <= CONFIGURED,
         "{} us",
         watch.worst_case_delay(3)
     );
@@ -24,8 +24,8 @@
 /// A service that takes its time is not called again and again: what is out at once is bounded, and a call is kept for
 /// several times as long as the next one waits to begin beside it.
 #[test]
-fn a_silent_call_is_kept_while_others_begin_beside_it() {
-    let watch = LongPoll::new(TOLD, true, 1);
+fn a_silent_call_is_kept_while_others_begin() {
+    let watch = LongPoll::new(CONFIGURED, true, 1);
     assert_eq!(
         watch.next_call_delay(),
         watch.connect_timeout() + watch.silence()
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn pauses_grow_with_quick_failures_alone_and_end_with_an_answer() {
-    let mut watch = LongPoll::new(TOLD, true, 1);
+fn pauses_grow_with_quick_failures_only_and_end_with_a_response() {
+    let mut watch = LongPoll::new(CONFIGURED, true, 1);
     assert_eq!(
         watch.call_failed(CallFailure::Silent),
         0,
@@ -53,11 +53,11 @@
         "{pauses:?}"
     );
     assert!(
-        pauses[11] <= TOLD / 10,
+        pauses[11] <= CONFIGURED / 10,
         "back within a tenth of the told time: {pauses:?}"
     );
     // A service that is down for a minute is not run against.
-    assert!(pauses[11] >= TOLD / 20, "{pauses:?}");
+    assert!(pauses[11] >= CONFIGURED / 20, "{pauses:?}");
     watch.list_received();
     assert_eq!(watch.call_failed(CallFailure::Failed), pauses[0]);
 }
@@ -65,9 +65,9 @@
 /// A service that turns calls away is left alone for longer and longer, by each node of a fleet for another span, and calls
 /// that it takes wait longer for news; when it bears those again, everything goes back step by step.
 #[test]
-fn a_service_that_turns_calls_away_is_spared() {
+fn a_service_that_rejects_calls_gets_fewer() {
     let pauses = |seed: u64| {
-        let mut watch = LongPoll::new(TOLD, true, seed);
+        let mut watch = LongPoll::new(CONFIGURED, true, seed);
         (0..10)
             .map(|_| watch.call_failed(CallFailure::Rejected))
             .collect::<Vec<_>>()
@@ -79,16 +79,18 @@
         "{one:?} {other:?}"
     );
     assert!(
-        one[0] <= TOLD / 50 && one[9] >= TOLD / 2 && one.iter().all(|p| *p <= TOLD),
+        one[0] <= CONFIGURED / 50
+            && one[9] >= CONFIGURED / 2
+            && one.iter().all(|p| *p <= CONFIGURED),
         "{one:?}"
     );
-    let mut watch = LongPoll::new(TOLD, true, 1);
+    let mut watch = LongPoll::new(CONFIGURED, true, 1);
     let usual = watch.wait();
     for _ in 0..8 {
         watch.call_failed(CallFailure::Rejected);
     }
     let longest = watch.wait();
-    assert!(longest >= 5 * usual && longest <= 2 * TOLD);
+    assert!(longest >= 5 * usual && longest <= 2 * CONFIGURED);
     watch.list_received();
     assert_eq!(
         watch.wait(),
@@ -101,9 +103,9 @@
     assert_eq!(watch.wait(), usual);
     // Late answers say the same, but not where lists come by themselves: there it was this node that was late.
     for costly in [true, false] {
-        let mut watch = LongPoll::new(TOLD, costly, 1);
+        let mut watch = LongPoll::new(CONFIGURED, costly, 1);
         for _ in 0..8 {
-            watch.no_changes_received(TOLD / 10);
+            watch.no_changes_received(CONFIGURED / 10);
         }
         assert_eq!(watch.wait(), if costly { longest } else { usual });
     }
@@ -133,7 +135,7 @@
 /// A fleet of 32 nodes, and a service that can take a call from each of them in four or eight seconds: all of them come to
 /// have a list soon, all of them keep up with it, and the service has more room than they need.
 #[test]
-fn a_fleet_gets_through_to_a_service_that_can_take_few_calls() {
+fn many_nodes_reach_a_service_that_accepts_few_calls() {
     const NODES: u64 = 32;
     for all_in in [4_000_000, 8_000_000] {
         let mut service = Service {
@@ -141,7 +143,7 @@
             free_at: 0,
         };
         let mut nodes: Vec<LongPoll> = (0..NODES)
-            .map(|seed| LongPoll::new(TOLD, true, seed))
+            .map(|seed| LongPoll::new(CONFIGURED, true, seed))
             .collect();
         // What each node does next, in the order of time: it calls for the whole list, or goes on with a watch.
         let mut next: std::collections::BTreeSet<(u64, usize, bool)> =
@@ -172,7 +174,7 @@
         }
         assert!(last_answer.iter().all(|at| *at > 0), "{last_answer:?}");
         assert!(
-            longest_gap < 6 * TOLD,
+            longest_gap < 6 * CONFIGURED,
             "{longest_gap} us without a word, {turned_away} of {calls} turned away"
         );
         assert!(
@@ -184,20 +186,20 @@
 
 /// A list that is long for its connection comes in the end: each try has more time, up to a bound.
 #[test]
-fn an_answer_that_comes_slowly_has_more_time_at_each_try() {
-    let mut watch = LongPoll::new(TOLD, true, 1);
+fn a_slow_response_gets_more_time_at_each_try() {
+    let mut watch = LongPoll::new(CONFIGURED, true, 1);
     let first = watch.body_timeout();
-    assert!(first < TOLD);
+    assert!(first < CONFIGURED);
     for _ in 0..40 {
         watch.call_failed(CallFailure::Slow);
     }
-    assert!(watch.body_timeout() >= 8 * first && watch.body_timeout() <= 20 * TOLD);
+    assert!(watch.body_timeout() >= 8 * first && watch.body_timeout() <= 20 * CONFIGURED);
     watch.list_received();
     assert_eq!(watch.body_timeout(), first);
 }
 
 #[test]
-fn no_told_time_makes_a_watch_that_never_waits() {
+fn no_configured_time_makes_a_poll_without_waits() {
     for told in [0, 1, 99] {
         let watch = LongPoll::new(told, true, 1);
         assert!(watch.wait() > 0 && watch.silence() > 0 && watch.connect_timeout() > 0);
--- a/crates/ivyward-core/tests/membership.rs
+++ b/crates/ivyward-core/tests/membership.rs
@@ -8,10 +8,10 @@
 
 const GRACE: Micros = 5_000_000;
 
-fn member(id: u64, revision: i64, condition: EndpointState) -> Member {
+fn member(id: u64, revision: i64, state: EndpointState) -> Member {
     let entry = Endpoint {
         id: EndpointId(id),
-        state: condition,
+        state: state,
         weight: 1.0,
         started_at: 1,
         ..Endpoint::default()
@@ -36,28 +36,28 @@
     }
 }
 
-struct Rig {
+struct Harness {
     of: Membership,
     now: Micros,
     /// What a module that is told everything holds.
     view: BTreeMap<EndpointId, Endpoint>,
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl Harness {
+    fn new() -> Harness {
         let settings = MembershipSettings {
             empty_grace: GRACE,
             behind_grace: 2 * GRACE,
         };
-        Rig {
+        Harness {
             of: Membership::new(settings),
             now: 1,
             view: BTreeMap::new(),
         }
     }
-    fn hear(&mut self, heard: WatchEvent) -> Vec<MembershipAction> {
+    fn receive(&mut self, event: WatchEvent) -> Vec<MembershipAction> {
         let mut out = Vec::new();
-        self.of.handle_event(self.now, heard, &mut out);
+        self.of.handle_event(self.now, event, &mut out);
         for told in &out {
             if let MembershipAction::EndpointList {
                 kind,
@@ -83,16 +83,16 @@
     fn ids(&self) -> Vec<u64> {
         self.view.keys().map(|id| id.0).collect()
     }
-    fn condition(&self, id: u64) -> Option<EndpointState> {
+    fn state(&self, id: u64) -> Option<EndpointState> {
         self.view.get(&EndpointId(id)).map(|e| e.state)
     }
 }
 
 #[test]
-fn a_drain_and_a_departure_are_told_in_the_step_in_which_they_are_heard() {
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
-    let told = rig.hear(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
+fn drains_and_removals_are_passed_on_at_once() {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5), ready(2, 6)]));
+    let told = harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
     let entries = vec![member(1, 11, EndpointState::Draining)];
     assert_eq!(
         told,
@@ -104,29 +104,29 @@
             MembershipAction::SaveSnapshot
         ]
     );
-    rig.hear(WatchEvent::Deleted {
+    harness.receive(WatchEvent::Deleted {
         id: EndpointId(2),
         revision: 12,
     });
     assert_eq!(
-        (rig.ids(), rig.condition(1), rig.of.revision()),
+        (harness.ids(), harness.state(1), harness.of.revision()),
         (vec![1], Some(EndpointState::Draining), 12)
     );
 }
 
 /// Guards against a watch that was compacted away: deletions that nobody told are found by the next list.
 #[test]
-fn after_a_gap_the_list_shows_who_is_gone() {
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5), ready(2, 6), ready(3, 7)]));
-    assert_eq!(rig.hear(WatchEvent::Gap), [MembershipAction::Relist]);
-    assert_eq!(rig.ids(), [1, 2, 3], "a gap alone empties nothing");
-    rig.hear(list(
+fn after_a_gap_the_list_shows_removed_engines() {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5), ready(2, 6), ready(3, 7)]));
+    assert_eq!(harness.receive(WatchEvent::Gap), [MembershipAction::Relist]);
+    assert_eq!(harness.ids(), [1, 2, 3], "a gap alone empties nothing");
+    harness.receive(list(
         40,
         vec![ready(1, 5), member(3, 30, EndpointState::Draining)],
     ));
     assert_eq!(
-        (rig.ids(), rig.condition(3)),
+        (harness.ids(), harness.state(3)),
         (vec![1, 3], Some(EndpointState::Draining))
     );
 }
@@ -134,68 +134,68 @@
 /// Guards against a drain that is forgotten while the store restarts: what was heard stands until the store says
 /// otherwise, and notices heard during the gap are told.
 #[test]
-fn a_drain_outlives_a_restart_of_the_store() {
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
-    rig.hear(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
-    rig.hear(WatchEvent::Gap);
-    assert_eq!(rig.condition(1), Some(EndpointState::Draining));
+fn a_drain_survives_a_restart_of_the_store() {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5), ready(2, 6)]));
+    harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
+    harness.receive(WatchEvent::Gap);
+    assert_eq!(harness.state(1), Some(EndpointState::Draining));
     // A member that lags behind answers from before the drain: not believed.
     assert_eq!(
-        rig.hear(list(10, vec![ready(1, 5), ready(2, 6)])),
+        harness.receive(list(10, vec![ready(1, 5), ready(2, 6)])),
         [MembershipAction::Relist]
     );
-    assert_eq!(rig.condition(1), Some(EndpointState::Draining));
+    assert_eq!(harness.state(1), Some(EndpointState::Draining));
     // A notice during the gap is told, but the watch must not go on from its revision.
-    rig.hear(WatchEvent::Put(member(2, 14, EndpointState::Draining)));
+    harness.receive(WatchEvent::Put(member(2, 14, EndpointState::Draining)));
     assert_eq!(
-        (rig.condition(2), rig.of.revision()),
+        (harness.state(2), harness.of.revision()),
         (Some(EndpointState::Draining), 11)
     );
-    rig.hear(list(
+    harness.receive(list(
         15,
         vec![
             member(1, 11, EndpointState::Draining),
             member(2, 14, EndpointState::Draining),
         ],
     ));
-    assert_eq!((rig.of.revision(), rig.of.has_gap()), (15, false));
+    assert_eq!((harness.of.revision(), harness.of.has_gap()), (15, false));
 }
 
 /// Guards against a store that comes back empty, and against a wrong prefix.
 #[test]
-fn an_empty_list_is_doubted_and_in_the_end_believed() {
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5)]));
-    let again = rig.now + GRACE;
+fn an_empty_list_is_believed_only_after_the_grace() {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5)]));
+    let again = harness.now + GRACE;
     assert_eq!(
-        rig.hear(list(11, vec![])),
+        harness.receive(list(11, vec![])),
         [MembershipAction::RelistAt(again)]
     );
-    assert_eq!(rig.ids(), [1]);
+    assert_eq!(harness.ids(), [1]);
     // Somebody is there after all: the doubt begins anew next time.
-    rig.now += GRACE / 2;
-    rig.hear(list(12, vec![ready(1, 5)]));
-    rig.now += GRACE;
+    harness.now += GRACE / 2;
+    harness.receive(list(12, vec![ready(1, 5)]));
+    harness.now += GRACE;
     assert!(matches!(
-        rig.hear(list(13, vec![]))[..],
+        harness.receive(list(13, vec![]))[..],
         [MembershipAction::RelistAt(_)]
     ));
-    rig.now += GRACE;
-    rig.hear(list(14, vec![]));
-    assert_eq!(rig.ids(), Vec::<u64>::new());
+    harness.now += GRACE;
+    harness.receive(list(14, vec![]));
+    assert_eq!(harness.ids(), Vec::<u64>::new());
     // The last one's deletion is told as such and believed at once.
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5)]));
-    rig.hear(WatchEvent::Deleted {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5)]));
+    harness.receive(WatchEvent::Deleted {
         id: EndpointId(1),
         revision: 11,
     });
-    assert!(rig.view.is_empty());
+    assert!(harness.view.is_empty());
     // With nobody known, an empty list is just that.
-    let mut rig = Rig::new();
+    let mut harness = Harness::new();
     assert!(matches!(
-        rig.hear(list(3, vec![]))[..],
+        harness.receive(list(3, vec![]))[..],
         [
             MembershipAction::EndpointList {
                 kind: ListKind::Full,
@@ -207,35 +207,35 @@
 }
 
 #[test]
-fn an_engine_that_came_back_is_a_new_one_and_an_echo_is_none() {
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5)]));
+fn a_restarted_engine_is_new_and_a_stale_record_is_ignored() {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5)]));
     // Deleted and put again between two responses: its new start time tells.
     let mut again = ready(1, 12);
     again.endpoint.started_at = 9;
-    rig.hear(WatchEvent::Deleted {
+    harness.receive(WatchEvent::Deleted {
         id: EndpointId(1),
         revision: 11,
     });
-    rig.hear(WatchEvent::Put(again));
-    assert_eq!(rig.view[&EndpointId(1)].started_at, 9);
+    harness.receive(WatchEvent::Put(again));
+    assert_eq!(harness.view[&EndpointId(1)].started_at, 9);
     // The old one's record or deletion, heard late, changes nothing.
     assert_eq!(
-        rig.hear(WatchEvent::Put(member(1, 11, EndpointState::Draining))),
+        harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining))),
         []
     );
     assert_eq!(
-        rig.hear(WatchEvent::Put(member(1, 13, EndpointState::Ready))),
+        harness.receive(WatchEvent::Put(member(1, 13, EndpointState::Ready))),
         []
     );
     assert_eq!(
-        rig.hear(WatchEvent::Deleted {
+        harness.receive(WatchEvent::Deleted {
             id: EndpointId(1),
             revision: 11
         }),
         []
     );
-    assert_eq!(rig.condition(1), Some(EndpointState::Ready));
+    assert_eq!(harness.state(1), Some(EndpointState::Ready));
     // A drain and its cancellation.
     let draining = Member {
         endpoint: Endpoint {
@@ -245,32 +245,32 @@
         revision: 14,
         ..again
     };
-    rig.hear(WatchEvent::Put(draining));
-    rig.hear(WatchEvent::Put(Member {
+    harness.receive(WatchEvent::Put(draining));
+    harness.receive(WatchEvent::Put(Member {
         revision: 15,
         ..again
     }));
-    assert_eq!(rig.condition(1), Some(EndpointState::Ready));
+    assert_eq!(harness.state(1), Some(EndpointState::Ready));
 }
 
 #[test]
-fn a_record_that_cannot_be_read_hurts_neither_its_engine_nor_others() {
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![ready(1, 5), ready(2, 6)]));
+fn an_unreadable_record_affects_no_engine() {
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![ready(1, 5), ready(2, 6)]));
     let unread = vec![EndpointId(2), EndpointId(9)];
-    rig.hear(WatchEvent::List {
+    harness.receive(WatchEvent::List {
         cluster: 1,
         revision: 12,
         members: vec![ready(1, 5), ready(3, 11)],
         unreadable: unread,
     });
-    assert_eq!(rig.ids(), [1, 2, 3]);
+    assert_eq!(harness.ids(), [1, 2, 3]);
 }
 
 #[test]
-fn a_kept_file_serves_until_the_store_speaks() {
-    let mut rig = Rig::new();
-    let told = rig.hear(WatchEvent::Snapshot(vec![ready(1, 5)]));
+fn a_snapshot_is_used_until_the_store_answers() {
+    let mut harness = Harness::new();
+    let told = harness.receive(WatchEvent::Snapshot(vec![ready(1, 5)]));
     assert!(matches!(
         told[..],
         [MembershipAction::EndpointList {
@@ -278,18 +278,18 @@
             ..
         }]
     ));
-    rig.hear(list(3, vec![ready(1, 2), ready(2, 3)]));
-    assert_eq!(rig.ids(), [1, 2]);
-    assert_eq!(rig.hear(WatchEvent::Snapshot(vec![])), []);
+    harness.receive(list(3, vec![ready(1, 2), ready(2, 3)]));
+    assert_eq!(harness.ids(), [1, 2]);
+    assert_eq!(harness.receive(WatchEvent::Snapshot(vec![])), []);
     // Another store, whose revisions begin anew.
-    let heard = WatchEvent::List {
+    let event = WatchEvent::List {
         cluster: 2,
         revision: 1,
         members: vec![ready(2, 1)],
         unreadable: vec![],
     };
-    rig.hear(heard);
-    assert_eq!((rig.ids(), rig.of.revision()), (vec![2], 1));
+    harness.receive(event);
+    assert_eq!((harness.ids(), harness.of.revision()), (vec![2], 1));
 }
 
 #[derive(Clone, Debug)]
@@ -314,48 +314,48 @@
     /// Against a plain map with revisions: whenever the watch is whole, the module's view is the store's; while it is
     /// broken, the view is what it was when it broke.
     #[test]
-    fn the_view_is_the_stores_whenever_the_watch_is_whole(steps in prop::collection::vec(step(), 1..120)) {
-        let mut rig = Rig::new();
+    fn the_view_equals_the_store_whenever_the_watch_is_complete(steps in prop::collection::vec(step(), 1..120)) {
+        let mut harness = Harness::new();
         // The grace is not the matter here.
-        rig.of = Membership::new(MembershipSettings { empty_grace: 0, behind_grace: 0 });
+        harness.of = Membership::new(MembershipSettings { empty_grace: 0, behind_grace: 0 });
         let (mut store, mut revision, mut whole) = (BTreeMap::<u64, Member>::new(), 1i64, true);
-        rig.hear(list(revision, vec![]));
+        harness.receive(list(revision, vec![]));
         for step in steps {
-            rig.now += 1;
-            let before = rig.view.clone();
+            harness.now += 1;
+            let before = harness.view.clone();
             match step {
                 Step::Put(id, drains) => {
                     revision += 1;
-                    let condition = if drains { EndpointState::Draining } else { EndpointState::Ready };
-                    store.insert(id, member(id, revision, condition));
+                    let state = if drains { EndpointState::Draining } else { EndpointState::Ready };
+                    store.insert(id, member(id, revision, state));
                     if whole {
-                        rig.hear(WatchEvent::Put(store[&id]));
+                        harness.receive(WatchEvent::Put(store[&id]));
                     }
                 }
                 Step::Delete(id) => {
                     if store.remove(&id).is_some() {
                         revision += 1;
                         if whole {
-                            rig.hear(WatchEvent::Deleted { id: EndpointId(id), revision });
+                            harness.receive(WatchEvent::Deleted { id: EndpointId(id), revision });
                         }
                     }
                 }
                 Step::Break => {
                     whole = false;
-                    rig.hear(WatchEvent::Gap);
+                    harness.receive(WatchEvent::Gap);
                 }
                 Step::List => {
                     whole = true;
-                    rig.hear(list(revision, store.values().copied().collect()));
+                    harness.receive(list(revision, store.values().copied().collect()));
                 }
             }
             if whole {
                 let wanted: BTreeMap<EndpointId, Endpoint> =
                     store.values().map(|m| (m.endpoint.id, m.endpoint)).collect();
-                prop_assert_eq!(&rig.view, &wanted);
-                prop_assert_eq!(rig.of.revision(), revision);
+                prop_assert_eq!(&harness.view, &wanted);
+                prop_assert_eq!(harness.of.revision(), revision);
             } else {
-                prop_assert_eq!(&rig.view, &before);
+                prop_assert_eq!(&harness.view, &before);
             }
         }
     }
@@ -364,69 +364,69 @@
 /// Guards against a store that was restored from an older copy under its old name: its revisions went back, and a node
 /// that waits for those it heard would never hear of it again.
 #[test]
-fn a_store_whose_revisions_stay_behind_is_believed_in_the_end() {
-    let mut rig = Rig::new();
-    rig.hear(list(100, vec![ready(1, 50), ready(2, 60), ready(3, 70)]));
+fn a_store_with_lower_revisions_is_believed_after_the_grace() {
+    let mut harness = Harness::new();
+    harness.receive(list(100, vec![ready(1, 50), ready(2, 60), ready(3, 70)]));
     assert_eq!(
-        rig.hear(list(40, vec![ready(1, 30)])),
+        harness.receive(list(40, vec![ready(1, 30)])),
         [MembershipAction::Relist],
         "an old answer, it seems"
     );
-    assert_eq!(rig.ids(), [1, 2, 3]);
-    rig.now += 2 * GRACE - 1;
+    assert_eq!(harness.ids(), [1, 2, 3]);
+    harness.now += 2 * GRACE - 1;
     assert_eq!(
-        rig.hear(list(41, vec![ready(1, 30)])),
+        harness.receive(list(41, vec![ready(1, 30)])),
         [MembershipAction::Relist]
     );
-    rig.now += 1;
+    harness.now += 1;
     // Records of lower revisions than the ones known are no echoes now.
-    rig.hear(list(
+    harness.receive(list(
         42,
         vec![member(1, 30, EndpointState::Draining), ready(4, 42)],
     ));
     assert_eq!(
-        (rig.ids(), rig.condition(1)),
+        (harness.ids(), harness.state(1)),
         (vec![1, 4], Some(EndpointState::Draining))
     );
-    assert_eq!(rig.of.revision(), 42);
+    assert_eq!(harness.of.revision(), 42);
 }
 
 /// A member that lags behind now and then, between answers that do not, is never believed.
 #[test]
-fn a_member_that_lags_is_not_believed_beside_others() {
-    let mut rig = Rig::new();
+fn a_lagging_store_member_is_ignored() {
+    let mut harness = Harness::new();
     for _ in 0..10 {
-        rig.hear(list(100, vec![ready(1, 50), ready(2, 60)]));
-        rig.now += GRACE;
+        harness.receive(list(100, vec![ready(1, 50), ready(2, 60)]));
+        harness.now += GRACE;
         assert_eq!(
-            rig.hear(list(40, vec![ready(1, 30)])),
+            harness.receive(list(40, vec![ready(1, 30)])),
             [MembershipAction::Relist]
         );
-        rig.now += GRACE;
+        harness.now += GRACE;
     }
-    assert_eq!(rig.ids(), [1, 2]);
+    assert_eq!(harness.ids(), [1, 2]);
 }
 
 /// A minute without a word, with a gap every two seconds: nobody is taken away by that.
 #[test]
-fn a_minute_of_silence_empties_nothing() {
-    let mut rig = Rig::new();
-    rig.hear(list(
+fn a_minute_of_silence_removes_nothing() {
+    let mut harness = Harness::new();
+    harness.receive(list(
         100,
         vec![ready(1, 50), member(2, 60, EndpointState::Draining)],
     ));
     for _ in 0..30 {
-        rig.now += 2_000_000;
-        assert_eq!(rig.hear(WatchEvent::Gap), [MembershipAction::Relist]);
+        harness.now += 2_000_000;
+        assert_eq!(harness.receive(WatchEvent::Gap), [MembershipAction::Relist]);
     }
     assert_eq!(
-        (rig.ids(), rig.condition(2)),
+        (harness.ids(), harness.state(2)),
         (vec![1, 2], Some(EndpointState::Draining))
     );
 }
 
-fn started(id: u64, revision: i64, condition: EndpointState, started: Micros) -> Member {
-    let mut member = member(id, revision, condition);
+fn started(id: u64, revision: i64, state: EndpointState, started: Micros) -> Member {
+    let mut member = member(id, revision, state);
     member.endpoint.started_at = started;
     member
 }
@@ -434,41 +434,41 @@
 /// Found by a seed of the virtual world: a drain that was written without the engine's start, or with an older one, was
 /// taken for an echo of the past, and work went on.
 #[test]
-fn a_drain_is_heeded_whatever_start_it_names() {
+fn a_drain_counts_whatever_its_start_time() {
     for named in [0, 5, 10] {
-        let mut rig = Rig::new();
-        rig.hear(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
-        rig.hear(WatchEvent::Put(started(
+        let mut harness = Harness::new();
+        harness.receive(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
+        harness.receive(WatchEvent::Put(started(
             1,
             11,
             EndpointState::Draining,
             named,
         )));
         assert_eq!(
-            rig.condition(1),
+            harness.state(1),
             Some(EndpointState::Draining),
             "named {named}"
         );
-        assert_eq!(rig.view[&EndpointId(1)].started_at, 10);
+        assert_eq!(harness.view[&EndpointId(1)].started_at, 10);
         // Only the engine itself, or a record that says nothing of its start, makes it ready again.
-        rig.hear(WatchEvent::Put(started(1, 12, EndpointState::Ready, 5)));
+        harness.receive(WatchEvent::Put(started(1, 12, EndpointState::Ready, 5)));
         assert_eq!(
-            rig.condition(1),
+            harness.state(1),
             Some(EndpointState::Draining),
             "a process of the past is not the engine"
         );
-        rig.hear(WatchEvent::Put(started(
+        harness.receive(WatchEvent::Put(started(
             1,
             13,
             EndpointState::Ready,
             if named == 0 { 0 } else { 20 },
         )));
-        assert_eq!(rig.condition(1), Some(EndpointState::Ready));
+        assert_eq!(harness.state(1), Some(EndpointState::Ready));
     }
     // The same in a list.
-    let mut rig = Rig::new();
-    rig.hear(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
-    rig.hear(WatchEvent::Gap);
-    rig.hear(list(20, vec![started(1, 15, EndpointState::Draining, 5)]));
-    assert_eq!(rig.condition(1), Some(EndpointState::Draining));
+    let mut harness = Harness::new();
+    harness.receive(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
+    harness.receive(WatchEvent::Gap);
+    harness.receive(list(20, vec![started(1, 15, EndpointState::Draining, 5)]));
+    assert_eq!(harness.state(1), Some(EndpointState::Draining));
 }
--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -12,7 +12,7 @@
 const START: Micros = 3_600_000 * MS;
 
 /// Engines and the way to them, in time moved by hand.
-struct Play {
+struct Simulation {
     now: Micros,
     let_go: ReleaseQueue,
     takers: BTreeMap<EndpointId, ReleaseTarget>,
@@ -29,9 +29,9 @@
     owing: Vec<u64>,
 }
 
-impl Play {
-    fn new(engines: u64, answers: impl Fn(EndpointId, Micros) -> bool + 'static) -> Play {
-        Play::with(
+impl Simulation {
+    fn new(engines: u64, answers: impl Fn(EndpointId, Micros) -> bool + 'static) -> Simulation {
+        Simulation::with(
             ReleaseSettings {
                 within: WITHIN,
                 max_concurrent_attempts: 28,
@@ -45,7 +45,7 @@
         settings: ReleaseSettings,
         engines: u64,
         answers: impl Fn(EndpointId, Micros) -> bool + 'static,
-    ) -> Play {
+    ) -> Simulation {
         // All were heard of late, the higher ones later.
         let taker = |i| ReleaseTarget {
             id: EndpointId(i),
@@ -54,7 +54,7 @@
             has_idle_connection: true,
             is_draining: false,
         };
-        Play {
+        Simulation {
             now: START,
             let_go: ReleaseQueue::new(settings),
             takers: (1..=engines).map(|i| (EndpointId(i), taker(i))).collect(),
@@ -68,7 +68,7 @@
             owing: Vec::new(),
         }
     }
-    fn owe(&mut self, request: u64, sure: bool) -> Option<u64> {
+    fn enqueue(&mut self, request: u64, sure: bool) -> Option<u64> {
         self.owing.push(request);
         self.let_go.enqueue(self.now, request, sure)
     }
@@ -130,15 +130,15 @@
 }
 
 #[test]
-fn one_that_answered_lately_is_asked_alone() {
-    let mut play = Play::new(40, |_, _| true);
+fn a_recently_responsive_engine_is_asked_alone() {
+    let mut play = Simulation::new(40, |_, _| true);
     play.takers.get_mut(&EndpointId(7)).unwrap().last_response = START - 1;
     play.takers.get_mut(&EndpointId(9)).unwrap().last_response = START;
     play.takers
         .get_mut(&EndpointId(9))
         .unwrap()
         .has_idle_connection = false;
-    play.owe(1, true);
+    play.enqueue(1, true);
     play.until(START + WITHIN);
     assert_eq!(play.asks.len(), 1, "one ask is enough: {:?}", play.asks);
     assert_eq!(
@@ -150,28 +150,28 @@
 }
 
 #[test]
-fn engines_that_drain_or_were_silent_come_last() {
-    let mut play = Play::new(3, |_, _| true);
+fn draining_and_silent_engines_are_asked_last() {
+    let mut play = Simulation::new(3, |_, _| true);
     play.takers.get_mut(&EndpointId(3)).unwrap().is_draining = true;
     play.takers.get_mut(&EndpointId(2)).unwrap().last_failure = START;
-    play.owe(1, true);
+    play.enqueue(1, true);
     play.until(START + WITHIN);
     assert_eq!(play.asks[0].1.target, EndpointId(1));
 }
 
 /// A cut has just begun: five engines that were heard a moment ago, with standing connections, are silent.
 #[test]
-fn silent_engines_in_front_do_not_take_the_time() {
+fn silent_engines_do_not_use_up_the_time() {
     for silent in 0..=5 {
-        let mut play = Play::new(40, move |id, _| id.0 <= 40 - silent);
-        play.owe(1, true);
+        let mut play = Simulation::new(40, move |id, _| id.0 <= 40 - silent);
+        play.enqueue(1, true);
         play.until(START + 10 * WITHIN);
         let took = play.done[&1] - START;
         assert!(took <= WITHIN * 3 / 10, "{silent} silent: {took} us");
         assert!(play.most_out <= 6, "{} at once", play.most_out);
         // Later ones know: nothing silent is asked.
         let asked = play.asks.len();
-        play.owe(2, true);
+        play.enqueue(2, true);
         play.until(play.now + WITHIN);
         assert_eq!(play.asks.len(), asked + 1, "{silent} silent");
         assert!(play.asks.len() as u64 <= silent + 4);
@@ -179,15 +179,15 @@
 }
 
 #[test]
-fn three_hundred_at_once_stay_within_their_connections_and_in_time() {
+fn three_hundred_releases_stay_within_their_connections_and_time() {
     // A third of the engines is behind the cut; and, worse than any cut, all those that were heard last.
     for (last_ones, within) in [(false, WITHIN), (true, 3 * WITHIN)] {
-        let mut play = Play::new(
+        let mut play = Simulation::new(
             300,
             move |id, _| if last_ones { id.0 <= 200 } else { id.0 % 3 > 0 },
         );
         for request in 0..300 {
-            play.owe(request, true);
+            play.enqueue(request, true);
         }
         play.until(START + 10 * WITHIN);
         assert_eq!(play.let_go.pending(), 0);
@@ -199,11 +199,11 @@
 }
 
 #[test]
-fn while_all_are_silent_it_stays_owed_without_spinning_and_is_met_at_the_first_word() {
+fn while_all_are_silent_a_release_stays_pending_until_the_first_response() {
     let back = START + 60_000 * MS;
-    let mut play = Play::new(60, move |id, now| id == EndpointId(17) && now >= back);
+    let mut play = Simulation::new(60, move |id, now| id == EndpointId(17) && now >= back);
     for request in 0..20 {
-        play.owe(request, request % 2 == 0);
+        play.enqueue(request, request % 2 == 0);
     }
     play.until(back);
     assert_eq!(play.let_go.pending(), 20, "nothing is given up");
@@ -226,12 +226,12 @@
 
 /// Hundreds of engines, all silent, one of them back, and nothing else is heard of it: found in some pauses, not in hundreds.
 #[test]
-fn one_of_hundreds_that_is_back_is_found_soon() {
+fn one_recovered_engine_among_hundreds_is_found_soon() {
     for requests in [1, 50] {
         let back = START + 20_000 * MS;
-        let mut play = Play::new(400, move |id, now| id == EndpointId(17) && now >= back);
+        let mut play = Simulation::new(400, move |id, now| id == EndpointId(17) && now >= back);
         for request in 0..requests {
-            play.owe(request, true);
+            play.enqueue(request, true);
         }
         play.until(back);
         let asked = play.asks.len();
@@ -247,9 +247,9 @@
 }
 
 #[test]
-fn what_may_still_be_on_its_way_is_let_go_of_again() {
-    let mut play = Play::new(5, |_, _| true);
-    play.owe(1, false);
+fn reservations_that_may_be_on_their_way_are_released_again() {
+    let mut play = Simulation::new(5, |_, _| true);
+    play.enqueue(1, false);
     play.until(START + 4 * WITHIN);
     let taken: Vec<Micros> = play.taken.iter().map(|t| t.0 - START).collect();
     assert_eq!(taken.len(), 3, "{taken:?}");
@@ -258,7 +258,7 @@
         "{taken:?}"
     );
     // Something more is left after the first was taken: all begins anew, and what is unsure stays so.
-    play.owe(2, false);
+    play.enqueue(2, false);
     play.until(play.now + 10 * MS);
     let before = play.taken.len();
     play.let_go.enqueue(play.now, 2, true);
@@ -268,16 +268,16 @@
 }
 
 #[test]
-fn what_is_needed_again_is_not_let_go_of() {
-    let mut play = Play::new(5, |_, _| true);
-    play.owe(1, false);
+fn a_withdrawn_release_is_not_sent() {
+    let mut play = Simulation::new(5, |_, _| true);
+    play.enqueue(1, false);
     play.until(START + 10 * MS);
     assert!(play.let_go.withdraw(1), "repeats were still to come");
     assert!(!play.let_go.withdraw(1) && !play.let_go.withdraw(2));
     play.until(START + 4 * WITHIN);
     assert_eq!(play.taken.len(), 1);
     // An answer that comes after all changes nothing.
-    play.owe(3, true);
+    play.enqueue(3, true);
     let takers: Vec<ReleaseTarget> = play.takers.values().copied().collect();
     let asks = play.let_go.next_attempts(play.now, &takers);
     play.let_go.withdraw(3);
@@ -290,35 +290,39 @@
 }
 
 #[test]
-fn at_its_bound_the_oldest_is_left_and_named() {
+fn beyond_the_limit_the_oldest_release_is_abandoned() {
     let settings = ReleaseSettings {
         within: WITHIN,
         max_concurrent_attempts: 4,
         max_pending: 3,
     };
-    let mut play = Play::with(settings, 2, |_, _| false);
+    let mut play = Simulation::with(settings, 2, |_, _| false);
     assert_eq!(
-        [play.owe(1, true), play.owe(2, true), play.owe(3, true)],
+        [
+            play.enqueue(1, true),
+            play.enqueue(2, true),
+            play.enqueue(3, true)
+        ],
         [None; 3]
     );
     assert_eq!(
-        play.owe(2, true),
+        play.enqueue(2, true),
         None,
         "one that is owed already takes no more room"
     );
-    assert_eq!(play.owe(4, true), Some(1));
+    assert_eq!(play.enqueue(4, true), Some(1));
     assert_eq!(play.let_go.pending(), 3);
 }
 
 #[test]
-fn a_node_that_ends_lets_go_first_and_does_not_wait_for_ever() {
-    let mut play = Play::new(4, |_, now| now >= START + 1_000 * MS);
-    play.owe(1, true);
+fn a_node_that_shuts_down_releases_first_and_for_a_limited_time() {
+    let mut play = Simulation::new(4, |_, now| now >= START + 1_000 * MS);
+    play.enqueue(1, true);
     play.let_go.shut_down(START);
     play.until(START + 2_500 * MS);
     assert_eq!(play.let_go.pending(), 0, "met while it waits");
-    let mut play = Play::new(4, |_, _| false);
-    play.owe(1, true);
+    let mut play = Simulation::new(4, |_, _| false);
+    play.enqueue(1, true);
     play.let_go.shut_down(START);
     play.until(START + 2_900 * MS);
     assert!(play.let_go.take_abandoned(play.now).is_empty() && play.let_go.pending() == 1);
@@ -330,9 +334,9 @@
 }
 
 #[test]
-fn want_of_a_descriptor_says_nothing_of_an_engine() {
-    let mut play = Play::new(1, |_, _| true);
-    play.owe(1, true);
+fn lack_of_descriptors_does_not_count_against_an_engine() {
+    let mut play = Simulation::new(1, |_, _| true);
+    play.enqueue(1, true);
     let takers: Vec<ReleaseTarget> = play.takers.values().copied().collect();
     let ask = play.let_go.next_attempts(play.now, &takers)[0];
     play.let_go
@@ -348,16 +352,16 @@
 }
 
 #[test]
-fn a_very_short_time_leaves_answers_their_way() {
+fn a_very_short_span_leaves_time_for_answers() {
     for within in [0, MS, 20 * MS] {
         let settings = ReleaseSettings {
             within,
             max_concurrent_attempts: 28,
             max_pending: 10,
         };
-        let mut play = Play::with(settings, 8, |id, _| id.0 <= 6);
+        let mut play = Simulation::with(settings, 8, |id, _| id.0 <= 6);
         play.way = 8 * MS;
-        play.owe(1, true);
+        play.enqueue(1, true);
         play.until(START + 1_000 * MS);
         assert!(
             play.done[&1] <= START + 40 * MS,
@@ -368,9 +372,9 @@
 }
 
 #[test]
-fn without_engines_it_waits_for_some() {
-    let mut play = Play::new(0, |_, _| true);
-    play.owe(1, true);
+fn without_engines_a_release_waits() {
+    let mut play = Simulation::new(0, |_, _| true);
+    play.enqueue(1, true);
     play.until(START + 5_000 * MS);
     assert_eq!((play.let_go.pending(), play.asks.len()), (1, 0));
     let id = EndpointId(1);
@@ -393,7 +397,7 @@
     /// Whatever is silent when: asks stay within the bound, nothing is lost while it is owed, and all is met soon after any
     /// engine answers for good.
     #[test]
-    fn all_is_met_once_one_answers(
+    fn all_releases_are_accepted_once_one_engine_answers(
         engines in 1u64..30,
         owed in 1u64..60,
         most_asks in 1usize..20,
@@ -402,11 +406,11 @@
     ) {
         let settings = ReleaseSettings { within: WITHIN, max_concurrent_attempts: most_asks, max_pending: 1_000 };
         let well = START + 5_000 * MS;
-        let mut play = Play::with(settings, engines, move |id, now| {
+        let mut play = Simulation::with(settings, engines, move |id, now| {
             now >= well && id.0 == 1 || (now - START) / MS % 4_000 < flaps[id.0 as usize % 30] / 2
         });
         for request in 0..owed {
-            play.owe(request, sure);
+            play.enqueue(request, sure);
         }
         play.until(well + 20 * WITHIN + owed * engines * 120 * MS / most_asks as u64);
         prop_assert_eq!(play.let_go.pending(), 0);
--- /dev/null
+++ b/crates/ivyward-core/tests/request_rules.rs
@@ -0,0 +1,466 @@
+//! One or more tests for each of the five rules.
+
+mod common;
+use common::*;
+use ivyward_core::interface::*;
+
+fn endpoints() -> Vec<Endpoint> {
+    vec![server(1, 0), server(2, 0), server(11, 1), server(12, 1)]
+}
+
+#[test]
+fn an_empty_endpoint_list_rejects_at_once_with_retry_after() {
+    let mut harness = Harness::new(settings(), &[]);
+    assert_eq!(harness.ask(arrival(1, 5, 1_000.0)), None);
+    assert!(harness.done.contains(&Action::Reject {
+        request: RequestId(1),
+        retry_after: SECOND / 2
+    }));
+}
+
+#[test]
+fn every_request_gets_one_final_answer_when_all_attempts_fail() {
+    for outcome in [
+        Outcome::Rejected,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Error,
+        Outcome::TimedOut,
+    ] {
+        let mut harness = Harness::new(settings(), &endpoints());
+        harness.ask(arrival(1, 5, 1_000.0));
+        let (mut finals, mut attempt) = (0, 0);
+        while harness.sent().is_some() {
+            harness.now += 10_000;
+            harness.end(1, attempt, outcome);
+            attempt += 1;
+            finals += usize::from(harness.rejected()) + usize::from(harness.failed());
+        }
+        assert_eq!(finals, 1, "{outcome:?}");
+        assert!(attempt <= 4, "{outcome:?}: {attempt} attempts");
+    }
+}
+
+#[test]
+fn an_attempt_timeout_leaves_time_for_another_attempt() {
+    let mut harness = Harness::new(settings(), &endpoints());
+    harness.ask(arrival(1, 5, 1_000.0));
+    let timeout = harness.timeout().unwrap();
+    assert!(timeout > 0 && timeout < 5 * SECOND, "{timeout}");
+}
+
+#[test]
+fn after_the_deadline_a_request_fails_and_nothing_is_sent() {
+    let mut harness = Harness::new(settings(), &endpoints());
+    harness.ask(arrival(1, 5, 1_000.0));
+    harness.now += 6 * SECOND;
+    assert_eq!(harness.end(1, 0, Outcome::TimedOut), None);
+    assert!(harness.failed() || harness.rejected());
+}
+
+/// Brings a request of a class to a writer and ends that attempt.
+fn after_decode_outcome(
+    class: usize,
+    outcome: Outcome,
+) -> (Harness, EndpointId, Option<EndpointId>) {
+    let mut far = server(12, 1);
+    far.zone = 1;
+    let mut harness = Harness::new(
+        settings(),
+        &[server(1, 0), server(2, 0), server(11, 1), far],
+    );
+    harness.ask(Request {
+        class,
+        ..arrival(1, 5, 1_000.0)
+    });
+    let writer = harness.end(1, 0, Outcome::Prefilled).unwrap();
+    harness.now += 100_000;
+    let next = harness.end(1, 1, outcome);
+    (harness, writer, next)
+}
+
+#[test]
+fn a_non_idempotent_request_that_may_have_run_fails_without_retry_or_rejection() {
+    for outcome in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
+        let (harness, _, next) = after_decode_outcome(1, outcome);
+        assert_eq!(next, None, "{outcome:?}");
+        assert!(harness.failed() && !harness.rejected(), "{outcome:?}");
+    }
+}
+
+#[test]
+fn a_non_idempotent_request_that_never_ran_is_retried() {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
+        let (_, writer, next) = after_decode_outcome(1, outcome);
+        assert!(next.is_some() && next != Some(writer), "{outcome:?}");
+    }
+}
+
+#[test]
+fn a_prefill_may_be_repeated() {
+    let mut harness = Harness::new(settings(), &endpoints());
+    let reader = harness
+        .ask(Request {
+            class: 1,
+            ..arrival(1, 5, 1_000.0)
+        })
+        .unwrap();
+    let next = harness.end(1, 0, Outcome::TimedOut);
+    assert!(next.is_some() && next != Some(reader));
+}
+
+#[test]
+fn a_keyed_request_is_retried_within_its_deduplication_scope_and_window() {
+    // Only one writer a zone: after a reset nothing in the group is left but the one that broke.
+    let (harness, _, next) = after_decode_outcome(2, Outcome::Reset);
+    assert_ne!(next, Some(EndpointId(11)));
+    assert_ne!(next, Some(EndpointId(12)));
+    assert!(
+        !harness.rejected(),
+        "a refusal would promise too much for a zonal group"
+    );
+}
+
+/// A place that was held before another writer may have run the request is no way out of its group.
+#[test]
+fn a_keyed_retry_uses_no_slot_reserved_outside_its_scope() {
+    let writers = [
+        server(11, 1),
+        Endpoint {
+            zone: 1,
+            ..server(12, 1)
+        },
+    ];
+    let mut harness = Harness::new(
+        Settings {
+            reserve_decode_slot: true,
+            ..settings()
+        },
+        &[server(1, 0), writers[0], writers[1]],
+    );
+    harness.ask(Request {
+        class: 2,
+        ..arrival(1, 5, 1_000.0)
+    });
+    let held = harness.done.iter().find_map(|a| match a {
+        Action::Reserve {
+            endpoint: server, ..
+        } => Some(*server),
+        _ => None,
+    });
+    let held = held.expect("a place is asked for");
+    let entry = writers.into_iter().find(|w| w.id == held).unwrap();
+    harness.endpoints(
+        ListKind::Changes,
+        &[Endpoint {
+            state: EndpointState::Draining,
+            ..entry
+        }],
+    );
+    let ran_at = harness.end(1, 0, Outcome::Prefilled).unwrap();
+    assert_ne!(ran_at, held);
+    harness.endpoints(ListKind::Changes, &[entry]);
+    harness.now += 100_000;
+    assert_ne!(
+        harness.end(1, 1, Outcome::Reset),
+        Some(held),
+        "it is in another zone"
+    );
+}
+
+/// Nor is a writer that came to hold its session meanwhile.
+#[test]
+fn a_keyed_retry_follows_no_session_out_of_its_scope() {
+    // Without readers both turns are read where they are written.
+    let far = Endpoint {
+        zone: 1,
+        ..server(12, 1)
+    };
+    let mut harness = Harness::new(settings(), &[server(11, 1), far]);
+    let shared = Request {
+        prefix_tokens: 7_000.0,
+        ..arrival(1, 5, 8_000.0)
+    };
+    assert_eq!(
+        harness.ask(Request { class: 2, ..shared }),
+        Some(EndpointId(11)),
+        "the writer of this zone"
+    );
+    // Another turn of the session is written by the far one.
+    harness.endpoints(
+        ListKind::Changes,
+        &[Endpoint {
+            state: EndpointState::Draining,
+            ..server(11, 1)
+        }],
+    );
+    assert_eq!(
+        harness.ask(Request {
+            id: RequestId(2),
+            ..shared
+        }),
+        Some(EndpointId(12))
+    );
+    harness.first(2, 0);
+    harness.end(2, 0, Outcome::Served);
+    assert_ne!(
+        harness.end(1, 0, Outcome::Reset),
+        Some(EndpointId(12)),
+        "it is in another zone"
+    );
+}
+
+/// Once a keyed request may have run, whatever is sent for it stays in its group and window: reads as well.
+#[test]
+fn a_keyed_retry_is_prefilled_within_its_scope_too() {
+    let reader = |id: u64, zone: u8, state| Endpoint {
+        zone,
+        state: state,
+        ..server(id, 0)
+    };
+    for zone in [0, 1] {
+        // Without readers the first attempt is read where it is written.
+        let mut harness = Harness::new(settings(), &[server(11, 1)]);
+        assert_eq!(
+            harness.ask(Request {
+                class: 2,
+                ..arrival(1, 5, 1_000.0)
+            }),
+            Some(EndpointId(11))
+        );
+        harness.endpoints(ListKind::Changes, &[reader(1, zone, EndpointState::Ready)]);
+        let sent = harness.now;
+        harness.now += 100_000;
+        let next = harness.end(1, 0, Outcome::Reset);
+        assert_eq!(next, (zone == 0).then_some(EndpointId(1)), "zone {zone}");
+        if zone == 0 {
+            let send_deadline = harness.send_deadline().unwrap();
+            assert!(
+                send_deadline > harness.now && send_deadline <= sent + 5 * SECOND,
+                "{send_deadline}"
+            );
+        }
+    }
+}
+
+/// The window counts from the first attempt that may have run, and holds until the repeat's last byte has left: a dial may
+/// take long.
+#[test]
+fn a_keyed_retry_is_sent_within_its_deduplication_window() {
+    let mut settings = settings();
+    settings.classes[2] = ClassSettings {
+        deduplication_window: SECOND,
+        ..class(Idempotency::WithKey)
+    };
+    let mut harness = Harness::new(settings, &endpoints());
+    harness.ask(Request {
+        class: 2,
+        ..arrival(1, 5, 1_000.0)
+    });
+    assert!(harness.end(1, 0, Outcome::Prefilled).is_some());
+    let sent = harness.now;
+    harness.now += 900_000;
+    assert!(
+        harness.end(1, 1, Outcome::Reset).is_some(),
+        "sent on within the window"
+    );
+    let send_deadline = harness.send_deadline().unwrap();
+    assert!(
+        send_deadline > harness.now && send_deadline <= sent + SECOND,
+        "{send_deadline} after {sent}"
+    );
+    harness.now = sent + SECOND;
+    assert_eq!(
+        harness.end(1, 2, Outcome::ConnectFailed),
+        None,
+        "the window is over"
+    );
+}
+
+#[test]
+fn nothing_is_sent_to_a_draining_or_removed_endpoint() {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
+        let mut harness = Harness::new(settings(), &endpoints());
+        let writer = harness.turn(1, 5, 2_000.0);
+        harness.endpoints(
+            ListKind::Changes,
+            &[Endpoint {
+                state: state,
+                ..server(1, 0)
+            }],
+        );
+        harness.endpoints(
+            ListKind::Changes,
+            &[Endpoint {
+                state: state,
+                ..server(writer.0, 1)
+            }],
+        );
+        for id in 2..30 {
+            let reader = harness.ask(arrival(id, 5, 2_100.0));
+            assert_eq!(reader, Some(EndpointId(2)), "{state:?}");
+            let next = harness.end(id, 0, Outcome::Prefilled);
+            assert!(next.is_some() && next != Some(writer), "{state:?}");
+            harness.end(id, 1, Outcome::Rejected);
+        }
+    }
+}
+
+#[test]
+fn an_endpoint_missing_from_a_full_list_is_removed() {
+    let mut harness = Harness::new(settings(), &endpoints());
+    harness.endpoints(ListKind::Full, &[server(2, 0), server(12, 1)]);
+    for id in 0..20 {
+        assert_eq!(harness.ask(arrival(id, id, 1_000.0)), Some(EndpointId(2)));
+    }
+}
+
+#[test]
+fn a_cold_endpoint_gets_its_share_of_the_budget_and_no_more() {
+    let mut harness = Harness::new(settings(), &endpoints());
+    for id in 0..100 {
+        harness.turn(id, 1_000 + id, 1_000.0);
+    }
+    let cold = Endpoint {
+        started_at: harness.now,
+        ..server(13, 1)
+    };
+    harness.endpoints(ListKind::Changes, &[cold]);
+    // A burst of 60 within one window; the usual is about 3 a window for each writer.
+    let mut to_cold = 0;
+    for id in 200..260 {
+        harness.ask(arrival(id, 1_000 + id, 1_000.0));
+        harness.now += 1_000;
+        to_cold += usize::from(harness.end(id, 0, Outcome::Prefilled) == Some(EndpointId(13)));
+    }
+    assert!(
+        (1..=4).contains(&to_cold),
+        "{to_cold} of 60 sent to the cold writer"
+    );
+}
+
+#[test]
+fn reservations_are_released_unless_a_first_token_came() {
+    // No writer: the read state cannot be taken.
+    let mut harness = Harness::new(settings(), &[server(1, 0), server(11, 1)]);
+    harness.ask(arrival(1, 5, 1_000.0));
+    harness.endpoints(
+        ListKind::Changes,
+        &[Endpoint {
+            state: EndpointState::Removed,
+            ..server(11, 1)
+        }],
+    );
+    harness.end(1, 0, Outcome::Prefilled);
+    assert!(harness.rejected() && harness.released());
+    // The client leaves during the read: let go then, and again when the state turns up late.
+    let mut harness = Harness::new(settings(), &endpoints());
+    harness.ask(arrival(1, 5, 1_000.0));
+    harness.event(Event::ClientDisconnected(RequestId(1)));
+    assert!(harness.released());
+    assert_eq!(harness.end(1, 0, Outcome::Prefilled), None);
+    assert!(harness.released() && !harness.rejected() && !harness.failed());
+}
+
+#[test]
+fn a_lost_kv_state_is_prefilled_again() {
+    let (_, _, next) = after_decode_outcome(0, Outcome::KvCacheMiss);
+    assert!(next.is_some_and(|s| s.0 < 10));
+}
+
+/// A cut leaves one writer after the other without a connection. Each dial alone is within its time.
+#[test]
+fn failed_connections_in_a_row_do_not_hold_kv_state_past_its_time() {
+    for outcome in [Outcome::Prefilled, Outcome::Reset, Outcome::TimedOut] {
+        for class in [0, 1] {
+            let many: Vec<Endpoint> = (1..10)
+                .map(|i| server(i, 0))
+                .chain((11..20).map(|i| server(i, 1)))
+                .collect();
+            let settings = Settings {
+                in_flight_after_last_byte: true,
+                max_attempts: 9,
+                ..settings()
+            };
+            let mut harness = Harness::new(settings, &many);
+            harness.ask(Request {
+                class,
+                ..arrival(1, 5, 1_000.0)
+            });
+            assert_eq!(harness.send_deadline(), Some(0), "nothing is held yet");
+            harness.now += 50_000;
+            harness.end(1, 0, outcome);
+            let (held, mut attempt) = (harness.now, 1);
+            while !harness.released() {
+                let send_deadline = harness.send_deadline().expect("sent on");
+                assert!(
+                    send_deadline > harness.now && send_deadline <= held + 300_000,
+                    "{outcome:?}: {send_deadline} after {held}"
+                );
+                harness.now = send_deadline;
+                harness.end(1, attempt, Outcome::ConnectFailed);
+                attempt += 1;
+            }
+            assert!((3..6).contains(&attempt), "{outcome:?}: {attempt}");
+            assert!(
+                harness.now <= held + 250_000,
+                "{outcome:?}: {} us leave no time to let go",
+                harness.now - held
+            );
+            // What was let go of is not there any more: it is read again.
+            assert!(
+                harness.sent().is_some_and(|s| s.0 < 10) && harness.send_deadline() == Some(0),
+                "{outcome:?}"
+            );
+        }
+    }
+}
+
+/// An attempt that came to its server starts the time anew, and one attempt alone has all that is left.
+#[test]
+fn reservation_time_counts_from_the_last_attempt_that_reached_an_endpoint() {
+    let many: Vec<Endpoint> = (1..3)
+        .map(|i| server(i, 0))
+        .chain((11..16).map(|i| server(i, 1)))
+        .collect();
+    let settings = Settings {
+        in_flight_after_last_byte: true,
+        max_attempts: 4,
+        ..settings()
+    };
+    let mut harness = Harness::new(settings.clone(), &many);
+    harness.ask(arrival(1, 5, 1_000.0));
+    harness.end(1, 0, Outcome::Prefilled);
+    harness.now += 100_000;
+    harness.end(1, 1, Outcome::ConnectFailed);
+    harness.now += 50_000;
+    harness.end(1, 2, Outcome::Rejected);
+    assert_eq!(
+        harness.send_deadline(),
+        Some(harness.now + 210_000),
+        "the last attempt"
+    );
+    assert!(!harness.released());
+    // Where an attempt is out from its send, dials take what they take.
+    let mut harness = Harness::new(
+        Settings {
+            in_flight_after_last_byte: false,
+            ..settings
+        },
+        &many,
+    );
+    harness.ask(arrival(1, 5, 1_000.0));
+    harness.end(1, 0, Outcome::Prefilled);
+    harness.now += 250_000;
+    harness.end(1, 1, Outcome::ConnectFailed);
+    harness.now += 250_000;
+    assert!(harness
+        .end(1, 2, Outcome::ConnectFailed)
+        .is_some_and(|s| s.0 > 10));
+    assert!(!harness.released() && harness.send_deadline() == Some(0));
+}
--- a/crates/ivyward-core/tests/start_time_and_update_interval.rs
+++ b/crates/ivyward-core/tests/start_time_and_update_interval.rs
@@ -21,8 +21,7 @@
 
 /// Guards against a wall clock an hour ahead of the engines': one that has just come would count as warm.
 #[test]
-fn one_that_is_new_to_a_list_that_is_followed_started_no_earlier_than_the_list_was_heard_without_it(
-) {
+fn a_new_engine_of_a_followed_list_started_after_the_last_list_without_it() {
     let mut starts = StartTimes::new();
     starts.resolve_listed(&entry(1, UNIX), NOW, UNIX);
     starts.complete_list(|_| true);
@@ -63,7 +62,7 @@
 
 /// Guards against a wall clock an hour behind: every engine that started within that hour would count as cold for it.
 #[test]
-fn nobody_starts_in_the_future() {
+fn no_engine_starts_in_the_future() {
     let mut starts = StartTimes::new();
     assert_eq!(
         starts.resolve_listed(&entry(1, UNIX), NOW, UNIX - HOUR),
@@ -77,7 +76,7 @@
 }
 
 #[test]
-fn in_the_first_list_an_age_is_taken_at_its_word() {
+fn in_the_first_list_a_reported_age_is_believed() {
     let mut starts = StartTimes::new();
     assert_eq!(
         starts.resolve(&entry(1, UNIX - 5_000_000), NOW, UNIX, WARM),
@@ -108,7 +107,7 @@
 /// Guards against an engine whose clock is an hour behind: it has just started, looks long warm, and all nodes would
 /// push it over.
 #[test]
-fn who_is_new_has_just_started_whatever_its_clock_says() {
+fn a_new_engine_has_just_started_whatever_its_clock_says() {
     let mut starts = StartTimes::new();
     starts.resolve(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
     starts.complete_list(|id| id.0 == 1);
@@ -130,7 +129,7 @@
 /// Guards against a lease that was lost, or a store that came back empty: the same process registers again, and is as
 /// warm as it was.
 #[test]
-fn who_comes_back_as_it_was_keeps_its_age() {
+fn a_returning_process_keeps_its_age() {
     let mut starts = StartTimes::new();
     starts.resolve(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
     starts.resolve(&entry(2, UNIX - 1), NOW, UNIX, WARM);
@@ -155,7 +154,7 @@
 }
 
 #[test]
-fn those_that_left_are_remembered_in_bounded_number() {
+fn removed_engines_are_remembered_in_bounded_number() {
     let mut starts = StartTimes::new();
     let many = MAX_REMEMBERED as u64 + 10;
     for id in 0..many {
@@ -184,7 +183,7 @@
 }
 
 #[test]
-fn cheap_lists_are_passed_on_at_once() {
+fn cheap_lists_are_delivered_at_once() {
     let mut pace = pace();
     assert_eq!(pace.due(100, false), 100);
     pace.delivered(100, 200);
@@ -192,7 +191,7 @@
 }
 
 #[test]
-fn costly_lists_take_their_share_and_urgent_notices_wait_a_stated_time_at_most() {
+fn costly_lists_keep_to_their_share_and_urgent_changes_wait_at_most_the_urgent_delay() {
     let mut pace = pace();
     pace.delivered(0, 1_000);
     assert_eq!(pace.due(1_001, false), 4_000);
@@ -212,7 +211,7 @@
 proptest! {
     /// Whatever lists cost and whenever changes come: the share is kept, but for urgent ones and the longest wait.
     #[test]
-    fn lists_keep_to_their_share(steps in prop::collection::vec((1u64..20_000, 0u64..50_000), 1..200)) {
+    fn lists_keep_to_their_time_share(steps in prop::collection::vec((1u64..20_000, 0u64..50_000), 1..200)) {
         let (mut pace, mut now, mut spent) = (pace(), 0, 0);
         let mut first = None;
         for (cost, gap) in steps {
