--- a/crates/ivyward-core/tests/membership.rs
+++ b/crates/ivyward-core/tests/membership.rs
@@ -11,7 +11,7 @@
 fn member(id: u64, revision: i64, state: EndpointState) -> Member {
     let entry = Endpoint {
         id: EndpointId(id),
-        state: state,
+        state,
         weight: 1.0,
         started_at: 1,
         ..Endpoint::default()
--- a/crates/ivyward-core/tests/request_rules.rs
+++ b/crates/ivyward-core/tests/request_rules.rs
@@ -220,7 +220,7 @@
 fn a_keyed_retry_is_prefilled_within_its_scope_too() {
     let reader = |id: u64, zone: u8, state| Endpoint {
         zone,
-        state: state,
+        state,
         ..server(id, 0)
     };
     for zone in [0, 1] {
@@ -290,14 +290,14 @@
         harness.endpoints(
             ListKind::Changes,
             &[Endpoint {
-                state: state,
+                state,
                 ..server(1, 0)
             }],
         );
         harness.endpoints(
             ListKind::Changes,
             &[Endpoint {
-                state: state,
+                state,
                 ..server(writer.0, 1)
             }],
         );
