--- a/crates/ivyward-core/tests/bad_input.rs
+++ b/crates/ivyward-core/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Odd events for the module.
+//! Malformed and extreme events.
 
 mod common;
 use common::*;
--- a/crates/ivyward-core/tests/cold_endpoint_budget.rs
+++ b/crates/ivyward-core/tests/cold_endpoint_budget.rs
@@ -1,31 +1,31 @@
-//! What all processes together send to one cold server, against the settings' budget N: beyond it only 2 * sqrt(N) + 2 is
-//! chance, with one, two, twenty, thirty or three hundred processes. That is the term for budgets of 30 calls and more; under 30,
-//! where 3 * sqrt(N) + 3 would do, the same bound is held to.
+//! What all nodes together send to one cold endpoint, against its budget N: at most 2 * sqrt(N) + 2 beyond it is chance,
+//! with one, two, twenty, thirty or three hundred nodes. That is the bound for budgets of 30 requests and more; the same is
+//! required under 30, where 3 * sqrt(N) + 3 would do.
 //!
-//! `IVYWARD_SEEDS` sets how many seeds are played (a few without it); `--nocapture` prints the distribution.
+//! `IVYWARD_SEEDS` sets the number of seeds (a few without it); `--nocapture` prints the distribution.
 
 mod common;
 use common::multi_node::*;
 use common::*;
 use ivyward_core::interface::*;
 
-/// What is played. Each begins with a fleet of 20 readers and 20 writers that are loaded as much as they bear.
+/// A load scenario. Each begins with 20 prefill and 20 decode endpoints at full load.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     nodes: u32,
     /// Requests a second over all nodes.
     rate: f64,
-    /// So many of each role start anew.
+    /// How many endpoints of each role start.
     cold: u64,
-    /// Requests come so many times as often from then on.
+    /// From then on the request rate is multiplied by this.
     storm: f64,
-    /// Some nodes see several times what others do.
+    /// Some nodes get several times the traffic of others.
     uneven: bool,
-    /// Three in ten requests begin with one opening.
+    /// Three in ten requests share one prefix.
     hot: bool,
-    /// Seven in ten nodes are there anew a second after.
+    /// Seven in ten nodes restart a second later.
     restarts: bool,
-    /// The old servers of one role leave as new ones come.
+    /// The old endpoints of one role are removed as new ones start.
     replaced: bool,
 }
 
@@ -40,7 +40,7 @@
     replaced: false,
 };
 
-/// The most sends in a window to any cold server over the budget that it has then, in roots of that budget.
+/// The most sends in a window to any cold endpoint beyond its budget, in square roots of that budget.
 fn worst(seed: u64, scenario: Scenario) -> (f64, f64) {
     let set = settings();
     let every = |nodes: u32, rate: f64| (f64::from(nodes) / rate * SECOND as f64) as Micros;
@@ -98,7 +98,7 @@
     for server in (21..=20 + scenario.cold).flat_map(|n| [n, 100 + n]) {
         let times = simulation.sends.get(&server).cloned().unwrap_or_default();
         for (i, from) in times.iter().enumerate() {
-            // The share that it surely has: the told line is three quarters of what it may be.
+            // The share that it is sure to have: three quarters of linear growth.
             let age = (from.saturating_sub(at - SECOND / 2)) as f64 / set.warm_up_duration as f64;
             if age >= 1.0 {
                 break;
--- a/crates/ivyward-core/tests/cold_endpoints.rs
+++ b/crates/ivyward-core/tests/cold_endpoints.rs
@@ -1,4 +1,4 @@
-//! Fleets of which much or all has just started, as many nodes meet them, each knowing only its own traffic.
+//! Clusters in which many or all endpoints have just started, used by many nodes that each know only their own traffic.
 
 mod common;
 use common::multi_node::*;
--- a/crates/ivyward-core/tests/common/mod.rs
+++ b/crates/ivyward-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small harness: a router, its clock, and what it did at the last event.
+//! A test harness: a router, its clock, and its actions at the last event.
 #![allow(dead_code)]
 
 pub mod multi_node;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Kinds: 0 prefill, 1 decode, 2 mixed. Classes: 0 safe, 1 unsafe, 2 keyed within a zone.
+/// Machine types: 0 prefill, 1 decode, 2 mixed. Classes: 0 idempotent, 1 non-idempotent, 2 with key within a zone.
 pub fn settings() -> Settings {
     let zonal = ClassSettings {
         deduplication_scope: DeduplicationScope::Zone,
@@ -90,7 +90,7 @@
         harness.endpoints(ListKind::Full, servers);
         harness
     }
-    /// Gives an event and keeps what it led to.
+    /// Passes in an event and keeps the resulting actions.
     pub fn event(&mut self, event: Event) -> &[Action] {
         self.done.clear();
         self.router.handle(self.now, event, &mut self.done);
@@ -167,7 +167,7 @@
             .iter()
             .any(|a| matches!(a, Action::ReleaseReservation(_)))
     }
-    /// A whole remote turn: read, written, served. Returns the writer.
+    /// A complete remote turn: prefilled, decoded, served. Returns the decode endpoint.
     pub fn turn(&mut self, id: u64, session: u64, prompt: f64) -> EndpointId {
         self.ask(arrival(id, session, prompt))
             .expect("sent to a reader");
--- a/crates/ivyward-core/tests/common/multi_node.rs
+++ b/crates/ivyward-core/tests/common/multi_node.rs
@@ -1,11 +1,11 @@
-//! Many nodes, each knowing only its own traffic, at servers that take any amount of work.
+//! Many nodes, each knowing only its own traffic, with endpoints that take any amount of work.
 
 use super::*;
 use std::collections::{BTreeMap, BinaryHeap};
 
 pub const START: Micros = 100 * SECOND;
 
-/// What is to happen at a node: an arrival, an attempt's end after a read, a first token, an answer's end.
+/// The next event at a node: an arrival, the end of a prefill, a first token, the end of a response.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Arrival,
@@ -14,17 +14,17 @@
     Served(u64, u16),
 }
 
-/// Nodes, and servers that take any amount of work in a fixed time: what is looked at is who gets how much.
+/// Nodes, and endpoints that take any amount of work in a fixed time; measures how much each endpoint gets.
 pub struct MultiNodeSimulation {
     pub nodes: Vec<Harness>,
     due: BinaryHeap<(std::cmp::Reverse<Micros>, usize, Due)>,
     next: u64,
-    /// Sends to each server.
+    /// Times of the sends to each endpoint.
     pub sends: BTreeMap<u64, Vec<Micros>>,
     pub rejected: usize,
     pub arrived: usize,
     kinds: BTreeMap<u64, u8>,
-    /// A node gets a request once in its span times this.
+    /// A node gets a request once in its interval times this.
     pub pace: Vec<f64>,
     /// The prefix of a request, by its number.
     pub prefix: fn(u64) -> u64,
@@ -33,7 +33,7 @@
 }
 
 impl MultiNodeSimulation {
-    /// `every` node gets a request once in so many microseconds, their first ones spread over that span.
+    /// Each node gets a request once in `every` microseconds, the first ones spread over that time.
     pub fn new(nodes: u32, every: Micros, endpoints: &[Endpoint]) -> MultiNodeSimulation {
         MultiNodeSimulation::seeded(0, nodes, every, endpoints)
     }
@@ -81,7 +81,7 @@
         simulation
     }
 
-    /// A node is there anew: it knows the list and nothing of what its process before did.
+    /// Restarts a node: it knows the list and nothing of its earlier process.
     pub fn restart(&mut self, node: usize, at: Micros, list: &[Endpoint]) {
         self.restarts_so_far += 1;
         let nodes = self.nodes.len() as u32;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Plays until `end`.
+    /// Simulates until `end`.
     pub fn play(&mut self, end: Micros, every: Micros) {
         while let Some((at, node, due)) = self.due.pop() {
             if at.0 >= end {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The most that a server got within the window of rule 4, from `from` on.
+    /// The most requests that an endpoint got within one overload window, from `from` on.
     pub fn max_sends_in_a_window(&self, server: u64, from: Micros) -> usize {
         let times: Vec<Micros> = self
             .sends
@@ -208,7 +208,7 @@
     }
 }
 
-/// Readers 1 to 20 and writers 101 to 120, or a part of them, that started then.
+/// Prefill endpoints 1 to 20 and decode endpoints 101 to 120, or a part of them, that started then.
 pub fn both(numbers: std::ops::RangeInclusive<u64>, at: Micros) -> Vec<Endpoint> {
     numbers
         .flat_map(|n| [started(n, 0, at), started(100 + n, 1, at)])
--- a/crates/ivyward-core/tests/connection_reuse.rs
+++ b/crates/ivyward-core/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Kept connections: which idle times are used, by what was seen of them.
+//! Idle connections: which idle times are used, by the failures observed.
 
 use ivyward_core::connection_reuse::ReuseHistory;
 
--- a/crates/ivyward-core/tests/health.rs
+++ b/crates/ivyward-core/tests/health.rs
@@ -1,4 +1,4 @@
-//! Servers that hang, jam, or come back; overload.
+//! Endpoints that hang, are overloaded, or recover; load shedding.
 
 mod common;
 use common::*;
@@ -17,7 +17,7 @@
 
 const TICK: u64 = 1;
 
-/// A reader that takes work and answers none, while its peers answer, loses what waits there and gets no more.
+/// A prefill endpoint that takes work and answers none, while others answer, loses what waits there and gets no more.
 #[test]
 fn a_hung_prefill_endpoint_is_detected_and_avoided() {
     let mut harness = Harness::new(settings(), &endpoints());
@@ -65,7 +65,7 @@
     }
 }
 
-/// Suspicion must never empty a pool: with every reader doubted one of them is still used.
+/// Ejection must never empty a pool: with every prefill endpoint ejected one of them is still used.
 #[test]
 fn ejection_does_not_empty_a_pool() {
     let mut harness = Harness::new(settings(), &endpoints());
@@ -85,7 +85,7 @@
     harness.end(1, 0, Outcome::ConnectFailed);
     assert_ne!(harness.ask(arrival(2, 2, 1_000.0)), Some(home));
     harness.event(Event::ClientDisconnected(RequestId(2)));
-    // A node that has got nothing done yet waits for the told time to warm, and no longer.
+    // A node without completed work waits for the warm-up duration, and no longer.
     harness.now += 11 * SECOND;
     assert_eq!(harness.ask(arrival(3, 3, 1_000.0)), Some(home), "one trial");
     harness.end(3, 0, Outcome::Prefilled);
@@ -101,7 +101,7 @@
 fn overload_is_shed_in_part_and_shedding_ends() {
     let mut harness = Harness::new(settings(), &endpoints());
     let mut rejected = 0;
-    // One arrival each tenth of a second; first tokens come two seconds, twice the aim, after it.
+    // One arrival each tenth of a second; first tokens come two seconds, twice the objective, after it.
     for id in 0..100u64 {
         harness.now += SECOND / 10;
         harness.ask(arrival(id, id, 1_000.0));
@@ -131,7 +131,7 @@
     }
 }
 
-/// Retries of what is already late keep a jam alive (incident if50adb): while much is refused, nothing is read again.
+/// Retries of late requests keep an overload alive (incident if50adb): while many are rejected, nothing is prefilled again.
 #[test]
 fn a_late_prefill_is_not_repeated_under_overload() {
     let mut harness = Harness::new(settings(), &endpoints());
@@ -160,7 +160,7 @@
     );
 }
 
-/// Waits that grow everywhere at once are a jam: reading each prompt anew elsewhere would only add to it.
+/// Waits that grow everywhere at once are an overload: prefilling each prompt again elsewhere would only add to it.
 #[test]
 fn attempts_are_not_cancelled_repeatedly_when_all_prefill_endpoints_are_overloaded() {
     let readers: Vec<Endpoint> = (1..=30)
@@ -197,7 +197,7 @@
     );
 }
 
-/// A writer that answers every request with an error at once has the fewest streams of all, and would draw all requests.
+/// An endpoint that fails every request at once has the fewest streams of all, and would attract all requests.
 /// What may be sent again finds out; what may not is never the trial.
 #[test]
 fn an_endpoint_that_fails_at_once_gets_no_non_idempotent_requests() {
--- a/crates/ivyward-core/tests/invariants.rs
+++ b/crates/ivyward-core/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The guard of the rules, by synthetic steps: each rule has a step that it forbids and its neighbour that it lets pass.
+//! The guard of the invariants: for each rule a step that it forbids, and a similar one that it allows.
 
 mod common;
 
@@ -23,7 +23,7 @@
 };
 const REQUEST: RequestId = RequestId(9);
 
-/// A node that serves, with a reader and a writer in zone 0 and a writer in zone 1, and one request.
+/// A serving node with a prefill and a decode endpoint in zone 0, a decode endpoint in zone 1, and one request.
 fn serving(class: usize) -> Guard {
     let mut guard = Guard::new(&settings());
     let far = Endpoint {
@@ -164,7 +164,7 @@
         ..server(2, 1)
     };
     guard.listed(SECOND, ListKind::Changes, &[drains]);
-    // Told again, it drains no later.
+    // Reported again, its grace does not start anew.
     guard.listed(2 * SECOND, ListKind::Full, &[server(1, 0), drains]);
     assert!(guard.clone().send(2 * SECOND, REQUEST, 0, DECODE).is_ok());
     assert_eq!(
--- a/crates/ivyward-core/tests/keepalive.rs
+++ b/crates/ivyward-core/tests/keepalive.rs
@@ -1,4 +1,4 @@
-//! The schedule of checks, by synthetic times.
+//! The schedule of connection checks.
 
 use ivyward_core::keepalive::*;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     (0..times.len()).map(from).max().unwrap_or(0)
 }
 
-/// Plays connections that rest from `since` on until `until`; when each was checked.
+/// Simulates connections that are idle from `since` until `until`; returns when each was checked.
 fn checks(keepalive: &mut Keepalive, connections: usize, since: u64, until: u64) -> Vec<Vec<u64>> {
     let mut random = 1_u64;
     let mut jitter = move || {
@@ -144,7 +144,7 @@
             "silent {silent}"
         );
     }
-    // A clock that is behind what was heard.
+    // A clock that is behind the last response.
     assert_eq!(keepalive.before_use(now, now + SECOND), BeforeUse::Nothing);
 }
 
--- a/crates/ivyward-core/tests/locality.rs
+++ b/crates/ivyward-core/tests/locality.rs
@@ -1,11 +1,11 @@
-//! Where prompts are read among racks and zones: by nothing until first tokens tell that one kind of place is jammed.
+//! Where prompts are prefilled among racks and zones: locality counts only once first tokens show a difference.
 
 mod common;
 use common::*;
 use ivyward_core::interface::*;
 use ivyward_core::router::Router;
 
-/// Ten readers beside all writers (rack 1), and ten beside none (rack 2).
+/// Ten prefill endpoints in the rack of all decode endpoints (rack 1), and ten in a rack without any (rack 2).
 fn racks() -> Vec<Endpoint> {
     let at = |id, kind, cell| Endpoint {
         rack: cell,
@@ -17,8 +17,8 @@
     endpoints
 }
 
-/// Plays requests of openings of their own, whose first tokens take as long as `takes` says of their reader. Returns the part
-/// of reads at readers for which `counts`, in the last third.
+/// Simulates requests with distinct prefixes, whose first tokens take as long as `takes` says of their prefill endpoint.
+/// Returns the share of prefills at endpoints for which `counts`, in the last third.
 fn played(
     cfg: Settings,
     endpoints: &[Endpoint],
@@ -57,8 +57,8 @@
 
 const QUICK: Micros = SECOND / 20;
 
-/// Guards against racks without writers that idle while the readers of the others are jammed: of 93 readers 35 stood in racks
-/// with writers, got three quarters of all reads and were late, and the rest waited for work.
+/// Guards against idle prefill endpoints in racks without decode endpoints: of 93 prefill endpoints 35 stood in racks with
+/// decode endpoints, got three quarters of all prefills and were late, and the rest waited for work.
 #[test]
 fn racks_do_not_count_without_latency_differences() {
     let part = played(settings(), &racks(), |_| QUICK, |id| id <= 10);
@@ -68,7 +68,7 @@
     );
 }
 
-/// States that cross racks wait for a link: what is read beside no writers comes late, and moves beside them.
+/// KV states that cross racks wait for a link: first tokens of remote prefills are late, so prefills move near decode.
 #[test]
 fn prefills_move_near_decode_endpoints_when_links_between_racks_are_slow() {
     let part = played(
--- a/crates/ivyward-core/tests/long_poll.rs
+++ b/crates/ivyward-core/tests/long_poll.rs
@@ -1,10 +1,10 @@
-//! The pace at which a list is followed, against the time in which a change has to be known.
+//! Timing of long polls against the time within which a change must be known.
 
 use ivyward_core::long_poll::{CallFailure, LongPoll};
 
 const CONFIGURED: u64 = 6_000_000;
 
-/// One call that falls silent as it begins and three more that nobody answers leave time for the list itself.
+/// One call that falls silent as it begins and three more without answer leave time for the list itself.
 #[test]
 fn four_silent_calls_fit_into_the_configured_time() {
     let watch = LongPoll::new(CONFIGURED, true, 1);
--- a/crates/ivyward-core/tests/many_nodes.rs
+++ b/crates/ivyward-core/tests/many_nodes.rs
@@ -48,11 +48,11 @@
             sent += u32::from(harness.end(id, 0, Outcome::Prefilled) == Some(EndpointId(31)));
         }
     }
-    // 150 requests a second on 20 writers: a warm one does 22.5 in a window of 3 s; 2.5 times 0.3 of it is 17.
+    // 150 requests a second on 20 decode endpoints: a warm one gets 22.5 in a window of 3 s; 2.5 times 0.3 of it is 17.
     assert!((1..=17).contains(&sent), "{sent} sent to the cold server");
 }
 
-/// Equal writers are drawn by lot: a fixed order among equals would send all nodes to the same server.
+/// Equal decode endpoints are chosen at random: a fixed order would send all nodes to the same one.
 #[test]
 fn nodes_do_not_all_choose_the_same_decode_endpoint() {
     let endpoints = [
@@ -85,7 +85,7 @@
     );
 }
 
-/// States stay in the rack of their reader while its writers are as free as others (incident i31fe7b).
+/// KV states stay in the rack of their prefill endpoint while its decode endpoints are as free as others (incident i31fe7b).
 #[test]
 fn a_node_with_little_traffic_keeps_kv_states_in_their_rack() {
     let near = |id, kind, cell| Endpoint {
@@ -112,7 +112,7 @@
     assert!(writers.iter().all(|w| *w < 20), "{writers:?}");
 }
 
-/// Told weights compare servers of one kind: a kind of small numbers is not a kind of small servers.
+/// Configured weights compare endpoints of one machine type: small numbers don't mean small machines.
 #[test]
 fn weights_of_two_machine_types_are_not_compared() {
     let weighed = |id, kind, weight| Endpoint {
--- a/crates/ivyward-core/tests/membership.rs
+++ b/crates/ivyward-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership decider, by synthetic events and against a simple model.
+//! Membership of engines, by synthetic events and against a simple model.
 
 use ivyward_core::interface::*;
 use ivyward_core::membership::*;
@@ -39,7 +39,7 @@
 struct Harness {
     of: Membership,
     now: Micros,
-    /// What a module that is told everything holds.
+    /// The view of a router that gets all actions.
     view: BTreeMap<EndpointId, Endpoint>,
 }
 
@@ -114,7 +114,7 @@
     );
 }
 
-/// Guards against a watch that was compacted away: deletions that nobody told are found by the next list.
+/// Guards against a watch that was compacted away: missed deletions are found by the next list.
 #[test]
 fn after_a_gap_the_list_shows_removed_engines() {
     let mut harness = Harness::new();
@@ -131,8 +131,8 @@
     );
 }
 
-/// Guards against a drain that is forgotten while the store restarts: what was heard stands until the store says
-/// otherwise, and notices heard during the gap are told.
+/// Guards against a drain that is forgotten while the store restarts: known states stay until the store says otherwise,
+/// and events during the gap are passed on.
 #[test]
 fn a_drain_survives_a_restart_of_the_store() {
     let mut harness = Harness::new();
@@ -146,7 +146,7 @@
         [MembershipAction::Relist]
     );
     assert_eq!(harness.state(1), Some(EndpointState::Draining));
-    // A notice during the gap is told, but the watch must not go on from its revision.
+    // An event during the gap is passed on, but the watch must not continue from its revision.
     harness.receive(WatchEvent::Put(member(2, 14, EndpointState::Draining)));
     assert_eq!(
         (harness.state(2), harness.of.revision()),
@@ -173,7 +173,7 @@
         [MembershipAction::RelistAt(again)]
     );
     assert_eq!(harness.ids(), [1]);
-    // Somebody is there after all: the doubt begins anew next time.
+    // An engine is there after all: the grace starts anew next time.
     harness.now += GRACE / 2;
     harness.receive(list(12, vec![ready(1, 5)]));
     harness.now += GRACE;
@@ -184,7 +184,7 @@
     harness.now += GRACE;
     harness.receive(list(14, vec![]));
     assert_eq!(harness.ids(), Vec::<u64>::new());
-    // The last one's deletion is told as such and believed at once.
+    // The deletion of the last one is believed at once.
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5)]));
     harness.receive(WatchEvent::Deleted {
@@ -219,7 +219,7 @@
     });
     harness.receive(WatchEvent::Put(again));
     assert_eq!(harness.view[&EndpointId(1)].started_at, 9);
-    // The old one's record or deletion, heard late, changes nothing.
+    // A late record or deletion of the old process changes nothing.
     assert_eq!(
         harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining))),
         []
@@ -281,7 +281,7 @@
     harness.receive(list(3, vec![ready(1, 2), ready(2, 3)]));
     assert_eq!(harness.ids(), [1, 2]);
     assert_eq!(harness.receive(WatchEvent::Snapshot(vec![])), []);
-    // Another store, whose revisions begin anew.
+    // Another store with revisions of its own.
     let event = WatchEvent::List {
         cluster: 2,
         revision: 1,
@@ -296,7 +296,7 @@
 enum Step {
     Put(u64, bool),
     Delete(u64),
-    /// The watch breaks; changes go unheard until a list.
+    /// The watch breaks; changes are missed until a list.
     Break,
     List,
 }
@@ -407,7 +407,7 @@
     assert_eq!(harness.ids(), [1, 2]);
 }
 
-/// A minute without a word, with a gap every two seconds: nobody is taken away by that.
+/// A minute of silence, with a gap every two seconds, removes no engine.
 #[test]
 fn a_minute_of_silence_removes_nothing() {
     let mut harness = Harness::new();
--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -1,4 +1,4 @@
-//! Letting go: whom, how many at once, when again; played against engines that answer, are silent, or come back.
+//! Releases against simulated engines that answer, are silent, or recover: whom to ask, how many at once, when again.
 
 use ivyward_core::interface::{EndpointId, Micros};
 use ivyward_core::release::{
@@ -24,7 +24,7 @@
     most_out: usize,
     asks: Vec<(Micros, ReleaseAttempt)>,
     taken: Vec<(Micros, u64)>,
-    /// Requests for which nothing is owed any more.
+    /// Requests without a pending release.
     done: BTreeMap<u64, Micros>,
     owing: Vec<u64>,
 }
@@ -46,7 +46,7 @@
         engines: u64,
         answers: impl Fn(EndpointId, Micros) -> bool + 'static,
     ) -> Simulation {
-        // All were heard of late, the higher ones later.
+        // All responded lately, the higher ids later.
         let taker = |i| ReleaseTarget {
             id: EndpointId(i),
             last_response: START - 100 * MS + i,
@@ -72,7 +72,7 @@
         self.owing.push(request);
         self.let_go.enqueue(self.now, request, sure)
     }
-    /// Plays until a time, or until nothing is owed.
+    /// Simulates until a time, or until no release is pending.
     fn until(&mut self, end: Micros) {
         loop {
             let takers: Vec<ReleaseTarget> = self.takers.values().copied().collect();
@@ -159,7 +159,7 @@
     assert_eq!(play.asks[0].1.target, EndpointId(1));
 }
 
-/// A cut has just begun: five engines that were heard a moment ago, with standing connections, are silent.
+/// A cut has just begun: five engines that responded a moment ago, with idle connections, are silent.
 #[test]
 fn silent_engines_do_not_use_up_the_time() {
     for silent in 0..=5 {
@@ -169,7 +169,7 @@
         let took = play.done[&1] - START;
         assert!(took <= WITHIN * 3 / 10, "{silent} silent: {took} us");
         assert!(play.most_out <= 6, "{} at once", play.most_out);
-        // Later ones know: nothing silent is asked.
+        // Later releases know: no silent engine is asked.
         let asked = play.asks.len();
         play.enqueue(2, true);
         play.until(play.now + WITHIN);
@@ -180,7 +180,7 @@
 
 #[test]
 fn three_hundred_releases_stay_within_their_connections_and_time() {
-    // A third of the engines is behind the cut; and, worse than any cut, all those that were heard last.
+    // A third of the engines is behind the cut; and, worse than any cut, all those that responded last.
     for (last_ones, within) in [(false, WITHIN), (true, 3 * WITHIN)] {
         let mut play = Simulation::new(
             300,
@@ -212,7 +212,7 @@
         "{} asks in a minute",
         play.asks.len()
     );
-    // Something else of that engine is heard.
+    // That engine responds to something else.
     play.takers.get_mut(&EndpointId(17)).unwrap().last_response = back;
     play.let_go.endpoint_recovered(back);
     play.until(back + 4 * WITHIN);
@@ -224,7 +224,7 @@
     );
 }
 
-/// Hundreds of engines, all silent, one of them back, and nothing else is heard of it: found in some pauses, not in hundreds.
+/// Hundreds of silent engines, one of which recovered without responding to anything else: found within some pauses.
 #[test]
 fn one_recovered_engine_among_hundreds_is_found_soon() {
     for requests in [1, 50] {
@@ -257,7 +257,7 @@
         taken[1] >= WITHIN / 3 && taken[2] >= WITHIN && taken[2] <= WITHIN + 20 * MS,
         "{taken:?}"
     );
-    // Something more is left after the first was taken: all begins anew, and what is unsure stays so.
+    // Another release after the first was accepted: all begins anew, and what is unconfirmed stays so.
     play.enqueue(2, false);
     play.until(play.now + 10 * MS);
     let before = play.taken.len();
--- a/crates/ivyward-core/tests/request_rules.rs
+++ b/crates/ivyward-core/tests/request_rules.rs
@@ -1,4 +1,4 @@
-//! One or more tests for each of the five rules.
+//! Rules for single requests: final answers, retries, drains, cold endpoints, reservations.
 
 mod common;
 use common::*;
@@ -58,7 +58,7 @@
     assert!(harness.failed() || harness.rejected());
 }
 
-/// Brings a request of a class to a writer and ends that attempt.
+/// Brings a request of a class to a decode endpoint and ends that attempt.
 fn after_decode_outcome(
     class: usize,
     outcome: Outcome,
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_keyed_request_is_retried_within_its_deduplication_scope_and_window() {
-    // Only one writer a zone: after a reset nothing in the group is left but the one that broke.
+    // One decode endpoint a zone: after a reset only the one that failed is left in the scope.
     let (harness, _, next) = after_decode_outcome(2, Outcome::Reset);
     assert_ne!(next, Some(EndpointId(11)));
     assert_ne!(next, Some(EndpointId(12)));
@@ -126,7 +126,7 @@
     );
 }
 
-/// A place that was held before another writer may have run the request is no way out of its group.
+/// A slot that was reserved before another endpoint may have run the request is no way out of the scope.
 #[test]
 fn a_keyed_retry_uses_no_slot_reserved_outside_its_scope() {
     let writers = [
@@ -173,10 +173,10 @@
     );
 }
 
-/// Nor is a writer that came to hold its session meanwhile.
+/// Nor is a decode endpoint that got its session meanwhile.
 #[test]
 fn a_keyed_retry_follows_no_session_out_of_its_scope() {
-    // Without readers both turns are read where they are written.
+    // Without prefill endpoints both turns are prefilled where they are decoded.
     let far = Endpoint {
         zone: 1,
         ..server(12, 1)
@@ -224,7 +224,7 @@
         ..server(id, 0)
     };
     for zone in [0, 1] {
-        // Without readers the first attempt is read where it is written.
+        // Without prefill endpoints the first attempt is prefilled where it is decoded.
         let mut harness = Harness::new(settings(), &[server(11, 1)]);
         assert_eq!(
             harness.ask(Request {
@@ -331,7 +331,7 @@
         ..server(13, 1)
     };
     harness.endpoints(ListKind::Changes, &[cold]);
-    // A burst of 60 within one window; the usual is about 3 a window for each writer.
+    // A burst of 60 within one window; usual are about 3 a window for each decode endpoint.
     let mut to_cold = 0;
     for id in 200..260 {
         harness.ask(arrival(id, 1_000 + id, 1_000.0));
@@ -346,7 +346,7 @@
 
 #[test]
 fn reservations_are_released_unless_a_first_token_came() {
-    // No writer: the read state cannot be taken.
+    // No decode endpoint: the KV state cannot be fetched.
     let mut harness = Harness::new(settings(), &[server(1, 0), server(11, 1)]);
     harness.ask(arrival(1, 5, 1_000.0));
     harness.endpoints(
@@ -358,7 +358,7 @@
     );
     harness.end(1, 0, Outcome::Prefilled);
     assert!(harness.rejected() && harness.released());
-    // The client leaves during the read: let go then, and again when the state turns up late.
+    // The client disconnects during the prefill: released then, and again when the KV state arrives late.
     let mut harness = Harness::new(settings(), &endpoints());
     harness.ask(arrival(1, 5, 1_000.0));
     harness.event(Event::ClientDisconnected(RequestId(1)));
@@ -373,7 +373,7 @@
     assert!(next.is_some_and(|s| s.0 < 10));
 }
 
-/// A cut leaves one writer after the other without a connection. Each dial alone is within its time.
+/// A cut leaves one decode endpoint after the other without a connection. Each connection attempt alone is within its time.
 #[test]
 fn failed_connections_in_a_row_do_not_hold_kv_state_past_its_time() {
     for outcome in [Outcome::Prefilled, Outcome::Reset, Outcome::TimedOut] {
@@ -412,7 +412,7 @@
                 "{outcome:?}: {} us leave no time to let go",
                 harness.now - held
             );
-            // What was let go of is not there any more: it is read again.
+            // What was released is gone: it is prefilled again.
             assert!(
                 harness.sent().is_some_and(|s| s.0 < 10) && harness.send_deadline() == Some(0),
                 "{outcome:?}"
@@ -421,7 +421,7 @@
     }
 }
 
-/// An attempt that came to its server starts the time anew, and one attempt alone has all that is left.
+/// An attempt that reached its endpoint starts the time anew, and the last attempt has all that is left.
 #[test]
 fn reservation_time_counts_from_the_last_attempt_that_reached_an_endpoint() {
     let many: Vec<Endpoint> = (1..3)
@@ -446,7 +446,7 @@
         "the last attempt"
     );
     assert!(!harness.released());
-    // Where an attempt is out from its send, dials take what they take.
+    // Where attempts count as in flight from their send, connecting has no limit.
     let mut harness = Harness::new(
         Settings {
             in_flight_after_last_byte: false,
--- a/crates/ivyward-core/tests/routing.rs
+++ b/crates/ivyward-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: first turns through a hashed reader, later turns by the score.
+//! Ordinary routing: first turns by consistent hashing, later turns by the PPD score.
 
 mod common;
 use common::*;
@@ -52,7 +52,7 @@
     );
 }
 
-/// Counts how many of many later turns with few new tokens go to the writer that holds the session.
+/// Counts how many of many later turns with few new tokens go to the decode endpoint that keeps the session.
 fn count_local_turns(change: impl Fn(&mut Harness, EndpointId)) -> usize {
     (0..40)
         .filter(|i| {
@@ -143,7 +143,7 @@
     for id in 10..16 {
         harness.turn(id, id, 20_000.0);
     }
-    // Session 5 is 120,000 tokens back, of a told memory of 200,000. Ask until its turn goes local (the remote share may come first).
+    // Session 5 is 120,000 tokens back, with a memory of 200,000. Repeat until its turn is local (exploration may come first).
     let mut forgot = false;
     for id in 20..24 {
         let a = Request {
@@ -160,7 +160,7 @@
         harness.end(id, 0, Outcome::Cancelled);
     }
     assert!(forgot);
-    // 140,000 tokens back, where the first guess would still have gone local.
+    // 140,000 tokens back, where the first estimate would still be local.
     for id in 30..37 {
         harness.turn(id, id, 20_000.0);
     }
--- a/crates/ivyward-core/tests/start_time_and_update_interval.rs
+++ b/crates/ivyward-core/tests/start_time_and_update_interval.rs
@@ -1,4 +1,4 @@
-//! What told start times mean on a node's clock, and how often the module is told of changes.
+//! Start times on a node's clock, and how often the router gets changes.
 
 use ivyward_core::interface::*;
 use ivyward_core::start_time::{StartTimes, MAX_REMEMBERED};
@@ -97,7 +97,7 @@
         0,
         "said to be long ago"
     );
-    // Read again later, nobody has started anew.
+    // Listed again later, no engine has started anew.
     assert_eq!(
         starts.resolve(&entry(1, UNIX - 5_000_000), NOW + HOUR, UNIX + HOUR, WARM),
         NOW - 5_000_000
--- a/crates/ivyward-core/tests/tenants.rs
+++ b/crates/ivyward-core/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Servers that limit one tenant, and servers that are replaced.
+//! Endpoints that limit one tenant, and endpoints that are replaced.
 
 mod common;
 use common::*;
@@ -20,7 +20,7 @@
     }
 }
 
-/// A read request's writer, which then serves it unless it limits that tenant; where it went last.
+/// Sends a request, served at its decode endpoint unless that limits the tenant; returns where it went.
 fn write(harness: &mut Harness, tenant: usize, id: u64, limits: &[u64]) -> Vec<u64> {
     harness.ask(of(tenant, id)).expect("sent to a reader");
     harness.now += 50_000;
@@ -97,7 +97,7 @@
     }
 }
 
-/// One that is gone stays known while something of ours is out there.
+/// A removed endpoint stays known while an attempt is in flight there.
 #[test]
 fn an_endpoint_removed_during_a_request_stays_known() {
     let mut harness = Harness::new(
@@ -125,6 +125,6 @@
     harness.end(1, 2, Outcome::Served);
     harness.endpoints(ListKind::Full, &[others, stays]);
     assert_eq!(harness.router.known_endpoints(), 2);
-    // The session's row went with its holder.
+    // The session was forgotten with its endpoint.
     assert_eq!(harness.ask(arrival(2, 1, 3_100.0)), Some(others.id));
 }
