--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -236,8 +236,8 @@
             return None;
         }
         let since = *self.empty_since.get_or_insert(now);
-        let grace_is_over = now.saturating_sub(since) >= self.settings.empty_grace;
-        (!grace_is_over).then(|| since + self.settings.empty_grace)
+        let is_believed = now.saturating_sub(since) >= self.settings.empty_grace;
+        (!is_believed).then(|| since + self.settings.empty_grace)
     }
 
     /// The engines after a complete list.
--- a/crates/ivyward-core/src/peers/dissemination.rs
+++ b/crates/ivyward-core/src/peers/dissemination.rs
@@ -97,15 +97,15 @@
         self.keys.insert(id, key);
     }
 
-    /// Takes up to `room` updates, least transmitted first, and counts the transmission.
+    /// Takes up to `capacity` updates, least transmitted first, and counts the transmission.
     fn take(
         &mut self,
-        room: usize,
+        capacity: usize,
         nodes: usize,
         update_of: impl Fn(PeerId) -> Option<Update>,
     ) -> Vec<Update> {
         let limit = max_transmissions(nodes);
-        let keys: Vec<QueueKey> = self.queue.keys().take(room).copied().collect();
+        let keys: Vec<QueueKey> = self.queue.keys().take(capacity).copied().collect();
         let mut updates = Vec::with_capacity(keys.len());
         for key in keys {
             let Some(id) = self.queue.remove(&key) else {
@@ -227,7 +227,7 @@
     ) -> Option<PeerId> {
         let id = update.node.id;
         let knows_better = self.members.get(id).is_some_and(|peer| {
-            peer.node.incarnation > update.node.incarnation || peer.heard_at > unanswered_since
+            peer.node.incarnation > update.node.incarnation || peer.last_seen_at > unanswered_since
         });
         if knows_better {
             // A refutation that is not sent leaves the others with their suspicion.
@@ -242,10 +242,10 @@
     fn on_reported_left(&mut self, from: NodeInfo, update: Update, out: &mut Vec<PeerAction>) {
         let id = update.node.id;
         let incarnation = update.node.incarnation;
-        let is_news = self.members.get(id).is_some_and(|peer| {
+        let is_new = self.members.get(id).is_some_and(|peer| {
             peer.node.incarnation == incarnation && peer.state != PeerState::Left
         });
-        if is_news && self.members.add_witness(id, incarnation, true, from.id) >= REQUIRED_WITNESSES
+        if is_new && self.members.add_witness(id, incarnation, true, from.id) >= REQUIRED_WITNESSES
         {
             self.on_left(update.node, out);
         }
@@ -352,7 +352,7 @@
         } else {
             0
         };
-        let room = (MAX_UPDATES - in_page).saturating_sub(usize::from(extra.is_some()));
+        let capacity = (MAX_UPDATES - in_page).saturating_sub(usize::from(extra.is_some()));
         let own = Update {
             node: self.local,
             heartbeat: self.heartbeat(now),
@@ -367,7 +367,9 @@
                 members.get(id).map(|peer| peer.update(now))
             }
         };
-        let mut updates = self.pending_updates.take(room, members.len(), update_of);
+        let mut updates = self
+            .pending_updates
+            .take(capacity, members.len(), update_of);
         updates.extend(extra);
         self.send_exactly(now, to, body, updates, out);
     }
--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -44,7 +44,7 @@
             self.leases.insert(node.id, node.incarnation);
         }
         match self.members.get_mut(node.id) {
-            Some(peer) if peer.node.incarnation == node.incarnation => peer.gone_at = None,
+            Some(peer) if peer.node.incarnation == node.incarnation => peer.sends_until = None,
             Some(peer) if peer.node.incarnation > node.incarnation => {}
             _ => self.contact(now, node.address, out),
         }
@@ -60,7 +60,7 @@
             .get_mut(id)
             .filter(|peer| peer.node.incarnation == incarnation)
         {
-            peer.gone_at = Some(now + self.settings.lease_grace);
+            peer.sends_until = Some(now + self.settings.lease_grace);
         }
     }
 }
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -12,7 +12,7 @@
 /// this far behind its sender's last one is a replay.
 const HEARTBEAT_TOLERANCE: u64 = 2_000;
 /// Heartbeats this many milliseconds apart count as the same news.
-const SAME_NEWS_TOLERANCE: u64 = 1_000;
+const SAME_HEARTBEAT_TOLERANCE: u64 = 1_000;
 /// Clocks drift by at most one part in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
 /// How many other nodes must report that a node left or restarted, if it did not say so here itself.
@@ -78,13 +78,13 @@
     pub confirmed_gone: bool,
     /// The latest known heartbeat, and when some node heard it.
     heartbeat: u64,
-    pub(super) heard_at: Micros,
+    pub(super) last_seen_at: Micros,
     /// When this node itself heard it, and its heartbeat then.
-    pub(super) heard_directly_at: Micros,
+    pub(super) last_direct_at: Micros,
     direct_heartbeat: u64,
     anchor: HeartbeatAnchor,
     /// Its lease at the store ended; it sends nothing from then on.
-    pub(super) gone_at: Option<Micros>,
+    pub(super) sends_until: Option<Micros>,
     /// While suspected: when the first unanswered ping was sent.
     pub(super) unanswered_since: Micros,
     /// While suspected: when that became known here.
@@ -95,7 +95,7 @@
 
 impl Peer {
     fn new(now: Micros, update: &Update, direct: bool, fresh: Micros) -> Peer {
-        let heard_at = now.saturating_sub(update.age);
+        let last_seen_at = now.saturating_sub(update.age);
         let (state, unanswered_since) = match update.state {
             ReportedState::Suspected { since } => {
                 let state = if since >= fresh {
@@ -113,15 +113,15 @@
             indirect_only: false,
             confirmed_gone: false,
             heartbeat: update.heartbeat,
-            heard_at,
-            heard_directly_at: if direct { now } else { 0 },
+            last_seen_at,
+            last_direct_at: if direct { now } else { 0 },
             direct_heartbeat: if direct { update.heartbeat } else { 0 },
             anchor: HeartbeatAnchor {
-                at: heard_at,
+                at: last_seen_at,
                 heartbeat: update.heartbeat,
                 direct,
             },
-            gone_at: None,
+            sends_until: None,
             unanswered_since,
             suspected_at: now,
             final_pings: 0,
@@ -139,7 +139,7 @@
         };
         same_state
             && update.node.incarnation == self.node.incarnation
-            && update.heartbeat + SAME_NEWS_TOLERANCE >= self.heartbeat
+            && update.heartbeat + SAME_HEARTBEAT_TOLERANCE >= self.heartbeat
     }
 
     /// The update that reports this node to others.
@@ -154,11 +154,71 @@
         Update {
             node: self.node,
             heartbeat: self.heartbeat,
-            age: now.saturating_sub(self.heard_at),
+            age: now.saturating_sub(self.last_seen_at),
             state,
         }
     }
 
+    /// Whether a heartbeat is plausible; moves the anchor to the first one from the node itself, and to each ack.
+    fn accepts(
+        &mut self,
+        now: Micros,
+        heartbeat: u64,
+        source: EvidenceSource,
+        dropped: &mut Dropped,
+    ) -> bool {
+        let direct = source.is_direct();
+        if source == EvidenceSource::Ack || direct && !self.anchor.direct {
+            self.anchor = HeartbeatAnchor {
+                at: now,
+                heartbeat,
+                direct: true,
+            };
+        } else if direct && heartbeat + HEARTBEAT_TOLERANCE < self.direct_heartbeat {
+            // Guards against replays of messages that a node sent before it died.
+            dropped.old += 1;
+            return false;
+        } else if !self.anchor.allows(now, heartbeat) {
+            dropped.implausible += 1;
+            return false;
+        }
+        true
+    }
+
+    /// Whether a heartbeat is later than the last one of the same kind of source.
+    fn is_new(&self, heartbeat: u64, source: EvidenceSource) -> bool {
+        let last = if source.is_direct() {
+            self.direct_heartbeat
+        } else {
+            self.heartbeat
+        };
+        heartbeat > last
+    }
+
+    fn record_heartbeat(&mut self, now: Micros, update: &Update, source: EvidenceSource) {
+        if source.is_direct() {
+            self.last_direct_at = now;
+            self.direct_heartbeat = update.heartbeat;
+            self.indirect_only = false;
+            self.node = update.node;
+        }
+        self.heartbeat = self.heartbeat.max(update.heartbeat);
+        self.last_seen_at = self.last_seen_at.max(now.saturating_sub(update.age));
+    }
+
+    /// Whether evidence is later than the first unanswered ping.
+    fn ends_suspicion(
+        &self,
+        now: Micros,
+        update: &Update,
+        source: EvidenceSource,
+        fresh: Micros,
+    ) -> bool {
+        let seen_at = now.saturating_sub(update.age);
+        let is_later = seen_at > self.unanswered_since && now.saturating_sub(seen_at) < fresh;
+        source.is_direct() || is_later
+    }
+
     fn is_absent(&self) -> bool {
         matches!(self.state, PeerState::Dead | PeerState::Left)
     }
@@ -308,9 +368,9 @@
         let Some(known) = self.peers.get(&id).copied() else {
             return false;
         };
-        let still_heard = now.saturating_sub(known.heard_at) < fresh;
+        let still_seen = now.saturating_sub(known.last_seen_at) < fresh;
         if let EvidenceSource::Other(reporter) = source {
-            if still_heard
+            if still_seen
                 && self.add_witness(id, new.node.incarnation, false, reporter) < REQUIRED_WITNESSES
             {
                 return false;
@@ -347,44 +407,15 @@
         if peer.state == PeerState::Left {
             return false;
         }
-        let direct = source.is_direct();
-        let heartbeat = update.heartbeat;
-        if source == EvidenceSource::Ack || direct && !peer.anchor.direct {
-            peer.anchor = HeartbeatAnchor {
-                at: now,
-                heartbeat,
-                direct: true,
-            };
-        } else if direct && heartbeat + HEARTBEAT_TOLERANCE < peer.direct_heartbeat {
-            // Guards against replays of messages that a node sent before it died.
-            self.dropped.old += 1;
-            return false;
-        } else if !peer.anchor.allows(now, heartbeat) {
-            self.dropped.implausible += 1;
+        if !peer.accepts(now, update.heartbeat, source, &mut self.dropped) {
             return false;
         }
-        let last_heartbeat = if direct {
-            peer.direct_heartbeat
-        } else {
-            peer.heartbeat
-        };
-        if source != EvidenceSource::Ack && heartbeat <= last_heartbeat {
+        if source != EvidenceSource::Ack && !peer.is_new(update.heartbeat, source) {
             return true;
         }
-        if direct {
-            peer.heard_directly_at = now;
-            peer.direct_heartbeat = heartbeat;
-            peer.indirect_only = false;
-            peer.node = update.node;
-        }
-        let heard_at = now.saturating_sub(update.age);
-        peer.heartbeat = peer.heartbeat.max(heartbeat);
-        peer.heard_at = peer.heard_at.max(heard_at);
-        // Evidence that is later than the first unanswered ping ends the suspicion.
-        let is_later =
-            direct || heard_at > peer.unanswered_since && now.saturating_sub(heard_at) < fresh;
-        if peer.state != PeerState::Alive && is_later {
-            let was = peer.state;
+        let was = peer.state;
+        peer.record_heartbeat(now, update, source);
+        if was != PeerState::Alive && peer.ends_suspicion(now, update, source, fresh) {
             peer.state = PeerState::Alive;
             peer.confirmed_gone = false;
             self.digest = None;
@@ -400,7 +431,7 @@
     /// Dead nodes whose lease ended are certainly gone.
     pub(super) fn apply_ended_leases(&mut self, now: Micros) {
         for peer in self.peers.values_mut() {
-            let lease_ended = peer.gone_at.is_some_and(|at| at <= now);
+            let lease_ended = peer.sends_until.is_some_and(|at| at <= now);
             if peer.state == PeerState::Dead && lease_ended && !peer.confirmed_gone {
                 peer.confirmed_gone = true;
                 self.digest = None;
@@ -476,7 +507,9 @@
         }
         let expired: Vec<PeerId> = self
             .all()
-            .filter(|peer| peer.is_absent() && now.saturating_sub(peer.heard_at) >= tombstone_ttl)
+            .filter(|peer| {
+                peer.is_absent() && now.saturating_sub(peer.last_seen_at) >= tombstone_ttl
+            })
             .map(|peer| peer.node.id)
             .collect();
         for id in &expired {
--- a/crates/ivyward-core/src/peers/probing.rs
+++ b/crates/ivyward-core/src/peers/probing.rs
@@ -69,7 +69,7 @@
 impl SilenceLimits {
     fn silent_since(&self, peer: &Peer) -> Micros {
         peer.unanswered_since
-            .max(peer.heard_at)
+            .max(peer.last_seen_at)
             .max(self.counted_from)
     }
 
@@ -191,7 +191,7 @@
             self.health_penalty = self.health_penalty.saturating_sub(1);
             if let Some(peer) = self.members.get_mut(of) {
                 // Other nodes reach it, this one does not: the link between them is at fault.
-                peer.indirect_only = probe.indirect && peer.heard_directly_at < probe.sent;
+                peer.indirect_only = probe.indirect && peer.last_direct_at < probe.sent;
             }
         }
     }
@@ -263,7 +263,7 @@
             self.raise_health_penalty();
         }
         // A node that was heard since, by anybody, is not silent.
-        if target.heard_at < probe.sent {
+        if target.last_seen_at < probe.sent {
             self.suspect(now, probe.target, probe.sent, out);
         }
     }
--- a/crates/ivyward-core/src/release.rs
+++ b/crates/ivyward-core/src/release/mod.rs
@@ -7,7 +7,13 @@
 //! be on its way to an engine when the release is accepted (a cancelled prefill, a reservation without an answer) is
 //! released again, twice. No I/O, no clock.
 
+mod attempt;
+mod pending;
+
+pub use attempt::{ReleaseAttempt, ReleaseResult, ReleaseTarget};
+
 use crate::interface::{EndpointId, Micros};
+use pending::{DueRelease, EngineAttempts, PendingRelease, Preference};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,118 +62,6 @@
 /// A node that shuts down goes on releasing for at most this many spans.
 const SHUTDOWN_GRACE: f64 = 10.0;
 
-/// An engine that may be asked.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReleaseTarget {
-    /// Which engine.
-    pub id: EndpointId,
-    /// When it last responded to anything; 0 for never.
-    pub last_response: Micros,
-    /// When something there last got no response, or no connection came up; 0 for never.
-    pub last_failure: Micros,
-    /// A connection to it is idle.
-    pub has_idle_connection: bool,
-    /// It drains or left the list.
-    pub is_draining: bool,
-}
-
-impl ReleaseTarget {
-    /// It has not responded since its last failure.
-    pub fn silent(&self) -> bool {
-        self.last_failure > self.last_response
-    }
-
-    /// It responded to something lately.
-    fn is_recent(&self, recent_since: Micros) -> bool {
-        self.last_response >= recent_since && self.last_response > 0
-    }
-}
-
-/// A release to send to an engine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReleaseAttempt {
-    /// The request whose reservations are released.
-    pub request: u64,
-    /// Identifies the release; passed back with the result.
-    pub release_id: u64,
-    /// The engine to ask.
-    pub target: EndpointId,
-    /// Until when to wait for its answer.
-    pub deadline: Micros,
-}
-
-/// How an attempt ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReleaseResult {
-    /// The engine accepted the release.
-    Accepted,
-    /// It did not, or gave no answer.
-    Failed,
-    /// The attempt could not be sent for want of a descriptor: that says nothing about the engine.
-    NoLocalResources,
-}
-
-struct PendingRelease {
-    request: u64,
-    /// When it became pending, or is to be repeated.
-    since: Micros,
-    /// Nothing of the request is on its way any more: one accepted release is enough.
-    confirmed: bool,
-    repeats: usize,
-    /// Engines asked since `since` or since an engine recovered.
-    attempted: Vec<EndpointId>,
-    in_flight: usize,
-    last_attempt: Micros,
-    /// Attempts in this pause, after the span.
-    probes: usize,
-    pause: Micros,
-    /// The time of its entry in the queue's `due`.
-    next_attempt: Micros,
-}
-
-impl PendingRelease {
-    /// Whether its span is not over, so that several engines are asked at once.
-    fn is_hedged(&self, now: Micros, span: Micros) -> bool {
-        now <= self.since.saturating_add(span)
-    }
-
-    /// Whether it was accepted and waits for its repetition.
-    fn waits_for_repeat(&self, now: Micros) -> bool {
-        self.since > now
-    }
-}
-
-/// When a release needs its next attempt.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct DueRelease {
-    at: Micros,
-    release_id: u64,
-}
-
-/// Attempts in flight at one engine.
-#[derive(Clone, Copy)]
-struct EngineAttempts {
-    in_flight: usize,
-    /// When the first of them was sent, or when the engine accepted one meanwhile.
-    silent_since: Micros,
-}
-
-/// The order in which engines are asked: lowest first.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Preference {
-    silent: bool,
-    draining: bool,
-    /// Of the silent engines, the one asked longest ago: all releases look for one that is back.
-    silent_last_failure: Micros,
-    lacks_recent_idle_connection: bool,
-    /// Attempts in flight there.
-    in_flight: usize,
-    not_recent: bool,
-    lacks_idle_connection: bool,
-    last_response: Reverse<Micros>,
-    id: EndpointId,
-}
-
 /// The releases of a node that no engine has accepted yet. See the module's documentation.
 pub struct ReleaseQueue {
     settings: ReleaseSettings,
