--- a/crates/ivyward-core/tests/bad_input.rs
+++ b/crates/ivyward-core/tests/bad_input.rs
@@ -11,9 +11,9 @@
     assert!(harness.done.is_empty());
     harness.event(Event::ClientDisconnected(RequestId(9)));
     assert!(harness.done.is_empty());
-    harness.first(9, 0);
+    harness.first_token(9, 0);
     assert!(harness.done.is_empty());
-    assert_eq!(harness.end(9, 3, Outcome::Served), None);
+    assert_eq!(harness.end_attempt(9, 3, Outcome::Served), None);
     assert!(harness.done.is_empty());
     harness.event(Event::ReservationResult {
         request: RequestId(9),
@@ -38,21 +38,21 @@
         .enumerate()
     {
         let id = id as u64;
-        harness.ask(Request {
+        harness.request(Request {
             prompt_tokens: prompt,
             prefix_tokens: prefix,
             max_output: 0.0,
             ..arrival(id, 5, 0.0)
         });
-        harness.end(id, 0, Outcome::Prefilled);
-        harness.first(id, 1);
+        harness.end_attempt(id, 0, Outcome::Prefilled);
+        harness.first_token(id, 1);
         harness.now += 1 << 40;
-        harness.end(id, 1, Outcome::Served);
+        harness.end_attempt(id, 1, Outcome::Served);
     }
     harness.endpoints(ListKind::Full, &[]);
-    harness.ask(arrival(50, 5, 1_000.0));
+    harness.request(arrival(50, 5, 1_000.0));
     assert!(harness.rejected());
-    harness.ask(Request {
+    harness.request(Request {
         class: 99,
         ..arrival(51, 5, 1_000.0)
     });
--- a/crates/ivyward-core/tests/cold_endpoint_budget.rs
+++ b/crates/ivyward-core/tests/cold_endpoint_budget.rs
@@ -57,7 +57,7 @@
         simulation.prefix = |id| if id % 10 < 3 { 1_000 } else { 1 + id % 20 };
     }
     let at = START + 20 * SECOND + seed % 7 * SECOND / 3;
-    simulation.play(at, span);
+    simulation.run_until(at, span);
     let mut changed = both(21..=20 + scenario.cold, at - SECOND / 2);
     if scenario.replaced {
         changed.extend(both(1..=scenario.cold, 0).into_iter().map(|e| Endpoint {
@@ -68,7 +68,7 @@
     simulation.list(at, ListKind::Changes, &changed);
     let storm = every(scenario.nodes, scenario.rate * scenario.storm);
     if scenario.restarts {
-        simulation.play(at + SECOND, storm);
+        simulation.run_until(at + SECOND, storm);
         let mut list = old.clone();
         list.extend(changed.iter().copied());
         for node in 0..scenario.nodes as usize {
@@ -77,7 +77,7 @@
             }
         }
     }
-    simulation.play(at + 12 * SECOND, storm);
+    simulation.run_until(at + 12 * SECOND, storm);
     // What a warm one is seen to carry: the guide that the rule names.
     let window = set.overload_window;
     let stay = if scenario.replaced {
--- a/crates/ivyward-core/tests/cold_endpoints.rs
+++ b/crates/ivyward-core/tests/cold_endpoints.rs
@@ -28,7 +28,7 @@
 fn many_nodes_together_use_a_new_cluster() {
     let every = 10 * SECOND;
     let mut simulation = MultiNodeSimulation::new(100, every, &both(1..=20, START - SECOND));
-    simulation.play(START + 9 * SECOND, every);
+    simulation.run_until(START + 9 * SECOND, every);
     assert!(
         simulation.rejected * 10 <= simulation.arrived,
         "{} of {} refused",
@@ -57,7 +57,7 @@
 fn new_endpoints_carry_their_share_while_most_are_replaced() {
     for (nodes, every) in [(100, SECOND), (4, SECOND / 25)] {
         let mut simulation = MultiNodeSimulation::new(nodes, every, &both(1..=20, 0));
-        simulation.play(START + 15 * SECOND, every);
+        simulation.run_until(START + 15 * SECOND, every);
         let old = (simulation.rejected, simulation.arrived);
         let mut released = both(1..=12, 0);
         released
@@ -65,7 +65,7 @@
             .for_each(|e| e.state = EndpointState::Draining);
         released.extend(both(21..=32, START + 15 * SECOND));
         simulation.list(START + 15 * SECOND, ListKind::Changes, &released);
-        simulation.play(START + 20 * SECOND, every);
+        simulation.run_until(START + 20 * SECOND, every);
         assert!(
             simulation.rejected - old.0 <= (simulation.arrived - old.1) / 50,
             "{} refused",
@@ -103,7 +103,7 @@
 fn new_decode_endpoints_beside_warm_prefill_endpoints_carry_their_share() {
     let mut simulation = MultiNodeSimulation::new(100, SECOND, &both(1..=20, 0));
     let at = START + 15 * SECOND;
-    simulation.play(at, SECOND);
+    simulation.run_until(at, SECOND);
     let mut changed: Vec<Endpoint> = (101..=112).map(|id| started(id, 1, 0)).collect();
     changed
         .iter_mut()
@@ -111,7 +111,7 @@
     changed.extend((121..=132).map(|id| started(id, 1, at)));
     simulation.list(at, ListKind::Changes, &changed);
     let old = (simulation.rejected, simulation.arrived);
-    simulation.play(at + 5 * SECOND, SECOND);
+    simulation.run_until(at + 5 * SECOND, SECOND);
     assert!(simulation.rejected - old.0 <= (simulation.arrived - old.1) / 50);
     let count = |servers| simulation.sent_between(servers, at, at + 5 * SECOND) as f64;
     let (new, kept) = (count(121..=132), count(113..=120));
@@ -141,10 +141,10 @@
         SECOND,
         &rack(0).into_iter().chain(rest).collect::<Vec<_>>(),
     );
-    simulation.play(at, SECOND);
+    simulation.run_until(at, SECOND);
     simulation.list(at, ListKind::Changes, &rack(at));
     let old = (simulation.rejected, simulation.arrived);
-    simulation.play(at + 5 * SECOND, SECOND);
+    simulation.run_until(at + 5 * SECOND, SECOND);
     assert!(simulation.rejected - old.0 <= (simulation.arrived - old.1) / 50);
     for (role, mine, all) in [
         ("readers", 1..=5, 1..=20),
@@ -167,14 +167,14 @@
     let mut harness = Harness::new(cfg, &both(1..=4, 0));
     for id in 0..60 {
         harness.now += 200;
-        harness.ask(arrival(id, 1_000 + id, 300.0));
+        harness.request(arrival(id, 1_000 + id, 300.0));
         assert!(!harness.rejected(), "request {id}");
     }
     // The same burst where nothing is answered for seconds is one, and is refused in part.
     let mut rejected = 0;
     for id in 60..400 {
         harness.now += 20_000;
-        harness.ask(arrival(id, 1_000 + id, 300.0));
+        harness.request(arrival(id, 1_000 + id, 300.0));
         rejected += usize::from(harness.rejected());
     }
     assert!(rejected > 100, "{rejected}");
--- a/crates/ivyward-core/tests/common/mod.rs
+++ b/crates/ivyward-core/tests/common/mod.rs
@@ -102,17 +102,17 @@
             endpoints: servers.to_vec(),
         });
     }
-    pub fn ask(&mut self, arrival: Request) -> Option<EndpointId> {
+    pub fn request(&mut self, arrival: Request) -> Option<EndpointId> {
         self.event(Event::Request(arrival));
         self.sent()
     }
-    pub fn first(&mut self, id: u64, attempt: u16) {
+    pub fn first_token(&mut self, id: u64, attempt: u16) {
         self.event(Event::FirstToken {
             request: RequestId(id),
             attempt,
         });
     }
-    pub fn end(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Option<EndpointId> {
+    pub fn end_attempt(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Option<EndpointId> {
         self.end_with_cached_tokens(id, attempt, outcome, 0)
     }
     pub fn end_with_cached_tokens(
@@ -169,16 +169,16 @@
     }
     /// A complete remote turn: prefilled, decoded, served. Returns the decode endpoint.
     pub fn turn(&mut self, id: u64, session: u64, prompt: f64) -> EndpointId {
-        self.ask(arrival(id, session, prompt))
+        self.request(arrival(id, session, prompt))
             .expect("sent to a reader");
         self.now += 50_000;
-        let writer = self
-            .end(id, 0, Outcome::Prefilled)
+        let decode = self
+            .end_attempt(id, 0, Outcome::Prefilled)
             .expect("sent to a writer");
         self.now += 20_000;
-        self.first(id, 1);
+        self.first_token(id, 1);
         self.now += SECOND;
-        self.end(id, 1, Outcome::Served);
-        writer
+        self.end_attempt(id, 1, Outcome::Served);
+        decode
     }
 }
--- a/crates/ivyward-core/tests/common/multi_node.rs
+++ b/crates/ivyward-core/tests/common/multi_node.rs
@@ -113,7 +113,7 @@
     }
 
     /// Simulates until `end`.
-    pub fn play(&mut self, end: Micros, every: Micros) {
+    pub fn run_until(&mut self, end: Micros, every: Micros) {
         while let Some((at, node, due)) = self.due.pop() {
             if at.0 >= end {
                 self.due.push((at, node, due));
@@ -126,7 +126,7 @@
                     self.next += 1;
                     self.arrived += 1;
                     let id = self.next;
-                    harness.ask(Request {
+                    harness.request(Request {
                         prefix: (self.prefix)(id),
                         ..arrival(id, 1_000 + id, 1_000.0)
                     });
@@ -136,11 +136,11 @@
                         .push((std::cmp::Reverse(at.0 + next), node, Due::Arrival));
                 }
                 Due::Read(id, attempt) => {
-                    harness.end(id, attempt, Outcome::Prefilled);
+                    harness.end_attempt(id, attempt, Outcome::Prefilled);
                     self.rejected += usize::from(harness.rejected());
                 }
-                Due::First(id, attempt) => harness.first(id, attempt),
-                Due::Served(id, attempt) => drop(harness.end(id, attempt, Outcome::Served)),
+                Due::First(id, attempt) => harness.first_token(id, attempt),
+                Due::Served(id, attempt) => drop(harness.end_attempt(id, attempt, Outcome::Served)),
             }
             let sent: Vec<(u64, u64)> = self.nodes[node]
                 .done
--- a/crates/ivyward-core/tests/health.rs
+++ b/crates/ivyward-core/tests/health.rs
@@ -24,7 +24,7 @@
     for id in 0..30 {
         harness.turn(id, id, 1_000.0);
     }
-    let hung = harness.ask(arrival(100, 100, 1_000.0)).unwrap();
+    let hung = harness.request(arrival(100, 100, 1_000.0)).unwrap();
     let mut called_off = false;
     for step in 0..40 {
         harness.now += 100_000;
@@ -42,9 +42,9 @@
         }
     }
     assert!(called_off, "not found within 4 s, four times the aim");
-    let next = harness.end(100, 0, Outcome::Cancelled);
+    let next = harness.end_attempt(100, 0, Outcome::Cancelled);
     assert!(next.is_some() && next != Some(hung));
-    assert_ne!(harness.ask(arrival(101, 101, 1_000.0)), Some(hung));
+    assert_ne!(harness.request(arrival(101, 101, 1_000.0)), Some(hung));
 }
 
 /// A heavy prompt takes long by its size; that is no hang.
@@ -54,7 +54,7 @@
     for id in 0..30 {
         harness.turn(id, id, 1_000.0);
     }
-    harness.ask(arrival(100, 100, 40_000.0)).unwrap();
+    harness.request(arrival(100, 100, 40_000.0)).unwrap();
     for _ in 0..18 {
         harness.now += 100_000;
         harness.event(Event::Timer(TICK));
@@ -70,27 +70,31 @@
 fn ejection_does_not_empty_a_pool() {
     let mut harness = Harness::new(settings(), &endpoints());
     for id in 0..12 {
-        harness.ask(arrival(id, id, 1_000.0));
+        harness.request(arrival(id, id, 1_000.0));
         for attempt in 0..4 {
-            harness.end(id, attempt, Outcome::ConnectFailed);
+            harness.end_attempt(id, attempt, Outcome::ConnectFailed);
         }
     }
-    assert!(harness.ask(arrival(50, 50, 1_000.0)).is_some());
+    assert!(harness.request(arrival(50, 50, 1_000.0)).is_some());
 }
 
 #[test]
 fn an_ejected_endpoint_returns_after_a_probe() {
     let mut harness = Harness::new(settings(), &endpoints());
-    let home = harness.ask(arrival(1, 1, 1_000.0)).unwrap();
-    harness.end(1, 0, Outcome::ConnectFailed);
-    assert_ne!(harness.ask(arrival(2, 2, 1_000.0)), Some(home));
+    let home = harness.request(arrival(1, 1, 1_000.0)).unwrap();
+    harness.end_attempt(1, 0, Outcome::ConnectFailed);
+    assert_ne!(harness.request(arrival(2, 2, 1_000.0)), Some(home));
     harness.event(Event::ClientDisconnected(RequestId(2)));
     // A node without completed work waits for the warm-up duration, and no longer.
     harness.now += 11 * SECOND;
-    assert_eq!(harness.ask(arrival(3, 3, 1_000.0)), Some(home), "one trial");
-    harness.end(3, 0, Outcome::Prefilled);
     assert_eq!(
-        harness.ask(arrival(4, 4, 1_000.0)),
+        harness.request(arrival(3, 3, 1_000.0)),
+        Some(home),
+        "one trial"
+    );
+    harness.end_attempt(3, 0, Outcome::Prefilled);
+    assert_eq!(
+        harness.request(arrival(4, 4, 1_000.0)),
         Some(home),
         "it answered, so it is used again"
     );
@@ -104,12 +108,12 @@
     // One arrival each tenth of a second; first tokens come two seconds, twice the objective, after it.
     for id in 0..100u64 {
         harness.now += SECOND / 10;
-        harness.ask(arrival(id, id, 1_000.0));
+        harness.request(arrival(id, id, 1_000.0));
         rejected += usize::from(harness.rejected());
-        harness.end(id, 0, Outcome::Prefilled);
+        harness.end_attempt(id, 0, Outcome::Prefilled);
         if id >= 20 {
-            harness.first(id - 20, 1);
-            harness.end(id - 20, 1, Outcome::Served);
+            harness.first_token(id - 20, 1);
+            harness.end_attempt(id - 20, 1, Outcome::Served);
         }
     }
     assert!((10..80).contains(&rejected), "{rejected} of 100 refused");
@@ -119,14 +123,14 @@
     harness.now += 20 * SECOND;
     for id in 100..140 {
         harness.now += SECOND;
-        harness.ask(arrival(id, id, 1_000.0));
+        harness.request(arrival(id, id, 1_000.0));
         if id > 105 {
             assert!(!harness.rejected(), "request {id}");
         }
         if harness.sent().is_some() {
-            harness.end(id, 0, Outcome::Prefilled);
-            harness.first(id, 1);
-            harness.end(id, 1, Outcome::Served);
+            harness.end_attempt(id, 0, Outcome::Prefilled);
+            harness.first_token(id, 1);
+            harness.end_attempt(id, 1, Outcome::Served);
         }
     }
 }
@@ -138,24 +142,24 @@
     let mut last = None;
     for id in 0..100u64 {
         harness.now += SECOND / 10;
-        if harness.ask(arrival(id, id, 1_000.0)).is_some() {
+        if harness.request(arrival(id, id, 1_000.0)).is_some() {
             last = Some(id);
         }
         if id >= 20 {
-            harness.end(id - 20, 0, Outcome::Prefilled);
-            harness.first(id - 20, 1);
-            harness.end(id - 20, 1, Outcome::Served);
+            harness.end_attempt(id - 20, 0, Outcome::Prefilled);
+            harness.first_token(id - 20, 1);
+            harness.end_attempt(id - 20, 1, Outcome::Served);
         }
     }
     let late = last.expect("some are sent").max(80);
     harness.now += 1_500_000;
-    assert_eq!(harness.end(late, 0, Outcome::TimedOut), None);
+    assert_eq!(harness.end_attempt(late, 0, Outcome::TimedOut), None);
     assert!(harness.rejected(), "request {late}");
     let mut calm = Harness::new(settings(), &endpoints());
-    calm.ask(arrival(1, 1, 1_000.0));
+    calm.request(arrival(1, 1, 1_000.0));
     calm.now += 1_500_000;
     assert!(
-        calm.end(1, 0, Outcome::TimedOut).is_some(),
+        calm.end_attempt(1, 0, Outcome::TimedOut).is_some(),
         "without overload it is read again"
     );
 }
@@ -163,11 +167,11 @@
 /// Waits that grow everywhere at once are an overload: prefilling each prompt again elsewhere would only add to it.
 #[test]
 fn attempts_are_not_cancelled_repeatedly_when_all_prefill_endpoints_are_overloaded() {
-    let readers: Vec<Endpoint> = (1..=30)
+    let prefill_endpoints: Vec<Endpoint> = (1..=30)
         .map(|id| server(id, 0))
         .chain([server(40, 1)])
         .collect();
-    let mut harness = Harness::new(settings(), &readers);
+    let mut harness = Harness::new(settings(), &prefill_endpoints);
     for id in 0..30 {
         harness.turn(id, id, 1_000.0);
     }
@@ -177,7 +181,7 @@
         // Two requests a second with prefixes of their own, whose reads take longer than any client waits.
         if step % 5 == 0 {
             next += 1;
-            harness.ask(Request {
+            harness.request(Request {
                 prefix: next,
                 ..arrival(next, next, 1_000.0)
             });
@@ -187,7 +191,7 @@
         for action in called {
             if let Action::Cancel { request, attempt } = action {
                 cancels += 1;
-                harness.end(request.0, attempt, Outcome::Cancelled);
+                harness.end_attempt(request.0, attempt, Outcome::Cancelled);
             }
         }
     }
@@ -209,21 +213,21 @@
     for id in 100..300 {
         let class = usize::from(id % 4 == 0);
         harness
-            .ask(Request {
+            .request(Request {
                 class,
                 prefix: id,
                 ..arrival(id, id, 1_000.0)
             })
             .expect("sent to a reader");
         harness.now += 50_000;
-        let mut writer = harness.end(id, 0, Outcome::Prefilled);
+        let mut decode = harness.end_attempt(id, 0, Outcome::Prefilled);
         once += class;
         for attempt in 1..4 {
-            match writer {
+            match decode {
                 Some(EndpointId(11)) => {
                     erred += 1;
                     harness.now += 2_000;
-                    writer = harness.end(id, attempt, Outcome::Error);
+                    decode = harness.end_attempt(id, attempt, Outcome::Error);
                     if harness.failed() {
                         lost += 1;
                         break;
@@ -231,9 +235,9 @@
                 }
                 Some(_) => {
                     harness.now += 20_000;
-                    harness.first(id, attempt);
+                    harness.first_token(id, attempt);
                     harness.now += 30_000;
-                    harness.end(id, attempt, Outcome::Served);
+                    harness.end_attempt(id, attempt, Outcome::Served);
                     break;
                 }
                 None => break,
--- a/crates/ivyward-core/tests/locality.rs
+++ b/crates/ivyward-core/tests/locality.rs
@@ -34,7 +34,7 @@
     let (mut of, mut all) = (0.0, 0.0);
     for id in 0..600u64 {
         harness.now = 100 * SECOND + id * SECOND / 10;
-        let Some(EndpointId(reader)) = harness.ask(Request {
+        let Some(EndpointId(prefill)) = harness.request(Request {
             prefix: 1 + id,
             ..arrival(id, 9_000 + id, 1_000.0)
         }) else {
@@ -42,14 +42,14 @@
         };
         if id >= 400 {
             all += 1.0;
-            of += f64::from(u8::from(counts(reader)));
+            of += f64::from(u8::from(counts(prefill)));
         }
         // Each is over before the next: what is slow is the place, not this node's own queue.
         harness.now += SECOND / 50;
-        if harness.end(id, 0, Outcome::Prefilled).is_some() {
-            harness.now = 100 * SECOND + id * SECOND / 10 + takes(reader);
-            harness.first(id, 1);
-            harness.end(id, 1, Outcome::Served);
+        if harness.end_attempt(id, 0, Outcome::Prefilled).is_some() {
+            harness.now = 100 * SECOND + id * SECOND / 10 + takes(prefill);
+            harness.first_token(id, 1);
+            harness.end_attempt(id, 1, Outcome::Served);
         }
     }
     of / all
--- a/crates/ivyward-core/tests/many_nodes.rs
+++ b/crates/ivyward-core/tests/many_nodes.rs
@@ -43,9 +43,10 @@
         harness.endpoints(ListKind::Changes, &[cold]);
         // A storm: each node has ten requests within one window.
         for id in 200..210 {
-            harness.ask(arrival(id, 1_000_000 + id, 1_000.0));
+            harness.request(arrival(id, 1_000_000 + id, 1_000.0));
             harness.now += SECOND / 10;
-            sent += u32::from(harness.end(id, 0, Outcome::Prefilled) == Some(EndpointId(31)));
+            sent +=
+                u32::from(harness.end_attempt(id, 0, Outcome::Prefilled) == Some(EndpointId(31)));
         }
     }
     // 150 requests a second on 20 decode endpoints: a warm one gets 22.5 in a window of 3 s; 2.5 times 0.3 of it is 17.
@@ -74,9 +75,9 @@
             done: Vec::new(),
         };
         harness.endpoints(ListKind::Full, &endpoints);
-        harness.ask(arrival(1, 5_000 + seed, 1_000.0));
+        harness.request(arrival(1, 5_000 + seed, 1_000.0));
         *sent
-            .entry(harness.end(1, 0, Outcome::Prefilled).unwrap().0)
+            .entry(harness.end_attempt(1, 0, Outcome::Prefilled).unwrap().0)
             .or_default() += 1;
     }
     assert!(
@@ -106,10 +107,13 @@
         done: vec![],
     };
     harness.endpoints(ListKind::Full, &endpoints);
-    let writers: Vec<u64> = (0..10)
+    let decode_endpoints: Vec<u64> = (0..10)
         .map(|id| harness.turn(id, 100 + id, 1_000.0).0)
         .collect();
-    assert!(writers.iter().all(|w| *w < 20), "{writers:?}");
+    assert!(
+        decode_endpoints.iter().all(|w| *w < 20),
+        "{decode_endpoints:?}"
+    );
 }
 
 /// Configured weights compare endpoints of one machine type: small numbers don't mean small machines.
@@ -128,8 +132,8 @@
             done: Vec::new(),
         };
         harness.endpoints(ListKind::Full, &endpoints);
-        harness.ask(arrival(1, 5_000 + seed, 1_000.0));
-        mixed += u32::from(harness.end(1, 0, Outcome::Prefilled) == Some(EndpointId(12)));
+        harness.request(arrival(1, 5_000 + seed, 1_000.0));
+        mixed += u32::from(harness.end_attempt(1, 0, Outcome::Prefilled) == Some(EndpointId(12)));
     }
     assert!(
         (25..75).contains(&mixed),
@@ -144,12 +148,12 @@
     for id in 0..10 {
         harness.turn(id, id, 1_000.0);
     }
-    harness.ask(Request {
+    harness.request(Request {
         client_timeout: SECOND / 4,
         ..arrival(50, 50, 1_000.0)
     });
     assert_eq!(harness.timeout(), Some(0));
-    harness.ask(arrival(51, 51, 1_000.0));
+    harness.request(arrival(51, 51, 1_000.0));
     assert!(harness.timeout().is_some_and(|t| t > 0));
 }
 
@@ -169,7 +173,7 @@
     for id in 0..200 {
         harness.now += SECOND / 20;
         let tenant = usize::from(id % 10 == 0);
-        harness.ask(Request {
+        harness.request(Request {
             tenant,
             ..arrival(id, id, 1_000.0)
         });
--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -14,19 +14,19 @@
 /// Engines and the way to them, in time moved by hand.
 struct Simulation {
     now: Micros,
-    let_go: ReleaseQueue,
-    takers: BTreeMap<EndpointId, ReleaseTarget>,
+    queue: ReleaseQueue,
+    targets: BTreeMap<EndpointId, ReleaseTarget>,
     /// Whether an engine answers at a time.
     answers: Box<dyn Fn(EndpointId, Micros) -> bool>,
-    way: Micros,
+    latency: Micros,
     /// Asks under way by the time of their end.
-    out: Vec<(Micros, ReleaseAttempt, ReleaseResult)>,
-    most_out: usize,
-    asks: Vec<(Micros, ReleaseAttempt)>,
-    taken: Vec<(Micros, u64)>,
+    in_flight: Vec<(Micros, ReleaseAttempt, ReleaseResult)>,
+    max_in_flight: usize,
+    attempts: Vec<(Micros, ReleaseAttempt)>,
+    accepted: Vec<(Micros, u64)>,
     /// Requests without a pending release.
-    done: BTreeMap<u64, Micros>,
-    owing: Vec<u64>,
+    finished_at: BTreeMap<u64, Micros>,
+    unfinished: Vec<u64>,
 }
 
 impl Simulation {
@@ -47,7 +47,7 @@
         answers: impl Fn(EndpointId, Micros) -> bool + 'static,
     ) -> Simulation {
         // All responded lately, the higher ids later.
-        let taker = |i| ReleaseTarget {
+        let target = |i| ReleaseTarget {
             id: EndpointId(i),
             last_response: START - 100 * MS + i,
             last_failure: 0,
@@ -56,73 +56,73 @@
         };
         Simulation {
             now: START,
-            let_go: ReleaseQueue::new(settings),
-            takers: (1..=engines).map(|i| (EndpointId(i), taker(i))).collect(),
+            queue: ReleaseQueue::new(settings),
+            targets: (1..=engines).map(|i| (EndpointId(i), target(i))).collect(),
             answers: Box::new(answers),
-            way: 3 * MS,
-            out: Vec::new(),
-            most_out: 0,
-            asks: Vec::new(),
-            taken: Vec::new(),
-            done: BTreeMap::new(),
-            owing: Vec::new(),
+            latency: 3 * MS,
+            in_flight: Vec::new(),
+            max_in_flight: 0,
+            attempts: Vec::new(),
+            accepted: Vec::new(),
+            finished_at: BTreeMap::new(),
+            unfinished: Vec::new(),
         }
     }
-    fn enqueue(&mut self, request: u64, sure: bool) -> Option<u64> {
-        self.owing.push(request);
-        self.let_go.enqueue(self.now, request, sure)
+    fn enqueue(&mut self, request: u64, confirmed: bool) -> Option<u64> {
+        self.unfinished.push(request);
+        self.queue.enqueue(self.now, request, confirmed)
     }
     /// Simulates until a time, or until no release is pending.
-    fn until(&mut self, end: Micros) {
+    fn run_until(&mut self, end: Micros) {
         loop {
-            let takers: Vec<ReleaseTarget> = self.takers.values().copied().collect();
-            for ask in self.let_go.next_attempts(self.now, &takers) {
-                let answers = (self.answers)(ask.target, self.now);
-                let (at, answer) = match answers {
-                    true => (self.now + self.way, ReleaseResult::Accepted),
-                    false => (ask.deadline, ReleaseResult::Failed),
+            let targets: Vec<ReleaseTarget> = self.targets.values().copied().collect();
+            for attempt in self.queue.next_attempts(self.now, &targets) {
+                let answers = (self.answers)(attempt.target, self.now);
+                let (at, result) = match answers {
+                    true => (self.now + self.latency, ReleaseResult::Accepted),
+                    false => (attempt.deadline, ReleaseResult::Failed),
                 };
-                self.asks.push((self.now, ask));
-                self.out.push((at, ask, answer));
+                self.attempts.push((self.now, attempt));
+                self.in_flight.push((at, attempt, result));
             }
-            self.most_out = self.most_out.max(self.out.len());
-            let met: Vec<u64> = self
-                .owing
+            self.max_in_flight = self.max_in_flight.max(self.in_flight.len());
+            let finished: Vec<u64> = self
+                .unfinished
                 .iter()
                 .copied()
-                .filter(|r| !self.let_go.is_pending(*r))
+                .filter(|r| !self.queue.is_pending(*r))
                 .collect();
-            self.owing.retain(|r| self.let_go.is_pending(*r));
-            self.done
-                .extend(met.into_iter().map(|request| (request, self.now)));
+            self.unfinished.retain(|r| self.queue.is_pending(*r));
+            self.finished_at
+                .extend(finished.into_iter().map(|request| (request, self.now)));
             let next = self
-                .out
+                .in_flight
                 .iter()
                 .map(|o| o.0)
-                .chain(self.let_go.next_deadline())
+                .chain(self.queue.next_deadline())
                 .min()
                 .unwrap_or(Micros::MAX);
-            if self.let_go.pending() == 0 && self.out.is_empty() || next > end {
+            if self.queue.pending() == 0 && self.in_flight.is_empty() || next > end {
                 self.now = if next > end { end } else { self.now };
                 return;
             }
             assert!(next >= self.now, "time does not run back");
             self.now = next;
-            self.out.sort_by_key(|o| o.0);
-            while self.out.first().is_some_and(|o| o.0 <= self.now) {
-                let (at, ask, answer) = self.out.remove(0);
-                let taker = self.takers.get_mut(&ask.target).unwrap();
-                let silent = taker.silent();
-                match answer {
+            self.in_flight.sort_by_key(|o| o.0);
+            while self.in_flight.first().is_some_and(|o| o.0 <= self.now) {
+                let (at, attempt, result) = self.in_flight.remove(0);
+                let target = self.targets.get_mut(&attempt.target).unwrap();
+                let silent = target.silent();
+                match result {
                     ReleaseResult::Accepted => {
-                        taker.last_response = at;
-                        self.taken.push((at, ask.request));
+                        target.last_response = at;
+                        self.accepted.push((at, attempt.request));
                     }
-                    _ => taker.last_failure = at,
+                    _ => target.last_failure = at,
                 }
-                self.let_go.on_result(self.now, &ask, answer);
-                if answer == ReleaseResult::Accepted && silent {
-                    self.let_go.endpoint_recovered(self.now);
+                self.queue.on_result(self.now, &attempt, result);
+                if result == ReleaseResult::Accepted && silent {
+                    self.queue.endpoint_recovered(self.now);
                 }
             }
         }
@@ -131,50 +131,76 @@
 
 #[test]
 fn a_recently_responsive_engine_is_asked_alone() {
-    let mut play = Simulation::new(40, |_, _| true);
-    play.takers.get_mut(&EndpointId(7)).unwrap().last_response = START - 1;
-    play.takers.get_mut(&EndpointId(9)).unwrap().last_response = START;
-    play.takers
+    let mut simulation = Simulation::new(40, |_, _| true);
+    simulation
+        .targets
+        .get_mut(&EndpointId(7))
+        .unwrap()
+        .last_response = START - 1;
+    simulation
+        .targets
+        .get_mut(&EndpointId(9))
+        .unwrap()
+        .last_response = START;
+    simulation
+        .targets
         .get_mut(&EndpointId(9))
         .unwrap()
         .has_idle_connection = false;
-    play.enqueue(1, true);
-    play.until(START + WITHIN);
-    assert_eq!(play.asks.len(), 1, "one ask is enough: {:?}", play.asks);
+    simulation.enqueue(1, true);
+    simulation.run_until(START + WITHIN);
+    assert_eq!(
+        simulation.attempts.len(),
+        1,
+        "one ask is enough: {:?}",
+        simulation.attempts
+    );
     assert_eq!(
-        play.asks[0].1.target,
+        simulation.attempts[0].1.target,
         EndpointId(7),
         "no new connection where one stands"
     );
-    assert_eq!(play.done[&1], START + play.way);
+    assert_eq!(simulation.finished_at[&1], START + simulation.latency);
 }
 
 #[test]
 fn draining_and_silent_engines_are_asked_last() {
-    let mut play = Simulation::new(3, |_, _| true);
-    play.takers.get_mut(&EndpointId(3)).unwrap().is_draining = true;
-    play.takers.get_mut(&EndpointId(2)).unwrap().last_failure = START;
-    play.enqueue(1, true);
-    play.until(START + WITHIN);
-    assert_eq!(play.asks[0].1.target, EndpointId(1));
+    let mut simulation = Simulation::new(3, |_, _| true);
+    simulation
+        .targets
+        .get_mut(&EndpointId(3))
+        .unwrap()
+        .is_draining = true;
+    simulation
+        .targets
+        .get_mut(&EndpointId(2))
+        .unwrap()
+        .last_failure = START;
+    simulation.enqueue(1, true);
+    simulation.run_until(START + WITHIN);
+    assert_eq!(simulation.attempts[0].1.target, EndpointId(1));
 }
 
 /// A cut has just begun: five engines that responded a moment ago, with idle connections, are silent.
 #[test]
 fn silent_engines_do_not_use_up_the_time() {
     for silent in 0..=5 {
-        let mut play = Simulation::new(40, move |id, _| id.0 <= 40 - silent);
-        play.enqueue(1, true);
-        play.until(START + 10 * WITHIN);
-        let took = play.done[&1] - START;
+        let mut simulation = Simulation::new(40, move |id, _| id.0 <= 40 - silent);
+        simulation.enqueue(1, true);
+        simulation.run_until(START + 10 * WITHIN);
+        let took = simulation.finished_at[&1] - START;
         assert!(took <= WITHIN * 3 / 10, "{silent} silent: {took} us");
-        assert!(play.most_out <= 6, "{} at once", play.most_out);
+        assert!(
+            simulation.max_in_flight <= 6,
+            "{} at once",
+            simulation.max_in_flight
+        );
         // Later releases know: no silent engine is asked.
-        let asked = play.asks.len();
-        play.enqueue(2, true);
-        play.until(play.now + WITHIN);
-        assert_eq!(play.asks.len(), asked + 1, "{silent} silent");
-        assert!(play.asks.len() as u64 <= silent + 4);
+        let asked = simulation.attempts.len();
+        simulation.enqueue(2, true);
+        simulation.run_until(simulation.now + WITHIN);
+        assert_eq!(simulation.attempts.len(), asked + 1, "{silent} silent");
+        assert!(simulation.attempts.len() as u64 <= silent + 4);
     }
 }
 
@@ -182,44 +208,60 @@
 fn three_hundred_releases_stay_within_their_connections_and_time() {
     // A third of the engines is behind the cut; and, worse than any cut, all those that responded last.
     for (last_ones, within) in [(false, WITHIN), (true, 3 * WITHIN)] {
-        let mut play = Simulation::new(
-            300,
-            move |id, _| if last_ones { id.0 <= 200 } else { id.0 % 3 > 0 },
-        );
+        let mut simulation =
+            Simulation::new(
+                300,
+                move |id, _| if last_ones { id.0 <= 200 } else { id.0 % 3 > 0 },
+            );
         for request in 0..300 {
-            play.enqueue(request, true);
+            simulation.enqueue(request, true);
         }
-        play.until(START + 10 * WITHIN);
-        assert_eq!(play.let_go.pending(), 0);
-        assert!(play.most_out <= 28);
-        let last = play.done.values().max().unwrap() - START;
+        simulation.run_until(START + 10 * WITHIN);
+        assert_eq!(simulation.queue.pending(), 0);
+        assert!(simulation.max_in_flight <= 28);
+        let last = simulation.finished_at.values().max().unwrap() - START;
         assert!(last <= within, "the last after {last} us");
-        assert!(play.asks.len() <= 300 + 110, "{} asks", play.asks.len());
+        assert!(
+            simulation.attempts.len() <= 300 + 110,
+            "{} asks",
+            simulation.attempts.len()
+        );
     }
 }
 
 #[test]
 fn while_all_are_silent_a_release_stays_pending_until_the_first_response() {
     let back = START + 60_000 * MS;
-    let mut play = Simulation::new(60, move |id, now| id == EndpointId(17) && now >= back);
+    let mut simulation = Simulation::new(60, move |id, now| id == EndpointId(17) && now >= back);
     for request in 0..20 {
-        play.enqueue(request, request % 2 == 0);
+        simulation.enqueue(request, request % 2 == 0);
     }
-    play.until(back);
-    assert_eq!(play.let_go.pending(), 20, "nothing is given up");
+    simulation.run_until(back);
+    assert_eq!(simulation.queue.pending(), 20, "nothing is given up");
     assert!(
-        play.asks.len() < 20 * 60,
+        simulation.attempts.len() < 20 * 60,
         "{} asks in a minute",
-        play.asks.len()
+        simulation.attempts.len()
     );
     // That engine responds to something else.
-    play.takers.get_mut(&EndpointId(17)).unwrap().last_response = back;
-    play.let_go.endpoint_recovered(back);
-    play.until(back + 4 * WITHIN);
-    assert_eq!(play.let_go.pending(), 0);
-    let first = |request| play.taken.iter().find(|t| t.1 == request).unwrap().0;
+    simulation
+        .targets
+        .get_mut(&EndpointId(17))
+        .unwrap()
+        .last_response = back;
+    simulation.queue.endpoint_recovered(back);
+    simulation.run_until(back + 4 * WITHIN);
+    assert_eq!(simulation.queue.pending(), 0);
+    let first = |request| {
+        simulation
+            .accepted
+            .iter()
+            .find(|t| t.1 == request)
+            .unwrap()
+            .0
+    };
     assert!(
-        (0..20).all(|r| first(r) <= back + 2 * play.way),
+        (0..20).all(|r| first(r) <= back + 2 * simulation.latency),
         "at once, and not after a pause"
     );
 }
@@ -229,15 +271,21 @@
 fn one_recovered_engine_among_hundreds_is_found_soon() {
     for requests in [1, 50] {
         let back = START + 20_000 * MS;
-        let mut play = Simulation::new(400, move |id, now| id == EndpointId(17) && now >= back);
+        let mut simulation =
+            Simulation::new(400, move |id, now| id == EndpointId(17) && now >= back);
         for request in 0..requests {
-            play.enqueue(request, true);
+            simulation.enqueue(request, true);
         }
-        play.until(back);
-        let asked = play.asks.len();
+        simulation.run_until(back);
+        let asked = simulation.attempts.len();
         assert!(asked < 2_000, "{asked} asks in 20 s");
-        play.until(back + 60_000 * MS);
-        let last = play.done.values().max().copied().unwrap_or(Micros::MAX);
+        simulation.run_until(back + 60_000 * MS);
+        let last = simulation
+            .finished_at
+            .values()
+            .max()
+            .copied()
+            .unwrap_or(Micros::MAX);
         assert!(
             last - back < 12_000 * MS,
             "{requests} owed: {} us",
@@ -248,43 +296,44 @@
 
 #[test]
 fn reservations_that_may_be_on_their_way_are_released_again() {
-    let mut play = Simulation::new(5, |_, _| true);
-    play.enqueue(1, false);
-    play.until(START + 4 * WITHIN);
-    let taken: Vec<Micros> = play.taken.iter().map(|t| t.0 - START).collect();
-    assert_eq!(taken.len(), 3, "{taken:?}");
+    let mut simulation = Simulation::new(5, |_, _| true);
+    simulation.enqueue(1, false);
+    simulation.run_until(START + 4 * WITHIN);
+    let accepted: Vec<Micros> = simulation.accepted.iter().map(|t| t.0 - START).collect();
+    assert_eq!(accepted.len(), 3, "{accepted:?}");
     assert!(
-        taken[1] >= WITHIN / 3 && taken[2] >= WITHIN && taken[2] <= WITHIN + 20 * MS,
-        "{taken:?}"
+        accepted[1] >= WITHIN / 3 && accepted[2] >= WITHIN && accepted[2] <= WITHIN + 20 * MS,
+        "{accepted:?}"
     );
     // Another release after the first was accepted: all begins anew, and what is unconfirmed stays so.
-    play.enqueue(2, false);
-    play.until(play.now + 10 * MS);
-    let before = play.taken.len();
-    play.let_go.enqueue(play.now, 2, true);
-    play.until(play.now + 4 * WITHIN);
-    assert_eq!(play.taken.len(), before + 3);
-    assert_eq!(play.let_go.pending(), 0);
+    simulation.enqueue(2, false);
+    simulation.run_until(simulation.now + 10 * MS);
+    let before = simulation.accepted.len();
+    simulation.queue.enqueue(simulation.now, 2, true);
+    simulation.run_until(simulation.now + 4 * WITHIN);
+    assert_eq!(simulation.accepted.len(), before + 3);
+    assert_eq!(simulation.queue.pending(), 0);
 }
 
 #[test]
 fn a_withdrawn_release_is_not_sent() {
-    let mut play = Simulation::new(5, |_, _| true);
-    play.enqueue(1, false);
-    play.until(START + 10 * MS);
-    assert!(play.let_go.withdraw(1), "repeats were still to come");
-    assert!(!play.let_go.withdraw(1) && !play.let_go.withdraw(2));
-    play.until(START + 4 * WITHIN);
-    assert_eq!(play.taken.len(), 1);
+    let mut simulation = Simulation::new(5, |_, _| true);
+    simulation.enqueue(1, false);
+    simulation.run_until(START + 10 * MS);
+    assert!(simulation.queue.withdraw(1), "repeats were still to come");
+    assert!(!simulation.queue.withdraw(1) && !simulation.queue.withdraw(2));
+    simulation.run_until(START + 4 * WITHIN);
+    assert_eq!(simulation.accepted.len(), 1);
     // An answer that comes after all changes nothing.
-    play.enqueue(3, true);
-    let takers: Vec<ReleaseTarget> = play.takers.values().copied().collect();
-    let asks = play.let_go.next_attempts(play.now, &takers);
-    play.let_go.withdraw(3);
-    play.let_go
-        .on_result(play.now + 1, &asks[0], ReleaseResult::Accepted);
+    simulation.enqueue(3, true);
+    let targets: Vec<ReleaseTarget> = simulation.targets.values().copied().collect();
+    let attempts = simulation.queue.next_attempts(simulation.now, &targets);
+    simulation.queue.withdraw(3);
+    simulation
+        .queue
+        .on_result(simulation.now + 1, &attempts[0], ReleaseResult::Accepted);
     assert_eq!(
-        (play.let_go.pending(), play.let_go.next_deadline()),
+        (simulation.queue.pending(), simulation.queue.next_deadline()),
         (0, None)
     );
 }
@@ -296,59 +345,63 @@
         max_concurrent_attempts: 4,
         max_pending: 3,
     };
-    let mut play = Simulation::with(settings, 2, |_, _| false);
+    let mut simulation = Simulation::with(settings, 2, |_, _| false);
     assert_eq!(
         [
-            play.enqueue(1, true),
-            play.enqueue(2, true),
-            play.enqueue(3, true)
+            simulation.enqueue(1, true),
+            simulation.enqueue(2, true),
+            simulation.enqueue(3, true)
         ],
         [None; 3]
     );
     assert_eq!(
-        play.enqueue(2, true),
+        simulation.enqueue(2, true),
         None,
         "one that is owed already takes no more room"
     );
-    assert_eq!(play.enqueue(4, true), Some(1));
-    assert_eq!(play.let_go.pending(), 3);
+    assert_eq!(simulation.enqueue(4, true), Some(1));
+    assert_eq!(simulation.queue.pending(), 3);
 }
 
 #[test]
 fn a_node_that_shuts_down_releases_first_and_for_a_limited_time() {
-    let mut play = Simulation::new(4, |_, now| now >= START + 1_000 * MS);
-    play.enqueue(1, true);
-    play.let_go.shut_down(START);
-    play.until(START + 2_500 * MS);
-    assert_eq!(play.let_go.pending(), 0, "met while it waits");
-    let mut play = Simulation::new(4, |_, _| false);
-    play.enqueue(1, true);
-    play.let_go.shut_down(START);
-    play.until(START + 2_900 * MS);
-    assert!(play.let_go.take_abandoned(play.now).is_empty() && play.let_go.pending() == 1);
-    assert_eq!(play.let_go.take_abandoned(START + 10 * WITHIN), [1]);
+    let mut simulation = Simulation::new(4, |_, now| now >= START + 1_000 * MS);
+    simulation.enqueue(1, true);
+    simulation.queue.shut_down(START);
+    simulation.run_until(START + 2_500 * MS);
+    assert_eq!(simulation.queue.pending(), 0, "met while it waits");
+    let mut simulation = Simulation::new(4, |_, _| false);
+    simulation.enqueue(1, true);
+    simulation.queue.shut_down(START);
+    simulation.run_until(START + 2_900 * MS);
+    assert!(
+        simulation.queue.take_abandoned(simulation.now).is_empty()
+            && simulation.queue.pending() == 1
+    );
+    assert_eq!(simulation.queue.take_abandoned(START + 10 * WITHIN), [1]);
     assert_eq!(
-        (play.let_go.pending(), play.let_go.next_deadline()),
+        (simulation.queue.pending(), simulation.queue.next_deadline()),
         (0, None)
     );
 }
 
 #[test]
 fn lack_of_descriptors_does_not_count_against_an_engine() {
-    let mut play = Simulation::new(1, |_, _| true);
-    play.enqueue(1, true);
-    let takers: Vec<ReleaseTarget> = play.takers.values().copied().collect();
-    let ask = play.let_go.next_attempts(play.now, &takers)[0];
-    play.let_go
-        .on_result(play.now, &ask, ReleaseResult::NoLocalResources);
-    let again = play.let_go.next_deadline().unwrap();
+    let mut simulation = Simulation::new(1, |_, _| true);
+    simulation.enqueue(1, true);
+    let targets: Vec<ReleaseTarget> = simulation.targets.values().copied().collect();
+    let attempt = simulation.queue.next_attempts(simulation.now, &targets)[0];
+    simulation
+        .queue
+        .on_result(simulation.now, &attempt, ReleaseResult::NoLocalResources);
+    let again = simulation.queue.next_deadline().unwrap();
     assert!(
         again > START && again <= START + WITHIN / 5,
         "soon, and not at once"
     );
-    play.now = again;
-    play.until(again + WITHIN);
-    assert_eq!(play.let_go.pending(), 0);
+    simulation.now = again;
+    simulation.run_until(again + WITHIN);
+    assert_eq!(simulation.queue.pending(), 0);
 }
 
 #[test]
@@ -359,26 +412,29 @@
             max_concurrent_attempts: 28,
             max_pending: 10,
         };
-        let mut play = Simulation::with(settings, 8, |id, _| id.0 <= 6);
-        play.way = 8 * MS;
-        play.enqueue(1, true);
-        play.until(START + 1_000 * MS);
+        let mut simulation = Simulation::with(settings, 8, |id, _| id.0 <= 6);
+        simulation.latency = 8 * MS;
+        simulation.enqueue(1, true);
+        simulation.run_until(START + 1_000 * MS);
         assert!(
-            play.done[&1] <= START + 40 * MS,
+            simulation.finished_at[&1] <= START + 40 * MS,
             "{within}: {}",
-            play.done[&1] - START
+            simulation.finished_at[&1] - START
         );
     }
 }
 
 #[test]
 fn without_engines_a_release_waits() {
-    let mut play = Simulation::new(0, |_, _| true);
-    play.enqueue(1, true);
-    play.until(START + 5_000 * MS);
-    assert_eq!((play.let_go.pending(), play.asks.len()), (1, 0));
+    let mut simulation = Simulation::new(0, |_, _| true);
+    simulation.enqueue(1, true);
+    simulation.run_until(START + 5_000 * MS);
+    assert_eq!(
+        (simulation.queue.pending(), simulation.attempts.len()),
+        (1, 0)
+    );
     let id = EndpointId(1);
-    play.takers.insert(
+    simulation.targets.insert(
         id,
         ReleaseTarget {
             id,
@@ -388,8 +444,8 @@
             is_draining: false,
         },
     );
-    play.until(START + 8_000 * MS);
-    assert_eq!(play.let_go.pending(), 0);
+    simulation.run_until(START + 8_000 * MS);
+    assert_eq!(simulation.queue.pending(), 0);
 }
 
 proptest! {
@@ -402,23 +458,23 @@
         owed in 1u64..60,
         most_asks in 1usize..20,
         flaps in proptest::collection::vec(0u64..4_000, 30),
-        sure in any::<bool>(),
+        confirmed in any::<bool>(),
     ) {
         let settings = ReleaseSettings { within: WITHIN, max_concurrent_attempts: most_asks, max_pending: 1_000 };
         let well = START + 5_000 * MS;
-        let mut play = Simulation::with(settings, engines, move |id, now| {
+        let mut simulation = Simulation::with(settings, engines, move |id, now| {
             now >= well && id.0 == 1 || (now - START) / MS % 4_000 < flaps[id.0 as usize % 30] / 2
         });
         for request in 0..owed {
-            play.enqueue(request, sure);
+            simulation.enqueue(request, confirmed);
         }
-        play.until(well + 20 * WITHIN + owed * engines * 120 * MS / most_asks as u64);
-        prop_assert_eq!(play.let_go.pending(), 0);
-        prop_assert!(play.most_out <= most_asks);
+        simulation.run_until(well + 20 * WITHIN + owed * engines * 120 * MS / most_asks as u64);
+        prop_assert_eq!(simulation.queue.pending(), 0);
+        prop_assert!(simulation.max_in_flight <= most_asks);
         for request in 0..owed {
-            let taken = play.taken.iter().filter(|t| t.1 == request).count();
-            let least = if sure { 1 } else { 3 };
-            prop_assert!(taken >= least);
+            let accepted = simulation.accepted.iter().filter(|t| t.1 == request).count();
+            let least = if confirmed { 1 } else { 3 };
+            prop_assert!(accepted >= least);
         }
     }
 }
--- a/crates/ivyward-core/tests/request_rules.rs
+++ b/crates/ivyward-core/tests/request_rules.rs
@@ -11,7 +11,7 @@
 #[test]
 fn an_empty_endpoint_list_rejects_at_once_with_retry_after() {
     let mut harness = Harness::new(settings(), &[]);
-    assert_eq!(harness.ask(arrival(1, 5, 1_000.0)), None);
+    assert_eq!(harness.request(arrival(1, 5, 1_000.0)), None);
     assert!(harness.done.contains(&Action::Reject {
         request: RequestId(1),
         retry_after: SECOND / 2
@@ -28,11 +28,11 @@
         Outcome::TimedOut,
     ] {
         let mut harness = Harness::new(settings(), &endpoints());
-        harness.ask(arrival(1, 5, 1_000.0));
+        harness.request(arrival(1, 5, 1_000.0));
         let (mut finals, mut attempt) = (0, 0);
         while harness.sent().is_some() {
             harness.now += 10_000;
-            harness.end(1, attempt, outcome);
+            harness.end_attempt(1, attempt, outcome);
             attempt += 1;
             finals += usize::from(harness.rejected()) + usize::from(harness.failed());
         }
@@ -44,7 +44,7 @@
 #[test]
 fn an_attempt_timeout_leaves_time_for_another_attempt() {
     let mut harness = Harness::new(settings(), &endpoints());
-    harness.ask(arrival(1, 5, 1_000.0));
+    harness.request(arrival(1, 5, 1_000.0));
     let timeout = harness.timeout().unwrap();
     assert!(timeout > 0 && timeout < 5 * SECOND, "{timeout}");
 }
@@ -52,9 +52,9 @@
 #[test]
 fn after_the_deadline_a_request_fails_and_nothing_is_sent() {
     let mut harness = Harness::new(settings(), &endpoints());
-    harness.ask(arrival(1, 5, 1_000.0));
+    harness.request(arrival(1, 5, 1_000.0));
     harness.now += 6 * SECOND;
-    assert_eq!(harness.end(1, 0, Outcome::TimedOut), None);
+    assert_eq!(harness.end_attempt(1, 0, Outcome::TimedOut), None);
     assert!(harness.failed() || harness.rejected());
 }
 
@@ -69,14 +69,14 @@
         settings(),
         &[server(1, 0), server(2, 0), server(11, 1), far],
     );
-    harness.ask(Request {
+    harness.request(Request {
         class,
         ..arrival(1, 5, 1_000.0)
     });
-    let writer = harness.end(1, 0, Outcome::Prefilled).unwrap();
+    let decode = harness.end_attempt(1, 0, Outcome::Prefilled).unwrap();
     harness.now += 100_000;
-    let next = harness.end(1, 1, outcome);
-    (harness, writer, next)
+    let next = harness.end_attempt(1, 1, outcome);
+    (harness, decode, next)
 }
 
 #[test]
@@ -96,22 +96,22 @@
 #[test]
 fn a_non_idempotent_request_that_never_ran_is_retried() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
-        let (_, writer, next) = after_decode_outcome(1, outcome);
-        assert!(next.is_some() && next != Some(writer), "{outcome:?}");
+        let (_, decode, next) = after_decode_outcome(1, outcome);
+        assert!(next.is_some() && next != Some(decode), "{outcome:?}");
     }
 }
 
 #[test]
 fn a_prefill_may_be_repeated() {
     let mut harness = Harness::new(settings(), &endpoints());
-    let reader = harness
-        .ask(Request {
+    let prefill = harness
+        .request(Request {
             class: 1,
             ..arrival(1, 5, 1_000.0)
         })
         .unwrap();
-    let next = harness.end(1, 0, Outcome::TimedOut);
-    assert!(next.is_some() && next != Some(reader));
+    let next = harness.end_attempt(1, 0, Outcome::TimedOut);
+    assert!(next.is_some() && next != Some(prefill));
 }
 
 #[test]
@@ -129,7 +129,7 @@
 /// A slot that was reserved before another endpoint may have run the request is no way out of the scope.
 #[test]
 fn a_keyed_retry_uses_no_slot_reserved_outside_its_scope() {
-    let writers = [
+    let decode_endpoints = [
         server(11, 1),
         Endpoint {
             zone: 1,
@@ -141,9 +141,9 @@
             reserve_decode_slot: true,
             ..settings()
         },
-        &[server(1, 0), writers[0], writers[1]],
+        &[server(1, 0), decode_endpoints[0], decode_endpoints[1]],
     );
-    harness.ask(Request {
+    harness.request(Request {
         class: 2,
         ..arrival(1, 5, 1_000.0)
     });
@@ -154,7 +154,7 @@
         _ => None,
     });
     let held = held.expect("a place is asked for");
-    let entry = writers.into_iter().find(|w| w.id == held).unwrap();
+    let entry = decode_endpoints.into_iter().find(|w| w.id == held).unwrap();
     harness.endpoints(
         ListKind::Changes,
         &[Endpoint {
@@ -162,12 +162,12 @@
             ..entry
         }],
     );
-    let ran_at = harness.end(1, 0, Outcome::Prefilled).unwrap();
+    let ran_at = harness.end_attempt(1, 0, Outcome::Prefilled).unwrap();
     assert_ne!(ran_at, held);
     harness.endpoints(ListKind::Changes, &[entry]);
     harness.now += 100_000;
     assert_ne!(
-        harness.end(1, 1, Outcome::Reset),
+        harness.end_attempt(1, 1, Outcome::Reset),
         Some(held),
         "it is in another zone"
     );
@@ -187,7 +187,7 @@
         ..arrival(1, 5, 8_000.0)
     };
     assert_eq!(
-        harness.ask(Request { class: 2, ..shared }),
+        harness.request(Request { class: 2, ..shared }),
         Some(EndpointId(11)),
         "the writer of this zone"
     );
@@ -200,16 +200,16 @@
         }],
     );
     assert_eq!(
-        harness.ask(Request {
+        harness.request(Request {
             id: RequestId(2),
             ..shared
         }),
         Some(EndpointId(12))
     );
-    harness.first(2, 0);
-    harness.end(2, 0, Outcome::Served);
+    harness.first_token(2, 0);
+    harness.end_attempt(2, 0, Outcome::Served);
     assert_ne!(
-        harness.end(1, 0, Outcome::Reset),
+        harness.end_attempt(1, 0, Outcome::Reset),
         Some(EndpointId(12)),
         "it is in another zone"
     );
@@ -218,7 +218,7 @@
 /// Once a keyed request may have run, whatever is sent for it stays in its group and window: reads as well.
 #[test]
 fn a_keyed_retry_is_prefilled_within_its_scope_too() {
-    let reader = |id: u64, zone: u8, state| Endpoint {
+    let prefill = |id: u64, zone: u8, state| Endpoint {
         zone,
         state,
         ..server(id, 0)
@@ -227,16 +227,16 @@
         // Without prefill endpoints the first attempt is prefilled where it is decoded.
         let mut harness = Harness::new(settings(), &[server(11, 1)]);
         assert_eq!(
-            harness.ask(Request {
+            harness.request(Request {
                 class: 2,
                 ..arrival(1, 5, 1_000.0)
             }),
             Some(EndpointId(11))
         );
-        harness.endpoints(ListKind::Changes, &[reader(1, zone, EndpointState::Ready)]);
+        harness.endpoints(ListKind::Changes, &[prefill(1, zone, EndpointState::Ready)]);
         let sent = harness.now;
         harness.now += 100_000;
-        let next = harness.end(1, 0, Outcome::Reset);
+        let next = harness.end_attempt(1, 0, Outcome::Reset);
         assert_eq!(next, (zone == 0).then_some(EndpointId(1)), "zone {zone}");
         if zone == 0 {
             let send_deadline = harness.send_deadline().unwrap();
@@ -258,15 +258,15 @@
         ..class(Idempotency::WithKey)
     };
     let mut harness = Harness::new(settings, &endpoints());
-    harness.ask(Request {
+    harness.request(Request {
         class: 2,
         ..arrival(1, 5, 1_000.0)
     });
-    assert!(harness.end(1, 0, Outcome::Prefilled).is_some());
+    assert!(harness.end_attempt(1, 0, Outcome::Prefilled).is_some());
     let sent = harness.now;
     harness.now += 900_000;
     assert!(
-        harness.end(1, 1, Outcome::Reset).is_some(),
+        harness.end_attempt(1, 1, Outcome::Reset).is_some(),
         "sent on within the window"
     );
     let send_deadline = harness.send_deadline().unwrap();
@@ -276,7 +276,7 @@
     );
     harness.now = sent + SECOND;
     assert_eq!(
-        harness.end(1, 2, Outcome::ConnectFailed),
+        harness.end_attempt(1, 2, Outcome::ConnectFailed),
         None,
         "the window is over"
     );
@@ -286,7 +286,7 @@
 fn nothing_is_sent_to_a_draining_or_removed_endpoint() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(), &endpoints());
-        let writer = harness.turn(1, 5, 2_000.0);
+        let decode = harness.turn(1, 5, 2_000.0);
         harness.endpoints(
             ListKind::Changes,
             &[Endpoint {
@@ -298,15 +298,15 @@
             ListKind::Changes,
             &[Endpoint {
                 state,
-                ..server(writer.0, 1)
+                ..server(decode.0, 1)
             }],
         );
         for id in 2..30 {
-            let reader = harness.ask(arrival(id, 5, 2_100.0));
-            assert_eq!(reader, Some(EndpointId(2)), "{state:?}");
-            let next = harness.end(id, 0, Outcome::Prefilled);
-            assert!(next.is_some() && next != Some(writer), "{state:?}");
-            harness.end(id, 1, Outcome::Rejected);
+            let prefill = harness.request(arrival(id, 5, 2_100.0));
+            assert_eq!(prefill, Some(EndpointId(2)), "{state:?}");
+            let next = harness.end_attempt(id, 0, Outcome::Prefilled);
+            assert!(next.is_some() && next != Some(decode), "{state:?}");
+            harness.end_attempt(id, 1, Outcome::Rejected);
         }
     }
 }
@@ -316,7 +316,10 @@
     let mut harness = Harness::new(settings(), &endpoints());
     harness.endpoints(ListKind::Full, &[server(2, 0), server(12, 1)]);
     for id in 0..20 {
-        assert_eq!(harness.ask(arrival(id, id, 1_000.0)), Some(EndpointId(2)));
+        assert_eq!(
+            harness.request(arrival(id, id, 1_000.0)),
+            Some(EndpointId(2))
+        );
     }
 }
 
@@ -334,9 +337,10 @@
     // A burst of 60 within one window; usual are about 3 a window for each decode endpoint.
     let mut to_cold = 0;
     for id in 200..260 {
-        harness.ask(arrival(id, 1_000 + id, 1_000.0));
+        harness.request(arrival(id, 1_000 + id, 1_000.0));
         harness.now += 1_000;
-        to_cold += usize::from(harness.end(id, 0, Outcome::Prefilled) == Some(EndpointId(13)));
+        to_cold +=
+            usize::from(harness.end_attempt(id, 0, Outcome::Prefilled) == Some(EndpointId(13)));
     }
     assert!(
         (1..=4).contains(&to_cold),
@@ -348,7 +352,7 @@
 fn reservations_are_released_unless_a_first_token_came() {
     // No decode endpoint: the KV state cannot be fetched.
     let mut harness = Harness::new(settings(), &[server(1, 0), server(11, 1)]);
-    harness.ask(arrival(1, 5, 1_000.0));
+    harness.request(arrival(1, 5, 1_000.0));
     harness.endpoints(
         ListKind::Changes,
         &[Endpoint {
@@ -356,14 +360,14 @@
             ..server(11, 1)
         }],
     );
-    harness.end(1, 0, Outcome::Prefilled);
+    harness.end_attempt(1, 0, Outcome::Prefilled);
     assert!(harness.rejected() && harness.released());
     // The client disconnects during the prefill: released then, and again when the KV state arrives late.
     let mut harness = Harness::new(settings(), &endpoints());
-    harness.ask(arrival(1, 5, 1_000.0));
+    harness.request(arrival(1, 5, 1_000.0));
     harness.event(Event::ClientDisconnected(RequestId(1)));
     assert!(harness.released());
-    assert_eq!(harness.end(1, 0, Outcome::Prefilled), None);
+    assert_eq!(harness.end_attempt(1, 0, Outcome::Prefilled), None);
     assert!(harness.released() && !harness.rejected() && !harness.failed());
 }
 
@@ -388,13 +392,13 @@
                 ..settings()
             };
             let mut harness = Harness::new(settings, &many);
-            harness.ask(Request {
+            harness.request(Request {
                 class,
                 ..arrival(1, 5, 1_000.0)
             });
             assert_eq!(harness.send_deadline(), Some(0), "nothing is held yet");
             harness.now += 50_000;
-            harness.end(1, 0, outcome);
+            harness.end_attempt(1, 0, outcome);
             let (held, mut attempt) = (harness.now, 1);
             while !harness.released() {
                 let send_deadline = harness.send_deadline().expect("sent on");
@@ -403,7 +407,7 @@
                     "{outcome:?}: {send_deadline} after {held}"
                 );
                 harness.now = send_deadline;
-                harness.end(1, attempt, Outcome::ConnectFailed);
+                harness.end_attempt(1, attempt, Outcome::ConnectFailed);
                 attempt += 1;
             }
             assert!((3..6).contains(&attempt), "{outcome:?}: {attempt}");
@@ -434,12 +438,12 @@
         ..settings()
     };
     let mut harness = Harness::new(settings.clone(), &many);
-    harness.ask(arrival(1, 5, 1_000.0));
-    harness.end(1, 0, Outcome::Prefilled);
+    harness.request(arrival(1, 5, 1_000.0));
+    harness.end_attempt(1, 0, Outcome::Prefilled);
     harness.now += 100_000;
-    harness.end(1, 1, Outcome::ConnectFailed);
+    harness.end_attempt(1, 1, Outcome::ConnectFailed);
     harness.now += 50_000;
-    harness.end(1, 2, Outcome::Rejected);
+    harness.end_attempt(1, 2, Outcome::Rejected);
     assert_eq!(
         harness.send_deadline(),
         Some(harness.now + 210_000),
@@ -454,13 +458,13 @@
         },
         &many,
     );
-    harness.ask(arrival(1, 5, 1_000.0));
-    harness.end(1, 0, Outcome::Prefilled);
+    harness.request(arrival(1, 5, 1_000.0));
+    harness.end_attempt(1, 0, Outcome::Prefilled);
     harness.now += 250_000;
-    harness.end(1, 1, Outcome::ConnectFailed);
+    harness.end_attempt(1, 1, Outcome::ConnectFailed);
     harness.now += 250_000;
     assert!(harness
-        .end(1, 2, Outcome::ConnectFailed)
+        .end_attempt(1, 2, Outcome::ConnectFailed)
         .is_some_and(|s| s.0 > 10));
     assert!(!harness.released() && harness.send_deadline() == Some(0));
 }
--- a/crates/ivyward-core/tests/routing.rs
+++ b/crates/ivyward-core/tests/routing.rs
@@ -18,11 +18,11 @@
 #[test]
 fn a_first_turn_is_prefilled_and_its_kv_state_is_fetched_at_once() {
     let mut harness = Harness::new(settings(), &endpoints());
-    let reader = harness.ask(arrival(1, 5, 1_500.0)).unwrap();
-    assert!(reader.0 < 10, "a first turn goes to a prefill server");
-    let writer = harness.end(1, 0, Outcome::Prefilled).unwrap();
+    let prefill = harness.request(arrival(1, 5, 1_500.0)).unwrap();
+    assert!(prefill.0 < 10, "a first turn goes to a prefill server");
+    let decode = harness.end_attempt(1, 0, Outcome::Prefilled).unwrap();
     assert!(
-        writer.0 > 10,
+        decode.0 > 10,
         "a read state goes to a writer in the same step"
     );
 }
@@ -34,7 +34,7 @@
         let mut harness = Harness::new(settings(), &endpoints());
         harness.router = ivyward_core::router::Router::new(settings(), seed);
         harness.endpoints(ListKind::Full, &endpoints());
-        homes.push(harness.ask(arrival(1, 100 + seed, 1_500.0)).unwrap());
+        homes.push(harness.request(arrival(1, 100 + seed, 1_500.0)).unwrap());
     }
     assert!(homes.windows(2).all(|w| w[0] == w[1]), "{homes:?}");
 }
@@ -42,13 +42,13 @@
 #[test]
 fn a_loaded_home_spills_to_another_prefill_endpoint() {
     let mut harness = Harness::new(settings(), &endpoints());
-    let readers: Vec<_> = (0..6)
-        .map(|i| harness.ask(arrival(i, 100 + i, 4_000.0)).unwrap())
+    let prefill_endpoints: Vec<_> = (0..6)
+        .map(|i| harness.request(arrival(i, 100 + i, 4_000.0)).unwrap())
         .collect();
     assert!(
-        readers.iter().any(|r| *r != readers[0]),
+        prefill_endpoints.iter().any(|r| *r != prefill_endpoints[0]),
         "six waiting reads of one prefix stay at {:?}",
-        readers[0]
+        prefill_endpoints[0]
     );
 }
 
@@ -59,9 +59,9 @@
             let mut harness = Harness::new(settings(), &endpoints());
             harness.router = ivyward_core::router::Router::new(settings(), *i);
             harness.endpoints(ListKind::Full, &endpoints());
-            let writer = harness.turn(1, 5, 2_000.0);
-            change(&mut harness, writer);
-            harness.ask(arrival(2, 5, 2_200.0)) == Some(writer)
+            let decode = harness.turn(1, 5, 2_000.0);
+            change(&mut harness, decode);
+            harness.request(arrival(2, 5, 2_200.0)) == Some(decode)
         })
         .count()
 }
@@ -109,7 +109,7 @@
 fn many_new_tokens_take_the_prefill_path() {
     let mut harness = Harness::new(settings(), &endpoints());
     harness.turn(1, 5, 2_000.0);
-    assert!(harness.ask(arrival(2, 5, 8_000.0)).unwrap().0 < 10);
+    assert!(harness.request(arrival(2, 5, 8_000.0)).unwrap().0 < 10);
 }
 
 #[test]
@@ -121,10 +121,13 @@
             prefix_tokens: 0.0,
             ..arrival(id, 0, 1_000.0)
         };
-        assert!(harness.ask(a).unwrap().0 < 10, "no row, so no local turn");
-        assert!(harness.end(id, 0, Outcome::Prefilled).unwrap().0 > 10);
-        harness.first(id, 1);
-        harness.end(id, 1, Outcome::Served);
+        assert!(
+            harness.request(a).unwrap().0 < 10,
+            "no row, so no local turn"
+        );
+        assert!(harness.end_attempt(id, 0, Outcome::Prefilled).unwrap().0 > 10);
+        harness.first_token(id, 1);
+        harness.end_attempt(id, 1, Outcome::Served);
     }
 }
 
@@ -151,13 +154,13 @@
             prefix_tokens: 0.0,
             ..arrival(id, 5, 20_100.0)
         };
-        if harness.ask(a) == Some(EndpointId(11)) {
-            harness.first(id, 0);
+        if harness.request(a) == Some(EndpointId(11)) {
+            harness.first_token(id, 0);
             harness.end_with_cached_tokens(id, 0, Outcome::Served, 0);
             forgot = true;
             break;
         }
-        harness.end(id, 0, Outcome::Cancelled);
+        harness.end_attempt(id, 0, Outcome::Cancelled);
     }
     assert!(forgot);
     // 140,000 tokens back, where the first estimate would still be local.
@@ -165,7 +168,7 @@
         harness.turn(id, id, 20_000.0);
     }
     let local = (40..46)
-        .filter(|id| harness.ask(arrival(*id, 5, 20_200.0)) == Some(EndpointId(11)))
+        .filter(|id| harness.request(arrival(*id, 5, 20_200.0)) == Some(EndpointId(11)))
         .count();
     assert_eq!(local, 0);
 }
@@ -173,7 +176,7 @@
 #[test]
 fn without_prefill_endpoints_a_decode_endpoint_prefills_itself() {
     let mut harness = Harness::new(settings(), &[server(11, 1), server(21, 2)]);
-    assert!(harness.ask(arrival(1, 5, 1_000.0)).is_some());
+    assert!(harness.request(arrival(1, 5, 1_000.0)).is_some());
     let mut harness = Harness::new(
         Settings {
             decode_may_prefill: false,
@@ -181,7 +184,10 @@
         },
         &[server(11, 1), server(21, 2)],
     );
-    assert_eq!(harness.ask(arrival(1, 5, 1_000.0)), Some(EndpointId(21)));
+    assert_eq!(
+        harness.request(arrival(1, 5, 1_000.0)),
+        Some(EndpointId(21))
+    );
 }
 
 #[test]
@@ -193,7 +199,7 @@
         },
         &endpoints(),
     );
-    harness.ask(arrival(1, 5, 1_000.0)).unwrap();
+    harness.request(arrival(1, 5, 1_000.0)).unwrap();
     let held = harness.done.iter().find_map(|a| match a {
         Action::Reserve {
             endpoint: server, ..
@@ -201,9 +207,9 @@
         _ => None,
     });
     assert!(held.is_some());
-    assert_eq!(harness.end(1, 0, Outcome::Prefilled), held);
+    assert_eq!(harness.end_attempt(1, 0, Outcome::Prefilled), held);
     let mut harness = Harness::new(settings(), &endpoints());
-    harness.ask(arrival(1, 5, 1_000.0));
+    harness.request(arrival(1, 5, 1_000.0));
     assert!(!harness
         .done
         .iter()
@@ -216,7 +222,7 @@
         let mut harness = Harness::new(settings(), &endpoints());
         let mut all = Vec::new();
         for id in 0..50 {
-            harness.ask(arrival(id, id % 7, 1_000.0 + 30.0 * id as f64));
+            harness.request(arrival(id, id % 7, 1_000.0 + 30.0 * id as f64));
             all.extend(harness.done.clone());
             harness.now += 10_000;
         }
@@ -250,15 +256,15 @@
         );
         let homes = (0..200).map(|id| {
             let home = harness
-                .ask(Request {
+                .request(Request {
                     prefix: 1_000 + id,
                     ..arrival(id, id, 1_000.0)
                 })
                 .expect("a reader");
             harness.now += 200_000;
-            harness.end(id, 0, Outcome::Prefilled);
-            harness.first(id, 1);
-            harness.end(id, 1, Outcome::Served);
+            harness.end_attempt(id, 0, Outcome::Prefilled);
+            harness.first_token(id, 1);
+            harness.end_attempt(id, 1, Outcome::Served);
             usize::from(home.0 <= 2)
         });
         homes.sum::<usize>()
--- a/crates/ivyward-core/tests/tenants.rs
+++ b/crates/ivyward-core/tests/tenants.rs
@@ -22,20 +22,20 @@
 
 /// Sends a request, served at its decode endpoint unless that limits the tenant; returns where it went.
 fn write(harness: &mut Harness, tenant: usize, id: u64, limits: &[u64]) -> Vec<u64> {
-    harness.ask(of(tenant, id)).expect("sent to a reader");
+    harness.request(of(tenant, id)).expect("sent to a reader");
     harness.now += 50_000;
     let mut tried = Vec::new();
-    let mut next = harness.end(id, 0, Outcome::Prefilled);
+    let mut next = harness.end_attempt(id, 0, Outcome::Prefilled);
     for attempt in 1.. {
-        let Some(writer) = next else { return tried };
-        tried.push(writer.0);
+        let Some(decode) = next else { return tried };
+        tried.push(decode.0);
         harness.now += 20_000;
-        if tenant == 0 && limits.contains(&writer.0) {
-            next = harness.end(id, attempt, Outcome::Rejected);
+        if tenant == 0 && limits.contains(&decode.0) {
+            next = harness.end_attempt(id, attempt, Outcome::Rejected);
         } else {
-            harness.first(id, attempt);
+            harness.first_token(id, attempt);
             harness.now += 50_000;
-            harness.end(id, attempt, Outcome::Served);
+            harness.end_attempt(id, attempt, Outcome::Served);
             return tried;
         }
     }
@@ -84,9 +84,9 @@
         let id = round * 10;
         let entries = [server(id + 1, 0), server(id + 2, 1), server(id + 3, 1)];
         harness.endpoints(ListKind::Full, &entries);
-        let writer = harness.turn(round, round % 7, 3_000.0);
+        let decode = harness.turn(round, round % 7, 3_000.0);
         assert!(
-            (id..id + 10).contains(&writer.0),
+            (id..id + 10).contains(&decode.0),
             "sent to one that is gone"
         );
         assert!(
@@ -104,27 +104,27 @@
         settings(),
         &[server(1, 0), server(2, 0), server(11, 1), server(12, 1)],
     );
-    let reader = harness.ask(arrival(1, 1, 3_000.0)).unwrap();
-    let others = if reader.0 == 1 {
+    let prefill = harness.request(arrival(1, 1, 3_000.0)).unwrap();
+    let others = if prefill.0 == 1 {
         server(2, 0)
     } else {
         server(1, 0)
     };
     harness.endpoints(ListKind::Full, &[others, server(11, 1), server(12, 1)]);
     harness.now += 10_000;
-    assert_eq!(harness.end(1, 0, Outcome::Reset), Some(others.id));
+    assert_eq!(harness.end_attempt(1, 0, Outcome::Reset), Some(others.id));
     harness.now += 10_000;
-    let writer = harness.end(1, 1, Outcome::Prefilled).unwrap();
-    harness.first(1, 2);
-    let stays = if writer.0 == 11 {
+    let decode = harness.end_attempt(1, 1, Outcome::Prefilled).unwrap();
+    harness.first_token(1, 2);
+    let stays = if decode.0 == 11 {
         server(12, 1)
     } else {
         server(11, 1)
     };
     harness.endpoints(ListKind::Full, &[others, stays]);
-    harness.end(1, 2, Outcome::Served);
+    harness.end_attempt(1, 2, Outcome::Served);
     harness.endpoints(ListKind::Full, &[others, stays]);
     assert_eq!(harness.router.known_endpoints(), 2);
     // The session was forgotten with its endpoint.
-    assert_eq!(harness.ask(arrival(2, 1, 3_100.0)), Some(others.id));
+    assert_eq!(harness.request(arrival(2, 1, 3_100.0)), Some(others.id));
 }
