--- a/crates/ivyward-core/tests/common/mod.rs
+++ b/crates/ivyward-core/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A small harness: a router, its clock, and what it did at the last event.
+//! A test harness: a router, its clock, and its actions at the last event.
 #![allow(dead_code)]
 
-pub mod crowd;
+pub mod multi_node;
 
 use ivyward_core::interface::*;
 use ivyward_core::router::Router;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Kinds: 0 prefill, 1 decode, 2 mixed. Classes: 0 safe, 1 unsafe, 2 keyed within a zone.
+/// Machine types: 0 prefill, 1 decode, 2 mixed. Classes: 0 idempotent, 1 non-idempotent, 2 with key within a zone.
 pub fn settings() -> Settings {
     let zonal = ClassSettings {
         deduplication_scope: DeduplicationScope::Zone,
@@ -74,48 +74,48 @@
     }
 }
 
-pub struct Rig {
+pub struct Harness {
     pub router: Router,
     pub now: Micros,
     pub done: Vec<Action>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, servers: &[Endpoint]) -> Rig {
-        let mut rig = Rig {
+impl Harness {
+    pub fn new(settings: Settings, servers: &[Endpoint]) -> Harness {
+        let mut harness = Harness {
             router: Router::new(settings, 1),
             now: 100 * SECOND,
             done: Vec::new(),
         };
-        rig.fleet(ListKind::Full, servers);
-        rig
+        harness.endpoints(ListKind::Full, servers);
+        harness
     }
-    /// Gives an event and keeps what it led to.
+    /// Passes in an event and keeps the resulting actions.
     pub fn event(&mut self, event: Event) -> &[Action] {
         self.done.clear();
         self.router.handle(self.now, event, &mut self.done);
         &self.done
     }
-    pub fn fleet(&mut self, kind: ListKind, servers: &[Endpoint]) {
+    pub fn endpoints(&mut self, kind: ListKind, servers: &[Endpoint]) {
         self.event(Event::EndpointList {
             kind,
             endpoints: servers.to_vec(),
         });
     }
-    pub fn ask(&mut self, arrival: Request) -> Option<EndpointId> {
+    pub fn request(&mut self, arrival: Request) -> Option<EndpointId> {
         self.event(Event::Request(arrival));
         self.sent()
     }
-    pub fn first(&mut self, id: u64, attempt: u16) {
+    pub fn first_token(&mut self, id: u64, attempt: u16) {
         self.event(Event::FirstToken {
             request: RequestId(id),
             attempt,
         });
     }
-    pub fn end(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Option<EndpointId> {
-        self.end_kept(id, attempt, outcome, 0)
+    pub fn end_attempt(&mut self, id: u64, attempt: u16, outcome: Outcome) -> Option<EndpointId> {
+        self.end_with_cached_tokens(id, attempt, outcome, 0)
     }
-    pub fn end_kept(
+    pub fn end_with_cached_tokens(
         &mut self,
         id: u64,
         attempt: u16,
@@ -156,7 +156,7 @@
             _ => None,
         })
     }
-    pub fn refused(&self) -> bool {
+    pub fn rejected(&self) -> bool {
         self.done.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
     pub fn failed(&self) -> bool {
@@ -167,18 +167,18 @@
             .iter()
             .any(|a| matches!(a, Action::ReleaseReservation(_)))
     }
-    /// A whole remote turn: read, written, served. Returns the writer.
+    /// A complete remote turn: prefilled, decoded, served. Returns the decode endpoint.
     pub fn turn(&mut self, id: u64, session: u64, prompt: f64) -> EndpointId {
-        self.ask(arrival(id, session, prompt))
+        self.request(arrival(id, session, prompt))
             .expect("sent to a reader");
         self.now += 50_000;
-        let writer = self
-            .end(id, 0, Outcome::Prefilled)
+        let decode = self
+            .end_attempt(id, 0, Outcome::Prefilled)
             .expect("sent to a writer");
         self.now += 20_000;
-        self.first(id, 1);
+        self.first_token(id, 1);
         self.now += SECOND;
-        self.end(id, 1, Outcome::Served);
-        writer
+        self.end_attempt(id, 1, Outcome::Served);
+        decode
     }
 }
