--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health and plain metrics over HTTP/1, read with httparse.
+//! The admin endpoint: health, metrics and peers over HTTP/1.
 
 use crate::node::Node;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -6,50 +6,54 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Connections at once; one more is closed.
-const MOST: usize = 32;
-/// Bytes of a request's head.
-const MOST_HEAD: usize = 8 << 10;
-/// Microseconds for a whole request.
-const TIME: u64 = 2_000_000;
+/// Most connections at once; one more is closed.
+const MAX_CONNECTIONS: usize = 32;
+/// Longest head of a request, in bytes.
+const MAX_HEAD: usize = 8 << 10;
+/// Time for a whole request, in microseconds.
+const REQUEST_TIMEOUT: u64 = 2_000_000;
+/// Pause after a failed accept, in microseconds.
+const ACCEPT_PAUSE: u64 = 10_000;
 
 impl Node {
-    /// Serves `/healthz` (200 while the node takes requests, else 503), `/metrics` and, if it knows others, `/peers` until the world ends.
+    /// Serves `/healthz` (200 while the node accepts requests, else 503), `/metrics` and, if it knows other nodes, `/peers`,
+    /// until the runtime ends.
     pub async fn serve_admin(&self, mut listener: Box<dyn Listener>) {
         let runtime = self.context.runtime.clone();
-        let busy = Arc::new(AtomicUsize::new(0));
+        let open = Arc::new(AtomicUsize::new(0));
         loop {
             let Ok((conn, _)) = listener.accept().await else {
-                runtime.sleep(10_000).await;
+                runtime.sleep(ACCEPT_PAUSE).await;
                 continue;
             };
-            if busy.fetch_add(1, Ordering::SeqCst) >= MOST {
-                busy.fetch_sub(1, Ordering::SeqCst);
+            if open.fetch_add(1, Ordering::SeqCst) >= MAX_CONNECTIONS {
+                open.fetch_sub(1, Ordering::SeqCst);
                 continue;
             }
-            let (node, busy, until) = (self.clone(), busy.clone(), runtime.now() + TIME);
+            let (node, open, until) = (self.clone(), open.clone(), runtime.now() + REQUEST_TIMEOUT);
             runtime.run(async move {
-                // A client that breaks off is its own loss.
-                let _ = before(&node.context.runtime, until, one(&node, conn)).await;
-                busy.fetch_sub(1, Ordering::SeqCst);
+                // Errors concern this client alone.
+                let _ = before(&node.context.runtime, until, serve_one(&node, conn)).await;
+                open.fetch_sub(1, Ordering::SeqCst);
             });
         }
     }
 }
 
-async fn one(node: &Node, mut conn: Conn) -> std::io::Result<()> {
+/// Serves the one request of a connection.
+async fn serve_one(node: &Node, mut conn: Conn) -> std::io::Result<()> {
     let (mut head, mut chunk) = (Vec::new(), [0u8; 1024]);
     let (code, body) = loop {
-        let got = conn.read(&mut chunk).await?;
-        if got == 0 {
+        let length = conn.read(&mut chunk).await?;
+        if length == 0 {
             return Ok(());
         }
-        head.extend_from_slice(&chunk[..got]);
+        head.extend_from_slice(&chunk[..length]);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(&head) {
             Ok(httparse::Status::Complete(_)) => break reply(node, request.method, request.path),
-            Ok(httparse::Status::Partial) if head.len() < MOST_HEAD => {}
+            Ok(httparse::Status::Partial) if head.len() < MAX_HEAD => {}
             _ => {
                 break (
                     "400 Bad Request",
--- a/crates/ivyward/src/close_reason.rs
+++ b/crates/ivyward/src/close_reason.rs
@@ -1,19 +1,19 @@
 //! Why a node closes a client's connection.
 
-/// The reason of a close, counted as `ivyward_client_closes_total{reason}` and logged with the connection.
+/// Why a client connection was closed; counted as `ivyward_client_closes_total{reason}` and logged with the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed it, or it broke.
     ClientLeft,
-    /// It brought no request in time, or made room for another one.
+    /// No request came in time, or the connection made room for another one.
     Idle,
-    /// The request was answered with an error after which the connection cannot go on.
+    /// The request was answered with an error after which the connection cannot be used.
     InvalidRequest,
     /// The request or its answer asked for the close.
     Asked,
-    /// More came behind a request than is kept.
+    /// More bytes followed a request than are buffered.
     Pipelined,
-    /// The answer broke off, or its client took no byte of it for too long.
+    /// The answer broke off, or the client read no byte of it for too long.
     AnswerBroken,
     /// The node stops.
     Stopping,
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -1,4 +1,4 @@
-//! The budget of checks of connections at rest, shared by a node's connections to all engines.
+//! The budget of checks on idle connections, shared by a node's connections to all engines.
 
 use crate::settings::NodeSettings;
 use ivyward_core::interface::Micros;
@@ -7,7 +7,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The decider, as all connections share it.
+/// Decides when connections are checked, for all connections together.
 pub(crate) struct EngineKeepalive {
     decider: Mutex<Keepalive>,
     runtime: RuntimeRef,
@@ -31,9 +31,9 @@
         self.decider.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is to be done before a call leaves on a connection on which something was last heard at `heard`.
-    pub(crate) fn before_use(&self, heard: Micros) -> BeforeUse {
-        self.decider().before_use(self.runtime.now(), heard)
+    /// What to do before a call leaves on a connection that last received something at `last_received`.
+    pub(crate) fn before_use(&self, last_received: Micros) -> BeforeUse {
+        self.decider().before_use(self.runtime.now(), last_received)
     }
 }
 
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -4,7 +4,7 @@
 //! without looking. The driver knows requests, deadlines, timers and reservations; a protocol decides nothing of that.
 //!
 //! - [`connect`]: opens a connection, whatever the protocol.
-//! - [`connection_pool`] and [`keepalive`]: connections of the gRPC protocol.
+//! - `connection_pool` and `keepalive`: connections of the gRPC protocol.
 
 pub mod connect;
 pub(crate) mod connection_pool;
--- a/crates/ivyward/src/lib.rs
+++ b/crates/ivyward/src/lib.rs
@@ -1,20 +1,24 @@
-//! A router node for language-model serving, as a library.
+//! A router node for LLM serving, as a library.
 //!
-//! The way of a request: [`Node::generate`] or the gRPC door -> the driver, the one task that owns the module
-//! (`ivyward_core::router::Router`) -> an attempt task -> a connection to an engine -> tokens back through a bounded
-//! buffer. Two nodes in one process share nothing.
+//! The path of a request: [`Node::generate`] or the gRPC server -> the driver, the one task that owns the router
+//! (`ivyward_core::router::Router`) -> an attempt task -> a connection to an engine -> tokens back through a bounded buffer. Two
+//! nodes in one process share nothing.
 //!
-//! - [`settings`]: what a node is told, and the checks on it.
-//! - [`Node`], [`ResponseStream`]: the handles of owner and client.
-//! - [`response`]: the final answers, and the bounded buffer to a client.
-//! - [`request`]: the way of a request; the door, the driver, the attempts.
-//! - [`engines`]: the seam between the driver and the protocols that engines speak, and the links of one of them.
-//! - [`membership`]: which engines there are.
-//! - [`peers`]: other nodes, by datagrams and by records in the store.
-//! - [`recording`]: recordings of what the module was told and did, and their replay.
-//! - [`metrics`]: counters; [`admin`]: health and metrics over HTTP.
+//! Modules, those that others depend on first:
 //!
-//! `settings`, `metrics`, `response` and `context` lie below all others and know none of them; `engines` knows these alone.
+//! - [`settings`]: the settings of a node, and the checks on them.
+//! - [`metrics`], [`close_reason`]: counters, and why client connections are closed.
+//! - [`response`]: final answers, and the bounded buffer to a client.
+//! - `context`: runtime, settings and counters, shared by all parts of a node.
+//! - [`engines`]: the interface between the driver and the protocols that engines speak, and the connections of one of them.
+//! - [`peers`]: other nodes, known by gossip and by records in the store.
+//! - [`recording`]: recordings of the router's events and actions, and their replay.
+//! - [`request`]: the path of a request: server, validation, driver, attempts.
+//! - `node`: [`Node`] and [`ResponseStream`], the handles of owner and client.
+//! - [`membership`]: the list of engines, from the store or a snapshot.
+//! - [`admin`]: health, metrics and peers over HTTP.
+//!
+//! `settings`, `metrics`, `response` and `context` depend on none of the others; `engines` on these alone.
 
 pub mod admin;
 pub mod close_reason;
--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -1,4 +1,4 @@
-//! Registration records: what engines write below a prefix of the store, one key an engine, named by its id.
+//! Registration records: each engine writes one below a prefix of the store, under its id.
 
 use garde::Validate;
 use ivyward_core::interface::{Endpoint, EndpointId, EndpointState};
@@ -9,34 +9,34 @@
 
 /// Version of the records that this program writes and reads.
 pub const VERSION: u32 = 1;
-/// Records stand below it where nothing else is said, each under its engine's id.
+/// Default prefix of the records.
 pub const PREFIX: &str = "ivyward/engines/";
 /// Longest record, in bytes.
 pub const MOST_RECORD: usize = 4 << 10;
 
-/// What an engine does.
+/// The role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Reads prompts.
+    /// Prefills.
     Prefill,
-    /// Writes answers.
+    /// Decodes.
     Decode,
-    /// Both.
+    /// Does both.
     Mixed,
 }
 
-/// Whether an engine takes work.
+/// Whether an engine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It ends its work and takes nothing new.
+    /// It finishes its work and accepts nothing new.
     Draining,
 }
 
-/// A registration record, as JSON. Fields that are not known are passed over, so that later ones may be added.
+/// A registration record, as JSON. Unknown fields are ignored, so that later versions may add some.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 pub struct Record {
     /// 1.
@@ -45,7 +45,7 @@
     /// The engine's id; the same number that names its key.
     #[garde(skip)]
     pub id: u64,
-    /// What it does.
+    /// Its role.
     #[garde(skip)]
     pub role: Role,
     /// IP:PORT.
@@ -59,7 +59,7 @@
     #[garde(skip)]
     #[serde(default)]
     pub cell: u16,
-    /// Its size against others of its kind.
+    /// Its size relative to others of its machine type.
     #[garde(range(min = 0.001, max = 1_000_000.0))]
     #[serde(default = "one")]
     pub weight: f64,
@@ -67,7 +67,7 @@
     #[garde(skip)]
     #[serde(default)]
     pub started_ms: u64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     #[garde(skip)]
     pub state: State,
 }
@@ -76,7 +76,7 @@
     1.0
 }
 
-/// Why a record is not taken.
+/// Why a record is not read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordProblem {
     /// The key does not end in an id.
--- a/crates/ivyward/src/membership/registration/tests.rs
+++ b/crates/ivyward/src/membership/registration/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_record_is_read_and_unknown_fields_are_passed_over() {
+fn record_is_read_and_unknown_fields_are_ignored() {
     let member = read(
         EndpointId(7),
         text(r#","cell":3,"colour":"red","started_ms":5"#).as_bytes(),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn bad_records_say_what_is_wrong() {
+fn bad_record_error_names_the_problem() {
     let bad = [
         (text(r#","weight":0"#), "weight"),
         (text(r#","weight":"heavy""#), "malformed"),
--- a/crates/ivyward/src/membership/snapshot.rs
+++ b/crates/ivyward/src/membership/snapshot.rs
@@ -1,7 +1,7 @@
 //! The last list of engines in a file, for starts while the store is down.
 //!
-//! One line that says what it is, which version, how many bytes follow and their checksum; then the records as JSON.
-//! Written beside and moved into place, so that a reader sees the old file or the new one.
+//! The first line holds a title, the version, the number of bytes that follow and their checksum; then follow the records as
+//! JSON. The file is written under another name and renamed, so that a reader sees the old one or the new one.
 
 use crate::membership::registration::{self, Record, Role, State};
 use ivyward_core::interface::{EndpointId, EndpointState};
@@ -12,19 +12,21 @@
 
 const TITLE: &str = "ivyward-engines";
 const VERSION: u32 = 1;
-/// Longest file taken, in bytes: some 100,000 engines.
-const MOST: u64 = 64 << 20;
+/// Longest file, in bytes: some 100,000 engines.
+const MAX_FILE: u64 = 64 << 20;
+/// Longest first line, in bytes.
+const MAX_FIRST_LINE: usize = 200;
 
-/// Why a file is not taken.
+/// Why a snapshot is not read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// It cannot be read or written.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// Something else, or of another version.
+    /// No snapshot, or one of another version.
     #[error("it is no list of engines of version {VERSION}")]
     Foreign,
-    /// Cut short or changed.
+    /// Truncated or corrupted.
     #[error("it is torn: {0}")]
     Torn(&'static str),
 }
@@ -48,21 +50,22 @@
     }
 }
 
-/// Writes a list in place of the one before, so that it outlasts the machine's own end.
+/// Replaces the snapshot, durably.
 ///
 /// # Errors
-/// When the system says no. The file before stands then, or the new one does and may not outlast the machine's end.
+/// When the system reports one. Either the old file stands then, or the new one does and may not survive a crash of the
+/// machine.
 pub fn write(path: &Path, members: &[Member]) -> Result<(), SnapshotError> {
     let records: Vec<Record> = members.iter().map(record).collect();
     let body = serde_json::to_vec(&records).map_err(io::Error::other)?;
     let beside = path.with_extension("new");
     let written = write_whole(&beside, &body).and_then(|()| std::fs::rename(&beside, path));
     if let Err(e) = written {
-        // A half of a file is of no use, and takes space that may be what is lacking.
+        // A partial file is of no use, and takes space that may be what is lacking.
         let _ = std::fs::remove_file(&beside);
         return Err(e.into());
     }
-    // The new name is in the folder, which is a file of its own.
+    // The rename is durable only with the folder.
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty());
@@ -82,7 +85,7 @@
     file.sync_all()
 }
 
-/// Reads a list; `None` where there is no file. Conditions and starts are as they were when it was written.
+/// Reads a snapshot; `None` if there is no file. States and start times are as they were when it was written.
 ///
 /// # Errors
 /// [`SnapshotError`] when the file is torn, foreign or cannot be read.
@@ -93,15 +96,24 @@
         Err(e) => return Err(e.into()),
     };
     let mut bytes = Vec::new();
-    file.take(MOST).read_to_end(&mut bytes)?;
+    file.take(MAX_FILE).read_to_end(&mut bytes)?;
+    let body = checked_body(&bytes)?;
+    let records: Vec<Record> =
+        serde_json::from_slice(body).map_err(|_| SnapshotError::Torn("its records"))?;
+    let members: Result<Vec<Member>, SnapshotError> = records.into_iter().map(member).collect();
+    members.map(Some)
+}
+
+/// The bytes behind the first line, if they are those that it says.
+fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let end = bytes
         .iter()
-        .take(200)
+        .take(MAX_FIRST_LINE)
         .position(|b| *b == b'\n')
         .ok_or(SnapshotError::Foreign)?;
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
-    let parts: Vec<&str> = head.split(' ').collect();
-    let [title, version, length, sum] = parts[..] else {
+    let line = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
+    let parts: Vec<&str> = line.split(' ').collect();
+    let [title, version, length, checksum] = parts[..] else {
         return Err(SnapshotError::Foreign);
     };
     if title != TITLE || version != VERSION.to_string() {
@@ -111,20 +123,15 @@
     if length.parse() != Ok(body.len()) {
         return Err(SnapshotError::Torn("its length is another"));
     }
-    if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body)) {
+    if u32::from_str_radix(checksum, 16) != Ok(crc32fast::hash(body)) {
         return Err(SnapshotError::Torn("its checksum is another"));
     }
-    let records: Vec<Record> =
-        serde_json::from_slice(body).map_err(|_| SnapshotError::Torn("its records"))?;
-    let member = |r: Record| {
-        let text = serde_json::to_vec(&r).map_err(io::Error::other)?;
-        registration::read(EndpointId(r.id), &text, 0).map_err(|_| SnapshotError::Torn("a record"))
-    };
-    records
-        .into_iter()
-        .map(member)
-        .collect::<Result<_, _>>()
-        .map(Some)
+    Ok(body)
+}
+
+fn member(record: Record) -> Result<Member, SnapshotError> {
+    let text = serde_json::to_vec(&record).map_err(io::Error::other)?;
+    registration::read(EndpointId(record.id), &text, 0).map_err(|_| SnapshotError::Torn("a record"))
 }
 
 #[cfg(test)]
--- a/crates/ivyward/src/membership/snapshot/tests.rs
+++ b/crates/ivyward/src/membership/snapshot/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_list_comes_back_and_a_torn_or_foreign_file_does_not() {
+fn snapshot_round_trips_and_corrupted_or_foreign_file_is_rejected() {
     let path = std::env::temp_dir().join(format!("ivyward-snapshot-{}", std::process::id()));
     assert!(read(&path).unwrap().is_none());
     let text =
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -1,7 +1,7 @@
 //! Watches the engines' records through etcd: lists, watches, and passes on what [`ivyward_core::membership`] decides.
 //!
-//! - [`watch`]: one watch from its start to its end.
-//! - [`delivery`]: from what the store said to the node's endpoint list and the snapshot file.
+//! - `watch`: one watch from its start to its end.
+//! - `delivery`: from what the store said to the node's endpoint list and the snapshot file.
 
 mod delivery;
 mod watch;
@@ -34,12 +34,12 @@
     pub prefix: String,
     /// Options of the store's client.
     pub etcd: EtcdOptions,
-    /// An empty list is believed once the store has told nothing else for this span, if engines were known before.
+    /// After engines were known, an empty list is believed once the store has returned nothing else for this span.
     pub empty_grace: Micros,
     /// A watch that was silent for this span is asked for its progress; silent for as long again, it counts as broken.
     pub silence: Micros,
-    /// A store whose lists stay behind a revision that it told before is believed once it told nothing else for this span:
-    /// it was restored from an older copy.
+    /// A store whose lists stay behind a revision seen before is believed once it has returned nothing else for this span: it
+    /// was restored from an older backup.
     pub behind_grace: Micros,
     /// The file of the last list, for starts while the store is down.
     pub snapshot: Option<PathBuf>,
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Waits for the next notice, the time to deliver the batch, the snapshot's time, or the end of the patience with a
-    /// silent watch: whichever is first. Returns the end of the watch, if this was it.
+    /// Waits for the next notice, the time to deliver the batch, the snapshot's time, or the time at which a silent watch is
+    /// checked: whichever is first. Returns the end of the watch, if this was it.
     async fn watch_step(&mut self, watch: &mut ActiveWatch) -> Option<WatchEnd> {
         let deliver_at = self.delivery_time(&watch.batch);
         let snapshot_at = self.snapshot_outdated.then_some(self.next_snapshot_at);
@@ -162,7 +162,7 @@
         }
         match notice {
             Notice::Progress(revision) => {
-                // Behind the batch: it says that all of that was told.
+                // After the batch, which it says is complete.
                 if let Some(relist) = self.deliver(&mut watch.batch).await {
                     return Some(WatchEnd::Relist(relist));
                 }
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Plain counters, and their text form for whoever scrapes them.
+//! Counters and gauges of a node, and their text format.
 
 use crate::close_reason::CloseReason;
 use crate::response::RejectReason;
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// A number that only this node changes.
+/// A counter or a gauge.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -18,34 +18,34 @@
     pub fn add(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
     }
-    /// Sets it, for what goes up and down.
+    /// Sets it, if it is a gauge.
     pub fn set(&self, n: u64) {
         self.0.store(n, Ordering::Relaxed);
     }
-    /// Raises it to this, where it is lower.
+    /// Raises it to `n`, if it is lower.
     pub fn most(&self, n: u64) {
         self.0.fetch_max(n, Ordering::Relaxed);
     }
-    /// Its value.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// All counters of a node.
+/// All metrics of a node.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Requests taken.
+    /// Requests accepted.
     pub requests: Counter,
-    /// Requests that were wrong in themselves.
+    /// Invalid requests.
     pub invalid: Counter,
     /// Final answers: served.
     pub served: Counter,
-    /// Final answers: refused, those at the door's bounds among them.
+    /// Final answers: rejected, also at the server's bounds.
     pub refused: Counter,
     /// Final answers: failed.
     pub failed: Counter,
-    /// Requests whose client left first.
+    /// Requests whose client disconnected first.
     pub gone: Counter,
     /// Attempts sent.
     pub attempts: Counter,
@@ -55,7 +55,7 @@
     pub retries: [Counter; 10],
     /// Steps that an invariant forbade, in the order of [`Rule::ALL`].
     pub violations: [Counter; Rule::ALL.len()],
-    /// Refusals by their reason, in the order of [`REFUSALS`].
+    /// Rejections by their reason, in the order of [`REFUSALS`].
     pub refusals: [Counter; REFUSALS.len()],
     /// Client connections that were closed, in the order of [`CloseReason::ALL`].
     pub closes: [Counter; CloseReason::ALL.len()],
@@ -65,7 +65,7 @@
     pub releases_dropped: Counter,
     /// Engines in the list.
     pub engines: Counter,
-    /// Engines that the module remembers, those that are gone and still have something of ours among them.
+    /// Engines that the router remembers: also removed ones that may still hold something for this node.
     pub engines_known: Counter,
     /// 1 while the list of engines may be out of date: the store does not answer, or something was missed.
     pub list_stale: Counter,
@@ -73,13 +73,13 @@
     pub list_revision: Counter,
     /// Registration records that could not be read.
     pub records_unread: Counter,
-    /// Times the list of engines could not be written to its file.
+    /// Failed writes of the endpoint snapshot.
     pub list_keep_failures: Counter,
     /// Gaps: watches that broke, were compacted away or fell silent.
     pub list_gaps: Counter,
-    /// Microseconds that the driver was at work, the module's among them.
+    /// Microseconds that the driver was busy, the router included.
     pub driver_us: Counter,
-    /// Microseconds that the module took of that.
+    /// Microseconds that the router was busy.
     pub module_us: Counter,
     /// Most tokens that ever waited for one client.
     pub buffered_most: Counter,
@@ -87,25 +87,25 @@
     pub peer_datagrams_sent: Counter,
     /// See `peer_datagrams_sent`.
     pub peer_bytes_sent: Counter,
-    /// Datagrams that came, and those of them that could not be read.
+    /// Datagrams received, and those of them that could not be read.
     pub peer_datagrams_taken: Counter,
     /// See `peer_datagrams_taken`.
     pub peer_datagrams_unread: Counter,
     /// Changes of the view of the peers.
     pub peer_changes: Counter,
-    /// Client connections turned away at the door's bound.
+    /// Client connections closed at once at the server's bound.
     pub clients_turned_away: Counter,
-    /// Connections to engines.
+    /// Traffic with engines.
     pub engine_traffic: Arc<Meter>,
-    /// The store, as far as the list of engines goes.
+    /// Traffic with the store for the list of engines.
     pub list_traffic: Arc<Meter>,
-    /// Other nodes.
+    /// Traffic with other nodes.
     pub peer_traffic: Arc<Meter>,
-    /// Clients.
+    /// Traffic with clients.
     pub client_traffic: Arc<Meter>,
 }
 
-/// How attempts end, as the metrics name it.
+/// The outcomes of attempts, with their names in metrics.
 pub const OUTCOMES: [(Outcome, &str); 10] = [
     (Outcome::Served, "served"),
     (Outcome::Prefilled, "read"),
@@ -119,7 +119,7 @@
     (Outcome::NotSent, "not_sent"),
 ];
 
-/// Why requests are refused, as the metrics name it.
+/// The reasons of rejections, with their names in metrics.
 pub const REFUSALS: [(RejectReason, &str); 3] = [
     (RejectReason::Overloaded, "overload"),
     (RejectReason::NodeFull, "node_full"),
@@ -127,11 +127,11 @@
 ];
 
 impl Metrics {
-    /// Counts a client connection that was closed.
+    /// Counts a closed client connection.
     pub fn closed(&self, reason: CloseReason) {
         self.closes[reason as usize].add(1);
     }
-    /// Steps that invariants forbade, all rules together.
+    /// Steps that an invariant forbade, over all rules.
     pub fn all_violations(&self) -> u64 {
         self.violations.iter().map(Counter::get).sum()
     }
@@ -150,108 +150,78 @@
             self.outcomes[i].add(1);
         }
     }
-    /// The counters in the usual text form.
+    /// The metrics in Prometheus' text format.
     pub fn text(&self, open: usize) -> String {
         let mut out = String::new();
-        let finals = [
+        self.plain_text(&mut out, open);
+        self.labelled_text(&mut out);
+        self.traffic_text(&mut out);
+        out
+    }
+    /// Metrics without labels.
+    fn plain_text(&self, out: &mut String, open: usize) {
+        let metrics = [
+            ("requests_total", &self.requests),
+            ("invalid_total", &self.invalid),
+            ("attempts_total", &self.attempts),
+            ("releases_total", &self.releases),
+            ("releases_dropped_total", &self.releases_dropped),
+            ("clients_turned_away_total", &self.clients_turned_away),
+            ("peer_datagrams_sent_total", &self.peer_datagrams_sent),
+            ("peer_bytes_sent_total", &self.peer_bytes_sent),
+            ("peer_datagrams_taken_total", &self.peer_datagrams_taken),
+            ("peer_datagrams_unread_total", &self.peer_datagrams_unread),
+            ("peer_changes_total", &self.peer_changes),
+            ("list_stale", &self.list_stale),
+            ("list_revision", &self.list_revision),
+            ("list_keep_failures_total", &self.list_keep_failures),
+            ("list_gaps_total", &self.list_gaps),
+            ("records_unread_total", &self.records_unread),
+            ("driver_busy_us_total", &self.driver_us),
+            ("module_us_total", &self.module_us),
+            ("buffered_tokens_most", &self.buffered_most),
+            ("engines", &self.engines),
+            ("engines_known", &self.engines_known),
+        ];
+        // Writing to a String cannot fail, here and below.
+        for (name, counter) in metrics {
+            let _ = writeln!(out, "ivyward_{name} {}", counter.get());
+        }
+        let _ = writeln!(out, "ivyward_open_requests {open}");
+    }
+    /// Metrics that are split by an outcome or a reason.
+    fn labelled_text(&self, out: &mut String) {
+        let answers = [
             ("served", &self.served),
             ("refused", &self.refused),
             ("failed", &self.failed),
             ("gone", &self.gone),
         ];
-        let plain = [
-            ("ivyward_requests_total", self.requests.get()),
-            ("ivyward_invalid_total", self.invalid.get()),
-            ("ivyward_attempts_total", self.attempts.get()),
-            ("ivyward_releases_total", self.releases.get()),
-            (
-                "ivyward_releases_dropped_total",
-                self.releases_dropped.get(),
-            ),
-            (
-                "ivyward_clients_turned_away_total",
-                self.clients_turned_away.get(),
-            ),
-            (
-                "ivyward_peer_datagrams_sent_total",
-                self.peer_datagrams_sent.get(),
-            ),
-            ("ivyward_peer_bytes_sent_total", self.peer_bytes_sent.get()),
-            (
-                "ivyward_peer_datagrams_taken_total",
-                self.peer_datagrams_taken.get(),
-            ),
-            (
-                "ivyward_peer_datagrams_unread_total",
-                self.peer_datagrams_unread.get(),
-            ),
-            ("ivyward_peer_changes_total", self.peer_changes.get()),
-            ("ivyward_list_stale", self.list_stale.get()),
-            ("ivyward_list_revision", self.list_revision.get()),
-            (
-                "ivyward_list_keep_failures_total",
-                self.list_keep_failures.get(),
-            ),
-            ("ivyward_list_gaps_total", self.list_gaps.get()),
-            ("ivyward_records_unread_total", self.records_unread.get()),
-            ("ivyward_driver_busy_us_total", self.driver_us.get()),
-            ("ivyward_module_us_total", self.module_us.get()),
-            ("ivyward_buffered_tokens_most", self.buffered_most.get()),
-            ("ivyward_engines", self.engines.get()),
-            ("ivyward_engines_known", self.engines_known.get()),
-            ("ivyward_open_requests", open as u64),
-        ];
-        // Writing to a String cannot fail.
-        for (name, value) in plain {
-            let _ = writeln!(out, "{name} {value}");
-        }
-        for (name, counter) in finals {
-            let _ = writeln!(
-                out,
-                "ivyward_answers_total{{final=\"{name}\"}} {}",
-                counter.get()
-            );
-        }
-        for (counter, (_, name)) in self.outcomes.iter().zip(OUTCOMES) {
-            let _ = writeln!(
-                out,
-                "ivyward_attempt_ends_total{{outcome=\"{name}\"}} {}",
-                counter.get()
-            );
-        }
-        for (counter, (_, name)) in self.retries.iter().zip(OUTCOMES) {
-            let _ = writeln!(
-                out,
-                "ivyward_retries_total{{after=\"{name}\"}} {}",
-                counter.get()
-            );
-        }
-        for (counter, (_, name)) in self.refusals.iter().zip(REFUSALS) {
-            let _ = writeln!(
-                out,
-                "ivyward_refusals_total{{reason=\"{name}\"}} {}",
-                counter.get()
-            );
-        }
-        for (counter, reason) in self.closes.iter().zip(CloseReason::ALL) {
-            let _ = writeln!(
-                out,
-                "ivyward_client_closes_total{{reason=\"{}\"}} {}",
-                reason.name(),
-                counter.get()
-            );
-        }
-        for (counter, (_, name)) in self.violations.iter().zip(Rule::ALL) {
-            let _ = writeln!(
-                out,
-                "ivyward_invariant_violations_total{{rule=\"{name}\"}} {}",
-                counter.get()
-            );
-        }
-        self.traffic_text(&mut out);
-        out
+        write_family(out, "answers_total", "final", answers);
+        let outcomes = || OUTCOMES.iter().map(|(_, name)| *name);
+        let ends = outcomes().zip(&self.outcomes);
+        write_family(out, "attempt_ends_total", "outcome", ends);
+        let retries = outcomes().zip(&self.retries);
+        write_family(out, "retries_total", "after", retries);
+        let refusals = REFUSALS.iter().map(|(_, name)| *name);
+        write_family(
+            out,
+            "refusals_total",
+            "reason",
+            refusals.zip(&self.refusals),
+        );
+        let closes = CloseReason::ALL.iter().map(|reason| reason.name());
+        write_family(
+            out,
+            "client_closes_total",
+            "reason",
+            closes.zip(&self.closes),
+        );
+        let rules = Rule::ALL.iter().map(|(_, name)| *name);
+        let violations = rules.zip(&self.violations);
+        write_family(out, "invariant_violations_total", "rule", violations);
     }
-    /// What goes to and comes from each kind of peer, and what its tasks cost.
+    /// Traffic with each kind of peer, and what its tasks cost.
     fn traffic_text(&self, out: &mut String) {
         let parts = [
             ("engines", &self.engine_traffic),
@@ -277,3 +247,23 @@
         }
     }
 }
+
+/// Writes the counters of one metric, each with the value of its label.
+fn write_family<'a>(
+    out: &mut String,
+    metric: &str,
+    label: &str,
+    counters: impl IntoIterator<Item = (&'static str, &'a Counter)>,
+) {
+    for (value, counter) in counters {
+        // Writing to a String cannot fail.
+        let _ = writeln!(
+            out,
+            "ivyward_{metric}{{{label}=\"{value}\"}} {}",
+            counter.get()
+        );
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -26,7 +26,7 @@
 const FAR: &str = "[2001:db8::1]:65535";
 
 #[test]
-fn the_longest_messages_fit_a_datagram_and_come_back_as_they_were() {
+fn longest_messages_fit_a_datagram_and_round_trip() {
     let seal = Seal::new(Some("a key of the owner"));
     let taken = MAX_UPDATES - 4;
     let page = |n: usize| MessageBody::ViewPage {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_was_changed_cut_off_or_sealed_otherwise_is_not_read() {
+fn altered_truncated_or_differently_keyed_datagram_is_rejected() {
     let here = "127.0.0.1:7000";
     let (seal, other) = (
         Seal::new(Some("a key of the owner")),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn without_a_key_nothing_beyond_this_machine_is_taken() {
+fn without_a_key_non_loopback_addresses_are_rejected() {
     let (here, far) = ("127.0.0.1:7000", "192.0.2.1:7000");
     let seal = Seal::new(None);
     let local: SocketAddr = here.parse().unwrap();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn addresses_that_nobody_has_and_unknown_kinds_are_refused() {
+fn unreachable_addresses_and_unknown_states_are_rejected() {
     let seal = Seal::new(Some("a key of the owner"));
     let local: SocketAddr = "127.0.0.1:7000".parse().unwrap();
     let good = Message {
@@ -180,9 +180,9 @@
         |m| m.from.as_mut().unwrap().address = vec![1],
         |m| m.from.as_mut().unwrap().zone = 256,
     ];
-    assert!(seal.open(&sealed(message_out(&good)), local).is_ok());
+    assert!(seal.open(&sealed(encode_message(&good)), local).is_ok());
     for change in changes {
-        let mut message = message_out(&good);
+        let mut message = encode_message(&good);
         change(&mut message);
         assert!(matches!(
             seal.open(&sealed(message), local),
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -3,10 +3,10 @@
 //! Whom to probe, whom to believe and how many there are is decided by [`ivyward_core::peers`]. Off unless the node's owner
 //! starts it with [`crate::Node::peers`].
 //!
-//! - [`options`]: what the owner says.
-//! - [`gossip`]: the task that sends and receives datagrams; [`codec`]: their bytes.
-//! - [`records`]: records of nodes in the store.
-//! - [`handle`]: the view that the rest of the node reads.
+//! - `options`: what the owner says.
+//! - `gossip`: the task that sends and receives datagrams; `codec`: their bytes.
+//! - `records`: records of nodes in the store.
+//! - `handle`: the view that the rest of the node reads.
 
 mod codec;
 mod gossip;
@@ -14,7 +14,7 @@
 mod options;
 mod records;
 
-pub use codec::{DecodeError, Seal};
+pub use codec::{ContentError, DecodeError, Seal};
 pub use handle::PeersHandle;
 pub use options::{PeerOptions, PeerStore};
 pub use records::{NodeRecord, NodeRecordError, NODES};
--- a/crates/ivyward/src/peers/records/tests.rs
+++ b/crates/ivyward/src/peers/records/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_record_is_read_as_it_is_written_and_bad_ones_say_why() {
+fn record_round_trips_and_bad_record_error_names_the_problem() {
     let address = "127.0.0.1:7431".parse().unwrap();
     let card = NodeInfo {
         id: PeerId(0xab),
--- a/crates/ivyward/src/recording/mod.rs
+++ b/crates/ivyward/src/recording/mod.rs
@@ -1,8 +1,8 @@
 //! Recordings: the events that a router got and the actions that it took, as length-delimited protobuf, and their replay.
 //!
-//! - [`writer`]: [`Recorder`], which the driver holds.
-//! - [`reader`]: [`RecordingReader`] and [`replay`].
-//! - [`codec`]: the interface's types as protobuf messages, both ways.
+//! - `writer`: [`Recorder`], which the driver holds.
+//! - `reader`: [`RecordingReader`] and [`replay`].
+//! - `codec`: the interface's types as protobuf messages, both ways.
 
 mod codec;
 mod reader;
--- a/crates/ivyward/src/recording/tests.rs
+++ b/crates/ivyward/src/recording/tests.rs
@@ -8,7 +8,7 @@
 use ivyward_core::interface::{Action, EndpointId, Event, RequestId};
 
 #[test]
-fn every_event_and_action_comes_back_as_it_was() {
+fn every_event_and_action_round_trips() {
     let (request, server) = (RequestId(7), EndpointId(u64::MAX));
     let report = core::LoadReport {
         len: 2,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn settings_come_back_as_they_were() {
+fn settings_round_trip() {
     let settings = core::Settings {
         replica_count: 3,
         zone: 7,
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn bad_value_is_named_with_its_field() {
+fn decode_error_names_the_field_and_the_bad_value() {
     let mut settings = encode_settings(&core::Settings::default());
     settings.roles = vec![0, 9];
     let bad_role = DecodeError::Value {
--- a/crates/ivyward/src/request/clients.rs
+++ b/crates/ivyward/src/request/clients.rs
@@ -1,4 +1,4 @@
-//! The client connections that a node's listeners have accepted: how many are open, and when all have closed.
+//! Counts the client connections of a node's listeners: how many are open, and when all have closed.
 
 use event_listener::Event;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,12 +12,12 @@
 }
 
 impl ClientConnections {
-    /// Counts one more, unless `most` are open.
-    pub(crate) fn admit(self: &Arc<Self>, most: usize) -> Option<ClientConnection> {
+    /// Admits one more connection, unless `max` are open.
+    pub(crate) fn admit(self: &Arc<Self>, max: usize) -> Option<ClientConnection> {
         let admitted = self
             .open
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| {
-                (n < most).then_some(n + 1)
+                (n < max).then_some(n + 1)
             });
         admitted.ok().map(|_| ClientConnection(self.clone()))
     }
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -194,11 +194,11 @@
             DriverMessage::AttemptEnded(ended) => self.on_attempt_ended(ended),
             DriverMessage::ReservationResult(result) => self.on_reservation_result(result),
             DriverMessage::HealthCheckResult {
-                server,
+                endpoint,
                 alive,
                 report,
             } => self.handle_event(Event::HealthCheckResult {
-                endpoint: server,
+                endpoint,
                 alive,
                 report,
             }),
@@ -322,7 +322,7 @@
         context.runtime.clone().run(async move {
             let (alive, report) = engine.health_check(context.clone()).await;
             handle.send(DriverMessage::HealthCheckResult {
-                server: endpoint,
+                endpoint,
                 alive,
                 report,
             });
--- a/crates/ivyward/src/request/grpc_server/tests.rs
+++ b/crates/ivyward/src/request/grpc_server/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `door` that nobody outside sees.
+//! Tests of the gRPC server's timeouts and statuses.
 
 use super::*;
 
 #[test]
-fn timeouts_are_read_as_the_protocol_says() {
+fn grpc_timeout_header_is_parsed() {
     let read = |text: &'static str| {
         let mut metadata = MetadataMap::new();
         metadata.insert("grpc-timeout", MetadataValue::from_static(text));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_failure_never_looks_like_a_refusal() {
+fn failure_status_differs_from_rejection() {
     let refusals = [
         RejectReason::Overloaded,
         RejectReason::NodeFull,
--- a/crates/ivyward/src/request/messages.rs
+++ b/crates/ivyward/src/request/messages.rs
@@ -39,7 +39,7 @@
     AttemptEnded(AttemptEnded),
     ReservationResult(ReservationResult),
     HealthCheckResult {
-        server: EndpointId,
+        endpoint: EndpointId,
         alive: bool,
         report: LoadReport,
     },
--- a/crates/ivyward/src/request/open_requests.rs
+++ b/crates/ivyward/src/request/open_requests.rs
@@ -73,7 +73,7 @@
     /// Tells all attempts in flight that nobody wants their answer any more.
     pub(super) fn cancel_attempts(&self) {
         for attempt in self.attempts.iter().filter(|attempt| attempt.in_flight) {
-            // Full means that it was told already; what it was told first was no less.
+            // A full channel means that the attempt was cancelled before, for a reason that ends it no later.
             let _ = attempt.cancel.try_send(CancelReason::RequestFinished);
         }
     }
--- a/crates/ivyward/src/response/tests.rs
+++ b/crates/ivyward/src/response/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_first_final_answer_counts_and_later_tokens_are_not_taken() {
+fn first_final_answer_wins_and_later_tokens_are_rejected() {
     let buffer = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     assert_eq!(buffer.push(&[1, 2]), Ok(2));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_slow_client_stops_the_writer_at_the_bound() {
+fn slow_client_blocks_the_writer_at_the_bound() {
     let buffer = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     for ids in [[1, 2], [3, 4]] {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_failure_does_not_wait_behind_what_nobody_took() {
+fn failure_discards_unread_tokens() {
     let buffer: TokenBuffer<u8> = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     buffer.push(b"late").unwrap();
