--- a/crates/ivyward/src/request/attempts.rs
+++ b/crates/ivyward/src/request/attempts.rs
@@ -11,8 +11,8 @@
 use ivyward_runtime::RuntimeExt;
 use tracing::debug;
 
-/// What the router says of an attempt: see [`ivyward_core::interface::Action::Send`].
-pub(super) struct SendOrder {
+/// The content of [`ivyward_core::interface::Action::Send`] beside its request.
+pub(super) struct SendAction {
     pub(super) endpoint: EndpointId,
     /// 0 for until the client's time is over.
     pub(super) timeout: Micros,
@@ -20,7 +20,7 @@
     pub(super) send_deadline: Micros,
 }
 
-impl SendOrder {
+impl SendAction {
     /// When the attempt ends without a first token.
     fn first_token_deadline(&self, now: Micros, request_deadline: Micros) -> Micros {
         if self.timeout == 0 {
@@ -42,8 +42,8 @@
 
 impl Driver {
     /// Starts an attempt as a task of its own. One to an engine that is not known, or one that breaks a rule, ends at once.
-    pub(super) fn start_attempt(&mut self, now: Micros, id: u64, order: SendOrder) {
-        let endpoint = order.endpoint;
+    pub(super) fn start_attempt(&mut self, now: Micros, id: u64, action: SendAction) {
+        let endpoint = action.endpoint;
         let engine = self.engines.get(endpoint).cloned();
         let prefill_only = self.engines.is_prefill_only(&self.context, endpoint);
         let Some(open) = self.open.get(&id) else {
@@ -60,11 +60,11 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        log_start(now, open, &order, reason, prefill_only);
+        log_start(now, open, &action, reason, prefill_only);
         let (cancel, cancelled) = async_channel::bounded(1);
         let permitted = engine.clone().filter(|_| reason.is_some());
         let run = permitted.map(|engine| {
-            let request = self.attempt_request(now, open, &order, prefill_only, cancelled);
+            let request = self.attempt_request(now, open, &action, prefill_only, cancelled);
             (engine, request)
         });
         let Some(open) = self.open.get_mut(&id) else {
@@ -85,13 +85,13 @@
         &self,
         now: Micros,
         open: &OpenRequest,
-        order: &SendOrder,
+        action: &SendAction,
         prefill_only: bool,
         cancel: async_channel::Receiver<CancelReason>,
     ) -> AttemptRequest {
         let accepted = &open.accepted;
         let (id, number) = (accepted.request.id.0, open.attempts.len() as u16);
-        let deadline = order.first_token_deadline(now, accepted.first_token_deadline);
+        let deadline = action.first_token_deadline(now, accepted.first_token_deadline);
         let kv_state = open.reservations.kv_state().filter(|_| !prefill_only);
         let handle = self.handle.clone();
         AttemptRequest {
@@ -106,7 +106,7 @@
             stream_deadline: accepted
                 .response_deadline
                 .map(|at| final_deadline(&self.context, at)),
-            send_deadline: order.last_byte_deadline(deadline),
+            send_deadline: action.last_byte_deadline(deadline),
             cancel,
             on_first_token: Box::new(move || handle.send(DriverMessage::FirstToken(id, number))),
         }
@@ -243,7 +243,7 @@
 fn log_start(
     now: Micros,
     open: &OpenRequest,
-    order: &SendOrder,
+    action: &SendAction,
     reason: Option<AttemptReason>,
     prefill_only: bool,
 ) {
@@ -253,16 +253,16 @@
         name = open.accepted.call.name(),
         attempt = open.attempts.len() as u16,
         ?reason,
-        engine = order.endpoint.0,
-        reads = prefill_only,
-        timeout = order.timeout,
-        leave_in = order.send_deadline.saturating_sub(now),
+        engine = action.endpoint.0,
+        prefill_only,
+        timeout = action.timeout,
+        send_within = action.send_deadline.saturating_sub(now),
         client_timeout = request.client_timeout,
-        repeat = request.is_retry,
+        is_retry = request.is_retry,
         prefix = request.prefix,
         session = request.session,
-        prompt = request.prompt_tokens,
-        shared = request.prefix_tokens,
+        prompt_tokens = request.prompt_tokens,
+        prefix_tokens = request.prefix_tokens,
         "attempt started"
     );
 }
@@ -282,10 +282,10 @@
         class = request.class,
         tenant = request.tenant,
         engine = engine.as_ref().map_or(0, |(_, endpoint)| endpoint.0),
-        reads = prefill_only,
+        prefill_only,
         outcome = ?result.outcome,
-        kept = result.cached_tokens,
-        text = result.detail,
+        cached_tokens = result.cached_tokens,
+        detail = result.detail,
         "attempt ended"
     );
 }
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -7,7 +7,7 @@
 use crate::context::NodeContext;
 use crate::engines::{Engine, Protocol};
 use crate::recording::Recorder;
-use crate::request::attempts::SendOrder;
+use crate::request::attempts::SendAction;
 use crate::request::engine_table::EngineTable;
 use crate::request::messages::{DriverHandle, DriverMessage};
 use crate::request::open_requests::OpenRequests;
@@ -257,7 +257,7 @@
             } => self.start_attempt(
                 now,
                 request.0,
-                SendOrder {
+                SendAction {
                     endpoint,
                     timeout,
                     send_deadline,
--- a/crates/ivyward/src/request/engine_table.rs
+++ b/crates/ivyward/src/request/engine_table.rs
@@ -55,12 +55,12 @@
             let Some(role) = role_of(context, endpoint.machine_type) else {
                 warn!(
                     engine = endpoint.id.0,
-                    kind = endpoint.machine_type,
+                    machine_type = endpoint.machine_type,
                     "endpoint of unknown machine type ignored"
                 );
                 continue;
             };
-            debug!(engine = endpoint.id.0, ?role, condition = ?endpoint.state, address = %engine.address, "endpoint listed");
+            debug!(engine = endpoint.id.0, ?role, state = ?endpoint.state, address = %engine.address, "endpoint listed");
             self.update(context, protocol, &engine);
             endpoints.push(endpoint);
         }
--- a/crates/ivyward/src/request/finish.rs
+++ b/crates/ivyward/src/request/finish.rs
@@ -108,7 +108,7 @@
             FinalStatus::Failed(_) => &metrics.failed,
         };
         let name = open.accepted.call.name();
-        debug!(request = id, name, end = ?status, "request finished");
+        debug!(request = id, name, ?status, "request finished");
         if let FinalStatus::Rejected { reason, .. } = status {
             metrics.refused_for(reason);
         }
--- a/crates/ivyward/src/request/reservations.rs
+++ b/crates/ivyward/src/request/reservations.rs
@@ -57,7 +57,7 @@
             name = call.name(),
             attempt,
             engine = endpoint.0,
-            held = ?status,
+            ?status,
             "decode slot reservation finished"
         );
         let slot = Reservation::decode_slot(engine, endpoint, attempt, status);
@@ -113,13 +113,13 @@
     }
 
     fn send_release(&self, request: u64, call: Arc<dyn Call>, reservations: Vec<Reservation>) {
-        let kept = || {
+        let summary = || {
             reservations
                 .iter()
                 .map(|r| (r.endpoint.0, r.attempt, r.is_decode_slot, r.confirmed))
                 .collect::<Vec<_>>()
         };
-        debug!(request, name = call.name(), kept = ?kept(), "release started");
+        debug!(request, name = call.name(), reservations = ?summary(), "release started");
         let release = ReleaseRequest {
             call,
             request,
