--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -7,7 +7,7 @@
 use crate::context::NodeContext;
 use crate::engines::{Engine, Protocol};
 use crate::recording::Recorder;
-use crate::request::attempts::SendOrder;
+use crate::request::attempts::SendAction;
 use crate::request::engine_table::EngineTable;
 use crate::request::messages::{DriverHandle, DriverMessage};
 use crate::request::open_requests::OpenRequests;
@@ -194,11 +194,11 @@
             DriverMessage::AttemptEnded(ended) => self.on_attempt_ended(ended),
             DriverMessage::ReservationResult(result) => self.on_reservation_result(result),
             DriverMessage::HealthCheckResult {
-                server,
+                endpoint,
                 alive,
                 report,
             } => self.handle_event(Event::HealthCheckResult {
-                endpoint: server,
+                endpoint,
                 alive,
                 report,
             }),
@@ -257,7 +257,7 @@
             } => self.start_attempt(
                 now,
                 request.0,
-                SendOrder {
+                SendAction {
                     endpoint,
                     timeout,
                     send_deadline,
@@ -322,7 +322,7 @@
         context.runtime.clone().run(async move {
             let (alive, report) = engine.health_check(context.clone()).await;
             handle.send(DriverMessage::HealthCheckResult {
-                server: endpoint,
+                endpoint,
                 alive,
                 report,
             });
