--- a/crates/ivyward-etcd/src/lib.rs
+++ b/crates/ivyward-etcd/src/lib.rs
@@ -76,7 +76,7 @@
             wire: Options {
                 stream_window: 1 << 20,
                 streams: 8,
-                most_message: 16 << 20,
+                max_message_size: 16 << 20,
                 ..Options::default()
             },
         }
--- a/crates/ivyward-grpc/src/frame.rs
+++ b/crates/ivyward-grpc/src/frame.rs
@@ -3,88 +3,91 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-/// Bytes before each message: one of flags, four of length.
-pub const PREFIX: usize = 5;
+/// Length of the prefix of each message, in bytes: one of flags, four of length.
+pub const PREFIX_LENGTH: usize = 5;
 
-/// What is wrong with bytes that should hold a message.
+/// Why bytes are not a valid message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than the receiver takes.
-    #[error("a message of {got} bytes is over the limit of {most}")]
+    /// The message is larger than the receiver accepts.
+    #[error("a message of {length} bytes is over the limit of {limit}")]
     TooLarge {
-        /// Its length.
-        got: usize,
-        /// The limit.
-        most: usize,
+        /// The message's length.
+        length: usize,
+        /// The receiver's limit.
+        limit: usize,
     },
-    /// The flags name a compression that was not agreed on.
+    /// The message is compressed, but no compression was negotiated.
     #[error("a message is compressed, which was not agreed on")]
     Compressed,
-    /// The bytes are no message of that type.
+    /// The bytes do not decode as a message of the expected type.
     #[error("a message cannot be read: {0}")]
     Malformed(String),
     /// The stream ended inside a message.
     #[error("the stream ended inside a message")]
-    Cut,
+    Truncated,
 }
 
-/// A message with its prefix.
+/// Encodes a message with its prefix.
 pub fn encode(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
-    let mut out = BytesMut::with_capacity(PREFIX + length);
+    let mut out = BytesMut::with_capacity(PREFIX_LENGTH + length);
     out.put_u8(0);
     out.put_u32(length as u32);
-    // Room was just made, which is the only way in which this fails.
+    // Fails only for lack of capacity, which was just reserved.
     let _ = message.encode(&mut out);
     out.freeze()
 }
 
-/// Takes in bytes as they come and gives out whole messages. Holds at most one message's limit plus one chunk.
+/// Turns received chunks into whole messages. Buffers at most a message of the largest size plus one chunk.
 #[derive(Debug)]
 pub struct Decoder {
-    held: BytesMut,
-    most: usize,
+    buffer: BytesMut,
+    max_message_size: usize,
 }
 
 impl Decoder {
-    /// A decoder that refuses messages of more than `most` bytes.
-    pub fn new(most: usize) -> Decoder {
+    /// A decoder that rejects messages of more than `max_message_size` bytes.
+    pub fn new(max_message_size: usize) -> Decoder {
         Decoder {
-            held: BytesMut::new(),
-            most,
+            buffer: BytesMut::new(),
+            max_message_size,
         }
     }
-    /// Takes in a chunk.
+
+    /// Appends a received chunk.
     pub fn push(&mut self, chunk: &[u8]) {
-        self.held.extend_from_slice(chunk);
+        self.buffer.extend_from_slice(chunk);
     }
-    /// Whether nothing is left over: a stream may end here.
+
+    /// Whether no part of a message is buffered, so that the stream may end here.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
-    /// The next whole message, if there is one.
+
+    /// The next whole message, if one is buffered.
     ///
     /// # Errors
-    /// [`FrameError`] when the bytes are not what was agreed on; the stream is of no more use.
+    /// [`FrameError`] when the bytes are not a valid message; the stream cannot be read any further.
     pub fn pop<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
-        let Some(prefix) = self.held.get(..PREFIX) else {
+        let Some(prefix) = self.buffer.get(..PREFIX_LENGTH) else {
             return Ok(None);
         };
         let length = u32::from_be_bytes([prefix[1], prefix[2], prefix[3], prefix[4]]) as usize;
         if prefix[0] != 0 {
             return Err(FrameError::Compressed);
         }
-        if length > self.most {
+        if length > self.max_message_size {
             return Err(FrameError::TooLarge {
-                got: length,
-                most: self.most,
+                length,
+                limit: self.max_message_size,
             });
         }
-        if self.held.len() < PREFIX + length {
+        if self.buffer.len() < PREFIX_LENGTH + length {
             return Ok(None);
         }
-        self.held.advance(PREFIX);
-        let body = self.held.split_to(length);
+        self.buffer.advance(PREFIX_LENGTH);
+        let body = self.buffer.split_to(length);
         M::decode(body)
             .map(Some)
             .map_err(|e| FrameError::Malformed(e.to_string()))
--- a/crates/ivyward-grpc/src/frame/tests.rs
+++ b/crates/ivyward-grpc/src/frame/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `frame` that nobody outside sees.
+//! Tests of the decoder: messages in chunks, and rejected bytes.
 
 use super::*;
 
 #[test]
-fn messages_come_out_whole_whatever_the_chunks() {
+fn messages_are_decoded_from_chunks_of_any_size() {
     let bytes = [
         encode(&"first".to_string()),
         encode(&String::new()),
@@ -11,25 +11,28 @@
     ]
     .concat();
     for size in 1..bytes.len() {
-        let (mut decoder, mut got) = (Decoder::new(100), Vec::new());
+        let (mut decoder, mut messages) = (Decoder::new(100), Vec::new());
         for chunk in bytes.chunks(size) {
             decoder.push(chunk);
             while let Some(text) = decoder.pop::<String>().unwrap() {
-                got.push(text);
+                messages.push(text);
             }
         }
-        assert_eq!(got, ["first", "", "third"], "chunks of {size}");
+        assert_eq!(messages, ["first", "", "third"], "chunks of {size}");
         assert!(decoder.is_empty());
     }
 }
 
 #[test]
-fn what_was_not_agreed_on_is_an_error() {
+fn oversized_compressed_and_malformed_messages_are_errors() {
     let mut decoder = Decoder::new(8);
     decoder.push(&encode(&"longer than eight".to_string()));
     assert!(matches!(
         decoder.pop::<String>(),
-        Err(FrameError::TooLarge { got: 19, most: 8 })
+        Err(FrameError::TooLarge {
+            length: 19,
+            limit: 8
+        })
     ));
     let mut decoder = Decoder::new(8);
     decoder.push(&[1, 0, 0, 0, 0]);
--- a/crates/ivyward-grpc/src/watch/tests.rs
+++ b/crates/ivyward-grpc/src/frame_observer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts of `watch` that nobody outside sees.
+//! Tests of frame scanning and of waiting for a reset.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn frames_are_found_whatever_the_chunks() {
+fn frames_are_found_in_chunks_of_any_size() {
     let bytes = [
         frame(4, 0, &[0; 12]),
         frame(HEADERS, 1, &[7; 300]),
@@ -19,13 +19,13 @@
     ]
     .concat();
     for size in [1, 2, 3, 8, 9, 10, 13, 100, bytes.len()] {
-        let (mut follower, mut got) = (Follower::default(), Vec::new());
+        let (mut scanner, mut frames) = (FrameScanner::default(), Vec::new());
         for chunk in bytes.chunks(size) {
-            follower.follow(chunk, |head, body| {
-                got.push((head.kind, head.stream, body.to_vec()))
+            scanner.scan(chunk, |head, payload| {
+                frames.push((head.kind, head.stream, payload.to_vec()))
             });
         }
-        let kinds: Vec<(u8, u32)> = got.iter().map(|g| (g.0, g.1)).collect();
+        let kinds: Vec<(u8, u32)> = frames.iter().map(|f| (f.0, f.1)).collect();
         assert_eq!(
             kinds,
             [
@@ -38,18 +38,18 @@
             ],
             "chunks of {size}"
         );
-        assert_eq!(got[4].2, [0, 0, 0, 5]);
+        assert_eq!(frames[4].2, [0, 0, 0, 5]);
     }
 }
 
 #[test]
-fn a_reset_counts_only_when_its_last_byte_left() {
-    let trace = Trace::default();
-    let wait = trace.await_reset(3);
-    let mut follower = Follower::default();
+fn reset_is_reported_only_after_its_last_byte_is_written() {
+    let observer = FrameObserver::default();
+    let written = observer.await_reset(3);
+    let mut scanner = FrameScanner::default();
     let bytes = frame(RST_STREAM, 3, &[0, 0, 0, 8]);
-    follower.follow(&bytes[..12], |head, _| trace.wrote(&head));
-    assert!(wait.try_recv().is_err() && !wait.is_closed());
-    follower.follow(&bytes[12..], |head, _| trace.wrote(&head));
-    assert!(wait.try_recv().is_ok());
+    scanner.scan(&bytes[..12], |head, _| observer.record_sent_frame(&head));
+    assert!(written.try_recv().is_err() && !written.is_closed());
+    scanner.scan(&bytes[12..], |head, _| observer.record_sent_frame(&head));
+    assert!(written.try_recv().is_ok());
 }
--- a/crates/ivyward-grpc/src/lib.rs
+++ b/crates/ivyward-grpc/src/lib.rs
@@ -1,21 +1,35 @@
-//! gRPC over h2 on an ivyward world.
+//! A gRPC client over h2 whose clock, tasks and sockets come from `ivyward-runtime`.
+//!
+//! Modules, lowest first; each uses only those above it:
 //!
 //! - [`frame`]: gRPC's length-prefixed messages.
-//! - [`watch`]: a connection that notes which HTTP/2 frames crossed it.
-//! - [`channel`]: one connection to a server.
-//! - [`call`]: one call on it, and what its end proves.
+//! - [`timeout`]: the `grpc-timeout` header, which states a call's deadline.
+//! - [`status`]: gRPC statuses, and why a call failed.
+//! - [`options`]: settings of a connection.
+//! - [`frame_observer`]: a socket wrapper that records which HTTP/2 frames crossed it.
+//! - `activity`: calls in flight on a connection and requested checks, shared by calls and keepalive.
+//! - [`channel`]: a connection as its user holds it: its state, its checks, its close.
+//! - [`call`]: one call on a connection, and what its end proves.
+//! - `start_call`: the methods of [`Channel`] that start a call.
 //! - [`keepalive`]: when a connection is pinged.
-//! - [`timeout`]: the header that states a call's deadline.
+//! - `handshake`: the constructors of [`Channel`] and the task that drives a connection.
 
+mod activity;
 pub mod call;
 pub mod channel;
 pub mod frame;
+pub mod frame_observer;
+mod handshake;
 pub mod keepalive;
+pub mod options;
+mod start_call;
+pub mod status;
 pub mod timeout;
-pub mod watch;
 
-pub use call::{Call, CallError, Cause, Status};
-pub use channel::{Channel, Options};
+pub use call::Call;
+pub use channel::Channel;
 pub use frame::{encode, Decoder, FrameError};
-pub use keepalive::RestingChecks;
+pub use keepalive::IdleChecks;
+pub use options::Options;
+pub use status::{CallError, Cause, Status};
 pub use timeout::{encode_timeout, parse_timeout, TIMEOUT_HEADER};
--- a/crates/ivyward-grpc/src/timeout/tests.rs
+++ b/crates/ivyward-grpc/src/timeout/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the header's two directions.
+//! Tests of parsing and encoding the `grpc-timeout` header.
 
 use super::*;
 
 #[test]
-fn values_are_read_as_the_protocol_says() {
+fn only_values_that_the_protocol_allows_are_parsed() {
     for (text, micros) in [
         ("1H", 3_600_000_000),
         ("2M", 120_000_000),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_written_value_never_says_more_than_the_span() {
+fn encoded_timeouts_are_never_longer_than_the_span() {
     for span in [
         0,
         1,
@@ -41,11 +41,11 @@
         u64::MAX,
     ] {
         let text = encode_timeout(span);
-        let read = parse_timeout(&text).unwrap();
-        assert!(text.len() <= 9 && read <= span, "{span} as {text}");
+        let parsed = parse_timeout(&text).unwrap();
+        assert!(text.len() <= 9 && parsed <= span, "{span} as {text}");
         // The next unit is at most a thousand times as large, so that five digits at least are left.
         assert!(
-            span > 3_600_000_000 * 99_999_999 || span - read <= span / 100_000,
+            span > 3_600_000_000 * 99_999_999 || span - parsed <= span / 100_000,
             "{span} as {text}"
         );
     }
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -7,7 +7,7 @@
 use ivyward_core::interface::{EndpointId, Micros};
 use ivyward_core::keepalive::BeforeUse;
 use ivyward_core::mutations::{self, Mutation};
-use ivyward_grpc::{Channel, Options, RestingChecks};
+use ivyward_grpc::{Channel, IdleChecks, Options};
 use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -173,7 +173,7 @@
         pool.channels
             .retain(|c| c.usable() || c.calls() > 0 && !c.closed() || stale);
         // Guards against a call that leaves on a connection whose engine did not answer its last check.
-        let room = |c: &Channel| c.calls() < self.calls_per_channel.min(c.room().max(1));
+        let room = |c: &Channel| c.calls() < self.calls_per_channel.min(c.stream_capacity().max(1));
         let eligible = |c: &&Channel| (c.usable() || stale) && !c.doubtful() && room(c);
         let rated = pool
             .channels
@@ -193,7 +193,7 @@
 
     /// How long to wait for the answer to a check before a call leaves on a connection; `None` if it needs no check.
     fn check_before_use(&self, channel: &Channel) -> Option<Micros> {
-        match self.keepalive.before_use(channel.heard()) {
+        match self.keepalive.before_use(channel.last_received()) {
             BeforeUse::Check(wait) => Some(wait),
             BeforeUse::Nothing => None,
         }
@@ -263,8 +263,8 @@
         let connected = connect(&self.runtime, self.address, until)
             .await
             .map_err(|e| e.to_string())?;
-        let resting: Option<Arc<dyn RestingChecks>> = Some(self.keepalive.clone());
-        Channel::begin_resting(&self.runtime, connected.conn, self.options, resting)
+        let resting: Option<Arc<dyn IdleChecks>> = Some(self.keepalive.clone());
+        Channel::begin_with_idle_checks(&self.runtime, connected.conn, self.options, resting)
             .await
             .map_err(|e| e.to_string())
     }
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -3,7 +3,7 @@
 use crate::settings::NodeSettings;
 use ivyward_core::interface::Micros;
 use ivyward_core::keepalive::{BeforeUse, CheckDecision, Keepalive, KeepaliveSettings};
-use ivyward_grpc::RestingChecks;
+use ivyward_grpc::IdleChecks;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -37,18 +37,18 @@
     }
 }
 
-impl RestingChecks for EngineKeepalive {
-    fn rested(&self) {
+impl IdleChecks for EngineKeepalive {
+    fn connection_idle(&self) {
         self.decider().connection_idle();
     }
-    fn roused(&self) {
+    fn connection_active(&self) {
         self.decider().connection_active();
     }
     fn next_check(&self, now: Micros) -> Option<Micros> {
         let jitter = self.runtime.unit();
         self.decider().next_check(now, jitter)
     }
-    fn ask_again(&self, now: Micros) -> Option<Micros> {
+    fn retry_check_at(&self, now: Micros) -> Option<Micros> {
         let jitter = self.runtime.unit();
         match self.decider().request_check(now, jitter) {
             CheckDecision::Check => None,
