--- /dev/null
+++ b/crates/ivyward-etcd/src/lease.rs
@@ -0,0 +1,228 @@
+//! Leases, and keys that are kept alive under one: registrations.
+
+use crate::client::{Client, Idempotency};
+use crate::error::EtcdError;
+use crate::rpc;
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
+
+/// The lease id of a key without a lease.
+const NO_LEASE: i64 = 0;
+/// gRPC's status code for errors that have no code of their own.
+const UNKNOWN: u32 = 2;
+
+/// What happened to a registered key.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LeaseEvent {
+    /// It was written under this lease.
+    Written(i64),
+    /// Its value was changed by someone else; the new value is kept from now on.
+    Changed,
+    /// A call failed; it will be retried.
+    Failed(EtcdError),
+    /// It was deleted while its lease was alive. It is not written again, and the registration ended.
+    Deleted,
+    /// It is held by another lease: that of a later process of the same name. The registration ended.
+    Taken(i64),
+}
+
+impl LeaseEvent {
+    fn ends_registration(&self) -> bool {
+        matches!(self, LeaseEvent::Deleted | LeaseEvent::Taken(_))
+    }
+}
+
+/// Who holds a key, from the view of one lease.
+enum KeyState {
+    /// It exists under this lease, with this value.
+    Held(Vec<u8>),
+    Absent,
+    HeldByOther(i64),
+}
+
+impl Client {
+    /// Grants a lease with a time to live in seconds. Returns its id.
+    ///
+    /// # Errors
+    /// [`EtcdError`].
+    pub async fn grant(&self, ttl_seconds: i64) -> Result<i64, EtcdError> {
+        let request = rpc::LeaseGrantRequest {
+            ttl: ttl_seconds,
+            id: 0,
+        };
+        let path = "/etcdserverpb.Lease/LeaseGrant";
+        let response: rpc::LeaseGrantResponse =
+            self.call(path, &request, Idempotency::Idempotent).await?;
+        if !response.error.is_empty() {
+            return Err(EtcdError::Status {
+                code: UNKNOWN,
+                message: response.error,
+            });
+        }
+        Ok(response.id)
+    }
+
+    /// Revokes a lease, which deletes its keys.
+    ///
+    /// # Errors
+    /// [`EtcdError`].
+    pub async fn revoke(&self, lease: i64) -> Result<(), EtcdError> {
+        let request = rpc::LeaseRevokeRequest { id: lease };
+        let path = "/etcdserverpb.Lease/LeaseRevoke";
+        let _: rpc::LeaseRevokeResponse =
+            self.call(path, &request, Idempotency::Idempotent).await?;
+        Ok(())
+    }
+
+    /// Renews a lease once. Returns its remaining time to live in seconds; 0 if it has expired and its keys are
+    /// deleted.
+    ///
+    /// # Errors
+    /// [`EtcdError`].
+    pub async fn renew(&self, lease: i64) -> Result<i64, EtcdError> {
+        let request = rpc::LeaseKeepAliveRequest { id: lease };
+        let path = "/etcdserverpb.Lease/LeaseKeepAlive";
+        let response: rpc::LeaseKeepAliveResponse =
+            self.call(path, &request, Idempotency::Idempotent).await?;
+        Ok(response.ttl)
+    }
+
+    /// Writes a key under a lease and keeps both alive until the key is deleted or taken over by another lease.
+    ///
+    /// Reports what happens to `on_event`. After the lease expired or the store lost it, the key is written again under
+    /// a new lease with its last value, so that an engine that was set to draining does not come back as ready.
+    pub async fn keep_registered(
+        &self,
+        runtime: &RuntimeRef,
+        key: &[u8],
+        value: Vec<u8>,
+        ttl_seconds: i64,
+        mut on_event: impl FnMut(LeaseEvent),
+    ) {
+        let mut registration = Registration {
+            client: self,
+            key,
+            value,
+            lease: NO_LEASE,
+            ttl_seconds,
+        };
+        let ttl = ttl_seconds.max(1) as u64 * 1_000_000;
+        loop {
+            // A third of the time to live; sooner after a failure.
+            let (event, pause) = match registration.refresh().await {
+                Ok(event) => (event, ttl / 3),
+                Err(e) => (Some(LeaseEvent::Failed(e)), ttl / 10),
+            };
+            if let Some(event) = event {
+                let ended = event.ends_registration();
+                on_event(event);
+                if ended {
+                    return;
+                }
+            }
+            // Jitter, so that not all registrations are refreshed at the same moment.
+            let jitter = 0.9 + 0.2 * runtime.unit();
+            runtime.sleep((pause as f64 * jitter) as Micros).await;
+        }
+    }
+}
+
+/// A key that is kept alive under a lease.
+struct Registration<'a> {
+    client: &'a Client,
+    key: &'a [u8],
+    value: Vec<u8>,
+    /// The lease that the key was last written under; [`NO_LEASE`] before the first write.
+    lease: i64,
+    ttl_seconds: i64,
+}
+
+impl Registration<'_> {
+    /// Renews the lease and checks the key, or writes the key under a new lease.
+    async fn refresh(&mut self) -> Result<Option<LeaseEvent>, EtcdError> {
+        if self.lease == NO_LEASE {
+            return self.write_under_new_lease().await;
+        }
+        let alive = self.client.renew(self.lease).await? > 0;
+        match self.key_state(self.lease).await? {
+            KeyState::HeldByOther(lease) => Ok(Some(LeaseEvent::Taken(lease))),
+            KeyState::Held(value) if alive => Ok(self.adopt_value(value)),
+            // Guards against a store that lost everything between the two calls: a key counts as deleted only if it is
+            // absent while its lease is still alive.
+            KeyState::Absent if alive && self.client.renew(self.lease).await? > 0 => {
+                Ok(Some(LeaseEvent::Deleted))
+            }
+            // The lease has expired.
+            KeyState::Held(_) | KeyState::Absent => self.write_under_new_lease().await,
+        }
+    }
+
+    /// Keeps a value that someone else wrote.
+    fn adopt_value(&mut self, value: Vec<u8>) -> Option<LeaseEvent> {
+        if value == self.value {
+            return None;
+        }
+        self.value = value;
+        Some(LeaseEvent::Changed)
+    }
+
+    async fn write_under_new_lease(&mut self) -> Result<Option<LeaseEvent>, EtcdError> {
+        let granted = self.client.grant(self.ttl_seconds).await?;
+        let written = self.client.txn(&self.write_request(granted)).await?;
+        if written.succeeded {
+            self.lease = granted;
+            return Ok(Some(LeaseEvent::Written(granted)));
+        }
+        match self.key_state(granted).await? {
+            KeyState::HeldByOther(lease) => Ok(Some(LeaseEvent::Taken(lease))),
+            // The key under the old lease is about to be deleted; the next refresh sees it.
+            KeyState::Held(_) | KeyState::Absent => Ok(None),
+        }
+    }
+
+    /// The transaction that writes the key. The first write replaces whatever an earlier process left; later ones only
+    /// write an absent key.
+    fn write_request(&self, lease: i64) -> rpc::TxnRequest {
+        let put = rpc::PutRequest {
+            key: self.key.into(),
+            value: self.value.clone(),
+            lease,
+            ..Default::default()
+        };
+        let put = rpc::RequestOp {
+            request: Some(rpc::request_op::Request::RequestPut(put)),
+        };
+        let compare = match self.lease {
+            NO_LEASE => vec![],
+            _ => vec![key_is_absent(self.key)],
+        };
+        rpc::TxnRequest {
+            compare,
+            success: vec![put],
+            failure: vec![],
+        }
+    }
+
+    async fn key_state(&self, lease: i64) -> Result<KeyState, EtcdError> {
+        let request = rpc::RangeRequest {
+            key: self.key.into(),
+            ..Default::default()
+        };
+        let found = self.client.range(&request).await?;
+        Ok(match found.kvs.into_iter().next() {
+            None => KeyState::Absent,
+            Some(kv) if kv.lease == lease => KeyState::Held(kv.value),
+            Some(kv) => KeyState::HeldByOther(kv.lease),
+        })
+    }
+}
+
+/// The condition that a key does not exist.
+fn key_is_absent(key: &[u8]) -> rpc::Compare {
+    rpc::Compare {
+        result: rpc::compare::CompareResult::Equal.into(),
+        target: rpc::compare::CompareTarget::Create.into(),
+        key: key.into(),
+        target_union: Some(rpc::compare::TargetUnion::CreateRevision(0)),
+        ..rpc::Compare::default()
+    }
+}
--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -1,7 +1,7 @@
-//! The client against the stand-in store, on loopback.
+//! The client against the fake store, on loopback.
 
 use futures_lite::future::block_on;
-use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, Kept, Notice};
+use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, LeaseEvent, Notice};
 use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
@@ -58,16 +58,16 @@
         );
         assert!(list.kvs.windows(2).all(|w| w[0].key < w[1].key));
         // A page at the first one's revision does not see what came later.
-        let ask = rpc::RangeRequest {
+        let request = rpc::RangeRequest {
             key: b"a/".into(),
             range_end: b"a0".into(),
             revision: 20,
             ..Default::default()
         };
         client.delete(b"a/05").await.unwrap();
-        assert_eq!(client.range(&ask).await.unwrap().count, 19);
+        assert_eq!(client.range(&request).await.unwrap().count, 19);
         store.compact();
-        let gone = client.range(&ask).await.unwrap_err();
+        let gone = client.range(&request).await.unwrap_err();
         assert!(
             gone.to_string()
                 .contains("required revision has been compacted"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_watch_tells_all_that_happened_after_a_revision() {
+fn watch_delivers_all_changes_after_a_revision() {
     let store = store(1);
     let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
@@ -87,11 +87,11 @@
         store.put("b/1", "beside");
         store.delete("a/1");
         let mut watch = client.watch(b"a/", from).await.unwrap();
-        // What was before the watch, in order, and then what comes.
+        // Earlier changes in order, then new ones.
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/1", "a/1"]);
         store.put("a/2", "y");
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/2"]);
-        // More than a response holds: fragments come as one.
+        // Fragments of a large response are joined to one notice.
         let many = rpc::TxnRequest {
             success: (0..250)
                 .map(|i| rpc::RequestOp {
@@ -105,12 +105,12 @@
         };
         assert!(client.txn(&many).await.unwrap().succeeded);
         assert_eq!(keys(&watch.next().await.unwrap()).len(), 250);
-        watch.ask_progress();
+        watch.request_progress();
         assert_eq!(
             watch.next().await.unwrap(),
             Notice::Progress(store.revision())
         );
-        // A revision that is gone.
+        // A compacted revision.
         store.compact();
         let mut old = client.watch(b"a/", from).await.unwrap();
         assert_eq!(
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_watch_breaks_with_its_store() {
+fn watch_fails_when_its_store_crashes() {
     let mut store = store(1);
     let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
@@ -143,28 +143,28 @@
 }
 
 #[test]
-fn reads_go_on_at_the_next_endpoint_and_writes_are_not_done_twice() {
+fn reads_fail_over_to_the_next_endpoint_and_writes_are_not_repeated() {
     let (mut first, second) = (store(1), store(1));
     let (_runtime, client) = client(&[first.address(), second.address()], options());
     block_on(async {
         client.put(b"a", b"1", 0).await.unwrap();
         first.fault(|f| f.hang = true);
-        // A read is tried again elsewhere.
+        // A read is retried at the other endpoint.
         assert_eq!(client.list(b"a").await.unwrap().kvs.len(), 0);
         client.leave_endpoint();
-        // A write without an answer may have been done, and is the caller's to judge.
-        assert_eq!(client.put(b"a", b"2", 0).await, Err(EtcdError::Late));
+        // A write without a response may have been done, so it is not retried.
+        assert_eq!(client.put(b"a", b"2", 0).await, Err(EtcdError::Timeout));
         assert_eq!(second.keys(), Vec::<String>::new());
         first.crash();
         client.leave_endpoint();
-        // Nothing was sent to the dead one: the next is taken at once.
+        // Nothing was sent to the crashed one, so the write goes to the next endpoint at once.
         client.put(b"a", b"3", 0).await.unwrap();
         assert_eq!(second.keys(), ["a"]);
     });
 }
 
 #[test]
-fn leases_end_and_take_their_keys_along() {
+fn keys_are_deleted_with_their_lease() {
     let store = store(1);
     let (_runtime, client) = client(&[store.address()], options());
     block_on(async {
@@ -179,7 +179,11 @@
             events[0].r#type(),
             ivyward_etcd::mvccpb::event::EventType::Delete
         );
-        assert_eq!(client.renew(lease).await.unwrap(), 0, "it is over");
+        assert_eq!(
+            client.renew(lease).await.unwrap(),
+            0,
+            "the lease has expired"
+        );
         let missing = client.put(b"a/2", b"x", lease).await.unwrap_err();
         assert!(
             missing.to_string().contains("requested lease not found"),
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn a_name_and_password_are_shown_when_asked_for() {
+fn login_is_used_when_the_store_requires_it() {
     let store = store(1);
     store.fault(|f| f.login = Some(("ivy".into(), "secret".into())));
     let login = |password: &str| Some(("ivy".to_string(), password.to_string()));
@@ -205,10 +209,10 @@
             Err(EtcdError::Status { code: 16, .. })
         ));
         let (_runtime, wrong) = with(login("guess"));
-        let told = wrong.list(b"a").await.unwrap_err();
+        let error = wrong.list(b"a").await.unwrap_err();
         assert!(
-            told.to_string().contains("invalid user ID or password"),
-            "{told}"
+            error.to_string().contains("invalid user ID or password"),
+            "{error}"
         );
         let (_runtime, right) = with(login("secret"));
         right.put(b"a", b"x", 0).await.unwrap();
@@ -216,23 +220,22 @@
     });
 }
 
-/// A token that runs out is asked for again, in the middle of a list's pages too; a watch goes on with the one it began
-/// with.
+/// An expired token is replaced, also between the pages of a list.
 #[test]
-fn a_token_that_expires_is_renewed() {
+fn expired_token_is_renewed() {
     let store = store(1);
     store.fault(|f| (f.login, f.token_life) = (Some(("ivy".into(), "secret".into())), 1));
     let login = Some(("ivy".to_string(), "secret".to_string()));
     let (_runtime, client) = client(&[store.address()], EtcdOptions { login, ..options() });
     block_on(async {
-        // Each token is over before it is used: the store's no is told, not tried for ever.
+        // Each token expires before it is used: the store's rejection is returned, not retried forever.
         assert!(matches!(
             client.put(b"a", b"x", 0).await,
             Err(EtcdError::Status { code: 16, .. })
         ));
         store.fault(|f| f.token_life = 50_000);
         for i in 0..30 {
-            // Many of these find their token over; each is asked for once more.
+            // Many of these find their token expired; each requests a new one once.
             let put = client.put(format!("a/{i}").as_bytes(), b"x", 0).await;
             assert!(
                 matches!(put, Ok(_) | Err(EtcdError::Status { code: 16, .. })),
@@ -248,52 +251,52 @@
     });
 }
 
-/// What becomes of a key that is kept: written anew with its last value after its lease was lost, left alone once it was
-/// deleted by hand, and given up to a later process of the same name.
+/// A registered key is written again with its last value after its lease was lost, left alone once it was deleted by
+/// hand, and given up to a later process of the same name.
 #[test]
-fn a_key_is_kept_under_its_lease() {
+fn registered_key_is_kept_alive_under_its_lease() {
     let store = store(1);
     let (runtime, client) = client(&[store.address()], options());
     let client = Arc::new(client);
     let as_ref: RuntimeRef = runtime.clone();
-    let keep = |key: &'static str| {
-        let (tell, told) = async_channel::unbounded();
+    let register = |key: &'static str| {
+        let (sender, events) = async_channel::unbounded();
         let (client, on) = (client.clone(), as_ref.clone());
         runtime.run(async move {
-            let told = |kept| drop(tell.try_send(kept));
+            let on_event = |event| drop(sender.try_send(event));
             client
-                .keep(&on, key.as_bytes(), b"ready".to_vec(), 1, told)
+                .keep_registered(&on, key.as_bytes(), b"ready".to_vec(), 1, on_event)
                 .await;
         });
-        told
+        events
     };
     block_on(async {
-        let told = keep("a/1");
-        let Ok(Kept::Written(first)) = told.recv().await else {
+        let events = register("a/1");
+        let Ok(LeaseEvent::Written(first)) = events.recv().await else {
             panic!()
         };
         store.put_leased("a/1", "draining");
-        assert_eq!(told.recv().await, Ok(Kept::Changed));
+        assert_eq!(events.recv().await, Ok(LeaseEvent::Changed));
         store.forget();
-        let Ok(Kept::Written(second)) = told.recv().await else {
+        let Ok(LeaseEvent::Written(second)) = events.recv().await else {
             panic!()
         };
         assert_eq!(store.value("a/1").as_deref(), Some("draining"));
         client.revoke(second).await.unwrap();
         assert!(
-            matches!(told.recv().await, Ok(Kept::Written(third)) if third != second),
+            matches!(events.recv().await, Ok(LeaseEvent::Written(third)) if third != second),
             "{first} {second}"
         );
         store.delete("a/1");
-        assert_eq!(told.recv().await, Ok(Kept::Deleted));
-        assert!(told.recv().await.is_err(), "the keeper ended");
+        assert_eq!(events.recv().await, Ok(LeaseEvent::Deleted));
+        assert!(events.recv().await.is_err(), "the registration ended");
         assert_eq!(store.keys(), Vec::<String>::new());
-        // A later process of the same name takes the key; the earlier one sees it and leaves it.
-        let one = keep("a/2");
-        assert!(matches!(one.recv().await, Ok(Kept::Written(_))));
-        let two = keep("a/2");
-        assert!(matches!(two.recv().await, Ok(Kept::Written(_))));
-        assert!(matches!(one.recv().await, Ok(Kept::Taken(_))));
-        assert!(one.recv().await.is_err(), "the keeper ended");
+        // A later process of the same name takes over the key; the earlier one notices and stops.
+        let one = register("a/2");
+        assert!(matches!(one.recv().await, Ok(LeaseEvent::Written(_))));
+        let two = register("a/2");
+        assert!(matches!(two.recv().await, Ok(LeaseEvent::Written(_))));
+        assert!(matches!(one.recv().await, Ok(LeaseEvent::Taken(_))));
+        assert!(one.recv().await.is_err(), "the registration ended");
     });
 }
--- a/crates/ivyward-etcd/tests/foreign.rs
+++ b/crates/ivyward-etcd/tests/foreign.rs
@@ -1,5 +1,5 @@
-//! The stand-in store as another project's client sees it: `etcd-client`, on tonic's own transport and a tokio runtime.
-//! What holds for it holds for a store that the project did not write, as far as this client asks.
+//! The fake store against the client of another project: `etcd-client`, on tonic's own transport and a tokio runtime.
+//! Shows that the fake speaks etcd's protocol and not just what this workspace's client expects of it.
 
 use etcd_client::{
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
--- a/crates/ivyward-testbed/src/manual_cluster.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -279,7 +279,7 @@
     for engine in &fleet.engines {
         let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
         let told = |kept| {
-            if let ivyward_etcd::Kept::Trouble(e) = kept {
+            if let ivyward_etcd::LeaseEvent::Failed(e) = kept {
                 eprintln!("ivyward-testbed: {e}; tried again");
             }
         };
--- a/crates/ivyward-testbed/src/registration.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -3,7 +3,7 @@
 use crate::local_cluster::kind;
 use ivyward::core::interface::EndpointId;
 use ivyward::registration::{read, Record, Role, State, PREFIX, VERSION};
-use ivyward_etcd::{rpc, Client, EtcdOptions, Kept};
+use ivyward_etcd::{rpc, Client, EtcdOptions, LeaseEvent};
 use ivyward_fakes::Engine;
 use ivyward_runtime::{Runtime, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
@@ -38,14 +38,14 @@
     endpoints: Vec<SocketAddr>,
     seconds: i64,
     started_ms: u64,
-    told: impl FnMut(Kept) + Send + 'static,
+    told: impl FnMut(LeaseEvent) + Send + 'static,
 ) {
     let (key, record) = record(engine, State::Ready, started_ms);
     engine.spawn_beside(move |runtime| {
         Box::pin(async move {
             let client = Client::new(&runtime, endpoints, EtcdOptions::default());
             client
-                .keep(&runtime, key.as_bytes(), record.into_bytes(), seconds, told)
+                .keep_registered(&runtime, key.as_bytes(), record.into_bytes(), seconds, told)
                 .await;
         })
     });
@@ -85,18 +85,18 @@
         let as_ref: RuntimeRef = runtime.clone();
         let mut end = ExitCode::SUCCESS;
         let told = |kept| match kept {
-            Kept::Written(lease) => println!("registered {key} under lease {lease:x}"),
-            Kept::Changed => println!("{key} was changed; the new record is kept"),
-            Kept::Trouble(e) => eprintln!("ivyward-testbed: {e}; tried again"),
-            Kept::Deleted => println!("{key} was deleted; it is left so"),
-            Kept::Taken(lease) => {
+            LeaseEvent::Written(lease) => println!("registered {key} under lease {lease:x}"),
+            LeaseEvent::Changed => println!("{key} was changed; the new record is kept"),
+            LeaseEvent::Failed(e) => eprintln!("ivyward-testbed: {e}; tried again"),
+            LeaseEvent::Deleted => println!("{key} was deleted; it is left so"),
+            LeaseEvent::Taken(lease) => {
                 eprintln!(
                     "ivyward-testbed: {key} is held under another lease, {lease:x}: a later process of this id"
                 );
                 end = ExitCode::FAILURE;
             }
         };
-        client.keep(&as_ref, key.as_bytes(), text.into_bytes(), seconds, told).await;
+        client.keep_registered(&as_ref, key.as_bytes(), text.into_bytes(), seconds, told).await;
         Ok(end)
     })
 }
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -146,7 +146,7 @@
         }
         watch.progress_requested = true;
         watch.silent_since = self.runtime.now();
-        watch.stream.ask_progress();
+        watch.stream.request_progress();
         None
     }
 
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -7,7 +7,7 @@
 use garde::Validate;
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{NodeInfo, PeerId};
-use ivyward_etcd::{mvccpb, Client, EtcdError, Kept, Notice};
+use ivyward_etcd::{mvccpb, Client, EtcdError, LeaseEvent, Notice};
 use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -163,23 +163,23 @@
     let (keeper_runtime, host) = (runtime.clone(), host.clone());
     runtime.run(async move {
         let mut failing = false;
-        let log = |kept: Kept| match kept {
-            Kept::Written(lease) => {
+        let log = |event: LeaseEvent| match event {
+            LeaseEvent::Written(lease) => {
                 failing = false;
                 info!(key, lease = %format_args!("{lease:x}"), "node record written");
             }
-            Kept::Trouble(error) if !failing => {
+            LeaseEvent::Failed(error) if !failing => {
                 failing = true;
                 warn!(%error, "node record write failed, will retry; gossip continues");
             }
-            Kept::Trouble(_) | Kept::Changed => {}
-            Kept::Deleted => warn!(
+            LeaseEvent::Failed(_) | LeaseEvent::Changed => {}
+            LeaseEvent::Deleted => warn!(
                 key,
                 "node record deleted by someone else, not written again"
             ),
-            Kept::Taken(_) => warn!(key, "node record held by another process of this name"),
+            LeaseEvent::Taken(_) => warn!(key, "node record held by another process of this name"),
         };
-        let keep = keeper.keep(&keeper_runtime, key.as_bytes(), value, lease, log);
+        let keep = keeper.keep_registered(&keeper_runtime, key.as_bytes(), value, lease, log);
         or(keep, host.context.stopped()).await;
     });
 }
@@ -241,7 +241,7 @@
                     return Err(WatchEnd::Silent);
                 }
                 progress_requested = true;
-                watch.ask_progress();
+                watch.request_progress();
                 continue;
             };
             let notice = notice?;
