--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -234,7 +234,9 @@
     assert!(wait_for("taking requests"));
     std::fs::write(&path, "--server=id=1\n").unwrap();
     daemon.signal("-HUP");
-    assert!(wait_for("configuration reload failed, keeping the current one"));
+    assert!(wait_for(
+        "configuration reload failed, keeping the current one"
+    ));
     std::fs::write(&path, servers(&[1, 4])).unwrap();
     daemon.signal("-HUP");
     assert!(wait_for("endpoint list reloaded"));
