--- /dev/null
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -0,0 +1,183 @@
+//! Injects one fault into the simulated cluster and ends it after its duration.
+
+use super::cluster::SimulatedCluster;
+use super::fault::{Fault, TWISTS};
+use super::plan::Timed;
+use super::{lock, LAST_MOMENT};
+use ivyward::registration::State;
+use ivyward_fakes::{Engine, Faults, ObservedEvent};
+use ivyward_runtime::RuntimeExt;
+use ivyward_sim::{HostId, Net};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+impl SimulatedCluster {
+    /// One fault from its begin to its end.
+    pub(super) async fn play(self: Arc<Self>, timed: Timed, salt: u64) {
+        let (runtime, len) = (self.runtime.clone(), timed.len);
+        let fault =
+            |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
+        match timed.fault {
+            Fault::Die { engine, word } => {
+                let id = self.engine(engine, |e| e.spec().id);
+                if !word {
+                    self.log.add(ObservedEvent::Dark {
+                        engine: id,
+                        on: true,
+                    });
+                }
+                self.hosts.silent.store(!word, Ordering::SeqCst);
+                self.engine(engine, Engine::crash);
+                self.hosts.silent.store(false, Ordering::SeqCst);
+                runtime.sleep(len / 4).await;
+                // The list learns of it late, or not before it is back.
+                lock(&self.store).delete(&self.key(engine));
+                runtime.sleep(len).await;
+                let up = self.engine(engine, |e| e.restart(true));
+                if !word {
+                    self.log.add(ObservedEvent::Dark {
+                        engine: id,
+                        on: false,
+                    });
+                }
+                if up.is_ok() {
+                    let host = self.hosts.last();
+                    lock(&self.engines[engine]).1 = host;
+                    self.register(engine, self.runtime.unix_micros());
+                }
+            }
+            Fault::Drain { engine } => {
+                self.put(engine, State::Draining, 0);
+                runtime.sleep(len).await;
+                self.put(engine, State::Ready, 0);
+            }
+            Fault::Leave { engine } => {
+                lock(&self.store).delete(&self.key(engine));
+                runtime.sleep(len).await;
+                self.put(engine, State::Ready, 0);
+            }
+            Fault::Hang { engine } => {
+                fault(engine, &|f| f.hang = true);
+                runtime.sleep(len).await;
+                fault(engine, &|f| f.hang = false);
+            }
+            Fault::Slow { engine, by } => {
+                fault(engine, &|f| f.slow = by);
+                runtime.sleep(len).await;
+                fault(engine, &|f| f.slow = 1.0);
+            }
+            Fault::Ill { engine, share } => {
+                fault(engine, &|f| {
+                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
+                });
+                runtime.sleep(len).await;
+                fault(engine, &|f| {
+                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
+                });
+            }
+            Fault::Odd { engine, share, how } => {
+                let how = TWISTS.get(how).copied();
+                fault(engine, &|f| {
+                    (f.malformed, f.response_fault, f.stall, f.drop_states) =
+                        (share, how, share / 4.0, share > 0.4);
+                });
+                runtime.sleep(len).await;
+                fault(engine, &|f| {
+                    (f.malformed, f.stall, f.drop_states) = (0.0, 0.0, false)
+                });
+            }
+            Fault::Cut { engine, node, back } => {
+                let Some((node, _)) = self.node(node) else {
+                    return;
+                };
+                let engine = lock(&self.engines[engine]).1;
+                let (from, to) = if back { (engine, node) } else { (node, engine) };
+                self.sim.cut(from, to, true);
+                runtime.sleep(len).await;
+                self.sim.cut(from, to, false);
+            }
+            Fault::Lone { engine } => {
+                let ways = |on: bool, hosts: (HostId, HostId)| {
+                    self.sim.cut(hosts.0, hosts.1, on);
+                    self.sim.cut(hosts.1, hosts.0, on);
+                };
+                let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
+                ways(true, hosts);
+                runtime.sleep(len).await;
+                ways(false, hosts);
+            }
+            Fault::NodeKill { node } => {
+                self.kill_node(node);
+                runtime.sleep(len).await;
+                // It cannot fail but for a port that another fault's node has taken again.
+                let _ = self.start_node(node, salt);
+            }
+            Fault::PeerCut { from, to } => {
+                let (Some((_, host)), Some((a, _)), Some((b, _))) =
+                    (&self.addresses, self.node(from), self.node(to))
+                else {
+                    return;
+                };
+                // Its datagrams leave towards the forwarders, and come from them.
+                let ways = if from == to {
+                    vec![(a, *host), (*host, a)]
+                } else {
+                    vec![(a, *host), (*host, b)]
+                };
+                ways.iter()
+                    .for_each(|(from, to)| self.sim.cut(*from, *to, true));
+                runtime.sleep(len).await;
+                ways.iter()
+                    .for_each(|(from, to)| self.sim.cut(*from, *to, false));
+            }
+            Fault::PeersRough { lose } => {
+                self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
+                runtime.sleep(len).await;
+                self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
+            }
+            Fault::Pieces => {
+                self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
+                runtime.sleep(len).await;
+                self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
+            }
+            Fault::Narrow => {
+                self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
+                runtime.sleep(len).await;
+                self.sim
+                    .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
+            }
+            Fault::StoreDies => {
+                lock(&self.store).crash();
+                // What it handed to its sockets in its last moment never left them: nobody was told.
+                let just = self.runtime.now().saturating_sub(LAST_MOMENT);
+                for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
+                    if at >= just {
+                        self.log.add(ObservedEvent::Told {
+                            node,
+                            engine,
+                            ready: true,
+                        });
+                    }
+                }
+                runtime.sleep(len).await;
+                // Another fault may have brought it back.
+                let up = lock(&self.store).restart();
+                if up.is_ok() {
+                    *lock(&self.store_host) = self.hosts.last();
+                }
+            }
+            Fault::StoreCompacts => {
+                lock(&self.store).fault(|f| f.mute_watches = true);
+                runtime.sleep(len).await;
+                let store = lock(&self.store);
+                store.compact();
+                store.fault(|f| f.mute_watches = false);
+            }
+            Fault::StoreLags => {
+                lock(&self.store).fault(|f| f.lag = vec![100_000, 20_000]);
+                runtime.sleep(len).await;
+                lock(&self.store).fault(|f| f.lag = vec![]);
+            }
+        }
+    }
+}
