--- a/crates/ivyward-testbed/src/simulation/outcome.rs
+++ b/crates/ivyward-testbed/src/simulation/outcome.rs
@@ -12,7 +12,7 @@
 pub struct Outcome {
     /// The digest over every byte, poll and event.
     pub digest: u64,
-    /// The number of bytes, polls and events in the digest.
+    /// The number of polls, events and reads in the digest.
     pub events: u64,
     /// Violations, a line each; empty if all rules held and everything ended.
     pub wrong: Vec<String>,
