--- a/crates/ivyward-testbed/src/simulation/outcome.rs
+++ b/crates/ivyward-testbed/src/simulation/outcome.rs
@@ -18,7 +18,7 @@
     pub wrong: Vec<String>,
     /// The outcomes of calls as clients saw them.
     pub heard: BTreeMap<&'static str, u64>,
-    /// Coincidences of [`CATALOGUE`] that came about, and ends of attempts, as often as they did.
+    /// Coincidences of [`CATALOGUE`](crate::simulation::CATALOGUE) that came about, and ends of attempts, as often as they did.
     pub met: BTreeMap<&'static str, u64>,
     /// Virtual time from begin to end.
     pub span: Micros,
