--- a/crates/ivyward-platform/src/engine/stream.rs
+++ b/crates/ivyward-platform/src/engine/stream.rs
@@ -106,7 +106,7 @@
         let capacity = self.request.wait_for_capacity(buffer).await;
         capacity.map_err(|_| given_up())?;
         let runtime = &self.client.pool.runtime;
-        let timeout = self.request.context.settings().stream_stall;
+        let timeout = self.request.context.settings().stream_idle_timeout;
         self.stall
             .get_or_insert_with(|| StallDetector::new(runtime, timeout))
             .last_progress = runtime.now();
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -234,11 +234,11 @@
         },
         // What the node has for its last word, on a machine that may be busy with other things.
         answer_margin: 200_000,
-        ping_every: 300_000,
+        ping_interval: 300_000,
         ping_timeout: 300_000,
-        redial_most: 300_000,
-        release_tries: 2_000_000,
-        stream_stall: 2_000_000,
+        max_backoff: 300_000,
+        release_retry_window: 2_000_000,
+        stream_idle_timeout: 2_000_000,
         ..base
     }
 }
@@ -798,12 +798,12 @@
     for (name, span) in [
         ("answer-margin", settings.answer_margin),
         ("dial-timeout", settings.dial_timeout),
-        ("redial-first", settings.redial_first),
-        ("redial-most", settings.redial_most),
-        ("reset-wait", settings.reset_wait),
-        ("stream-stall", settings.stream_stall),
-        ("release-tries", settings.release_tries),
-        ("ping-every", settings.ping_every),
+        ("redial-first", settings.initial_backoff),
+        ("redial-most", settings.max_backoff),
+        ("reset-wait", settings.reset_timeout),
+        ("stream-stall", settings.stream_idle_timeout),
+        ("release-tries", settings.release_retry_window),
+        ("ping-every", settings.ping_interval),
         ("ping-timeout", settings.ping_timeout),
         ("release-within", rules.release_within),
         ("drain-grace", rules.drain_grace),
@@ -816,10 +816,10 @@
     flag("seed", settings.seed.to_string());
     flag("fall-multiple", rules.overload_multiple.to_string());
     flag("start-capacity", rules.initial_capacity.to_string());
-    flag("resting-checks", settings.resting_checks.to_string());
+    flag("resting-checks", settings.idle_checks_per_second.to_string());
     flag("max-attempts", rules.max_attempts.to_string());
     flag("nodes", rules.replica_count.to_string());
-    flag("most-open", settings.most_open.to_string());
+    flag("most-open", settings.max_open_requests.to_string());
     for class in &settings.classes {
         let s = &class.settings;
         let effect = match s.idempotency {
--- a/crates/ivyward-testbed/src/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -52,9 +52,9 @@
     // A thousand streams at full speed keep one core busy for longer than a dial may take.
     (settings.dial_timeout, settings.rules.drain_grace) = (10_000_000, 10_000_000);
     (
-        settings.ping_every,
-        settings.resting_checks,
-        settings.stream_stall,
+        settings.ping_interval,
+        settings.idle_checks_per_second,
+        settings.stream_idle_timeout,
     ) = (0, 0, 60_000_000);
     settings
 }
@@ -84,7 +84,7 @@
         let node_runtime = SmolRuntime::start(1, 2);
         let node_ref: RuntimeRef = node_runtime.clone();
         let settings = NodeSettings {
-            connections_per_engine: 64,
+            max_connections_per_engine: 64,
             ..relay_settings()
         };
         let node = Node::start(node_ref.clone(), settings, None)?;
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -141,7 +141,7 @@
         classes: classes(),
         // The virtual machine is never late with an answer; a slow client reads what came before it first.
         answer_margin: 50_000,
-        stream_buffer: STREAM_BUFFER,
+        max_buffered_tokens: STREAM_BUFFER,
         // Every other deployment holds places ahead.
         rules: ivyward::core::interface::Settings {
             replica_count: size.nodes as u32,
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -74,7 +74,7 @@
     for (twist, text) in wrong {
         let mut make = ClusterBuilder::new(5, pools(1, 1));
         // Over any pause of a busy machine: it ends one stream here, and is not to end the one beside it.
-        make.settings.stream_stall = 1_000_000;
+        make.settings.stream_idle_timeout = 1_000_000;
         let scene = build(make);
         block_on(async {
             let long = scene.ask(0, QUICK, prompt(1_000, 50), 400);
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -45,9 +45,9 @@
 fn node_settings() -> NodeSettings {
     NodeSettings {
         seed: 7,
-        ping_every: SECOND,
+        ping_interval: SECOND,
         ping_timeout: SECOND,
-        resting_checks: BUDGET,
+        idle_checks_per_second: BUDGET,
         ..settings()
     }
 }
--- a/crates/ivyward-testbed/tests/request_path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -255,7 +255,7 @@
     let mut specs = pools(1, 1);
     specs[1].token_gap = 0;
     let mut make = ClusterBuilder::new(1, specs);
-    make.settings.stream_buffer = 64;
+    make.settings.max_buffered_tokens = 64;
     let scene = build(make);
     block_on(async {
         let mut slow = scene.ask(0, QUICK, prompt(1, 50), 60_000);
--- a/crates/ivyward-testbed/tests/reservations.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -109,7 +109,7 @@
     let mut specs = pools(1, 1);
     specs[1].token_gap = 30_000;
     let mut make = ClusterBuilder::new(33, specs);
-    make.settings.most_open = 2;
+    make.settings.max_open_requests = 2;
     // Refused by the bound alone: a wait on a busy machine is no overload.
     make.patient();
     let scene = build(make);
--- a/crates/ivyward-testbed/tests/retry_safety.rs
+++ b/crates/ivyward-testbed/tests/retry_safety.rs
@@ -13,7 +13,7 @@
 /// One reader (engine 0) and two writers (1 and 2).
 fn scene() -> Arc<LocalCluster> {
     let mut make = ClusterBuilder::new(3, pools(1, 2));
-    make.settings.stream_stall = 200_000;
+    make.settings.stream_idle_timeout = 200_000;
     build(make)
 }
 
--- a/crates/ivyward/src/context.rs
+++ b/crates/ivyward/src/context.rs
@@ -77,7 +77,7 @@
         let (eviction, evicted) = async_channel::bounded(1);
         let mut releases = self.releases();
         let number = releases.back().map_or(0, |last| last.number + 1);
-        if releases.len() >= self.settings.most_releases {
+        if releases.len() >= self.settings.max_pending_releases {
             releases.pop_front();
         }
         releases.push_back(OngoingRelease {
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -93,8 +93,8 @@
         keepalive: &Arc<EngineKeepalive>,
     ) -> Arc<GrpcEngineClient> {
         let options = Options {
-            streams: settings.calls_per_connection as u32,
-            ping_every: settings.ping_every,
+            streams: settings.max_calls_per_connection as u32,
+            ping_every: settings.ping_interval,
             ping_timeout: settings.ping_timeout,
             ..Options::default()
         };
@@ -104,11 +104,11 @@
             runtime: runtime.clone(),
             options,
             keepalive: keepalive.clone(),
-            calls_per_channel: settings.calls_per_connection,
-            max_channels: settings.connections_per_engine,
+            calls_per_channel: settings.max_calls_per_connection,
+            max_channels: settings.max_connections_per_engine,
             connect_timeout: settings.dial_timeout,
-            first_pause: settings.redial_first,
-            longest_pause: settings.redial_most,
+            first_pause: settings.initial_backoff,
+            longest_pause: settings.max_backoff,
             pool: Mutex::default(),
             changed: Event::new(),
             draining: AtomicBool::new(false),
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -16,9 +16,9 @@
 impl EngineKeepalive {
     pub(crate) fn new(runtime: &RuntimeRef, settings: &NodeSettings) -> Arc<EngineKeepalive> {
         let settings = KeepaliveSettings {
-            silence: settings.ping_every,
+            silence: settings.ping_interval,
             timeout: settings.ping_timeout,
-            idle_checks_per_second: settings.resting_checks,
+            idle_checks_per_second: settings.idle_checks_per_second,
             dial_timeout: settings.dial_timeout,
         };
         Arc::new(EngineKeepalive {
--- a/crates/ivyward/src/lib.rs
+++ b/crates/ivyward/src/lib.rs
@@ -41,7 +41,7 @@
 pub use peers::{PeerError, PeerOptions, PeerStore, PeersHandle};
 pub use request::grpc_server;
 pub use response::{FailureReason, FinalStatus, RejectReason, ResponsePart, TokenRun};
-pub use settings::{Class, NodeSettings, SettingsError, Tenant, KINDS};
+pub use settings::{Class, NodeSettings, SettingsError, Tenant, MACHINE_TYPE_ROLES};
 
 pub use ivyward_core as core;
 pub use ivyward_proto as proto;
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -121,7 +121,7 @@
         client_timeout: Option<Micros>,
     ) -> ResponseStream {
         let context = &self.context;
-        let buffer = Arc::new(TokenBuffer::new(context.settings.stream_buffer));
+        let buffer = Arc::new(TokenBuffer::new(context.settings.max_buffered_tokens));
         let mut response = ResponseStream {
             buffer: buffer.clone(),
             id: None,
@@ -186,7 +186,7 @@
         } else if accepted.first_token_deadline <= context.runtime.now() {
             // No time is left to do anything, and nothing was done.
             RejectReason::Overloaded
-        } else if context.open.fetch_add(1, Ordering::SeqCst) >= context.settings.most_open {
+        } else if context.open.fetch_add(1, Ordering::SeqCst) >= context.settings.max_open_requests {
             context.open.fetch_sub(1, Ordering::SeqCst);
             RejectReason::NodeFull
         } else {
--- a/crates/ivyward/src/request/answer_stream.rs
+++ b/crates/ivyward/src/request/answer_stream.rs
@@ -36,7 +36,7 @@
 
 impl<'a> AnswerStream<'a> {
     pub(super) fn new(attempt: &'a GrpcAttempt, call: &'a mut Call) -> AnswerStream<'a> {
-        let span = attempt.context.settings.stream_stall;
+        let span = attempt.context.settings.stream_idle_timeout;
         AnswerStream {
             stall: StallDetector::new(&attempt.context.runtime, span),
             attempt,
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -196,7 +196,7 @@
     }
     // The outcome is reported only when the stream is over or its reset is written, so that the next attempt never runs
     // beside this one.
-    let left = call.abandon(attempt.context.settings.reset_wait).await;
+    let left = call.abandon(attempt.context.settings.reset_timeout).await;
     match result.outcome {
         Outcome::TimedOut | Outcome::Cancelled if !left => {
             AttemptResult::new(Outcome::NotSent, "given up before it left")
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -234,11 +234,11 @@
     confirmed: bool,
 ) -> bool {
     let (runtime, settings) = (&context.runtime, &context.settings);
-    let give_up_at = runtime.now().saturating_add(settings.release_tries);
+    let give_up_at = runtime.now().saturating_add(settings.release_retry_window);
     let may_arrive_until = runtime
         .now()
         .saturating_add(context.router_settings.release_within);
-    let mut pause = settings.redial_first;
+    let mut pause = settings.initial_backoff;
     loop {
         let reply =
             unary::<pb::ReleaseReply>(runtime, engine, RELEASE, body.clone(), context).await;
@@ -249,7 +249,7 @@
             _ => {}
         }
         runtime.sleep(pause).await;
-        pause = (pause * 2).min(settings.redial_most);
+        pause = (pause * 2).min(settings.max_backoff);
     }
 }
 
@@ -287,7 +287,7 @@
     );
     let reply = reply.await;
     // Its reset leaves before the release, so that an engine that hangs never takes the call up after it.
-    let left = call.abandon(settings.reset_wait).await;
+    let left = call.abandon(settings.reset_timeout).await;
     engine.call_ended();
     match reply {
         Some(Ok(Some(reply))) if reply.engine == engine.id.0 && reply.held => {
--- a/crates/ivyward/src/request/grpc_server.rs
+++ b/crates/ivyward/src/request/grpc_server.rs
@@ -180,7 +180,7 @@
         let traffic = &self.context.metrics.client_traffic;
         let runtime = metered(&self.context.runtime, traffic);
         let settings = &self.context.settings;
-        let max_message = settings.most_prompt * MAX_TOKEN_BYTES + MAX_REQUEST_OVERHEAD;
+        let max_message = settings.max_prompt_tokens * MAX_TOKEN_BYTES + MAX_REQUEST_OVERHEAD;
         let service = FrontServer::new(Service(self.clone()));
         let service = service.max_decoding_message_size(max_message);
         loop {
@@ -200,7 +200,7 @@
                     continue;
                 }
             };
-            let Some(admitted) = self.clients.admit(settings.most_clients) else {
+            let Some(admitted) = self.clients.admit(settings.max_client_connections) else {
                 self.context.metrics.clients_turned_away.add(1);
                 continue;
             };
--- a/crates/ivyward/src/request/messages.rs
+++ b/crates/ivyward/src/request/messages.rs
@@ -59,7 +59,7 @@
 }
 
 /// The sender to the driver. The channel holds at most a few messages for each open request (its arrival, its end, and each
-/// attempt's first token and end) beside what the node's owner sends and awaits, so `most_open` bounds it.
+/// attempt's first token and end) beside what the node's owner sends and awaits, so `max_open_requests` bounds it.
 #[derive(Clone)]
 pub(crate) struct DriverHandle(async_channel::Sender<DriverMessage>);
 
--- a/crates/ivyward/src/request/validation.rs
+++ b/crates/ivyward/src/request/validation.rs
@@ -117,11 +117,11 @@
 }
 
 fn check_lengths(settings: &NodeSettings, request: &GenerateRequest) -> Result<(), InvalidRequest> {
-    let (length, max) = (request.prompt.len(), settings.most_prompt);
+    let (length, max) = (request.prompt.len(), settings.max_prompt_tokens);
     if !(1..=max).contains(&length) {
         return Err(InvalidRequest::PromptLength { length, max });
     }
-    let (value, max) = (request.max_output_tokens as usize, settings.most_output);
+    let (value, max) = (request.max_output_tokens as usize, settings.max_output_tokens);
     if !(1..=max).contains(&value) {
         return Err(InvalidRequest::MaxOutput { value, max });
     }
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -4,7 +4,7 @@
 use ivyward_core::interface::{ClassSettings, Idempotency, Micros, Role, TenantSettings};
 
 /// The machine types of engines: [`core::Endpoint::machine_type`] is an index into this list.
-pub const KINDS: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
+pub const MACHINE_TYPE_ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 /// A request class with its name.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,7 +33,7 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The router's other settings. Its classes and tenants are filled in from the fields above, and its roles from [`KINDS`]
+    /// The router's other settings. Its classes and tenants are filled in from the fields above, and its roles from [`MACHINE_TYPE_ROLES`]
     /// if there are none.
     pub rules: core::Settings,
     /// The final answer is given this span before the client stops waiting.
@@ -41,38 +41,38 @@
     /// A connection that is not open after this span counts as failed.
     pub dial_timeout: Micros,
     /// First pause after a failed connection attempt; it doubles, with jitter.
-    pub redial_first: Micros,
+    pub initial_backoff: Micros,
     /// Longest such pause.
-    pub redial_most: Micros,
+    pub max_backoff: Micros,
     /// A connection that does not take the reset of a cancelled call within this span is closed.
-    pub reset_wait: Micros,
+    pub reset_timeout: Micros,
     /// A started stream without a token for this span counts as broken.
-    pub stream_stall: Micros,
+    pub stream_idle_timeout: Micros,
     /// A release that does not reach its engine is tried again for this span; then the engine's own limit releases.
-    pub release_tries: Micros,
+    pub release_retry_window: Micros,
     /// Most tokens that wait for a slow client; no more is read from the engine while so many wait.
-    pub stream_buffer: usize,
+    pub max_buffered_tokens: usize,
     /// Most calls on one connection to an engine.
-    pub calls_per_connection: usize,
+    pub max_calls_per_connection: usize,
     /// Most connections to one engine.
-    pub connections_per_engine: usize,
+    pub max_connections_per_engine: usize,
     /// Span without a byte after which a connection to an engine with calls in flight is pinged; 0 for no pings at all.
-    pub ping_every: Micros,
+    pub ping_interval: Micros,
     /// A ping without an answer for this span closes the connection.
     pub ping_timeout: Micros,
     /// Connections without calls that are pinged in a second, over all engines; 0 for none. Each is pinged as well before a
-    /// call leaves on it, unless something came in within `ping_every` and `ping_timeout` together.
-    pub resting_checks: u32,
+    /// call leaves on it, unless something came in within `ping_interval` and `ping_timeout` together.
+    pub idle_checks_per_second: u32,
     /// Most open requests; one more is rejected.
-    pub most_open: usize,
+    pub max_open_requests: usize,
     /// Most client connections; one more is closed at once.
-    pub most_clients: usize,
+    pub max_client_connections: usize,
     /// Longest prompt, in tokens; a longer one is an error of the client.
-    pub most_prompt: usize,
+    pub max_prompt_tokens: usize,
     /// Most output tokens that a client may ask for.
-    pub most_output: usize,
+    pub max_output_tokens: usize,
     /// Most releases under way at once; beyond it the oldest is left to its engine's own limit.
-    pub most_releases: usize,
+    pub max_pending_releases: usize,
 }
 
 impl Default for NodeSettings {
@@ -98,32 +98,32 @@
             },
             answer_margin: 30_000,
             dial_timeout: 250_000,
-            redial_first: 20_000,
-            redial_most: 1_000_000,
-            reset_wait: 100_000,
-            stream_stall: 10_000_000,
-            release_tries: 10_000_000,
-            stream_buffer: 1_024,
-            calls_per_connection: 100,
-            connections_per_engine: 8,
-            ping_every: 1_000_000,
+            initial_backoff: 20_000,
+            max_backoff: 1_000_000,
+            reset_timeout: 100_000,
+            stream_idle_timeout: 10_000_000,
+            release_retry_window: 10_000_000,
+            max_buffered_tokens: 1_024,
+            max_calls_per_connection: 100,
+            max_connections_per_engine: 8,
+            ping_interval: 1_000_000,
             ping_timeout: 1_000_000,
-            resting_checks: RESTING_CHECKS,
-            most_open: 20_000,
-            most_clients: 4_096,
-            most_prompt: 200_000,
-            most_output: 100_000,
-            most_releases: 4_096,
+            idle_checks_per_second: DEFAULT_IDLE_CHECKS_PER_SECOND,
+            max_open_requests: 20_000,
+            max_client_connections: 4_096,
+            max_prompt_tokens: 200_000,
+            max_output_tokens: 100_000,
+            max_pending_releases: 4_096,
         }
     }
 }
 
-/// Default of [`NodeSettings::resting_checks`].
-pub const RESTING_CHECKS: u32 = 16;
+/// Default of [`NodeSettings::idle_checks_per_second`].
+pub const DEFAULT_IDLE_CHECKS_PER_SECOND: u32 = 16;
 /// Longest span of most settings.
 const HOUR: Micros = 3_600_000_000;
-/// Largest value of [`NodeSettings::resting_checks`].
-const MAX_RESTING_CHECKS: u32 = 10_000;
+/// Largest value of [`NodeSettings::idle_checks_per_second`].
+const MAX_IDLE_CHECKS_PER_SECOND: u32 = 10_000;
 
 /// A setting that cannot hold: which, its value, and why.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -162,7 +162,7 @@
     pub fn router(&self) -> core::Settings {
         core::Settings {
             roles: if self.rules.roles.is_empty() {
-                KINDS.to_vec()
+                MACHINE_TYPE_ROLES.to_vec()
             } else {
                 self.rules.roles.clone()
             },
@@ -217,12 +217,12 @@
         let spans = [
             ("--answer-margin", self.answer_margin, 1_000),
             ("--dial-timeout", self.dial_timeout, 1_000),
-            ("--redial-first", self.redial_first, 1_000),
-            ("--redial-most", self.redial_most, 1_000),
-            ("--reset-wait", self.reset_wait, 1_000),
-            ("--stream-stall", self.stream_stall, 1_000),
-            ("--release-tries", self.release_tries, 0),
-            ("--ping-every", self.ping_every, 0),
+            ("--redial-first", self.initial_backoff, 1_000),
+            ("--redial-most", self.max_backoff, 1_000),
+            ("--reset-wait", self.reset_timeout, 1_000),
+            ("--stream-stall", self.stream_idle_timeout, 1_000),
+            ("--release-tries", self.release_retry_window, 0),
+            ("--ping-every", self.ping_interval, 0),
             ("--ping-timeout", self.ping_timeout, 1_000),
             ("--release-within", self.rules.release_within, 1_000),
             ("--drain-grace", self.rules.drain_grace, 1_000),
@@ -239,23 +239,23 @@
                 return Err(SettingsError::new(flag, ms(span), "an hour at most"));
             }
         }
-        self.check_resting_checks()?;
+        self.check_idle_checks()?;
         self.check_span_order()
     }
 
-    fn check_resting_checks(&self) -> Result<(), SettingsError> {
+    fn check_idle_checks(&self) -> Result<(), SettingsError> {
         let bad = |reason: String| {
             let flag = "--resting-checks";
-            Err(SettingsError::new(flag, self.resting_checks, reason))
+            Err(SettingsError::new(flag, self.idle_checks_per_second, reason))
         };
-        if self.ping_every == 0 && self.resting_checks > 0 {
+        if self.ping_interval == 0 && self.idle_checks_per_second > 0 {
             return bad(
                 "connections at rest cannot be checked where --ping-every is 0: set one of them"
                     .into(),
             );
         }
-        if self.resting_checks > MAX_RESTING_CHECKS {
-            return bad(format!("{MAX_RESTING_CHECKS} a second at most"));
+        if self.idle_checks_per_second > MAX_IDLE_CHECKS_PER_SECOND {
+            return bad(format!("{MAX_IDLE_CHECKS_PER_SECOND} a second at most"));
         }
         Ok(())
     }
@@ -265,10 +265,10 @@
         let bad = |flag: &str, span: Micros, reason: String| {
             Err(SettingsError::new(flag, ms(span), reason))
         };
-        if self.redial_first > self.redial_most {
-            let most = ms(self.redial_most);
+        if self.initial_backoff > self.max_backoff {
+            let most = ms(self.max_backoff);
             let reason = format!("longer than --redial-most, which is {most}");
-            return bad("--redial-first", self.redial_first, reason);
+            return bad("--redial-first", self.initial_backoff, reason);
         }
         // A connection attempt that outlasts the grace would send to an engine that drains.
         if self.dial_timeout > self.rules.drain_grace {
@@ -277,28 +277,28 @@
             return bad("--dial-timeout", self.dial_timeout, reason);
         }
         // A cancelled prefill must be over before the state that it may have left is to be released.
-        if self.reset_wait >= self.rules.release_within {
+        if self.reset_timeout >= self.rules.release_within {
             let within = ms(self.rules.release_within);
             let reason = format!("must be under --release-within, which is {within}");
-            return bad("--reset-wait", self.reset_wait, reason);
+            return bad("--reset-wait", self.reset_timeout, reason);
         }
         Ok(())
     }
 
     fn check_bounds(&self) -> Result<(), SettingsError> {
         let bounds = [
-            ("--stream-buffer", self.stream_buffer, 1 << 20),
-            ("--calls-per-connection", self.calls_per_connection, 1 << 16),
+            ("--stream-buffer", self.max_buffered_tokens, 1 << 20),
+            ("--calls-per-connection", self.max_calls_per_connection, 1 << 16),
             (
                 "--connections-per-engine",
-                self.connections_per_engine,
+                self.max_connections_per_engine,
                 1 << 12,
             ),
-            ("--most-open", self.most_open, 1 << 20),
-            ("--most-clients", self.most_clients, 1 << 20),
-            ("--most-prompt", self.most_prompt, 1 << 22),
-            ("--most-output", self.most_output, 1 << 22),
-            ("--most-releases", self.most_releases, 1 << 20),
+            ("--most-open", self.max_open_requests, 1 << 20),
+            ("--most-clients", self.max_client_connections, 1 << 20),
+            ("--most-prompt", self.max_prompt_tokens, 1 << 22),
+            ("--most-output", self.max_output_tokens, 1 << 22),
+            ("--most-releases", self.max_pending_releases, 1 << 20),
         ];
         for (flag, value, most) in bounds {
             if !(1..=most).contains(&value) {
--- a/crates/ivywardd/src/flags/settings.rs
+++ b/crates/ivywardd/src/flags/settings.rs
@@ -3,7 +3,7 @@
 use super::Flags;
 use ivyward::core::interface::Settings;
 use ivyward::core::peers::PeerSettings;
-use ivyward::settings::RESTING_CHECKS;
+use ivyward::settings::DEFAULT_IDLE_CHECKS_PER_SECOND;
 use ivyward::watcher::{EtcdOptions, WatcherOptions};
 use ivyward::{NodeSettings, PeerOptions, PeerStore, SettingsError};
 
@@ -18,7 +18,7 @@
         let default = if self.ping_every == 0 {
             0
         } else {
-            RESTING_CHECKS
+            DEFAULT_IDLE_CHECKS_PER_SECOND
         };
         self.resting_checks.unwrap_or(default)
     }
@@ -83,22 +83,22 @@
             rules: self.router_settings(),
             answer_margin: self.answer_margin,
             dial_timeout: self.dial_timeout,
-            redial_first: self.redial_first,
-            redial_most: self.redial_most,
-            reset_wait: self.reset_wait,
-            stream_stall: self.stream_stall,
-            release_tries: self.release_tries,
-            stream_buffer: self.stream_buffer,
-            calls_per_connection: self.calls_per_connection,
-            connections_per_engine: self.connections_per_engine,
-            ping_every: self.ping_every,
+            initial_backoff: self.redial_first,
+            max_backoff: self.redial_most,
+            reset_timeout: self.reset_wait,
+            stream_idle_timeout: self.stream_stall,
+            release_retry_window: self.release_tries,
+            max_buffered_tokens: self.stream_buffer,
+            max_calls_per_connection: self.calls_per_connection,
+            max_connections_per_engine: self.connections_per_engine,
+            ping_interval: self.ping_every,
             ping_timeout: self.ping_timeout,
-            resting_checks: self.resting_checks(),
-            most_open: self.most_open,
-            most_clients: self.most_clients,
-            most_prompt: self.most_prompt,
-            most_output: self.most_output,
-            most_releases: self.most_releases,
+            idle_checks_per_second: self.resting_checks(),
+            max_open_requests: self.most_open,
+            max_client_connections: self.most_clients,
+            max_prompt_tokens: self.most_prompt,
+            max_output_tokens: self.most_output,
+            max_pending_releases: self.most_releases,
         }
     }
 
