--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -112,7 +112,7 @@
         ..WatcherOptions::default()
     };
     if faults {
-        (follow.silence, follow.pauses) = (150_000, (10_000, 100_000));
+        (follow.silence_timeout, follow.backoff) = (150_000, (10_000, 100_000));
         follow.etcd.call_timeout = 150_000;
     }
     let mut make = ClusterBuilder::new(51, fleet(4));
@@ -259,7 +259,7 @@
             ..WatcherOptions::default()
         };
         let (following, began) = (node.clone(), as_ref.now());
-        runtime.run(async move { following.follow(follow).await });
+        runtime.run(async move { following.watch_endpoints(follow).await });
         let known = |at_least: i64| {
             let (node, runtime) = (node.clone(), as_ref.clone());
             async move {
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -119,9 +119,9 @@
     };
     let follow = store.as_ref().map(|store| WatcherOptions {
         endpoints: store.endpoints().to_vec(),
-        silence: 400_000,
+        silence_timeout: 400_000,
         empty_grace: 2_000_000,
-        pauses: (10_000, 200_000),
+        backoff: (10_000, 200_000),
         ..WatcherOptions::default()
     });
     let make = ClusterBuilder {
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -420,7 +420,7 @@
                     None => block_on(node.update_endpoints(ListKind::Full, entries.collect())),
                     Some(follow) => {
                         let following = node.clone();
-                        runtime.run(async move { following.follow(follow).await });
+                        runtime.run(async move { following.watch_endpoints(follow).await });
                     }
                 }
                 let serving = node.clone();
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -176,7 +176,7 @@
         ..WatcherOptions::default()
     };
     let following = node.clone();
-    runtime.run(async move { following.follow(follow).await });
+    runtime.run(async move { following.watch_endpoints(follow).await });
     let peer_store = PeerStore {
         endpoints: vec![store],
         prefix: ivyward::peers::NODES.into(),
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -91,12 +91,12 @@
         runtime.run(async move { serving.serve(listener).await });
         let follow = WatcherOptions {
             endpoints: lock(&self.store).endpoints()[i..=i].to_vec(),
-            silence: 400_000,
+            silence_timeout: 400_000,
             empty_grace: 3_000_000,
-            pauses: (10_000, 200_000),
+            backoff: (10_000, 200_000),
             ..WatcherOptions::default()
         };
-        runtime.run(async move { following.follow(follow).await });
+        runtime.run(async move { following.watch_endpoints(follow).await });
         lock(&self.records).push((i, record));
         place.node = Some((host.id(), node));
         place.client = None;
--- a/crates/ivyward-testbed/tests/cold_engines.rs
+++ b/crates/ivyward-testbed/tests/cold_engines.rs
@@ -84,7 +84,7 @@
             endpoints: vec![address],
             ..WatcherOptions::default()
         };
-        its_runtime.run(async move { following.follow(follow).await });
+        its_runtime.run(async move { following.watch_endpoints(follow).await });
         nodes.push((node, door));
     }
     let (it, its_log, clock) = (engines.clone(), log.clone(), runtime.clone());
--- a/crates/ivyward-testbed/tests/node_isolation.rs
+++ b/crates/ivyward-testbed/tests/node_isolation.rs
@@ -155,7 +155,7 @@
     let following = node.clone();
     stage
         .runtime
-        .run(async move { following.follow(follow).await });
+        .run(async move { following.watch_endpoints(follow).await });
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let until = |what: fn(&Node) -> bool| {
             let (node, runtime) = (node.clone(), runtime.clone());
--- a/crates/ivyward-testbed/tests/watch_latency.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -32,7 +32,7 @@
 
 fn rig_of(silence: u64, empty_grace: u64) -> Rig {
     rig_from(41, 2, 1, |f| {
-        (f.silence, f.empty_grace) = (silence, empty_grace)
+        (f.silence_timeout, f.empty_grace) = (silence, empty_grace)
     })
 }
 
@@ -49,7 +49,7 @@
     let mut make = ClusterBuilder::new(seed, pools(4, 8));
     let mut follow = WatcherOptions {
         endpoints: store.endpoints().to_vec(),
-        pauses: (5_000, 100_000),
+        backoff: (5_000, 100_000),
         ..WatcherOptions::default()
     };
     change(&mut follow);
@@ -336,7 +336,7 @@
             let node =
                 ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
             let following = node.clone();
-            runtime.run(async move { following.follow(follow).await });
+            runtime.run(async move { following.watch_endpoints(follow).await });
             (runtime, node)
         };
         let (first, node) = start(1, keeping.clone());
@@ -385,7 +385,7 @@
                 ..follow
             },
         );
-        runtime.run(async move { following.follow(keeping).await });
+        runtime.run(async move { following.watch_endpoints(keeping).await });
         rig.until(|_| node.metrics().engines.get() == 12).await;
         rig.until(|_| node.metrics().list_keep_failures.get() > 0)
             .await;
@@ -444,7 +444,7 @@
 /// A store with a door for each node.
 fn rig_of_doors(silence: u64, behind_grace: u64) -> Rig {
     rig_from(42, 2, 2, |f| {
-        (f.silence, f.behind_grace) = (silence, behind_grace)
+        (f.silence_timeout, f.behind_grace) = (silence, behind_grace)
     })
 }
 
@@ -488,7 +488,7 @@
 fn endpoints_that_disagree() {
     // One node, which knows both doors.
     let rig = rig_from(43, 1, 2, |f| {
-        (f.silence, f.behind_grace) = (300_000, 60_000_000)
+        (f.silence_timeout, f.behind_grace) = (300_000, 60_000_000)
     });
     rig.put_all();
     block_on(async {
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -37,14 +37,14 @@
     /// After engines were known, an empty list is believed once the store has returned nothing else for this span.
     pub empty_grace: Micros,
     /// A watch that was silent for this span is asked for its progress; silent for as long again, it counts as broken.
-    pub silence: Micros,
+    pub silence_timeout: Micros,
     /// A store whose lists stay behind a revision seen before is believed once it has returned nothing else for this span: it
     /// was restored from an older backup.
     pub behind_grace: Micros,
     /// The file of the last list, for starts while the store is down.
     pub snapshot: Option<PathBuf>,
     /// The first and the longest pause after a failure; it doubles in between, with jitter.
-    pub pauses: (Micros, Micros),
+    pub backoff: (Micros, Micros),
 }
 
 impl Default for WatcherOptions {
@@ -55,9 +55,9 @@
             etcd: EtcdOptions::default(),
             empty_grace: 10_000_000,
             behind_grace: 10_000_000,
-            silence: 2_000_000,
+            silence_timeout: 2_000_000,
             snapshot: None,
-            pauses: (20_000, 2_000_000),
+            backoff: (20_000, 2_000_000),
         }
     }
 }
@@ -76,7 +76,7 @@
             ));
         }
         for (flag, span) in [
-            ("--etcd-silence", self.silence),
+            ("--etcd-silence", self.silence_timeout),
             ("--etcd-empty-grace", self.empty_grace),
             ("--etcd-behind-grace", self.behind_grace),
         ] {
@@ -120,7 +120,7 @@
 
 impl Node {
     /// Follows the store's list of engines until the node stops. While the store cannot be reached the last list stands.
-    pub async fn follow(&self, options: WatcherOptions) {
+    pub async fn watch_endpoints(&self, options: WatcherOptions) {
         let runtime = metered(&self.context.runtime, &self.context.metrics.list_traffic);
         let mut watcher = EndpointWatcher {
             client: Client::new(&runtime, options.endpoints.clone(), options.etcd.clone()),
@@ -135,7 +135,7 @@
             snapshot_outdated: false,
             next_snapshot_at: 0,
             logged_bad_records: BTreeMap::new(),
-            pause: options.pauses.0,
+            pause: options.backoff.0,
             node: self,
             runtime,
             options,
@@ -210,7 +210,7 @@
                 self.back_off().await;
             }
             Relist::At(at) => {
-                let latest = self.runtime.now().saturating_add(self.options.silence);
+                let latest = self.runtime.now().saturating_add(self.options.silence_timeout);
                 self.runtime.sleep_until(at.min(latest)).await;
             }
         }
@@ -219,7 +219,7 @@
     /// Pauses, longer from failure to failure; half of the pause is random.
     async fn back_off(&mut self) {
         let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
-        self.pause = (self.pause * 2).min(self.options.pauses.1);
+        self.pause = (self.pause * 2).min(self.options.backoff.1);
         self.runtime.sleep(pause).await;
     }
 }
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -103,7 +103,7 @@
     async fn watch_step(&mut self, watch: &mut ActiveWatch) -> Option<WatchEnd> {
         let deliver_at = self.delivery_time(&watch.batch);
         let snapshot_at = self.snapshot_outdated.then_some(self.next_snapshot_at);
-        let silent_until = watch.silent_since.saturating_add(self.options.silence);
+        let silent_until = watch.silent_since.saturating_add(self.options.silence_timeout);
         let wake_at = [deliver_at, snapshot_at]
             .into_iter()
             .flatten()
@@ -152,7 +152,7 @@
 
     async fn on_notice(&mut self, watch: &mut ActiveWatch, notice: Notice) -> Option<WatchEnd> {
         watch.progress_requested = false;
-        self.pause = self.options.pauses.0;
+        self.pause = self.options.backoff.0;
         watch.silent_since = self.runtime.now();
         // Guards against a store that was replaced between list and watch: its revisions are others, and a watch from
         // one that it has not reached would wait without end.
--- a/crates/ivywardd/src/flags/settings.rs
+++ b/crates/ivywardd/src/flags/settings.rs
@@ -34,7 +34,7 @@
             },
             empty_grace: self.etcd_empty_grace,
             behind_grace: self.etcd_behind_grace,
-            silence: self.etcd_silence,
+            silence_timeout: self.etcd_silence,
             snapshot: self.snapshot.clone(),
             ..WatcherOptions::default()
         }
--- a/crates/ivywardd/src/grpc_node.rs
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -118,7 +118,7 @@
         smol.block_on(node.update_endpoints(ListKind::Full, flags.servers.clone()));
     } else {
         let (node, options) = (node.clone(), flags.watcher());
-        smol.run(async move { node.follow(options).await });
+        smol.run(async move { node.watch_endpoints(options).await });
     }
     if let Some(options) = flags.peers() {
         node.peers(options)?;
