--- a/crates/ivyward-testbed/src/peer_scenario.rs
+++ b/crates/ivyward-testbed/src/peer_scenario.rs
@@ -48,9 +48,9 @@
             .collect();
         let options = PeerOptions {
             announce: Some(self.announced[i]),
-            peers,
+            seed_peers: peers,
             name: Some(i.to_string()),
-            ..PeerOptions::at(self.real[i])
+            ..PeerOptions::new(self.real[i])
         };
         node.peers(options).map_err(|e| e.to_string())
     }
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -179,15 +179,15 @@
     runtime.run(async move { following.watch_endpoints(follow).await });
     let peer_store = PeerStore {
         endpoints: vec![store],
-        prefix: ivyward::peers::NODES.into(),
-        lease: LEASE,
+        prefix: ivyward::peers::DEFAULT_NODE_PREFIX.into(),
+        lease_seconds: LEASE,
         etcd: EtcdOptions::default(),
     };
     let name = Some(format!("hollow-{number}"));
     let options = PeerOptions {
         name,
         store: Some(peer_store),
-        ..PeerOptions::at(local())
+        ..PeerOptions::new(local())
     };
     node.peers(options).map_err(|e| failed(&e))?;
     Ok(node)
--- a/crates/ivyward/src/peers/codec.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -16,7 +16,7 @@
 
 /// Authenticates datagrams.
 #[derive(Clone)]
-pub struct Seal {
+pub struct DatagramCodec {
     key: [u8; 32],
     /// Whether only loopback addresses are accepted, as the owner set no key.
     pub(crate) loopback_only: bool,
@@ -30,10 +30,10 @@
     Malformed(#[from] ContentError),
     /// Its tag does not match: another key, or it was altered.
     #[error("its seal does not hold: is IVYWARD_PEER_KEY the same at all nodes?")]
-    Seal,
+    Authentication,
     /// It names addresses beyond this machine, and there is no key.
     #[error("it names {0}, which needs a key: set IVYWARD_PEER_KEY at all nodes")]
-    Foreign(SocketAddr),
+    NonLoopback(SocketAddr),
 }
 
 /// Why the content of a datagram is no message.
@@ -71,18 +71,18 @@
     UnknownBody,
 }
 
-impl Seal {
+impl DatagramCodec {
     /// With a key derived from the owner's secret, if there is one.
-    pub fn new(secret: Option<&str>) -> Seal {
+    pub fn new(secret: Option<&str>) -> DatagramCodec {
         let key = blake3::derive_key(CONTEXT, secret.unwrap_or_default().as_bytes());
-        Seal {
+        DatagramCodec {
             key,
             loopback_only: secret.is_none(),
         }
     }
 
     /// A message as a datagram.
-    pub fn close(&self, message: &Message) -> Vec<u8> {
+    pub fn encode(&self, message: &Message) -> Vec<u8> {
         let body = encode_message(message).encode_to_vec();
         let mut bytes = Vec::with_capacity(HEAD + body.len());
         bytes.push(VERSION);
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// [`DecodeError`].
-    pub fn open(&self, bytes: &[u8], source: SocketAddr) -> Result<Message, DecodeError> {
+    pub fn decode(&self, bytes: &[u8], source: SocketAddr) -> Result<Message, DecodeError> {
         if bytes.len() < HEAD || bytes[0] != VERSION {
             return Err(ContentError::Head.into());
         }
@@ -103,14 +103,14 @@
         let tag: [u8; 32] = head[1..].try_into().map_err(|_| ContentError::Head)?;
         // Compared in constant time.
         if blake3::keyed_hash(&self.key, body) != blake3::Hash::from(tag) {
-            return Err(DecodeError::Seal);
+            return Err(DecodeError::Authentication);
         }
         let message = pb::Message::decode(body).map_err(ContentError::from)?;
         let message = decode_message(message)?;
         if self.loopback_only {
             let mut addresses = std::iter::once(source).chain(addresses(&message));
             if let Some(foreign) = addresses.find(|address| !address.ip().is_loopback()) {
-                return Err(DecodeError::Foreign(foreign));
+                return Err(DecodeError::NonLoopback(foreign));
             }
         }
         Ok(message)
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn longest_messages_fit_a_datagram_and_round_trip() {
-    let seal = Seal::new(Some("a key of the owner"));
+    let codec = DatagramCodec::new(Some("a key of the owner"));
     let taken = MAX_UPDATES - 4;
     let page = |n: usize| MessageBody::ViewPage {
         updates: vec![claim(FAR); n],
@@ -71,18 +71,18 @@
             body,
             updates: vec![claim(FAR); claims],
         };
-        let bytes = seal.close(&message);
+        let bytes = codec.encode(&message);
         assert!(bytes.len() <= MOST_DATAGRAM, "{}: {message:?}", bytes.len());
-        assert_eq!(seal.open(&bytes, message.from.address), Ok(message));
+        assert_eq!(codec.decode(&bytes, message.from.address), Ok(message));
     }
 }
 
 #[test]
 fn altered_truncated_or_differently_keyed_datagram_is_rejected() {
     let here = "127.0.0.1:7000";
-    let (seal, other) = (
-        Seal::new(Some("a key of the owner")),
-        Seal::new(Some("another of somebody")),
+    let (codec, other) = (
+        DatagramCodec::new(Some("a key of the owner")),
+        DatagramCodec::new(Some("another of somebody")),
     );
     let message = Message {
         view_digest: 0,
@@ -91,16 +91,16 @@
         body: MessageBody::Ping { seq: 1 },
         updates: vec![claim(here)],
     };
-    let bytes = seal.close(&message);
+    let bytes = codec.encode(&message);
     let source = message.from.address;
-    assert_eq!(other.open(&bytes, source), Err(DecodeError::Seal));
-    assert_eq!(Seal::new(None).open(&bytes, source), Err(DecodeError::Seal));
+    assert_eq!(other.decode(&bytes, source), Err(DecodeError::Authentication));
+    assert_eq!(DatagramCodec::new(None).decode(&bytes, source), Err(DecodeError::Authentication));
     for at in 0..bytes.len() {
-        assert!(seal.open(&bytes[..at], source).is_err(), "cut off at {at}");
+        assert!(codec.decode(&bytes[..at], source).is_err(), "cut off at {at}");
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
-            assert!(seal.open(&changed, source).is_err(), "bit {bit} of {at}");
+            assert!(codec.decode(&changed, source).is_err(), "bit {bit} of {at}");
         }
     }
 }
@@ -108,7 +108,7 @@
 #[test]
 fn without_a_key_non_loopback_addresses_are_rejected() {
     let (here, far) = ("127.0.0.1:7000", "192.0.2.1:7000");
-    let seal = Seal::new(None);
+    let codec = DatagramCodec::new(None);
     let local: SocketAddr = here.parse().unwrap();
     let ping = MessageBody::Ping { seq: 1 };
     let of = |from: &str, body, claims| Message {
@@ -119,10 +119,10 @@
         updates: claims,
     };
     let good = of(here, ping.clone(), vec![claim(here)]);
-    assert_eq!(seal.open(&seal.close(&good), local), Ok(good.clone()));
+    assert_eq!(codec.decode(&codec.encode(&good), local), Ok(good.clone()));
     assert!(matches!(
-        seal.open(&seal.close(&good), far.parse().unwrap()),
-        Err(DecodeError::Foreign(_))
+        codec.decode(&codec.encode(&good), far.parse().unwrap()),
+        Err(DecodeError::NonLoopback(_))
     ));
     let page = MessageBody::ViewPage {
         updates: vec![claim(far)],
@@ -146,8 +146,8 @@
     for message in bad {
         assert!(
             matches!(
-                seal.open(&seal.close(&message), local),
-                Err(DecodeError::Foreign(_))
+                codec.decode(&codec.encode(&message), local),
+                Err(DecodeError::NonLoopback(_))
             ),
             "{message:?}"
         );
@@ -156,7 +156,7 @@
 
 #[test]
 fn unreachable_addresses_and_unknown_states_are_rejected() {
-    let seal = Seal::new(Some("a key of the owner"));
+    let codec = DatagramCodec::new(Some("a key of the owner"));
     let local: SocketAddr = "127.0.0.1:7000".parse().unwrap();
     let good = Message {
         view_digest: 0,
@@ -168,7 +168,7 @@
     let sealed = |message: pb::Message| {
         let body = message.encode_to_vec();
         let mut bytes = vec![VERSION];
-        bytes.extend_from_slice(blake3::keyed_hash(&seal.key, &body).as_bytes());
+        bytes.extend_from_slice(blake3::keyed_hash(&codec.key, &body).as_bytes());
         bytes.extend(body);
         bytes
     };
@@ -180,12 +180,12 @@
         |m| m.from.as_mut().unwrap().address = vec![1],
         |m| m.from.as_mut().unwrap().zone = 256,
     ];
-    assert!(seal.open(&sealed(encode_message(&good)), local).is_ok());
+    assert!(codec.decode(&sealed(encode_message(&good)), local).is_ok());
     for change in changes {
         let mut message = encode_message(&good);
         change(&mut message);
         assert!(matches!(
-            seal.open(&sealed(message), local),
+            codec.decode(&sealed(message), local),
             Err(DecodeError::Malformed(_))
         ));
     }
@@ -194,7 +194,7 @@
         ..good
     };
     assert!(matches!(
-        seal.open(&seal.close(&many), local),
+        codec.decode(&codec.encode(&many), local),
         Err(DecodeError::Malformed(_))
     ));
 }
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -1,6 +1,6 @@
 //! The gossip task: datagrams, ticks and commands in, datagrams and the replica count out.
 
-use super::codec::Seal;
+use super::codec::DatagramCodec;
 use super::handle::{lock, state_name, PeerCommand};
 use super::PeerHost;
 use futures_lite::future::or;
@@ -21,7 +21,7 @@
     pub(super) host: PeerHost,
     pub(super) view: Arc<Mutex<Peers>>,
     pub(super) socket: Box<dyn Datagrams>,
-    pub(super) seal: Seal,
+    pub(super) datagram_codec: DatagramCodec,
     pub(super) commands: async_channel::Receiver<PeerCommand>,
     /// The replica count that the router was told last.
     pub(super) replica_count: u32,
@@ -102,7 +102,7 @@
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], source: SocketAddr) {
         let metrics = &self.host.context.metrics;
         metrics.peer_datagrams_taken.add(1);
-        match self.seal.open(bytes, source) {
+        match self.datagram_codec.decode(bytes, source) {
             Ok(message) => self.on_message(now, message, source),
             Err(why) => {
                 metrics.peer_datagrams_unread.add(1);
@@ -156,7 +156,7 @@
     }
 
     fn send(&self, message: &Message, to: SocketAddr) {
-        let bytes = self.seal.close(message);
+        let bytes = self.datagram_codec.encode(message);
         let metrics = &self.host.context.metrics;
         metrics.peer_datagrams_sent.add(1);
         metrics.peer_bytes_sent.add(bytes.len() as u64);
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -14,10 +14,10 @@
 mod options;
 mod records;
 
-pub use codec::{ContentError, DecodeError, Seal};
+pub use codec::{ContentError, DatagramCodec, DecodeError};
 pub use handle::PeersHandle;
 pub use options::{PeerOptions, PeerStore};
-pub use records::{NodeRecord, NodeRecordError, NODES};
+pub use records::{NodeRecord, NodeRecordError, DEFAULT_NODE_PREFIX};
 
 use crate::context::NodeContext;
 use crate::settings::SettingsError;
@@ -79,7 +79,7 @@
         address: announce,
     };
     let now = runtime.now();
-    let mut peers = Peers::new(now, local, options.peers, options.spans, runtime.random());
+    let mut peers = Peers::new(now, local, options.seed_peers, options.gossip, runtime.random());
     peers.expect(rules.replica_count);
     let view = Arc::new(Mutex::new(peers));
     let (commands, receiver) = async_channel::bounded(COMMAND_CAPACITY);
@@ -92,7 +92,7 @@
     let gossip = Gossip {
         view,
         socket,
-        seal: Seal::new(options.key.as_deref()),
+        datagram_codec: DatagramCodec::new(options.key.as_deref()),
         commands: receiver,
         replica_count: rules.replica_count,
         host: host.clone(),
--- a/crates/ivyward/src/peers/options.rs
+++ b/crates/ivyward/src/peers/options.rs
@@ -23,7 +23,7 @@
     /// The address by which others reach it; the listening one by default.
     pub announce: Option<SocketAddr>,
     /// Addresses of some others.
-    pub peers: Vec<SocketAddr>,
+    pub seed_peers: Vec<SocketAddr>,
     /// The node's name, the same after a restart; the announced address by default.
     pub name: Option<String>,
     /// The secret from which the datagrams' key is derived. Without one only loopback addresses are accepted.
@@ -31,7 +31,7 @@
     /// The store in which nodes write their records, if there is one.
     pub store: Option<PeerStore>,
     /// Timeouts and bounds of the gossip.
-    pub spans: PeerSettings,
+    pub gossip: PeerSettings,
 }
 
 /// The store in which nodes write their records.
@@ -42,22 +42,22 @@
     /// Records stand below this prefix, each under its node's name as a number.
     pub prefix: String,
     /// Seconds that a record outlives its node.
-    pub lease: i64,
+    pub lease_seconds: i64,
     /// Options of the store's client.
     pub etcd: EtcdOptions,
 }
 
 impl PeerOptions {
     /// Listens at an address, with nobody to ask.
-    pub fn at(listen: SocketAddr) -> PeerOptions {
+    pub fn new(listen: SocketAddr) -> PeerOptions {
         PeerOptions {
             listen,
             announce: None,
-            peers: Vec::new(),
+            seed_peers: Vec::new(),
             name: None,
             key: None,
             store: None,
-            spans: PeerSettings::default(),
+            gossip: PeerSettings::default(),
         }
     }
 
@@ -82,7 +82,7 @@
             };
         }
         let announce = self.announce.map(|a| ("--peer-announce", a));
-        let peers = self.peers.iter().map(|p| ("--peer", *p));
+        let peers = self.seed_peers.iter().map(|p| ("--peer", *p));
         let mut all = [("--peer-listen", self.listen)]
             .into_iter()
             .chain(announce)
@@ -98,7 +98,7 @@
     }
 
     fn check_death_timeout(&self) -> Result<(), SettingsError> {
-        let death_timeout = self.spans.death_timeout;
+        let death_timeout = self.gossip.death_timeout;
         if DEATH_TIMEOUTS.contains(&death_timeout) {
             return Ok(());
         }
@@ -121,13 +121,13 @@
                 "with it --peer-announce says where others reach this node",
             );
         }
-        if let Some(peer) = self.peers.iter().find(|peer| is_unreachable(peer)) {
+        if let Some(peer) = self.seed_peers.iter().find(|peer| is_unreachable(peer)) {
             return invalid("--peer", peer, unreachable);
         }
-        if self.peers.len() > MAX_PEERS {
+        if self.seed_peers.len() > MAX_PEERS {
             return invalid(
                 "--peer",
-                self.peers.len(),
+                self.seed_peers.len(),
                 "64 at most; a few that are up are enough",
             );
         }
@@ -136,8 +136,8 @@
 
     fn check_lease(&self) -> Result<(), SettingsError> {
         match &self.store {
-            Some(store) if !LEASES.contains(&store.lease) => {
-                invalid("--peer-lease", store.lease, "from 2 to 3600 seconds")
+            Some(store) if !LEASES.contains(&store.lease_seconds) => {
+                invalid("--peer-lease", store.lease_seconds, "from 2 to 3600 seconds")
             }
             _ => Ok(()),
         }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 
 /// Default prefix of the nodes' records.
-pub const NODES: &str = "ivyward/nodes/";
+pub const DEFAULT_NODE_PREFIX: &str = "ivyward/nodes/";
 /// Longest record, in bytes.
 const MAX_RECORD: usize = 1 << 10;
 /// Most keys of bad records that are remembered as logged.
@@ -157,7 +157,7 @@
 /// Keeps this node's record in the store, as a task of its own.
 fn keep_record(host: &PeerHost, runtime: &RuntimeRef, store: &PeerStore, local: NodeInfo) {
     let keeper = client(runtime, store);
-    let (key, lease) = (NodeRecord::key(&store.prefix, local.id), store.lease);
+    let (key, lease) = (NodeRecord::key(&store.prefix, local.id), store.lease_seconds);
     // A record of these fields is always JSON.
     let value = serde_json::to_vec(&NodeRecord::of(&local)).unwrap_or_default();
     let (keeper_runtime, host) = (runtime.clone(), host.clone());
--- a/crates/ivyward/src/peers/records/tests.rs
+++ b/crates/ivyward/src/peers/records/tests.rs
@@ -11,11 +11,11 @@
         zone: 3,
         address,
     };
-    let key = NodeRecord::key(NODES, card.id);
+    let key = NodeRecord::key(DEFAULT_NODE_PREFIX, card.id);
     assert_eq!(key, "ivyward/nodes/00000000000000ab");
     let text = serde_json::to_string(&NodeRecord::of(&card)).unwrap();
     assert_eq!(
-        NodeRecord::read(NODES, key.as_bytes(), text.as_bytes()),
+        NodeRecord::read(DEFAULT_NODE_PREFIX, key.as_bytes(), text.as_bytes()),
         Ok(card)
     );
     let bad = [
@@ -54,7 +54,7 @@
         ("elsewhere/00000000000000ab", text.clone(), "16 hexadecimal"),
     ];
     for (key, text, what) in bad {
-        let problem = NodeRecord::read(NODES, key.as_bytes(), text.as_bytes())
+        let problem = NodeRecord::read(DEFAULT_NODE_PREFIX, key.as_bytes(), text.as_bytes())
             .unwrap_err()
             .to_string();
         assert!(problem.contains(what), "{text}: {problem}");
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -131,7 +131,7 @@
     )]
     pub peer_lease: Option<i64>,
     /// Nodes' records stand below this prefix.
-    #[arg(long, env = "IVYWARD_PEER_PREFIX", default_value = ivyward::peers::NODES)]
+    #[arg(long, env = "IVYWARD_PEER_PREFIX", default_value = ivyward::peers::DEFAULT_NODE_PREFIX)]
     pub peer_prefix: String,
 
     /// Nodes that front the service, this one among them; with --peer-listen, until the view of them is whole.
--- a/crates/ivywardd/src/flags/settings.rs
+++ b/crates/ivywardd/src/flags/settings.rs
@@ -46,20 +46,20 @@
         let store = self.peer_lease.map(|lease| PeerStore {
             endpoints: self.etcd_endpoints.clone(),
             prefix: self.peer_prefix.clone(),
-            lease,
+            lease_seconds: lease,
             etcd: self.watcher().etcd,
         });
         Some(PeerOptions {
             announce: self.peer_announce,
-            peers: self.peers.clone(),
+            seed_peers: self.peers.clone(),
             name: self.peer_name.clone(),
             key: self.peer_key.clone(),
             store,
-            spans: PeerSettings {
+            gossip: PeerSettings {
                 death_timeout: self.peer_death_after,
                 ..PeerSettings::default()
             },
-            ..PeerOptions::at(listen)
+            ..PeerOptions::new(listen)
         })
     }
 
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -332,7 +332,7 @@
     assert!(line.ends_with(" 0"), "{line}");
     let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
     let real = cluster.real(0);
-    let other = ivyward::peers::Seal::new(Some("a key of somebody else"));
+    let other = ivyward::peers::DatagramCodec::new(Some("a key of somebody else"));
     let from = ivyward::core::peers::NodeInfo {
         id: ivyward::core::peers::PeerId(id(1)),
         incarnation: u64::MAX,
@@ -347,7 +347,7 @@
         body,
         updates: vec![],
     };
-    for bytes in [other.close(&forged), vec![], vec![1; 1_300]] {
+    for bytes in [other.encode(&forged), vec![], vec![1; 1_300]] {
         socket.send(&bytes, real).unwrap();
     }
     loop {
