--- a/crates/ivyward-etcd/src/client.rs
+++ b/crates/ivyward-etcd/src/client.rs
@@ -20,11 +20,11 @@
     /// Timeout of a call's response.
     pub call_timeout: Micros,
     /// Keys requested in one page of a list.
-    pub page: i64,
+    pub page_size: i64,
     /// Largest number of keys in a list. A longer list is an error, so that it cannot exhaust memory.
     pub max_keys: usize,
     /// User name and password.
-    pub login: Option<(String, String)>,
+    pub credentials: Option<(String, String)>,
     /// Options of the gRPC connection.
     pub channel: Options,
 }
@@ -34,9 +34,9 @@
         EtcdOptions {
             dial_timeout: 500_000,
             call_timeout: 2_000_000,
-            page: 1_000,
+            page_size: 1_000,
             max_keys: 100_000,
-            login: None,
+            credentials: None,
             // Watch responses are larger than tokens, and few calls share the connection.
             channel: Options {
                 stream_window: 1 << 20,
@@ -89,7 +89,7 @@
     }
 
     /// Closes the connection to the endpoint in use; the next call goes to the next endpoint.
-    pub fn leave_endpoint(&self) {
+    pub fn fail_over(&self) {
         let mut connection = self.connection();
         if let Some(channel) = connection.channel.take() {
             channel.close();
@@ -122,7 +122,7 @@
                 }
                 Err(error) => {
                     last_error = error;
-                    self.leave_endpoint();
+                    self.fail_over();
                 }
             }
         }
@@ -150,7 +150,7 @@
     /// The headers of a call: the authentication token, if a login is set.
     pub(crate) async fn headers(&self, channel: &Channel) -> Result<HeaderMap, EtcdError> {
         let mut headers = HeaderMap::new();
-        let Some((name, password)) = &self.options.login else {
+        let Some((name, password)) = &self.options.credentials else {
             return Ok(headers);
         };
         let cached = self.connection().token.clone();
@@ -223,13 +223,13 @@
                 Err(EtcdError::Status {
                     code: UNAUTHENTICATED,
                     ..
-                }) if self.options.login.is_some() && !token_renewed => {
+                }) if self.options.credentials.is_some() && !token_renewed => {
                     // The token expired, or the store lost it.
                     token_renewed = true;
                     self.connection().token = None;
                 }
                 Err(error @ (EtcdError::Broken(_) | EtcdError::Timeout)) => {
-                    self.leave_endpoint();
+                    self.fail_over();
                     let retry = idempotency == Idempotency::Idempotent
                         && attempts < self.endpoints.len() + 1;
                     if !retry {
--- a/crates/ivyward-etcd/src/kv.rs
+++ b/crates/ivyward-etcd/src/kv.rs
@@ -68,7 +68,7 @@
             let request = rpc::RangeRequest {
                 key,
                 range_end: end.clone(),
-                limit: self.options.page,
+                limit: self.options.page_size,
                 revision: list.revision,
                 ..rpc::RangeRequest::default()
             };
--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -16,7 +16,7 @@
 
 fn options() -> EtcdOptions {
     EtcdOptions {
-        page: 7,
+        page_size: 7,
         call_timeout: 1_500_000,
         ..EtcdOptions::default()
     }
@@ -151,12 +151,12 @@
         first.fault(|f| f.hang = true);
         // A read is retried at the other endpoint.
         assert_eq!(client.list(b"a").await.unwrap().kvs.len(), 0);
-        client.leave_endpoint();
+        client.fail_over();
         // A write without a response may have been done, so it is not retried.
         assert_eq!(client.put(b"a", b"2", 0).await, Err(EtcdError::Timeout));
         assert_eq!(second.keys(), Vec::<String>::new());
         first.crash();
-        client.leave_endpoint();
+        client.fail_over();
         // Nothing was sent to the crashed one, so the write goes to the next endpoint at once.
         client.put(b"a", b"3", 0).await.unwrap();
         assert_eq!(second.keys(), ["a"]);
@@ -201,7 +201,7 @@
     let store = store(1);
     store.fault(|f| f.login = Some(("ivy".into(), "secret".into())));
     let login = |password: &str| Some(("ivy".to_string(), password.to_string()));
-    let with = |login| client(&[store.address()], EtcdOptions { login, ..options() });
+    let with = |credentials| client(&[store.address()], EtcdOptions { credentials, ..options() });
     block_on(async {
         let (_runtime, nobody) = with(None);
         assert!(matches!(
@@ -225,8 +225,8 @@
 fn expired_token_is_renewed() {
     let store = store(1);
     store.fault(|f| (f.login, f.token_life) = (Some(("ivy".into(), "secret".into())), 1));
-    let login = Some(("ivy".to_string(), "secret".to_string()));
-    let (_runtime, client) = client(&[store.address()], EtcdOptions { login, ..options() });
+    let credentials = Some(("ivy".to_string(), "secret".to_string()));
+    let (_runtime, client) = client(&[store.address()], EtcdOptions { credentials, ..options() });
     block_on(async {
         // Each token expires before it is used: the store's rejection is returned, not retried forever.
         assert!(matches!(
--- a/crates/ivyward-testbed/tests/cancellation_safety.rs
+++ b/crates/ivyward-testbed/tests/cancellation_safety.rs
@@ -260,7 +260,7 @@
     let (runtime, endpoint, store) = (stage.runtime.clone(), store.address(), Mutex::new(store));
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let options = ivyward_etcd::EtcdOptions {
-            page: 3,
+            page_size: 3,
             ..Default::default()
         };
         let client = ivyward_etcd::Client::new(&runtime, vec![endpoint], options);
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -206,7 +206,7 @@
     async fn wait_to_relist(&mut self, relist: Relist) {
         match relist {
             Relist::Elsewhere => {
-                self.client.leave_endpoint();
+                self.client.fail_over();
                 self.back_off().await;
             }
             Relist::At(at) => {
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -111,7 +111,7 @@
         match before(&self.runtime, wake_at, watch.stream.next()).await {
             Some(Ok(notice)) => self.on_notice(watch, notice).await,
             Some(Err(error)) => {
-                self.client.leave_endpoint();
+                self.client.fail_over();
                 Some(self.end_watch(watch, error.into()).await)
             }
             None => self.on_wakeup(watch, deliver_at, silent_until).await,
@@ -141,7 +141,7 @@
             return None;
         }
         if watch.progress_requested {
-            self.client.leave_endpoint();
+            self.client.fail_over();
             return Some(self.end_watch(watch, GapReason::Silent).await);
         }
         watch.progress_requested = true;
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -220,7 +220,7 @@
                 Err(why) => why,
             };
             info!(%why, "node records watch interrupted, listing again");
-            self.client.leave_endpoint();
+            self.client.fail_over();
             let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
             self.pause = (self.pause * 2).min(PAUSES.1);
             self.runtime.sleep(pause).await;
--- a/crates/ivywardd/src/flags/settings.rs
+++ b/crates/ivywardd/src/flags/settings.rs
@@ -24,12 +24,12 @@
     }
     /// How to watch the endpoint list in etcd; not watched without etcd endpoints.
     pub fn watcher(&self) -> WatcherOptions {
-        let login = self.etcd_user.clone().zip(self.etcd_password.clone());
+        let credentials = self.etcd_user.clone().zip(self.etcd_password.clone());
         WatcherOptions {
             endpoints: self.etcd_endpoints.clone(),
             prefix: self.etcd_prefix.clone(),
             etcd: EtcdOptions {
-                login,
+                credentials,
                 ..EtcdOptions::default()
             },
             empty_grace: self.etcd_empty_grace,
