--- a/crates/ivyward-testbed/src/commands/replay_record.rs
+++ b/crates/ivyward-testbed/src/commands/replay_record.rs
@@ -17,7 +17,7 @@
         let file =
             File::open(&self.file).map_err(|error| format!("{}: {error}", self.file.display()))?;
         let summary = ivyward::recording::replay(BufReader::new(file))?;
-        let cut = match summary.cut {
+        let cut = match summary.truncated {
             true => "; the recording ends inside an entry",
             false => "",
         };
--- a/crates/ivyward/src/recording/reader.rs
+++ b/crates/ivyward/src/recording/reader.rs
@@ -48,7 +48,7 @@
     /// Actions, all the same as recorded.
     pub actions: usize,
     /// Whether the recording ends inside an entry, as a killed node leaves it.
-    pub cut: bool,
+    pub truncated: bool,
 }
 
 /// One event and the actions that it led to.
@@ -70,7 +70,7 @@
     /// The seed of its random choices.
     pub seed: u64,
     read: usize,
-    cut: bool,
+    truncated: bool,
 }
 
 impl<R: BufRead> RecordingReader<R> {
@@ -94,10 +94,10 @@
             settings,
             seed: start.seed,
             read: 0,
-            cut: false,
+            truncated: false,
         })
     }
-    /// The next step, or `None` at the end, which may lie inside an entry: see [`RecordingReader::cut`].
+    /// The next step, or `None` at the end, which may lie inside an entry: see [`RecordingReader::is_truncated`].
     ///
     /// # Errors
     /// [`RecordingError`] when what follows is no step.
@@ -110,7 +110,7 @@
             Ok(Some(_)) => return Err(malformed(EntryError::SecondStart)),
             Ok(None) => return Ok(None),
             Err(RecordingError::Io(e)) if e.kind() == io::ErrorKind::UnexpectedEof => {
-                self.cut = true;
+                self.truncated = true;
                 return Ok(None);
             }
             Err(e) => return Err(e),
@@ -118,8 +118,8 @@
         decode_step(step).map(Some).map_err(malformed)
     }
     /// Whether the recording ended inside an entry, as a killed node leaves it.
-    pub fn cut(&self) -> bool {
-        self.cut
+    pub fn is_truncated(&self) -> bool {
+        self.truncated
     }
 }
 
@@ -162,7 +162,7 @@
         done.events += 1;
         done.actions += replayed.len();
     }
-    done.cut = reader.cut();
+    done.truncated = reader.is_truncated();
     Ok(done)
 }
 
--- a/crates/ivywardd/tests/compatibility.rs
+++ b/crates/ivywardd/tests/compatibility.rs
@@ -28,7 +28,7 @@
             (events, actions),
             "{name}"
         );
-        assert!(!summary.cut, "{name}");
+        assert!(!summary.truncated, "{name}");
     }
 }
 
