--- a/crates/ivyward-testbed/src/commands/register.rs
+++ b/crates/ivyward-testbed/src/commands/register.rs
@@ -16,7 +16,7 @@
     )]
     endpoints: Vec<SocketAddr>,
     /// Engines' records stand below it.
-    #[arg(long = "etcd-prefix", env = "IVYWARD_ETCD_PREFIX", default_value = ivyward::registration::PREFIX)]
+    #[arg(long = "etcd-prefix", env = "IVYWARD_ETCD_PREFIX", default_value = ivyward::registration::DEFAULT_ENGINE_PREFIX)]
     prefix: String,
 }
 
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -8,7 +8,7 @@
     ListKind, Micros, Settings,
 };
 use ivyward::recording::{RecordingError, RecordingReader};
-use ivyward::registration::{Record, State, PREFIX};
+use ivyward::registration::{Record, State, DEFAULT_ENGINE_PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
 use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::{Observer, Shown, Store};
@@ -675,7 +675,9 @@
 
 /// What a store's showing tells of engines, and whether each may be sent new work; `known` are those it showed before.
 pub(crate) fn notices(shown: &Shown<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
-    let id = |key: &[u8]| ivyward::registration::key_id(PREFIX.as_bytes(), key).map(|id| id.0);
+    let id = |key: &[u8]| {
+        ivyward::registration::key_id(DEFAULT_ENGINE_PREFIX.as_bytes(), key).map(|id| id.0)
+    };
     let ready = |value: &[u8]| {
         serde_json::from_slice::<Record>(value).is_ok_and(|r| r.state == State::Ready)
     };
@@ -816,7 +818,10 @@
     flag("seed", settings.seed.to_string());
     flag("fall-multiple", rules.overload_multiple.to_string());
     flag("start-capacity", rules.initial_capacity.to_string());
-    flag("resting-checks", settings.idle_checks_per_second.to_string());
+    flag(
+        "resting-checks",
+        settings.idle_checks_per_second.to_string(),
+    );
     flag("max-attempts", rules.max_attempts.to_string());
     flag("nodes", rules.replica_count.to_string());
     flag("most-open", settings.max_open_requests.to_string());
--- a/crates/ivyward-testbed/src/registration.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -2,7 +2,7 @@
 
 use crate::local_cluster::kind;
 use ivyward::core::interface::EndpointId;
-use ivyward::registration::{read, Record, Role, State, PREFIX, VERSION};
+use ivyward::registration::{read, Record, Role, State, DEFAULT_ENGINE_PREFIX, VERSION};
 use ivyward_etcd::{rpc, Client, EtcdOptions, LeaseEvent};
 use ivyward_fakes::Engine;
 use ivyward_runtime::{Runtime, RuntimeRef, SmolRuntime};
@@ -26,7 +26,7 @@
     };
     // A record of these fields is always JSON.
     (
-        format!("{PREFIX}{}", spec.id),
+        format!("{DEFAULT_ENGINE_PREFIX}{}", spec.id),
         serde_json::to_string(&record).unwrap_or_default(),
     )
 }
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -235,7 +235,7 @@
     let keys: Vec<String> = store
         .keys()
         .into_iter()
-        .filter(|k| k.starts_with(ivyward::registration::PREFIX))
+        .filter(|k| k.starts_with(ivyward::registration::DEFAULT_ENGINE_PREFIX))
         .collect();
     let start = store.revision() as usize;
     for i in 0..count as usize {
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -6,7 +6,7 @@
 use crate::peer_scenario::Addresses;
 use crate::registration;
 use ivyward::core::interface::Micros;
-use ivyward::registration::{State, PREFIX};
+use ivyward::registration::{State, DEFAULT_ENGINE_PREFIX};
 use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::etcd::Store;
@@ -48,7 +48,10 @@
 
 impl SimulatedCluster {
     pub(super) fn key(&self, engine: usize) -> String {
-        format!("{PREFIX}{}", lock(&self.engines[engine]).0.spec().id)
+        format!(
+            "{DEFAULT_ENGINE_PREFIX}{}",
+            lock(&self.engines[engine]).0.spec().id
+        )
     }
 
     pub(super) fn put(&self, engine: usize, state: State, started: Micros) {
--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -10,9 +10,9 @@
 /// Version of the records that this program writes and reads.
 pub const VERSION: u32 = 1;
 /// Default prefix of the records.
-pub const PREFIX: &str = "ivyward/engines/";
+pub const DEFAULT_ENGINE_PREFIX: &str = "ivyward/engines/";
 /// Longest record, in bytes.
-pub const MOST_RECORD: usize = 4 << 10;
+pub const MAX_RECORD_BYTES: usize = 4 << 10;
 
 /// The role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -78,12 +78,12 @@
 
 /// Why a record is not read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RecordProblem {
+pub enum RecordError {
     /// The key does not end in an id.
     #[error("the key does not end in an engine's id")]
     Key,
     /// Too long.
-    #[error("the record has {0} bytes; {MOST_RECORD} at most")]
+    #[error("the record has {0} bytes; {MAX_RECORD_BYTES} at most")]
     Long(usize),
     /// Not JSON of a record.
     #[error("the record is malformed: {0}")]
@@ -106,18 +106,18 @@
 /// Reads the record of an engine.
 ///
 /// # Errors
-/// [`RecordProblem`].
-pub fn read(id: EndpointId, value: &[u8], revision: i64) -> Result<Member, RecordProblem> {
-    if value.len() > MOST_RECORD {
-        return Err(RecordProblem::Long(value.len()));
+/// [`RecordError`].
+pub fn read(id: EndpointId, value: &[u8], revision: i64) -> Result<Member, RecordError> {
+    if value.len() > MAX_RECORD_BYTES {
+        return Err(RecordError::Long(value.len()));
     }
     let record: Record =
-        serde_json::from_slice(value).map_err(|e| RecordProblem::Malformed(e.to_string()))?;
+        serde_json::from_slice(value).map_err(|e| RecordError::Malformed(e.to_string()))?;
     record
         .validate()
-        .map_err(|e| RecordProblem::Malformed(e.to_string().trim().replace('\n', "; ")))?;
+        .map_err(|e| RecordError::Malformed(e.to_string().trim().replace('\n', "; ")))?;
     if record.id != id.0 {
-        return Err(RecordProblem::Contradiction(format!(
+        return Err(RecordError::Contradiction(format!(
             "id {} below the key of {}",
             record.id, id.0
         )));
@@ -125,9 +125,9 @@
     let address: SocketAddr = record
         .address
         .parse()
-        .map_err(|_| RecordProblem::Malformed(format!("{:?} is not IP:PORT", record.address)))?;
+        .map_err(|_| RecordError::Malformed(format!("{:?} is not IP:PORT", record.address)))?;
     if address.port() == 0 || address.ip().is_unspecified() {
-        return Err(RecordProblem::Contradiction(format!(
+        return Err(RecordError::Contradiction(format!(
             "nobody can be reached at {address}"
         )));
     }
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -6,7 +6,7 @@
 mod delivery;
 mod watch;
 
-use crate::membership::registration::PREFIX;
+use crate::membership::registration::DEFAULT_ENGINE_PREFIX;
 use crate::membership::snapshot;
 use crate::node::Node;
 use crate::settings::SettingsError;
@@ -51,7 +51,7 @@
     fn default() -> WatcherOptions {
         WatcherOptions {
             endpoints: Vec::new(),
-            prefix: PREFIX.into(),
+            prefix: DEFAULT_ENGINE_PREFIX.into(),
             etcd: EtcdOptions::default(),
             empty_grace: 10_000_000,
             behind_grace: 10_000_000,
--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -2,7 +2,7 @@
 
 use super::EndpointWatcher;
 use crate::engines::Engine;
-use crate::membership::registration::{self, RecordProblem};
+use crate::membership::registration::{self, RecordError};
 use crate::membership::snapshot;
 use ivyward_core::interface::{Endpoint, EndpointId, EndpointState, ListKind, Micros};
 use ivyward_core::membership::{Member, MembershipAction, WatchEvent};
@@ -162,7 +162,7 @@
     fn read_record(&mut self, record: &mvccpb::KeyValue) -> Result<Member, Option<EndpointId>> {
         let prefix = self.options.prefix.as_bytes();
         let Some(id) = registration::key_id(prefix, &record.key) else {
-            self.log_bad_record(EndpointId(u64::MAX), record, &RecordProblem::Key);
+            self.log_bad_record(EndpointId(u64::MAX), record, &RecordError::Key);
             return Err(None);
         };
         registration::read(id, &record.value, record.mod_revision).map_err(|problem| {
@@ -176,7 +176,7 @@
         &mut self,
         id: EndpointId,
         record: &mvccpb::KeyValue,
-        problem: &RecordProblem,
+        problem: &RecordError,
     ) {
         if self.logged_bad_records.get(&id) == Some(&record.mod_revision) {
             return;
--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -48,7 +48,7 @@
     )]
     pub etcd_endpoints: Vec<SocketAddr>,
     /// Engines' records stand below this prefix, each under the engine's id.
-    #[arg(long, env = "IVYWARD_ETCD_PREFIX", default_value = ivyward::registration::PREFIX)]
+    #[arg(long, env = "IVYWARD_ETCD_PREFIX", default_value = ivyward::registration::DEFAULT_ENGINE_PREFIX)]
     pub etcd_prefix: String,
     /// User name at the store.
     #[arg(long, env = "IVYWARD_ETCD_USER", requires = "etcd_password")]
