--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -358,7 +358,7 @@
         max_connections_per_engine: bounds.engine_connections.min(MAX_CONNECTIONS_PER_ENGINE),
         max_calls_per_connection: 1,
         max_pending_releases: bounds.pending_releases,
-        rules,
+        router: rules,
         ..default
     }
 }
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -95,7 +95,7 @@
     }
 
     fn traits(&self) -> AttemptTraits {
-        let release_within = self.request.context.settings().rules.release_within;
+        let release_within = self.request.context.settings().router.release_within;
         AttemptTraits {
             repeatable: self.is_repeatable(),
             repeats_effect: self.call.repeats_effect(),
--- a/crates/ivyward-platform/src/server/request.rs
+++ b/crates/ivyward-platform/src/server/request.rs
@@ -90,7 +90,7 @@
                 self.relay_response(connection, &request).await
             }
             Err(reason) => {
-                let retry_after = Some(self.node.settings().rules.max_retry_after);
+                let retry_after = Some(self.node.settings().router.max_retry_after);
                 self.reject(connection, retry_after, reason).await
             }
         }
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -138,7 +138,7 @@
         let (log, host): (EventLog, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
         let rules = Settings {
             replica_count: size.nodes as u32,
-            ..settings().rules
+            ..settings().router
         };
         let spec = |id: u64| {
             let role = if id % 5 < 2 {
@@ -216,7 +216,7 @@
                 listed.push(entry);
             }
             let settings = NodeSettings {
-                rules: self.rules.clone(),
+                router: self.rules.clone(),
                 ..settings()
             };
             let mut flags = match &self.store {
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -128,9 +128,9 @@
         seed: day.plan.seed,
         engines: engines(day.racks),
         settings: NodeSettings {
-            rules: ivyward_core::interface::Settings {
+            router: ivyward_core::interface::Settings {
                 replica_count: day.nodes as u32,
-                ..settings().rules
+                ..settings().router
             },
             ..settings()
         },
--- a/crates/ivyward-testbed/src/kv_transfer.rs
+++ b/crates/ivyward-testbed/src/kv_transfer.rs
@@ -130,18 +130,18 @@
 pub fn play(flags: KvTransferFlags) -> KvTransfers {
     let node = NodeSettings {
         classes: crate::local_cluster::classes(),
-        rules: Settings {
+        router: Settings {
             replica_count: flags.nodes,
             transfer_price: flags.transfer_price,
             cross_zone_price: flags.cross_zone_price,
-            ..NodeSettings::default().rules
+            ..NodeSettings::default().router
         },
         ..NodeSettings::default()
     };
     let entries = fleet(&flags);
     let mut play = Play {
         flags,
-        router: Router::new(node.router(), flags.seed),
+        router: Router::new(node.router_settings(), flags.seed),
         engines: entries.iter().map(|e| (e.id, *e)).collect(),
         due: BTreeSet::new(),
         steps: 0,
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -222,7 +222,7 @@
     let base = NodeSettings::default();
     NodeSettings {
         classes: classes(),
-        rules: Settings {
+        router: Settings {
             release_within: 300_000,
             drain_grace: 250_000,
             overload_multiple: 4.0,
@@ -230,7 +230,7 @@
             initial_capacity: 0.3,
             warm_up_duration: 4_000_000,
             max_retry_after: 300_000,
-            ..base.rules.clone()
+            ..base.router.clone()
         },
         // What the node has for its last word, on a machine that may be busy with other things.
         answer_margin: 200_000,
@@ -636,7 +636,7 @@
     /// What the auditor allows and asks for here.
     pub fn limits(&self) -> RuleLimits {
         limits(
-            &self.make.settings.rules,
+            &self.make.settings.router,
             self.make.flight,
             &self.make.engines,
         )
@@ -793,7 +793,7 @@
 
 /// The daemon's flags for a node's settings and engines.
 pub fn ivyward_flags(settings: &NodeSettings, engines: &[Listed]) -> Vec<String> {
-    let rules = &settings.rules;
+    let rules = &settings.router;
     let us = |span: Micros| format!("{span}us");
     let mut flags: Vec<String> = Vec::new();
     let mut flag = |name: &str, value: String| flags.push(format!("--{name}={value}"));
--- a/crates/ivyward-testbed/src/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -48,9 +48,9 @@
         // Nothing is to be shed or timed out: the node's own work is measured.
         (class.settings.ttft_objective, class.settings.deadline) = (3_600_000_000, 3_600_000_000);
     }
-    settings.rules.overload_multiple = 0.0;
+    settings.router.overload_multiple = 0.0;
     // A thousand streams at full speed keep one core busy for longer than a dial may take.
-    (settings.dial_timeout, settings.rules.drain_grace) = (10_000_000, 10_000_000);
+    (settings.dial_timeout, settings.router.drain_grace) = (10_000_000, 10_000_000);
     (
         settings.ping_interval,
         settings.idle_checks_per_second,
--- a/crates/ivyward-testbed/src/scale/stage.rs
+++ b/crates/ivyward-testbed/src/scale/stage.rs
@@ -134,7 +134,7 @@
             classes: request_classes(self.size.classes),
             ..NodeSettings::default()
         };
-        settings.rules.replica_count = nodes;
+        settings.router.replica_count = nodes;
         let mut flags = ivyward_flags(&settings, &[]);
         let names = tenants(self.size.tenants);
         flags.extend(
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -143,10 +143,10 @@
         answer_margin: 50_000,
         max_buffered_tokens: STREAM_BUFFER,
         // Every other deployment holds places ahead.
-        rules: ivyward::core::interface::Settings {
+        router: ivyward::core::interface::Settings {
             replica_count: size.nodes as u32,
             reserve_decode_slot: seed % 2 == 1,
-            ..base.rules.clone()
+            ..base.router.clone()
         },
         ..base
     };
@@ -221,7 +221,7 @@
     };
     let held_up = played.iter().map(cut).max().unwrap_or(0);
     let mut limits = limits(
-        &cluster.settings.rules,
+        &cluster.settings.router,
         FLIGHT + held_up,
         &fleet(size.racks),
     );
--- a/crates/ivyward-testbed/tests/cold_engines.rs
+++ b/crates/ivyward-testbed/tests/cold_engines.rs
@@ -42,7 +42,7 @@
     let rules = Settings {
         overload_multiple: 1.2,
         replica_count: 2,
-        ..settings().rules
+        ..settings().router
     };
     let spec = |id| {
         let role = if id <= 2 { Role::Prefill } else { Role::Decode };
@@ -71,7 +71,7 @@
         let its_runtime = own.runtime();
         let settings = NodeSettings {
             seed,
-            rules: rules.clone(),
+            router: rules.clone(),
             ..settings()
         };
         let node = Node::start(its_runtime.clone(), settings, None).unwrap();
--- a/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
+++ b/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
@@ -55,7 +55,7 @@
         seed: 7,
         ..settings()
     };
-    settings.rules.may_cancel = may_cancel;
+    settings.router.may_cancel = may_cancel;
     let (node, address, _, node_host) = stage.node_with(settings);
     let (runtime, log) = (stage.runtime.clone(), stage.log.clone());
     Cast {
--- a/crates/ivyward-testbed/tests/request_path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -310,7 +310,7 @@
     // Forty streams at full speed keep the machine busy: first tokens come late, and the module is not to shed for that,
     // nor to take a wait for a stall. How soon a busy engine takes up what waits in its sockets is not the matter either.
     make.patient();
-    make.settings.rules.release_within = 20_000_000;
+    make.settings.router.release_within = 20_000_000;
     make.flight = 20_000_000;
     let scene = build(make);
     block_on(async {
--- a/crates/ivyward-testbed/tests/reservations.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -15,7 +15,7 @@
     // Reads take a quarter of a second, so that a place is held meanwhile.
     specs[0].read_rate = 200.0;
     let mut make = ClusterBuilder::new(31, specs);
-    make.settings.rules.reserve_decode_slot = true;
+    make.settings.router.reserve_decode_slot = true;
     make.patient();
     let scene = build(make);
     block_on(async {
@@ -80,7 +80,7 @@
 fn load_reports_ride_on_answers() {
     let memory = RecordingBuffer::default();
     let mut make = ClusterBuilder::new(32, pools(1, 1));
-    make.settings.rules.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
+    make.settings.router.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
     make.record = Some(memory.clone());
     let scene = build(make);
     block_on(async {
--- a/crates/ivyward-testbed/tests/retry_safety.rs
+++ b/crates/ivyward-testbed/tests/retry_safety.rs
@@ -232,7 +232,7 @@
 fn no_more_attempts_than_are_allowed() {
     for most in [1, 2, 4] {
         let mut make = ClusterBuilder::new(3, pools(3, 6));
-        make.settings.rules.max_attempts = most;
+        make.settings.router.max_attempts = most;
         let scene = build(make);
         block_on(async {
             for i in 0..scene.engines() {
--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -231,7 +231,7 @@
         (specs[0].token_gap, specs[0].read_rate) = (0, 1e12);
         let mut make = ClusterBuilder::new(9, specs);
         make.nodes = 0;
-        let rules = &mut make.settings.rules;
+        let rules = &mut make.settings.router;
         (
             rules.initial_capacity,
             rules.overload_window,
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -130,7 +130,7 @@
             }),
             start_times: StartTimes::new(),
             update_interval: UpdateInterval::new(UpdateIntervalSettings::for_grace(
-                self.settings().rules.drain_grace,
+                self.settings().router.drain_grace,
             )),
             snapshot_outdated: false,
             next_snapshot_at: 0,
--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -134,7 +134,7 @@
             self.start_times.remove(endpoint.id);
             return Engine { endpoint, address };
         }
-        let warm_up = self.node.settings().rules.warm_up_duration;
+        let warm_up = self.node.settings().router.warm_up_duration;
         let started_at = self.start_times.resolve(&endpoint, now, unix, warm_up);
         let endpoint = Endpoint {
             started_at,
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -73,7 +73,7 @@
         protocol: Arc<dyn Protocol>,
     ) -> Result<Node, StartError> {
         settings.check()?;
-        let router_settings = settings.router();
+        let router_settings = settings.router_settings();
         let recorder = recording
             .map(|out| Recorder::begin(out, &router_settings, settings.seed))
             .transpose()?;
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -71,16 +71,16 @@
     let address = socket.address();
     let announce = options.announce.unwrap_or(address);
     let name = options.name.unwrap_or_else(|| announce.to_string());
-    let rules = &context.settings.rules;
+    let router = &context.settings.router;
     let local = NodeInfo {
         id: PeerId(xxh3_64(name.as_bytes())),
         incarnation: runtime.unix_micros(),
-        zone: rules.zone,
+        zone: router.zone,
         address: announce,
     };
     let now = runtime.now();
     let mut peers = Peers::new(now, local, options.seed_peers, options.gossip, runtime.random());
-    peers.expect(rules.replica_count);
+    peers.expect(router.replica_count);
     let view = Arc::new(Mutex::new(peers));
     let (commands, receiver) = async_channel::bounded(COMMAND_CAPACITY);
     let handle = PeersHandle {
@@ -94,7 +94,7 @@
         socket,
         datagram_codec: DatagramCodec::new(options.key.as_deref()),
         commands: receiver,
-        replica_count: rules.replica_count,
+        replica_count: router.replica_count,
         host: host.clone(),
     };
     runtime.run(gossip.run());
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -35,7 +35,7 @@
     pub tenants: Vec<Tenant>,
     /// The router's other settings. Its classes and tenants are filled in from the fields above, and its roles from [`MACHINE_TYPE_ROLES`]
     /// if there are none.
-    pub rules: core::Settings,
+    pub router: core::Settings,
     /// The final answer is given this span before the client stops waiting.
     pub answer_margin: Micros,
     /// A connection that is not open after this span counts as failed.
@@ -81,7 +81,7 @@
             seed: 1,
             classes: Vec::new(),
             tenants: Vec::new(),
-            rules: core::Settings {
+            router: core::Settings {
                 replica_count: 1,
                 over_quota_weight: 1.0,
                 decode_may_prefill: true,
@@ -159,18 +159,18 @@
 
 impl NodeSettings {
     /// The router's settings, with classes, tenants and roles filled in.
-    pub fn router(&self) -> core::Settings {
+    pub fn router_settings(&self) -> core::Settings {
         core::Settings {
-            roles: if self.rules.roles.is_empty() {
+            roles: if self.router.roles.is_empty() {
                 MACHINE_TYPE_ROLES.to_vec()
             } else {
-                self.rules.roles.clone()
+                self.router.roles.clone()
             },
             classes: self.classes.iter().map(|c| c.settings.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.settings.clone()).collect(),
             // On sockets an engine knows nothing of an attempt that is still connecting.
             in_flight_after_last_byte: true,
-            ..self.rules.clone()
+            ..self.router.clone()
         }
     }
 
@@ -224,11 +224,11 @@
             ("--release-tries", self.release_retry_window, 0),
             ("--ping-every", self.ping_interval, 0),
             ("--ping-timeout", self.ping_timeout, 1_000),
-            ("--release-within", self.rules.release_within, 1_000),
-            ("--drain-grace", self.rules.drain_grace, 1_000),
-            ("--fall-window", self.rules.overload_window, 1_000),
-            ("--warm-after", self.rules.warm_up_duration, 0),
-            ("--max-retry-after", self.rules.max_retry_after, 0),
+            ("--release-within", self.router.release_within, 1_000),
+            ("--drain-grace", self.router.drain_grace, 1_000),
+            ("--fall-window", self.router.overload_window, 1_000),
+            ("--warm-after", self.router.warm_up_duration, 0),
+            ("--max-retry-after", self.router.max_retry_after, 0),
         ];
         for (flag, span, least) in spans {
             if span < least {
@@ -271,14 +271,14 @@
             return bad("--redial-first", self.initial_backoff, reason);
         }
         // A connection attempt that outlasts the grace would send to an engine that drains.
-        if self.dial_timeout > self.rules.drain_grace {
-            let grace = ms(self.rules.drain_grace);
+        if self.dial_timeout > self.router.drain_grace {
+            let grace = ms(self.router.drain_grace);
             let reason = format!("longer than --drain-grace, which is {grace}");
             return bad("--dial-timeout", self.dial_timeout, reason);
         }
         // A cancelled prefill must be over before the state that it may have left is to be released.
-        if self.reset_timeout >= self.rules.release_within {
-            let within = ms(self.rules.release_within);
+        if self.reset_timeout >= self.router.release_within {
+            let within = ms(self.router.release_within);
             let reason = format!("must be under --release-within, which is {within}");
             return bad("--reset-wait", self.reset_timeout, reason);
         }
@@ -313,7 +313,7 @@
     }
 
     fn check_rules(&self) -> Result<(), SettingsError> {
-        let r = &self.rules;
+        let r = &self.router;
         let number = |flag: &str, value: f64, from: f64, to: f64| {
             if value.is_finite() && (from..=to).contains(&value) {
                 return Ok(());
--- a/crates/ivywardd/src/flags/settings.rs
+++ b/crates/ivywardd/src/flags/settings.rs
@@ -80,7 +80,7 @@
             seed: self.seed.unwrap_or(0),
             classes: self.classes.clone(),
             tenants: self.tenants.clone(),
-            rules: self.router_settings(),
+            router: self.router_settings(),
             answer_margin: self.answer_margin,
             dial_timeout: self.dial_timeout,
             initial_backoff: self.redial_first,
--- a/crates/ivywardd/tests/compatibility.rs
+++ b/crates/ivywardd/tests/compatibility.rs
@@ -66,7 +66,7 @@
 #[test]
 fn a_platform_configuration_of_the_earlier_version_is_read() {
     let config = Config::read(&sample("platform.json")).unwrap();
-    let settings = config.node.router();
+    let settings = config.node.router_settings();
     assert_eq!(settings.replica_count, 2);
     assert!(settings.reserve_decode_slot && settings.health_checks && settings.may_cancel);
     assert_eq!(settings.overload_multiple, 2.5);
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -75,7 +75,7 @@
     let rules = Settings {
         replica_count: 3,
         warm_up_duration: cold.1,
-        ..settings().rules
+        ..settings().router
     };
     let spec = |id: u64| {
         let role = if id <= 4 { Role::Prefill } else { Role::Decode };
@@ -104,7 +104,7 @@
     };
     let fleet: Vec<Engine> = specs.iter().map(cold_one).collect();
     let mut settings = ivyward::NodeSettings {
-        rules: rules.clone(),
+        router: rules.clone(),
         ..settings()
     };
     for class in &mut settings.classes {
