--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -201,7 +201,15 @@
     let store = store(1);
     store.fault(|f| f.login = Some(("ivy".into(), "secret".into())));
     let login = |password: &str| Some(("ivy".to_string(), password.to_string()));
-    let with = |credentials| client(&[store.address()], EtcdOptions { credentials, ..options() });
+    let with = |credentials| {
+        client(
+            &[store.address()],
+            EtcdOptions {
+                credentials,
+                ..options()
+            },
+        )
+    };
     block_on(async {
         let (_runtime, nobody) = with(None);
         assert!(matches!(
@@ -226,7 +234,13 @@
     let store = store(1);
     store.fault(|f| (f.login, f.token_life) = (Some(("ivy".into(), "secret".into())), 1));
     let credentials = Some(("ivy".to_string(), "secret".to_string()));
-    let (_runtime, client) = client(&[store.address()], EtcdOptions { credentials, ..options() });
+    let (_runtime, client) = client(
+        &[store.address()],
+        EtcdOptions {
+            credentials,
+            ..options()
+        },
+    );
     block_on(async {
         // Each token expires before it is used: the store's rejection is returned, not retried forever.
         assert!(matches!(
--- a/crates/ivyward-testbed/tests/manual_cluster.rs
+++ b/crates/ivyward-testbed/tests/manual_cluster.rs
@@ -134,7 +134,10 @@
         endpoints: vec![endpoint.parse().unwrap()],
         ..ivyward::watcher::WatcherOptions::default()
     };
-    ivyward_runtime::RuntimeExt::run(&*as_ref, async move { following.watch_endpoints(follow).await });
+    ivyward_runtime::RuntimeExt::run(
+        &*as_ref,
+        async move { following.watch_endpoints(follow).await },
+    );
     // Its process, the store and the node need their time; how long is the machine's matter.
     runtime.block_on(async {
         while node.metrics().engines.get() < 5 {
--- a/crates/ivyward/src/membership/registration/tests.rs
+++ b/crates/ivyward/src/membership/registration/tests.rs
@@ -45,7 +45,10 @@
         ),
         (text("").replace("ready", "asleep"), "malformed"),
         ("{".into(), "malformed"),
-        (format!("{}{}", text(""), " ".repeat(MAX_RECORD_BYTES)), "bytes"),
+        (
+            format!("{}{}", text(""), " ".repeat(MAX_RECORD_BYTES)),
+            "bytes",
+        ),
     ];
     for (text, what) in bad {
         let problem = read(EndpointId(7), text.as_bytes(), 1)
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -210,7 +210,10 @@
                 self.back_off().await;
             }
             Relist::At(at) => {
-                let latest = self.runtime.now().saturating_add(self.options.silence_timeout);
+                let latest = self
+                    .runtime
+                    .now()
+                    .saturating_add(self.options.silence_timeout);
                 self.runtime.sleep_until(at.min(latest)).await;
             }
         }
--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -172,12 +172,7 @@
     }
 
     /// Logs a bad record once, and counts it.
-    fn log_bad_record(
-        &mut self,
-        id: EndpointId,
-        record: &mvccpb::KeyValue,
-        problem: &RecordError,
-    ) {
+    fn log_bad_record(&mut self, id: EndpointId, record: &mvccpb::KeyValue, problem: &RecordError) {
         if self.logged_bad_records.get(&id) == Some(&record.mod_revision) {
             return;
         }
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -103,7 +103,9 @@
     async fn watch_step(&mut self, watch: &mut ActiveWatch) -> Option<WatchEnd> {
         let deliver_at = self.delivery_time(&watch.batch);
         let snapshot_at = self.snapshot_outdated.then_some(self.next_snapshot_at);
-        let silent_until = watch.silent_since.saturating_add(self.options.silence_timeout);
+        let silent_until = watch
+            .silent_since
+            .saturating_add(self.options.silence_timeout);
         let wake_at = [deliver_at, snapshot_at]
             .into_iter()
             .flatten()
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -186,7 +186,8 @@
         } else if accepted.first_token_deadline <= context.runtime.now() {
             // No time is left to do anything, and nothing was done.
             RejectReason::Overloaded
-        } else if context.open.fetch_add(1, Ordering::SeqCst) >= context.settings.max_open_requests {
+        } else if context.open.fetch_add(1, Ordering::SeqCst) >= context.settings.max_open_requests
+        {
             context.open.fetch_sub(1, Ordering::SeqCst);
             RejectReason::NodeFull
         } else {
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -93,10 +93,19 @@
     };
     let bytes = codec.encode(&message);
     let source = message.from.address;
-    assert_eq!(other.decode(&bytes, source), Err(DecodeError::Authentication));
-    assert_eq!(DatagramCodec::new(None).decode(&bytes, source), Err(DecodeError::Authentication));
+    assert_eq!(
+        other.decode(&bytes, source),
+        Err(DecodeError::Authentication)
+    );
+    assert_eq!(
+        DatagramCodec::new(None).decode(&bytes, source),
+        Err(DecodeError::Authentication)
+    );
     for at in 0..bytes.len() {
-        assert!(codec.decode(&bytes[..at], source).is_err(), "cut off at {at}");
+        assert!(
+            codec.decode(&bytes[..at], source).is_err(),
+            "cut off at {at}"
+        );
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -79,7 +79,13 @@
         address: announce,
     };
     let now = runtime.now();
-    let mut peers = Peers::new(now, local, options.seed_peers, options.gossip, runtime.random());
+    let mut peers = Peers::new(
+        now,
+        local,
+        options.seed_peers,
+        options.gossip,
+        runtime.random(),
+    );
     peers.expect(router.replica_count);
     let view = Arc::new(Mutex::new(peers));
     let (commands, receiver) = async_channel::bounded(COMMAND_CAPACITY);
--- a/crates/ivyward/src/peers/options.rs
+++ b/crates/ivyward/src/peers/options.rs
@@ -136,9 +136,11 @@
 
     fn check_lease(&self) -> Result<(), SettingsError> {
         match &self.store {
-            Some(store) if !LEASES.contains(&store.lease_seconds) => {
-                invalid("--peer-lease", store.lease_seconds, "from 2 to 3600 seconds")
-            }
+            Some(store) if !LEASES.contains(&store.lease_seconds) => invalid(
+                "--peer-lease",
+                store.lease_seconds,
+                "from 2 to 3600 seconds",
+            ),
             _ => Ok(()),
         }
     }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -157,7 +157,10 @@
 /// Keeps this node's record in the store, as a task of its own.
 fn keep_record(host: &PeerHost, runtime: &RuntimeRef, store: &PeerStore, local: NodeInfo) {
     let keeper = client(runtime, store);
-    let (key, lease) = (NodeRecord::key(&store.prefix, local.id), store.lease_seconds);
+    let (key, lease) = (
+        NodeRecord::key(&store.prefix, local.id),
+        store.lease_seconds,
+    );
     // A record of these fields is always JSON.
     let value = serde_json::to_vec(&NodeRecord::of(&local)).unwrap_or_default();
     let (keeper_runtime, host) = (runtime.clone(), host.clone());
--- a/crates/ivyward/src/request/validation.rs
+++ b/crates/ivyward/src/request/validation.rs
@@ -121,7 +121,10 @@
     if !(1..=max).contains(&length) {
         return Err(InvalidRequest::PromptLength { length, max });
     }
-    let (value, max) = (request.max_output_tokens as usize, settings.max_output_tokens);
+    let (value, max) = (
+        request.max_output_tokens as usize,
+        settings.max_output_tokens,
+    );
     if !(1..=max).contains(&value) {
         return Err(InvalidRequest::MaxOutput { value, max });
     }
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -246,7 +246,11 @@
     fn check_idle_checks(&self) -> Result<(), SettingsError> {
         let bad = |reason: String| {
             let flag = "--resting-checks";
-            Err(SettingsError::new(flag, self.idle_checks_per_second, reason))
+            Err(SettingsError::new(
+                flag,
+                self.idle_checks_per_second,
+                reason,
+            ))
         };
         if self.ping_interval == 0 && self.idle_checks_per_second > 0 {
             return bad(
@@ -288,7 +292,11 @@
     fn check_bounds(&self) -> Result<(), SettingsError> {
         let bounds = [
             ("--stream-buffer", self.max_buffered_tokens, 1 << 20),
-            ("--calls-per-connection", self.max_calls_per_connection, 1 << 16),
+            (
+                "--calls-per-connection",
+                self.max_calls_per_connection,
+                1 << 16,
+            ),
             (
                 "--connections-per-engine",
                 self.max_connections_per_engine,
