--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -1,77 +1,87 @@
-//! The settings of a node, and the checks on them.
+//! The settings of a node and their validation.
 
 use ivyward_core::interface as core;
 use ivyward_core::interface::{ClassSettings, Idempotency, Micros, Role, TenantSettings};
 
-/// The machine types of engines: [`core::Endpoint::machine_type`] is an index into this list.
+/// The role of each machine type. [`core::Endpoint::machine_type`] is an index into this list.
 pub const MACHINE_TYPE_ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
-/// A request class with its name.
+/// A request class: the name that clients send and the settings of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The name that clients use.
+    /// The name by which clients choose the class. Unique among the classes of a node.
     pub name: String,
-    /// The router's settings for it.
+    /// Objectives, deadline, weights and idempotency of the class.
     pub settings: ClassSettings,
 }
 
-/// A tenant with its name.
+/// A tenant: the name that clients send and the settings of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name that clients use.
+    /// The name by which clients choose the tenant. Unique among the tenants of a node.
     pub name: String,
-    /// The router's settings for it.
+    /// The quota of the tenant.
     pub settings: TenantSettings,
 }
 
-/// Settings of a node. Times are microseconds. Field names stand for flags: `answer_margin` is `--answer-margin`.
+/// Settings of a node. Durations are in microseconds. Where `ivywardd` sets a field by a flag of another name, the field's
+/// documentation names the flag; other fields have the name of their flag.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// The seed of the router's random choices.
+    /// Seed of the router's random choices.
     pub seed: u64,
-    /// The request classes; at least one. The first one is the default.
+    /// The request classes (`--class`). At least one is required; the first one is the default.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants (`--tenant`). May be empty.
     pub tenants: Vec<Tenant>,
-    /// The router's other settings. Its classes and tenants are filled in from the fields above, and its roles from [`MACHINE_TYPE_ROLES`]
-    /// if there are none.
+    /// Settings of the router. [`NodeSettings::router_settings`] replaces its classes and tenants by the fields above, and its
+    /// roles by [`MACHINE_TYPE_ROLES`] if they are empty.
     pub router: core::Settings,
-    /// The final answer is given this span before the client stops waiting.
+    /// How long before the client's deadline the final answer is sent. A class's deadline must be over twice this value.
     pub answer_margin: Micros,
-    /// A connection that is not open after this span counts as failed.
+    /// A connection attempt to an engine that takes longer than this has failed. At most `router.drain_grace`.
     pub dial_timeout: Micros,
-    /// First pause after a failed connection attempt; it doubles, with jitter.
+    /// Pause after the first failed connection attempt to an engine, or the first failed release (`--redial-first`). The
+    /// pause doubles with each further failure; before connection attempts it has jitter.
     pub initial_backoff: Micros,
-    /// Longest such pause.
+    /// Upper limit of that pause (`--redial-most`).
     pub max_backoff: Micros,
-    /// A connection that does not take the reset of a cancelled call within this span is closed.
+    /// A connection to an engine is closed if the reset of a cancelled call cannot be written to it within this time
+    /// (`--reset-wait`). Less than `router.release_within`.
     pub reset_timeout: Micros,
-    /// A started stream without a token for this span counts as broken.
+    /// A response stream of an engine that has started and then delivers no token for this long has failed
+    /// (`--stream-stall`).
     pub stream_idle_timeout: Micros,
-    /// A release that does not reach its engine is tried again for this span; then the engine's own limit releases.
+    /// How long the release of a reservation is retried while its engine cannot be reached (`--release-tries`). After that,
+    /// the reservation ends when the engine's own time limit for reservations expires.
     pub release_retry_window: Micros,
-    /// Most tokens that wait for a slow client; no more is read from the engine while so many wait.
+    /// Maximum number of tokens buffered for a client that reads slowly (`--stream-buffer`). While the buffer is full, the
+    /// node does not read from the engine.
     pub max_buffered_tokens: usize,
-    /// Most calls on one connection to an engine.
+    /// Maximum number of concurrent calls on one connection to an engine (`--calls-per-connection`).
     pub max_calls_per_connection: usize,
-    /// Most connections to one engine.
+    /// Maximum number of connections to one engine (`--connections-per-engine`).
     pub max_connections_per_engine: usize,
-    /// Span without a byte after which a connection to an engine with calls in flight is pinged; 0 for no pings at all.
+    /// A connection to an engine with calls in flight is pinged after it has received nothing for this long
+    /// (`--ping-every`). 0 disables all pings, those of idle connections included.
     pub ping_interval: Micros,
-    /// A ping without an answer for this span closes the connection.
+    /// A connection is closed if a ping is not answered within this time.
     pub ping_timeout: Micros,
-    /// Connections without calls that are pinged in a second, over all engines; 0 for none. Each is pinged as well before a
-    /// call leaves on it, unless something came in within `ping_interval` and `ping_timeout` together.
+    /// How many idle connections are pinged per second, over all engines (`--resting-checks`). 0 disables these pings; it is
+    /// required when `ping_interval` is 0. An idle connection is also pinged before a call is sent on it, unless it received
+    /// something within the last `ping_interval + ping_timeout`.
     pub idle_checks_per_second: u32,
-    /// Most open requests; one more is rejected.
+    /// Maximum number of open requests (`--most-open`). Further requests are rejected.
     pub max_open_requests: usize,
-    /// Most client connections; one more is closed at once.
+    /// Maximum number of client connections (`--most-clients`). Further connections are closed on accept.
     pub max_client_connections: usize,
-    /// Longest prompt, in tokens; a longer one is an error of the client.
+    /// Maximum length of a prompt in tokens (`--most-prompt`). A longer prompt makes the request invalid.
     pub max_prompt_tokens: usize,
-    /// Most output tokens that a client may ask for.
+    /// Maximum number of output tokens that a request may ask for (`--most-output`). A larger number makes the request
+    /// invalid.
     pub max_output_tokens: usize,
-    /// Most releases under way at once; beyond it the oldest is left to its engine's own limit.
+    /// Maximum number of releases of reservations that are pending at once (`--most-releases`). Beyond it the oldest one is
+    /// no longer retried; its reservation ends when the engine's own time limit expires.
     pub max_pending_releases: usize,
 }
 
@@ -118,27 +128,27 @@
     }
 }
 
-/// Default of [`NodeSettings::idle_checks_per_second`].
+/// Default of [`NodeSettings::idle_checks_per_second`] where pings are enabled.
 pub const DEFAULT_IDLE_CHECKS_PER_SECOND: u32 = 16;
-/// Longest span of most settings.
-const HOUR: Micros = 3_600_000_000;
-/// Largest value of [`NodeSettings::idle_checks_per_second`].
+/// Upper limit of all durations in the settings.
+const MAX_DURATION: Micros = 3_600_000_000;
+/// Upper limit of [`NodeSettings::idle_checks_per_second`].
 const MAX_IDLE_CHECKS_PER_SECOND: u32 = 10_000;
 
-/// A setting that cannot hold: which, its value, and why.
+/// An invalid setting: the flag that sets it, the value and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{flag} {value}: {reason}")]
 pub struct SettingsError {
-    /// The flag, as on the command line.
+    /// The flag as written on the command line, or the name of the environment variable.
     pub flag: String,
-    /// The value it was given.
+    /// The rejected value.
     pub value: String,
-    /// Why it is not allowed, and what is.
+    /// Why the value is rejected, and which values are allowed.
     pub reason: String,
 }
 
 impl SettingsError {
-    /// An error about a flag.
+    /// Creates an error about the value of a flag.
     pub fn new(
         flag: impl Into<String>,
         value: impl ToString,
@@ -152,13 +162,13 @@
     }
 }
 
-/// A span in milliseconds.
-fn ms(span: Micros) -> String {
-    format!("{}ms", span as f64 / 1000.0)
+/// Formats a duration in milliseconds, such as `250ms`.
+fn format_ms(duration: Micros) -> String {
+    format!("{}ms", duration as f64 / 1000.0)
 }
 
 impl NodeSettings {
-    /// The router's settings, with classes, tenants and roles filled in.
+    /// Returns the complete settings of the router: [`NodeSettings::router`] with classes, tenants and roles filled in.
     pub fn router_settings(&self) -> core::Settings {
         core::Settings {
             roles: if self.router.roles.is_empty() {
@@ -168,20 +178,20 @@
             },
             classes: self.classes.iter().map(|c| c.settings.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.settings.clone()).collect(),
-            // On sockets an engine knows nothing of an attempt that is still connecting.
+            // An attempt that is still connecting is not in flight, because its engine does not know of it yet.
             in_flight_after_last_byte: true,
             ..self.router.clone()
         }
     }
 
-    /// Checks that the settings cannot break a rule and make sense.
+    /// Validates the settings: ranges of values, and combinations under which the router could violate its invariants.
     ///
     /// # Errors
-    /// The first setting that does not hold: flag, value and reason.
+    /// Returns the first invalid setting with its flag, value and reason.
     pub fn check(&self) -> Result<(), SettingsError> {
-        self.check_spans()?;
-        self.check_bounds()?;
-        self.check_rules()?;
+        self.check_durations()?;
+        self.check_limits()?;
+        self.check_router()?;
         if self.classes.is_empty() {
             return Err(SettingsError::new(
                 "--class",
@@ -189,32 +199,33 @@
                 "at least one class is needed",
             ));
         }
-        for (i, class) in self.classes.iter().enumerate() {
-            self.check_class(i, class)?;
+        for (index, class) in self.classes.iter().enumerate() {
+            self.check_class(index, class)?;
         }
-        for (i, tenant) in self.tenants.iter().enumerate() {
-            self.check_tenant(i, tenant)?;
+        for (index, tenant) in self.tenants.iter().enumerate() {
+            self.check_tenant(index, tenant)?;
         }
         Ok(())
     }
 
     fn check_tenant(&self, index: usize, tenant: &Tenant) -> Result<(), SettingsError> {
-        let bad = |reason: &str| Err(SettingsError::new("--tenant", &tenant.name, reason));
+        let invalid = |reason: &str| Err(SettingsError::new("--tenant", &tenant.name, reason));
         if tenant.name.is_empty() {
-            return bad("a tenant needs a name");
+            return invalid("a tenant needs a name");
         }
         if self.tenants[..index].iter().any(|t| t.name == tenant.name) {
-            return bad("the name is given twice");
+            return invalid("the name is given twice");
         }
         let quota = tenant.settings.quota_per_s;
         if quota.is_some_and(|quota| !quota.is_finite() || quota <= 0.0) {
-            return bad("quota must be over 0");
+            return invalid("quota must be over 0");
         }
         Ok(())
     }
 
-    fn check_spans(&self) -> Result<(), SettingsError> {
-        let spans = [
+    fn check_durations(&self) -> Result<(), SettingsError> {
+        // Each with its lower limit.
+        let durations = [
             ("--answer-margin", self.answer_margin, 1_000),
             ("--dial-timeout", self.dial_timeout, 1_000),
             ("--redial-first", self.initial_backoff, 1_000),
@@ -230,21 +241,25 @@
             ("--warm-after", self.router.warm_up_duration, 0),
             ("--max-retry-after", self.router.max_retry_after, 0),
         ];
-        for (flag, span, least) in spans {
-            if span < least {
-                let reason = format!("at least {} is needed", ms(least));
-                return Err(SettingsError::new(flag, ms(span), reason));
+        for (flag, duration, min) in durations {
+            if duration < min {
+                let reason = format!("must be at least {}", format_ms(min));
+                return Err(SettingsError::new(flag, format_ms(duration), reason));
             }
-            if span > HOUR {
-                return Err(SettingsError::new(flag, ms(span), "an hour at most"));
+            if duration > MAX_DURATION {
+                return Err(SettingsError::new(
+                    flag,
+                    format_ms(duration),
+                    "an hour at most",
+                ));
             }
         }
         self.check_idle_checks()?;
-        self.check_span_order()
+        self.check_duration_order()
     }
 
     fn check_idle_checks(&self) -> Result<(), SettingsError> {
-        let bad = |reason: String| {
+        let invalid = |reason: String| {
             let flag = "--resting-checks";
             Err(SettingsError::new(
                 flag,
@@ -253,44 +268,45 @@
             ))
         };
         if self.ping_interval == 0 && self.idle_checks_per_second > 0 {
-            return bad(
-                "connections at rest cannot be checked where --ping-every is 0: set one of them"
+            return invalid(
+                "idle connections cannot be checked while --ping-every is 0: set --ping-every, or \
+                 --resting-checks=0"
                     .into(),
             );
         }
         if self.idle_checks_per_second > MAX_IDLE_CHECKS_PER_SECOND {
-            return bad(format!("{MAX_IDLE_CHECKS_PER_SECOND} a second at most"));
+            return invalid(format!("{MAX_IDLE_CHECKS_PER_SECOND} a second at most"));
         }
         Ok(())
     }
 
-    /// Spans that must not be longer than others.
-    fn check_span_order(&self) -> Result<(), SettingsError> {
-        let bad = |flag: &str, span: Micros, reason: String| {
-            Err(SettingsError::new(flag, ms(span), reason))
+    /// Checks the durations whose upper limit is another duration.
+    fn check_duration_order(&self) -> Result<(), SettingsError> {
+        let invalid = |flag: &str, duration: Micros, reason: String| {
+            Err(SettingsError::new(flag, format_ms(duration), reason))
         };
         if self.initial_backoff > self.max_backoff {
-            let most = ms(self.max_backoff);
-            let reason = format!("longer than --redial-most, which is {most}");
-            return bad("--redial-first", self.initial_backoff, reason);
+            let max = format_ms(self.max_backoff);
+            let reason = format!("longer than --redial-most, which is {max}");
+            return invalid("--redial-first", self.initial_backoff, reason);
         }
-        // A connection attempt that outlasts the grace would send to an engine that drains.
+        // A connection attempt that takes longer than the drain grace could send to a draining engine after the grace.
         if self.dial_timeout > self.router.drain_grace {
-            let grace = ms(self.router.drain_grace);
+            let grace = format_ms(self.router.drain_grace);
             let reason = format!("longer than --drain-grace, which is {grace}");
-            return bad("--dial-timeout", self.dial_timeout, reason);
+            return invalid("--dial-timeout", self.dial_timeout, reason);
         }
-        // A cancelled prefill must be over before the state that it may have left is to be released.
+        // A cancelled prefill must have ended before the KV state that it may have left has to be released.
         if self.reset_timeout >= self.router.release_within {
-            let within = ms(self.router.release_within);
+            let within = format_ms(self.router.release_within);
             let reason = format!("must be under --release-within, which is {within}");
-            return bad("--reset-wait", self.reset_timeout, reason);
+            return invalid("--reset-wait", self.reset_timeout, reason);
         }
         Ok(())
     }
 
-    fn check_bounds(&self) -> Result<(), SettingsError> {
-        let bounds = [
+    fn check_limits(&self) -> Result<(), SettingsError> {
+        let limits = [
             ("--stream-buffer", self.max_buffered_tokens, 1 << 20),
             (
                 "--calls-per-connection",
@@ -308,20 +324,20 @@
             ("--most-output", self.max_output_tokens, 1 << 22),
             ("--most-releases", self.max_pending_releases, 1 << 20),
         ];
-        for (flag, value, most) in bounds {
-            if !(1..=most).contains(&value) {
+        for (flag, value, max) in limits {
+            if !(1..=max).contains(&value) {
                 return Err(SettingsError::new(
                     flag,
                     value,
-                    format!("must be from 1 to {most}"),
+                    format!("must be from 1 to {max}"),
                 ));
             }
         }
         Ok(())
     }
 
-    fn check_rules(&self) -> Result<(), SettingsError> {
-        let r = &self.router;
+    fn check_router(&self) -> Result<(), SettingsError> {
+        let router = &self.router;
         let number = |flag: &str, value: f64, from: f64, to: f64| {
             if value.is_finite() && (from..=to).contains(&value) {
                 return Ok(());
@@ -332,21 +348,21 @@
                 format!("must be from {from} to {to}"),
             ))
         };
-        number("--fall-multiple", r.overload_multiple, 0.0, 1e6)?;
-        number("--start-capacity", r.initial_capacity, 0.0, 1.0)?;
-        number("--over-share-worth", r.over_quota_weight, 0.0, 1.0)?;
-        number("--transfer-price", r.transfer_price, 0.0, 1.0)?;
-        number("--cross-zone-price", r.cross_zone_price, 0.0, 1.0)?;
-        number("--nodes", f64::from(r.replica_count), 1.0, 1e6)?;
-        number("--max-attempts", f64::from(r.max_attempts), 1.0, 100.0)?;
-        if r.hedging {
+        number("--fall-multiple", router.overload_multiple, 0.0, 1e6)?;
+        number("--start-capacity", router.initial_capacity, 0.0, 1.0)?;
+        number("--over-share-worth", router.over_quota_weight, 0.0, 1.0)?;
+        number("--transfer-price", router.transfer_price, 0.0, 1.0)?;
+        number("--cross-zone-price", router.cross_zone_price, 0.0, 1.0)?;
+        number("--nodes", f64::from(router.replica_count), 1.0, 1e6)?;
+        number("--max-attempts", f64::from(router.max_attempts), 1.0, 100.0)?;
+        if router.hedging {
             return Err(SettingsError::new(
                 "--second-copies",
                 true,
-                "this node has one attempt out at a time",
+                "hedging is not supported: a request has one attempt in flight at a time",
             ));
         }
-        if let Some(tokens) = r
+        if let Some(tokens) = router
             .memory_tokens
             .iter()
             .find(|t| !t.is_finite() || **t <= 0.0)
@@ -357,24 +373,24 @@
                 "must be over 0",
             ));
         }
-        if r.report_fields.len() > 4 {
+        if router.report_fields.len() > 4 {
             return Err(SettingsError::new(
                 "--report",
-                r.report_fields.len(),
+                router.report_fields.len(),
                 "four values at most",
             ));
         }
         Ok(())
     }
 
-    fn check_class(&self, i: usize, class: &Class) -> Result<(), SettingsError> {
-        let bad = |reason: String| Err(SettingsError::new("--class", &class.name, reason));
+    fn check_class(&self, index: usize, class: &Class) -> Result<(), SettingsError> {
+        let invalid = |reason: String| Err(SettingsError::new("--class", &class.name, reason));
         let s = &class.settings;
         if class.name.is_empty() {
-            return bad("a class needs a name".into());
+            return invalid("a class needs a name".into());
         }
-        if self.classes[..i].iter().any(|c| c.name == class.name) {
-            return bad("the name is given twice".into());
+        if self.classes[..index].iter().any(|c| c.name == class.name) {
+            return invalid("the name is given twice".into());
         }
         let numbers = [
             ("ttft-aim-per-1000", s.ttft_objective_per_1000, 0.0, 1e9),
@@ -384,41 +400,42 @@
         ];
         for (key, value, from, to) in numbers {
             if !value.is_finite() || !(from..=to).contains(&value) {
-                return bad(format!("{key}={value} must be from {from} to {to}"));
+                return invalid(format!("{key}={value} must be from {from} to {to}"));
             }
         }
-        self.check_class_spans(class)?;
-        // Rule 2: keyed requests are sent again only inside a window in which repeats are dropped.
+        self.check_class_durations(class)?;
+        // A request with an idempotency key may be sent again only while its engines drop repeats of the key. Without that
+        // window, a retry could run the request twice.
         if s.idempotency == Idempotency::WithKey && s.deduplication_window == 0 {
-            return bad(
-                "effect=keyed needs repeat-window, the time in which engines drop repeats".into(),
+            return invalid(
+                "effect=keyed needs repeat-window, the time for which engines drop repeats".into(),
             );
         }
         if s.idempotency != Idempotency::WithKey && s.deduplication_window != 0 {
-            return bad("repeat-window goes with effect=keyed".into());
+            return invalid("repeat-window goes with effect=keyed".into());
         }
         Ok(())
     }
 
-    fn check_class_spans(&self, class: &Class) -> Result<(), SettingsError> {
-        let bad = |reason: String| Err(SettingsError::new("--class", &class.name, reason));
+    fn check_class_durations(&self, class: &Class) -> Result<(), SettingsError> {
+        let invalid = |reason: String| Err(SettingsError::new("--class", &class.name, reason));
         let s = &class.settings;
-        let (aim, deadline) = (ms(s.ttft_objective), ms(s.deadline));
+        let (aim, deadline) = (format_ms(s.ttft_objective), format_ms(s.deadline));
         if s.ttft_objective < 1_000 {
-            return bad(format!("ttft-aim={aim} must be at least 1ms"));
+            return invalid(format!("ttft-aim={aim} must be at least 1ms"));
         }
-        if s.deadline > HOUR {
-            return bad(format!("deadline={deadline} must be an hour at most"));
+        if s.deadline > MAX_DURATION {
+            return invalid(format!("deadline={deadline} must be an hour at most"));
         }
-        // Rule 1: the final answer comes before the client stops waiting.
+        // The final answer has to be sent before the client stops waiting.
         if s.deadline <= 2 * self.answer_margin {
-            let margin = ms(self.answer_margin);
-            return bad(format!(
+            let margin = format_ms(self.answer_margin);
+            return invalid(format!(
                 "deadline={deadline} leaves no time beside --answer-margin {margin}"
             ));
         }
         if s.ttft_objective > s.deadline {
-            return bad(format!("ttft-aim={aim} is over deadline={deadline}"));
+            return invalid(format!("ttft-aim={aim} is over deadline={deadline}"));
         }
         Ok(())
     }
