--- a/crates/ivyward/src/recording/codec.rs
+++ b/crates/ivyward/src/recording/codec.rs
@@ -1,33 +1,33 @@
-//! The types of the router's interface as protobuf messages, both ways.
+//! Conversion between the types of the router's interface and protobuf messages.
 
 use ivyward_core::interface as core;
 use ivyward_core::interface::{Action, EndpointId, Event, RequestId};
 use ivyward_proto::record as pb;
 
-/// Why a message is not read.
+/// Why a message of a recording cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// A field has a value that it cannot have.
+    /// The value of a field is out of range.
     #[error("{field} cannot be {value}")]
     Value {
-        /// The field's name.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: u32,
     },
-    /// A load report with too many values.
+    /// A load report has more than four values.
     #[error("a report has {0} values; four at most")]
-    LongReport(usize),
-    /// An event without content.
-    #[error("an empty event")]
+    TooManyReportValues(usize),
+    /// An event has no content, or content of an unknown type.
+    #[error("the event is empty or of an unknown type")]
     EmptyEvent,
-    /// An action without content.
-    #[error("an empty action")]
+    /// An action has no content, or content of an unknown type.
+    #[error("the action is empty or of an unknown type")]
     EmptyAction,
 }
 
-/// Encodes and decodes an enum of the interface by one table of its numbers.
-macro_rules! numbered {
+/// Defines the encoding and the decoding function of an enum from one table of its numbers.
+macro_rules! enum_codec {
     ($encode:ident, $decode:ident, $type:ty, $($variant:ident = $number:literal),+) => {
         fn $encode(value: $type) -> u32 {
             match value { $(<$type>::$variant => $number),+ }
@@ -41,7 +41,7 @@
     };
 }
 
-numbered!(
+enum_codec!(
     encode_role,
     decode_role,
     core::Role,
@@ -49,7 +49,7 @@
     Decode = 1,
     Mixed = 2
 );
-numbered!(
+enum_codec!(
     encode_idempotency,
     decode_idempotency,
     core::Idempotency,
@@ -57,7 +57,7 @@
     WithKey = 1,
     NonIdempotent = 2
 );
-numbered!(
+enum_codec!(
     encode_deduplication_scope,
     decode_deduplication_scope,
     core::DeduplicationScope,
@@ -65,7 +65,7 @@
     Zone = 1,
     Rack = 2
 );
-numbered!(
+enum_codec!(
     encode_endpoint_state,
     decode_endpoint_state,
     core::EndpointState,
@@ -73,7 +73,7 @@
     Draining = 1,
     Removed = 2
 );
-numbered!(
+enum_codec!(
     encode_list_kind,
     decode_list_kind,
     core::ListKind,
@@ -82,7 +82,7 @@
     Cached = 2,
     Failed = 3
 );
-numbered!(
+enum_codec!(
     encode_report_field,
     decode_report_field,
     core::ReportField,
@@ -94,7 +94,7 @@
     WaitingKTokens = 5,
     Other = 6
 );
-numbered!(
+enum_codec!(
     encode_outcome,
     decode_outcome,
     core::Outcome,
@@ -110,11 +110,13 @@
     NotSent = 9
 );
 
+/// Converts a number to the narrower type of a field.
 fn narrow<T: TryFrom<u32>>(field: &'static str, value: u32) -> Result<T, DecodeError> {
     T::try_from(value).map_err(|_| DecodeError::Value { field, value })
 }
 
-/// A class from one that has fields of the same names; what differs is given beside it.
+/// Builds a request class from one of the other type. Fields that have the same name and type in both are copied; the other
+/// fields are given as arguments.
 macro_rules! class_from {
     ($class:expr, $($type:ident)::+ { $($field:ident: $value:expr,)* }) => {
         $($type)::+ {
@@ -130,7 +132,8 @@
     };
 }
 
-/// Settings from ones that have fields of the same names; what differs is given beside them.
+/// Builds settings from settings of the other type. Fields that have the same name and type in both are copied; the other
+/// fields are given as arguments.
 macro_rules! settings_from {
     ($settings:expr, $($type:ident)::+ { $($field:ident: $value:expr,)* }) => {
         $($type)::+ {
@@ -159,7 +162,8 @@
     };
 }
 
-/// A request from one that has fields of the same names; what differs is given beside it.
+/// Builds a request from one of the other type. Fields that have the same name and type in both are copied; the other fields
+/// are given as arguments.
 macro_rules! request_from {
     ($request:expr, $($type:ident)::+ { $($field:ident: $value:expr,)* }) => {
         $($type)::+ {
@@ -272,32 +276,32 @@
     report
         .values
         .get_mut(..values.len())
-        .ok_or(DecodeError::LongReport(values.len()))?
+        .ok_or(DecodeError::TooManyReportValues(values.len()))?
         .copy_from_slice(values);
     Ok(report)
 }
 
-fn encode_endpoint(e: &core::Endpoint) -> pb::Endpoint {
+fn encode_endpoint(endpoint: &core::Endpoint) -> pb::Endpoint {
     pb::Endpoint {
-        id: e.id.0,
-        zone: e.zone.into(),
-        machine_type: e.machine_type.into(),
-        rack: e.rack.into(),
-        state: encode_endpoint_state(e.state),
-        weight: e.weight,
-        started_at: e.started_at,
+        id: endpoint.id.0,
+        zone: endpoint.zone.into(),
+        machine_type: endpoint.machine_type.into(),
+        rack: endpoint.rack.into(),
+        state: encode_endpoint_state(endpoint.state),
+        weight: endpoint.weight,
+        started_at: endpoint.started_at,
     }
 }
 
-fn decode_endpoint(e: &pb::Endpoint) -> Result<core::Endpoint, DecodeError> {
+fn decode_endpoint(endpoint: &pb::Endpoint) -> Result<core::Endpoint, DecodeError> {
     Ok(core::Endpoint {
-        id: EndpointId(e.id),
-        zone: narrow("zone", e.zone)?,
-        machine_type: narrow("machine_type", e.machine_type)?,
-        rack: narrow("rack", e.rack)?,
-        state: decode_endpoint_state("state", e.state)?,
-        weight: e.weight,
-        started_at: e.started_at,
+        id: EndpointId(endpoint.id),
+        zone: narrow("zone", endpoint.zone)?,
+        machine_type: narrow("machine_type", endpoint.machine_type)?,
+        rack: narrow("rack", endpoint.rack)?,
+        state: decode_endpoint_state("state", endpoint.state)?,
+        weight: endpoint.weight,
+        started_at: endpoint.started_at,
     })
 }
 
@@ -356,38 +360,38 @@
 pub(super) fn decode_event(event: pb::Event) -> Result<Event, DecodeError> {
     use pb::event::Event as In;
     Ok(match event.event.ok_or(DecodeError::EmptyEvent)? {
-        In::EndpointList(f) => Event::EndpointList {
-            kind: decode_list_kind("kind", f.kind)?,
-            endpoints: f
+        In::EndpointList(list) => Event::EndpointList {
+            kind: decode_list_kind("kind", list.kind)?,
+            endpoints: list
                 .endpoints
                 .iter()
                 .map(decode_endpoint)
                 .collect::<Result<_, _>>()?,
         },
         In::Request(request) => Event::Request(decode_request(&request)),
-        In::FirstToken(f) => Event::FirstToken {
-            request: RequestId(f.request),
-            attempt: narrow("attempt", f.attempt)?,
+        In::FirstToken(first_token) => Event::FirstToken {
+            request: RequestId(first_token.request),
+            attempt: narrow("attempt", first_token.attempt)?,
         },
-        In::ReservationResult(p) => Event::ReservationResult {
-            request: RequestId(p.request),
-            endpoint: EndpointId(p.endpoint),
-            reserved: p.reserved,
+        In::ReservationResult(result) => Event::ReservationResult {
+            request: RequestId(result.request),
+            endpoint: EndpointId(result.endpoint),
+            reserved: result.reserved,
         },
-        In::AttemptEnded(e) => Event::AttemptEnded {
-            request: RequestId(e.request),
-            attempt: narrow("attempt", e.attempt)?,
-            outcome: decode_outcome("outcome", e.outcome)?,
-            cached_tokens: e.cached_tokens,
-            finished: e.finished,
-            report: decode_report(&e.report)?,
+        In::AttemptEnded(ended) => Event::AttemptEnded {
+            request: RequestId(ended.request),
+            attempt: narrow("attempt", ended.attempt)?,
+            outcome: decode_outcome("outcome", ended.outcome)?,
+            cached_tokens: ended.cached_tokens,
+            finished: ended.finished,
+            report: decode_report(&ended.report)?,
         },
         In::ClientDisconnected(id) => Event::ClientDisconnected(RequestId(id)),
         In::Timer(token) => Event::Timer(token),
-        In::HealthCheckResult(p) => Event::HealthCheckResult {
-            endpoint: EndpointId(p.endpoint),
-            alive: p.alive,
-            report: decode_report(&p.report)?,
+        In::HealthCheckResult(result) => Event::HealthCheckResult {
+            endpoint: EndpointId(result.endpoint),
+            alive: result.alive,
+            report: decode_report(&result.report)?,
         },
         In::ReplicaCount(nodes) => Event::ReplicaCount(nodes),
     })
@@ -440,29 +444,29 @@
 pub(super) fn decode_action(action: pb::Action) -> Result<Action, DecodeError> {
     use pb::action::Action as In;
     Ok(match action.action.ok_or(DecodeError::EmptyAction)? {
-        In::Send(s) => Action::Send {
-            request: RequestId(s.request),
-            endpoint: EndpointId(s.endpoint),
-            timeout: s.timeout,
-            send_deadline: s.send_deadline,
+        In::Send(send) => Action::Send {
+            request: RequestId(send.request),
+            endpoint: EndpointId(send.endpoint),
+            timeout: send.timeout,
+            send_deadline: send.send_deadline,
         },
-        In::Cancel(c) => Action::Cancel {
-            request: RequestId(c.request),
-            attempt: narrow("attempt", c.attempt)?,
+        In::Cancel(cancel) => Action::Cancel {
+            request: RequestId(cancel.request),
+            attempt: narrow("attempt", cancel.attempt)?,
         },
-        In::Reject(r) => Action::Reject {
-            request: RequestId(r.request),
-            retry_after: r.retry_after,
+        In::Reject(reject) => Action::Reject {
+            request: RequestId(reject.request),
+            retry_after: reject.retry_after,
         },
         In::Fail(id) => Action::Fail(RequestId(id)),
         In::ReleaseReservation(id) => Action::ReleaseReservation(RequestId(id)),
-        In::Reserve(h) => Action::Reserve {
-            request: RequestId(h.request),
-            endpoint: EndpointId(h.endpoint),
+        In::Reserve(reserve) => Action::Reserve {
+            request: RequestId(reserve.request),
+            endpoint: EndpointId(reserve.endpoint),
         },
-        In::SetTimer(t) => Action::SetTimer {
-            at: t.at,
-            token: t.token,
+        In::SetTimer(timer) => Action::SetTimer {
+            at: timer.at,
+            token: timer.token,
         },
         In::HealthCheck(id) => Action::HealthCheck(EndpointId(id)),
         In::Subscribe(_) => Action::Subscribe,
--- a/crates/ivyward/src/recording/mod.rs
+++ b/crates/ivyward/src/recording/mod.rs
@@ -1,8 +1,9 @@
-//! Recordings: the events that a router got and the actions that it took, as length-delimited protobuf, and their replay.
+//! Recordings of a router, and their replay. A recording is a sequence of length-delimited protobuf messages: the settings and
+//! the seed of the router, then each event with the actions that the router returned for it.
 //!
-//! - `writer`: [`Recorder`], which the driver holds.
-//! - `reader`: [`RecordingReader`] and [`replay`].
-//! - `codec`: the interface's types as protobuf messages, both ways.
+//! - `writer`: [`Recorder`], which the node's driver calls for each event.
+//! - `reader`: [`RecordingReader`] reads a recording; [`replay`] checks that a new router takes the same actions.
+//! - `codec`: conversion between the types of the router's interface and protobuf messages.
 
 mod codec;
 mod reader;
@@ -15,36 +16,36 @@
 use ivyward_core::interface::{Action, Micros};
 use std::io;
 
-/// Version of the recordings that this program writes and reads.
+/// Version of the recording format. Recordings of other versions are rejected.
 pub const VERSION: u32 = 1;
 
-/// What is wrong with a recording.
+/// Why a recording cannot be read or replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordingError {
-    /// It cannot be read.
+    /// The input returned an error.
     #[error("the recording cannot be read: {0}")]
     Io(#[from] io::Error),
-    /// It holds something that is no entry.
+    /// An entry of the recording is malformed.
     #[error("entry {entry} of the recording is malformed: {problem}")]
     Malformed {
-        /// Its number, from 0.
+        /// Number of the entry, from 0.
         entry: usize,
-        /// What is wrong with it.
+        /// What is wrong with the entry.
         problem: EntryError,
     },
-    /// It is of another version.
+    /// The recording has another version than [`VERSION`].
     #[error("the recording has version {0}; this program reads version {VERSION}")]
     Version(u32),
-    /// The router did something else this time.
+    /// The replayed router took other actions than the recorded one.
     #[error("step {step} at {at} us: recorded {recorded:?}, replayed {replayed:?}")]
-    Differs {
-        /// The step's number, from 0.
+    Mismatch {
+        /// Number of the step, from 0.
         step: usize,
-        /// Its time.
+        /// Time of the event on the recorded node's clock, in microseconds.
         at: Micros,
-        /// What was done then.
+        /// The actions in the recording.
         recorded: Vec<Action>,
-        /// What was done now.
+        /// The actions of the replayed router.
         replayed: Vec<Action>,
     },
 }
--- a/crates/ivyward/src/recording/reader.rs
+++ b/crates/ivyward/src/recording/reader.rs
@@ -1,4 +1,4 @@
-//! Reads recordings, and replays them.
+//! Reading and replaying recordings.
 
 use super::codec::{self, DecodeError};
 use super::{RecordingError, VERSION};
@@ -8,81 +8,82 @@
 use prost::Message;
 use std::io::{self, BufRead};
 
-/// Longest entry, in bytes: a list of some 100,000 engines.
-const MAX_ENTRY: u64 = 8 << 20;
+/// Maximum length of an entry in bytes. Enough for a list of about 100,000 engines.
+const MAX_ENTRY_BYTES: u64 = 8 << 20;
 
-/// What is wrong with an entry.
+/// Why an entry of a recording is malformed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EntryError {
-    /// The first entry is something else.
-    #[error("a recording begins with a Start")]
-    NoStart,
-    /// A Start where a step is due.
-    #[error("a second Start")]
-    SecondStart,
-    /// A step without an event.
+    /// The first entry is not a `Start`.
+    #[error("the first entry of a recording must be a Start")]
+    MissingStart,
+    /// A later entry is a `Start` instead of a `Step`.
+    #[error("a Start after the first entry, where only steps are allowed")]
+    DuplicateStart,
+    /// A step has no event.
     #[error("a step without an event")]
-    NoEvent,
-    /// Its length has too many bytes.
-    #[error("its length is no length")]
-    Length,
-    /// It is longer than any entry.
-    #[error("{0} bytes are too long")]
+    MissingEvent,
+    /// The length prefix is longer than five bytes.
+    #[error("the length prefix is longer than five bytes")]
+    InvalidLength,
+    /// The length prefix states more bytes than an entry may have.
+    #[error("an entry of {0} bytes; at most {MAX_ENTRY_BYTES} are allowed")]
     TooLong(u64),
-    /// It holds nothing.
-    #[error("it is empty")]
+    /// The entry is neither a `Start` nor a `Step`.
+    #[error("the entry is empty or of an unknown type")]
     Empty,
-    /// It is no protobuf message of its type.
+    /// The entry is not a valid protobuf message.
     #[error(transparent)]
     Protobuf(#[from] prost::DecodeError),
-    /// A field's value is out of its range.
+    /// A field has a value that cannot be decoded.
     #[error(transparent)]
     Value(#[from] DecodeError),
 }
 
-/// What a replay compared.
+/// The result of a replay without a mismatch.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct ReplaySummary {
-    /// Events.
+    /// Number of replayed events.
     pub events: usize,
-    /// Actions, all the same as recorded.
+    /// Number of replayed actions, all equal to the recorded ones.
     pub actions: usize,
-    /// Whether the recording ends inside an entry, as a killed node leaves it.
+    /// Whether the recording ends in the middle of an entry, as after a kill of the node that wrote it.
     pub truncated: bool,
 }
 
-/// One event and the actions that it led to.
+/// An event and the actions that the router returned for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// When, on the node's clock.
+    /// Time of the event on the node's clock, in microseconds.
     pub at: Micros,
-    /// The event.
+    /// The event given to the router.
     pub event: Event,
-    /// The actions.
+    /// The actions of the router, in order.
     pub actions: Vec<Action>,
 }
 
-/// Reads a recording.
+/// Reads a recording step by step.
 pub struct RecordingReader<R> {
     input: R,
-    /// The router's settings.
+    /// Settings of the recorded router.
     pub settings: Settings,
-    /// The seed of its random choices.
+    /// Seed of the recorded router's random choices.
     pub seed: u64,
-    read: usize,
+    /// Number of entries read, without the first one.
+    steps_read: usize,
     truncated: bool,
 }
 
 impl<R: BufRead> RecordingReader<R> {
-    /// Reads a recording's start.
+    /// Reads the first entry, which has the settings and the seed.
     ///
     /// # Errors
-    /// [`RecordingError`] when it is no recording of this version.
+    /// Returns [`RecordingError`] if the input is not a recording of this version.
     pub fn begin(mut input: R) -> Result<RecordingReader<R>, RecordingError> {
         let malformed = |problem| RecordingError::Malformed { entry: 0, problem };
         let start = match read_entry(&mut input, 0)? {
             Some(pb::entry::Entry::Start(start)) => start,
-            _ => return Err(malformed(EntryError::NoStart)),
+            _ => return Err(malformed(EntryError::MissingStart)),
         };
         if start.version != VERSION {
             return Err(RecordingError::Version(start.version));
@@ -93,21 +94,22 @@
             input,
             settings,
             seed: start.seed,
-            read: 0,
+            steps_read: 0,
             truncated: false,
         })
     }
-    /// The next step, or `None` at the end, which may lie inside an entry: see [`RecordingReader::is_truncated`].
+    /// Returns the next step, or `None` at the end of the input. The input may end in the middle of an entry: see
+    /// [`RecordingReader::is_truncated`].
     ///
     /// # Errors
-    /// [`RecordingError`] when what follows is no step.
+    /// Returns [`RecordingError`] if the next entry is not a valid step.
     pub fn step(&mut self) -> Result<Option<Step>, RecordingError> {
-        self.read += 1;
-        let entry = self.read;
+        self.steps_read += 1;
+        let entry = self.steps_read;
         let malformed = |problem| RecordingError::Malformed { entry, problem };
         let step = match read_entry(&mut self.input, entry) {
             Ok(Some(pb::entry::Entry::Step(step))) => step,
-            Ok(Some(_)) => return Err(malformed(EntryError::SecondStart)),
+            Ok(Some(_)) => return Err(malformed(EntryError::DuplicateStart)),
             Ok(None) => return Ok(None),
             Err(RecordingError::Io(e)) if e.kind() == io::ErrorKind::UnexpectedEof => {
                 self.truncated = true;
@@ -117,14 +119,15 @@
         };
         decode_step(step).map(Some).map_err(malformed)
     }
-    /// Whether the recording ended inside an entry, as a killed node leaves it.
+    /// Returns whether the recording ended in the middle of an entry, as after a kill of the node that wrote it. Known once
+    /// [`RecordingReader::step`] has returned `None`.
     pub fn is_truncated(&self) -> bool {
         self.truncated
     }
 }
 
 fn decode_step(step: pb::Step) -> Result<Step, EntryError> {
-    let event = step.event.ok_or(EntryError::NoEvent)?;
+    let event = step.event.ok_or(EntryError::MissingEvent)?;
     let event = codec::decode_event(event)?;
     let actions: Result<Vec<Action>, _> =
         step.actions.into_iter().map(codec::decode_action).collect();
@@ -135,14 +138,15 @@
     })
 }
 
-/// Gives a recording's events to a fresh router and compares what it does.
+/// Passes the events of a recording to a new router and compares its actions with the recorded ones.
 ///
 /// # Errors
-/// [`RecordingError`] when the recording cannot be read, or the first step that differs.
+/// Returns [`RecordingError`] if the recording cannot be read, or [`RecordingError::Mismatch`] for the first step whose
+/// actions differ.
 pub fn replay(input: impl BufRead) -> Result<ReplaySummary, RecordingError> {
     let mut reader = RecordingReader::begin(input)?;
     let mut router = Router::new(reader.settings.clone(), reader.seed);
-    let mut done = ReplaySummary::default();
+    let mut summary = ReplaySummary::default();
     while let Some(Step {
         at,
         event,
@@ -152,21 +156,21 @@
         let mut replayed = Vec::new();
         router.handle(at, event, &mut replayed);
         if recorded != replayed {
-            return Err(RecordingError::Differs {
-                step: done.events,
+            return Err(RecordingError::Mismatch {
+                step: summary.events,
                 at,
                 recorded,
                 replayed,
             });
         }
-        done.events += 1;
-        done.actions += replayed.len();
+        summary.events += 1;
+        summary.actions += replayed.len();
     }
-    done.truncated = reader.is_truncated();
-    Ok(done)
+    summary.truncated = reader.is_truncated();
+    Ok(summary)
 }
 
-/// Reads the next entry; `None` at the end of the input.
+/// Reads the next entry. Returns `None` at the end of the input.
 fn read_entry(
     input: &mut impl BufRead,
     entry: usize,
@@ -175,8 +179,8 @@
     if input.fill_buf()?.is_empty() {
         return Ok(None);
     }
-    let length = read_length(input)?.ok_or_else(|| malformed(EntryError::Length))?;
-    if length > MAX_ENTRY {
+    let length = read_length(input)?.ok_or_else(|| malformed(EntryError::InvalidLength))?;
+    if length > MAX_ENTRY_BYTES {
         return Err(malformed(EntryError::TooLong(length)));
     }
     let mut body = vec![0; length as usize];
@@ -188,7 +192,7 @@
     }
 }
 
-/// Reads an entry's length, a variable-length number of five bytes at most; `None` when it is longer.
+/// Reads the length prefix of an entry, a protobuf varint. Returns `None` if it is longer than five bytes.
 fn read_length(input: &mut impl BufRead) -> io::Result<Option<u64>> {
     let mut length = 0u64;
     for shift in (0..=28).step_by(7) {
--- a/crates/ivyward/src/recording/tests.rs
+++ b/crates/ivyward/src/recording/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the codec.
+//! Tests of the recording codec: every type survives encoding and decoding, and errors name the field.
 
 use super::codec::{
     decode_action, decode_event, decode_settings, encode_action, encode_event, encode_settings,
@@ -9,20 +9,20 @@
 
 #[test]
 fn every_event_and_action_round_trips() {
-    let (request, server) = (RequestId(7), EndpointId(u64::MAX));
+    let (request, endpoint) = (RequestId(7), EndpointId(u64::MAX));
     let report = core::LoadReport {
         len: 2,
         values: [0.5, 3.0, 0.0, 0.0],
     };
-    let entry = core::Endpoint {
-        id: server,
+    let listed = core::Endpoint {
+        id: endpoint,
         machine_type: 2,
         rack: 9,
         weight: 1.5,
         started_at: 4,
         ..Default::default()
     };
-    let arrival = core::Request {
+    let arriving = core::Request {
         id: request,
         session: 1,
         hinted_output: Some(9.0),
@@ -39,23 +39,23 @@
     let events = [
         Event::EndpointList {
             kind: core::ListKind::Cached,
-            endpoints: vec![entry],
+            endpoints: vec![listed],
         },
-        Event::Request(arrival),
+        Event::Request(arriving),
         Event::FirstToken {
             request,
             attempt: 1,
         },
         Event::ReservationResult {
             request,
-            endpoint: server,
+            endpoint,
             reserved: true,
         },
         ended,
         Event::ClientDisconnected(request),
         Event::Timer(1 << 63),
         Event::HealthCheckResult {
-            endpoint: server,
+            endpoint,
             alive: false,
             report,
         },
@@ -67,7 +67,7 @@
     let actions = [
         Action::Send {
             request,
-            endpoint: server,
+            endpoint,
             timeout: 5,
             send_deadline: 8,
         },
@@ -81,14 +81,11 @@
         },
         Action::Fail(request),
         Action::ReleaseReservation(request),
-        Action::Reserve {
-            request,
-            endpoint: server,
-        },
+        Action::Reserve { request, endpoint },
         Action::SetTimer { at: 8, token: 1 },
-        Action::HealthCheck(server),
+        Action::HealthCheck(endpoint),
         Action::Subscribe,
-        Action::Log("doubted".into()),
+        Action::Log("endpoint ejected".into()),
     ];
     for action in actions {
         assert_eq!(decode_action(encode_action(&action)), Ok(action));
--- a/crates/ivyward/src/recording/writer.rs
+++ b/crates/ivyward/src/recording/writer.rs
@@ -1,4 +1,4 @@
-//! Writes recordings.
+//! Writing recordings.
 
 use super::{codec, VERSION};
 use ivyward_core::interface::{Action, Event, Micros, Settings};
@@ -6,17 +6,18 @@
 use prost::Message;
 use std::io::{self, Write};
 
-/// Writes a recording.
+/// Writes a recording step by step.
 pub struct Recorder {
     out: Box<dyn Write + Send>,
-    scratch: Vec<u8>,
+    /// Buffer in which each entry is encoded.
+    entry_buffer: Vec<u8>,
 }
 
 impl Recorder {
-    /// Begins a recording with the router's settings and seed.
+    /// Starts a recording: writes and flushes the first entry, which has the router's settings and seed.
     ///
     /// # Errors
-    /// When the first entry cannot be written.
+    /// Returns the error of `out` if the entry cannot be written.
     pub fn begin(
         out: Box<dyn Write + Send>,
         settings: &Settings,
@@ -24,7 +25,7 @@
     ) -> io::Result<Recorder> {
         let mut recorder = Recorder {
             out,
-            scratch: Vec::new(),
+            entry_buffer: Vec::new(),
         };
         let start = pb::Start {
             version: VERSION,
@@ -37,10 +38,11 @@
         recorder.out.flush()?;
         Ok(recorder)
     }
-    /// Adds an event and the actions that it led to.
+    /// Appends an event and the actions that the router returned for it. `at` is the time of the event on the node's clock,
+    /// in microseconds.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// Returns the error of the output if the entry cannot be written.
     pub fn step(&mut self, at: Micros, event: &Event, actions: &[Action]) -> io::Result<()> {
         let actions = actions.iter().map(codec::encode_action).collect();
         let step = pb::Step {
@@ -52,18 +54,18 @@
             entry: Some(pb::entry::Entry::Step(step)),
         })
     }
-    /// Hands what was written so far to the operating system.
+    /// Flushes the entries written so far to the operating system.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// Returns the error of the output if it cannot be flushed.
     pub fn flush(&mut self) -> io::Result<()> {
         self.out.flush()
     }
     fn write(&mut self, entry: &pb::Entry) -> io::Result<()> {
-        self.scratch.clear();
+        self.entry_buffer.clear();
         entry
-            .encode_length_delimited(&mut self.scratch)
+            .encode_length_delimited(&mut self.entry_buffer)
             .map_err(io::Error::other)?;
-        self.out.write_all(&self.scratch)
+        self.out.write_all(&self.entry_buffer)
     }
 }
