--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -1,4 +1,5 @@
-//! Registration records: each engine writes one below a prefix of the store, under its id.
+//! Registration records. Each engine writes one JSON record to etcd; the key is a common prefix followed by the engine's id in
+//! decimal.
 
 use garde::Validate;
 use ivyward_core::interface::{Endpoint, EndpointId, EndpointState};
@@ -7,109 +8,110 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Version of the records that this program writes and reads.
+/// Version of the record format. Records of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Default prefix of the records.
+/// Default prefix of the records' keys.
 pub const DEFAULT_ENGINE_PREFIX: &str = "ivyward/engines/";
-/// Longest record, in bytes.
+/// Maximum length of a record in bytes. Longer records are rejected.
 pub const MAX_RECORD_BYTES: usize = 4 << 10;
 
-/// The role of an engine.
+/// What kind of work an engine does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prefills.
+    /// The engine prefills prompts.
     Prefill,
-    /// Decodes.
+    /// The engine decodes output tokens.
     Decode,
-    /// Does both.
+    /// The engine prefills and decodes.
     Mixed,
 }
 
-/// Whether an engine accepts work.
+/// Whether an engine accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It accepts work.
+    /// The engine accepts new requests.
     Ready,
-    /// It finishes its work and accepts nothing new.
+    /// The engine finishes its running requests and accepts no new ones.
     Draining,
 }
 
-/// A registration record, as JSON. Unknown fields are ignored, so that later versions may add some.
+/// The registration record of an engine, in JSON. Unknown fields are ignored, so that later versions can add fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 pub struct Record {
-    /// 1.
+    /// Version of the record format. Must be 1.
     #[garde(range(min = 1, max = 1))]
     pub version: u32,
-    /// The engine's id; the same number that names its key.
+    /// Id of the engine. Must equal the id at the end of the record's key.
     #[garde(skip)]
     pub id: u64,
-    /// Its role.
+    /// Role of the engine.
     #[garde(skip)]
     pub role: Role,
-    /// IP:PORT.
+    /// Address at which nodes reach the engine, as IP:PORT. The IP address must not be unspecified, the port not 0.
     #[garde(length(min = 3, max = 64))]
     pub address: String,
-    /// Its zone.
+    /// Zone of the engine. 0 by default.
     #[garde(skip)]
     #[serde(default)]
     pub zone: u8,
-    /// Its rack.
+    /// Rack of the engine. 0 by default.
     #[garde(skip)]
     #[serde(default)]
     pub cell: u16,
-    /// Its size relative to others of its machine type.
+    /// Capacity of the engine relative to others of its machine type, from 0.001 to 1000000. 1 by default.
     #[garde(range(min = 0.001, max = 1_000_000.0))]
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// When its process started, in milliseconds since the Unix epoch by its own clock; 0 for long ago.
+    /// Start time of the engine's process in milliseconds since the Unix epoch, by the engine's clock. 0, the default, stands
+    /// for an unknown time long ago. A record with another start time stands for a new process, whose KV cache is empty.
     #[garde(skip)]
     #[serde(default)]
     pub started_ms: u64,
-    /// Whether it accepts work.
+    /// Whether the engine accepts new requests.
     #[garde(skip)]
     pub state: State,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Why a record is not read.
+/// Why a registration record is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The key does not end in an id.
+    /// The key does not end in the id of an engine.
     #[error("the key does not end in an engine's id")]
     Key,
-    /// Too long.
+    /// The record is longer than [`MAX_RECORD_BYTES`].
     #[error("the record has {0} bytes; {MAX_RECORD_BYTES} at most")]
-    Long(usize),
-    /// Not JSON of a record.
+    TooLong(usize),
+    /// The value is not a valid record in JSON.
     #[error("the record is malformed: {0}")]
     Malformed(String),
-    /// It contradicts itself or its key.
-    #[error("the record contradicts itself: {0}")]
-    Contradiction(String),
+    /// The id of the record differs from that of its key, or the address cannot be reached.
+    #[error("the record is inconsistent: {0}")]
+    Inconsistent(String),
 }
 
-/// The engine's id that a key names.
+/// Returns the id of the engine to which a key belongs, or `None` if the key does not end in the decimal form of an id.
 pub fn key_id(prefix: &[u8], key: &[u8]) -> Option<EndpointId> {
     let name = std::str::from_utf8(key.strip_prefix(prefix)?).ok()?;
-    // Only one way of writing a number, so that two keys never name one engine.
+    // Only the canonical decimal form is accepted (no "07" or "+7"), so that no two keys stand for the same engine.
     name.parse()
         .ok()
         .filter(|id: &u64| id.to_string() == name)
         .map(EndpointId)
 }
 
-/// Reads the record of an engine.
+/// Decodes and validates the record of the engine `id`. `revision` is the store's revision at which it was written.
 ///
 /// # Errors
-/// [`RecordError`].
+/// Returns [`RecordError`] if the record is malformed, too long or inconsistent.
 pub fn read(id: EndpointId, value: &[u8], revision: i64) -> Result<Member, RecordError> {
     if value.len() > MAX_RECORD_BYTES {
-        return Err(RecordError::Long(value.len()));
+        return Err(RecordError::TooLong(value.len()));
     }
     let record: Record =
         serde_json::from_slice(value).map_err(|e| RecordError::Malformed(e.to_string()))?;
@@ -117,7 +119,7 @@
         .validate()
         .map_err(|e| RecordError::Malformed(e.to_string().trim().replace('\n', "; ")))?;
     if record.id != id.0 {
-        return Err(RecordError::Contradiction(format!(
+        return Err(RecordError::Inconsistent(format!(
             "id {} below the key of {}",
             record.id, id.0
         )));
@@ -127,36 +129,36 @@
         .parse()
         .map_err(|_| RecordError::Malformed(format!("{:?} is not IP:PORT", record.address)))?;
     if address.port() == 0 || address.ip().is_unspecified() {
-        return Err(RecordError::Contradiction(format!(
+        return Err(RecordError::Inconsistent(format!(
             "nobody can be reached at {address}"
         )));
     }
-    let kind = match record.role {
+    let machine_type = match record.role {
         Role::Prefill => 0,
         Role::Decode => 1,
         Role::Mixed => 2,
     };
-    let condition = match record.state {
+    let state = match record.state {
         State::Ready => EndpointState::Ready,
         State::Draining => EndpointState::Draining,
     };
-    let entry = Endpoint {
+    let endpoint = Endpoint {
         id,
         zone: record.zone,
-        machine_type: kind,
+        machine_type,
         rack: record.cell,
-        state: condition,
+        state,
         weight: record.weight,
         started_at: record.started_ms.saturating_mul(1_000),
     };
     Ok(Member {
-        endpoint: entry,
+        endpoint,
         address,
         revision,
     })
 }
 
-/// The JSON schema of records.
+/// Returns the JSON schema of registration records.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(Record)).unwrap_or_default()
 }
--- a/crates/ivyward/src/membership/registration/tests.rs
+++ b/crates/ivyward/src/membership/registration/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the parts of `registration` that nobody outside sees.
+//! Tests of decoding registration records and their keys.
 
 use super::*;
 
-fn text(more: &str) -> String {
+fn record_json(more_fields: &str) -> String {
     format!(
-        r#"{{"version":1,"id":7,"role":"decode","address":"127.0.0.1:9000","state":"ready"{more}}}"#
+        r#"{{"version":1,"id":7,"role":"decode","address":"127.0.0.1:9000","state":"ready"{more_fields}}}"#
     )
 }
 
@@ -12,7 +12,7 @@
 fn record_is_read_and_unknown_fields_are_ignored() {
     let member = read(
         EndpointId(7),
-        text(r#","cell":3,"colour":"red","started_ms":5"#).as_bytes(),
+        record_json(r#","cell":3,"colour":"red","started_ms":5"#).as_bytes(),
         9,
     )
     .unwrap();
@@ -29,32 +29,35 @@
 }
 
 #[test]
-fn bad_record_error_names_the_problem() {
-    let bad = [
-        (text(r#","weight":0"#), "weight"),
-        (text(r#","weight":"heavy""#), "malformed"),
-        (text("").replace(":1,", ":2,"), "version"),
-        (text("").replace(":7", ":8"), "id 8 below the key of 7"),
+fn error_of_a_rejected_record_names_the_problem() {
+    let rejected = [
+        (record_json(r#","weight":0"#), "weight"),
+        (record_json(r#","weight":"heavy""#), "malformed"),
+        (record_json("").replace(":1,", ":2,"), "version"),
         (
-            text("").replace("127.0.0.1:9000", "somewhere"),
+            record_json("").replace(":7", ":8"),
+            "id 8 below the key of 7",
+        ),
+        (
+            record_json("").replace("127.0.0.1:9000", "somewhere"),
             "not IP:PORT",
         ),
         (
-            text("").replace("127.0.0.1:9000", "0.0.0.0:9000"),
+            record_json("").replace("127.0.0.1:9000", "0.0.0.0:9000"),
             "nobody can be reached",
         ),
-        (text("").replace("ready", "asleep"), "malformed"),
+        (record_json("").replace("ready", "asleep"), "malformed"),
         ("{".into(), "malformed"),
         (
-            format!("{}{}", text(""), " ".repeat(MAX_RECORD_BYTES)),
+            format!("{}{}", record_json(""), " ".repeat(MAX_RECORD_BYTES)),
             "bytes",
         ),
     ];
-    for (text, what) in bad {
-        let problem = read(EndpointId(7), text.as_bytes(), 1)
+    for (json, expected) in rejected {
+        let error = read(EndpointId(7), json.as_bytes(), 1)
             .unwrap_err()
             .to_string();
-        assert!(problem.contains(what), "{text}: {problem}");
+        assert!(error.contains(expected), "{json}: {error}");
     }
     assert_eq!(key_id(b"e/", b"e/7"), Some(EndpointId(7)));
     for key in ["e/07", "e/+7", "e/x", "e/", "f/7", "e/7/8"] {
--- a/crates/ivyward/src/membership/snapshot.rs
+++ b/crates/ivyward/src/membership/snapshot.rs
@@ -1,7 +1,8 @@
-//! The last list of engines in a file, for starts while the store is down.
+//! The last known list of engines in a file, for a start of the node while etcd cannot be reached.
 //!
-//! The first line holds a title, the version, the number of bytes that follow and their checksum; then follow the records as
-//! JSON. The file is written under another name and renamed, so that a reader sees the old one or the new one.
+//! The first line has a title, the format version, the length of the body in bytes and its CRC-32. The body is a JSON array of
+//! registration records. The file is written under a temporary name and renamed, so that a reader sees either the old or the
+//! new one completely.
 
 use crate::membership::registration::{self, Record, Role, State};
 use ivyward_core::interface::{EndpointId, EndpointState};
@@ -12,37 +13,37 @@
 
 const TITLE: &str = "ivyward-engines";
 const VERSION: u32 = 1;
-/// Longest file, in bytes: some 100,000 engines.
-const MAX_FILE: u64 = 64 << 20;
-/// Longest first line, in bytes.
-const MAX_FIRST_LINE: usize = 200;
+/// Maximum length of the file in bytes. Enough for about 100,000 engines.
+const MAX_FILE_BYTES: u64 = 64 << 20;
+/// Maximum length of the first line in bytes.
+const MAX_HEADER_BYTES: usize = 200;
 
-/// Why a snapshot is not read or written.
+/// Why a snapshot cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// No snapshot, or one of another version.
-    #[error("it is no list of engines of version {VERSION}")]
-    Foreign,
-    /// Truncated or corrupted.
-    #[error("it is torn: {0}")]
-    Torn(&'static str),
+    /// The file is not a snapshot of this format version.
+    #[error("the file is not an engine list of version {VERSION}")]
+    UnknownFormat,
+    /// The file is truncated or corrupted.
+    #[error("the snapshot is truncated or corrupted: {0}")]
+    Corrupted(&'static str),
 }
 
 fn record(member: &Member) -> Record {
-    let e = &member.endpoint;
+    let endpoint = &member.endpoint;
     Record {
         version: registration::VERSION,
-        id: e.id.0,
-        role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(e.machine_type).min(2)],
+        id: endpoint.id.0,
+        role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(endpoint.machine_type).min(2)],
         address: member.address.to_string(),
-        zone: e.zone,
-        cell: e.rack,
-        weight: e.weight,
-        started_ms: e.started_at / 1_000,
-        state: if e.state == EndpointState::Ready {
+        zone: endpoint.zone,
+        cell: endpoint.rack,
+        weight: endpoint.weight,
+        started_ms: endpoint.started_at / 1_000,
+        state: if endpoint.state == EndpointState::Ready {
             State::Ready
         } else {
             State::Draining
@@ -50,30 +51,29 @@
     }
 }
 
-/// Replaces the snapshot, durably.
+/// Replaces the snapshot file and syncs it to disk.
 ///
 /// # Errors
-/// When the system reports one. Either the old file stands then, or the new one does and may not survive a crash of the
-/// machine.
+/// Returns the I/O error. The old file is then still in place, or the new one is but may not survive a crash of the machine.
 pub fn write(path: &Path, members: &[Member]) -> Result<(), SnapshotError> {
     let records: Vec<Record> = members.iter().map(record).collect();
     let body = serde_json::to_vec(&records).map_err(io::Error::other)?;
-    let beside = path.with_extension("new");
-    let written = write_whole(&beside, &body).and_then(|()| std::fs::rename(&beside, path));
+    let temporary = path.with_extension("new");
+    let written = write_synced(&temporary, &body).and_then(|()| std::fs::rename(&temporary, path));
     if let Err(e) = written {
-        // A partial file is of no use, and takes space that may be what is lacking.
-        let _ = std::fs::remove_file(&beside);
+        // The partial file is useless, and the error may be a full disk.
+        let _ = std::fs::remove_file(&temporary);
         return Err(e.into());
     }
-    // The rename is durable only with the folder.
-    let folder = path
+    // The rename is durable only once the directory is synced.
+    let directory = path
         .parent()
-        .filter(|folder| !folder.as_os_str().is_empty());
-    File::open(folder.unwrap_or(Path::new(".")))?.sync_all()?;
+        .filter(|directory| !directory.as_os_str().is_empty());
+    File::open(directory.unwrap_or(Path::new(".")))?.sync_all()?;
     Ok(())
 }
 
-fn write_whole(path: &Path, body: &[u8]) -> io::Result<()> {
+fn write_synced(path: &Path, body: &[u8]) -> io::Result<()> {
     let mut file = File::create(path)?;
     writeln!(
         file,
@@ -85,10 +85,10 @@
     file.sync_all()
 }
 
-/// Reads a snapshot; `None` if there is no file. States and start times are as they were when it was written.
+/// Reads a snapshot. Returns `None` if the file does not exist. States and start times are those of the time of writing.
 ///
 /// # Errors
-/// [`SnapshotError`] when the file is torn, foreign or cannot be read.
+/// Returns [`SnapshotError`] if the file is truncated, corrupted, of another format or cannot be read.
 pub fn read(path: &Path) -> Result<Option<Vec<Member>>, SnapshotError> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -96,42 +96,47 @@
         Err(e) => return Err(e.into()),
     };
     let mut bytes = Vec::new();
-    file.take(MAX_FILE).read_to_end(&mut bytes)?;
-    let body = checked_body(&bytes)?;
-    let records: Vec<Record> =
-        serde_json::from_slice(body).map_err(|_| SnapshotError::Torn("its records"))?;
+    file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)?;
+    let body = verify_body(&bytes)?;
+    let records: Vec<Record> = serde_json::from_slice(body)
+        .map_err(|_| SnapshotError::Corrupted("its body is not a JSON array of records"))?;
     let members: Result<Vec<Member>, SnapshotError> = records.into_iter().map(member).collect();
     members.map(Some)
 }
 
-/// The bytes behind the first line, if they are those that it says.
-fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
+/// Returns the body if its length and checksum are those in the first line.
+fn verify_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let end = bytes
         .iter()
-        .take(MAX_FIRST_LINE)
+        .take(MAX_HEADER_BYTES)
         .position(|b| *b == b'\n')
-        .ok_or(SnapshotError::Foreign)?;
-    let line = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
+        .ok_or(SnapshotError::UnknownFormat)?;
+    let line = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::UnknownFormat)?;
     let parts: Vec<&str> = line.split(' ').collect();
     let [title, version, length, checksum] = parts[..] else {
-        return Err(SnapshotError::Foreign);
+        return Err(SnapshotError::UnknownFormat);
     };
     if title != TITLE || version != VERSION.to_string() {
-        return Err(SnapshotError::Foreign);
+        return Err(SnapshotError::UnknownFormat);
     }
     let body = &bytes[end + 1..];
     if length.parse() != Ok(body.len()) {
-        return Err(SnapshotError::Torn("its length is another"));
+        return Err(SnapshotError::Corrupted(
+            "its length differs from the one in the first line",
+        ));
     }
     if u32::from_str_radix(checksum, 16) != Ok(crc32fast::hash(body)) {
-        return Err(SnapshotError::Torn("its checksum is another"));
+        return Err(SnapshotError::Corrupted(
+            "its checksum differs from the one in the first line",
+        ));
     }
     Ok(body)
 }
 
 fn member(record: Record) -> Result<Member, SnapshotError> {
     let text = serde_json::to_vec(&record).map_err(io::Error::other)?;
-    registration::read(EndpointId(record.id), &text, 0).map_err(|_| SnapshotError::Torn("a record"))
+    registration::read(EndpointId(record.id), &text, 0)
+        .map_err(|_| SnapshotError::Corrupted("one of its records is invalid"))
 }
 
 #[cfg(test)]
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -1,7 +1,8 @@
-//! Watches the engines' records through etcd: lists, watches, and passes on what [`ivyward_core::membership`] decides.
+//! Watches the engines' registration records in etcd. The watcher lists the records, watches their changes, and passes both to
+//! [`ivyward_core::membership`], which decides on the endpoint list of the node.
 //!
-//! - `watch`: one watch from its start to its end.
-//! - `delivery`: from what the store said to the node's endpoint list and the snapshot file.
+//! - `watch`: a single watch, from its start to its end.
+//! - `delivery`: decodes records, updates the node's endpoint list and writes the snapshot file.
 
 mod delivery;
 mod watch;
@@ -25,25 +26,28 @@
 use tracing::{info, warn};
 use watch::WatchEnd;
 
-/// Which store is watched, and how. Times are microseconds.
+/// Options of the endpoint watcher. Durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct WatcherOptions {
-    /// The store's endpoints; one is used at a time.
+    /// Addresses of the etcd endpoints. One is used at a time; after a failure the next one is.
     pub endpoints: Vec<SocketAddr>,
-    /// The prefix of the engines' records; each stands under its engine's id.
+    /// Prefix of the keys of the registration records. Must not be empty.
     pub prefix: String,
-    /// Options of the store's client.
+    /// Options of the etcd client.
     pub etcd: EtcdOptions,
-    /// After engines were known, an empty list is believed once the store has returned nothing else for this span.
+    /// While engines are known, an empty list takes effect only once the store has returned nothing but empty lists for this
+    /// long, since the store may have been restored empty.
     pub empty_grace: Micros,
-    /// A watch that was silent for this span is asked for its progress; silent for as long again, it counts as broken.
+    /// A progress notification is requested on a watch that received nothing for this long. If nothing arrives for as long
+    /// again, the watch has failed.
     pub silence_timeout: Micros,
-    /// A store whose lists stay behind a revision seen before is believed once it has returned nothing else for this span: it
-    /// was restored from an older backup.
+    /// A list with a lower revision than one seen before takes effect only once the store has returned nothing but such lists
+    /// for this long. The store was then restored from an older backup.
     pub behind_grace: Micros,
-    /// The file of the last list, for starts while the store is down.
+    /// File for snapshots of the endpoint list, which is read at a start while the store cannot be reached. `None` writes no
+    /// snapshots.
     pub snapshot: Option<PathBuf>,
-    /// The first and the longest pause after a failure; it doubles in between, with jitter.
+    /// The initial and the maximum pause after a failure. The pause doubles with each further failure and has jitter.
     pub backoff: (Micros, Micros),
 }
 
@@ -63,36 +67,36 @@
 }
 
 impl WatcherOptions {
-    /// Checks the options.
+    /// Validates the options.
     ///
     /// # Errors
-    /// The first option that cannot hold.
+    /// Returns the first invalid option with its flag, value and reason.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.prefix.is_empty() {
             return Err(SettingsError::new(
                 "--etcd-prefix",
                 "(empty)",
-                "would take every key for an engine's record",
+                "an empty prefix would include every key of the store",
             ));
         }
-        for (flag, span) in [
+        for (flag, duration) in [
             ("--etcd-silence", self.silence_timeout),
             ("--etcd-empty-grace", self.empty_grace),
             ("--etcd-behind-grace", self.behind_grace),
         ] {
-            if !(1_000..=3_600_000_000).contains(&span) {
+            if !(1_000..=3_600_000_000).contains(&duration) {
                 return Err(SettingsError::new(
                     flag,
-                    format!("{span}us"),
+                    format!("{duration}us"),
                     "must be from 1ms to an hour",
                 ));
             }
         }
         let mut seen = BTreeSet::new();
         match self.endpoints.iter().find(|e| !seen.insert(**e)) {
-            Some(twice) => Err(SettingsError::new(
+            Some(duplicate) => Err(SettingsError::new(
                 "--etcd-endpoint",
-                twice,
+                duplicate,
                 "is given twice",
             )),
             None => Ok(()),
@@ -100,7 +104,7 @@
     }
 }
 
-/// Keeps a node's endpoint list as the store has it.
+/// Keeps the endpoint list of a node up to date with the store.
 struct EndpointWatcher<'a> {
     node: &'a Node,
     runtime: RuntimeRef,
@@ -109,17 +113,19 @@
     membership: Membership,
     start_times: StartTimes,
     update_interval: UpdateInterval,
-    /// Whether the list changed since the snapshot was written.
+    /// Whether the list changed after the snapshot was last written.
     snapshot_outdated: bool,
-    /// When the snapshot may be written again.
+    /// Earliest time of the next snapshot write.
     next_snapshot_at: Micros,
-    /// Engines whose bad record was logged, with its revision.
-    logged_bad_records: BTreeMap<EndpointId, i64>,
+    /// Engines whose invalid record was logged, with the revision of that record.
+    logged_invalid_records: BTreeMap<EndpointId, i64>,
+    /// Pause after the next failure, before jitter.
     pause: Micros,
 }
 
 impl Node {
-    /// Follows the store's list of engines until the node stops. While the store cannot be reached the last list stands.
+    /// Keeps the node's endpoint list up to date with the store until the node stops. While the store cannot be reached, the
+    /// last known list remains in use.
     pub async fn watch_endpoints(&self, options: WatcherOptions) {
         let runtime = metered(&self.context.runtime, &self.context.metrics.list_traffic);
         let mut watcher = EndpointWatcher {
@@ -134,7 +140,7 @@
             )),
             snapshot_outdated: false,
             next_snapshot_at: 0,
-            logged_bad_records: BTreeMap::new(),
+            logged_invalid_records: BTreeMap::new(),
             pause: options.backoff.0,
             node: self,
             runtime,
@@ -155,8 +161,8 @@
             }
             self.node.metrics().list_stale.set(0);
             match self.watch().await {
-                WatchEnd::Gap(why) => {
-                    info!(%why, "endpoint watch interrupted, listing again");
+                WatchEnd::Gap(reason) => {
+                    info!(why = %reason, "endpoint watch interrupted, listing again");
                     self.node.metrics().list_gaps.add(1);
                     self.handle(WatchEvent::Gap).await;
                     self.back_off().await;
@@ -182,7 +188,7 @@
         }
     }
 
-    /// Reads the complete list. When to read it again, if it was not taken.
+    /// Reads and applies the complete list. Returns when to read it again if it could not be read or was not accepted.
     async fn list(&mut self) -> Option<Relist> {
         let listed = self.client.list(self.options.prefix.as_bytes()).await;
         match listed {
@@ -198,14 +204,14 @@
             }
             Err(error) => {
                 warn!(%error, "endpoint list read failed, keeping the last one");
-                Some(Relist::Elsewhere)
+                Some(Relist::NextEndpoint)
             }
         }
     }
 
     async fn wait_to_relist(&mut self, relist: Relist) {
         match relist {
-            Relist::Elsewhere => {
+            Relist::NextEndpoint => {
                 self.client.fail_over();
                 self.back_off().await;
             }
@@ -219,7 +225,7 @@
         }
     }
 
-    /// Pauses, longer from failure to failure; half of the pause is random.
+    /// Waits after a failure. The pause doubles with each failure, up to the maximum; its second half is random.
     async fn back_off(&mut self) {
         let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
         self.pause = (self.pause * 2).min(self.options.backoff.1);
--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -1,4 +1,4 @@
-//! From what the store said to the node's endpoint list and the snapshot file.
+//! Delivery of lists and watch events: decodes records, updates the node's endpoint list and writes the snapshot file.
 
 use super::EndpointWatcher;
 use crate::engines::Engine;
@@ -10,37 +10,39 @@
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// Most engines whose bad records are remembered as logged.
+/// Maximum number of engines whose invalid records are remembered as logged.
 const MAX_LOGGED_RECORDS: usize = 10_000;
-/// The snapshot is written at most once in this span, in microseconds.
+/// Minimum time between two writes of the snapshot, in microseconds.
 const SNAPSHOT_INTERVAL: Micros = 1_000_000;
 
-/// When the complete list is read again.
+/// When the complete list has to be read again.
 #[derive(Clone, Copy)]
 pub(super) enum Relist {
-    /// Now, from another endpoint of the store: this one was behind or did not answer.
-    Elsewhere,
-    /// At this time, as an empty list was not believed yet.
+    /// After the backoff, from the next endpoint of the store: the current one did not answer, or its list was outdated.
+    NextEndpoint,
+    /// At this time, because an empty list has not taken effect yet.
     At(Micros),
 }
 
 impl Relist {
+    /// Earliest time of the next list; 0 for now.
     pub(super) fn time(self) -> Micros {
         match self {
-            Relist::Elsewhere => 0,
+            Relist::NextEndpoint => 0,
             Relist::At(at) => at,
         }
     }
 }
 
 impl EndpointWatcher<'_> {
-    /// Hands the decider one event and carries out its actions.
+    /// Passes an event to [`Membership`](ivyward_core::membership::Membership) and carries out the returned actions. Returns
+    /// when to read the complete list again, if necessary.
     pub(super) async fn handle(&mut self, event: WatchEvent) -> Option<Relist> {
         self.handle_all(vec![event]).await
     }
 
-    /// Hands the decider all events of a response. Changes that follow each other reach the router as one list, since it
-    /// goes over all engines at each.
+    /// Like [`EndpointWatcher::handle`], for several events. Consecutive changes are passed to the router as one list, because
+    /// the router iterates over all engines for each list.
     pub(super) async fn handle_all(&mut self, events: Vec<WatchEvent>) -> Option<Relist> {
         let gap = events.contains(&WatchEvent::Gap);
         let mut actions = Vec::new();
@@ -54,19 +56,19 @@
                 MembershipAction::EndpointList { kind, members } => {
                     self.update_endpoints(kind, members).await;
                 }
-                MembershipAction::Relist => relist = (!gap).then_some(Relist::Elsewhere),
+                MembershipAction::Relist => relist = (!gap).then_some(Relist::NextEndpoint),
                 MembershipAction::RelistAt(at) => relist = Some(Relist::At(at)),
                 MembershipAction::SaveSnapshot => {}
             }
         }
-        // Here, so that it is right whenever a batch was delivered.
+        // Set after each delivery, so that the metric matches the list that the router has.
         let revision = self.membership.revision().max(0) as u64;
         self.node.metrics().list_revision.set(revision);
         self.write_snapshot_if_due();
         relist
     }
 
-    /// Merges changes that follow each other, and takes note that the snapshot is to be written.
+    /// Merges consecutive changes into one list. Marks the snapshot as outdated instead of returning the actions that save it.
     fn merge_changes(&mut self, actions: Vec<MembershipAction>) -> Vec<MembershipAction> {
         let mut merged: Vec<MembershipAction> = Vec::new();
         for action in actions {
@@ -81,7 +83,7 @@
                         members: more,
                     },
                 ) => members.extend(more),
-                // One write for all of them, in its time.
+                // The snapshot is written once for all of them, by `write_snapshot_if_due`.
                 (_, MembershipAction::SaveSnapshot) => self.snapshot_outdated = true,
                 (_, action) => merged.push(action),
             }
@@ -89,7 +91,7 @@
         merged
     }
 
-    /// Writes the snapshot if the list changed, at most once in [`SNAPSHOT_INTERVAL`].
+    /// Writes the snapshot if the list changed and [`SNAPSHOT_INTERVAL`] has passed since the last write.
     pub(super) fn write_snapshot_if_due(&mut self) {
         let now = self.runtime.now();
         if !self.snapshot_outdated || now < self.next_snapshot_at {
@@ -103,7 +105,8 @@
         let members: Vec<Member> = self.membership.members().copied().collect();
         match snapshot::write(path, &members) {
             Ok(()) => self.snapshot_outdated = false,
-            // Guards against a disk that was full for a moment: the file would stay old until the list changes again.
+            // Retried: after a disk that was full for a moment, the file would otherwise stay outdated until the next change of
+            // the list.
             Err(error) => {
                 self.node.metrics().list_keep_failures.add(1);
                 warn!(file = %path.display(), %error, "endpoint snapshot write failed, will retry");
@@ -125,7 +128,7 @@
         self.update_interval.delivered(now, self.runtime.now());
     }
 
-    /// The engine of a member, with its start on the node's own clock.
+    /// Converts a member to an engine whose start time is on this node's clock.
     fn engine(&mut self, member: Member, now: Micros, unix: Micros) -> Engine {
         let Member {
             endpoint, address, ..
@@ -143,7 +146,7 @@
         Engine { endpoint, address }
     }
 
-    /// The members of a list, and the engines whose records cannot be read.
+    /// Decodes the records of a list. Returns the members, and the engines whose records are invalid.
     pub(super) fn read_records(
         &mut self,
         records: &[mvccpb::KeyValue],
@@ -158,34 +161,39 @@
         (members, unreadable)
     }
 
-    /// The member that a record names; else the engine whose record cannot be read, if the key names one.
+    /// Decodes a record. The error is the engine whose record is invalid, or `None` if the key does not end in an engine's id.
     fn read_record(&mut self, record: &mvccpb::KeyValue) -> Result<Member, Option<EndpointId>> {
         let prefix = self.options.prefix.as_bytes();
         let Some(id) = registration::key_id(prefix, &record.key) else {
-            self.log_bad_record(EndpointId(u64::MAX), record, &RecordError::Key);
+            self.log_invalid_record(EndpointId(u64::MAX), record, &RecordError::Key);
             return Err(None);
         };
-        registration::read(id, &record.value, record.mod_revision).map_err(|problem| {
-            self.log_bad_record(id, record, &problem);
+        registration::read(id, &record.value, record.mod_revision).map_err(|error| {
+            self.log_invalid_record(id, record, &error);
             Some(id)
         })
     }
 
-    /// Logs a bad record once, and counts it.
-    fn log_bad_record(&mut self, id: EndpointId, record: &mvccpb::KeyValue, problem: &RecordError) {
-        if self.logged_bad_records.get(&id) == Some(&record.mod_revision) {
+    /// Logs and counts an invalid record, once for each of its revisions.
+    fn log_invalid_record(
+        &mut self,
+        id: EndpointId,
+        record: &mvccpb::KeyValue,
+        error: &RecordError,
+    ) {
+        if self.logged_invalid_records.get(&id) == Some(&record.mod_revision) {
             return;
         }
-        if self.logged_bad_records.len() >= MAX_LOGGED_RECORDS {
-            self.logged_bad_records.clear();
+        if self.logged_invalid_records.len() >= MAX_LOGGED_RECORDS {
+            self.logged_invalid_records.clear();
         }
-        self.logged_bad_records.insert(id, record.mod_revision);
+        self.logged_invalid_records.insert(id, record.mod_revision);
         self.node.metrics().records_unread.add(1);
         let key = String::from_utf8_lossy(&record.key);
-        warn!(%key, %problem, "registration record ignored");
+        warn!(%key, problem = %error, "registration record ignored");
     }
 
-    /// What an event of the store says. An engine whose new record cannot be read stays as it was known.
+    /// Decodes an event of the watch. Returns `None` for an invalid record; its engine keeps its last valid record.
     pub(super) fn read_event(&mut self, event: mvccpb::Event) -> Option<WatchEvent> {
         let deleted = event.r#type() == mvccpb::event::EventType::Delete;
         let record = event.kv?;
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -1,4 +1,4 @@
-//! One watch, from its start to its end.
+//! A single watch over the registration records, from its start to its end.
 
 use super::delivery::Relist;
 use super::EndpointWatcher;
@@ -8,39 +8,39 @@
 use ivyward_etcd::{mvccpb, EtcdError, Notice, Watcher};
 use ivyward_runtime::before;
 
-/// Most events that wait for their time; with one more they are delivered.
+/// Maximum number of events in a batch. A batch that reaches it is delivered at once.
 const MAX_BATCH: usize = 4_096;
 
-/// Why something may have been missed.
+/// Why changes may have been missed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum GapReason {
     #[error(transparent)]
     Store(#[from] EtcdError),
-    #[error("the watch is silent")]
+    #[error("the store did not answer a progress request in time")]
     Silent,
-    #[error("another store answers than the one that was listed")]
-    OtherStore,
-    #[error("compacted up to {0}")]
+    #[error("the watch was answered by another cluster than the list")]
+    OtherCluster,
+    #[error("the watched revision was compacted; the oldest available one is {0}")]
     Compacted(i64),
-    #[error("cancelled: {0}")]
+    #[error("the store cancelled the watch: {0}")]
     Cancelled(String),
 }
 
 /// How a watch ended.
 pub(super) enum WatchEnd {
-    /// Something was missed, or may have been.
+    /// Changes were missed, or may have been.
     Gap(GapReason),
-    /// The complete list is to be read again.
+    /// The complete list has to be read again.
     Relist(Relist),
 }
 
-/// Events of a watch that wait to be delivered.
+/// Events of a watch that have not been delivered yet.
 #[derive(Default)]
 struct Batch {
     events: Vec<WatchEvent>,
-    /// When the first of them arrived, or the first urgent one.
+    /// When the first event arrived, or the first urgent one.
     since: Option<Micros>,
-    /// Whether an engine among them drains or is gone.
+    /// Whether one of the events is a drain or a removal.
     urgent: bool,
 }
 
@@ -48,13 +48,14 @@
     fn add(&mut self, now: Micros, events: Vec<WatchEvent>) {
         let since = self.since.get_or_insert(now);
         if !self.urgent && events.iter().any(is_urgent) {
-            // Its wait counts from here, not from what came before it.
+            // The delay of an urgent event counts from its own arrival, not from that of earlier events.
             (self.urgent, *since) = (true, now);
         }
         self.events.extend(events);
     }
 }
 
+/// Whether an event is a drain or a removal, which has to take effect within the drain grace.
 fn is_urgent(event: &WatchEvent) -> bool {
     match event {
         WatchEvent::Put(member) => member.endpoint.state != EndpointState::Ready,
@@ -65,14 +66,15 @@
 
 struct ActiveWatch {
     stream: Watcher,
-    /// Whether the store was asked for the watch's progress and has not answered.
+    /// Whether a progress notification was requested and nothing has arrived since.
     progress_requested: bool,
+    /// When the last notice arrived or progress was last requested.
     silent_since: Micros,
     batch: Batch,
 }
 
 impl EndpointWatcher<'_> {
-    /// Watches from the revision after the last one known, until the watch ends.
+    /// Watches from the revision after the last known one, until the watch ends.
     pub(super) async fn watch(&mut self) -> WatchEnd {
         let prefix = self.options.prefix.clone().into_bytes();
         let next = if mutations::is_active(Mutation::WatchSkips) {
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Waits for the next notice, the time to deliver the batch, the snapshot's time, or the time at which a silent watch is
-    /// checked: whichever is first. Returns the end of the watch, if this was it.
+    /// Waits for the next notice, the delivery time of the batch, the time of the snapshot write or the silence timeout,
+    /// whichever comes first, and handles it. Returns `Some` if the watch has ended.
     async fn watch_step(&mut self, watch: &mut ActiveWatch) -> Option<WatchEnd> {
         let deliver_at = self.delivery_time(&watch.batch);
         let snapshot_at = self.snapshot_outdated.then_some(self.next_snapshot_at);
@@ -156,27 +158,27 @@
         watch.progress_requested = false;
         self.pause = self.options.backoff.0;
         watch.silent_since = self.runtime.now();
-        // Guards against a store that was replaced between list and watch: its revisions are others, and a watch from
-        // one that it has not reached would wait without end.
+        // Guards against a store that was replaced between the list and the watch. Revisions of the two clusters are unrelated,
+        // and a watch from a revision that the new cluster has not reached would never receive an event.
         let cluster = watch.stream.cluster();
         if cluster.is_some() && cluster != self.membership.cluster() {
-            return Some(self.end_watch(watch, GapReason::OtherStore).await);
+            return Some(self.end_watch(watch, GapReason::OtherCluster).await);
         }
         match notice {
             Notice::Progress(revision) => {
-                // After the batch, which it says is complete.
+                // The batch is delivered first, because the notice confirms that it is complete.
                 if let Some(relist) = self.deliver(&mut watch.batch).await {
                     return Some(WatchEnd::Relist(relist));
                 }
                 self.handle(WatchEvent::Progress(revision)).await;
             }
             Notice::Compacted(revision) => {
-                let why = GapReason::Compacted(revision);
-                return Some(self.end_watch(watch, why).await);
+                let reason = GapReason::Compacted(revision);
+                return Some(self.end_watch(watch, reason).await);
             }
             Notice::Cancelled(reason) => {
-                let why = GapReason::Cancelled(reason);
-                return Some(self.end_watch(watch, why).await);
+                let reason = GapReason::Cancelled(reason);
+                return Some(self.end_watch(watch, reason).await);
             }
             Notice::Events { events, .. } => {
                 if let Some(relist) = self.on_events(watch, events).await {
@@ -193,8 +195,8 @@
         watch: &mut ActiveWatch,
         events: Vec<mvccpb::Event>,
     ) -> Option<Relist> {
-        // Not the response's own revision: a watch that catches up is sent in parts, each with the store's newest, and
-        // what is still to come would be passed over after a break.
+        // Not the revision in the response header: a watch that catches up gets several responses, each with the newest
+        // revision of the store. If the watch broke after the first of them, the rest would be skipped.
         let last = events
             .iter()
             .filter_map(|event| event.kv.as_ref())
@@ -205,7 +207,7 @@
             .filter_map(|event| self.read_event(event))
             .collect();
         watch.batch.add(self.runtime.now(), events);
-        // An ignored record moves the watch on as well.
+        // Ignored records advance the known revision as well.
         watch
             .batch
             .events
@@ -217,11 +219,11 @@
         None
     }
 
-    /// Delivers the batch before a watch is left.
-    async fn end_watch(&mut self, watch: &mut ActiveWatch, why: GapReason) -> WatchEnd {
+    /// Ends a watch. The batch is delivered first.
+    async fn end_watch(&mut self, watch: &mut ActiveWatch, reason: GapReason) -> WatchEnd {
         self.deliver(&mut watch.batch)
             .await
-            .map_or(WatchEnd::Gap(why), WatchEnd::Relist)
+            .map_or(WatchEnd::Gap(reason), WatchEnd::Relist)
     }
 
     async fn deliver(&mut self, batch: &mut Batch) -> Option<Relist> {
