--- a/crates/ivyward/src/peers/codec.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes as datagrams: a version, a keyed BLAKE3 tag, and the message as protobuf.
+//! The datagram format of messages between nodes: a version byte, a keyed BLAKE3 tag of 32 bytes, and the message as protobuf.
 
 use ivyward_core::peers::{
     Message, MessageBody, NodeInfo, PeerId, ReportedState, Update, MAX_UPDATES,
@@ -7,101 +7,102 @@
 use prost::Message as _;
 use std::net::{IpAddr, SocketAddr};
 
-/// Version of the datagrams that this program sends and accepts.
+/// Version of the datagram format. Datagrams of other versions are dropped.
 const VERSION: u8 = 1;
-/// Bytes before the message.
-const HEAD: usize = 33;
-/// The context of the key's derivation; another use of the same secret gives another key.
-const CONTEXT: &str = "ivyward 2026-12 seal of datagrams between nodes";
+/// Length of the version byte and the tag, in bytes.
+const HEADER_LENGTH: usize = 33;
+/// Context string of the key derivation, so that another use of the same secret gets another key. Part of the format: a change
+/// makes nodes reject each other's datagrams.
+const KEY_CONTEXT: &str = "ivyward 2026-12 seal of datagrams between nodes";
 
-/// Authenticates datagrams.
+/// Encodes and decodes authenticated datagrams.
 #[derive(Clone)]
 pub struct DatagramCodec {
     key: [u8; 32],
-    /// Whether only loopback addresses are accepted, as the owner set no key.
+    /// Whether only loopback addresses are accepted, because no secret is set.
     pub(crate) loopback_only: bool,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Truncated, of another version or no message at all.
-    #[error("it is no message: {0}")]
+    /// The datagram is truncated, of another version or malformed.
+    #[error("malformed datagram: {0}")]
     Malformed(#[from] ContentError),
-    /// Its tag does not match: another key, or it was altered.
-    #[error("its seal does not hold: is IVYWARD_PEER_KEY the same at all nodes?")]
+    /// The tag does not match: the sender has another key, or the datagram was altered.
+    #[error("the authentication tag does not match: is IVYWARD_PEER_KEY the same on all nodes?")]
     Authentication,
-    /// It names addresses beyond this machine, and there is no key.
-    #[error("it names {0}, which needs a key: set IVYWARD_PEER_KEY at all nodes")]
+    /// The datagram has an address other than loopback, and no secret is set.
+    #[error("{0} is not a loopback address and needs a key: set IVYWARD_PEER_KEY on all nodes")]
     NonLoopback(SocketAddr),
 }
 
-/// Why the content of a datagram is no message.
+/// Why the content of a datagram is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ContentError {
-    /// The head is missing or of another version.
-    #[error("another version, or cut off")]
-    Head,
-    /// It is no protobuf message of its type.
+    /// The header is truncated or of another version.
+    #[error("the header is truncated or of another version")]
+    Header,
+    /// The body is not a valid protobuf message.
     #[error(transparent)]
     Protobuf(#[from] prost::DecodeError),
     /// A node is missing.
-    #[error("no card")]
-    NoNode,
-    /// An address has no port.
-    #[error("a short address")]
+    #[error("a node is missing")]
+    MissingNode,
+    /// An address is shorter than its port, two bytes.
+    #[error("an address of fewer than two bytes")]
     ShortAddress,
-    /// An address is neither IPv4 nor IPv6.
-    #[error("no address of 4 or 16 bytes")]
+    /// An IP address has neither 4 nor 16 bytes.
+    #[error("an IP address that has neither 4 nor 16 bytes")]
     AddressLength,
     /// An address is unspecified, multicast or without a port.
-    #[error("an address that nobody has")]
+    #[error("an address that is unspecified, multicast or without a port")]
     UnreachableAddress,
-    /// A zone is out of its range.
+    /// A zone is over 255.
     #[error("zone {0} is over 255")]
     Zone(u32),
-    /// An update of a state that this version does not know.
+    /// An update has a state that this version does not know.
     #[error("an update of unknown state {0}")]
     UnknownState(u32),
-    /// More updates than a message may have.
-    #[error("{0} updates are too many")]
+    /// A message has more updates than [`MAX_UPDATES`].
+    #[error("{0} updates, more than a message may have")]
     TooManyUpdates(usize),
-    /// No body, or one of a later version.
-    #[error("no body, or one of a later version")]
+    /// The message has no body, or one that this version does not know.
+    #[error("the message body is missing or of an unknown type")]
     UnknownBody,
 }
 
 impl DatagramCodec {
-    /// With a key derived from the owner's secret, if there is one.
+    /// Derives the key from a secret. Without one, the codec accepts only loopback addresses.
     pub fn new(secret: Option<&str>) -> DatagramCodec {
-        let key = blake3::derive_key(CONTEXT, secret.unwrap_or_default().as_bytes());
+        let key = blake3::derive_key(KEY_CONTEXT, secret.unwrap_or_default().as_bytes());
         DatagramCodec {
             key,
             loopback_only: secret.is_none(),
         }
     }
 
-    /// A message as a datagram.
+    /// Encodes a message as a datagram.
     pub fn encode(&self, message: &Message) -> Vec<u8> {
         let body = encode_message(message).encode_to_vec();
-        let mut bytes = Vec::with_capacity(HEAD + body.len());
+        let mut bytes = Vec::with_capacity(HEADER_LENGTH + body.len());
         bytes.push(VERSION);
         bytes.extend_from_slice(blake3::keyed_hash(&self.key, &body).as_bytes());
         bytes.extend_from_slice(&body);
         bytes
     }
 
-    /// Reads a datagram that seems to come from there.
+    /// Authenticates and decodes a datagram. `source` is its source address, which anyone can forge.
     ///
     /// # Errors
-    /// [`DecodeError`].
+    /// Returns [`DecodeError`] if the datagram has to be dropped.
     pub fn decode(&self, bytes: &[u8], source: SocketAddr) -> Result<Message, DecodeError> {
-        if bytes.len() < HEAD || bytes[0] != VERSION {
-            return Err(ContentError::Head.into());
+        if bytes.len() < HEADER_LENGTH || bytes[0] != VERSION {
+            return Err(ContentError::Header.into());
         }
-        let (head, body) = bytes.split_at(HEAD);
-        let tag: [u8; 32] = head[1..].try_into().map_err(|_| ContentError::Head)?;
-        // Compared in constant time.
+        let (header, body) = bytes.split_at(HEADER_LENGTH);
+        let tag: [u8; 32] = header[1..].try_into().map_err(|_| ContentError::Header)?;
+        // `blake3::Hash` compares in constant time.
         if blake3::keyed_hash(&self.key, body) != blake3::Hash::from(tag) {
             return Err(DecodeError::Authentication);
         }
@@ -117,7 +118,7 @@
     }
 }
 
-/// All addresses that a message names.
+/// Returns all addresses in a message.
 fn addresses(message: &Message) -> impl Iterator<Item = SocketAddr> + '_ {
     let (page, relayed) = match &message.body {
         MessageBody::ViewPage { updates, .. } => (updates.as_slice(), None),
@@ -145,14 +146,14 @@
     }
 }
 
-fn decode_node(card: Option<pb::Card>) -> Result<NodeInfo, ContentError> {
-    let card = card.ok_or(ContentError::NoNode)?;
-    let at = card
+fn decode_node(node: Option<pb::Card>) -> Result<NodeInfo, ContentError> {
+    let node = node.ok_or(ContentError::MissingNode)?;
+    let port_at = node
         .address
         .len()
         .checked_sub(2)
         .ok_or(ContentError::ShortAddress)?;
-    let (ip, port) = card.address.split_at(at);
+    let (ip, port) = node.address.split_at(port_at);
     let ip = match (<[u8; 4]>::try_from(ip), <[u8; 16]>::try_from(ip)) {
         (Ok(ip), _) => IpAddr::from(ip),
         (_, Ok(ip)) => IpAddr::from(ip),
@@ -162,54 +163,54 @@
     if address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
         return Err(ContentError::UnreachableAddress);
     }
-    let zone = u8::try_from(card.zone).map_err(|_| ContentError::Zone(card.zone))?;
+    let zone = u8::try_from(node.zone).map_err(|_| ContentError::Zone(node.zone))?;
     Ok(NodeInfo {
-        id: PeerId(card.id),
-        incarnation: card.start,
+        id: PeerId(node.id),
+        incarnation: node.start,
         zone,
         address,
     })
 }
 
 fn encode_update(update: &Update) -> pb::Claim {
-    let (about, since) = match update.state {
+    let (state, since) = match update.state {
         ReportedState::Alive => (0, 0),
         ReportedState::Suspected { since } => (1, since / 1_000),
         ReportedState::Left => (2, 0),
     };
-    let ago = update.age.div_ceil(1_000);
+    let age_ms = update.age.div_ceil(1_000);
     pb::Claim {
         card: Some(encode_node(&update.node)),
         beat: update.heartbeat,
-        ago,
-        about,
+        ago: age_ms,
+        about: state,
         since,
     }
 }
 
-fn decode_update(claim: pb::Claim) -> Result<Update, ContentError> {
-    let about = match claim.about {
+fn decode_update(update: pb::Claim) -> Result<Update, ContentError> {
+    let state = match update.about {
         0 => ReportedState::Alive,
         1 => ReportedState::Suspected {
-            since: claim.since.saturating_mul(1_000),
+            since: update.since.saturating_mul(1_000),
         },
         2 => ReportedState::Left,
-        _ => return Err(ContentError::UnknownState(claim.about)),
+        _ => return Err(ContentError::UnknownState(update.about)),
     };
-    let ago = claim.ago.saturating_mul(1_000);
+    let age = update.ago.saturating_mul(1_000);
     Ok(Update {
-        node: decode_node(claim.card)?,
-        heartbeat: claim.beat,
-        age: ago,
-        state: about,
+        node: decode_node(update.card)?,
+        heartbeat: update.beat,
+        age,
+        state,
     })
 }
 
-fn decode_updates(claims: Vec<pb::Claim>) -> Result<Vec<Update>, ContentError> {
-    if claims.len() > MAX_UPDATES {
-        return Err(ContentError::TooManyUpdates(claims.len()));
+fn decode_updates(updates: Vec<pb::Claim>) -> Result<Vec<Update>, ContentError> {
+    if updates.len() > MAX_UPDATES {
+        return Err(ContentError::TooManyUpdates(updates.len()));
     }
-    claims.into_iter().map(decode_update).collect()
+    updates.into_iter().map(decode_update).collect()
 }
 
 fn encode_message(message: &Message) -> pb::Message {
@@ -270,9 +271,9 @@
             whole: ask.whole,
         },
         In::Page(page) => {
-            let claims = decode_updates(page.claims)?;
+            let updates = decode_updates(page.claims)?;
             MessageBody::ViewPage {
-                updates: claims,
+                updates,
                 next: page.next.map(PeerId),
                 last: page.last,
                 confirmed: page.sure,
@@ -281,13 +282,13 @@
         In::Leave(_) => MessageBody::Leave,
         In::Gossip(_) => MessageBody::Updates,
     };
-    let (from, claims) = (decode_node(message.from)?, decode_updates(message.claims)?);
+    let (from, updates) = (decode_node(message.from)?, decode_updates(message.claims)?);
     Ok(Message {
         from,
         heartbeat: message.beat,
         view_digest: message.view,
         body,
-        updates: claims,
+        updates,
     })
 }
 
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `wire` that nobody outside sees.
+//! Tests of the datagram format: lengths, authentication and validation.
 
 use super::*;
 use ivyward_runtime::MOST_DATAGRAM;
 
-fn card(address: &str) -> NodeInfo {
+fn node(address: &str) -> NodeInfo {
     NodeInfo {
         id: PeerId(u64::MAX),
         incarnation: u64::MAX,
@@ -11,36 +11,36 @@
         address: address.parse().unwrap(),
     }
 }
-fn claim(address: &str) -> Update {
-    // A beat of centuries, evidence of an hour.
-    let about = ReportedState::Suspected {
+fn update(address: &str) -> Update {
+    // Large values, so that their protobuf encoding is long: a heartbeat of 2^42 and ages of an hour.
+    let state = ReportedState::Suspected {
         since: 3_600_000_000,
     };
     Update {
-        node: card(address),
+        node: node(address),
         heartbeat: 1 << 42,
         age: 3_600_000_000,
-        state: about,
+        state,
     }
 }
-const FAR: &str = "[2001:db8::1]:65535";
+const LONG_ADDRESS: &str = "[2001:db8::1]:65535";
 
 #[test]
 fn longest_messages_fit_a_datagram_and_round_trip() {
-    let codec = DatagramCodec::new(Some("a key of the owner"));
-    let taken = MAX_UPDATES - 4;
+    let codec = DatagramCodec::new(Some("a key of sixteen bytes or more"));
+    let page_updates = MAX_UPDATES - 4;
     let page = |n: usize| MessageBody::ViewPage {
-        updates: vec![claim(FAR); n],
+        updates: vec![update(LONG_ADDRESS); n],
         next: Some(PeerId(1)),
         last: true,
         confirmed: true,
     };
     let bodies = [
-        (page(taken), 4),
+        (page(page_updates), 4),
         (
             MessageBody::PingRequest {
                 seq: u64::MAX,
-                to: card(FAR),
+                to: node(LONG_ADDRESS),
             },
             MAX_UPDATES,
         ),
@@ -63,13 +63,13 @@
         (MessageBody::Leave, 2),
         (MessageBody::Updates, MAX_UPDATES),
     ];
-    for (body, claims) in bodies {
+    for (body, updates) in bodies {
         let message = Message {
             view_digest: 0,
-            from: card(FAR),
+            from: node(LONG_ADDRESS),
             heartbeat: 1 << 42,
             body,
-            updates: vec![claim(FAR); claims],
+            updates: vec![update(LONG_ADDRESS); updates],
         };
         let bytes = codec.encode(&message);
         assert!(bytes.len() <= MOST_DATAGRAM, "{}: {message:?}", bytes.len());
@@ -79,17 +79,17 @@
 
 #[test]
 fn altered_truncated_or_differently_keyed_datagram_is_rejected() {
-    let here = "127.0.0.1:7000";
+    let address = "127.0.0.1:7000";
     let (codec, other) = (
-        DatagramCodec::new(Some("a key of the owner")),
-        DatagramCodec::new(Some("another of somebody")),
+        DatagramCodec::new(Some("a key of sixteen bytes or more")),
+        DatagramCodec::new(Some("the key of another deployment")),
     );
     let message = Message {
         view_digest: 0,
-        from: card(here),
+        from: node(address),
         heartbeat: 7,
         body: MessageBody::Ping { seq: 1 },
-        updates: vec![claim(here)],
+        updates: vec![update(address)],
     };
     let bytes = codec.encode(&message);
     let source = message.from.address;
@@ -104,7 +104,7 @@
     for at in 0..bytes.len() {
         assert!(
             codec.decode(&bytes[..at], source).is_err(),
-            "cut off at {at}"
+            "truncated at {at}"
         );
         for bit in 0..8 {
             let mut changed = bytes.clone();
@@ -116,65 +116,68 @@
 
 #[test]
 fn without_a_key_non_loopback_addresses_are_rejected() {
-    let (here, far) = ("127.0.0.1:7000", "192.0.2.1:7000");
+    let (loopback, remote) = ("127.0.0.1:7000", "192.0.2.1:7000");
     let codec = DatagramCodec::new(None);
-    let local: SocketAddr = here.parse().unwrap();
+    let local: SocketAddr = loopback.parse().unwrap();
     let ping = MessageBody::Ping { seq: 1 };
-    let of = |from: &str, body, claims| Message {
+    let message = |from: &str, body, updates| Message {
         view_digest: 0,
-        from: card(from),
+        from: node(from),
         heartbeat: 7,
         body,
-        updates: claims,
+        updates,
     };
-    let good = of(here, ping.clone(), vec![claim(here)]);
-    assert_eq!(codec.decode(&codec.encode(&good), local), Ok(good.clone()));
+    let accepted = message(loopback, ping.clone(), vec![update(loopback)]);
+    assert_eq!(
+        codec.decode(&codec.encode(&accepted), local),
+        Ok(accepted.clone())
+    );
     assert!(matches!(
-        codec.decode(&codec.encode(&good), far.parse().unwrap()),
+        codec.decode(&codec.encode(&accepted), remote.parse().unwrap()),
         Err(DecodeError::NonLoopback(_))
     ));
     let page = MessageBody::ViewPage {
-        updates: vec![claim(far)],
+        updates: vec![update(remote)],
         next: None,
         last: false,
         confirmed: false,
     };
-    let bad = [
-        of(far, ping.clone(), vec![]),
-        of(here, ping, vec![claim(far)]),
-        of(
-            here,
+    let rejected_messages = [
+        message(remote, ping.clone(), vec![]),
+        message(loopback, ping, vec![update(remote)]),
+        message(
+            loopback,
             MessageBody::PingRequest {
                 seq: 1,
-                to: card(far),
+                to: node(remote),
             },
             vec![],
         ),
-        of(here, page, vec![]),
+        message(loopback, page, vec![]),
     ];
-    for message in bad {
+    for rejected in rejected_messages {
         assert!(
             matches!(
-                codec.decode(&codec.encode(&message), local),
+                codec.decode(&codec.encode(&rejected), local),
                 Err(DecodeError::NonLoopback(_))
             ),
-            "{message:?}"
+            "{rejected:?}"
         );
     }
 }
 
 #[test]
 fn unreachable_addresses_and_unknown_states_are_rejected() {
-    let codec = DatagramCodec::new(Some("a key of the owner"));
+    let codec = DatagramCodec::new(Some("a key of sixteen bytes or more"));
     let local: SocketAddr = "127.0.0.1:7000".parse().unwrap();
-    let good = Message {
+    let valid = Message {
         view_digest: 0,
-        from: card("127.0.0.1:7000"),
+        from: node("127.0.0.1:7000"),
         heartbeat: 1,
         body: MessageBody::Leave,
         updates: vec![],
     };
-    let sealed = |message: pb::Message| {
+    let authenticated = |message: pb::Message| {
         let body = message.encode_to_vec();
         let mut bytes = vec![VERSION];
         bytes.extend_from_slice(blake3::keyed_hash(&codec.key, &body).as_bytes());
@@ -189,21 +192,23 @@
         |m| m.from.as_mut().unwrap().address = vec![1],
         |m| m.from.as_mut().unwrap().zone = 256,
     ];
-    assert!(codec.decode(&sealed(encode_message(&good)), local).is_ok());
+    assert!(codec
+        .decode(&authenticated(encode_message(&valid)), local)
+        .is_ok());
     for change in changes {
-        let mut message = encode_message(&good);
+        let mut message = encode_message(&valid);
         change(&mut message);
         assert!(matches!(
-            codec.decode(&sealed(message), local),
+            codec.decode(&authenticated(message), local),
             Err(DecodeError::Malformed(_))
         ));
     }
-    let many = Message {
-        updates: vec![claim("127.0.0.1:7000"); MAX_UPDATES + 1],
-        ..good
+    let too_many = Message {
+        updates: vec![update("127.0.0.1:7000"); MAX_UPDATES + 1],
+        ..valid
     };
     assert!(matches!(
-        codec.decode(&codec.encode(&many), local),
+        codec.decode(&codec.encode(&too_many), local),
         Err(DecodeError::Malformed(_))
     ));
 }
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -1,4 +1,5 @@
-//! The gossip task: datagrams, ticks and commands in, datagrams and the replica count out.
+//! The gossip task. It passes datagrams, ticks and commands to [`Peers`], sends the resulting datagrams and reports changes of
+//! the replica count.
 
 use super::codec::DatagramCodec;
 use super::handle::{lock, state_name, PeerCommand};
@@ -12,9 +13,9 @@
 use std::sync::{Arc, Mutex};
 use tracing::{error, info, warn};
 
-/// A failing socket is logged at most once in this span.
+/// Minimum time between two logged receive errors, in microseconds.
 const RECEIVE_LOG_INTERVAL: Micros = 1_000_000;
-/// Pause after a failed receive, so that a socket that only fails does not spin.
+/// Pause after a failed receive, in microseconds. Without it, a socket whose receives all fail would make the task a busy loop.
 const RECEIVE_PAUSE: Micros = 10_000;
 
 pub(super) struct Gossip {
@@ -23,7 +24,7 @@
     pub(super) socket: Box<dyn Datagrams>,
     pub(super) datagram_codec: DatagramCodec,
     pub(super) commands: async_channel::Receiver<PeerCommand>,
-    /// The replica count that the router was told last.
+    /// The replica count last reported to the router.
     pub(super) replica_count: u32,
 }
 
@@ -38,22 +39,22 @@
     pub(super) async fn run(mut self) {
         let runtime = self.host.context.runtime.clone();
         let mut bytes = [0u8; MOST_DATAGRAM + 1];
-        let (mut tick_at, span) = (runtime.now(), lock(&self.view).tick_interval());
+        let (mut tick_at, interval) = (runtime.now(), lock(&self.view).tick_interval());
         let mut last_failure = 0;
         loop {
             let wakeup = self.next_wakeup(&mut bytes, tick_at).await;
             let now = runtime.now();
-            // Datagrams that come without end must not keep the ticks from their turn.
+            // Checked for datagrams as well, so that a flood of them does not delay the ticks.
             if now >= tick_at && !matches!(wakeup, Wakeup::Command(_)) {
-                self.decide(|peers, out| peers.tick(now, out));
-                tick_at = now + span;
+                self.apply(|peers, out| peers.tick(now, out));
+                tick_at = now + interval;
             }
             match wakeup {
                 Wakeup::Datagram(Ok((length, source))) => {
                     self.on_datagram(now, &bytes[..length], source);
                 }
                 Wakeup::Datagram(Err(error)) => {
-                    // One that failed says nothing of the next.
+                    // Receiving continues: the error of one datagram does not affect the next.
                     if now.saturating_sub(last_failure) > RECEIVE_LOG_INTERVAL {
                         warn!(%error, "gossip receive failed, will retry");
                     }
@@ -62,20 +63,20 @@
                 }
                 Wakeup::Tick => {}
                 Wakeup::Command(PeerCommand::RecordAdded(node)) => {
-                    self.decide(|peers, out| peers.record_added(now, node, out));
+                    self.apply(|peers, out| peers.record_added(now, node, out));
                 }
                 Wakeup::Command(PeerCommand::RecordRemoved(id)) => {
-                    self.decide(|peers, _| peers.record_removed(now, id));
+                    self.apply(|peers, _| peers.record_removed(now, id));
                 }
                 Wakeup::Command(PeerCommand::Leave { done }) => {
-                    self.decide(|peers, out| peers.leave(now, out));
+                    self.apply(|peers, out| peers.leave(now, out));
                     drop(done);
                     return;
                 }
                 Wakeup::Closed => return,
             }
             if lock(&self.view).superseded() {
-                error!("another process has taken this node's name, gossip stopped: stop one of the two");
+                error!("another process uses this node's name, gossip stopped; stop one of the two processes");
                 return;
             }
         }
@@ -104,18 +105,18 @@
         metrics.peer_datagrams_taken.add(1);
         match self.datagram_codec.decode(bytes, source) {
             Ok(message) => self.on_message(now, message, source),
-            Err(why) => {
+            Err(error) => {
                 metrics.peer_datagrams_unread.add(1);
-                // The first one says what is wrong; a flood of them says no more.
+                // Only the first one is logged, so that a flood of them does not fill the log.
                 if metrics.peer_datagrams_unread.get() == 1 {
-                    warn!(%source, %why, "datagram dropped, further ones are only counted");
+                    warn!(%source, why = %error, "datagram dropped, further ones are only counted");
                 }
             }
         }
     }
 
     fn on_message(&mut self, now: Micros, message: Message, source: SocketAddr) {
-        self.decide(|peers, out| {
+        self.apply(|peers, out| {
             let (from, before) = (message.from.address, out.len());
             peers.handle_message(now, message, out);
             if !mutations::is_active(Mutation::AnswersToSource) {
@@ -130,8 +131,8 @@
         });
     }
 
-    /// Hands the decider one event and carries out its actions.
-    fn decide(&mut self, event: impl FnOnce(&mut Peers, &mut Vec<PeerAction>)) {
+    /// Applies an event to the view, carries out the resulting actions and reports a change of the replica count.
+    fn apply(&mut self, event: impl FnOnce(&mut Peers, &mut Vec<PeerAction>)) {
         let mut actions = Vec::new();
         let replica_count = {
             let mut view = lock(&self.view);
@@ -160,7 +161,7 @@
         let metrics = &self.host.context.metrics;
         metrics.peer_datagrams_sent.add(1);
         metrics.peer_bytes_sent.add(bytes.len() as u64);
-        // What cannot be sent is lost, as it may be anywhere on its way.
+        // An error is ignored: the protocol tolerates datagrams that are lost anywhere on their way.
         let _ = self.socket.send(&bytes, to);
     }
 
--- a/crates/ivyward/src/peers/handle.rs
+++ b/crates/ivyward/src/peers/handle.rs
@@ -1,20 +1,20 @@
-//! A node's peers as the rest of the node sees them.
+//! Access to the view of the peers for the rest of the node.
 
 use ivyward_core::peers::{NodeInfo, PeerId, PeerState, Peers};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A message to the gossip task.
+/// A command to the gossip task.
 pub(super) enum PeerCommand {
-    /// A record of the store names a node.
+    /// The store has a record of this node.
     RecordAdded(NodeInfo),
-    /// The record of a node is gone.
+    /// The record of this node was deleted from the store.
     RecordRemoved(PeerId),
-    /// The node ends: all peers are told, then `done` is dropped.
+    /// This node stops. The gossip task notifies all peers, then drops `done`.
     Leave { done: async_channel::Sender<()> },
 }
 
-/// A node's peers as the rest of the node sees them.
+/// Handle to a node's peers: its view of them, and their metrics.
 #[derive(Clone)]
 pub struct PeersHandle {
     pub(super) view: Arc<Mutex<Peers>>,
@@ -26,8 +26,8 @@
     view.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The name of a state in logs, metrics and the view's text. `indirect_only` stands for a peer that this node has not heard
-/// itself.
+/// Returns the name of a state in logs, metrics and the text of the view. `indirect_only` is true for a peer from which this
+/// node itself has received nothing.
 pub(super) fn state_name(state: PeerState, indirect_only: bool) -> &'static str {
     match state {
         PeerState::Alive if indirect_only => "unheard",
@@ -39,37 +39,37 @@
 }
 
 impl PeersHandle {
-    /// The address that receives datagrams.
+    /// Returns the address that receives datagrams, with the port that was bound.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
-    /// Reads the view of the peers.
+    /// Calls `read` with the view of the peers. The gossip task waits meanwhile, so `read` has to be short.
     pub fn with_view<T>(&self, read: impl FnOnce(&Peers) -> T) -> T {
         read(&lock(&self.view))
     }
-    /// Tells all peers that this node leaves.
+    /// Notifies all peers that this node leaves. Returns once the notifications are sent.
     pub(crate) async fn leave(&self) {
         let (done, wait) = async_channel::bounded(1);
         let leave = PeerCommand::Leave { done };
         if self.commands.send(leave).await.is_ok() {
-            // Ends with an error when all were told.
+            // The receive fails when the gossip task drops `done`, after it has notified all peers.
             let _ = wait.recv().await;
         }
     }
-    /// The view as text: this node, then a line for each other.
+    /// Formats the view as text: a line for this node, then a line for each peer.
     pub fn text(&self) -> String {
         use std::fmt::Write;
         self.with_view(|peers| {
-            let me = peers.local_node();
+            let local = peers.local_node();
             let mut out = String::new();
             // Writing to a String cannot fail.
             let _ = writeln!(
                 out,
                 "self id={:016x} start={} zone={} address={} count={} joined={}",
-                me.id.0,
-                me.incarnation,
-                me.zone,
-                me.address,
+                local.id.0,
+                local.incarnation,
+                local.zone,
+                local.address,
                 peers.replica_count(),
                 peers.has_complete_view()
             );
@@ -84,6 +84,7 @@
             out
         })
     }
+    /// Appends the metrics of the peers in the Prometheus text format.
     pub(crate) fn metrics(&self, out: &mut String) {
         use std::fmt::Write;
         self.with_view(|peers| {
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -1,12 +1,12 @@
-//! A node's peers: other nodes, known by gossip and by records in the store.
+//! Peer discovery: a node learns of other nodes by gossip over UDP and by node records in etcd.
 //!
-//! Whom to probe, whom to believe and how many there are is decided by [`ivyward_core::peers`]. Off unless the node's owner
-//! starts it with [`crate::Node::peers`].
+//! The protocol itself (probes, failure detection, the count of nodes) is in [`ivyward_core::peers`]; this module does its I/O.
+//! Disabled unless [`crate::Node::peers`] is called.
 //!
-//! - `options`: what the owner says.
-//! - `gossip`: the task that sends and receives datagrams; `codec`: their bytes.
-//! - `records`: records of nodes in the store.
-//! - `handle`: the view that the rest of the node reads.
+//! - `options`: the options and their validation.
+//! - `gossip`: the task that sends and receives datagrams; `codec`: the datagram format.
+//! - `records`: node records in etcd.
+//! - `handle`: access to the view of the peers for the rest of the node.
 
 mod codec;
 mod gossip;
@@ -29,34 +29,34 @@
 use tracing::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Commands that wait for the gossip task; whoever sends one more waits.
+/// Capacity of the gossip task's command queue. Senders wait while it is full.
 const COMMAND_CAPACITY: usize = 64;
 
-/// Why a node does not get to know others.
+/// Why peer discovery could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// An option cannot hold.
+    /// An option is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The port cannot be taken.
+    /// The UDP socket could not be bound.
     #[error("--peer-listen {address}: {error}")]
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         error: std::io::Error,
     },
 }
 
-/// What the peers need of their node.
+/// What peer discovery needs from its node.
 #[derive(Clone)]
 pub(crate) struct PeerHost {
     pub(crate) context: Arc<NodeContext>,
-    /// Tells the router how many nodes may be sending.
+    /// Passes the number of nodes that may be sending requests to the router.
     pub(crate) report_replica_count: Arc<dyn Fn(u32) + Send + Sync>,
 }
 
-/// Starts to know others. The settings' replica count holds as the least one until a complete view was seen.
+/// Starts peer discovery. Until the node has a complete view, the replica count of the settings is the minimum of the count.
 pub(crate) fn start(host: PeerHost, options: PeerOptions) -> Result<PeersHandle, PeerError> {
     options.check()?;
     let context = &host.context;
--- a/crates/ivyward/src/peers/options.rs
+++ b/crates/ivyward/src/peers/options.rs
@@ -1,4 +1,4 @@
-//! Options of the peers, and the checks on them.
+//! Options of peer discovery and their validation.
 
 use crate::settings::SettingsError;
 use ivyward_core::interface::Micros;
@@ -6,49 +6,52 @@
 use ivyward_etcd::EtcdOptions;
 use std::net::SocketAddr;
 
-/// Shortest secret, in bytes.
-const MIN_KEY_LENGTH: usize = 16;
-/// Most addresses of others.
-const MAX_PEERS: usize = 64;
-/// Spans allowed for `--peer-death-after`.
-const DEATH_TIMEOUTS: std::ops::RangeInclusive<Micros> = 500_000..=600_000_000;
-/// Seconds allowed for `--peer-lease`.
-const LEASES: std::ops::RangeInclusive<i64> = 2..=3_600;
+/// Minimum length of the secret in bytes.
+const MIN_KEY_BYTES: usize = 16;
+/// Maximum number of seed peers.
+const MAX_SEED_PEERS: usize = 64;
+/// Allowed values of `--peer-death-after`.
+const DEATH_TIMEOUT_RANGE: std::ops::RangeInclusive<Micros> = 500_000..=600_000_000;
+/// Allowed values of `--peer-lease`, in seconds.
+const LEASE_SECONDS_RANGE: std::ops::RangeInclusive<i64> = 2..=3_600;
 
-/// How a node gets to know others. Field names stand for flags: `listen` is `--peer-listen`.
+/// Options of peer discovery.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// The address that receives datagrams; port 0 takes a free one.
+    /// Address that receives datagrams (`--peer-listen`). Port 0 binds a free port.
     pub listen: SocketAddr,
-    /// The address by which others reach it; the listening one by default.
+    /// Address at which other nodes reach this one (`--peer-announce`). The bound address by default; required if `listen`
+    /// has an unspecified IP address.
     pub announce: Option<SocketAddr>,
-    /// Addresses of some others.
+    /// Addresses of some other nodes, from which the rest is learned (`--peer`). At most 64.
     pub seed_peers: Vec<SocketAddr>,
-    /// The node's name, the same after a restart; the announced address by default.
+    /// Name of the node, which must be the same after a restart (`--peer-name`). The announced address by default.
     pub name: Option<String>,
-    /// The secret from which the datagrams' key is derived. Without one only loopback addresses are accepted.
+    /// Secret from which the key that authenticates datagrams is derived; the same on all nodes, at least 16 bytes
+    /// (`IVYWARD_PEER_KEY`). Without a secret, only loopback addresses are accepted.
     pub key: Option<String>,
-    /// The store in which nodes write their records, if there is one.
+    /// Store for the node records. `None` writes and reads no records.
     pub store: Option<PeerStore>,
-    /// Timeouts and bounds of the gossip.
+    /// Timeouts and limits of the gossip protocol.
     pub gossip: PeerSettings,
 }
 
-/// The store in which nodes write their records.
+/// The etcd store in which nodes register themselves.
 #[derive(Clone, Debug)]
 pub struct PeerStore {
-    /// The store's endpoints.
+    /// Addresses of the etcd endpoints.
     pub endpoints: Vec<SocketAddr>,
-    /// Records stand below this prefix, each under its node's name as a number.
+    /// Prefix of the keys of node records (`--peer-prefix`). A key ends in the node's id as 16 hexadecimal digits.
     pub prefix: String,
-    /// Seconds that a record outlives its node.
+    /// Time to live of a record's lease in seconds, from 2 to 3600 (`--peer-lease`). A record remains for at most this long
+    /// after its node has stopped.
     pub lease_seconds: i64,
-    /// Options of the store's client.
+    /// Options of the etcd client.
     pub etcd: EtcdOptions,
 }
 
 impl PeerOptions {
-    /// Listens at an address, with nobody to ask.
+    /// Options with default values that listen at an address: no seed peers, no secret, no store.
     pub fn new(listen: SocketAddr) -> PeerOptions {
         PeerOptions {
             listen,
@@ -61,10 +64,10 @@
         }
     }
 
-    /// Checks the options.
+    /// Validates the options.
     ///
     /// # Errors
-    /// The first option that could not work.
+    /// Returns the first invalid option with its flag, value and reason.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_key()?;
         self.check_death_timeout()?;
@@ -74,24 +77,24 @@
 
     fn check_key(&self) -> Result<(), SettingsError> {
         if let Some(key) = &self.key {
-            return if key.len() < MIN_KEY_LENGTH {
+            return if key.len() < MIN_KEY_BYTES {
                 let value = format!("({} bytes)", key.len());
-                invalid("IVYWARD_PEER_KEY", value, "at least 16 bytes are needed")
+                invalid("IVYWARD_PEER_KEY", value, "must have at least 16 bytes")
             } else {
                 Ok(())
             };
         }
         let announce = self.announce.map(|a| ("--peer-announce", a));
         let peers = self.seed_peers.iter().map(|p| ("--peer", *p));
-        let mut all = [("--peer-listen", self.listen)]
+        let mut addresses = [("--peer-listen", self.listen)]
             .into_iter()
             .chain(announce)
             .chain(peers);
-        match all.find(|(_, address)| !address.ip().is_loopback()) {
+        match addresses.find(|(_, address)| !address.ip().is_loopback()) {
             Some((flag, address)) => invalid(
                 flag,
                 address,
-                "beyond this machine a key is needed: set IVYWARD_PEER_KEY at all nodes",
+                "addresses other than loopback need a key: set IVYWARD_PEER_KEY on all nodes",
             ),
             None => Ok(()),
         }
@@ -99,18 +102,18 @@
 
     fn check_death_timeout(&self) -> Result<(), SettingsError> {
         let death_timeout = self.gossip.death_timeout;
-        if DEATH_TIMEOUTS.contains(&death_timeout) {
+        if DEATH_TIMEOUT_RANGE.contains(&death_timeout) {
             return Ok(());
         }
         invalid(
             "--peer-death-after",
             format!("{}ms", death_timeout / 1_000),
-            "from 500ms to 10m: probes need a few tries",
+            "must be from 500ms to 10m, since a probe needs time for several attempts",
         )
     }
 
     fn check_addresses(&self) -> Result<(), SettingsError> {
-        let unreachable = "nobody can be reached there";
+        let unreachable = "an address without an IP address or a port cannot be reached";
         if let Some(announce) = self.announce.filter(is_unreachable) {
             return invalid("--peer-announce", announce, unreachable);
         }
@@ -118,17 +121,17 @@
             return invalid(
                 "--peer-listen",
                 self.listen,
-                "with it --peer-announce says where others reach this node",
+                "an unspecified address needs --peer-announce, the address at which other nodes reach this one",
             );
         }
         if let Some(peer) = self.seed_peers.iter().find(|peer| is_unreachable(peer)) {
             return invalid("--peer", peer, unreachable);
         }
-        if self.seed_peers.len() > MAX_PEERS {
+        if self.seed_peers.len() > MAX_SEED_PEERS {
             return invalid(
                 "--peer",
                 self.seed_peers.len(),
-                "64 at most; a few that are up are enough",
+                "64 at most; one that is running is enough",
             );
         }
         Ok(())
@@ -136,10 +139,10 @@
 
     fn check_lease(&self) -> Result<(), SettingsError> {
         match &self.store {
-            Some(store) if !LEASES.contains(&store.lease_seconds) => invalid(
+            Some(store) if !LEASE_SECONDS_RANGE.contains(&store.lease_seconds) => invalid(
                 "--peer-lease",
                 store.lease_seconds,
-                "from 2 to 3600 seconds",
+                "must be from 2 to 3600 seconds",
             ),
             _ => Ok(()),
         }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -1,4 +1,4 @@
-//! Nodes' records in the store: each writes its own under a lease, and reads those of the others.
+//! Node records in etcd. Each node writes its own record under a lease and watches those of the others.
 
 use super::handle::PeerCommand;
 use super::options::PeerStore;
@@ -15,59 +15,61 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Default prefix of the nodes' records.
+/// Default prefix of the keys of node records.
 pub const DEFAULT_NODE_PREFIX: &str = "ivyward/nodes/";
-/// Longest record, in bytes.
-const MAX_RECORD: usize = 1 << 10;
-/// Most keys of bad records that are remembered as logged.
+/// Maximum length of a record in bytes. Longer records are ignored.
+const MAX_RECORD_BYTES: usize = 1 << 10;
+/// Maximum number of keys of invalid records that are remembered as logged.
 const MAX_LOGGED_RECORDS: usize = 1_024;
-/// First and longest pause after the store failed; it doubles in between, and half of it is random.
-const PAUSES: (Micros, Micros) = (100_000, 5_000_000);
-/// A watch that was silent for this span is asked for its progress; silent for as long again, it is left.
-const SILENCE: Micros = 2_000_000;
+/// Initial and maximum pause after a failure of the store, in microseconds. The pause doubles with each further failure; its
+/// second half is random.
+const BACKOFF: (Micros, Micros) = (100_000, 5_000_000);
+/// A progress notification is requested on a watch that received nothing for this long, in microseconds. If nothing arrives
+/// for as long again, the watch has failed.
+const SILENCE_TIMEOUT: Micros = 2_000_000;
 
-/// A node's record, as JSON. Unknown fields are ignored.
+/// The record of a node, in JSON. Unknown fields are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate)]
 pub struct NodeRecord {
-    /// 1.
+    /// Version of the record format. Must be 1.
     #[garde(range(min = 1, max = 1))]
     pub version: u32,
-    /// The node's name as a number; in the key it stands as 16 hexadecimal digits.
+    /// Id of the node, a hash of its name. The key ends in the same id as 16 hexadecimal digits.
     #[garde(skip)]
     pub id: u64,
-    /// Its start: later ones are greater.
+    /// Incarnation of the node: its start time in microseconds since the Unix epoch. A restart gets a greater one.
     #[garde(skip)]
     pub start: u64,
-    /// Its zone.
+    /// Zone of the node. 0 by default.
     #[garde(skip)]
     #[serde(default)]
     pub zone: u8,
-    /// IP:PORT at which its peers reach it.
+    /// Address at which peers reach the node, as IP:PORT.
     #[garde(length(min = 3, max = 64))]
     pub address: String,
 }
 
-/// Why a record is not taken.
+/// Why a node record is ignored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NodeRecordError {
-    /// The key is no node's.
-    #[error("the key does not end in a node's number, 16 hexadecimal digits")]
+    /// The key does not end in the id of a node.
+    #[error("the key does not end in the id of a node, 16 hexadecimal digits")]
     Key,
-    /// Not JSON of a record.
+    /// The value is not a valid record in JSON, or its address cannot be reached.
     #[error("the record is malformed: {0}")]
     Malformed(String),
-    /// It contradicts its key.
-    #[error("the record is of {0:016x}, not of its key's node")]
-    Contradiction(u64),
+    /// The id in the record differs from that of its key.
+    #[error("the record has the id {0:016x}, which differs from the id in its key")]
+    IdMismatch(u64),
 }
 
 impl NodeRecord {
-    /// The key under which it stands.
+    /// Returns the key of a node's record.
     pub fn key(prefix: &str, id: PeerId) -> String {
         format!("{prefix}{:016x}", id.0)
     }
 
-    fn of(node: &NodeInfo) -> NodeRecord {
+    fn new(node: &NodeInfo) -> NodeRecord {
         NodeRecord {
             version: 1,
             id: node.id.0,
@@ -77,30 +79,30 @@
         }
     }
 
-    /// The node that a key names.
+    /// Returns the id of the node to which a key belongs.
     fn id_of_key(prefix: &str, key: &[u8]) -> Result<PeerId, NodeRecordError> {
         let name = key
             .strip_prefix(prefix.as_bytes())
             .and_then(|k| std::str::from_utf8(k).ok());
         let name = name.ok_or(NodeRecordError::Key)?;
         let id = u64::from_str_radix(name, 16).map_err(|_| NodeRecordError::Key)?;
-        // Only one way of writing a number, so that two keys never name one node.
+        // Only 16 lowercase digits are accepted, so that no two keys stand for the same node.
         match NodeRecord::key(prefix, PeerId(id)).as_bytes() == key {
             true => Ok(PeerId(id)),
             false => Err(NodeRecordError::Key),
         }
     }
 
-    /// Reads one.
+    /// Decodes and validates the record under a key.
     ///
     /// # Errors
-    /// [`NodeRecordError`].
+    /// Returns [`NodeRecordError`] if the key or the record is invalid.
     pub fn read(prefix: &str, key: &[u8], value: &[u8]) -> Result<NodeInfo, NodeRecordError> {
         let id = NodeRecord::id_of_key(prefix, key)?;
         let malformed = |e: String| NodeRecordError::Malformed(e);
-        if value.len() > MAX_RECORD {
+        if value.len() > MAX_RECORD_BYTES {
             return Err(malformed(format!(
-                "{} bytes; {MAX_RECORD} at most",
+                "{} bytes; {MAX_RECORD_BYTES} at most",
                 value.len()
             )));
         }
@@ -110,7 +112,7 @@
             .validate()
             .map_err(|e| malformed(e.to_string().trim().replace('\n', "; ")))?;
         if record.id != id.0 {
-            return Err(NodeRecordError::Contradiction(record.id));
+            return Err(NodeRecordError::IdMismatch(record.id));
         }
         let address: SocketAddr = record
             .address
@@ -128,7 +130,7 @@
     }
 }
 
-/// Writes this node's record and follows those of the others, until the node stops.
+/// Keeps this node's record in the store and watches the records of other nodes, until the node stops.
 pub(super) fn start(
     host: PeerHost,
     store: &PeerStore,
@@ -137,15 +139,15 @@
 ) {
     let context = &host.context;
     let runtime = metered(&context.runtime, &context.metrics.peer_traffic);
-    keep_record(&host, &runtime, store, local);
+    keep_registered(&host, &runtime, store, local);
     let mut watcher = RecordWatcher {
         client: client(&runtime, store),
         runtime: runtime.clone(),
         prefix: store.prefix.clone(),
         commands,
         known: BTreeSet::new(),
-        logged_bad_records: BTreeSet::new(),
-        pause: PAUSES.0,
+        logged_invalid_records: BTreeSet::new(),
+        pause: BACKOFF.0,
     };
     runtime.run(async move { or(watcher.run(), host.context.stopped()).await });
 }
@@ -154,16 +156,16 @@
     Client::new(runtime, store.endpoints.clone(), store.etcd.clone())
 }
 
-/// Keeps this node's record in the store, as a task of its own.
-fn keep_record(host: &PeerHost, runtime: &RuntimeRef, store: &PeerStore, local: NodeInfo) {
-    let keeper = client(runtime, store);
+/// Starts a task that keeps this node's record in the store.
+fn keep_registered(host: &PeerHost, runtime: &RuntimeRef, store: &PeerStore, local: NodeInfo) {
+    let client = client(runtime, store);
     let (key, lease) = (
         NodeRecord::key(&store.prefix, local.id),
         store.lease_seconds,
     );
-    // A record of these fields is always JSON.
-    let value = serde_json::to_vec(&NodeRecord::of(&local)).unwrap_or_default();
-    let (keeper_runtime, host) = (runtime.clone(), host.clone());
+    // Serialization of these field types cannot fail.
+    let value = serde_json::to_vec(&NodeRecord::new(&local)).unwrap_or_default();
+    let (task_runtime, host) = (runtime.clone(), host.clone());
     runtime.run(async move {
         let mut failing = false;
         let log = |event: LeaseEvent| match event {
@@ -180,57 +182,61 @@
                 key,
                 "node record deleted by someone else, not written again"
             ),
-            LeaseEvent::Taken(_) => warn!(key, "node record held by another process of this name"),
+            LeaseEvent::Taken(_) => warn!(
+                key,
+                "node record taken over by another process of the same name"
+            ),
         };
-        let keep = keeper.keep_registered(&keeper_runtime, key.as_bytes(), value, lease, log);
-        or(keep, host.context.stopped()).await;
+        let registration = client.keep_registered(&task_runtime, key.as_bytes(), value, lease, log);
+        or(registration, host.context.stopped()).await;
     });
 }
 
-/// Why the list of records is read again.
+/// Why the records have to be listed again.
 #[derive(Debug, thiserror::Error)]
 enum WatchEnd {
     #[error(transparent)]
     Store(#[from] EtcdError),
-    #[error("the watch is silent")]
+    #[error("the store did not answer a progress request in time")]
     Silent,
-    #[error("another store answers than the one that was listed")]
-    OtherStore,
-    #[error("compacted up to {0}")]
+    #[error("the watch was answered by another cluster than the list")]
+    OtherCluster,
+    #[error("the watched revision was compacted; the oldest available one is {0}")]
     Compacted(i64),
-    #[error("cancelled: {0}")]
+    #[error("the store cancelled the watch: {0}")]
     Cancelled(String),
 }
 
-/// Follows the records of other nodes.
+/// Watches the records of other nodes and passes them to the gossip task.
 struct RecordWatcher {
     client: Client,
     runtime: RuntimeRef,
     prefix: String,
     commands: async_channel::Sender<PeerCommand>,
-    /// Nodes that have a record. While the store cannot be reached they stay known.
+    /// Nodes that have a record. Unchanged while the store cannot be reached.
     known: BTreeSet<PeerId>,
-    /// Keys whose bad record was logged; cleared at [`MAX_LOGGED_RECORDS`].
-    logged_bad_records: BTreeSet<Vec<u8>>,
+    /// Keys whose invalid record was logged; cleared at [`MAX_LOGGED_RECORDS`].
+    logged_invalid_records: BTreeSet<Vec<u8>>,
+    /// Pause after the next failure, before jitter.
     pause: Micros,
 }
 
 impl RecordWatcher {
     async fn run(&mut self) {
         loop {
-            let why = match self.list_and_watch().await {
+            let reason = match self.list_and_watch().await {
                 Ok(never) => match never {},
-                Err(why) => why,
+                Err(reason) => reason,
             };
-            info!(%why, "node records watch interrupted, listing again");
+            info!(why = %reason, "node records watch interrupted, listing again");
             self.client.fail_over();
             let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
-            self.pause = (self.pause * 2).min(PAUSES.1);
+            self.pause = (self.pause * 2).min(BACKOFF.1);
             self.runtime.sleep(pause).await;
         }
     }
 
-    /// Lists, then watches until something may have been missed.
+    /// Lists the records, then watches them until changes may have been missed.
     async fn list_and_watch(&mut self) -> Result<Infallible, WatchEnd> {
         let prefix = self.prefix.clone().into_bytes();
         let list = self.client.list(&prefix).await?;
@@ -238,7 +244,7 @@
         let mut watch = self.client.watch(&prefix, list.revision + 1).await?;
         let mut progress_requested = false;
         loop {
-            let until = self.runtime.now().saturating_add(SILENCE);
+            let until = self.runtime.now().saturating_add(SILENCE_TIMEOUT);
             let Some(notice) = before(&self.runtime, until, watch.next()).await else {
                 if progress_requested {
                     return Err(WatchEnd::Silent);
@@ -248,9 +254,9 @@
                 continue;
             };
             let notice = notice?;
-            (progress_requested, self.pause) = (false, PAUSES.0);
+            (progress_requested, self.pause) = (false, BACKOFF.0);
             if watch.cluster().is_some_and(|c| c != list.cluster) {
-                return Err(WatchEnd::OtherStore);
+                return Err(WatchEnd::OtherCluster);
             }
             match notice {
                 Notice::Progress(_) => {}
@@ -291,16 +297,16 @@
         match NodeRecord::read(&self.prefix, &record.key, &record.value) {
             Ok(node) => {
                 self.known.insert(node.id);
-                // Fails only when the gossip task is over.
+                // Fails only after the gossip task has ended.
                 let _ = self.commands.send(PeerCommand::RecordAdded(node)).await;
             }
-            Err(problem) => {
-                if self.logged_bad_records.len() >= MAX_LOGGED_RECORDS {
-                    self.logged_bad_records.clear();
+            Err(error) => {
+                if self.logged_invalid_records.len() >= MAX_LOGGED_RECORDS {
+                    self.logged_invalid_records.clear();
                 }
-                if self.logged_bad_records.insert(record.key.clone()) {
+                if self.logged_invalid_records.insert(record.key.clone()) {
                     let key = String::from_utf8_lossy(&record.key);
-                    warn!(%key, %problem, "node record ignored");
+                    warn!(%key, problem = %error, "node record ignored");
                 }
             }
         }
