--- a/crates/ivyward-etcd/src/client.rs
+++ b/crates/ivyward-etcd/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: its connection to one endpoint at a time, failover, authentication and single calls.
+//! The client: the connection to one endpoint at a time, failover, authentication and unary calls.
 
 use crate::error::EtcdError;
 use crate::rpc;
@@ -9,21 +9,21 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// gRPC's code for a token that is not, or no longer, valid.
+/// gRPC status code for a missing, invalid or expired token.
 const UNAUTHENTICATED: u32 = 16;
 
-/// How a client behaves. Times are microseconds.
+/// Options of a client. Durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct EtcdOptions {
-    /// Timeout of opening a connection.
+    /// Timeout for opening a connection to an endpoint.
     pub dial_timeout: Micros,
-    /// Timeout of a call's response.
+    /// Timeout for the response of a call. A write that times out may have been applied.
     pub call_timeout: Micros,
-    /// Keys requested in one page of a list.
+    /// Number of keys requested in one page of a list.
     pub page_size: i64,
-    /// Largest number of keys in a list. A longer list is an error, so that it cannot exhaust memory.
+    /// Maximum number of keys in a list. A longer list is an error, so that it cannot exhaust memory.
     pub max_keys: usize,
-    /// User name and password.
+    /// User name and password. `None` sends no authentication token.
     pub credentials: Option<(String, String)>,
     /// Options of the gRPC connection.
     pub channel: Options,
@@ -37,7 +37,7 @@
             page_size: 1_000,
             max_keys: 100_000,
             credentials: None,
-            // Watch responses are larger than tokens, and few calls share the connection.
+            // Compared with connections to engines: watch responses are larger than tokens, and few calls share a connection.
             channel: Options {
                 stream_window: 1 << 20,
                 streams: 8,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Whether a call may be repeated after it broke.
+/// Whether a call may be retried after its connection failed or it timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Idempotency {
     Idempotent,
@@ -57,13 +57,14 @@
 
 #[derive(Default)]
 struct Connection {
-    /// Index of the endpoint that is in use, or tried next.
+    /// Index of the endpoint that is in use or will be tried next.
     endpoint: usize,
     channel: Option<Channel>,
+    /// The cached authentication token.
     token: Option<String>,
 }
 
-/// A client of one store. Calls go to one endpoint until it fails, then to the next.
+/// A client of an etcd cluster. Calls go to one endpoint until it fails, then to the next.
 pub struct Client {
     runtime: RuntimeRef,
     endpoints: Vec<SocketAddr>,
@@ -72,7 +73,7 @@
 }
 
 impl Client {
-    /// A client of the store at these endpoints. It connects on the first call.
+    /// Creates a client of the cluster at these endpoints. It connects on the first call.
     pub fn new(runtime: &RuntimeRef, endpoints: Vec<SocketAddr>, options: EtcdOptions) -> Client {
         Client {
             runtime: runtime.clone(),
@@ -97,11 +98,11 @@
         connection.endpoint = (connection.endpoint + 1) % self.endpoints.len().max(1);
     }
 
-    /// A connection to the endpoint in use, or to the first of the others that can be reached.
+    /// Returns a connection to the endpoint in use, or to the first of the others that can be reached.
     pub(crate) async fn channel(&self) -> Result<Channel, EtcdError> {
         let mut last_error = EtcdError::Unreachable(
             SocketAddr::from(([0, 0, 0, 0], 0)),
-            "no endpoint is given".into(),
+            "no endpoint is configured".into(),
         );
         for _ in 0..self.endpoints.len() {
             let (usable, endpoint) = {
@@ -144,10 +145,10 @@
         let deadline = self.runtime.now().saturating_add(self.options.dial_timeout);
         before(&self.runtime, deadline, dial)
             .await
-            .unwrap_or_else(|| Err(unreachable("not open in time".into())))
+            .unwrap_or_else(|| Err(unreachable("the connection was not open in time".into())))
     }
 
-    /// The headers of a call: the authentication token, if a login is set.
+    /// Returns the headers of a call: the authentication token, if credentials are set.
     pub(crate) async fn headers(&self, channel: &Channel) -> Result<HeaderMap, EtcdError> {
         let mut headers = HeaderMap::new();
         let Some((name, password)) = &self.options.credentials else {
@@ -158,8 +159,9 @@
             Some(token) => token,
             None => self.authenticate(channel, name, password).await?,
         };
-        let value = HeaderValue::from_str(&token)
-            .map_err(|_| EtcdError::invalid("a token that is no text"))?;
+        let value = HeaderValue::from_str(&token).map_err(|_| {
+            EtcdError::invalid("an authentication token that is not a valid header value")
+        })?;
         headers.insert("token", value);
         Ok(headers)
     }
@@ -183,7 +185,7 @@
         Ok(response.token)
     }
 
-    /// One attempt of a call.
+    /// Makes one attempt of a call on a connection.
     async fn attempt<M: Message + Default>(
         &self,
         channel: &Channel,
@@ -196,14 +198,14 @@
             let mut call = channel.call(path, encode(request), headers).await?;
             call.next::<M>()
                 .await?
-                .ok_or_else(|| EtcdError::invalid("an empty answer"))
+                .ok_or_else(|| EtcdError::invalid("a unary call without a response message"))
         };
         before(&self.runtime, deadline, response)
             .await
             .unwrap_or(Err(EtcdError::Timeout))
     }
 
-    /// Makes a call. An idempotent one that breaks is retried at the next endpoint.
+    /// Makes a call. An idempotent call whose connection fails or that times out is retried at the next endpoint.
     pub(crate) async fn call<M: Message + Default>(
         &self,
         path: &'static str,
@@ -224,15 +226,15 @@
                     code: UNAUTHENTICATED,
                     ..
                 }) if self.options.credentials.is_some() && !token_renewed => {
-                    // The token expired, or the store lost it.
+                    // The token expired, or the store restarted and does not know it. A new one is requested once.
                     token_renewed = true;
                     self.connection().token = None;
                 }
                 Err(error @ (EtcdError::Broken(_) | EtcdError::Timeout)) => {
                     self.fail_over();
-                    let retry = idempotency == Idempotency::Idempotent
+                    let may_retry = idempotency == Idempotency::Idempotent
                         && attempts < self.endpoints.len() + 1;
-                    if !retry {
+                    if !may_retry {
                         return Err(error);
                     }
                 }
--- a/crates/ivyward-etcd/src/error.rs
+++ b/crates/ivyward-etcd/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to the store fails.
+//! Errors of calls to the store.
 
 use ivyward_grpc::{CallError, Cause};
 use std::net::SocketAddr;
@@ -6,25 +6,25 @@
 /// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EtcdError {
-    /// No endpoint could be reached; the address and error of the last one tried.
-    #[error("no endpoint of the store answers; the last, {0}: {1}")]
+    /// No endpoint could be reached. Has the address and the error of the last one tried.
+    #[error("no endpoint of the store could be reached; the last one tried was {0}: {1}")]
     Unreachable(SocketAddr, String),
-    /// The store answered with a status.
-    #[error("the store answered with status {code}: {message}")]
+    /// The store returned an error status.
+    #[error("the store returned status {code}: {message}")]
     Status {
-        /// gRPC's code.
+        /// The gRPC status code.
         code: u32,
-        /// etcd's text, such as `etcdserver: mvcc: required revision has been compacted`.
+        /// The status message of etcd, such as `etcdserver: mvcc: required revision has been compacted`.
         message: String,
     },
-    /// The call broke; a write may have been done.
-    #[error("the call to the store broke: {0}")]
+    /// The connection failed during the call. A write may have been applied.
+    #[error("the connection failed during a call to the store: {0}")]
     Broken(String),
-    /// No response in time; a write may have been done.
-    #[error("no answer of the store in time")]
+    /// No response arrived within the call timeout. A write may have been applied.
+    #[error("the store did not respond in time")]
     Timeout,
-    /// The response does not fit the request.
-    #[error("the store's answer makes no sense: {0}")]
+    /// The response is malformed or does not match the request.
+    #[error("invalid response of the store: {0}")]
     InvalidResponse(String),
 }
 
--- a/crates/ivyward-etcd/src/kv.rs
+++ b/crates/ivyward-etcd/src/kv.rs
@@ -4,34 +4,35 @@
 use crate::error::EtcdError;
 use crate::{mvccpb, rpc};
 
-/// All keys of a prefix at one revision.
+/// All keys with a prefix at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct List {
-    /// The id of the store's cluster.
+    /// Id of the etcd cluster.
     pub cluster: u64,
-    /// The revision of the whole list. A watch continues from the next one.
+    /// Revision of all keys in the list. A watch that continues the list starts at the next revision.
     pub revision: i64,
-    /// The keys, in order.
+    /// The keys with their values, ordered by key.
     pub kvs: Vec<mvccpb::KeyValue>,
 }
 
 impl List {
     /// Takes the cluster and revision of the first page; later pages must come from the same cluster.
     fn check_header(&mut self, header: Option<rpc::ResponseHeader>) -> Result<(), EtcdError> {
-        let header = header.ok_or_else(|| EtcdError::invalid("a range without a header"))?;
+        let header =
+            header.ok_or_else(|| EtcdError::invalid("a range response without a header"))?;
         if self.revision == 0 {
             (self.cluster, self.revision) = (header.cluster_id, header.revision);
         } else if header.cluster_id != self.cluster {
             return Err(EtcdError::invalid(
-                "another store answered in the middle of a list",
+                "pages of one list came from different clusters",
             ));
         }
         Ok(())
     }
 }
 
-/// The end of the range of all keys with a prefix, as etcd defines it: the prefix with its last byte that is not 0xff
-/// incremented, or a single zero byte, which stands for no end, if there is no such byte.
+/// Returns the exclusive end of the range of all keys with a prefix. As etcd defines it, this is the prefix up to its last byte
+/// that is not 0xff, with that byte incremented. If there is no such byte, it is a single zero byte, which stands for no end.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -44,10 +45,10 @@
 }
 
 impl Client {
-    /// Reads a range of keys.
+    /// Reads a range of keys. Retried at the next endpoint after a failure.
     ///
     /// # Errors
-    /// [`EtcdError`].
+    /// Returns [`EtcdError`] if no endpoint returned a valid response.
     pub async fn range(
         &self,
         request: &rpc::RangeRequest,
@@ -56,11 +57,11 @@
             .await
     }
 
-    /// Reads all keys of a prefix, in pages at the revision of the first one.
+    /// Reads all keys with a prefix, in pages at the revision of the first page.
     ///
     /// # Errors
-    /// [`EtcdError`]; among them a revision that was compacted between two pages, after which the list is to be read
-    /// anew.
+    /// Returns [`EtcdError`] if a page could not be read or there are more than [`EtcdOptions::max_keys`](crate::EtcdOptions)
+    /// keys. If the revision was compacted between two pages, the list has to be read again.
     pub async fn list(&self, prefix: &[u8]) -> Result<List, EtcdError> {
         let mut list = List::default();
         let (mut key, end) = (prefix.to_vec(), prefix_end(prefix));
@@ -77,7 +78,7 @@
             if list.kvs.len() + page.kvs.len() > self.options.max_keys {
                 let limit = self.options.max_keys;
                 return Err(EtcdError::invalid(format!(
-                    "over {limit} keys below the prefix"
+                    "more than {limit} keys with the prefix"
                 )));
             }
             let last = page.kvs.last().map(|kv| kv.key.clone());
@@ -90,10 +91,10 @@
         }
     }
 
-    /// Writes a key, under a lease unless `lease` is 0. Returns the revision of the write.
+    /// Writes a key, under a lease unless `lease` is 0. Returns the revision of the write. Not retried.
     ///
     /// # Errors
-    /// [`EtcdError`]; after `Broken` or `Timeout` the key may have been written.
+    /// Returns [`EtcdError`]. After `Broken` or `Timeout` the key may have been written.
     pub async fn put(&self, key: &[u8], value: &[u8], lease: i64) -> Result<i64, EtcdError> {
         let request = rpc::PutRequest {
             key: key.into(),
@@ -108,10 +109,10 @@
         Ok(response.header.map_or(0, |h| h.revision))
     }
 
-    /// Deletes a key. Returns the number of deleted keys.
+    /// Deletes a key. Returns the number of deleted keys, 0 if the key did not exist. Not retried.
     ///
     /// # Errors
-    /// [`EtcdError`]; after `Broken` or `Timeout` the key may have been deleted.
+    /// Returns [`EtcdError`]. After `Broken` or `Timeout` the key may have been deleted.
     pub async fn delete(&self, key: &[u8]) -> Result<i64, EtcdError> {
         let request = rpc::DeleteRangeRequest {
             key: key.into(),
@@ -124,10 +125,10 @@
         Ok(response.deleted)
     }
 
-    /// Runs a transaction.
+    /// Executes a transaction. Not retried.
     ///
     /// # Errors
-    /// [`EtcdError`]; after `Broken` or `Timeout` it may have been run.
+    /// Returns [`EtcdError`]. After `Broken` or `Timeout` the transaction may have been executed.
     pub async fn txn(&self, request: &rpc::TxnRequest) -> Result<rpc::TxnResponse, EtcdError> {
         self.call("/etcdserverpb.KV/Txn", request, Idempotency::NonIdempotent)
             .await
--- a/crates/ivyward-etcd/src/lease.rs
+++ b/crates/ivyward-etcd/src/lease.rs
@@ -1,27 +1,27 @@
-//! Leases, and keys that are kept alive under one: registrations.
+//! Leases, and registrations: keys that are kept alive under a lease.
 
 use crate::client::{Client, Idempotency};
 use crate::error::EtcdError;
 use crate::rpc;
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 
-/// The lease id of a key without a lease.
+/// Lease id of a key without a lease.
 const NO_LEASE: i64 = 0;
-/// gRPC's status code for errors that have no code of their own.
+/// gRPC status code for errors without a more specific code.
 const UNKNOWN: u32 = 2;
 
 /// What happened to a registered key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseEvent {
-    /// It was written under this lease.
+    /// The key was written under this lease.
     Written(i64),
-    /// Its value was changed by someone else; the new value is kept from now on.
+    /// Someone else changed the value of the key. The registration keeps the new value from now on.
     Changed,
-    /// A call failed; it will be retried.
+    /// A call to the store failed. It will be retried.
     Failed(EtcdError),
-    /// It was deleted while its lease was alive. It is not written again, and the registration ended.
+    /// The key was deleted while its lease was alive. It is not written again, and the registration has ended.
     Deleted,
-    /// It is held by another lease: that of a later process of the same name. The registration ended.
+    /// The key belongs to another lease: a later process of the same name has written it. The registration has ended.
     Taken(i64),
 }
 
@@ -31,19 +31,20 @@
     }
 }
 
-/// Who holds a key, from the view of one lease.
+/// The state of a key, seen from one lease.
 enum KeyState {
-    /// It exists under this lease, with this value.
-    Held(Vec<u8>),
+    /// The key exists under this lease, with this value.
+    Owned(Vec<u8>),
     Absent,
-    HeldByOther(i64),
+    /// The key exists under another lease.
+    OwnedByOther(i64),
 }
 
 impl Client {
-    /// Grants a lease with a time to live in seconds. Returns its id.
+    /// Creates a lease with a time to live in seconds. Returns the id of the lease.
     ///
     /// # Errors
-    /// [`EtcdError`].
+    /// Returns [`EtcdError`] if the lease was not granted.
     pub async fn grant(&self, ttl_seconds: i64) -> Result<i64, EtcdError> {
         let request = rpc::LeaseGrantRequest {
             ttl: ttl_seconds,
@@ -64,7 +65,7 @@
     /// Revokes a lease, which deletes its keys.
     ///
     /// # Errors
-    /// [`EtcdError`].
+    /// Returns [`EtcdError`], also if the lease does not exist.
     pub async fn revoke(&self, lease: i64) -> Result<(), EtcdError> {
         let request = rpc::LeaseRevokeRequest { id: lease };
         let path = "/etcdserverpb.Lease/LeaseRevoke";
@@ -73,11 +74,11 @@
         Ok(())
     }
 
-    /// Renews a lease once. Returns its remaining time to live in seconds; 0 if it has expired and its keys are
+    /// Renews a lease once. Returns the remaining time to live in seconds, or 0 if the lease has expired and its keys are
     /// deleted.
     ///
     /// # Errors
-    /// [`EtcdError`].
+    /// Returns [`EtcdError`] if the store could not be asked.
     pub async fn renew(&self, lease: i64) -> Result<i64, EtcdError> {
         let request = rpc::LeaseKeepAliveRequest { id: lease };
         let path = "/etcdserverpb.Lease/LeaseKeepAlive";
@@ -88,8 +89,9 @@
 
     /// Writes a key under a lease and keeps both alive until the key is deleted or taken over by another lease.
     ///
-    /// Reports what happens to `on_event`. After the lease expired or the store lost it, the key is written again under
-    /// a new lease with its last value, so that an engine that was set to draining does not come back as ready.
+    /// Calls `on_event` for each change. If the lease has expired or the store has lost it, the key is written again under a
+    /// new lease. It gets its last value rather than `value`, so that an engine that was set to draining does not come back
+    /// as ready.
     pub async fn keep_registered(
         &self,
         runtime: &RuntimeRef,
@@ -107,7 +109,7 @@
         };
         let ttl = ttl_seconds.max(1) as u64 * 1_000_000;
         loop {
-            // A third of the time to live; sooner after a failure.
+            // Refreshed after a third of the time to live, retried after a tenth.
             let (event, pause) = match registration.refresh().await {
                 Ok(event) => (event, ttl / 3),
                 Err(e) => (Some(LeaseEvent::Failed(e)), ttl / 10),
@@ -119,7 +121,7 @@
                     return;
                 }
             }
-            // Jitter, so that not all registrations are refreshed at the same moment.
+            // With jitter, so that registrations that started together are not refreshed at the same moment.
             let jitter = 0.9 + 0.2 * runtime.unit();
             runtime.sleep((pause as f64 * jitter) as Micros).await;
         }
@@ -131,7 +133,7 @@
     client: &'a Client,
     key: &'a [u8],
     value: Vec<u8>,
-    /// The lease that the key was last written under; [`NO_LEASE`] before the first write.
+    /// Lease under which the key was last written; [`NO_LEASE`] before the first write.
     lease: i64,
     ttl_seconds: i64,
 }
@@ -144,19 +146,19 @@
         }
         let alive = self.client.renew(self.lease).await? > 0;
         match self.key_state(self.lease).await? {
-            KeyState::HeldByOther(lease) => Ok(Some(LeaseEvent::Taken(lease))),
-            KeyState::Held(value) if alive => Ok(self.adopt_value(value)),
-            // Guards against a store that lost everything between the two calls: a key counts as deleted only if it is
-            // absent while its lease is still alive.
+            KeyState::OwnedByOther(lease) => Ok(Some(LeaseEvent::Taken(lease))),
+            KeyState::Owned(value) if alive => Ok(self.adopt_value(value)),
+            // A key counts as deleted only if it is absent while its lease is still alive. The lease is renewed a second time
+            // because the store may have lost all its data between the two calls above.
             KeyState::Absent if alive && self.client.renew(self.lease).await? > 0 => {
                 Ok(Some(LeaseEvent::Deleted))
             }
             // The lease has expired.
-            KeyState::Held(_) | KeyState::Absent => self.write_under_new_lease().await,
+            KeyState::Owned(_) | KeyState::Absent => self.write_under_new_lease().await,
         }
     }
 
-    /// Keeps a value that someone else wrote.
+    /// Adopts a value that someone else wrote.
     fn adopt_value(&mut self, value: Vec<u8>) -> Option<LeaseEvent> {
         if value == self.value {
             return None;
@@ -173,14 +175,14 @@
             return Ok(Some(LeaseEvent::Written(granted)));
         }
         match self.key_state(granted).await? {
-            KeyState::HeldByOther(lease) => Ok(Some(LeaseEvent::Taken(lease))),
-            // The key under the old lease is about to be deleted; the next refresh sees it.
-            KeyState::Held(_) | KeyState::Absent => Ok(None),
+            KeyState::OwnedByOther(lease) => Ok(Some(LeaseEvent::Taken(lease))),
+            // The write was rejected because the key still existed, but it has been deleted since. The next refresh writes it.
+            KeyState::Owned(_) | KeyState::Absent => Ok(None),
         }
     }
 
-    /// The transaction that writes the key. The first write replaces whatever an earlier process left; later ones only
-    /// write an absent key.
+    /// Returns the transaction that writes the key. The first write replaces the key of an earlier process; later writes require
+    /// that the key does not exist.
     fn write_request(&self, lease: i64) -> rpc::TxnRequest {
         let put = rpc::PutRequest {
             key: self.key.into(),
@@ -210,13 +212,13 @@
         let found = self.client.range(&request).await?;
         Ok(match found.kvs.into_iter().next() {
             None => KeyState::Absent,
-            Some(kv) if kv.lease == lease => KeyState::Held(kv.value),
-            Some(kv) => KeyState::HeldByOther(kv.lease),
+            Some(kv) if kv.lease == lease => KeyState::Owned(kv.value),
+            Some(kv) => KeyState::OwnedByOther(kv.lease),
         })
     }
 }
 
-/// The condition that a key does not exist.
+/// Returns the condition that a key does not exist.
 fn key_is_absent(key: &[u8]) -> rpc::Compare {
     rpc::Compare {
         result: rpc::compare::CompareResult::Equal.into(),
--- a/crates/ivyward-etcd/src/lib.rs
+++ b/crates/ivyward-etcd/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! Modules, lowest first; each uses only those above it:
 //!
-//! - `error`: why a call to the store fails.
+//! - `error`: [`EtcdError`], why a call to the store failed.
 //! - `client`: [`Client`], with failover between endpoints and authentication.
 //! - `kv`: reads, writes and transactions; [`Client::list`] reads all keys of a prefix at one revision.
-//! - `lease`: leases; [`Client::keep_registered`] keeps a key alive under a lease, as a registration needs it.
-//! - `watch`: [`Watcher`], which delivers the changes after a revision and says when some may have been missed.
+//! - `lease`: leases; [`Client::keep_registered`] keeps a registration: a key under a lease that is renewed.
+//! - `watch`: [`Watcher`], which delivers the changes after a revision and reports when some may have been missed.
 
 mod client;
 mod error;
--- a/crates/ivyward-etcd/src/watch.rs
+++ b/crates/ivyward-etcd/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: the changes after a revision, or the news that some may have been missed.
+//! Watches, which deliver the changes after a revision or report that some may have been missed.
 
 use crate::client::Client;
 use crate::error::EtcdError;
@@ -7,40 +7,42 @@
 use http::HeaderMap;
 use ivyward_grpc::{encode, Call, Channel};
 
-/// Largest number of events that the fragments of one response may add up to.
+/// Maximum number of events in all fragments of one response together.
 const MAX_EVENTS: usize = 1 << 20;
 
-/// What a watch reports.
+/// A notification of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// Changes in the order of their revisions; all changes of a revision come in one notice.
+    /// Changes, ordered by revision. All changes of one revision are in the same notice.
     Events {
-        /// The store's revision when the notice was sent.
+        /// Revision of the store at the time of sending. It may be higher than that of the last event.
         revision: i64,
         /// The changes.
         events: Vec<mvccpb::Event>,
     },
     /// All changes up to this revision have been delivered.
     Progress(i64),
-    /// The requested revision was compacted; the keys are to be listed anew. The oldest revision that still exists.
+    /// The requested revision was compacted, and the keys have to be listed again. Has the oldest revision that still exists.
     Compacted(i64),
-    /// The store ended the watch, for this reason.
+    /// The store cancelled the watch for this reason.
     Cancelled(String),
 }
 
-/// A watch over a prefix. After any error or end, changes may have been missed.
+/// A watch on all keys with a prefix. After an error or its end, changes may have been missed.
 pub struct Watcher {
     call: Call,
+    /// Id of the cluster that responded; `None` before the first response.
     cluster: Option<u64>,
-    /// Events of the fragments received of an incomplete response.
+    /// Events of the fragments received so far of an incomplete response.
     fragments: Vec<mvccpb::Event>,
 }
 
 impl Client {
-    /// Watches all keys of a prefix, starting with the changes of revision `from`.
+    /// Watches all keys with a prefix, starting with the changes of revision `from`.
     ///
     /// # Errors
-    /// [`EtcdError`] when the store cannot be reached. Whether the revision still exists shows in the first notice.
+    /// Returns [`EtcdError`] if the store cannot be reached. A compacted revision is not an error here: the first notice is then
+    /// [`Notice::Compacted`].
     pub async fn watch(&self, prefix: &[u8], from: i64) -> Result<Watcher, EtcdError> {
         let channel = self.channel().await?;
         let headers = self.headers(&channel).await?;
@@ -77,7 +79,7 @@
         })
     }
 
-    /// Requests the revision up to which all changes have been delivered. It arrives as [`Notice::Progress`].
+    /// Requests a progress notification. It arrives as [`Notice::Progress`].
     pub fn request_progress(&mut self) {
         let union = rpc::watch_request::RequestUnion::ProgressRequest(rpc::WatchProgressRequest {});
         self.call.send(encode(&rpc::WatchRequest {
@@ -85,15 +87,15 @@
         }));
     }
 
-    /// The id of the store's cluster, once the store has responded.
+    /// Returns the id of the etcd cluster, once the store has responded.
     pub fn cluster(&self) -> Option<u64> {
         self.cluster
     }
 
-    /// The next notice.
+    /// Returns the next notice.
     ///
     /// # Errors
-    /// [`EtcdError`] when the watch broke.
+    /// Returns [`EtcdError`] if the connection failed, the store closed the watch or a response is invalid.
     pub async fn next(&mut self) -> Result<Notice, EtcdError> {
         loop {
             let response = self.call.next::<rpc::WatchResponse>().await?;
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Handles a response. Returns `None` while more fragments follow, and for the confirmation of a new watch.
+    /// Processes a response. Returns `None` while more fragments follow, and for the confirmation of a new watch.
     fn receive(&mut self, response: rpc::WatchResponse) -> Result<Option<Notice>, EtcdError> {
         let header = response.header.unwrap_or_default();
         self.check_cluster(header.cluster_id)?;
@@ -117,7 +119,7 @@
         }
         if self.fragments.len() + response.events.len() > MAX_EVENTS {
             return Err(EtcdError::invalid(format!(
-                "over {MAX_EVENTS} events in one response"
+                "more than {MAX_EVENTS} events in one response"
             )));
         }
         self.fragments.extend(response.events);
@@ -132,10 +134,12 @@
         Ok(Some(Notice::Events { revision, events }))
     }
 
-    /// Rejects a response of another cluster than the one that the watch began with. An id of 0 states no cluster.
+    /// Rejects a response of another cluster than that of the first response. A response with id 0 names no cluster.
     fn check_cluster(&mut self, cluster: u64) -> Result<(), EtcdError> {
         if cluster != 0 && *self.cluster.get_or_insert(cluster) != cluster {
-            return Err(EtcdError::invalid("another store went on with the watch"));
+            return Err(EtcdError::invalid(
+                "responses of one watch came from different clusters",
+            ));
         }
         Ok(())
     }
--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against the fake store, on loopback.
+//! The etcd client against the fake store over loopback sockets.
 
 use futures_lite::future::block_on;
 use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, LeaseEvent, Notice};
@@ -22,10 +22,13 @@
     }
 }
 
-fn client(at: &[SocketAddr], options: EtcdOptions) -> (Arc<SmolRuntime>, Client) {
+fn client(endpoints: &[SocketAddr], options: EtcdOptions) -> (Arc<SmolRuntime>, Client) {
     let runtime = SmolRuntime::start(1, 1);
-    let as_ref: RuntimeRef = runtime.clone();
-    (runtime, Client::new(&as_ref, at.to_vec(), options))
+    let runtime_ref: RuntimeRef = runtime.clone();
+    (
+        runtime,
+        Client::new(&runtime_ref, endpoints.to_vec(), options),
+    )
 }
 
 fn keys(notice: &Notice) -> Vec<String> {
@@ -57,7 +60,7 @@
             (40, store.revision(), 1)
         );
         assert!(list.kvs.windows(2).all(|w| w[0].key < w[1].key));
-        // A page at the first one's revision does not see what came later.
+        // A read at an earlier revision returns the keys of that revision.
         let request = rpc::RangeRequest {
             key: b"a/".into(),
             range_end: b"a0".into(),
@@ -67,11 +70,12 @@
         client.delete(b"a/05").await.unwrap();
         assert_eq!(client.range(&request).await.unwrap().count, 19);
         store.compact();
-        let gone = client.range(&request).await.unwrap_err();
+        let compacted = client.range(&request).await.unwrap_err();
         assert!(
-            gone.to_string()
+            compacted
+                .to_string()
                 .contains("required revision has been compacted"),
-            "{gone}"
+            "{compacted}"
         );
         assert_eq!(client.list(b"a/").await.unwrap().kvs.len(), 39);
         assert_eq!(client.list(b"none/").await.unwrap().kvs.len(), 0);
@@ -87,12 +91,12 @@
         store.put("b/1", "beside");
         store.delete("a/1");
         let mut watch = client.watch(b"a/", from).await.unwrap();
-        // Earlier changes in order, then new ones.
+        // The watch first delivers the earlier changes in order, then new ones.
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/1", "a/1"]);
         store.put("a/2", "y");
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/2"]);
-        // Fragments of a large response are joined to one notice.
-        let many = rpc::TxnRequest {
+        // Fragments of a large response are combined into one notice.
+        let large = rpc::TxnRequest {
             success: (0..250)
                 .map(|i| rpc::RequestOp {
                     request: Some(rpc::request_op::Request::RequestPut(rpc::PutRequest {
@@ -103,21 +107,21 @@
                 .collect(),
             ..Default::default()
         };
-        assert!(client.txn(&many).await.unwrap().succeeded);
+        assert!(client.txn(&large).await.unwrap().succeeded);
         assert_eq!(keys(&watch.next().await.unwrap()).len(), 250);
         watch.request_progress();
         assert_eq!(
             watch.next().await.unwrap(),
             Notice::Progress(store.revision())
         );
-        // A compacted revision.
+        // A watch from a compacted revision reports the oldest available one.
         store.compact();
-        let mut old = client.watch(b"a/", from).await.unwrap();
+        let mut compacted = client.watch(b"a/", from).await.unwrap();
         assert_eq!(
-            old.next().await.unwrap(),
+            compacted.next().await.unwrap(),
             Notice::Compacted(store.revision())
         );
-        // The store ends the watch.
+        // The store cancels the watch.
         store.cancel_watches();
         assert!(matches!(watch.next().await.unwrap(), Notice::Cancelled(_)));
     });
@@ -152,12 +156,12 @@
         // A read is retried at the other endpoint.
         assert_eq!(client.list(b"a").await.unwrap().kvs.len(), 0);
         client.fail_over();
-        // A write without a response may have been done, so it is not retried.
+        // A write without a response may have been applied, so it is not retried.
         assert_eq!(client.put(b"a", b"2", 0).await, Err(EtcdError::Timeout));
         assert_eq!(second.keys(), Vec::<String>::new());
         first.crash();
         client.fail_over();
-        // Nothing was sent to the crashed one, so the write goes to the next endpoint at once.
+        // No connection to the crashed endpoint could be opened, so the write was not sent and goes to the next endpoint.
         client.put(b"a", b"3", 0).await.unwrap();
         assert_eq!(second.keys(), ["a"]);
     });
@@ -197,10 +201,10 @@
 }
 
 #[test]
-fn login_is_used_when_the_store_requires_it() {
+fn credentials_are_sent_when_the_store_requires_them() {
     let store = store(1);
     store.fault(|f| f.login = Some(("ivy".into(), "secret".into())));
-    let login = |password: &str| Some(("ivy".to_string(), password.to_string()));
+    let credentials = |password: &str| Some(("ivy".to_string(), password.to_string()));
     let with = |credentials| {
         client(
             &[store.address()],
@@ -211,24 +215,24 @@
         )
     };
     block_on(async {
-        let (_runtime, nobody) = with(None);
+        let (_runtime, without_credentials) = with(None);
         assert!(matches!(
-            nobody.list(b"a").await,
+            without_credentials.list(b"a").await,
             Err(EtcdError::Status { code: 16, .. })
         ));
-        let (_runtime, wrong) = with(login("guess"));
-        let error = wrong.list(b"a").await.unwrap_err();
+        let (_runtime, wrong_password) = with(credentials("guess"));
+        let error = wrong_password.list(b"a").await.unwrap_err();
         assert!(
             error.to_string().contains("invalid user ID or password"),
             "{error}"
         );
-        let (_runtime, right) = with(login("secret"));
-        right.put(b"a", b"x", 0).await.unwrap();
-        assert_eq!(right.list(b"a").await.unwrap().kvs.len(), 1);
+        let (_runtime, right_password) = with(credentials("secret"));
+        right_password.put(b"a", b"x", 0).await.unwrap();
+        assert_eq!(right_password.list(b"a").await.unwrap().kvs.len(), 1);
     });
 }
 
-/// An expired token is replaced, also between the pages of a list.
+/// The client requests a new token when the store rejects an expired one, also between the pages of a list.
 #[test]
 fn expired_token_is_renewed() {
     let store = store(1);
@@ -242,14 +246,14 @@
         },
     );
     block_on(async {
-        // Each token expires before it is used: the store's rejection is returned, not retried forever.
+        // Each token expires before it is used. The client returns the store's error instead of retrying forever.
         assert!(matches!(
             client.put(b"a", b"x", 0).await,
             Err(EtcdError::Status { code: 16, .. })
         ));
         store.fault(|f| f.token_life = 50_000);
         for i in 0..30 {
-            // Many of these find their token expired; each requests a new one once.
+            // The token has expired for many of these writes; each of them requests a new one at most once.
             let put = client.put(format!("a/{i}").as_bytes(), b"x", 0).await;
             assert!(
                 matches!(put, Ok(_) | Err(EtcdError::Status { code: 16, .. })),
@@ -265,17 +269,17 @@
     });
 }
 
-/// A registered key is written again with its last value after its lease was lost, left alone once it was deleted by
-/// hand, and given up to a later process of the same name.
+/// A registered key is written again with its last value after its lease was lost. It is not written again after a deletion by
+/// hand, or after a later process of the same name has taken it over.
 #[test]
 fn registered_key_is_kept_alive_under_its_lease() {
     let store = store(1);
     let (runtime, client) = client(&[store.address()], options());
     let client = Arc::new(client);
-    let as_ref: RuntimeRef = runtime.clone();
+    let runtime_ref: RuntimeRef = runtime.clone();
     let register = |key: &'static str| {
         let (sender, events) = async_channel::unbounded();
-        let (client, on) = (client.clone(), as_ref.clone());
+        let (client, on) = (client.clone(), runtime_ref.clone());
         runtime.run(async move {
             let on_event = |event| drop(sender.try_send(event));
             client
@@ -303,14 +307,14 @@
         );
         store.delete("a/1");
         assert_eq!(events.recv().await, Ok(LeaseEvent::Deleted));
-        assert!(events.recv().await.is_err(), "the registration ended");
+        assert!(events.recv().await.is_err(), "the registration has ended");
         assert_eq!(store.keys(), Vec::<String>::new());
-        // A later process of the same name takes over the key; the earlier one notices and stops.
-        let one = register("a/2");
-        assert!(matches!(one.recv().await, Ok(LeaseEvent::Written(_))));
-        let two = register("a/2");
-        assert!(matches!(two.recv().await, Ok(LeaseEvent::Written(_))));
-        assert!(matches!(one.recv().await, Ok(LeaseEvent::Taken(_))));
-        assert!(one.recv().await.is_err(), "the registration ended");
+        // A later process of the same name takes over the key. The earlier process notices and ends its registration.
+        let earlier = register("a/2");
+        assert!(matches!(earlier.recv().await, Ok(LeaseEvent::Written(_))));
+        let later = register("a/2");
+        assert!(matches!(later.recv().await, Ok(LeaseEvent::Written(_))));
+        assert!(matches!(earlier.recv().await, Ok(LeaseEvent::Taken(_))));
+        assert!(earlier.recv().await.is_err(), "the registration has ended");
     });
 }
