--- a/crates/ivyward-etcd/src/lib.rs
+++ b/crates/ivyward-etcd/src/lib.rs
@@ -19,4 +19,4 @@
 pub use ivyward_proto::etcd::{etcdserverpb as rpc, mvccpb};
 pub use kv::{prefix_end, List};
 pub use lease::LeaseEvent;
-pub use watch::{Notice, Watcher};
+pub use watch::{Notification, Watcher};
--- a/crates/ivyward-etcd/src/watch.rs
+++ b/crates/ivyward-etcd/src/watch.rs
@@ -12,8 +12,8 @@
 
 /// A notification of a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
-    /// Changes, ordered by revision. All changes of one revision are in the same notice.
+pub enum Notification {
+    /// Changes, ordered by revision. All changes of one revision are in the same notification.
     Events {
         /// Revision of the store at the time of sending. It may be higher than that of the last event.
         revision: i64,
@@ -41,8 +41,8 @@
     /// Watches all keys with a prefix, starting with the changes of revision `from`.
     ///
     /// # Errors
-    /// Returns [`EtcdError`] if the store cannot be reached. A compacted revision is not an error here: the first notice is then
-    /// [`Notice::Compacted`].
+    /// Returns [`EtcdError`] if the store cannot be reached. A compacted revision is not an error here: the first notification is then
+    /// [`Notification::Compacted`].
     pub async fn watch(&self, prefix: &[u8], from: i64) -> Result<Watcher, EtcdError> {
         let channel = self.channel().await?;
         let headers = self.headers(&channel).await?;
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Requests a progress notification. It arrives as [`Notice::Progress`].
+    /// Requests a progress notification. It arrives as [`Notification::Progress`].
     pub fn request_progress(&mut self) {
         let union = rpc::watch_request::RequestUnion::ProgressRequest(rpc::WatchProgressRequest {});
         self.call.send(encode(&rpc::WatchRequest {
@@ -92,30 +92,30 @@
         self.cluster
     }
 
-    /// Returns the next notice.
+    /// Returns the next notification.
     ///
     /// # Errors
     /// Returns [`EtcdError`] if the connection failed, the store closed the watch or a response is invalid.
-    pub async fn next(&mut self) -> Result<Notice, EtcdError> {
+    pub async fn next(&mut self) -> Result<Notification, EtcdError> {
         loop {
             let response = self.call.next::<rpc::WatchResponse>().await?;
             let response =
                 response.ok_or_else(|| EtcdError::Broken("the store closed the watch".into()))?;
-            if let Some(notice) = self.receive(response)? {
-                return Ok(notice);
+            if let Some(notification) = self.receive(response)? {
+                return Ok(notification);
             }
         }
     }
 
     /// Processes a response. Returns `None` while more fragments follow, and for the confirmation of a new watch.
-    fn receive(&mut self, response: rpc::WatchResponse) -> Result<Option<Notice>, EtcdError> {
+    fn receive(&mut self, response: rpc::WatchResponse) -> Result<Option<Notification>, EtcdError> {
         let header = response.header.unwrap_or_default();
         self.check_cluster(header.cluster_id)?;
         if response.compact_revision > 0 {
-            return Ok(Some(Notice::Compacted(response.compact_revision)));
+            return Ok(Some(Notification::Compacted(response.compact_revision)));
         }
         if response.canceled {
-            return Ok(Some(Notice::Cancelled(response.cancel_reason)));
+            return Ok(Some(Notification::Cancelled(response.cancel_reason)));
         }
         if self.fragments.len() + response.events.len() > MAX_EVENTS {
             return Err(EtcdError::invalid(format!(
@@ -129,9 +129,9 @@
         let revision = header.revision;
         let events = std::mem::take(&mut self.fragments);
         if events.is_empty() {
-            return Ok(Some(Notice::Progress(revision)));
+            return Ok(Some(Notification::Progress(revision)));
         }
-        Ok(Some(Notice::Events { revision, events }))
+        Ok(Some(Notification::Events { revision, events }))
     }
 
     /// Rejects a response of another cluster than that of the first response. A response with id 0 names no cluster.
--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -1,7 +1,7 @@
 //! The etcd client against the fake store over loopback sockets.
 
 use futures_lite::future::block_on;
-use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, LeaseEvent, Notice};
+use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, LeaseEvent, Notification};
 use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
@@ -31,9 +31,9 @@
     )
 }
 
-fn keys(notice: &Notice) -> Vec<String> {
-    let Notice::Events { events, .. } = notice else {
-        panic!("{notice:?}")
+fn keys(notification: &Notification) -> Vec<String> {
+    let Notification::Events { events, .. } = notification else {
+        panic!("{notification:?}")
     };
     let key = |kv: &ivyward_etcd::mvccpb::KeyValue| String::from_utf8_lossy(&kv.key).into_owned();
     events
@@ -95,7 +95,7 @@
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/1", "a/1"]);
         store.put("a/2", "y");
         assert_eq!(keys(&watch.next().await.unwrap()), ["a/2"]);
-        // Fragments of a large response are combined into one notice.
+        // Fragments of a large response are combined into one notification.
         let large = rpc::TxnRequest {
             success: (0..250)
                 .map(|i| rpc::RequestOp {
@@ -112,18 +112,21 @@
         watch.request_progress();
         assert_eq!(
             watch.next().await.unwrap(),
-            Notice::Progress(store.revision())
+            Notification::Progress(store.revision())
         );
         // A watch from a compacted revision reports the oldest available one.
         store.compact();
         let mut compacted = client.watch(b"a/", from).await.unwrap();
         assert_eq!(
             compacted.next().await.unwrap(),
-            Notice::Compacted(store.revision())
+            Notification::Compacted(store.revision())
         );
         // The store cancels the watch.
         store.cancel_watches();
-        assert!(matches!(watch.next().await.unwrap(), Notice::Cancelled(_)));
+        assert!(matches!(
+            watch.next().await.unwrap(),
+            Notification::Cancelled(_)
+        ));
     });
 }
 
@@ -176,7 +179,7 @@
         client.put(b"a/1", b"x", lease).await.unwrap();
         assert_eq!(client.renew(lease).await.unwrap(), 2);
         let mut watch = client.watch(b"a/", store.revision() + 1).await.unwrap();
-        let Notice::Events { events, .. } = watch.next().await.unwrap() else {
+        let Notification::Events { events, .. } = watch.next().await.unwrap() else {
             panic!()
         };
         assert_eq!(
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -44,8 +44,8 @@
     /// A list with a lower revision than one seen before takes effect only once the store has returned nothing but such lists
     /// for this long. The store was then restored from an older backup.
     pub behind_grace: Micros,
-    /// File for snapshots of the endpoint list, which is read at a start while the store cannot be reached. `None` writes no
-    /// snapshots.
+    /// File for snapshots of the endpoint list. It is read at the start, so that the node has engines while the store cannot be
+    /// reached. `None` reads and writes no snapshots.
     pub snapshot: Option<PathBuf>,
     /// The initial and the maximum pause after a failure. The pause doubles with each further failure and has jitter.
     pub backoff: (Micros, Micros),
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -5,7 +5,7 @@
 use ivyward_core::interface::{EndpointState, Micros};
 use ivyward_core::membership::WatchEvent;
 use ivyward_core::mutations::{self, Mutation};
-use ivyward_etcd::{mvccpb, EtcdError, Notice, Watcher};
+use ivyward_etcd::{mvccpb, EtcdError, Notification, Watcher};
 use ivyward_runtime::before;
 
 /// Maximum number of events in a batch. A batch that reaches it is delivered at once.
@@ -68,7 +68,7 @@
     stream: Watcher,
     /// Whether a progress notification was requested and nothing has arrived since.
     progress_requested: bool,
-    /// When the last notice arrived or progress was last requested.
+    /// When the last notification arrived or progress was last requested.
     silent_since: Micros,
     batch: Batch,
 }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Waits for the next notice, the delivery time of the batch, the time of the snapshot write or the silence timeout,
+    /// Waits for the next notification, the delivery time of the batch, the time of the snapshot write or the silence timeout,
     /// whichever comes first, and handles it. Returns `Some` if the watch has ended.
     async fn watch_step(&mut self, watch: &mut ActiveWatch) -> Option<WatchEnd> {
         let deliver_at = self.delivery_time(&watch.batch);
@@ -113,7 +113,7 @@
             .flatten()
             .fold(silent_until, Micros::min);
         match before(&self.runtime, wake_at, watch.stream.next()).await {
-            Some(Ok(notice)) => self.on_notice(watch, notice).await,
+            Some(Ok(notification)) => self.on_notification(watch, notification).await,
             Some(Err(error)) => {
                 self.client.fail_over();
                 Some(self.end_watch(watch, error.into()).await)
@@ -154,7 +154,11 @@
         None
     }
 
-    async fn on_notice(&mut self, watch: &mut ActiveWatch, notice: Notice) -> Option<WatchEnd> {
+    async fn on_notification(
+        &mut self,
+        watch: &mut ActiveWatch,
+        notification: Notification,
+    ) -> Option<WatchEnd> {
         watch.progress_requested = false;
         self.pause = self.options.backoff.0;
         watch.silent_since = self.runtime.now();
@@ -164,23 +168,23 @@
         if cluster.is_some() && cluster != self.membership.cluster() {
             return Some(self.end_watch(watch, GapReason::OtherCluster).await);
         }
-        match notice {
-            Notice::Progress(revision) => {
-                // The batch is delivered first, because the notice confirms that it is complete.
+        match notification {
+            Notification::Progress(revision) => {
+                // The batch is delivered first, because the notification confirms that it is complete.
                 if let Some(relist) = self.deliver(&mut watch.batch).await {
                     return Some(WatchEnd::Relist(relist));
                 }
                 self.handle(WatchEvent::Progress(revision)).await;
             }
-            Notice::Compacted(revision) => {
+            Notification::Compacted(revision) => {
                 let reason = GapReason::Compacted(revision);
                 return Some(self.end_watch(watch, reason).await);
             }
-            Notice::Cancelled(reason) => {
+            Notification::Cancelled(reason) => {
                 let reason = GapReason::Cancelled(reason);
                 return Some(self.end_watch(watch, reason).await);
             }
-            Notice::Events { events, .. } => {
+            Notification::Events { events, .. } => {
                 if let Some(relist) = self.on_events(watch, events).await {
                     return Some(WatchEnd::Relist(relist));
                 }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -7,7 +7,7 @@
 use garde::Validate;
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{NodeInfo, PeerId};
-use ivyward_etcd::{mvccpb, Client, EtcdError, LeaseEvent, Notice};
+use ivyward_etcd::{mvccpb, Client, EtcdError, LeaseEvent, Notification};
 use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -245,7 +245,7 @@
         let mut progress_requested = false;
         loop {
             let until = self.runtime.now().saturating_add(SILENCE_TIMEOUT);
-            let Some(notice) = before(&self.runtime, until, watch.next()).await else {
+            let Some(notification) = before(&self.runtime, until, watch.next()).await else {
                 if progress_requested {
                     return Err(WatchEnd::Silent);
                 }
@@ -253,16 +253,16 @@
                 watch.request_progress();
                 continue;
             };
-            let notice = notice?;
+            let notification = notification?;
             (progress_requested, self.pause) = (false, BACKOFF.0);
             if watch.cluster().is_some_and(|c| c != list.cluster) {
                 return Err(WatchEnd::OtherCluster);
             }
-            match notice {
-                Notice::Progress(_) => {}
-                Notice::Compacted(revision) => return Err(WatchEnd::Compacted(revision)),
-                Notice::Cancelled(reason) => return Err(WatchEnd::Cancelled(reason)),
-                Notice::Events { events, .. } => {
+            match notification {
+                Notification::Progress(_) => {}
+                Notification::Compacted(revision) => return Err(WatchEnd::Compacted(revision)),
+                Notification::Cancelled(reason) => return Err(WatchEnd::Cancelled(reason)),
+                Notification::Events { events, .. } => {
                     for event in events {
                         self.apply_event(event).await;
                     }
