--- a/crates/ivyward-etcd/src/watch.rs
+++ b/crates/ivyward-etcd/src/watch.rs
@@ -41,8 +41,8 @@
     /// Watches all keys with a prefix, starting with the changes of revision `from`.
     ///
     /// # Errors
-    /// Returns [`EtcdError`] if the store cannot be reached. A compacted revision is not an error here: the first notification is then
-    /// [`Notification::Compacted`].
+    /// Returns [`EtcdError`] if the store cannot be reached. A compacted revision is not an error here: the first notification
+    /// is then [`Notification::Compacted`].
     pub async fn watch(&self, prefix: &[u8], from: i64) -> Result<Watcher, EtcdError> {
         let channel = self.channel().await?;
         let headers = self.headers(&channel).await?;
--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -64,8 +64,8 @@
     #[garde(range(min = 0.001, max = 1_000_000.0))]
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Start time of the engine's process in milliseconds since the Unix epoch, by the engine's clock. 0, the default, stands
-    /// for an unknown time long ago. A record with another start time stands for a new process, whose KV cache is empty.
+    /// Start time of the engine's process in milliseconds since the Unix epoch, by the engine's clock. 0, the default, means
+    /// long ago. If the start time changes to another one than 0, the engine is a new process with an empty KV cache.
     #[garde(skip)]
     #[serde(default)]
     pub started_ms: u64,
--- a/crates/ivyward/src/peers/codec.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -110,8 +110,8 @@
         let message = decode_message(message)?;
         if self.loopback_only {
             let mut addresses = std::iter::once(source).chain(addresses(&message));
-            if let Some(foreign) = addresses.find(|address| !address.ip().is_loopback()) {
-                return Err(DecodeError::NonLoopback(foreign));
+            if let Some(remote) = addresses.find(|address| !address.ip().is_loopback()) {
+                return Err(DecodeError::NonLoopback(remote));
             }
         }
         Ok(message)
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use tracing::{error, info, warn};
 
-/// Minimum time between two logged receive errors, in microseconds.
+/// A receive error is logged only if the previous one is longer ago than this, in microseconds.
 const RECEIVE_LOG_INTERVAL: Micros = 1_000_000;
 /// Pause after a failed receive, in microseconds. Without it, a socket whose receives all fail would make the task a busy loop.
 const RECEIVE_PAUSE: Micros = 10_000;
--- a/crates/ivyward/src/peers/handle.rs
+++ b/crates/ivyward/src/peers/handle.rs
@@ -6,9 +6,9 @@
 
 /// A command to the gossip task.
 pub(super) enum PeerCommand {
-    /// The store has a record of this node.
+    /// The store has a record of the given node.
     RecordAdded(NodeInfo),
-    /// The record of this node was deleted from the store.
+    /// The record of the given node was deleted from the store.
     RecordRemoved(PeerId),
     /// This node stops. The gossip task notifies all peers, then drops `done`.
     Leave { done: async_channel::Sender<()> },
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -52,11 +52,12 @@
 #[derive(Clone)]
 pub(crate) struct PeerHost {
     pub(crate) context: Arc<NodeContext>,
-    /// Passes the number of nodes that may be sending requests to the router.
+    /// Reports to the router how many nodes may be sending requests to the engines.
     pub(crate) report_replica_count: Arc<dyn Fn(u32) + Send + Sync>,
 }
 
-/// Starts peer discovery. Until the node has a complete view, the replica count of the settings is the minimum of the count.
+/// Starts peer discovery. Until the node has a complete view of its peers, it counts at least as many nodes as the settings
+/// state.
 pub(crate) fn start(host: PeerHost, options: PeerOptions) -> Result<PeersHandle, PeerError> {
     options.check()?;
     let context = &host.context;
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -21,8 +21,8 @@
 const MAX_RECORD_BYTES: usize = 1 << 10;
 /// Maximum number of keys of invalid records that are remembered as logged.
 const MAX_LOGGED_RECORDS: usize = 1_024;
-/// Initial and maximum pause after a failure of the store, in microseconds. The pause doubles with each further failure; its
-/// second half is random.
+/// Initial and maximum pause after a failure of the store, in microseconds. The pause doubles with each further failure; each
+/// time, the wait is a random time between half the pause and the whole pause.
 const BACKOFF: (Micros, Micros) = (100_000, 5_000_000);
 /// A progress notification is requested on a watch that received nothing for this long, in microseconds. If nothing arrives
 /// for as long again, the watch has failed.
--- a/crates/ivyward/src/settings.rs
+++ b/crates/ivyward/src/settings.rs
@@ -67,8 +67,8 @@
     pub ping_interval: Micros,
     /// A connection is closed if a ping is not answered within this time.
     pub ping_timeout: Micros,
-    /// How many idle connections are pinged per second, over all engines (`--resting-checks`). 0 disables these pings; it is
-    /// required when `ping_interval` is 0. An idle connection is also pinged before a call is sent on it, unless it received
+    /// How many idle connections are pinged per second, over all engines (`--resting-checks`). 0 disables these pings and
+    /// is required if `ping_interval` is 0. An idle connection is also pinged before a call is sent on it, unless it received
     /// something within the last `ping_interval + ping_timeout`.
     pub idle_checks_per_second: u32,
     /// Maximum number of open requests (`--most-open`). Further requests are rejected.
