--- a/crates/ivyward-etcd/src/lease.rs
+++ b/crates/ivyward-etcd/src/lease.rs
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Returns the transaction that writes the key. The first write replaces the key of an earlier process; later writes require
-    /// that the key does not exist.
+    /// Returns the transaction that writes the key. The first write replaces the key of an earlier process; later writes
+    /// require that the key does not exist.
     fn write_request(&self, lease: i64) -> rpc::TxnRequest {
         let put = rpc::PutRequest {
             key: self.key.into(),
--- a/crates/ivyward-etcd/tests/independent_client.rs
+++ b/crates/ivyward-etcd/tests/independent_client.rs
@@ -1,5 +1,5 @@
-//! The fake store against an independent client: `etcd-client`, which uses tonic's transport and a tokio runtime. Shows that the
-//! fake implements etcd's protocol, and not only what this workspace's client expects.
+//! The fake store against an independent client: `etcd-client`, which uses tonic's transport and a tokio runtime. Shows that
+//! the fake implements etcd's protocol, and not only what this workspace's client expects.
 
 use etcd_client::{
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
