--- a/crates/ivyward-core/src/keepalive.rs
+++ b/crates/ivyward-core/src/keepalive.rs
@@ -83,7 +83,7 @@
 
     /// An idle connection was used by a call, or closed.
     pub fn connection_active(&mut self) {
-        if !mutations::is_active(Mutation::RousedUncounted) {
+        if !mutations::is_active(Mutation::CountBusyAsIdle) {
             self.idle = self.idle.saturating_sub(1);
         }
     }
@@ -115,7 +115,7 @@
             return CheckDecision::RetryAt(Micros::MAX);
         };
         let free_at = self.last_check.map_or(0, |at| at.saturating_add(interval));
-        if now >= free_at || mutations::is_active(Mutation::BudgetIgnored) {
+        if now >= free_at || mutations::is_active(Mutation::IgnoreCheckBudget) {
             self.last_check = Some(now);
             return CheckDecision::Check;
         }
@@ -134,7 +134,7 @@
         } = self.settings;
         let detected_after = silence.saturating_add(timeout);
         let good = silence == 0 || now.saturating_sub(last_received) <= detected_after;
-        match good || mutations::is_active(Mutation::UncheckedUse) {
+        match good || mutations::is_active(Mutation::NoCheckBeforeUse) {
             true => BeforeUse::Nothing,
             false => BeforeUse::Check((dial_timeout / CHECK_DIVISOR).max(1)),
         }
--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -246,12 +246,13 @@
         for mut member in list.members.iter().copied() {
             let id = member.endpoint.id;
             let known = self.members.get(&id).filter(|_| same_store);
-            if let Some(known) = known.filter(|_| mutations::is_active(Mutation::DrainLostInList)) {
+            if let Some(known) = known.filter(|_| mutations::is_active(Mutation::IgnoreDrainInList))
+            {
                 member.endpoint.state = known.endpoint.state;
             }
             members.insert(id, known.map_or(member, |known| newer(&member, known)));
         }
-        if mutations::is_active(Mutation::MissingStay) {
+        if mutations::is_active(Mutation::KeepMissingEngines) {
             for (id, known) in &self.members {
                 members.entry(*id).or_insert(*known);
             }
--- a/crates/ivyward-core/src/mutations.rs
+++ b/crates/ivyward-core/src/mutations.rs
@@ -8,92 +8,92 @@
 #[repr(u8)]
 pub enum Mutation {
     /// Reservations of a request are not released when its client disconnects.
-    ReleaseForgotten = 1,
+    NoReleaseOnDisconnect = 1,
     /// An attempt whose stream was reset is sent once more, inside the attempt.
-    SentTwice,
+    ResendAfterReset,
     /// A reset after the request was sent counts as proof that nothing ran.
-    ResetAsProof,
+    ResetCountsAsNotRun,
     /// An error status of the engine counts as proof that nothing ran.
-    StatusAsProof,
+    StatusCountsAsNotRun,
     /// A drain that is first seen in a list read again is ignored.
-    DrainLostInList,
+    IgnoreDrainInList,
     /// Engines that are missing from a complete list stay.
-    MissingStay,
+    KeepMissingEngines,
     /// A watch resumes one revision too late.
-    WatchSkips,
+    WatchSkipsRevision,
     /// The client's timeout counts from later than its request's arrival.
-    TimeoutLate,
+    LateTimeoutStart,
     /// The last tokens are sent twice.
-    AnsweredTwice,
+    DuplicateTokens,
     /// A connection that is no longer usable is used again.
-    StaleConnection,
+    ReuseStaleConnection,
     /// A slow client exerts no backpressure on its engine.
-    NoBound,
+    NoBackpressure,
     /// A reserved slot counts as used by any decode at its engine.
-    PlaceForgotten,
+    AnyDecodeUsesSlot,
     /// An attempt that waited for a connection is sent to an engine that drains meanwhile.
-    ClosingIgnored,
+    IgnoreDrainWhileConnecting,
     /// The router is not told of a disconnected client.
-    LeavingIgnored,
+    IgnoreDisconnect,
     /// A prefill without a known end leaves its KV state behind.
-    ReadForgotten,
+    NoReleaseAfterUnknownPrefill,
     /// A node does not refute a suspicion that it knows to be wrong.
-    RefutationKept,
+    NoRefutation,
     /// The replica count falls for a suspected node.
-    CountOnDoubt,
+    SuspicionLowersReplicaCount,
     /// Tombstones never expire.
-    TombstoneStays,
+    TombstoneNeverExpires,
     /// Datagrams are answered to their source address.
-    AnswersToSource,
+    ReplyToSourceAddress,
     /// A node that was paused takes the others for dead.
-    NeverDoubtsItself,
+    IgnoreOwnHealth,
     /// A call uses a connection that was idle for long without a check.
-    UncheckedUse,
+    NoCheckBeforeUse,
     /// A call uses a connection whose check was not answered.
-    DoubtfulReused,
+    ReuseUnansweredConnection,
     /// Idle connections are checked regardless of the budget.
-    BudgetIgnored,
+    IgnoreCheckBudget,
     /// All idle connections ask for their checks at the same time.
     NoJitter,
     /// Connections used by calls still count as idle.
-    RousedUncounted,
+    CountBusyAsIdle,
 }
 
 /// Those of the keepalive, which tests of their own find.
 pub const KEEPALIVE: [Mutation; 5] = [
-    Mutation::UncheckedUse,
-    Mutation::DoubtfulReused,
-    Mutation::BudgetIgnored,
+    Mutation::NoCheckBeforeUse,
+    Mutation::ReuseUnansweredConnection,
+    Mutation::IgnoreCheckBudget,
     Mutation::NoJitter,
-    Mutation::RousedUncounted,
+    Mutation::CountBusyAsIdle,
 ];
 
 /// Those of the peers, which tests of their own find.
 pub const PEERS: [Mutation; 5] = [
-    Mutation::RefutationKept,
-    Mutation::CountOnDoubt,
-    Mutation::TombstoneStays,
-    Mutation::AnswersToSource,
-    Mutation::NeverDoubtsItself,
+    Mutation::NoRefutation,
+    Mutation::SuspicionLowersReplicaCount,
+    Mutation::TombstoneNeverExpires,
+    Mutation::ReplyToSourceAddress,
+    Mutation::IgnoreOwnHealth,
 ];
 
 /// All others.
-pub const ALL: [Mutation; 15] = [
-    Mutation::ReleaseForgotten,
-    Mutation::SentTwice,
-    Mutation::ResetAsProof,
-    Mutation::StatusAsProof,
-    Mutation::DrainLostInList,
-    Mutation::MissingStay,
-    Mutation::WatchSkips,
-    Mutation::TimeoutLate,
-    Mutation::AnsweredTwice,
-    Mutation::StaleConnection,
-    Mutation::NoBound,
-    Mutation::PlaceForgotten,
-    Mutation::ClosingIgnored,
-    Mutation::LeavingIgnored,
-    Mutation::ReadForgotten,
+pub const GENERAL: [Mutation; 15] = [
+    Mutation::NoReleaseOnDisconnect,
+    Mutation::ResendAfterReset,
+    Mutation::ResetCountsAsNotRun,
+    Mutation::StatusCountsAsNotRun,
+    Mutation::IgnoreDrainInList,
+    Mutation::KeepMissingEngines,
+    Mutation::WatchSkipsRevision,
+    Mutation::LateTimeoutStart,
+    Mutation::DuplicateTokens,
+    Mutation::ReuseStaleConnection,
+    Mutation::NoBackpressure,
+    Mutation::AnyDecodeUsesSlot,
+    Mutation::IgnoreDrainWhileConnecting,
+    Mutation::IgnoreDisconnect,
+    Mutation::NoReleaseAfterUnknownPrefill,
 ];
 
 #[cfg(mutations)]
--- a/crates/ivyward-core/src/peers/dissemination.rs
+++ b/crates/ivyward-core/src/peers/dissemination.rs
@@ -231,7 +231,7 @@
         });
         if knows_better {
             // A refutation that is not sent leaves the others with their suspicion.
-            return (!mutations::is_active(Mutation::RefutationKept)).then_some(id);
+            return (!mutations::is_active(Mutation::NoRefutation)).then_some(id);
         }
         if self.apply_evidence(now, update, EvidenceSource::Other(from.id), out) {
             self.suspect(now, id, unanswered_since, out);
--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -14,7 +14,8 @@
     /// The number of nodes that may still be sending, this one included. Falls only when one is certainly gone.
     pub fn replica_count(&self) -> u32 {
         let is_miscounted = |peer: &Peer| {
-            mutations::is_active(Mutation::CountOnDoubt) && peer.state != PeerState::Alive
+            mutations::is_active(Mutation::SuspicionLowersReplicaCount)
+                && peer.state != PeerState::Alive
         };
         let known = self
             .members
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -502,7 +502,7 @@
 
     /// Forgets nodes that have been dead or left for long, and returns them.
     pub(super) fn forget(&mut self, now: Micros, tombstone_ttl: Micros) -> Vec<PeerId> {
-        if mutations::is_active(Mutation::TombstoneStays) {
+        if mutations::is_active(Mutation::TombstoneNeverExpires) {
             return Vec::new();
         }
         let expired: Vec<PeerId> = self
--- a/crates/ivyward-core/src/peers/probing.rs
+++ b/crates/ivyward-core/src/peers/probing.rs
@@ -84,7 +84,7 @@
 impl Peers {
     /// Whether this node considers its own health.
     pub(super) fn checks_own_health(&self) -> bool {
-        self.settings.local_health && !mutations::is_active(Mutation::NeverDoubtsItself)
+        self.settings.local_health && !mutations::is_active(Mutation::IgnoreOwnHealth)
     }
 
     /// How long to wait for an ack, by this node's own health.
@@ -335,7 +335,7 @@
             (1, 0)
         };
         // A suspicion that arrives late, from a node that waits long, is known here for a while before it counts.
-        let notice = if mutations::is_active(Mutation::NeverDoubtsItself) {
+        let notice = if mutations::is_active(Mutation::IgnoreOwnHealth) {
             0
         } else {
             self.settings
--- a/crates/ivyward-core/src/reservations.rs
+++ b/crates/ivyward-core/src/reservations.rs
@@ -144,7 +144,7 @@
             .filter(|held| held.reservation.endpoint == endpoint);
         for slot in slots {
             let used = Some(slot.reservation.attempt) == prefill
-                || mutations::is_active(Mutation::PlaceForgotten);
+                || mutations::is_active(Mutation::AnyDecodeUsesSlot);
             slot.usage = if used {
                 Use::ByAttempt(attempt)
             } else {
@@ -175,7 +175,8 @@
                     engine,
                     attempt: end.attempt,
                 });
-            } else if may_leave_kv_state(outcome) && !mutations::is_active(Mutation::ReadForgotten)
+            } else if may_leave_kv_state(outcome)
+                && !mutations::is_active(Mutation::NoReleaseAfterUnknownPrefill)
             {
                 match self.mode {
                     ReleaseMode::Individually => release.push(state),
@@ -257,7 +258,7 @@
 
     /// The client disconnected. Nothing changes until the router asks for the release.
     pub fn client_disconnected(&mut self) {
-        if mutations::is_active(Mutation::ReleaseForgotten) {
+        if mutations::is_active(Mutation::NoReleaseOnDisconnect) {
             self.held.clear();
         }
     }
--- a/crates/ivyward-testbed/src/commands/mutations.rs
+++ b/crates/ivyward-testbed/src/commands/mutations.rs
@@ -2,7 +2,7 @@
 
 use super::simulate::size;
 use super::{exit_code, threads, CommandResult};
-use ivyward_core::mutations::{activate, ALL, PEERS};
+use ivyward_core::mutations::{activate, GENERAL, PEERS};
 use ivyward_testbed::simulation::{first_wrong, Size};
 
 #[derive(clap::Args)]
@@ -19,7 +19,7 @@
     pub fn run(self) -> CommandResult {
         println!("| mutation | seeds | found by |\n| --- | --- | --- |");
         let peers = size(true, Size::default().faults, Size::default().rough);
-        let usual = ALL.map(|mutation| (mutation, Size::default()));
+        let usual = GENERAL.map(|mutation| (mutation, Size::default()));
         let of_peers = PEERS.map(|mutation| (mutation, peers));
         let mut all_found = true;
         for (mutation, size) in usual.into_iter().chain(of_peers) {
--- a/crates/ivyward-testbed/tests/peer_mutations.rs
+++ b/crates/ivyward-testbed/tests/peer_mutations.rs
@@ -81,7 +81,7 @@
     // Where datagrams are answered is the node's own; the rig of processes finds it.
     for defect in PEERS
         .into_iter()
-        .filter(|d| *d != Mutation::AnswersToSource)
+        .filter(|d| *d != Mutation::ReplyToSourceAddress)
     {
         activate(Some(defect));
         let found = (1..=40).find_map(|seed| wrong(seed).map(|what| (seed, what)));
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -148,7 +148,7 @@
                     let left = until.saturating_sub(self.runtime.now());
                     // One check for each call: a second one would take longer than a new connection.
                     let answered = self.check(&channel, wait.min(left)).await;
-                    if !answered && mutations::is_active(Mutation::DoubtfulReused) {
+                    if !answered && mutations::is_active(Mutation::ReuseUnansweredConnection) {
                         return Ok(channel);
                     }
                     may_check = answered;
@@ -169,7 +169,7 @@
     /// The best connection of the pool: one that is known to work before one that has to be checked.
     fn find(&self, may_check: bool) -> Available {
         let mut pool = self.pool();
-        let stale = mutations::is_active(Mutation::StaleConnection);
+        let stale = mutations::is_active(Mutation::ReuseStaleConnection);
         pool.channels
             .retain(|c| c.usable() || c.calls() > 0 && !c.closed() || stale);
         // Guards against a call that leaves on a connection whose engine did not answer its last check.
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -75,7 +75,7 @@
     /// Watches from the revision after the last one known, until the watch ends.
     pub(super) async fn watch(&mut self) -> WatchEnd {
         let prefix = self.options.prefix.clone().into_bytes();
-        let next = if mutations::is_active(Mutation::WatchSkips) {
+        let next = if mutations::is_active(Mutation::WatchSkipsRevision) {
             2
         } else {
             1
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -118,7 +118,7 @@
         self.decide(|peers, out| {
             let (from, before) = (message.from.address, out.len());
             peers.handle_message(now, message, out);
-            if !mutations::is_active(Mutation::AnswersToSource) {
+            if !mutations::is_active(Mutation::ReplyToSourceAddress) {
                 return;
             }
             for action in &mut out[before..] {
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -105,10 +105,10 @@
     match (&error.cause, error.never_ran) {
         (_, true) if left => Outcome::Rejected,
         (_, true) => Outcome::ConnectFailed,
-        (Cause::Reset(_), false) if mutations::is_active(Mutation::ResetAsProof) => {
+        (Cause::Reset(_), false) if mutations::is_active(Mutation::ResetCountsAsNotRun) => {
             Outcome::Rejected
         }
-        (Cause::Status(_), false) if mutations::is_active(Mutation::StatusAsProof) => {
+        (Cause::Status(_), false) if mutations::is_active(Mutation::StatusCountsAsNotRun) => {
             Outcome::Rejected
         }
         (Cause::Broken(_) | Cause::Reset(_) | Cause::Late, false) => Outcome::Reset,
@@ -182,7 +182,7 @@
         EngineCall::Read(_) => read(attempt, &mut call).await,
         EngineCall::Write(_) => write(attempt, &mut call).await,
     };
-    if mutations::is_active(Mutation::SentTwice)
+    if mutations::is_active(Mutation::ResendAfterReset)
         && matches!(
             (&attempt.engine_call, result.outcome),
             (EngineCall::Write(_), Outcome::Reset)
@@ -225,7 +225,7 @@
         _ => return not_sent("called off before it was sent"),
     };
     // The engine may have begun to drain while the connection was opened.
-    if attempt.engine.is_draining() && !mutations::is_active(Mutation::ClosingIgnored) {
+    if attempt.engine.is_draining() && !mutations::is_active(Mutation::IgnoreDrainWhileConnecting) {
         return not_sent("the engine drains or is gone");
     }
     Ok(channel)
--- a/crates/ivyward/src/request/finish.rs
+++ b/crates/ivyward/src/request/finish.rs
@@ -35,7 +35,7 @@
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
             return;
         };
-        if mutations::is_active(Mutation::LeavingIgnored) && !open.streaming && id % 4 == 0 {
+        if mutations::is_active(Mutation::IgnoreDisconnect) && !open.streaming && id % 4 == 0 {
             return;
         }
         open.answered = true;
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -271,7 +271,8 @@
         return ReservationStatus::Denied;
     };
     // The engine may have begun to drain while the connection was opened.
-    let draining = engine.is_draining() && !mutations::is_active(Mutation::ClosingIgnored);
+    let draining =
+        engine.is_draining() && !mutations::is_active(Mutation::IgnoreDrainWhileConnecting);
     if draining || request.is_finished() {
         return ReservationStatus::Denied;
     }
--- a/crates/ivyward/src/request/validation.rs
+++ b/crates/ivyward/src/request/validation.rs
@@ -171,7 +171,7 @@
     client_timeout: Option<Micros>,
 ) -> Deadlines {
     let margin = context.settings.answer_margin;
-    let late = if mutations::is_active(Mutation::TimeoutLate) {
+    let late = if mutations::is_active(Mutation::LateTimeoutStart) {
         2 * margin
     } else {
         0
--- a/crates/ivyward/src/response.rs
+++ b/crates/ivyward/src/response.rs
@@ -131,7 +131,7 @@
         if state.end.is_some() {
             return Poll::Ready(Err(StreamEnd));
         }
-        if state.items.len() < self.bound || mutations::is_active(Mutation::NoBound) {
+        if state.items.len() < self.bound || mutations::is_active(Mutation::NoBackpressure) {
             return Poll::Ready(Ok(()));
         }
         state.writer = Some(cx.waker().clone());
@@ -168,7 +168,7 @@
         let mut state = self.lock();
         if !state.items.is_empty() {
             let items = std::mem::take(&mut state.items);
-            if mutations::is_active(Mutation::AnsweredTwice)
+            if mutations::is_active(Mutation::DuplicateTokens)
                 && state.end.is_some()
                 && items.len() > 1
             {
