--- a/crates/ivyward-core/src/invariants.rs
+++ b/crates/ivyward-core/src/invariants.rs
@@ -17,15 +17,15 @@
     /// A request gets one final answer.
     OneAnswer,
     /// Nothing is sent for a request that has its answer or whose time is over.
-    NothingAfterAnswer,
+    NoSendAfterAnswer,
     /// A request has one attempt in flight at a time.
     OneAttempt,
     /// A request that may have run is not run again, unless its engines drop repeats.
-    NoEffectTwice,
+    NoDuplicateExecution,
     /// A rejection promises that trying again is harmless.
-    HarmlessRefusal,
+    HarmlessRejection,
     /// No new request goes to a draining engine after the drain grace.
-    NothingToDraining,
+    NoSendToDraining,
     /// The node starts, serves, stops and has stopped, in this order.
     NodePhase,
 }
@@ -34,11 +34,11 @@
     /// All rules with the names that metrics and logs use, in the order of their declaration.
     pub const ALL: [(Rule, &'static str); 7] = [
         (Rule::OneAnswer, "one_answer"),
-        (Rule::NothingAfterAnswer, "nothing_after_answer"),
+        (Rule::NoSendAfterAnswer, "nothing_after_answer"),
         (Rule::OneAttempt, "one_attempt"),
-        (Rule::NoEffectTwice, "no_effect_twice"),
-        (Rule::HarmlessRefusal, "harmless_refusal"),
-        (Rule::NothingToDraining, "nothing_to_draining"),
+        (Rule::NoDuplicateExecution, "no_effect_twice"),
+        (Rule::HarmlessRejection, "harmless_refusal"),
+        (Rule::NoSendToDraining, "nothing_to_draining"),
         (Rule::NodePhase, "node_phase"),
     ];
 
@@ -183,7 +183,7 @@
     ///
     /// # Errors
     /// When the phase is over, or requests are still open at the end.
-    pub fn enter(&mut self, phase: NodePhase) -> Result<(), Violation> {
+    pub fn enter_phase(&mut self, phase: NodePhase) -> Result<(), Violation> {
         if phase < self.phase {
             return violation(Rule::NodePhase, "a phase that is over begins again");
         }
@@ -195,7 +195,7 @@
     }
 
     /// The endpoint list changed.
-    pub fn listed(&mut self, now: Micros, kind: ListKind, endpoints: &[Endpoint]) {
+    pub fn update_endpoints(&mut self, now: Micros, kind: ListKind, endpoints: &[Endpoint]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             let named: BTreeSet<EndpointId> =
                 endpoints.iter().map(|endpoint| endpoint.id).collect();
@@ -230,7 +230,12 @@
     ///
     /// # Errors
     /// When a request with this id is open, or the node has stopped.
-    pub fn take(&mut self, id: RequestId, class: usize, deadline: Micros) -> Result<(), Violation> {
+    pub fn accept(
+        &mut self,
+        id: RequestId,
+        class: usize,
+        deadline: Micros,
+    ) -> Result<(), Violation> {
         if self.phase == NodePhase::Stopped {
             return violation(Rule::NodePhase, "a request is taken after the end");
         }
@@ -254,7 +259,7 @@
     ///
     /// # Errors
     /// When it may not be sent.
-    pub fn send(
+    pub fn start_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -264,7 +269,7 @@
         let location = self.locations.get(&target.endpoint).copied();
         let Some(request) = self.requests.get(&id) else {
             return Err(Violation {
-                rule: Rule::NothingAfterAnswer,
+                rule: Rule::NoSendAfterAnswer,
                 reason: "the request is not open",
             });
         };
@@ -294,10 +299,10 @@
         target: AttemptTarget,
     ) -> Result<(), Violation> {
         if request.answered {
-            return violation(Rule::NothingAfterAnswer, "the request has its answer");
+            return violation(Rule::NoSendAfterAnswer, "the request has its answer");
         }
         if now > request.deadline {
-            return violation(Rule::NothingAfterAnswer, "the client's time is over");
+            return violation(Rule::NoSendAfterAnswer, "the client's time is over");
         }
         if request.last.is_some_and(|last| last.outcome.is_none()) {
             return violation(Rule::OneAttempt, "the attempt before is out");
@@ -305,7 +310,7 @@
         let draining_since = self.draining.get(&target.endpoint);
         if draining_since.is_some_and(|since| now > since.saturating_add(self.drain_grace)) {
             return violation(
-                Rule::NothingToDraining,
+                Rule::NoSendToDraining,
                 "the engine drains, and the grace is over",
             );
         }
@@ -331,12 +336,12 @@
         match class.idempotency {
             Idempotency::Idempotent => return Ok(()),
             Idempotency::NonIdempotent => {
-                return violation(Rule::NoEffectTwice, "an attempt may have run")
+                return violation(Rule::NoDuplicateExecution, "an attempt may have run")
             }
             Idempotency::WithKey => {}
         }
         if now >= ran.sent.saturating_add(class.deduplication_window) {
-            return violation(Rule::NoEffectTwice, "the window of repeats is over");
+            return violation(Rule::NoDuplicateExecution, "the window of repeats is over");
         }
         let same = |field: fn(Location) -> u16| matches!((ran.location, to), (Some(a), Some(b)) if field(a) == field(b));
         let inside = match class.deduplication_scope {
@@ -347,14 +352,14 @@
         match inside {
             true => Ok(()),
             false => violation(
-                Rule::NoEffectTwice,
+                Rule::NoDuplicateExecution,
                 "the engine is not in the group that drops repeats",
             ),
         }
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, id: RequestId, number: u16, outcome: Outcome) {
+    pub fn end_attempt(&mut self, id: RequestId, number: u16, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -396,7 +401,7 @@
                 .is_some_and(|last| !last.prefill_only && last.outcome.is_none());
             let idempotent = class.is_none_or(|class| class.idempotency == Idempotency::Idempotent);
             if !harmless || (decode_in_flight && !idempotent) {
-                return violation(Rule::HarmlessRefusal, "an attempt may have run");
+                return violation(Rule::HarmlessRejection, "an attempt may have run");
             }
         }
         request.answered = true;
@@ -407,7 +412,7 @@
     ///
     /// # Errors
     /// When it is not answered.
-    pub fn forget(&mut self, id: RequestId) -> Result<(), Violation> {
+    pub fn remove(&mut self, id: RequestId) -> Result<(), Violation> {
         match self.requests.remove(&id) {
             Some(request) if !request.answered => {
                 violation(Rule::OneAnswer, "forgotten without an answer")
--- a/crates/ivyward/src/request/attempts.rs
+++ b/crates/ivyward/src/request/attempts.rs
@@ -54,7 +54,7 @@
             endpoint,
             prefill_only,
         };
-        let check = self.guard.send(now, RequestId(id), number, target);
+        let check = self.guard.start_attempt(now, RequestId(id), number, target);
         let reason = self.log_violation(id, check);
         if let Some(AttemptReason::Retry(outcome)) = reason {
             self.context.metrics.retry_after(outcome);
@@ -181,7 +181,8 @@
             result,
         } = ended;
         self.context.metrics.outcome(result.outcome);
-        self.guard.ended(RequestId(id), number, result.outcome);
+        self.guard
+            .end_attempt(RequestId(id), number, result.outcome);
         if !self.settle_attempt(id, number, &result) {
             return;
         }
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -107,7 +107,7 @@
                 Wakeup::Closed => break,
             }
         }
-        let stopped = self.guard.enter(NodePhase::Stopped);
+        let stopped = self.guard.enter_phase(NodePhase::Stopped);
         self.log_violation(0, stopped);
         self.flush_recording();
         self.engines.clients().for_each(|client| client.close());
@@ -293,9 +293,9 @@
             .apply(&self.context, self.protocol.as_ref(), kind, engines);
         self.context.metrics.engines.set(self.engines.len() as u64);
         self.guard
-            .listed(self.context.runtime.now(), kind, &endpoints);
+            .update_endpoints(self.context.runtime.now(), kind, &endpoints);
         if self.guard.phase() == NodePhase::Starting {
-            let serving = self.guard.enter(NodePhase::Serving);
+            let serving = self.guard.enter_phase(NodePhase::Serving);
             self.log_violation(0, serving);
         }
         self.handle_event(Event::EndpointList { kind, endpoints });
@@ -306,7 +306,7 @@
     }
 
     fn on_stop(&mut self, deadline: Micros) {
-        let stopping = self.guard.enter(NodePhase::Stopping);
+        let stopping = self.guard.enter_phase(NodePhase::Stopping);
         self.log_violation(0, stopping);
         let earliest = self
             .stop_deadline
--- a/crates/ivyward/src/request/finish.rs
+++ b/crates/ivyward/src/request/finish.rs
@@ -21,7 +21,7 @@
         self.timers.set_deadline(deadline, id);
         let open = OpenRequest::new(accepted, deadline, self.release_mode());
         self.open.insert(id, open);
-        let taken = self.guard.take(RequestId(id), request.class, deadline);
+        let taken = self.guard.accept(RequestId(id), request.class, deadline);
         self.log_violation(id, taken);
         self.handle_event_at(now, Event::Request(request));
         if self.stop_deadline_passed {
@@ -125,7 +125,8 @@
             FinalStatus::Failed(_) => AnswerKind::Failed,
         };
         let check = self.guard.answer(RequestId(id), kind);
-        let breaks_promise = check.is_err_and(|violation| violation.rule == Rule::HarmlessRefusal);
+        let breaks_promise =
+            check.is_err_and(|violation| violation.rule == Rule::HarmlessRejection);
         self.log_violation(id, check);
         if !breaks_promise {
             return status;
@@ -145,7 +146,7 @@
             return;
         }
         self.release_all(id);
-        let forgotten = self.guard.forget(RequestId(id));
+        let forgotten = self.guard.remove(RequestId(id));
         self.log_violation(id, forgotten);
         if let Some(open) = self.open.remove(&id) {
             self.timers.clear_deadline(open.deadline, id);
