--- a/crates/ivyward-core/src/reservations.rs
+++ b/crates/ivyward-core/src/reservations.rs
@@ -11,10 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseMode {
     /// Each reservation is released by a call of its own, at any time.
-    Individually,
+    PerReservation,
     /// One call releases all that is held for the request anywhere. It is made once no attempt is in flight, and an
     /// answer's stream makes it unnecessary.
-    Together,
+    PerRequest,
 }
 
 /// How a call that asks for a decode slot ended.
@@ -179,14 +179,14 @@
                 && !mutations::is_active(Mutation::NoReleaseAfterUnknownPrefill)
             {
                 match self.mode {
-                    ReleaseMode::Individually => release.push(state),
-                    ReleaseMode::Together => self.hold(state),
+                    ReleaseMode::PerReservation => release.push(state),
+                    ReleaseMode::PerRequest => self.hold(state),
                 }
             }
         }
         if outcome == Outcome::KvCacheMiss {
             self.kv_state = None;
-            if self.mode == ReleaseMode::Individually {
+            if self.mode == ReleaseMode::PerReservation {
                 let (slots, states): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held)
                     .into_iter()
                     .partition(|held| held.reservation.is_decode_slot);
@@ -210,7 +210,7 @@
         slot: Reservation<H>,
         attempt_in_flight: bool,
     ) -> Option<Reservation<H>> {
-        let may_wait = slot.confirmed || self.mode == ReleaseMode::Together;
+        let may_wait = slot.confirmed || self.mode == ReleaseMode::PerRequest;
         let unheard_of = !slot.confirmed && attempt_in_flight;
         if may_wait && !unheard_of && slot.attempt >= self.released_before {
             self.hold(slot);
@@ -224,7 +224,7 @@
     pub fn first_token(&mut self, attempt: u16) -> Vec<Reservation<H>> {
         let fetched = self.kv_state.take().map(|state| state.attempt);
         let held = std::mem::take(&mut self.held);
-        if self.mode == ReleaseMode::Together {
+        if self.mode == ReleaseMode::PerRequest {
             return Vec::new();
         }
         held.into_iter()
@@ -245,7 +245,7 @@
         attempts_started: u16,
         any_in_flight: bool,
     ) -> Vec<Reservation<H>> {
-        if self.mode == ReleaseMode::Together && any_in_flight {
+        if self.mode == ReleaseMode::PerRequest && any_in_flight {
             return Vec::new();
         }
         self.kv_state = None;
--- a/crates/ivyward-core/tests/reservations.rs
+++ b/crates/ivyward-core/tests/reservations.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn successful_prefill_leaves_a_state_to_fetch() {
-    for mode in [ReleaseMode::Individually, ReleaseMode::Together] {
+    for mode in [ReleaseMode::PerReservation, ReleaseMode::PerRequest] {
         let mut reservations = Reservations::new(mode);
         assert_eq!(reservations.kv_state(), None);
         assert_eq!(
@@ -78,7 +78,7 @@
 
 #[test]
 fn prefill_that_withdrew_a_release_is_not_confirmed() {
-    let mut reservations = Reservations::new(ReleaseMode::Together);
+    let mut reservations = Reservations::new(ReleaseMode::PerRequest);
     let end = AttemptEnd {
         release_withdrawn: true,
         ..end(0, Outcome::Prefilled, true)
@@ -97,14 +97,14 @@
         Outcome::Cancelled,
     ];
     for outcome in unknown {
-        let mut individually = Reservations::new(ReleaseMode::Individually);
+        let mut individually = Reservations::new(ReleaseMode::PerReservation);
         assert_eq!(
             individually.attempt_ended(end(0, outcome, true)),
             [kv_state(0, false)]
         );
         assert_eq!(individually.release_all(1, false), []);
 
-        let mut together = Reservations::new(ReleaseMode::Together);
+        let mut together = Reservations::new(ReleaseMode::PerRequest);
         assert_eq!(together.attempt_ended(end(0, outcome, true)), []);
         assert_eq!(together.release_all(1, false), [kv_state(0, false)]);
         assert_eq!(together.kv_state(), None);
@@ -120,7 +120,7 @@
         Outcome::KvCacheMiss,
     ];
     for outcome in never_ran {
-        for mode in [ReleaseMode::Individually, ReleaseMode::Together] {
+        for mode in [ReleaseMode::PerReservation, ReleaseMode::PerRequest] {
             let mut reservations = Reservations::new(mode);
             assert_eq!(reservations.attempt_ended(end(0, outcome, true)), []);
             assert_eq!(reservations.release_all(1, false), []);
@@ -130,7 +130,7 @@
 
 #[test]
 fn decode_attempt_and_unknown_engine_leave_nothing() {
-    let mut reservations = Reservations::new(ReleaseMode::Individually);
+    let mut reservations = Reservations::new(ReleaseMode::PerReservation);
     assert_eq!(
         reservations.attempt_ended(end(0, Outcome::Reset, false)),
         []
@@ -145,7 +145,7 @@
 
 #[test]
 fn cache_miss_releases_states_and_keeps_slots() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, DECODE, false);
     assert_eq!(
         reservations.attempt_ended(end(1, Outcome::KvCacheMiss, false)),
@@ -158,7 +158,7 @@
 
 #[test]
 fn cache_miss_releases_nothing_yet_where_all_is_released_together() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Together);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerRequest);
     assert_eq!(
         reservations.attempt_ended(end(1, Outcome::KvCacheMiss, false)),
         []
@@ -169,7 +169,7 @@
 
 #[test]
 fn first_token_uses_up_the_fetched_state_and_its_slot() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, DECODE, false);
     assert_eq!(reservations.first_token(1), []);
     assert_eq!(reservations.kv_state(), None);
@@ -178,7 +178,7 @@
 
 #[test]
 fn first_token_releases_a_slot_at_another_engine() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, OTHER_DECODE, false);
     let unused = slot(DECODE, 0, ReservationStatus::Granted);
     assert_eq!(reservations.first_token(1), [unused]);
@@ -186,7 +186,7 @@
 
 #[test]
 fn first_token_releases_a_slot_that_an_earlier_attempt_used() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, DECODE, false);
     reservations.attempt_started(2, OTHER_DECODE, false);
     let used_before = slot(DECODE, 0, ReservationStatus::Granted);
@@ -195,7 +195,7 @@
 
 #[test]
 fn slot_beside_a_failed_prefill_is_not_used() {
-    let mut reservations = Reservations::new(ReleaseMode::Individually);
+    let mut reservations = Reservations::new(ReleaseMode::PerReservation);
     let granted = slot(DECODE, 0, ReservationStatus::Granted);
     assert_eq!(reservations.slot_reserved(granted.clone(), true), None);
     reservations.attempt_ended(end(0, Outcome::Rejected, true));
@@ -206,7 +206,7 @@
 
 #[test]
 fn slot_granted_after_the_attempt_started_is_not_used() {
-    let mut reservations = Reservations::new(ReleaseMode::Individually);
+    let mut reservations = Reservations::new(ReleaseMode::PerReservation);
     reservations.attempt_ended(end(0, Outcome::Prefilled, true));
     reservations.attempt_started(1, DECODE, false);
     let granted = slot(DECODE, 0, ReservationStatus::Granted);
@@ -216,7 +216,7 @@
 
 #[test]
 fn prefill_attempt_uses_no_slot() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, DECODE, true);
     let unused = slot(DECODE, 0, ReservationStatus::Granted);
     assert_eq!(reservations.first_token(1), [unused]);
@@ -224,7 +224,7 @@
 
 #[test]
 fn first_token_releases_nothing_where_the_stream_does() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Together);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerRequest);
     reservations.attempt_started(1, OTHER_DECODE, false);
     assert_eq!(reservations.first_token(1), []);
     assert_eq!(reservations.release_all(2, false), []);
@@ -239,7 +239,7 @@
 #[test]
 fn slot_of_unknown_status_is_released_at_once_where_each_has_its_own_release() {
     for in_flight in [true, false] {
-        let mut reservations = Reservations::new(ReleaseMode::Individually);
+        let mut reservations = Reservations::new(ReleaseMode::PerReservation);
         let unknown = slot(DECODE, 0, ReservationStatus::Unknown);
         assert_eq!(
             reservations.slot_reserved(unknown.clone(), in_flight),
@@ -253,7 +253,7 @@
 fn slot_of_unknown_status_waits_for_the_common_release_unless_its_attempt_is_in_flight() {
     let unknown = slot(DECODE, 0, ReservationStatus::Unknown);
 
-    let mut reservations = Reservations::new(ReleaseMode::Together);
+    let mut reservations = Reservations::new(ReleaseMode::PerRequest);
     assert_eq!(
         reservations.slot_reserved(unknown.clone(), true),
         Some(unknown.clone())
@@ -264,14 +264,14 @@
         reservations.slot_reserved(unknown.clone(), false),
         Some(unknown.clone())
     );
-    let mut reservations = Reservations::new(ReleaseMode::Together);
+    let mut reservations = Reservations::new(ReleaseMode::PerRequest);
     assert_eq!(reservations.slot_reserved(unknown.clone(), false), None);
     assert_eq!(reservations.release_all(1, false), [unknown]);
 }
 
 #[test]
 fn slot_granted_after_a_release_is_released_at_once() {
-    for mode in [ReleaseMode::Individually, ReleaseMode::Together] {
+    for mode in [ReleaseMode::PerReservation, ReleaseMode::PerRequest] {
         let mut reservations = Reservations::new(mode);
         assert_eq!(reservations.release_all(1, false), []);
         let late = slot(DECODE, 0, ReservationStatus::Granted);
@@ -284,7 +284,7 @@
 
 #[test]
 fn common_release_waits_for_attempts_in_flight() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Together);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerRequest);
     assert_eq!(reservations.release_all(2, true), []);
     assert!(reservations.kv_state().is_some());
     assert_eq!(reservations.release_all(2, false).len(), 2);
@@ -292,7 +292,7 @@
 
 #[test]
 fn individual_release_does_not_wait_for_attempts_in_flight() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     let released = reservations.release_all(2, true);
     let expected = [
         slot(DECODE, 0, ReservationStatus::Granted),
@@ -303,7 +303,7 @@
 
 #[test]
 fn disconnect_alone_releases_nothing() {
-    let mut reservations = prefilled_with_slot(ReleaseMode::Individually);
+    let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.client_disconnected();
     assert!(reservations.kv_state().is_some());
     assert_eq!(reservations.release_all(1, false).len(), 2);
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -147,7 +147,7 @@
             ReportField::Outstanding => load.outstanding,
             ReportField::Backlog => load.backlog,
             ReportField::Utilization => load.utilization,
-            ReportField::RecentMs => load.recent_ms,
+            ReportField::RecentLatencyMs => load.recent_ms,
             ReportField::MemoryShare => load.memory_share,
             ReportField::WaitingKTokens => load.waiting_ktokens,
             ReportField::Other => None,
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -331,9 +331,9 @@
 
     pub(super) fn release_mode(&self) -> ReleaseMode {
         if self.protocol.releases_individually() {
-            ReleaseMode::Individually
+            ReleaseMode::PerReservation
         } else {
-            ReleaseMode::Together
+            ReleaseMode::PerRequest
         }
     }
 
--- a/crates/ivyward/src/request/reservations.rs
+++ b/crates/ivyward/src/request/reservations.rs
@@ -102,13 +102,13 @@
         reservations: Vec<Reservation>,
     ) {
         match self.release_mode() {
-            ReleaseMode::Individually => {
+            ReleaseMode::PerReservation => {
                 for reservation in reservations {
                     self.send_release(request, call.clone(), vec![reservation]);
                 }
             }
-            ReleaseMode::Together if reservations.is_empty() => {}
-            ReleaseMode::Together => self.send_release(request, call.clone(), reservations),
+            ReleaseMode::PerRequest if reservations.is_empty() => {}
+            ReleaseMode::PerRequest => self.send_release(request, call.clone(), reservations),
         }
     }
 
