--- a/crates/ivyward-core/src/interface.rs
+++ b/crates/ivyward-core/src/interface.rs
@@ -86,7 +86,7 @@
     /// Share of slots in use.
     Utilization,
     /// Recent time to the end of a prefill or to the first token, in milliseconds.
-    RecentMs,
+    RecentLatencyMs,
     /// Share of memory in use.
     MemoryShare,
     /// Thousands of prompt tokens that wait to be prefilled or fetched.
--- a/crates/ivyward-settings/src/router.rs
+++ b/crates/ivyward-settings/src/router.rs
@@ -144,7 +144,7 @@
         "outstanding" => ReportField::Outstanding,
         "backlog" => ReportField::Backlog,
         "utilization" => ReportField::Utilization,
-        "recent_ms" => ReportField::RecentMs,
+        "recent_ms" => ReportField::RecentLatencyMs,
         "x0" if meaning("family_info.report_x0").starts_with("share_of_memory") => {
             ReportField::MemoryShare
         }
--- a/crates/ivyward/src/recording/codec.rs
+++ b/crates/ivyward/src/recording/codec.rs
@@ -89,7 +89,7 @@
     Outstanding = 0,
     Backlog = 1,
     Utilization = 2,
-    RecentMs = 3,
+    RecentLatencyMs = 3,
     MemoryShare = 4,
     WaitingKTokens = 5,
     Other = 6
--- a/crates/ivywardd/src/flags/values.rs
+++ b/crates/ivywardd/src/flags/values.rs
@@ -44,7 +44,7 @@
     ("outstanding", ReportField::Outstanding),
     ("backlog", ReportField::Backlog),
     ("utilization", ReportField::Utilization),
-    ("recent-ms", ReportField::RecentMs),
+    ("recent-ms", ReportField::RecentLatencyMs),
     ("memory-share", ReportField::MemoryShare),
     ("waiting-ktokens", ReportField::WaitingKTokens),
 ];
