--- a/crates/ivyward-core/src/interface.rs
+++ b/crates/ivyward-core/src/interface.rs
@@ -1,35 +1,37 @@
 //! Settings, events and actions of the router.
 //!
-//! Plain data only. Times are microseconds on the caller's clock.
+//! These types are plain data. All times are microseconds on the caller's clock.
 
-/// Microseconds on the caller's clock (a point in time or a span).
+/// A point in time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// An endpoint, as an opaque number that is the same at every node and across restarts of its process.
+/// Identifies an endpoint. The number is opaque; it is the same on every node and does not change when the engine process
+/// restarts.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// One try of a request accepted by this node; never reused.
+/// Identifies a request accepted by this node. A client's retry is a new request with a new id; ids are never reused.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What a machine type does.
+/// Which stages of a request the engines of a machine type run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Prefills prompts and keeps the KV state until a decode endpoint fetches it.
+    /// Prefills prompts and stores the KV state until a decode endpoint fetches it.
     Prefill,
-    /// Decodes from a fetched KV state.
+    /// Fetches the KV state from a prefill endpoint and decodes.
     Decode,
-    /// Does both.
+    /// Prefills and decodes.
     Mixed,
 }
 
-/// Whether requests of a class may be repeated.
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated and rejected freely.
+    /// May run any number of times, so it can always be retried and rejected.
     Idempotent,
-    /// Carries an idempotency key: repeats are dropped by a group of endpoints, for a while.
+    /// Carries an idempotency key. The endpoints of [`ClassSettings::deduplication_scope`] drop repeats for
+    /// [`ClassSettings::deduplication_window`].
     WithKey,
     /// Must not run twice.
     NonIdempotent,
@@ -49,135 +51,139 @@
 /// Settings of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// The first-token objective (plus `ttft_objective_per_1000`).
+    /// The objective for the time to first token, in microseconds, for an empty prompt;
+    /// [`ClassSettings::ttft_objective_per_1000`] is added to it.
     pub ttft_objective: Micros,
-    /// Added to the objective for each 1,000 prompt tokens.
+    /// Microseconds added to the first-token objective for each 1,000 prompt tokens.
     pub ttft_objective_per_1000: f64,
-    /// The objective of the mean time per output token.
+    /// The objective for the mean time per output token, in microseconds.
     pub tpot_objective: f64,
-    /// How long a client waits, all its tries included.
+    /// How long a client waits for its answer, with its own retries included.
     pub deadline: Micros,
-    /// The weight of one request (or of one unit of its work).
+    /// The weight of one request (or of one unit of its work). Under overload, requests with less than the mean weight are
+    /// more likely to be rejected.
     pub priority_weight: f64,
-    /// The share of the weight that a late response keeps.
+    /// The share of the weight, from 0 to 1, that a response after its objective still has. The router does not use it.
     pub late_weight: f64,
-    /// Whether its requests may be repeated.
+    /// Whether requests of this class may run more than once.
     pub idempotency: Idempotency,
-    /// For classes with an idempotency key: which endpoints drop repeats.
+    /// Which endpoints drop repeats. Used for [`Idempotency::WithKey`] only.
     pub deduplication_scope: DeduplicationScope,
-    /// For classes with an idempotency key: how long repeats are dropped.
+    /// How long repeats are dropped after the first attempt that may have run. Used for [`Idempotency::WithKey`] only.
     pub deduplication_window: Micros,
 }
 
 /// Settings of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second over all nodes within its quota; none without a quota.
+    /// The tenant's quota in requests per second over all nodes; `None` for no quota.
     pub quota_per_s: Option<f64>,
 }
 
-/// A value of an endpoint's load report.
+/// The meaning of one value in an endpoint's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests in progress.
+    /// The number of requests in progress.
     Outstanding,
-    /// Requests waiting in the queue.
+    /// The number of requests waiting in the queue.
     Backlog,
-    /// Share of slots in use.
+    /// The share of slots in use, from 0 to 1.
     Utilization,
     /// Recent time to the end of a prefill or to the first token, in milliseconds.
     RecentLatencyMs,
-    /// Share of memory in use.
+    /// The share of memory in use, from 0 to 1.
     MemoryShare,
-    /// Thousands of prompt tokens that wait to be prefilled or fetched.
+    /// Prompt tokens that wait to be prefilled or fetched, in thousands.
     WaitingKTokens,
-    /// A value that this version ignores.
+    /// A value that this version does not know and ignores.
     Other,
 }
 
 /// Settings of a node.
 #[derive(Default, Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of router nodes.
+    /// The number of router nodes, this one included.
     pub replica_count: u32,
     /// The zone of this node.
     pub zone: u8,
-    /// The role of each machine type.
+    /// The role of each machine type; [`Endpoint::machine_type`] is an index into it.
     pub roles: Vec<Role>,
-    /// The KV memory of each machine type in tokens; may be shorter than `roles`.
+    /// The KV memory of each machine type in tokens. May have fewer entries than `roles`; the rest is unknown.
     pub memory_tokens: Vec<f64>,
-    /// The request classes.
+    /// The request classes; [`Request::class`] is an index into it.
     pub classes: Vec<ClassSettings>,
-    /// The tenants; may be empty.
+    /// The tenants; [`Request::tenant`] is an index into it. Empty if tenants are not distinguished.
     pub tenants: Vec<TenantSettings>,
-    /// The weight of traffic beyond a tenant's quota, as a share of the usual.
+    /// The weight of traffic beyond a tenant's quota, from 0 to 1, as a share of the weight of traffic within it. The router
+    /// does not use it.
     pub over_quota_weight: f64,
-    /// A decode endpoint without KV state to fetch prefills the prompt itself.
+    /// Whether a decode endpoint prefills the prompt itself if there is no KV state to fetch.
     pub decode_may_prefill: bool,
-    /// A slot may be reserved ahead at a decode endpoint.
+    /// Whether a decode slot may be reserved while the prompt is prefilled.
     pub reserve_decode_slot: bool,
-    /// Points lost when all prompt tokens leave their rack.
+    /// The points (0 to 1) lost if the KV state of all prompt tokens is moved to another rack. The router does not use it.
     pub transfer_price: f64,
-    /// Points lost when each request crosses zones once.
+    /// The points (0 to 1) lost if each request crosses zones once. At 0, the choice of a prefill endpoint ignores zones.
     pub cross_zone_price: f64,
-    /// Reservations must be used or released within this span.
+    /// The time within which a reservation must be used or released.
     pub release_within: Micros,
-    /// An attempt counts as in flight only after its last byte was sent: while it connects, that span goes on. Else it
-    /// counts from its send.
+    /// Whether an attempt counts as in flight only after its last byte was sent. If so, the time of `release_within` also
+    /// runs while the attempt connects; otherwise an attempt counts as in flight from [`Action::Send`].
     pub in_flight_after_last_byte: bool,
-    /// No new request may be sent to a draining endpoint after this span.
+    /// How long a draining endpoint may still get new requests.
     pub drain_grace: Micros,
-    /// Multiple of its present capacity at which a cold endpoint is overloaded.
+    /// A cold endpoint is overloaded when it gets more than this multiple of its present capacity within
+    /// `overload_window`. At 0, cold endpoints are not protected.
     pub overload_multiple: f64,
-    /// The span over which that is counted.
+    /// The window in which the requests to a cold endpoint are counted.
     pub overload_window: Micros,
-    /// The share of its capacity with which an endpoint starts.
+    /// The share of its full capacity, from 0 to 1, that an endpoint has when its process starts.
     pub initial_capacity: f64,
-    /// The span after which a started endpoint is warm.
+    /// The time after its start at which an endpoint has its full capacity.
     pub warm_up_duration: Micros,
-    /// The endpoint list must be subscribed to.
+    /// Whether the router has to subscribe to changes of the endpoint list.
     pub must_subscribe: bool,
-    /// The most attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Endpoints may be health-checked.
+    /// Whether endpoints may be health-checked. The router does not use it.
     pub health_checks: bool,
-    /// A request may have two attempts in flight.
+    /// Whether a request may have two attempts in flight. The router does not use it.
     pub hedging: bool,
-    /// The longest `retry_after` that clients follow; 0 where it is not passed on.
+    /// The longest `retry_after` that clients follow; 0 if they do not get one.
     pub max_retry_after: Micros,
-    /// The values of a load report, in order; empty without reports.
+    /// The meaning of the values in a load report, in order; empty if there are no reports.
     pub report_fields: Vec<ReportField>,
 }
 
-/// An endpoint of the list.
+/// An entry of the endpoint list.
 #[derive(Default, Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id.
+    /// Identifies the endpoint in events and actions.
     pub id: EndpointId,
-    /// Its zone.
+    /// The zone in which the engine runs.
     pub zone: u8,
-    /// Its machine type: an index into [`Settings::roles`].
+    /// The machine type, as an index into [`Settings::roles`].
     pub machine_type: u8,
-    /// Its rack.
+    /// The rack in which the engine runs.
     pub rack: u16,
-    /// The state of its process.
+    /// Whether the endpoint takes new requests.
     pub state: EndpointState,
-    /// Its size relative to others of its machine type.
+    /// The capacity relative to other endpoints of the same machine type.
     pub weight: f64,
-    /// When its process last started; 0 for long ago.
+    /// When the engine process last started; 0 if unknown or long ago, which counts as warm.
     pub started_at: Micros,
 }
 
-/// The state of an endpoint's process.
+/// The state of an endpoint in the list.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It runs.
+    /// The endpoint takes new requests.
     Ready,
-    /// It finishes its work and takes no new requests.
+    /// The endpoint finishes its requests and takes no new ones.
     Draining,
-    /// It was removed.
+    /// The endpoint is no longer in the list.
     #[default]
     Removed,
 }
@@ -185,42 +191,42 @@
 /// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed endpoints only.
+    /// Only the endpoints that changed; all others stay as they were.
     Changes,
     /// The complete list.
     Full,
-    /// The complete list as saved before a restart.
+    /// The complete list as this node saved it before its last restart.
     Cached,
-    /// The list could not be fetched.
+    /// The list could not be fetched; the previous one stays in use.
     Failed,
 }
 
-/// A request as it arrives.
+/// A request as it arrives from a client.
 #[derive(Default, Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Identifies the request in events and actions.
     pub id: RequestId,
-    /// Its class: an index into [`Settings::classes`].
+    /// The request class, as an index into [`Settings::classes`]. The router rejects a request of an unknown class.
     pub class: usize,
-    /// Its tenant: an index into [`Settings::tenants`].
+    /// The tenant, as an index into [`Settings::tenants`].
     pub tenant: usize,
     /// The session key; 0 for none.
     pub session: u64,
     /// The key of the shared prefix; 0 for none.
     pub prefix: u64,
-    /// How long the client waits for this try.
+    /// How long the client waits for an answer to this request, from its arrival.
     pub client_timeout: Micros,
-    /// Tokens in the prompt.
+    /// The number of tokens in the prompt, the shared prefix included.
     pub prompt_tokens: f64,
-    /// How many of them belong to the shared prefix.
+    /// The number of prompt tokens that belong to the shared prefix.
     pub prefix_tokens: f64,
-    /// The most output tokens.
+    /// The maximum number of output tokens.
     pub max_output: f64,
-    /// A rough estimate of the output tokens, where hints exist.
+    /// A rough estimate of the number of output tokens; `None` if the client gave no hint.
     pub hinted_output: Option<f64>,
-    /// The client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// It comes back after its stream broke.
+    /// Whether the client sends the request again because its answer's stream broke.
     pub is_resumed: bool,
 }
 
@@ -229,28 +235,28 @@
 pub enum Outcome {
     /// The response was streamed completely.
     Served,
-    /// The prompt was prefilled; its KV state waits at that endpoint.
+    /// The prompt was prefilled; the endpoint stores its KV state until it is fetched or released.
     Prefilled,
     /// The endpoint responded with an error.
     Error,
-    /// Rejected: slots and queue are full, or the endpoint drains.
+    /// The endpoint rejected the attempt without running it: its slots and queue are full, or it drains.
     Rejected,
-    /// Rejected: there was no KV state to fetch.
+    /// The decode endpoint rejected the attempt because there was no KV state to fetch.
     KvCacheMiss,
-    /// No response in time.
+    /// The endpoint did not respond within the attempt's timeout.
     TimedOut,
-    /// No connection.
+    /// No connection to the endpoint could be opened, so nothing was sent.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke after the attempt was sent.
     Reset,
-    /// Cancelled by this node.
+    /// This node cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent. This does not count as a failure of the endpoint.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether an attempt with this outcome may have run, or may still run, without a response.
+    /// Whether an attempt that ended without a complete response may have run, or may still be running.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
@@ -259,12 +265,12 @@
     }
 }
 
-/// A load report; values in the order of [`Settings::report_fields`].
+/// The load report of an endpoint, with values in the order of [`Settings::report_fields`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How many values there are; 0 for no report.
+    /// The number of values in use; 0 for no report.
     pub len: usize,
-    /// The values.
+    /// The values; those from `len` on have no meaning.
     pub values: [f32; 4],
 }
 
@@ -275,107 +281,107 @@
     EndpointList {
         /// How the list relates to the previous one.
         kind: ListKind,
-        /// The endpoints.
+        /// The changed endpoints for [`ListKind::Changes`], otherwise all endpoints.
         endpoints: Vec<Endpoint>,
     },
     /// A request arrived.
     Request(Request),
     /// A response began to stream.
     FirstToken {
-        /// The request.
+        /// The request that the response belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt that streams; see [`Action::Send`].
         attempt: u16,
     },
     /// The reply to [`Action::Reserve`].
     ReservationResult {
-        /// The request.
+        /// The request that the slot is for.
         request: RequestId,
-        /// The endpoint.
+        /// The decode endpoint that was asked.
         endpoint: EndpointId,
-        /// Whether the slot is reserved.
+        /// Whether the endpoint reserved the slot.
         reserved: bool,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt; see [`Action::Send`].
         attempt: u16,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Prompt tokens that were found in the KV cache.
+        /// The number of prompt tokens that the endpoint found in its KV cache.
         cached_tokens: u32,
-        /// The request needs nothing more.
+        /// Whether the request is finished, so that no further attempt follows.
         finished: bool,
-        /// The endpoint's load report, if one came along.
+        /// The load report that the endpoint sent with its response, if any.
         report: LoadReport,
     },
-    /// The client disconnected, or its time is over.
+    /// The client disconnected, or its timeout has passed.
     ClientDisconnected(RequestId),
-    /// A timer is due.
+    /// A timer is due; carries the token of [`Action::SetTimer`].
     Timer(u64),
-    /// The result of a health check.
+    /// The result of [`Action::HealthCheck`].
     HealthCheckResult {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// Whether its process answered.
+        /// Whether the engine process answered.
         alive: bool,
-        /// Its load report, if one came along.
+        /// The load report that the endpoint sent with its answer, if any.
         report: LoadReport,
     },
-    /// The number of router nodes that may be sending, this one included; replaces [`Settings::replica_count`].
+    /// The number of router nodes that may be sending requests, this one included; replaces [`Settings::replica_count`].
     ReplicaCount(u32),
 }
 
 /// An output of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a request to an endpoint; attempts of a request are numbered from 0 in this order.
+    /// Send a request to an endpoint as a new attempt. The attempts of a request are numbered from 0 in this order.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The endpoint.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// The attempt's time-out; 0 for the client's.
+        /// The attempt's timeout from now on; 0 if only the client's timeout applies.
         timeout: Micros,
-        /// When its last byte must have been sent, as reservations wait meanwhile; else it ends as
-        /// [`Outcome::ConnectFailed`]. 0 for no limit.
+        /// When the attempt's last byte must have been sent; otherwise the attempt ends as [`Outcome::ConnectFailed`].
+        /// Reservations of the request stay unused until then, and a deduplication window may end. 0 for no limit.
         send_deadline: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt; see [`Action::Send`].
         attempt: u16,
     },
-    /// Final answer: rejected, trying again does no harm.
+    /// Give a request its final answer, a rejection: a retry by the client is harmless.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// When to try again; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing promised.
+    /// Give a request its final answer, a failure: a retry by the client may run the request twice.
     Fail(RequestId),
-    /// Release all KV state and slots reserved for a request.
+    /// Release all KV state and decode slots reserved for a request.
     ReleaseReservation(RequestId),
-    /// Reserve a slot at a decode endpoint while the prompt is prefilled.
+    /// Reserve a decode slot while the prompt is prefilled; [`Event::ReservationResult`] is the reply.
     Reserve {
-        /// The request.
+        /// The request that the slot is for.
         request: RequestId,
-        /// The endpoint.
+        /// The decode endpoint to ask.
         endpoint: EndpointId,
     },
-    /// Ask for [`Event::Timer`].
+    /// Deliver [`Event::Timer`] at a given time.
     SetTimer {
         /// When the timer is due.
         at: Micros,
         /// Passed back with the event.
         token: u64,
     },
-    /// Check the health of an endpoint.
+    /// Check the health of an endpoint; [`Event::HealthCheckResult`] is the reply.
     HealthCheck(EndpointId),
     /// Subscribe to changes of the endpoint list.
     Subscribe,
