--- a/crates/ivyward-core/src/invariants.rs
+++ b/crates/ivyward-core/src/invariants.rs
@@ -1,8 +1,9 @@
-//! Run-time checks of the node's invariants: every send, retry, final answer and change of the node's phase passes a
-//! guard before it takes effect.
+//! Run-time checks of a node's invariants: every attempt, retry, final answer and phase change of the node is checked by a
+//! [`Guard`] before it takes effect.
 //!
-//! The guard is independent of the decisions. It keeps a state machine for each open request and one for the node, and
-//! returns which step would break a rule; the caller counts the violation and skips the step. No I/O, no clock.
+//! The guard shares no code with the router, so that a defect of the router does not disable the check. It has one state
+//! machine for each open request and one for the node. If a step would break a rule, the guard returns a [`Violation`]; the
+//! caller counts it and skips the step. The guard does no I/O and reads no clock.
 
 use crate::interface::{
     ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency, ListKind,
@@ -11,27 +12,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A rule that a step would break.
+/// An invariant that every step is checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request gets one final answer.
+    /// A request gets exactly one final answer.
     OneAnswer,
-    /// Nothing is sent for a request that has its answer or whose time is over.
+    /// No attempt is sent for a request that is answered or whose deadline has passed.
     NoSendAfterAnswer,
-    /// A request has one attempt in flight at a time.
+    /// A request has at most one attempt in flight.
     OneAttempt,
     /// A request that may have run is not run again, unless its engines drop repeats.
     NoDuplicateExecution,
-    /// A rejection promises that trying again is harmless.
+    /// A request is rejected only if a retry by the client is harmless.
     HarmlessRejection,
-    /// No new request goes to a draining engine after the drain grace.
+    /// No new request is sent to a draining engine after [`Settings::drain_grace`].
     NoSendToDraining,
-    /// The node starts, serves, stops and has stopped, in this order.
+    /// The node passes the phases in the order of [`NodePhase`].
     NodePhase,
 }
 
 impl Rule {
-    /// All rules with the names that metrics and logs use, in the order of their declaration.
+    /// All rules with their names in metrics and logs, in the order of declaration.
     pub const ALL: [(Rule, &'static str); 7] = [
         (Rule::OneAnswer, "one_answer"),
         (Rule::NoSendAfterAnswer, "nothing_after_answer"),
@@ -42,18 +43,18 @@
         (Rule::NodePhase, "node_phase"),
     ];
 
-    /// Its name in metrics and logs.
+    /// Returns the rule's name in metrics and logs.
     pub fn name(self) -> &'static str {
         Rule::ALL[self as usize].1
     }
 }
 
-/// A step that was skipped, because it would break a rule.
+/// The reason why a step must not be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which rule.
+    /// The rule that the step would break.
     pub rule: Rule,
-    /// In which way.
+    /// How the step would break it, for the log.
     pub reason: &'static str,
 }
 
@@ -69,53 +70,53 @@
     Err(Violation { rule, reason })
 }
 
-/// Why an attempt begins.
+/// Why an attempt is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptReason {
-    /// It is the request's first.
+    /// It is the first attempt of the request.
     First,
-    /// The previous stage (prefill) succeeded.
+    /// The previous attempt prefilled the prompt; this one decodes.
     NextStage,
-    /// The previous attempt ended with this outcome.
+    /// The previous attempt failed with this outcome.
     Retry(Outcome),
 }
 
-/// A request's final answer, as far as the rules distinguish it.
+/// The kinds of final answers that the rules distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// Its stream was complete.
+    /// The response was streamed completely.
     Served,
-    /// Rejected: trying again is harmless.
+    /// The request was rejected; a retry is harmless.
     Rejected,
-    /// Failed: nothing is promised.
+    /// The request failed; a retry is not known to be harmless.
     Failed,
-    /// Its client disconnected and gets no answer.
+    /// The client disconnected and gets no answer.
     ClientDisconnected,
 }
 
-/// The phase of the node's life.
+/// The phases of a node's life, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodePhase {
-    /// It has no endpoint list yet.
+    /// The node has no endpoint list yet.
     Starting,
-    /// It takes requests.
+    /// The node serves requests.
     Serving,
-    /// It finishes the requests that it accepted.
+    /// The node shuts down and finishes the requests that it accepted.
     Stopping,
-    /// It has ended.
+    /// The node has shut down and has no open requests.
     Stopped,
 }
 
-/// The endpoint of an attempt.
+/// Where an attempt is sent, and for which stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTarget {
-    /// Which endpoint.
+    /// The endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
-    /// It only prefills the prompt, which has no effect that must not happen twice.
+    /// Whether the attempt only prefills the prompt. A prefill has no side effect, so it may be repeated.
     pub prefill_only: bool,
 }
 
-/// Where an endpoint is.
+/// The zone and rack of an endpoint, for the deduplication scopes.
 #[derive(Clone, Copy, Debug)]
 struct Location {
     zone: u8,
@@ -129,11 +130,11 @@
     prefill_only: bool,
     sent: Micros,
     location: Option<Location>,
-    /// How it ended; `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
-/// An attempt that may have run: where and when it was sent.
+/// The first attempt of a request that may have run: where and when it was sent.
 #[derive(Clone, Copy, Debug)]
 struct MayHaveRun {
     location: Option<Location>,
@@ -149,7 +150,7 @@
     answered: bool,
 }
 
-/// The guard of one node. See the module's documentation.
+/// Checks the invariants of one node. See the [module documentation](self).
 #[derive(Clone, Debug)]
 pub struct Guard {
     classes: Vec<ClassSettings>,
@@ -157,12 +158,12 @@
     phase: NodePhase,
     requests: BTreeMap<RequestId, TrackedRequest>,
     locations: BTreeMap<EndpointId, Location>,
-    /// Since when each draining endpoint is known to drain.
+    /// When each draining endpoint was first listed as draining.
     draining: BTreeMap<EndpointId, Micros>,
 }
 
 impl Guard {
-    /// The guard of a node that starts.
+    /// Returns the guard of a node that has just started, in [`NodePhase::Starting`].
     pub fn new(settings: &Settings) -> Guard {
         Guard {
             classes: settings.classes.clone(),
@@ -174,33 +175,33 @@
         }
     }
 
-    /// The node's phase.
+    /// Returns the current phase of the node.
     pub fn phase(&self) -> NodePhase {
         self.phase
     }
 
-    /// The node enters a phase; entering the current one is no change.
+    /// Moves the node to a phase. Entering the current phase again changes nothing.
     ///
     /// # Errors
-    /// When the phase is over, or requests are still open at the end.
+    /// Fails if the node is past this phase, or if it would be [`NodePhase::Stopped`] with unanswered requests.
     pub fn enter_phase(&mut self, phase: NodePhase) -> Result<(), Violation> {
         if phase < self.phase {
-            return violation(Rule::NodePhase, "a phase that is over begins again");
+            return violation(Rule::NodePhase, "the node is past this phase");
         }
         if phase == NodePhase::Stopped && self.requests.values().any(|r| !r.answered) {
-            return violation(Rule::NodePhase, "the node ends before its requests");
+            return violation(Rule::NodePhase, "the node stops with unanswered requests");
         }
         self.phase = phase;
         Ok(())
     }
 
-    /// The endpoint list changed.
+    /// Updates the locations and the draining endpoints from a changed endpoint list.
     pub fn update_endpoints(&mut self, now: Micros, kind: ListKind, endpoints: &[Endpoint]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            let named: BTreeSet<EndpointId> =
+            let listed: BTreeSet<EndpointId> =
                 endpoints.iter().map(|endpoint| endpoint.id).collect();
-            self.locations.retain(|id, _| named.contains(id));
-            self.draining.retain(|id, _| named.contains(id));
+            self.locations.retain(|id, _| listed.contains(id));
+            self.draining.retain(|id, _| listed.contains(id));
         }
         for endpoint in endpoints {
             match endpoint.state {
@@ -226,10 +227,10 @@
         }
     }
 
-    /// A request is accepted; its client waits until `deadline`.
+    /// Records that the node accepts a request. No attempt may be sent for it after `deadline`.
     ///
     /// # Errors
-    /// When a request with this id is open, or the node has stopped.
+    /// Fails if a request with this id is open, or if the node has stopped.
     pub fn accept(
         &mut self,
         id: RequestId,
@@ -237,7 +238,10 @@
         deadline: Micros,
     ) -> Result<(), Violation> {
         if self.phase == NodePhase::Stopped {
-            return violation(Rule::NodePhase, "a request is taken after the end");
+            return violation(
+                Rule::NodePhase,
+                "a request is accepted after the node stopped",
+            );
         }
         let request = TrackedRequest {
             class,
@@ -250,15 +254,15 @@
             None => Ok(()),
             Some(_) => violation(
                 Rule::OneAnswer,
-                "a request is taken under the number of an open one",
+                "a request is accepted with the id of an open one",
             ),
         }
     }
 
-    /// An attempt is about to be sent. Without a violation it counts as in flight from now on.
+    /// Checks an attempt that is about to be sent, and records it as in flight. Returns why the attempt is started.
     ///
     /// # Errors
-    /// When it may not be sent.
+    /// Fails if the attempt must not be sent. Then nothing is recorded.
     pub fn start_attempt(
         &mut self,
         now: Micros,
@@ -299,25 +303,25 @@
         target: AttemptTarget,
     ) -> Result<(), Violation> {
         if request.answered {
-            return violation(Rule::NoSendAfterAnswer, "the request has its answer");
+            return violation(Rule::NoSendAfterAnswer, "the request is already answered");
         }
         if now > request.deadline {
-            return violation(Rule::NoSendAfterAnswer, "the client's time is over");
+            return violation(Rule::NoSendAfterAnswer, "the request's deadline has passed");
         }
         if request.last.is_some_and(|last| last.outcome.is_none()) {
-            return violation(Rule::OneAttempt, "the attempt before is out");
+            return violation(Rule::OneAttempt, "the previous attempt is in flight");
         }
         let draining_since = self.draining.get(&target.endpoint);
         if draining_since.is_some_and(|since| now > since.saturating_add(self.drain_grace)) {
             return violation(
                 Rule::NoSendToDraining,
-                "the engine drains, and the grace is over",
+                "the engine drains, and its drain grace is over",
             );
         }
         match request.may_have_run.filter(|_| !target.prefill_only) {
-            Some(ran) => {
+            Some(first_run) => {
                 let to = self.locations.get(&target.endpoint).copied();
-                self.check_repeat(now, request, ran, to)
+                self.check_repeat(now, request, first_run, to)
             }
             None => Ok(()),
         }
@@ -327,7 +331,7 @@
         &self,
         now: Micros,
         request: &TrackedRequest,
-        ran: MayHaveRun,
+        first_run: MayHaveRun,
         to: Option<Location>,
     ) -> Result<(), Violation> {
         let Some(class) = self.classes.get(request.class) else {
@@ -340,10 +344,13 @@
             }
             Idempotency::WithKey => {}
         }
-        if now >= ran.sent.saturating_add(class.deduplication_window) {
-            return violation(Rule::NoDuplicateExecution, "the window of repeats is over");
+        if now >= first_run.sent.saturating_add(class.deduplication_window) {
+            return violation(
+                Rule::NoDuplicateExecution,
+                "the deduplication window is over",
+            );
         }
-        let same = |field: fn(Location) -> u16| matches!((ran.location, to), (Some(a), Some(b)) if field(a) == field(b));
+        let same = |field: fn(Location) -> u16| matches!((first_run.location, to), (Some(a), Some(b)) if field(a) == field(b));
         let inside = match class.deduplication_scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => same(|location| u16::from(location.zone)),
@@ -353,12 +360,12 @@
             true => Ok(()),
             false => violation(
                 Rule::NoDuplicateExecution,
-                "the engine is not in the group that drops repeats",
+                "the engine is outside the deduplication scope",
             ),
         }
     }
 
-    /// An attempt ended.
+    /// Records the outcome of an attempt. Attempts other than the latest one are ignored.
     pub fn end_attempt(&mut self, id: RequestId, number: u16, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -375,16 +382,16 @@
         }
     }
 
-    /// A request is about to get its final answer. Without a violation it counts as answered from now on.
+    /// Checks a final answer that is about to be given, and records the request as answered.
     ///
     /// # Errors
-    /// When this answer may not be given.
+    /// Fails if this answer must not be given. Then the request stays unanswered.
     pub fn answer(&mut self, id: RequestId, kind: AnswerKind) -> Result<(), Violation> {
         let Some(request) = self.requests.get_mut(&id) else {
             return violation(Rule::OneAnswer, "the request is not open");
         };
         if request.answered {
-            return violation(Rule::OneAnswer, "the request has its answer");
+            return violation(Rule::OneAnswer, "the request is already answered");
         }
         if kind == AnswerKind::Rejected {
             let class = self.classes.get(request.class);
@@ -408,17 +415,17 @@
         Ok(())
     }
 
-    /// A request is over: it is answered and has no attempt in flight.
+    /// Removes a request that is answered and has no attempt in flight.
     ///
     /// # Errors
-    /// When it is not answered.
+    /// Fails if the request is unanswered or not open.
     pub fn remove(&mut self, id: RequestId) -> Result<(), Violation> {
         match self.requests.remove(&id) {
             Some(request) if !request.answered => {
-                violation(Rule::OneAnswer, "forgotten without an answer")
+                violation(Rule::OneAnswer, "the request is removed without an answer")
             }
             Some(_) => Ok(()),
-            None => violation(Rule::OneAnswer, "forgotten twice"),
+            None => violation(Rule::OneAnswer, "the request is removed twice"),
         }
     }
 }
