--- a/crates/ivyward-core/src/reservations.rs
+++ b/crates/ivyward-core/src/reservations.rs
@@ -1,51 +1,51 @@
-//! What engines may hold for one request, and what is released when.
+//! Tracks what engines have reserved for one request, and decides when each reservation is released.
 //!
-//! A request may leave two things at engines: the KV state of a prefill, and decode slots reserved while the prefill runs.
-//! [`RequestReservations`] follows each from the moment it is reserved, through its use by an attempt, to its release.
-//! Every transition returns the reservations that the caller has to release now; nothing here does I/O.
+//! Engines reserve two things for a request: the KV state of a prefill, and decode slots requested while the prefill runs.
+//! [`RequestReservations`] tracks each reservation from the moment it may exist, through its use by an attempt, to its
+//! release. Every transition returns the reservations that the caller has to release now. The module does no I/O.
 
 use crate::interface::{EndpointId, Outcome};
 use crate::mutations::{self, Mutation};
 
-/// How a protocol releases what engines hold.
+/// How an engine protocol releases reservations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseMode {
-    /// Each reservation is released by a call of its own, at any time.
+    /// Each reservation is released by its own call, at any time.
     PerReservation,
-    /// One call releases all that is held for the request anywhere. It is made once no attempt is in flight, and an
-    /// answer's stream makes it unnecessary.
+    /// One call releases all reservations of the request at all engines. It is made when no attempt is in flight, and is
+    /// not needed once an answer has begun to stream.
     PerRequest,
 }
 
-/// How a call that asks for a decode slot ended.
+/// The result of a call that requests a decode slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReservationStatus {
-    /// The engine said that it holds the slot.
+    /// The engine reserved the slot.
     Granted,
-    /// The engine said no, or nothing left for it.
+    /// The engine denied the slot, or the call was never sent to it.
     Denied,
-    /// The slot may be held.
+    /// The call was sent and its result is unknown, so the slot may be reserved.
     Unknown,
 }
 
-/// Something that an engine may hold for a request. `H` is the caller's handle of the engine.
+/// A KV state or decode slot that an engine may have reserved for a request. `H` is the caller's handle of the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation<H> {
-    /// The engine that may hold it.
+    /// The engine at which the reservation was made.
     pub engine: H,
-    /// The engine's id.
+    /// The endpoint id of that engine.
     pub endpoint: EndpointId,
-    /// The attempt under whose key it is held.
+    /// The number of the attempt in the reservation's key at the engine.
     pub attempt: u16,
     /// Whether it is a decode slot; otherwise it is a KV state.
     pub is_decode_slot: bool,
-    /// Whether the engine confirmed it. Otherwise the call that asked for it was given up and may still be on its way: a
-    /// release may arrive before it.
+    /// Whether the engine confirmed the reservation. Otherwise the call that requested it was abandoned and may still be
+    /// in transit, so that a release may arrive before it.
     pub confirmed: bool,
 }
 
 impl<H> Reservation<H> {
-    /// The decode slot that a call with this status leaves behind, if any.
+    /// Returns the decode slot that may be reserved after a call with this status; `None` if it was denied.
     pub fn decode_slot(
         engine: H,
         endpoint: EndpointId,
@@ -65,99 +65,100 @@
 /// The KV state that the next decode attempt fetches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvState<H> {
-    /// The engine that holds it.
+    /// The engine that stores the KV state.
     pub engine: H,
-    /// The prefill attempt that left it there.
+    /// The number of the prefill attempt that produced it.
     pub attempt: u16,
 }
 
-/// The end of an attempt, as far as it concerns reservations.
+/// The end of an attempt, with the facts that decide what happens to its reservations.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd<H> {
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// The engine it was sent to; `None` when the engine was no longer known.
+    /// The engine that the attempt was sent to; `None` if the engine was no longer known.
     pub engine: Option<(H, EndpointId)>,
-    /// Whether the engine was asked to prefill only.
+    /// Whether the attempt only prefilled the prompt.
     pub prefill_only: bool,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether an earlier release of this request was withdrawn, so that its work falls to the next one.
+    /// Whether a pending release of this request was withdrawn. The next release then also has to cover what the withdrawn
+    /// one would have released.
     pub release_withdrawn: bool,
 }
 
-/// Where a reservation stands.
+/// Whether an attempt uses a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
+enum Usage {
     /// No attempt uses it yet.
-    Reserved,
-    /// This decode attempt was sent when the slot was known to be held: its engine uses the slot for it.
+    Unused,
+    /// The engine uses the decode slot for this attempt, which was sent after the slot was known to be reserved.
     ByAttempt(u16),
 }
 
 #[derive(Clone, Debug)]
-struct Held<H> {
+struct Tracked<H> {
     reservation: Reservation<H>,
-    usage: Use,
+    usage: Usage,
 }
 
-/// All reservations of one request. A reservation leaves it by being returned for release, or by being used up.
+/// All reservations of one request. A reservation is removed when it is returned for release or used up by an attempt.
 #[derive(Clone, Debug)]
 pub struct RequestReservations<H> {
     mode: ReleaseMode,
     kv_state: Option<KvState<H>>,
-    held: Vec<Held<H>>,
-    /// Reservations of attempts below this number were released.
+    reservations: Vec<Tracked<H>>,
+    /// Reservations of attempts with a lower number were returned for release.
     released_before: u16,
 }
 
 impl<H: Clone> RequestReservations<H> {
-    /// Those of a request that has just been accepted: none.
+    /// Returns the reservations of a newly accepted request, which has none.
     pub fn new(mode: ReleaseMode) -> RequestReservations<H> {
         RequestReservations {
             mode,
             kv_state: None,
-            held: Vec::new(),
+            reservations: Vec::new(),
             released_before: 0,
         }
     }
 
-    /// The KV state that a decode attempt started now would fetch.
+    /// Returns the KV state that a decode attempt sent now would fetch.
     pub fn kv_state(&self) -> Option<&KvState<H>> {
         self.kv_state.as_ref()
     }
 
-    /// Marks the decode slots that an attempt about to be sent to `endpoint` uses.
+    /// Marks the decode slots that an attempt about to be sent to `endpoint` will use.
     ///
-    /// Guards against slots that outlast their request: a decode attempt uses the slot that was reserved beside the prefill
-    /// whose state it fetches. Its engine knows nothing of one reserved beside a prefill that failed, and a reservation whose
-    /// result is not here yet may reach the engine after the attempt.
+    /// A decode attempt uses only the slot that was reserved with the prefill whose KV state it fetches. The engine does not
+    /// associate the attempt with a slot reserved for a prefill that failed, and a reservation whose result is not known yet
+    /// may reach the engine after the attempt. If such slots counted as used, they would stay reserved after the request.
     pub fn attempt_started(&mut self, attempt: u16, endpoint: EndpointId, prefill_only: bool) {
         if prefill_only {
             return;
         }
         let prefill = self.kv_state.as_ref().map(|state| state.attempt);
         let slots = self
-            .held
+            .reservations
             .iter_mut()
-            .filter(|held| held.reservation.is_decode_slot)
-            .filter(|held| held.reservation.endpoint == endpoint);
+            .filter(|tracked| tracked.reservation.is_decode_slot)
+            .filter(|tracked| tracked.reservation.endpoint == endpoint);
         for slot in slots {
             let used = Some(slot.reservation.attempt) == prefill
                 || mutations::is_active(Mutation::AnyDecodeUsesSlot);
             slot.usage = if used {
-                Use::ByAttempt(attempt)
+                Usage::ByAttempt(attempt)
             } else {
-                Use::Reserved
+                Usage::Unused
             };
         }
     }
 
-    /// Takes in the end of an attempt.
+    /// Records the end of an attempt and returns the reservations to release.
     ///
-    /// A successful prefill leaves a KV state. One whose end is unknown may have left a state that nobody will fetch. A
-    /// decode engine that found no state ends the use of the present one, which may still be there: an engine that could
-    /// not reach the state says the same.
+    /// A successful prefill leaves a KV state to fetch. A prefill of unknown outcome may have left a KV state that no
+    /// attempt will fetch. After a KV cache miss the current KV state is not used any more, but may still exist, so it has to
+    /// be released: a decode engine also reports a miss when it could not reach the engine that stores the state.
     pub fn attempt_ended(&mut self, end: AttemptEnd<H>) -> Vec<Reservation<H>> {
         let mut release = Vec::new();
         let outcome = end.outcome;
@@ -170,7 +171,7 @@
                 confirmed: outcome == Outcome::Prefilled && !end.release_withdrawn,
             };
             if outcome == Outcome::Prefilled {
-                self.hold(state);
+                self.track(state);
                 self.kv_state = Some(KvState {
                     engine,
                     attempt: end.attempt,
@@ -180,66 +181,70 @@
             {
                 match self.mode {
                     ReleaseMode::PerReservation => release.push(state),
-                    ReleaseMode::PerRequest => self.hold(state),
+                    ReleaseMode::PerRequest => self.track(state),
                 }
             }
         }
         if outcome == Outcome::KvCacheMiss {
             self.kv_state = None;
             if self.mode == ReleaseMode::PerReservation {
-                let (slots, states): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held)
+                let (slots, states): (Vec<_>, Vec<_>) = std::mem::take(&mut self.reservations)
                     .into_iter()
-                    .partition(|held| held.reservation.is_decode_slot);
-                self.held = slots;
-                release.extend(states.into_iter().map(|held| held.reservation));
+                    .partition(|tracked| tracked.reservation.is_decode_slot);
+                self.reservations = slots;
+                release.extend(states.into_iter().map(|tracked| tracked.reservation));
             }
         }
         release
     }
 
-    /// Takes in a decode slot that may be held, while the request waits for its first token. `attempt_in_flight` says
-    /// whether the attempt beside which it was reserved still is. Returns the slot if it is to be released at once.
+    /// Records a decode slot that may be reserved, while the request waits for its first token. `attempt_in_flight` says
+    /// whether the prefill attempt that the slot was requested with is still in flight. Returns the slot if it has to be
+    /// released at once, in three cases:
     ///
-    /// Guards against a slot that was asked for before a release and granted after it: nobody waits for that one.
-    ///
-    /// Guards against a slot that was asked for beside a prefill which a network partition keeps from its engine: nobody
-    /// knows of an attempt there, so its time runs, and the prefill's own end may be seconds away. The prefill leaves
-    /// nothing yet that the release could take.
+    /// - The slot was requested before a release and granted after it, so no attempt will use it.
+    /// - The slot is unconfirmed and can be released on its own ([`ReleaseMode::PerReservation`]).
+    /// - The slot is unconfirmed and its prefill attempt is in flight. A network partition may keep the prefill from
+    ///   reaching its engine. Then no engine knows of an attempt, so the time limit of the reservation runs, and the prefill
+    ///   may take seconds to fail. An early release is safe because the prefill has left nothing yet that it could remove.
     pub fn slot_reserved(
         &mut self,
         slot: Reservation<H>,
         attempt_in_flight: bool,
     ) -> Option<Reservation<H>> {
         let may_wait = slot.confirmed || self.mode == ReleaseMode::PerRequest;
-        let unheard_of = !slot.confirmed && attempt_in_flight;
-        if may_wait && !unheard_of && slot.attempt >= self.released_before {
-            self.hold(slot);
+        let engine_may_not_know = !slot.confirmed && attempt_in_flight;
+        if may_wait && !engine_may_not_know && slot.attempt >= self.released_before {
+            self.track(slot);
             return None;
         }
         Some(slot)
     }
 
-    /// The answer began to stream from this attempt. What its engine fetched or used is gone with that; the rest is
-    /// returned, unless the stream itself releases it.
+    /// Records that the answer began to stream from this attempt. The KV state and the slot that the attempt used are used
+    /// up. The other reservations are returned for release; with [`ReleaseMode::PerRequest`] none are, because the stream
+    /// makes engines release them.
     pub fn first_token(&mut self, attempt: u16) -> Vec<Reservation<H>> {
         let fetched = self.kv_state.take().map(|state| state.attempt);
-        let held = std::mem::take(&mut self.held);
+        let reservations = std::mem::take(&mut self.reservations);
         if self.mode == ReleaseMode::PerRequest {
             return Vec::new();
         }
-        held.into_iter()
-            .filter(|held| match held.reservation.is_decode_slot {
-                true => held.usage != Use::ByAttempt(attempt),
-                false => fetched != Some(held.reservation.attempt),
+        reservations
+            .into_iter()
+            .filter(|tracked| match tracked.reservation.is_decode_slot {
+                true => tracked.usage != Usage::ByAttempt(attempt),
+                false => fetched != Some(tracked.reservation.attempt),
             })
-            .map(|held| held.reservation)
+            .map(|tracked| tracked.reservation)
             .collect()
     }
 
-    /// Returns everything for release, after `attempts_started` attempts.
+    /// Returns all reservations for release. `attempts_started` is the number of attempts so far.
     ///
-    /// Guards against a common release of what an attempt in flight still needs or is about to leave: then nothing is
-    /// returned, and the attempt's end leads here again.
+    /// With [`ReleaseMode::PerRequest`], nothing is returned while an attempt is in flight: the release would remove what
+    /// the attempt still needs, or come before what the attempt is about to leave. The caller calls this again when the
+    /// attempt ends.
     pub fn release_all(
         &mut self,
         attempts_started: u16,
@@ -250,28 +255,28 @@
         }
         self.kv_state = None;
         self.released_before = attempts_started;
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.reservations)
             .into_iter()
-            .map(|held| held.reservation)
+            .map(|tracked| tracked.reservation)
             .collect()
     }
 
-    /// The client disconnected. Nothing changes until the router asks for the release.
+    /// Records that the client disconnected. Nothing is released until the router requests it.
     pub fn client_disconnected(&mut self) {
         if mutations::is_active(Mutation::NoReleaseOnDisconnect) {
-            self.held.clear();
+            self.reservations.clear();
         }
     }
 
-    fn hold(&mut self, reservation: Reservation<H>) {
-        self.held.push(Held {
+    fn track(&mut self, reservation: Reservation<H>) {
+        self.reservations.push(Tracked {
             reservation,
-            usage: Use::Reserved,
+            usage: Usage::Unused,
         });
     }
 }
 
-/// Whether a prefill that ended so may have left a KV state although it did not say so.
+/// Returns whether a prefill attempt with this outcome may have left a KV state without confirming it.
 fn may_leave_kv_state(outcome: Outcome) -> bool {
     outcome == Outcome::Served || outcome.may_have_run()
 }
--- a/crates/ivyward-core/tests/reservations.rs
+++ b/crates/ivyward-core/tests/reservations.rs
@@ -1,4 +1,4 @@
-//! What a request may leave at engines, and what is released when.
+//! The reservations of a request at engines, and when they are released.
 
 use ivyward_core::interface::{EndpointId, Outcome};
 use ivyward_core::reservations::{
@@ -43,7 +43,7 @@
     Reservation::decode_slot("decode", endpoint, attempt, status).expect("not denied")
 }
 
-/// A request whose prefill (attempt 0) ended well, with a slot granted beside it.
+/// Returns the reservations of a request whose prefill (attempt 0) succeeded, with a decode slot granted during it.
 fn prefilled_with_slot(mode: ReleaseMode) -> Reservations {
     let mut reservations = Reservations::new(mode);
     reservations.attempt_started(0, PREFILL, true);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn successful_prefill_leaves_a_state_to_fetch() {
+fn successful_prefill_leaves_a_kv_state_to_fetch() {
     for mode in [ReleaseMode::PerReservation, ReleaseMode::PerRequest] {
         let mut reservations = Reservations::new(mode);
         assert_eq!(reservations.kv_state(), None);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn prefill_that_withdrew_a_release_is_not_confirmed() {
+fn kv_state_is_unconfirmed_if_a_release_was_withdrawn() {
     let mut reservations = Reservations::new(ReleaseMode::PerRequest);
     let end = AttemptEnd {
         release_withdrawn: true,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn prefill_of_unknown_end_may_leave_a_state() {
+fn prefill_of_unknown_outcome_may_leave_a_kv_state() {
     let unknown = [
         Outcome::Served,
         Outcome::Error,
@@ -97,17 +97,17 @@
         Outcome::Cancelled,
     ];
     for outcome in unknown {
-        let mut individually = Reservations::new(ReleaseMode::PerReservation);
+        let mut per_reservation = Reservations::new(ReleaseMode::PerReservation);
         assert_eq!(
-            individually.attempt_ended(end(0, outcome, true)),
+            per_reservation.attempt_ended(end(0, outcome, true)),
             [kv_state(0, false)]
         );
-        assert_eq!(individually.release_all(1, false), []);
+        assert_eq!(per_reservation.release_all(1, false), []);
 
-        let mut together = Reservations::new(ReleaseMode::PerRequest);
-        assert_eq!(together.attempt_ended(end(0, outcome, true)), []);
-        assert_eq!(together.release_all(1, false), [kv_state(0, false)]);
-        assert_eq!(together.kv_state(), None);
+        let mut per_request = Reservations::new(ReleaseMode::PerRequest);
+        assert_eq!(per_request.attempt_ended(end(0, outcome, true)), []);
+        assert_eq!(per_request.release_all(1, false), [kv_state(0, false)]);
+        assert_eq!(per_request.kv_state(), None);
     }
 }
 
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn cache_miss_releases_states_and_keeps_slots() {
+fn cache_miss_releases_kv_states_but_not_slots() {
     let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, DECODE, false);
     assert_eq!(
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn cache_miss_releases_nothing_yet_where_all_is_released_together() {
+fn cache_miss_releases_nothing_if_one_call_releases_the_whole_request() {
     let mut reservations = prefilled_with_slot(ReleaseMode::PerRequest);
     assert_eq!(
         reservations.attempt_ended(end(1, Outcome::KvCacheMiss, false)),
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn first_token_uses_up_the_fetched_state_and_its_slot() {
+fn first_token_uses_up_the_fetched_kv_state_and_its_slot() {
     let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     reservations.attempt_started(1, DECODE, false);
     assert_eq!(reservations.first_token(1), []);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn slot_beside_a_failed_prefill_is_not_used() {
+fn slot_reserved_with_a_failed_prefill_is_not_used() {
     let mut reservations = Reservations::new(ReleaseMode::PerReservation);
     let granted = slot(DECODE, 0, ReservationStatus::Granted);
     assert_eq!(reservations.slot_reserved(granted.clone(), true), None);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn first_token_releases_nothing_where_the_stream_does() {
+fn first_token_releases_nothing_if_the_stream_does() {
     let mut reservations = prefilled_with_slot(ReleaseMode::PerRequest);
     reservations.attempt_started(1, OTHER_DECODE, false);
     assert_eq!(reservations.first_token(1), []);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn slot_of_unknown_status_is_released_at_once_where_each_has_its_own_release() {
+fn slot_of_unknown_status_is_released_at_once_if_reservations_are_released_individually() {
     for in_flight in [true, false] {
         let mut reservations = Reservations::new(ReleaseMode::PerReservation);
         let unknown = slot(DECODE, 0, ReservationStatus::Unknown);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn slot_of_unknown_status_waits_for_the_common_release_unless_its_attempt_is_in_flight() {
+fn slot_of_unknown_status_waits_for_the_release_of_the_request_unless_its_attempt_is_in_flight() {
     let unknown = slot(DECODE, 0, ReservationStatus::Unknown);
 
     let mut reservations = Reservations::new(ReleaseMode::PerRequest);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn common_release_waits_for_attempts_in_flight() {
+fn release_of_the_whole_request_waits_for_attempts_in_flight() {
     let mut reservations = prefilled_with_slot(ReleaseMode::PerRequest);
     assert_eq!(reservations.release_all(2, true), []);
     assert!(reservations.kv_state().is_some());
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn individual_release_does_not_wait_for_attempts_in_flight() {
+fn release_of_single_reservations_does_not_wait_for_attempts_in_flight() {
     let mut reservations = prefilled_with_slot(ReleaseMode::PerReservation);
     let released = reservations.release_all(2, true);
     let expected = [
