--- a/crates/ivyward-core/src/mutations.rs
+++ b/crates/ivyward-core/src/mutations.rs
@@ -1,65 +1,65 @@
-//! Deliberate defects for mutation testing: they show that the checks find them.
+//! Deliberate defects for mutation testing, which show that the tests and checks detect such defects.
 //!
-//! They are compiled in with `RUSTFLAGS="--cfg mutations"` only; without it [`is_active`] is `false` for all of them, and the
-//! program contains none. At most one is active at a time, for the whole process.
+//! They are compiled in only with `RUSTFLAGS="--cfg mutations"`. Without it, [`is_active`] is always `false` and the program
+//! contains none of them. At most one mutation is active at a time, for the whole process.
 
-/// A defect.
+/// A deliberate defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutation {
-    /// Reservations of a request are not released when its client disconnects.
+    /// Reservations of a request are not released after its client disconnected.
     NoReleaseOnDisconnect = 1,
-    /// An attempt whose stream was reset is sent once more, inside the attempt.
+    /// A decode attempt whose stream was reset is sent again within the same attempt, unseen by the router.
     ResendAfterReset,
-    /// A reset after the request was sent counts as proof that nothing ran.
+    /// A stream reset after the request was sent counts as proof that the request did not run.
     ResetCountsAsNotRun,
-    /// An error status of the engine counts as proof that nothing ran.
+    /// An error status from the engine counts as proof that the request did not run.
     StatusCountsAsNotRun,
-    /// A drain that is first seen in a list read again is ignored.
+    /// A drain that first appears when the complete list is read again is ignored.
     IgnoreDrainInList,
-    /// Engines that are missing from a complete list stay.
+    /// Engines that are missing from a complete list are not removed.
     KeepMissingEngines,
-    /// A watch resumes one revision too late.
+    /// A watch starts one revision too late, so that it misses a change.
     WatchSkipsRevision,
-    /// The client's timeout counts from later than its request's arrival.
+    /// The client's timeout starts later than at the arrival of its request.
     LateTimeoutStart,
-    /// The last tokens are sent twice.
+    /// The last tokens of an answer are sent twice.
     DuplicateTokens,
-    /// A connection that is no longer usable is used again.
+    /// A connection that is no longer usable is used for another call.
     ReuseStaleConnection,
-    /// A slow client exerts no backpressure on its engine.
+    /// The buffer for a slow client has no limit, so that it exerts no backpressure on the engine.
     NoBackpressure,
-    /// A reserved slot counts as used by any decode at its engine.
+    /// A reserved decode slot counts as used by any decode attempt at its engine, even if it belongs to another prefill.
     AnyDecodeUsesSlot,
-    /// An attempt that waited for a connection is sent to an engine that drains meanwhile.
+    /// A call that waited for a connection is sent although the engine began to drain meanwhile.
     IgnoreDrainWhileConnecting,
-    /// The router is not told of a disconnected client.
+    /// Some client disconnects before the first token are ignored.
     IgnoreDisconnect,
-    /// A prefill without a known end leaves its KV state behind.
+    /// The KV state that a prefill of unknown outcome may have left is not released.
     NoReleaseAfterUnknownPrefill,
-    /// A node does not refute a suspicion that it knows to be wrong.
+    /// A node does not refute a suspicion of another node that it knows to be wrong.
     NoRefutation,
-    /// The replica count falls for a suspected node.
+    /// The replica count leaves out nodes that are only suspected.
     SuspicionLowersReplicaCount,
     /// Tombstones never expire.
     TombstoneNeverExpires,
-    /// Datagrams are answered to their source address.
+    /// Replies go to a datagram's source address instead of the sender's announced address.
     ReplyToSourceAddress,
-    /// A node that was paused takes the others for dead.
+    /// A node ignores its own health, so that a node that was paused or isolated declares the others dead.
     IgnoreOwnHealth,
-    /// A call uses a connection that was idle for long without a check.
+    /// A call uses a connection that was idle for long without checking it first.
     NoCheckBeforeUse,
     /// A call uses a connection whose check was not answered.
     ReuseUnansweredConnection,
-    /// Idle connections are checked regardless of the budget.
+    /// Idle connections are checked more often than the budget allows.
     IgnoreCheckBudget,
-    /// All idle connections ask for their checks at the same time.
+    /// The checks of idle connections have no jitter, so that they all come at the same time.
     NoJitter,
-    /// Connections used by calls still count as idle.
+    /// Connections that are used again still count as idle.
     CountBusyAsIdle,
 }
 
-/// Those of the keepalive, which tests of their own find.
+/// Defects of the keepalive, detected by the keepalive tests.
 pub const KEEPALIVE: [Mutation; 5] = [
     Mutation::NoCheckBeforeUse,
     Mutation::ReuseUnansweredConnection,
@@ -68,7 +68,7 @@
     Mutation::CountBusyAsIdle,
 ];
 
-/// Those of the peers, which tests of their own find.
+/// Defects of the peer membership, detected by the peer tests and by simulation runs with peers.
 pub const PEERS: [Mutation; 5] = [
     Mutation::NoRefutation,
     Mutation::SuspicionLowersReplicaCount,
@@ -77,7 +77,7 @@
     Mutation::IgnoreOwnHealth,
 ];
 
-/// All others.
+/// All other defects, detected by simulation runs with default settings.
 pub const GENERAL: [Mutation; 15] = [
     Mutation::NoReleaseOnDisconnect,
     Mutation::ResendAfterReset,
@@ -99,7 +99,7 @@
 #[cfg(mutations)]
 static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
-/// Activates a mutation, or none.
+/// Activates a mutation for the whole process in place of the previous one; `None` deactivates it.
 #[cfg(mutations)]
 pub fn activate(mutation: Option<Mutation>) {
     ACTIVE.store(
@@ -108,13 +108,13 @@
     );
 }
 
-/// Whether this mutation is active.
+/// Returns whether this mutation is active.
 #[cfg(mutations)]
 pub fn is_active(mutation: Mutation) -> bool {
     ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == mutation as u8
 }
 
-/// Whether this mutation is active: never.
+/// Returns `false`: mutations are not compiled in.
 #[cfg(not(mutations))]
 #[inline(always)]
 pub const fn is_active(_: Mutation) -> bool {
