--- a/crates/ivyward-core/src/router/attempts.rs
+++ b/crates/ivyward-core/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! First tokens and ends of attempts: what they teach and what follows.
+//! First tokens and ends of attempts: updates the measurements and takes the request's next step.
 
 use super::health::Response;
 use super::state::{
@@ -7,8 +7,8 @@
 use super::Router;
 use crate::interface::{Micros, Outcome};
 
-/// What failures add to an endpoint's score; it is ejected at 1. Errors are rare where nothing is wrong: two
-/// without a response between them are no chance.
+// What each kind of failure adds to an endpoint's failure score; the endpoint is ejected at a score of 1. Resets,
+// timeouts and errors are rare on a working endpoint, so two of them without a response in between eject it.
 const CONNECT_FAILURE_SCORE: f64 = 1.0;
 const RESET_SCORE: f64 = 0.5;
 const TIMEOUT_SCORE: f64 = 0.6;
@@ -18,7 +18,7 @@
 pub(super) struct AttemptEnd {
     pub(super) outcome: Outcome,
     pub(super) cached_tokens: u32,
-    /// Nothing more is to be done for the request.
+    /// Whether the request is finished, so that no further attempt follows.
     pub(super) finished: bool,
 }
 
@@ -43,7 +43,7 @@
         self.open_requests.insert(key.request, state);
     }
 
-    /// Learns from the time to the first token.
+    /// Records the time to first token in all measurements that depend on it.
     fn record_ttft(&mut self, now: Micros, state: &RequestState, attempt: &Attempt) {
         let objective = state.objective.max(1.0);
         let prefill = state
@@ -61,7 +61,7 @@
         self.record_response(now, response(now, attempt));
     }
 
-    /// Takes note of a stream that began.
+    /// Records that an attempt began to stream.
     fn record_stream(
         &mut self,
         now: Micros,
@@ -168,9 +168,9 @@
             Outcome::TimedOut | Outcome::Cancelled if !state.finished => {
                 let endpoint = self.endpoint_mut(id);
                 endpoint.record_missing_response(now);
-                // A busy endpoint that completed other work meanwhile is not a failing one.
-                let silent = endpoint.last_progress < attempt.sent;
-                if outcome == Outcome::TimedOut && silent {
+                // An endpoint that responded to other requests in the meantime is busy, not failing.
+                let unresponsive = endpoint.last_progress < attempt.sent;
+                if outcome == Outcome::TimedOut && unresponsive {
                     self.record_failure(id, now, TIMEOUT_SCORE, out);
                 }
             }
@@ -186,7 +186,7 @@
 }
 
 impl RequestState {
-    /// Updates what the request may do next after an attempt.
+    /// Records the end of an attempt, as far as it limits the request's further attempts.
     fn record_end(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
         if !matches!(
             outcome,
--- a/crates/ivyward-core/src/router/balancing.rs
+++ b/crates/ivyward-core/src/router/balancing.rs
@@ -1,45 +1,46 @@
-//! Choice of prefill and decode endpoints, and how much locality counts in it.
+//! The choice of prefill and decode endpoints by load and locality.
 
 use super::health::Health;
-use super::ppd::CELL_DECAY_SPAN;
+use super::ppd::CELL_DECAY;
 use super::state::{AttemptKind, Pool, RequestState, ServiceKey, TrackedEndpoint};
-use super::{Router, RECENT_SPAN};
+use super::{Router, RECENT_DECAY};
 use crate::hash::{mix, unit_interval};
 use crate::interface::{Endpoint, EndpointId, Idempotency, Micros, Role};
 use std::cmp::Ordering;
 
-/// The first prefill endpoint of the ring whose cost is within this multiple of the lowest is chosen.
+/// A prefill goes to the first endpoint of the ring whose cost is within this multiple of the lowest cost.
 const LOAD_BOUND: f64 = 1.75;
-/// Where crossing zones has a price, an endpoint in another zone has this share of its weight in the ring.
+/// If crossing zones has a price, an endpoint in another zone has this share of its usual weight in the ring.
 const OTHER_ZONE_WEIGHT: f64 = 0.3;
-/// A prefix has one home, and one more for each mean endpoint's load that it brings, times this.
+/// A prefix has one home endpoint, plus its load in units of the mean endpoint's load, times this factor.
 const HOMES_PER_LOAD_SHARE: f64 = 0.6;
-/// A tenant is taken to send its quota, and a prefix nothing, until about this many arrivals tell otherwise.
+/// Weight, in arrivals, of the prior assumptions that a tenant sends its quota and a prefix sends nothing.
 pub(super) const SHARE_PRIOR_REQUESTS: f64 = 5.0;
-/// Leaving the rack, and again leaving the zone, is worth this multiple of a decode endpoint's load.
+/// A decode endpoint's cost is multiplied by this if it is in another rack, and again if it is in another zone.
 const DISTANCE_PENALTY: f64 = 1.5;
-/// Streams added to this node's own when endpoints of different distance are compared: a few alone tell little.
+/// Streams added to an endpoint's load when endpoints at different distances are compared, because a few streams of
+/// this node alone say little about the load that all nodes cause.
 const LOAD_PRIOR_STREAMS: f64 = 3.0;
-/// The number of distances from an endpoint: same rack, same zone, other zone.
+/// The number of distances that are distinguished: same rack, same zone, other zone.
 const DISTANCES: usize = 3;
 
-/// The best decode endpoint at one distance.
+/// A decode endpoint that an attempt could be sent to.
 #[derive(Clone, Copy)]
 struct DecodeCandidate<'a> {
     health: Health,
     cost: f64,
-    /// The cost of each stream.
+    /// The cost of one stream; `cost` is this times the load.
     cost_per_stream: f64,
     endpoint: &'a TrackedEndpoint,
 }
 
-/// How many endpoints of a ring are homes of a prefix with this share of all prompt tokens.
-fn home_count(share: f64, ring: usize) -> usize {
-    ((share * ring as f64 * HOMES_PER_LOAD_SHARE) as usize + 1).min(ring)
+/// Returns how many of `endpoint_count` endpoints are homes of a prefix with this share of all prompt tokens.
+fn home_count(share: f64, endpoint_count: usize) -> usize {
+    ((share * endpoint_count as f64 * HOMES_PER_LOAD_SHARE) as usize + 1).min(endpoint_count)
 }
 
 impl Router {
-    /// Records the first-token time over its objective of a prompt prefilled at this endpoint.
+    /// Records the first-token time, divided by its objective, of a prompt that this endpoint prefilled.
     pub(super) fn record_locality(&mut self, now: Micros, prefill: EndpointId, ratio: f64) {
         let info = self.endpoints[&prefill].info;
         let near_decode = self.rack_affinity(&info) >= 1.0;
@@ -53,13 +54,13 @@
             } else {
                 &mut locality.far
             };
-            mean.add(now, RECENT_SPAN, ratio.min(2.0));
+            mean.add(now, RECENT_DECAY, ratio.min(2.0));
         }
     }
 
-    /// Consistent hashing with bounded loads: in the order of the hash, the first prefill endpoint within the
-    /// bound. A prefix has as many homes as its share of the prompt tokens fills, and a session keeps to one
-    /// of them.
+    /// Chooses a prefill endpoint by consistent hashing with bounded loads: the first endpoint in hash order whose
+    /// cost is within the bound. The first endpoints are the homes of the prefix; their number grows with its share
+    /// of all prompt tokens. A session always starts at the same home.
     pub(super) fn pick_prefill(&self, now: Micros, state: &RequestState) -> Option<EndpointId> {
         let request = &state.request;
         let session = if request.session != 0 {
@@ -85,7 +86,7 @@
         self.first_within_bound(now, state, &ring, homes)
     }
 
-    /// The prefill endpoints that the request may use, in the order of the ring of a prefix.
+    /// Returns the prefill endpoints that the request may use, in the ring order of a key.
     fn prefill_ring(&self, now: Micros, state: &RequestState, key: u64) -> Vec<&TrackedEndpoint> {
         let mut ring: Vec<&TrackedEndpoint> = self
             .pool(Pool::Prefill)
@@ -100,10 +101,11 @@
         ring
     }
 
-    /// Weighted rendezvous hashing: the position of an endpoint in the ring of a key; lowest first.
+    /// Returns the position of an endpoint in the ring of a key, lowest first, by weighted rendezvous hashing.
     fn ring_position(&self, now: Micros, endpoint: &TrackedEndpoint, key: u64) -> f64 {
         let info = &endpoint.info;
-        // All nodes (of a zone) must agree on the homes: learned weights change under overload only.
+        // All nodes (of a zone) must agree on the homes of a prefix. The locality weights, which each node learns
+        // for itself, therefore change only under overload.
         let other_zone = info.zone != self.settings.zone && self.settings.cross_zone_price > 0.0;
         let zone_weight = if other_zone {
             OTHER_ZONE_WEIGHT.powf(self.zone_locality.locality_weight)
@@ -117,19 +119,19 @@
         -(unit_interval(mix(key) ^ mix(info.id.0)) + 1e-16).ln() / weight
     }
 
-    /// The share of recent prompt tokens that a prefix (or session without one) brought.
+    /// Returns the share of recent prompt tokens that belong to requests with this key.
     fn prompt_share(&self, now: Micros, key: u64) -> f64 {
         let of_key = self
             .prefix_tokens
             .get(&key)
-            .map_or(0.0, |tokens| tokens.sum_at(now, CELL_DECAY_SPAN));
-        let of_all = self.prompt_tokens.sum_at(now, CELL_DECAY_SPAN)
+            .map_or(0.0, |tokens| tokens.sum_at(now, CELL_DECAY));
+        let of_all = self.prompt_tokens.sum_at(now, CELL_DECAY)
             + SHARE_PRIOR_REQUESTS * self.prompt_tokens.mean();
         of_key / of_all.max(1.0)
     }
 
-    /// Drops cold endpoints without budget. Guards a cold home of a prefix that many nodes request: more of
-    /// them use a draw that they win there.
+    /// Removes cold endpoints without budget from the ring. If a cold endpoint is a home of a prefix that many nodes
+    /// request, more of the nodes that win the random draw for it also use it; `home_load` accounts for that.
     fn retain_within_cold_budget(
         &self,
         now: Micros,
@@ -148,7 +150,7 @@
         });
     }
 
-    /// The first endpoint of the ring whose cost is within the bound.
+    /// Returns the first endpoint of the ring whose cost is within the bound.
     fn first_within_bound(
         &self,
         now: Micros,
@@ -160,7 +162,7 @@
             .iter()
             .enumerate()
             .map(|(rank, endpoint)| {
-                // Homes have the shared prefix cached.
+                // Homes have the shared prefix in their KV cache.
                 let tokens = if rank < homes {
                     state.new_tokens
                 } else {
@@ -176,26 +178,27 @@
             .map(|rank| ring[rank].info.id)
     }
 
-    /// The cost of prefilling this many tokens at an endpoint, in tokens of a usual endpoint.
+    /// Returns the cost of prefilling this many tokens at an endpoint, in tokens of a typical endpoint.
     fn prefill_cost(&self, now: Micros, endpoint: &TrackedEndpoint, tokens: f64) -> f64 {
         let key = ServiceKey {
             kind: AttemptKind::Prefill,
             role: Role::Prefill,
         };
-        let usual = self.service_times.get(&key).copied().unwrap_or_default();
-        let rate = usual.work.mean() / usual.latency.mean().max(1.0);
-        // The age of this node's oldest wait shows what other nodes sent. A cold endpoint has its smaller
-        // weight in the ring already; only what waits there weighs more than elsewhere.
+        let typical = self.service_times.get(&key).copied().unwrap_or_default();
+        let rate = typical.work.mean() / typical.latency.mean().max(1.0);
+        // How long this node's oldest attempt has waited shows the queue that other nodes caused. The ring weight
+        // already accounts for the lower capacity of a cold endpoint, so only its queue is scaled by it here.
         let queue = endpoint
             .waiting_tokens()
             .max(endpoint.oldest_wait(now) * rate)
             / self.likely_share(&endpoint.info, now);
-        (usual.work.mean() + tokens + queue) * endpoint.slowness(now) / self.size(&endpoint.info)
+        (typical.work.mean() + tokens + queue) * endpoint.slowness(now) / self.size(&endpoint.info)
     }
 
-    /// The decode endpoint with the fewest streams of this node for its size: the best of the rack of `from`
-    /// (the prefill endpoint), of its zone and of the rest, then the cheapest of these. A part of one stream
-    /// is random, as nodes don't see each other's streams and would all choose alike.
+    /// Chooses the decode endpoint with the fewest streams of this node relative to its size. First the best
+    /// endpoint at each distance from `from` (the prefill endpoint) is found, then the cheapest of these. A random
+    /// fraction of one stream is added to each load, because nodes do not see each other's streams and would
+    /// otherwise all choose the same endpoint.
     pub(super) fn pick_decode(
         &self,
         now: Micros,
@@ -226,14 +229,15 @@
         cheapest(&best_at)
     }
 
-    /// Whether a decode endpoint may run an attempt of this kind.
+    /// Returns whether a decode endpoint may run an attempt of this kind.
     pub(super) fn can_run(&self, endpoint: &TrackedEndpoint, kind: AttemptKind) -> bool {
         kind != AttemptKind::PrefillAndDecode
             || self.role(endpoint) == Role::Mixed
             || self.settings.decode_may_prefill
     }
 
-    /// 0 in the rack of `from`, 1 in its zone (this node's zone if there is no `from`), else 2.
+    /// Returns 0 if `to` is in the rack of `from`, 1 if it is in another rack of the zone, and 2 if it is in another
+    /// zone. Without `from`, returns 0 in this node's zone and 1 in other zones.
     fn distance(&self, from: Option<&Endpoint>, to: &Endpoint) -> usize {
         let other_rack = from.is_some_and(|from| from.rack != to.rack);
         let other_zone = from.map_or(self.settings.zone, |from| from.zone) != to.zone;
@@ -266,8 +270,8 @@
     }
 }
 
-/// The best of the candidates at each distance. Other nodes choose by the same rules, so this node's streams
-/// stand for all, as far as so few can.
+/// Returns the cheapest of the best candidates at each distance. The load of this node's streams is taken as a sample
+/// of all nodes' load, since all nodes choose by the same rules; [`LOAD_PRIOR_STREAMS`] dampens small samples.
 fn cheapest(best_at: &[Option<DecodeCandidate>; DISTANCES]) -> Option<EndpointId> {
     best_at
         .iter()
--- a/crates/ivyward-core/src/router/dispatch.rs
+++ b/crates/ivyward-core/src/router/dispatch.rs
@@ -1,18 +1,18 @@
-//! Arrival of a request and its next attempt.
+//! The arrival of a request, and the choice and start of its next attempt.
 
 use super::admission::MAX_SHED_RATE;
 use super::health::Health;
-use super::ppd::CELL_DECAY_SPAN;
+use super::ppd::CELL_DECAY;
 use super::retry::TimeoutInputs;
 use super::state::{
     Actions, Attempt, AttemptKey, AttemptKind, Pool, RequestState, Target, TrackedEndpoint,
     WaitingAttempt,
 };
-use super::{Router, RECENT_SPAN};
+use super::{Router, RECENT_DECAY};
 use crate::interface::{Action, EndpointId, EndpointState, Micros, Request};
 
-/// Late requests are not prefilled again while more than this share of arrivals is refused.
-const NO_RETRY_SHED_RATE: f64 = MAX_SHED_RATE / 2.0;
+/// Requests that are past their first-token objective are not prefilled again while the shed rate is above this.
+const MAX_SHED_RATE_FOR_LATE_RETRY: f64 = MAX_SHED_RATE / 2.0;
 
 impl Router {
     pub(super) fn on_request(&mut self, now: Micros, request: Request, out: &mut Actions) {
@@ -43,20 +43,20 @@
     }
 
     fn record_prompt_tokens(&mut self, now: Micros, request: &Request) {
-        if now.saturating_sub(self.prompt_tokens.updated_at) as f64 > RECENT_SPAN {
+        if now.saturating_sub(self.prompt_tokens.updated_at) as f64 > RECENT_DECAY {
             self.busy_since = now;
         }
         let tokens = request.prompt_tokens;
-        self.prompt_tokens.add(now, CELL_DECAY_SPAN, tokens);
+        self.prompt_tokens.add(now, CELL_DECAY, tokens);
         if request.prefix != 0 {
             self.prefix_tokens
                 .entry(request.prefix)
                 .or_default()
-                .add(now, CELL_DECAY_SPAN, tokens);
+                .add(now, CELL_DECAY, tokens);
         }
     }
 
-    /// The next step of a request without an attempt in flight: an attempt, or the final answer.
+    /// Takes the next step for a request without an attempt in flight: starts an attempt or gives the final answer.
     pub(super) fn dispatch(&mut self, now: Micros, mut state: RequestState, out: &mut Actions) {
         self.release_expired_reservation(now, &mut state, out);
         match self.next_target(now, &mut state) {
@@ -67,7 +67,10 @@
 
     fn next_target(&mut self, now: Micros, state: &mut RequestState) -> Option<Target> {
         let attempts_left = self.attempts_left(state);
-        if attempts_left == 0 || !self.is_in_time(now, state) || !self.may_retry(state, now) {
+        if attempts_left == 0
+            || !self.is_worth_another_attempt(now, state)
+            || !self.may_retry(state, now)
+        {
             return None;
         }
         if state.kv_endpoint.is_some() {
@@ -85,23 +88,23 @@
         } else {
             None
         };
-        // Without a prefill endpoint, or without attempts left for two steps, one endpoint does both.
+        // Without a prefill endpoint, or with only one attempt left, one endpoint prefills and decodes.
         prefill.or_else(|| {
             self.pick_decode(now, None, state, AttemptKind::PrefillAndDecode)
                 .map(direct)
         })
     }
 
-    /// Whether another attempt is worth it. Under overload nothing that is already late is prefilled again, so
-    /// that retries don't keep the overload alive.
-    fn is_in_time(&self, now: Micros, state: &RequestState) -> bool {
+    /// Returns whether another attempt is worthwhile. Under overload a request that is already late is not
+    /// prefilled again, because such retries would sustain the overload.
+    fn is_worth_another_attempt(&self, now: Micros, state: &RequestState) -> bool {
         let late = (now - state.arrived) as f64 > state.objective;
         let would_repeat = !state.attempts.is_empty() && state.kv_endpoint.is_none();
-        let overloaded = self.shed_rate > NO_RETRY_SHED_RATE;
+        let overloaded = self.shed_rate > MAX_SHED_RATE_FOR_LATE_RETRY;
         now < state.deadline && !(late && would_repeat && overloaded)
     }
 
-    /// Where to decode a prefilled request: the endpoint with a reserved slot if it is usable.
+    /// Returns where to decode a prefilled request, preferring the endpoint with a reserved slot if it is usable.
     fn decode_target(&self, now: Micros, state: &RequestState) -> Option<Target> {
         let density = self.send_density(now, Pool::Decode, state);
         let usable = |endpoint: &&TrackedEndpoint| {
@@ -173,7 +176,7 @@
         self.schedule_tick(now, out);
     }
 
-    /// Takes note of a sent attempt at its endpoint and in the request's state.
+    /// Records a sent attempt at its endpoint and in the request's state.
     fn record_attempt(
         &mut self,
         now: Micros,
@@ -201,7 +204,7 @@
         });
     }
 
-    /// Reserves a slot at the decode endpoint that would be chosen now, while the prompt is prefilled.
+    /// Requests a decode slot, while the prompt is prefilled, at the decode endpoint that would be chosen now.
     fn reserve_decode_slot(
         &self,
         now: Micros,
@@ -220,7 +223,7 @@
 }
 
 impl TrackedEndpoint {
-    /// Counts a send against the cold budget, and forgets those before the overload window.
+    /// Counts a send against the cold budget, and removes sends that are older than the overload window.
     fn count_cold_send(&mut self, now: Micros, window: Micros) {
         if self.info.started_at == 0 {
             return;
--- a/crates/ivyward-core/src/router/endpoints.rs
+++ b/crates/ivyward-core/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: pools, sizes within a machine type, rack affinities.
+//! The endpoint list, the pools, sizes within a machine type, and rack affinities.
 
 use super::state::{Actions, MachineTypeWeight, Pool, TrackedEndpoint};
 use super::{Router, SUBSCRIBE_TIMER};
@@ -6,13 +6,13 @@
 use crate::interface::{Action, Endpoint, EndpointId, EndpointState, ListKind, Micros, Role};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pause before the list is subscribed to again after a failure, in microseconds.
-const SUBSCRIBE_RETRY_PAUSE: Micros = 1_000_000;
-/// Bounds of a rack's affinity.
+/// Delay before the router subscribes to the list again after a failure.
+const SUBSCRIBE_RETRY_DELAY: Micros = 1_000_000;
+// Bounds of a rack's affinity.
 const MIN_RACK_AFFINITY: f64 = 0.3;
 const MAX_RACK_AFFINITY: f64 = 1.6;
 
-/// Capacity of the prefill and decode endpoints of one rack, or of all racks.
+/// The prefill and decode capacity of one rack, or of all racks.
 #[derive(Clone, Copy, Default)]
 struct RoleCapacity {
     prefill: f64,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// This rack's share of decode capacity over its share of prefill capacity.
+    /// Returns this rack's share of all decode capacity divided by its share of all prefill capacity, clamped.
     fn affinity(&self, all: &RoleCapacity) -> f64 {
         let decode_share = self.decode / all.decode.max(0.01);
         let prefill_share = self.prefill / all.prefill.max(0.01);
@@ -46,7 +46,7 @@
     ) {
         match kind {
             ListKind::Failed => out.push(Action::SetTimer {
-                at: now + SUBSCRIBE_RETRY_PAUSE,
+                at: now + SUBSCRIBE_RETRY_DELAY,
                 token: SUBSCRIBE_TIMER,
             }),
             ListKind::Cached if self.settings.must_subscribe => out.push(Action::Subscribe),
@@ -62,13 +62,13 @@
                 self.update_endpoint(info);
             }
         }
-        self.forget_removed();
+        self.drop_removed();
         self.update_machine_types();
         self.refresh_capacity(now);
         self.update_rack_affinities();
     }
 
-    /// Takes over what the list says of one endpoint.
+    /// Updates one endpoint from its entry in the list.
     fn update_endpoint(&mut self, info: &Endpoint) {
         let new = || TrackedEndpoint {
             info: *info,
@@ -77,7 +77,7 @@
         let endpoint = self.endpoints.entry(info.id).or_insert_with(new);
         let restarted = endpoint.info.started_at != info.started_at;
         if restarted || info.state == EndpointState::Removed {
-            // Its KV cache is lost, and measurements of the old process say nothing about the new one.
+            // The KV cache is lost, and measurements of the old process do not apply to the new one.
             endpoint.cache_epoch += 1;
             endpoint.latency_ratio = DecayingMean::default();
             endpoint.failure_score = 0.0;
@@ -87,8 +87,8 @@
         endpoint.info = *info;
     }
 
-    /// Forgets removed endpoints to which no open request was sent, and the sessions they kept.
-    fn forget_removed(&mut self) {
+    /// Drops removed endpoints that no attempt of an open request was sent to, and the sessions cached there.
+    fn drop_removed(&mut self) {
         let used: BTreeSet<EndpointId> = self
             .open_requests
             .values()
@@ -132,7 +132,7 @@
         self.settings.roles[usize::from(endpoint.info.machine_type)]
     }
 
-    /// The endpoints that take new requests.
+    /// Returns the endpoints that take new requests.
     pub(super) fn listed(&self) -> impl Iterator<Item = &TrackedEndpoint> {
         self.endpoints
             .values()
@@ -145,22 +145,26 @@
         })
     }
 
-    /// The endpoint's weight over the mean of its machine type; configured weights compare endpoints of one
-    /// machine type only.
+    /// Returns the endpoint's weight divided by the mean weight of its machine type. Configured weights are not
+    /// comparable between machine types.
     pub(super) fn size(&self, info: &Endpoint) -> f64 {
         let machine_type = self.machine_types[usize::from(info.machine_type)];
         info.weight.max(0.01) * machine_type.count.max(1.0) / machine_type.total.max(0.01)
     }
 
-    /// How well the endpoint's rack is supplied with decode capacity.
+    /// Returns the affinity of the endpoint's rack: above 1 if the rack has more decode than prefill capacity,
+    /// relative to all racks.
     pub(super) fn rack_affinity(&self, info: &Endpoint) -> f64 {
         self.rack_affinities.get(&info.rack).copied().unwrap_or(1.0)
     }
 
-    /// Panics if the endpoint was never listed: endpoints of open requests stay known.
+    /// Returns an endpoint that was listed before. Endpoints of open requests are never dropped.
+    ///
+    /// # Panics
+    /// Panics if the endpoint is not tracked.
     pub(super) fn endpoint_mut(&mut self, id: EndpointId) -> &mut TrackedEndpoint {
         self.endpoints
             .get_mut(&id)
-            .expect("an endpoint once listed stays known")
+            .expect("endpoints of open requests stay tracked")
     }
 }
--- a/crates/ivyward-core/src/router/health.rs
+++ b/crates/ivyward-core/src/router/health.rs
@@ -1,75 +1,77 @@
-//! Outlier detection: latency ratios, failure scores, stalls, rejections, and expected service times.
+//! Outlier detection: latency ratios, failure scores, stalls, rejections and expected service times.
 
 use super::state::{
     Actions, AttemptKey, AttemptKind, Pool, RequestState, ServiceKey, ServiceTime, TrackedEndpoint,
     WaitingAttempt,
 };
-use super::{ppd, Router, RECENT_SPAN, TICK_TIMER};
+use super::{ppd, Router, RECENT_DECAY, TICK_TIMER};
 use crate::interface::{Action, EndpointId, Idempotency, Micros, Role};
 
-/// One observation counts for at most this multiple of its expectation.
+/// The ratio of observed to expected latency of one response is limited to this.
 const MAX_LATENCY_RATIO: f64 = 3.0;
-/// An endpoint counts as usual until about this many responses tell otherwise.
+/// Weight, in responses, of the prior assumption that an endpoint has the usual latency.
 const LATENCY_PRIOR_WEIGHT: f64 = 3.0;
-/// A wait of this multiple of its expected time without progress is a stall,
+/// An attempt that waits for this multiple of its expected latency without progress at the endpoint is a stall.
 pub(super) const STALL_MULTIPLE: f64 = 6.0;
-/// but only if it is also this share of the first-token objective.
+/// The expected latency is at least so high that a stall takes this share of the first-token objective.
 const MIN_STALL_SHARE: f64 = 0.6;
-/// Cancellations are at most this share of arrivals: under overload each one repeats work.
+/// Cancellations are limited to this share of arrivals, because under overload each one repeats work.
 const MAX_CANCELLATION_SHARE: f64 = 0.05;
-/// Looks for stalled endpoints in the shortest first-token objective.
+/// Stalled endpoints are looked for this many times in the shortest first-token objective.
 const TICKS_PER_OBJECTIVE: u64 = 8;
-/// The shortest time between two looks, in microseconds.
+/// The minimum time between two checks for stalled endpoints.
 const MIN_TICK_INTERVAL: Micros = 1_000;
-/// The first probe of an ejected endpoint comes after the usual time between two sends of this node, but not
-/// before this share of the warm-up duration and not after all of it. The interval then doubles.
+/// An ejected endpoint gets its first probe after the usual time between two sends of this node to it, but not
+/// earlier than this share of the warm-up duration, and not later than the whole of it. The interval then doubles.
 const MIN_PROBE_SHARE: f64 = 0.05;
-/// Added to the shortest probe interval, in microseconds.
+/// Added to the minimum probe interval, in microseconds.
 const PROBE_MARGIN: f64 = 100_000.0;
-/// The failure score at which an endpoint is ejected, and the most that it reaches.
+/// The failure score at which an endpoint is ejected.
 const EJECTION_SCORE: f64 = 1.0;
+/// The maximum failure score.
 const MAX_FAILURE_SCORE: f64 = 3.0;
-/// A response leaves this share of the failure score.
+/// A response multiplies the failure score by this.
 const SUCCESS_FACTOR: f64 = 0.3;
-/// An attempt without measurements so far is expected to take this multiple of a prefill endpoint's time.
+/// Without measurements, an attempt is expected to take this multiple of the time at a prefill endpoint.
 const UNMEASURED_MULTIPLE: f64 = 3.0;
-/// A rejection of a tenant is remembered for a quarter of the objective, twice as long each time, up to this
-/// many times.
+/// An endpoint counts as saturated for a rejected tenant for a quarter of the first-token objective. Each further
+/// rejection doubles the time, up to this many rejections.
 const MAX_TENANT_REJECTIONS: i32 = 5;
-/// Log lines written from start to exit.
+/// The maximum number of log lines in the lifetime of the router.
 const MAX_LOG_LINES: u32 = 40;
 
-/// How far an endpoint may be used; better first.
+/// The usability of an endpoint, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Health {
-    /// Use freely.
+    /// The endpoint may be used without restriction.
     Available,
-    /// It rejected requests lately, of all tenants or of this one.
+    /// The endpoint recently rejected requests of all tenants or of this tenant.
     Saturated,
-    /// It failed or is stalled; used only when nothing else is left.
+    /// The endpoint failed or is stalled. It is used only if no other endpoint is left.
     Ejected,
 }
 
 impl TrackedEndpoint {
-    /// Attempts of this node in progress there.
+    /// Returns the number of this node's attempts in progress at the endpoint.
     pub(super) fn load(&self) -> f64 {
         (self.active_streams + self.waiting.len()) as f64
     }
 
-    /// Prompt tokens of this node that wait there.
+    /// Returns the prompt tokens of this node's attempts that wait at the endpoint.
     pub(super) fn waiting_tokens(&self) -> f64 {
         self.waiting.values().map(|waiting| waiting.tokens).sum()
     }
 
-    /// How much slower it is than a usual endpoint of its pool.
+    /// Returns the endpoint's latency relative to a typical endpoint of its role; above 1 is slower.
     pub(super) fn slowness(&self, now: Micros) -> f64 {
-        let span = self.latency_span.max(RECENT_SPAN);
+        let decay = self.latency_decay.max(RECENT_DECAY);
         self.latency_ratio
-            .mean_with_prior(now, span, 1.0, LATENCY_PRIOR_WEIGHT)
+            .mean_with_prior(now, decay, 1.0, LATENCY_PRIOR_WEIGHT)
             .max(0.5)
     }
 
-    /// Age of the oldest wait in microseconds; reveals a queue that other nodes filled.
+    /// Returns how long the oldest waiting attempt has waited, in microseconds. A long wait reveals a queue that
+    /// other nodes filled.
     pub(super) fn oldest_wait(&self, now: Micros) -> f64 {
         self.waiting
             .values()
@@ -78,21 +80,22 @@
             .unwrap_or(0) as f64
     }
 
-    /// Guards against endpoints that take work and answer none, for any cause (hang, cut link, pause): a wait
-    /// far over its own expected time, which is long for a heavy prompt, without a response to anything
-    /// meanwhile. May harm when all latencies jump at once; the pool is not emptied then, as the pickers fall
-    /// back on ejected endpoints.
+    /// Returns whether the endpoint accepts requests but does not respond to any, whatever the cause (a hang, a
+    /// network partition, a paused process): an attempt has waited far longer than its expected latency, which is
+    /// long for a long prompt, and no other request got a response in that time. If all latencies rise at once,
+    /// working endpoints look stalled, too; their pool stays usable, because ejected endpoints are used if no others
+    /// are left.
     pub(super) fn is_stalled(&self, now: Micros) -> bool {
-        let silence = |waiting: &WaitingAttempt| {
+        let time_without_response = |waiting: &WaitingAttempt| {
             now.saturating_sub(waiting.sent.max(self.last_progress)) as f64
         };
         self.waiting
             .values()
-            .any(|waiting| silence(waiting) > STALL_MULTIPLE * waiting.expected)
+            .any(|waiting| time_without_response(waiting) > STALL_MULTIPLE * waiting.expected)
     }
 
-    /// Its health for a tenant's request. A request that `must_not_repeat` is never used as a probe: an
-    /// endpoint that fails at once is always the least loaded one.
+    /// Returns the endpoint's health for a tenant's request. An endpoint that fails every request at once is always the
+    /// least loaded one, so a request that `must_not_repeat` is never used as a probe.
     pub(super) fn health(&self, now: Micros, tenant: usize, must_not_repeat: bool) -> Health {
         let probe_due = now >= self.next_probe_at && self.waiting.is_empty() && !must_not_repeat;
         let failing = self.failure_score >= EJECTION_SCORE && !probe_due;
@@ -110,30 +113,31 @@
         }
     }
 
-    /// Guards against endpoints that limit one tenant: they reject its requests while serving those of others,
-    /// so each further rejection is remembered longer, for that tenant alone, until it is served there.
+    /// Records that the endpoint rejected a request. An endpoint that limits one tenant rejects its requests while it
+    /// serves those of others. Therefore each further rejection counts for longer, but only for that tenant, until
+    /// the endpoint serves the tenant again.
     pub(super) fn record_rejection(&mut self, now: Micros, state: &RequestState) {
         let rejections = self
             .rejected_tenants
             .entry(state.request.tenant)
             .or_default();
         rejections.count = (rejections.count + 1).min(MAX_TENANT_REJECTIONS);
-        let pause = state.objective / 8.0 * 2f64.powi(rejections.count);
-        rejections.rejected_until = now + pause as Micros;
+        let duration = state.objective / 8.0 * 2f64.powi(rejections.count);
+        rejections.rejected_until = now + duration as Micros;
         if rejections.count == 1 {
             self.saturated_until = rejections.rejected_until;
         }
     }
 
-    /// Counts an attempt without a response as a slow one.
+    /// Counts an attempt without a response as a response with the maximum latency ratio.
     pub(super) fn record_missing_response(&mut self, now: Micros) {
-        let span = self.latency_span.max(RECENT_SPAN);
-        self.latency_ratio.add(now, span, MAX_LATENCY_RATIO);
+        let decay = self.latency_decay.max(RECENT_DECAY);
+        self.latency_ratio.add(now, decay, MAX_LATENCY_RATIO);
     }
 }
 
 impl ServiceTime {
-    /// The expected latency for this much work; `None` without measurements.
+    /// Returns the expected latency for this much work in tokens; `None` without measurements.
     fn expect(&self, work: f64) -> Option<f64> {
         let relative = 0.5 + 0.5 * work / self.work.mean().max(1.0);
         (self.work.count > 0.0).then(|| self.latency.mean() * relative)
@@ -145,27 +149,27 @@
         } else {
             latency
         };
-        self.latency.add(now, RECENT_SPAN, latency.min(limit));
-        self.work.add(now, RECENT_SPAN, work);
+        self.latency.add(now, RECENT_DECAY, latency.min(limit));
+        self.work.add(now, RECENT_DECAY, work);
     }
 }
 
-/// A response: what it took and the work behind it.
+/// The latency of a response, and the work done for it.
 pub(super) struct Response {
     pub(super) endpoint: EndpointId,
     pub(super) kind: AttemptKind,
     pub(super) latency: Micros,
-    /// In tokens.
+    /// The tokens processed until the response began.
     pub(super) work: f64,
 }
 
 impl Router {
-    /// Capacity of an endpoint by its size, warm-up and measured speed.
+    /// Returns the capacity of an endpoint, from its size, its warm-up and its measured speed.
     pub(super) fn effective_weight(&self, endpoint: &TrackedEndpoint, now: Micros) -> f64 {
         self.size(&endpoint.info) * self.likely_share(&endpoint.info, now) / endpoint.slowness(now)
     }
 
-    /// Expected latency in microseconds of an attempt at an endpoint.
+    /// Returns the expected latency of an attempt at an endpoint, in microseconds.
     pub(super) fn expected_latency(
         &self,
         now: Micros,
@@ -179,15 +183,16 @@
                 .get(&ServiceKey { kind, role })
                 .and_then(|service_time| service_time.expect(work))
         };
-        // A decode endpoint that has not prefilled yet is taken to be slower at it than prefill endpoints.
-        let usual = measured(kind, self.role(endpoint)).or_else(|| {
+        // Without measurements, a decode endpoint is assumed to prefill more slowly than a prefill endpoint.
+        let typical = measured(kind, self.role(endpoint)).or_else(|| {
             measured(AttemptKind::Prefill, Role::Prefill).map(|time| time * UNMEASURED_MULTIPLE)
         });
-        (usual.unwrap_or(objective / 4.0) * endpoint.slowness(now).clamp(1.0, 2.0))
+        (typical.unwrap_or(objective / 4.0) * endpoint.slowness(now).clamp(1.0, 2.0))
             .max(MIN_STALL_SHARE * objective / STALL_MULTIPLE)
     }
 
-    /// Records a response: it lowers the failure score, and its latency against its pool's tells the speed.
+    /// Records a response: it lowers the endpoint's failure score, and its latency, compared with the expected one,
+    /// updates the endpoint's latency ratio.
     pub(super) fn record_response(&mut self, now: Micros, response: Response) {
         let latency = response.latency as f64;
         let info = self.endpoints[&response.endpoint].info;
@@ -202,22 +207,20 @@
         });
         service_time.record(now, latency, response.work);
         let work = 1.0 / self.present_capacity[machine_type].max(0.1);
-        self.completed_work[machine_type].add(now, RECENT_SPAN, work);
+        self.completed_work[machine_type].add(now, RECENT_DECAY, work);
         let usual_rate = self.usual_rate(&info, now);
         let endpoint = self.endpoint_mut(response.endpoint);
-        // A node that rarely uses it remembers its slowness for the time between two responses.
-        endpoint.latency_span =
-            (1.0 / usual_rate.max(1e-12)).clamp(RECENT_SPAN, ppd::CELL_DECAY_SPAN);
+        // A node that rarely uses the endpoint remembers its slowness at least for the time between two responses.
+        endpoint.latency_decay = (1.0 / usual_rate.max(1e-12)).clamp(RECENT_DECAY, ppd::CELL_DECAY);
         endpoint
             .latency_ratio
-            .add(now, endpoint.latency_span, ratio);
+            .add(now, endpoint.latency_decay, ratio);
         endpoint.failure_score *= SUCCESS_FACTOR;
         endpoint.last_progress = now;
     }
 
-    /// Records a failure that says something about the endpoint, and ejects it at a score of 1. The first
-    /// pause is no shorter than the usual time between two sends of this node: a shorter one would not be
-    /// noticed.
+    /// Adds to the endpoint's failure score and ejects the endpoint at a score of 1. The first ejection lasts at least
+    /// as long as the usual time between two sends of this node to it, since a shorter one would have no effect.
     pub(super) fn record_failure(
         &mut self,
         id: EndpointId,
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Schedules the next look for stalled endpoints while requests are open.
+    /// Schedules the next check for stalled endpoints, as long as requests are open.
     pub(super) fn schedule_tick(&mut self, now: Micros, out: &mut Actions) {
         if self.tick_scheduled || self.open_requests.is_empty() {
             return;
@@ -274,14 +277,15 @@
         });
     }
 
-    /// Cancels what waits at stalled endpoints, so that requests don't wait until the end of a hang.
+    /// Cancels the attempts that wait at stalled endpoints, so that their requests don't wait until a hang ends.
     pub(super) fn on_tick(&mut self, now: Micros, out: &mut Actions) {
         self.tick_scheduled = false;
         self.update_shed_rate(now);
         for id in self.stalled_endpoints(now) {
-            // Long prompts that arrive together look like a hang to a node that sees one wait at a time.
-            let allowed = MAX_CANCELLATION_SHARE * self.arrivals.count_at(now, RECENT_SPAN) + 1.0;
-            if self.cancellations.count_at(now, RECENT_SPAN) > allowed {
+            // Many long prompts that arrive together look like a hang to a node that has only one attempt waiting
+            // at the endpoint.
+            let allowed = MAX_CANCELLATION_SHARE * self.arrivals.count_at(now, RECENT_DECAY) + 1.0;
+            if self.cancellations.count_at(now, RECENT_DECAY) > allowed {
                 break;
             }
             self.cancel_waiting(id, now, out);
@@ -291,8 +295,8 @@
         self.schedule_tick(now, out);
     }
 
-    /// Stalled endpoints of both pools. A pool in which half of the endpoints seem stalled is overloaded, and
-    /// no other endpoint of it is better: none of it is returned.
+    /// Returns the stalled endpoints of both pools. If at least half of a pool's endpoints seem stalled, the pool is
+    /// overloaded and its other endpoints are no better, so none of them is returned.
     fn stalled_endpoints(&self, now: Micros) -> Vec<EndpointId> {
         let mut stalled = Vec::new();
         for pool in [Pool::Prefill, Pool::Decode] {
@@ -309,12 +313,12 @@
         stalled
     }
 
-    /// Cancels the attempts that wait at an endpoint and may be repeated elsewhere.
+    /// Cancels the attempts that wait at an endpoint and may be repeated at another one.
     fn cancel_waiting(&mut self, id: EndpointId, now: Micros, out: &mut Actions) {
         let waiting: Vec<AttemptKey> = self.endpoints[&id].waiting.keys().copied().collect();
         for key in waiting {
             if self.settings.may_cancel && self.may_repeat_elsewhere(key) {
-                self.cancellations.add(now, RECENT_SPAN, 0.0);
+                self.cancellations.add(now, RECENT_DECAY, 0.0);
                 out.push(Action::Cancel {
                     request: key.request,
                     attempt: key.attempt,
--- a/crates/ivyward-core/src/router/mod.rs
+++ b/crates/ivyward-core/src/router/mod.rs
@@ -1,20 +1,21 @@
-//! The routing decisions of one node. [`crate::interface`] holds the events and actions.
+//! The routing decisions of one node. [`crate::interface`] defines the events and actions.
 //!
-//! One mechanism decides the ordinary path: PPD of "Not All Prefills Are Equal" (arXiv:2603.13358), online:
-//! a later turn is prefilled where its KV state is kept or takes the prefill path, by a score per workload
-//! cell. docs/design.md says what was kept and changed, and when each exception acts.
+//! The router uses PPD of "Not All Prefills Are Equal" (arXiv:2603.13358) as an online algorithm: a later turn of
+//! a session is prefilled either on the decode endpoint that has its KV state cached or by a prefill endpoint,
+//! depending on a score per workload cell. docs/design.md lists the differences from the paper and the conditions
+//! under which the other mechanisms act.
 //!
-//! | module | decides or holds |
+//! | module | contents |
 //! | --- | --- |
 //! | `state` | the data types |
 //! | `endpoints` | the endpoint list, pools, sizes within a machine type |
 //! | `dispatch` | the next attempt of a request |
 //! | `ppd` | local or remote prefill: workload cells, scores, KV retention |
-//! | `balancing` | which prefill and which decode endpoint, locality |
-//! | `admission` | load shedding, tenants' quotas, first-token delay |
+//! | `balancing` | the choice of prefill and decode endpoints, locality |
+//! | `admission` | load shedding, tenant quotas, first-token times |
 //! | `health` | outlier detection, stalls, service times |
 //! | `slow_start` | capacity and budgets of cold endpoints |
-//! | `retry` | attempt deadlines, idempotency, reservations, final answers |
+//! | `retry` | attempt timeouts, idempotency, reservations, final answers |
 //! | `attempts` | first tokens and ends of attempts |
 
 mod admission;
@@ -37,71 +38,72 @@
 };
 use std::collections::BTreeMap;
 
-// Constants are shares, counts or multiples of configured and measured figures; none belongs to one deployment.
+// The constants of the router are shares, counts or multiples of configured and measured values, so that none
+// depends on one deployment.
 
-/// Decay span, in microseconds, of rates, service times and latency ratios: an endpoint that gets little
-/// traffic must not stay avoided.
-const RECENT_SPAN: f64 = 10e6;
+/// Decay time, in microseconds, of rates, service times and latency ratios. It is short enough that an endpoint
+/// which is avoided, and so gets little traffic, is soon used again.
+const RECENT_DECAY: f64 = 10e6;
 /// Timer token: subscribe to the endpoint list again.
 const SUBSCRIBE_TIMER: u64 = 0;
-/// Timer token: look for stalled endpoints.
+/// Timer token: check for stalled endpoints.
 const TICK_TIMER: u64 = 1;
 
-/// Decides for one node. See [`Router::handle`].
+/// Makes the routing decisions of one node. [`Router::handle`] takes events and returns actions.
 #[derive(Default)]
 pub struct Router {
     settings: Settings,
     random_state: u64,
-    /// Seed of this node's draws for cold endpoints.
+    /// Seed of this node's random draws for the budgets of cold endpoints.
     draw_seed: u64,
 
     endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
-    /// The listed weight of each machine type.
+    /// The total weight and number of listed endpoints of each machine type.
     machine_types: Vec<MachineTypeWeight>,
-    /// For each machine type the present capacity, in warm endpoints of mean size.
+    /// The present capacity of each machine type, in units of a warm endpoint of mean size.
     present_capacity: Vec<f64>,
     next_capacity_refresh: Micros,
     /// Whether any listed endpoint is cold.
     any_cold: bool,
-    /// For each rack its share of decode capacity over its share of prefill capacity, within bounds.
+    /// For each rack, its share of all decode capacity divided by its share of all prefill capacity, clamped.
     rack_affinities: BTreeMap<u16, f64>,
 
     sessions: BTreeMap<SessionKey, Session>,
     workload_cells: BTreeMap<WorkloadCell, CellStats>,
     open_requests: BTreeMap<RequestId, RequestState>,
     service_times: BTreeMap<ServiceKey, ServiceTime>,
-    /// How much it matters that decode endpoints are near the prefill endpoint's rack.
+    /// How strongly prefill endpoints in racks with much decode capacity are preferred.
     rack_locality: LocalityPreference,
-    /// How much it matters that the prefill endpoint is in this node's zone.
+    /// How strongly prefill endpoints in this node's zone are preferred.
     zone_locality: LocalityPreference,
-    /// For each machine type the work completed lately (not sent: retry storms must not count), over its
-    /// present capacity.
+    /// For each machine type, the recently completed requests divided by its present capacity. Completed requests
+    /// are counted instead of sent ones so that a retry storm does not raise the budgets of cold endpoints.
     completed_work: Vec<DecayingMean>,
     sent_to_prefill: DecayingMean,
     sent_to_decode: DecayingMean,
-    /// Since when requests arrive without a long gap.
+    /// When the current period of requests without a gap longer than [`RECENT_DECAY`] began.
     busy_since: Micros,
-    /// Prompt tokens that this node has brought into the memory of decode endpoints so far.
+    /// Total prompt tokens that this node's requests have loaded into the memory of decode endpoints.
     token_flow: f64,
     /// Prompt tokens of this node's running streams.
     streaming_tokens: f64,
-    /// For each machine type the tokens of all nodes that pass through one decode endpoint before it evicts
-    /// a session's KV state.
+    /// For each machine type, how many tokens (of all nodes) pass through one decode endpoint before it evicts
+    /// the KV state of an idle session.
     kv_retention: Vec<f64>,
-    /// Recent prompt tokens of each shared prefix (or session without one).
+    /// Recent prompt tokens of each shared prefix.
     prefix_tokens: BTreeMap<u64, DecayingMean>,
     /// Recent prompt tokens of all requests.
     prompt_tokens: DecayingMean,
     next_session_sweep: Micros,
     tick_scheduled: bool,
 
-    /// First-token times over their objectives.
+    /// First-token times divided by their objectives.
     ttft_ratio: DecayingMean,
     arrivals: DecayingMean,
     tenant_arrivals: Vec<DecayingMean>,
     first_tokens: DecayingMean,
     cancellations: DecayingMean,
-    /// The share of arrivals to refuse.
+    /// The share of arrivals to reject, before the priority of each request is applied.
     shed_rate: f64,
     shed_rate_updated_at: Micros,
     /// Running mean of the priority weight of arrivals.
@@ -110,7 +112,8 @@
 }
 
 impl Router {
-    /// A router that knows only its settings. `seed` feeds its random choices.
+    /// Creates a router without endpoints. Nodes need different seeds, because each node spreads its requests over
+    /// equal decode endpoints at random. The same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let machine_types = settings.roles.len();
         let kv_retention = (0..machine_types)
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Takes in one event and appends the resulting actions to `out`.
+    /// Handles one event and appends the resulting actions to `out`. `now` must not go back between calls.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if now >= self.next_capacity_refresh {
             self.refresh_capacity(now);
@@ -174,13 +177,14 @@
         }
     }
 
-    /// How many endpoints are remembered: the listed ones, and removed ones to which an open request was sent.
+    /// Returns the number of tracked endpoints: the listed ones, and removed ones that an attempt of an open request
+    /// was sent to.
     pub fn known_endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// The next random number in [0, 1).
-    fn chance(&mut self) -> f64 {
+    /// Returns the next random number in [0, 1).
+    fn next_random(&mut self) -> f64 {
         self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit_interval(self.random_state)
     }
--- a/crates/ivyward-core/src/router/ppd.rs
+++ b/crates/ivyward-core/src/router/ppd.rs
@@ -1,5 +1,5 @@
-//! PPD: whether a later turn is prefilled on the decode endpoint that keeps its KV state (local) or takes the
-//! prefill path (remote), by the measured times of both paths in its workload cell.
+//! PPD: decides whether a later turn is prefilled on the decode endpoint that has its KV state cached (local path) or
+//! by a prefill endpoint (remote path), from the measured times of both paths in its workload cell.
 
 use super::health::Health;
 use super::state::{
@@ -9,46 +9,50 @@
 use super::Router;
 use crate::interface::{EndpointId, EndpointState, Micros, Request, Role, Settings};
 
-/// A cell without statistics of both paths goes local only under this many new tokens (docs/design.md).
+/// In a cell without statistics for both paths, a turn takes the local path only if it has fewer new tokens than this
+/// (docs/design.md).
 const EMPTY_CELL_MAX_NEW_TOKENS: f64 = 2_000.0;
-/// Local only when the new tokens are under this share of the prompt (docs/design.md).
+/// A turn takes the local path only if new tokens are less than this share of the prompt (docs/design.md).
 const LOCAL_MAX_NEW_SHARE: f64 = 0.25;
-/// Local only when the endpoint has at most this multiple of the median load (docs/design.md).
+/// A turn takes the local path only if the endpoint has at most this multiple of the median load (docs/design.md).
 const LOCAL_MAX_LOAD: f64 = 2.0;
-/// The share of local decisions that take the remote path all the same, so that both have statistics.
+/// The share of turns with a local decision that take the remote path anyway, so that both paths have statistics.
 const EXPLORATION_SHARE: f64 = 0.05;
-/// The share of a machine type's memory in tokens that passes, as first estimate, before a session is evicted.
+/// The first estimate of the KV retention, as a share of the machine type's KV memory.
 const INITIAL_RETENTION_SHARE: f64 = 0.75;
-/// A session found evicted or retained moves the learned retention this far below or above what had passed.
+/// If a session was evicted, the retention estimate moves towards this share of the tokens that had passed; if it was
+/// still cached, the estimate rises to at least the passed tokens divided by this share.
 const RETENTION_STEP: f64 = 0.8;
-/// The KV state of a local turn counts as evicted under this share of the expected cached tokens.
+/// The KV state of a local turn counts as evicted if less than this share of the expected tokens was cached.
 const EVICTED_SHARE: f64 = 0.5;
-/// Statistics with less weight than this count as empty: two or three responses.
+/// Statistics with less weight than this, about two or three responses, count as missing.
 const MIN_CELL_WEIGHT: f64 = 2.5;
-/// Decay span of cells' statistics and prefixes' prompt tokens, in microseconds: several think times.
-pub(super) const CELL_DECAY_SPAN: f64 = 60e6;
-/// A session is forgotten after this idle time (docs/design.md).
+/// Decay time of the cells' statistics and the prefixes' prompt tokens, in microseconds. It covers the time between
+/// several turns of a session.
+pub(super) const CELL_DECAY: f64 = 60e6;
+/// A session is dropped after this idle time (docs/design.md).
 const SESSION_IDLE_TIMEOUT: Micros = 120_000_000;
-/// Idle sessions are looked for this many times in the idle timeout.
+/// Idle sessions are looked for this many times per idle timeout.
 const SWEEPS_PER_TIMEOUT: u64 = 16;
-/// Prefill endpoints that take this share of the objective are overloaded: a first turn may go to a decode
-/// endpoint directly,
+/// If a prefill is expected to take more than this share of the first-token objective, the prefill endpoints count as
+/// overloaded, and a first turn may be sent directly to a decode endpoint.
 const OVERLOADED_SHARE: f64 = 0.3;
-/// but to a pure decode endpoint only where that is this many times as fast; a mixed one is there to prefill.
+/// A first turn is sent directly to a decode endpoint only if that is this many times as fast. For a mixed endpoint it
+/// is enough to be faster, because prefilling is part of its role.
 const DIRECT_MARGIN: f64 = 2.0;
 
-/// The endpoint that keeps a session's KV state, as the place of the next turn.
+/// The decode endpoint that has a session's KV state cached, as the target of the next turn.
 struct LocalCandidate {
     endpoint: EndpointId,
     cell: WorkloadCell,
-    /// Prompt tokens to prefill there.
+    /// Prompt tokens that the endpoint would have to prefill.
     new_tokens: f64,
     tokens_since_use: f64,
-    /// Whether the limits on load, health and new tokens allow a local turn.
+    /// Whether the limits on load, health and new tokens allow the local path.
     eligible: bool,
 }
 
-/// Load of the decode pool.
+/// The load of the decode pool, in attempts of this node per endpoint.
 struct PoolLoad {
     median: f64,
     endpoints: usize,
@@ -58,7 +62,7 @@
     fn has_statistics(&self, now: Micros) -> bool {
         [self.ttft, self.tpot]
             .iter()
-            .all(|mean| mean.count_at(now, CELL_DECAY_SPAN) >= MIN_CELL_WEIGHT)
+            .all(|mean| mean.count_at(now, CELL_DECAY) >= MIN_CELL_WEIGHT)
     }
 }
 
@@ -74,7 +78,7 @@
         self.local.has_statistics(now) && self.remote.has_statistics(now)
     }
 
-    /// The paper's score in its balanced setting: positive means local.
+    /// Returns the paper's score in its balanced setting. A positive score is in favor of the local path.
     fn score(&self) -> f64 {
         let (local, remote) = (&self.local, &self.remote);
         let ttft_gain = (remote.ttft.mean() - local.ttft.mean()) / remote.ttft.mean().max(1.0);
@@ -93,7 +97,8 @@
         }
     }
 
-    /// All cells of one bin of new tokens; used while the cell itself has too few responses.
+    /// Returns the cell that combines all cells with the same bin of new tokens. It is used while the cell itself has
+    /// too few responses.
     fn coarse(self) -> WorkloadCell {
         WorkloadCell {
             prompt_bin: u8::MAX,
@@ -103,7 +108,7 @@
     }
 }
 
-/// The first estimate of a machine type's KV retention in tokens.
+/// Returns the first estimate of a machine type's KV retention in tokens; infinite if its memory is not configured.
 pub(super) fn initial_kv_retention(settings: &Settings, machine_type: usize) -> f64 {
     settings
         .memory_tokens
@@ -112,7 +117,7 @@
 }
 
 impl Router {
-    /// Forgets idle sessions and prefixes.
+    /// Drops idle sessions and prefixes.
     pub(super) fn sweep_sessions(&mut self, now: Micros) {
         if now < self.next_session_sweep {
             return;
@@ -124,8 +129,8 @@
             .retain(|_, tokens| now.saturating_sub(tokens.updated_at) < SESSION_IDLE_TIMEOUT);
     }
 
-    /// Prompt tokens that are cached nowhere: all but the shared prefix, or but the session's last prompt,
-    /// which is cached where it was prefilled or decoded.
+    /// Returns the number of prompt tokens that no endpoint is expected to have cached: the prompt without the shared
+    /// prefix or, if that is longer, without the session's last prompt.
     pub(super) fn new_tokens(&self, request: &Request) -> f64 {
         let session = self
             .sessions
@@ -137,8 +142,8 @@
         (request.prompt_tokens - request.prefix_tokens.max(history)).max(1.0)
     }
 
-    /// The PPD decision for a later turn: the decode endpoint that keeps its session, if it should prefill
-    /// there. Records the path in `state`.
+    /// Makes the PPD decision for a later turn: returns the decode endpoint that has the session cached if the turn
+    /// takes the local path. Records the path in `state`.
     pub(super) fn pick_local(
         &mut self,
         now: Micros,
@@ -157,7 +162,7 @@
         state.path = choice(Path::Remote);
         if !candidate.eligible
             || !self.local_is_faster(now, &candidate)
-            || self.chance() < EXPLORATION_SHARE
+            || self.next_random() < EXPLORATION_SHARE
         {
             return None;
         }
@@ -192,8 +197,8 @@
         })
     }
 
-    /// The first session entry of the request whose KV state is still there. A first turn counts as a later
-    /// one where a mixed endpoint keeps its shared prefix: such an endpoint is there to prefill.
+    /// Returns the first session entry of the request whose KV state should still be cached. A first turn counts as a
+    /// later turn if a mixed endpoint has its shared prefix cached, because prefilling is part of that endpoint's role.
     fn cached_session(&self, now: Micros, request: &Request) -> Option<Session> {
         session_keys(request)
             .filter_map(|key| self.sessions.get(&key))
@@ -215,9 +220,10 @@
         }
     }
 
-    /// Tokens that passed through the mean decode endpoint since the session's last turn or that streams hold:
-    /// they evict its KV state. This node's part stands for all nodes, and the mean for the endpoint itself,
-    /// for one node sends a single endpoint too little to tell.
+    /// Estimates the tokens that compete with a session's KV state for memory: those that have passed through the mean
+    /// decode endpoint since the session's last turn, and those of running streams. This node's traffic is scaled up to
+    /// all nodes, and the mean is taken over all decode endpoints, because one node sends too few requests to a
+    /// single endpoint for an estimate.
     fn tokens_since_use(&self, session: &Session, pool: &PoolLoad) -> f64 {
         let own = self.token_flow - session.token_flow + self.streaming_tokens;
         let all = own * f64::from(self.settings.replica_count);
@@ -237,7 +243,7 @@
             && self.has_cold_budget(endpoint, now, density(), 0.0)
     }
 
-    /// Judges by the cell's statistics, else by those of its coarse cell, else by the number of new tokens.
+    /// Decides by the cell's statistics, otherwise by those of its coarse cell, otherwise by the number of new tokens.
     fn local_is_faster(&self, now: Micros, candidate: &LocalCandidate) -> bool {
         [candidate.cell, candidate.cell.coarse()]
             .into_iter()
@@ -248,9 +254,10 @@
             })
     }
 
-    /// Whether a first turn is better prefilled where it is decoded: its prefill endpoint would take much of
-    /// the objective, and a decode endpoint less. Guards against an overloaded or lost prefill pool beside
-    /// idle decode endpoints; may harm running streams, so a pure decode endpoint needs twice the gain.
+    /// Returns whether a first turn should be prefilled on the endpoint that decodes it: its prefill endpoint would take
+    /// much of the first-token objective, and a decode endpoint is clearly faster. This helps when the prefill pool is
+    /// overloaded or mostly failed while decode endpoints are idle. A prefill on a pure decode endpoint slows down its
+    /// running streams, so it has to be twice as fast.
     pub(super) fn direct_is_faster(
         &self,
         now: Micros,
@@ -280,14 +287,14 @@
             && margin * direct_time < prefill_time
     }
 
-    /// Records a first-token time in microseconds for a path.
+    /// Records a first-token time, in microseconds, for a path.
     pub(super) fn record_path_ttft(&mut self, now: Micros, path: Option<PathChoice>, ttft: f64) {
-        self.record_path(path, |stats| stats.ttft.add(now, CELL_DECAY_SPAN, ttft));
+        self.record_path(path, |stats| stats.ttft.add(now, CELL_DECAY, ttft));
     }
 
-    /// Records a time per output token in microseconds for a path.
+    /// Records a time per output token, in microseconds, for a path.
     pub(super) fn record_path_tpot(&mut self, now: Micros, path: Option<PathChoice>, tpot: f64) {
-        self.record_path(path, |stats| stats.tpot.add(now, CELL_DECAY_SPAN, tpot));
+        self.record_path(path, |stats| stats.tpot.add(now, CELL_DECAY, tpot));
     }
 
     fn record_path(&mut self, choice: Option<PathChoice>, record: impl Fn(&mut PathStats)) {
@@ -298,7 +305,7 @@
         }
     }
 
-    /// Remembers where the KV state of a turn that began to stream is kept.
+    /// Records which endpoint has the KV state of a turn that began to stream.
     pub(super) fn record_session(&mut self, now: Micros, state: &RequestState, decode: EndpointId) {
         let request = &state.request;
         let session = Session {
@@ -313,7 +320,7 @@
             .extend(session_keys(request).map(|key| (key, session)));
     }
 
-    /// Keeps the sessions of a served request alive.
+    /// Restarts the idle timeout of a served request's session entries.
     pub(super) fn touch_sessions(&mut self, now: Micros, request: &Request) {
         for key in session_keys(request) {
             if let Some(session) = self.sessions.get_mut(&key) {
@@ -322,10 +329,10 @@
         }
     }
 
-    /// Learns the KV retention of a machine type from the cached tokens of a local turn. Guards against decode
-    /// endpoints that evicted the session (other sessions, a flush, an unseen restart): the local turn then
-    /// prefills everything among running streams. The cached tokens tell at once, long before the cell's
-    /// statistics do. May harm where cached tokens are not reported.
+    /// Updates the KV retention of a machine type from the cached tokens of a local turn. If the endpoint had evicted the
+    /// session (because of other sessions, a cache flush or an unnoticed restart), the turn prefilled its whole prompt
+    /// beside running streams. The number of cached tokens shows that at once, long before the cell's statistics do.
+    /// A drawback: if engines do not report cached tokens, every local turn counts as evicted.
     pub(super) fn record_kv_retention(
         &mut self,
         id: EndpointId,
--- a/crates/ivyward-core/src/router/retry.rs
+++ b/crates/ivyward-core/src/router/retry.rs
@@ -1,39 +1,39 @@
-//! Limits on attempts: time-outs, reservations, what idempotency allows, and final answers.
+//! Limits on attempts: timeouts, reservations, idempotency, and final answers.
 
 use super::health::STALL_MULTIPLE;
 use super::state::{Actions, AttemptKind, RequestState, TrackedEndpoint};
 use super::Router;
 use crate::interface::{Action, DeduplicationScope, EndpointId, Idempotency, Micros, RequestId};
 
-/// The share of the remaining time that an attempt may take while another could follow.
+/// The share of the time until the deadline that an attempt may take if another attempt could follow.
 const ATTEMPT_TIME_SHARE: f64 = 0.65;
-/// No time-out is set under this multiple of the expected latency.
+/// An attempt whose timeout would be less than this multiple of its expected latency has no timeout.
 const MIN_TIMEOUT_MULTIPLE: f64 = 4.0;
-/// Reservations are released after this share of their allowed time if no attempt reached an endpoint.
+/// Reservations are released after this share of `Settings::release_within` if no attempt reached an endpoint.
 const RESERVATION_SHARE: f64 = 0.7;
-/// Each attempt but the last may take this share of what is left of it to connect.
+/// Every attempt but the last may use this share of the remaining reservation time to connect.
 const CONNECT_SHARE: f64 = 0.5;
-/// No attempt begins in this last share of the allowed time.
+/// No attempt starts if less than this share of `Settings::release_within` remains of the reservation time.
 const MIN_RESERVATION_SHARE: f64 = 0.1;
 
-/// What [`Router::attempt_timeout`] depends on.
+/// The inputs of [`Router::attempt_timeout`].
 pub(super) struct TimeoutInputs {
     pub(super) kind: AttemptKind,
-    /// Attempts left, this one among them.
+    /// The number of attempts left, including this one.
     pub(super) attempts_left: usize,
-    /// Expected latency in microseconds.
+    /// The expected latency in microseconds.
     pub(super) expected: f64,
 }
 
 impl Router {
-    /// How many attempts a request may still have.
+    /// Returns how many attempts a request may still have.
     pub(super) fn attempts_left(&self, state: &RequestState) -> usize {
         (self.settings.max_attempts as usize).saturating_sub(state.attempts.len())
     }
 
-    /// The time-out of an attempt; 0 for none. It leaves time for another attempt, unless a repeat is ruled
-    /// out. Under a clear multiple of the expected latency it would only give up places under overload, or
-    /// with clients of short timeouts.
+    /// Returns the timeout of an attempt; 0 for none. It leaves time for another attempt, and is not set if the request
+    /// must not be repeated. A timeout below a clear multiple of the expected latency is not set either: under
+    /// overload, or for clients with short timeouts, it would only lose the attempt's place in the engine's queue.
     pub(super) fn attempt_timeout(
         &self,
         now: Micros,
@@ -44,8 +44,8 @@
         let must_not_repeat =
             inputs.kind != AttemptKind::Prefill && idempotency != Idempotency::Idempotent;
         let share = state.deadline.saturating_sub(now) as f64 * ATTEMPT_TIME_SHARE;
-        // Attempts that cannot be cancelled when they stall time out instead.
-        let stall = if self.settings.may_cancel {
+        // If attempts cannot be cancelled at stalled endpoints, they time out after the same duration.
+        let stall_timeout = if self.settings.may_cancel {
             share
         } else {
             STALL_MULTIPLE * inputs.expected
@@ -54,12 +54,12 @@
         if must_not_repeat || inputs.attempts_left <= 1 || too_short {
             0
         } else {
-            share.min(stall) as Micros
+            share.min(stall_timeout) as Micros
         }
     }
 
-    /// When the attempt's last byte must have been sent; 0 for no limit. Guards against a repeat sent after
-    /// its deduplication window, as its connection came up late.
+    /// Returns when the attempt's last byte must have been sent; 0 for no limit. Without this limit, a connection that
+    /// opens late would let a repeat be sent after its deduplication window, or a reservation expire.
     pub(super) fn send_deadline(
         &self,
         now: Micros,
@@ -81,18 +81,19 @@
             .unwrap_or(0)
     }
 
-    /// When reservations are released unless an attempt reaches an endpoint. Guards against KV state that
-    /// waits while one endpoint after the other cannot be reached: each connection attempt alone is within the
-    /// time, and all together are not. An attempt that reached its endpoint starts the time anew.
+    /// Returns when reservations are released unless an attempt reaches an endpoint. Otherwise KV state could stay
+    /// reserved for too long while one endpoint after another cannot be reached: each connection attempt is within
+    /// `Settings::release_within`, but all of them together are not. An attempt that reaches its endpoint restarts the
+    /// time.
     fn reservation_deadline(&self, state: &RequestState) -> Option<Micros> {
-        let span = (self.settings.release_within as f64 * RESERVATION_SHARE) as Micros;
+        let duration = (self.settings.release_within as f64 * RESERVATION_SHARE) as Micros;
         state
             .reserved_since
-            .filter(|_| self.settings.in_flight_after_last_byte && span > 0)
-            .map(|since| since + span)
+            .filter(|_| self.settings.in_flight_after_last_byte && duration > 0)
+            .map(|since| since + duration)
     }
 
-    /// Releases reservations whose time leaves none for another attempt.
+    /// Releases reservations whose remaining time is too short for another attempt.
     pub(super) fn release_expired_reservation(
         &self,
         now: Micros,
@@ -106,7 +107,7 @@
         if expired {
             out.push(Action::ReleaseReservation(state.request.id));
             state.kv_endpoint = None;
-            // A reservation that is still on its way may arrive later.
+            // The result of a pending reservation may still arrive.
             state.reserved_since = state.reserved_endpoint.take().map(|_| now);
         }
     }
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Until when a request that may have run may be sent again, so that no effect happens twice; `None` for
-    /// no limit.
+    /// Returns until when a request that may have run may be sent again without running twice; `None` for no limit, 0 if
+    /// it must not be sent again.
     pub(super) fn retry_until(&self, state: &RequestState) -> Option<Micros> {
         let class = &self.settings.classes[state.request.class];
         let run = state
@@ -143,7 +144,8 @@
         self.retry_until(state).is_none_or(|until| now < until)
     }
 
-    /// Whether a request may be sent to this endpoint: if it may have run, the endpoint must drop repeats.
+    /// Returns whether a request may be sent to this endpoint. If the request may have run, the endpoint must be one that
+    /// drops repeats of it.
     pub(super) fn may_repeat_at(
         &self,
         state: &RequestState,
@@ -157,18 +159,18 @@
         else {
             return true;
         };
-        let Some(ran_at) = self.endpoints.get(&run.endpoint) else {
+        let Some(first_endpoint) = self.endpoints.get(&run.endpoint) else {
             return false;
         };
         self.may_retry(state, now)
             && match class.deduplication_scope {
                 DeduplicationScope::All => true,
-                DeduplicationScope::Zone => ran_at.info.zone == endpoint.info.zone,
-                DeduplicationScope::Rack => ran_at.info.rack == endpoint.info.rack,
+                DeduplicationScope::Zone => first_endpoint.info.zone == endpoint.info.zone,
+                DeduplicationScope::Rack => first_endpoint.info.rack == endpoint.info.rack,
             }
     }
 
-    /// The final answer of a request that cannot be served: a rejection where another try does no harm.
+    /// Gives the final answer of a request that cannot be served: a rejection if a retry is harmless, otherwise a failure.
     pub(super) fn fail_request(&mut self, now: Micros, state: RequestState, out: &mut Actions) {
         let class = &self.settings.classes[state.request.class];
         let deduplicated_everywhere = class.idempotency == Idempotency::WithKey
@@ -207,19 +209,21 @@
         self.finish(now, state, out);
     }
 
-    /// Ends a request: releases its reservations, and forgets it once its attempts have ended.
+    /// Finishes a request: releases its reservations, and drops it unless an attempt is still in flight. If one is, this
+    /// is called again when the attempt ends.
     pub(super) fn finish(&mut self, now: Micros, mut state: RequestState, out: &mut Actions) {
         if state.first_token.is_none() {
             let waited = (now - state.arrived) as f64;
             if !state.finished && !state.attempts.is_empty() {
-                // A client with a short timeout tells no more than how long it waited.
+                // A client with a short timeout shows only that its request took at least as long as it waited.
                 self.record_ttft_ratio(now, waited / state.objective.max(1.0));
             }
             if !state.finished {
-                // An unserved request must not flatter its path: the time it cost counts.
+                // An unserved request counts with at least its objective, so that failures don't improve the
+                // statistics of its path.
                 self.record_path_ttft(now, state.path, waited.max(state.objective));
             }
-            // Also when a late outcome of a finished request leaves KV state behind.
+            // Also sent when a finished request's last attempt ends, as that attempt may have left KV state.
             out.push(Action::ReleaseReservation(state.request.id));
         }
         state.finished = true;
--- a/crates/ivyward-core/src/router/slow_start.rs
+++ b/crates/ivyward-core/src/router/slow_start.rs
@@ -1,19 +1,21 @@
-//! Capacity of cold endpoints, and the budget of requests that this node may send them.
+//! Slow start: the capacity of cold endpoints, and the budget of requests that this node may send to them.
 
 use super::health::Health;
 use super::state::{Pool, RequestState, TrackedEndpoint};
-use super::{Router, RECENT_SPAN};
+use super::{Router, RECENT_DECAY};
 use crate::hash::{mix, unit_interval};
 use crate::interface::{Endpoint, Micros};
 
-/// The share of the cold budget that is spent: the learned rate is a guess, and draws vary.
+/// The share of the cold budget that is used. The rest is a margin for the estimated request rate and the random
+/// draws.
 const BUDGET_SAFETY: f64 = 0.8;
-/// What was sent lately may grow by this multiple before the overload window is over.
+/// How much the number of recent sends may grow before the end of the overload window, as a multiple.
 const MAX_BURST: f64 = 2.0;
 /// Capacity is refreshed this many times during a warm-up.
 const REFRESHES_PER_WARM_UP: u64 = 64;
-/// The share of linear growth that a cold endpoint is sure to have: how it grows is not known.
-const SURE_GROWTH: f64 = 0.75;
+/// The share of linear growth in capacity that a cold endpoint is guaranteed to have. How its capacity really grows is
+/// not known.
+const GUARANTEED_GROWTH: f64 = 0.75;
 
 impl Router {
     /// Updates the present capacity of each machine type.
@@ -31,7 +33,7 @@
         self.present_capacity = present;
     }
 
-    /// The share of its capacity that an endpoint is sure to have; 1 when warm.
+    /// Returns the share of its full capacity that an endpoint is guaranteed to have; 1 when warm.
     pub(super) fn capacity_share(&self, info: &Endpoint, now: Micros) -> f64 {
         let age = now.saturating_sub(info.started_at) as f64;
         let warm_up = self.settings.warm_up_duration as f64;
@@ -39,28 +41,31 @@
             return 1.0;
         }
         let initial = self.settings.initial_capacity.min(1.0);
-        initial + (1.0 - initial) * SURE_GROWTH * age / warm_up.max(1.0)
+        initial + (1.0 - initial) * GUARANTEED_GROWTH * age / warm_up.max(1.0)
     }
 
-    /// The share of its capacity that an endpoint most likely has: the configured initial capacity is a lower
-    /// bound, the warm-up duration an upper one. Traffic is balanced by this share, and limited by
-    /// [`Router::capacity_share`].
+    /// Returns the share of its full capacity that an endpoint most likely has. It is above
+    /// [`Router::capacity_share`], because the configured initial capacity is a lower bound and the configured warm-up
+    /// duration an upper bound. Traffic is balanced by the likely share, and limited by the guaranteed one.
     pub(super) fn likely_share(&self, info: &Endpoint, now: Micros) -> f64 {
         let age = now.saturating_sub(info.started_at) as f64;
         let warm_up = self.settings.warm_up_duration as f64;
-        let sure = self.capacity_share(info, now);
+        let guaranteed = self.capacity_share(info, now);
         let initial = self.settings.initial_capacity.min(1.0);
         let likely = initial + (1.0 - initial) * (0.1 + age / (0.75 * warm_up).max(1.0));
-        // An endpoint that is sure to be warm has all of its capacity.
-        likely.min(1.0).max(sure.floor())
+        // A warm endpoint has its full capacity.
+        likely.min(1.0).max(guaranteed.floor())
     }
 
-    /// Guards a cold endpoint: whether this node's part of its budget allows another request, measured by what
-    /// its machine type completes for this node per present capacity. Retries and later turns count too.
+    /// Returns whether this node's part of a cold endpoint's budget allows another request in this window. The budget
+    /// is derived from the rate at which the endpoint's machine type completes requests for this node per present
+    /// capacity. All attempts count against it, including retries and later turns. A warm endpoint has no limit.
     ///
-    /// A budget under one request becomes a chance of one request in a window, decided by a draw, so that many
-    /// nodes with little traffic each keep the budget together. `send_density` (see there) and `home_load`,
-    /// the requests of the prefixes whose home it is, tell how likely this node uses a draw that it wins.
+    /// If this node's budget is less than one request, the node may send one request with the corresponding
+    /// probability, decided by a random draw per endpoint and window. In this way many nodes with little traffic stay
+    /// within the budget together. Not every node that wins the draw has a request to send; how likely it has one
+    /// follows from [`Router::send_density`] and from `home_load`, its requests for prefixes whose home is this
+    /// endpoint.
     pub(super) fn has_cold_budget(
         &self,
         endpoint: &TrackedEndpoint,
@@ -78,9 +83,9 @@
             .iter()
             .filter(|sent| now.saturating_sub(**sent) < window)
             .count() as f64;
-        // A node that has been busy for a short time only has seen a part of its usual traffic.
+        // A node that has been busy for a short time has seen only a part of its usual traffic.
         let busy = now.saturating_sub(self.busy_since).max(window) as f64;
-        let usual = self.usual_rate(&endpoint.info, now) / (1.0 - (-busy / RECENT_SPAN).exp());
+        let usual = self.usual_rate(&endpoint.info, now) / (1.0 - (-busy / RECENT_DECAY).exp());
         let usual = usual.max(self.initial_rate(&endpoint.info));
         let budget =
             BUDGET_SAFETY * self.settings.overload_multiple * share * usual * window as f64;
@@ -90,8 +95,8 @@
         sent + 1.0 <= budget || sent == 0.0 && draw * use_probability < budget
     }
 
-    /// What this node is about to send in a window to each unit of present capacity that the request may use;
-    /// 0 while all endpoints are warm, as nobody needs it then.
+    /// Returns how many requests this node is expected to send in an overload window per unit of present capacity that
+    /// the request may use. Returns 0 while all endpoints are warm, because only cold budgets depend on it.
     pub(super) fn send_density(&self, now: Micros, pool: Pool, state: &RequestState) -> f64 {
         if !self.any_cold {
             return 0.0;
@@ -107,7 +112,7 @@
         MAX_BURST * self.recent_sends(now, pool) / usable.max(0.01)
     }
 
-    /// What this node sent to a pool in the last overload window; at least 1.
+    /// Returns how many requests this node sent to a pool in about the last overload window; at least 1.
     pub(super) fn recent_sends(&self, now: Micros, pool: Pool) -> f64 {
         let sent = match pool {
             Pool::Prefill => &self.sent_to_prefill,
@@ -117,7 +122,7 @@
             .max(1.0)
     }
 
-    /// Counts one send to a pool.
+    /// Counts one request sent to a pool.
     pub(super) fn record_send(&mut self, now: Micros, pool: Pool) {
         let window = self.settings.overload_window as f64;
         let sent = match pool {
@@ -127,8 +132,9 @@
         sent.add(now, window, 0.0);
     }
 
-    /// Guards against a list of new endpoints only, before any completed work tells their rate: one request in
-    /// the longest first-token objective, over all nodes, is within the means of any endpoint.
+    /// Returns the minimum request rate assumed for an endpoint, per microsecond. It applies when all endpoints are new
+    /// and no completed request shows their real rate: one request per longest first-token objective, over all nodes,
+    /// is within the capacity of any endpoint.
     fn initial_rate(&self, info: &Endpoint) -> f64 {
         let objective = self
             .settings
@@ -141,11 +147,12 @@
         self.size(info) / objective as f64 / f64::from(self.settings.replica_count.max(1))
     }
 
-    /// Requests that a warm endpoint of this machine type and size completes for this node in a microsecond,
-    /// by the capacity that the machine type had at the time: cold endpoints that do little must not make
-    /// others look smaller than they are, nor removed endpoints the remaining ones larger.
+    /// Returns how many requests per microsecond a warm endpoint of this machine type and size completes for this
+    /// node. Completed requests are divided by the machine type's capacity at that time, so that cold endpoints, which
+    /// complete little, do not make the others seem smaller, and removed endpoints do not make the remaining ones
+    /// seem larger.
     pub(super) fn usual_rate(&self, info: &Endpoint, now: Micros) -> f64 {
-        self.completed_work[usize::from(info.machine_type)].sum_at(now, RECENT_SPAN) / RECENT_SPAN
+        self.completed_work[usize::from(info.machine_type)].sum_at(now, RECENT_DECAY) / RECENT_DECAY
             * self.size(info)
     }
 }
