--- a/crates/ivyward-core/src/lib.rs
+++ b/crates/ivyward-core/src/lib.rs
@@ -1,19 +1,21 @@
-//! Decisions of a router for an LLM service that prefills prompts on some engines and decodes on others.
+//! The decisions of a router for LLM serving with prefill and decode on separate engines.
 //!
-//! Nothing here does I/O or reads a clock: the caller passes in events with the time, and carries out the returned actions.
+//! The crate does no I/O and reads no clock: the caller passes in events with the current time, and carries out the
+//! returned actions.
 //!
-//! | module | decides |
+//! | module | contents |
 //! | --- | --- |
 //! | [`interface`] | the settings, events and actions of the router, as plain data |
-//! | [`router`] | where each request is sent, retried, rejected |
+//! | [`router`] | where each request is sent, and when it is retried or rejected |
+//! | [`reservations`] | the KV state and decode slots reserved for a request, and when to release them |
 //! | [`invariants`] | run-time checks of the rules, independent of the router |
-//! | [`membership`] | which engines are there, from a store's lists and watch events |
+//! | [`membership`] | the current engines, from a store's lists and watch events |
 //! | [`start_time`] | when engines started, on this node's clock |
-//! | [`update_interval`] | how often the router gets changes of the list |
-//! | [`long_poll`] | timing of the calls that follow a list |
-//! | [`peers`] | which other nodes of the router are there |
+//! | [`update_interval`] | how often the router gets changes of the endpoint list |
+//! | [`long_poll`] | the timing of long polls for the endpoint list |
+//! | [`peers`] | the other router nodes that are alive |
 //! | [`release`] | which engines to ask to release reservations |
-//! | [`connection_reuse`] | which idle connections may carry a request |
+//! | [`connection_reuse`] | which idle connections a request may use |
 //! | [`connect_backoff`] | when to retry a connection that failed locally |
 //! | [`keepalive`] | when to check connections |
 //! | [`mutations`] | deliberate defects for mutation testing |
@@ -45,7 +47,7 @@
 //!     prompt_tokens: 1_500.0, prefix_tokens: 1_000.0, max_output: 300.0, hinted_output: None,
 //!     is_retry: false, is_resumed: false,
 //! }), &mut actions);
-//! // A first turn is prefilled at a prefill endpoint.
+//! // The first turn of a session is sent to a prefill endpoint.
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { endpoint: EndpointId(1), .. })));
 //! ```
 
@@ -66,7 +68,7 @@
 pub mod start_time;
 pub mod update_interval;
 
-/// The README's example, compiled and run as a test.
+/// The example in the README, compiled and run as a doctest.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 pub struct Readme;
