--- a/crates/ivyward-core/src/decaying_mean.rs
+++ b/crates/ivyward-core/src/decaying_mean.rs
@@ -4,8 +4,8 @@
 
 /// An exponentially decaying sum and count of samples.
 ///
-/// Each call takes the decay time in microseconds, after which a sample has 1/e of its weight. The caller may change it
-/// between samples.
+/// Each call takes the decay time in microseconds, after which a sample has 1/e of its weight. It is passed to each call
+/// so that the caller may change it between samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingMean {
     pub(crate) sum: f64,
--- a/crates/ivyward-core/src/interface.rs
+++ b/crates/ivyward-core/src/interface.rs
@@ -19,9 +19,9 @@
 pub enum Role {
     /// Prefills prompts and stores the KV state until a decode endpoint fetches it.
     Prefill,
-    /// Fetches the KV state from a prefill endpoint and decodes.
+    /// Decodes, after it has fetched the KV state from a prefill endpoint.
     Decode,
-    /// Prefills and decodes.
+    /// Runs both stages.
     Mixed,
 }
 
@@ -40,7 +40,7 @@
 /// The endpoints that drop repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints.
+    /// Every endpoint.
     All,
     /// The endpoints of one zone.
     Zone,
@@ -193,7 +193,7 @@
 pub enum ListKind {
     /// Only the endpoints that changed; all others stay as they were.
     Changes,
-    /// The complete list.
+    /// The complete list; endpoints that are missing from it were removed.
     Full,
     /// The complete list as this node saved it before its last restart.
     Cached,
@@ -284,7 +284,7 @@
         /// The changed endpoints for [`ListKind::Changes`], otherwise all endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// A request arrived.
+    /// A client's request arrived at this node.
     Request(Request),
     /// A response began to stream.
     FirstToken {
@@ -297,12 +297,12 @@
     ReservationResult {
         /// The request that the slot is for.
         request: RequestId,
-        /// The decode endpoint that was asked.
+        /// The decode endpoint of the requested slot.
         endpoint: EndpointId,
         /// Whether the endpoint reserved the slot.
         reserved: bool,
     },
-    /// An attempt ended.
+    /// An attempt ended, successfully or not. Each attempt ends once.
     AttemptEnded {
         /// The request that the attempt belongs to.
         request: RequestId,
@@ -349,7 +349,7 @@
         /// Reservations of the request stay unused until then, and a deduplication window may end. 0 for no limit.
         send_deadline: Micros,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight. It ends as [`Outcome::Cancelled`] unless it ends before that.
     Cancel {
         /// The request that the attempt belongs to.
         request: RequestId,
@@ -358,7 +358,7 @@
     },
     /// Give a request its final answer, a rejection: a retry by the client is harmless.
     Reject {
-        /// The rejected request.
+        /// The request to reject.
         request: RequestId,
         /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
@@ -371,7 +371,7 @@
     Reserve {
         /// The request that the slot is for.
         request: RequestId,
-        /// The decode endpoint to ask.
+        /// The decode endpoint at which to reserve the slot.
         endpoint: EndpointId,
     },
     /// Deliver [`Event::Timer`] at a given time.
--- a/crates/ivyward-core/src/mutations.rs
+++ b/crates/ivyward-core/src/mutations.rs
@@ -3,7 +3,7 @@
 //! They are compiled in only with `RUSTFLAGS="--cfg mutations"`. Without it, [`is_active`] is always `false` and the program
 //! contains none of them. At most one mutation is active at a time, for the whole process.
 
-/// A deliberate defect.
+/// A defect that can be activated for mutation testing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutation {
--- a/crates/ivyward-core/src/router/admission.rs
+++ b/crates/ivyward-core/src/router/admission.rs
@@ -7,7 +7,8 @@
 
 /// The weight of a new arrival in the running mean of priority weights, which covers about the last ten arrivals.
 const PRIORITY_MEAN_STEP: f64 = 0.1;
-/// The shed rate rises while the mean first-token time is above this share of the objective.
+/// The shed rate rises while the mean first-token time, or the time that the waiting requests will need, is above this
+/// share of the objective.
 const TARGET_TTFT_RATIO: f64 = 0.8;
 /// The ratio of one first-token time to its objective is limited to this.
 const MAX_TTFT_RATIO: f64 = 2.0;
@@ -127,8 +128,8 @@
             .fold((0.0, 0.0), |(count, sum), state| {
                 (count + 1.0, sum + state.objective)
             });
-        // First tokens are expected only since requests arrive: after idle time, a low count does not mean that
-        // there is a queue. Otherwise a burst after idle time would be rejected in part.
+        // First tokens are counted only for the time in which requests arrived. After idle time a low count does not
+        // mean that there is a queue; otherwise a part of a burst after idle time would be rejected.
         let observed = FIRST_TOKEN_RATE_DECAY.min(now.saturating_sub(self.busy_since) as f64);
         let first_tokens = self.first_tokens.count_at(now, FIRST_TOKEN_RATE_DECAY);
         let time = f64::max(waiting - 1.0, 0.0) * observed / (first_tokens + 1.0);
--- a/crates/ivyward-core/src/router/balancing.rs
+++ b/crates/ivyward-core/src/router/balancing.rs
@@ -12,7 +12,7 @@
 const LOAD_BOUND: f64 = 1.75;
 /// If crossing zones has a price, an endpoint in another zone has this share of its usual weight in the ring.
 const OTHER_ZONE_WEIGHT: f64 = 0.3;
-/// A prefix has one home endpoint, plus its load in units of the mean endpoint's load, times this factor.
+/// A prefix has one home endpoint, plus this many for each time that its load is the mean load of an endpoint.
 const HOMES_PER_LOAD_SHARE: f64 = 0.6;
 /// Weight, in arrivals, of the prior assumptions that a tenant sends its quota and a prefix sends nothing.
 pub(super) const SHARE_PRIOR_REQUESTS: f64 = 5.0;
--- a/crates/ivyward-core/src/router/dispatch.rs
+++ b/crates/ivyward-core/src/router/dispatch.rs
@@ -67,10 +67,7 @@
 
     fn next_target(&mut self, now: Micros, state: &mut RequestState) -> Option<Target> {
         let attempts_left = self.attempts_left(state);
-        if attempts_left == 0
-            || !self.is_worth_another_attempt(now, state)
-            || !self.may_retry(state, now)
-        {
+        if attempts_left == 0 || !self.should_attempt(now, state) || !self.may_retry(state, now) {
             return None;
         }
         if state.kv_endpoint.is_some() {
@@ -95,9 +92,9 @@
         })
     }
 
-    /// Returns whether another attempt is worthwhile. Under overload a request that is already late is not
-    /// prefilled again, because such retries would sustain the overload.
-    fn is_worth_another_attempt(&self, now: Micros, state: &RequestState) -> bool {
+    /// Returns whether an attempt still makes sense before the deadline. Under overload a request that is already late
+    /// is not prefilled again, because such retries would sustain the overload.
+    fn should_attempt(&self, now: Micros, state: &RequestState) -> bool {
         let late = (now - state.arrived) as f64 > state.objective;
         let would_repeat = !state.attempts.is_empty() && state.kv_endpoint.is_none();
         let overloaded = self.shed_rate > MAX_SHED_RATE_FOR_LATE_RETRY;
--- a/crates/ivyward-core/src/router/slow_start.rs
+++ b/crates/ivyward-core/src/router/slow_start.rs
@@ -9,7 +9,7 @@
 /// The share of the cold budget that is used. The rest is a margin for the estimated request rate and the random
 /// draws.
 const BUDGET_SAFETY: f64 = 0.8;
-/// How much the number of recent sends may grow before the end of the overload window, as a multiple.
+/// The factor by which this node's sends are assumed to grow within an overload window.
 const MAX_BURST: f64 = 2.0;
 /// Capacity is refreshed this many times during a warm-up.
 const REFRESHES_PER_WARM_UP: u64 = 64;
--- a/crates/ivyward-core/src/router/state.rs
+++ b/crates/ivyward-core/src/router/state.rs
@@ -168,9 +168,9 @@
 /// Where a later turn of a session is prefilled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Path {
-    /// By the decode endpoint that has the session's KV state cached.
+    /// On the decode endpoint that has the session's KV state cached.
     Local,
-    /// By a prefill endpoint.
+    /// On a prefill endpoint.
     Remote,
 }
 
--- a/crates/ivyward-core/tests/cold_endpoint_budget.rs
+++ b/crates/ivyward-core/tests/cold_endpoint_budget.rs
@@ -16,11 +16,11 @@
     /// Requests per second over all nodes.
     rate: f64,
     /// How many cold endpoints of each role are added.
-    cold: u64,
+    cold_endpoints: u64,
     /// The factor on the request rate once the cold endpoints are added.
-    storm: f64,
+    load_factor: f64,
     /// Whether one in five nodes gets four times the traffic of the others.
-    uneven: bool,
+    uneven_load: bool,
     /// Whether three in ten requests share one prefix.
     hot_prefix: bool,
     /// Whether seven in ten nodes restart one second after the cold endpoints are added.
@@ -32,9 +32,9 @@
 const BASELINE: Scenario = Scenario {
     nodes: 30,
     rate: 200.0,
-    cold: 1,
-    storm: 1.0,
-    uneven: false,
+    cold_endpoints: 1,
+    load_factor: 1.0,
+    uneven_load: false,
     hot_prefix: false,
     restarts: false,
     replaced: false,
@@ -54,7 +54,7 @@
     let usual_interval = interval(scenario.nodes, scenario.rate);
     let old = endpoint_pairs(1..=20, 0);
     let mut simulation = MultiNodeSimulation::seeded(seed, scenario.nodes, usual_interval, &old);
-    if scenario.uneven {
+    if scenario.uneven_load {
         simulation.interval_factors = (0..scenario.nodes)
             .map(|n| if n % 5 == 0 { 0.4 } else { 1.6 })
             .collect();
@@ -64,10 +64,10 @@
     }
     let at = START + 20 * SECOND + seed % 7 * SECOND / 3;
     simulation.run_until(at, usual_interval);
-    let mut changed = endpoint_pairs(21..=20 + scenario.cold, at - SECOND / 2);
+    let mut changed = endpoint_pairs(21..=20 + scenario.cold_endpoints, at - SECOND / 2);
     if scenario.replaced {
         changed.extend(
-            endpoint_pairs(1..=scenario.cold, 0)
+            endpoint_pairs(1..=scenario.cold_endpoints, 0)
                 .into_iter()
                 .map(|e| Endpoint {
                     state: EndpointState::Draining,
@@ -76,9 +76,9 @@
         );
     }
     simulation.update_endpoints(at, ListKind::Changes, &changed);
-    let storm_interval = interval(scenario.nodes, scenario.rate * scenario.storm);
+    let later_interval = interval(scenario.nodes, scenario.rate * scenario.load_factor);
     if scenario.restarts {
-        simulation.run_until(at + SECOND, storm_interval);
+        simulation.run_until(at + SECOND, later_interval);
         let mut endpoints = old.clone();
         endpoints.extend(changed.iter().copied());
         for node in 0..scenario.nodes as usize {
@@ -87,11 +87,11 @@
             }
         }
     }
-    simulation.run_until(at + 12 * SECOND, storm_interval);
+    simulation.run_until(at + 12 * SECOND, later_interval);
     // The budget is a multiple of the highest rate that a warm endpoint was observed to serve.
     let window = settings.overload_window;
     let warm = if scenario.replaced {
-        scenario.cold + 1..=20
+        scenario.cold_endpoints + 1..=20
     } else {
         1..=20
     };
@@ -103,12 +103,12 @@
         .map(|n| sent_to_warm(at + n * SECOND))
         .fold(0.0, f64::max)
         / window as f64;
-    let rate = observed_rate.max(scenario.rate * scenario.storm / 20.0 / SECOND as f64);
+    let rate = observed_rate.max(scenario.rate * scenario.load_factor / 20.0 / SECOND as f64);
     let mut largest = Excess {
         in_square_roots: f64::MIN,
         beyond_bound: 0.0,
     };
-    for endpoint in (21..=20 + scenario.cold).flat_map(|n| [n, 100 + n]) {
+    for endpoint in (21..=20 + scenario.cold_endpoints).flat_map(|n| [n, 100 + n]) {
         let times = simulation.sends.get(&endpoint).cloned().unwrap_or_default();
         for (i, from) in times.iter().enumerate() {
             // The guaranteed share of its capacity: three quarters of linear growth.
@@ -142,9 +142,9 @@
         all.extend([
             ("plain", plain),
             (
-                "storm",
+                "higher load",
                 Scenario {
-                    storm: 4.0,
+                    load_factor: 4.0,
                     ..plain
                 },
             ),
@@ -152,15 +152,15 @@
                 "few requests",
                 Scenario {
                     rate: 40.0,
-                    storm: 3.0,
+                    load_factor: 3.0,
                     ..plain
                 },
             ),
             (
-                "uneven storm",
+                "uneven load",
                 Scenario {
-                    uneven: true,
-                    storm: 3.0,
+                    uneven_load: true,
+                    load_factor: 3.0,
                     ..plain
                 },
             ),
@@ -168,7 +168,7 @@
                 "hot prefix",
                 Scenario {
                     hot_prefix: true,
-                    storm: 2.0,
+                    load_factor: 2.0,
                     ..plain
                 },
             ),
@@ -176,22 +176,22 @@
                 "restarts",
                 Scenario {
                     restarts: true,
-                    storm: 2.0,
+                    load_factor: 2.0,
                     ..plain
                 },
             ),
             (
                 "several cold",
                 Scenario {
-                    cold: 6,
-                    storm: 2.0,
+                    cold_endpoints: 6,
+                    load_factor: 2.0,
                     ..plain
                 },
             ),
             (
                 "mostly new",
                 Scenario {
-                    cold: 12,
+                    cold_endpoints: 12,
                     replaced: true,
                     ..plain
                 },
@@ -199,7 +199,7 @@
             (
                 "mostly new, hot prefix",
                 Scenario {
-                    cold: 12,
+                    cold_endpoints: 12,
                     replaced: true,
                     hot_prefix: true,
                     restarts: true,
--- a/crates/ivyward-core/tests/cold_endpoints.rs
+++ b/crates/ivyward-core/tests/cold_endpoints.rs
@@ -5,8 +5,8 @@
 use common::*;
 use ivyward_core::interface::*;
 
-/// The budget of a cold endpoint is derived from what warm endpoints serve. When there were none, no request was served
-/// until the endpoints were warm.
+/// The budget of a cold endpoint is derived from what warm endpoints serve. Because there were none in a new cluster, no
+/// request was served until its endpoints were warm.
 #[test]
 fn an_idle_cluster_of_new_endpoints_serves_its_first_request() {
     for nodes in [1, 3, 300] {
@@ -165,8 +165,8 @@
         .all(|endpoint| simulation.max_sends_in_a_window(endpoint, at) as f64 <= BOUND));
 }
 
-/// After idle time there are no recent first tokens, which must not be taken for a stalled cluster: of 60 requests that
-/// arrived at once at an idle node, half were rejected.
+/// After idle time there are no recent first tokens, which must not count as overload: of 60 requests that arrived at once
+/// at an idle node, half were rejected.
 #[test]
 fn a_burst_after_idle_time_is_not_overload() {
     let mut cfg = settings();
--- a/crates/ivyward-core/tests/health.rs
+++ b/crates/ivyward-core/tests/health.rs
@@ -51,7 +51,7 @@
     assert_ne!(harness.request(arrival(101, 101, 1_000.0)), Some(hung));
 }
 
-/// A long prompt takes long to prefill; its attempt must not be taken for a stall.
+/// A long prompt takes long to prefill, so its wait does not count as a stall.
 #[test]
 fn a_long_prompt_is_not_a_stall() {
     let mut harness = Harness::new(settings(), &endpoints());
--- a/crates/ivyward-core/tests/routing.rs
+++ b/crates/ivyward-core/tests/routing.rs
@@ -134,7 +134,7 @@
     }
 }
 
-/// If the decode endpoint has evicted a session, a local turn prefills its whole prompt beside running streams. One
+/// If the decode endpoint has evicted a session, a local turn prefills its whole prompt and slows down running streams. One
 /// response that reports no cached tokens must end local turns after as many tokens.
 #[test]
 fn one_response_without_cached_tokens_lowers_the_retention_estimate() {
--- a/crates/ivyward-core/tests/tenants.rs
+++ b/crates/ivyward-core/tests/tenants.rs
@@ -71,7 +71,7 @@
         used_by_other.len() >= 4,
         "the other tenant still uses those endpoints: {used_by_other:?}"
     );
-    // When the limits are lifted, the tenant uses all endpoints again.
+    // When the limits are lifted, the tenant uses all endpoints again, because recorded rejections expire.
     harness.now += 60 * SECOND;
     let mut used = std::collections::BTreeSet::new();
     for id in 100..140 {
