--- a/crates/ivyward-core/src/router/endpoints.rs
+++ b/crates/ivyward-core/src/router/endpoints.rs
@@ -87,7 +87,7 @@
         endpoint.info = *info;
     }
 
-    /// Drops removed endpoints that no attempt of an open request was sent to, and the sessions cached there.
+    /// Drops removed endpoints, unless an open request has an attempt there, and drops the sessions cached at them.
     fn drop_removed(&mut self) {
         let used: BTreeSet<EndpointId> = self
             .open_requests
--- a/crates/ivyward-core/src/router/health.rs
+++ b/crates/ivyward-core/src/router/health.rs
@@ -296,7 +296,8 @@
     }
 
     /// Returns the stalled endpoints of both pools. If at least half of a pool's endpoints seem stalled, the pool is
-    /// overloaded and its other endpoints are no better, so none of them is returned.
+    /// overloaded and its other endpoints are no better, so none of them is returned. This does not apply to a pool with
+    /// a single endpoint.
     fn stalled_endpoints(&self, now: Micros) -> Vec<EndpointId> {
         let mut stalled = Vec::new();
         for pool in [Pool::Prefill, Pool::Decode] {
--- a/crates/ivyward-core/src/router/ppd.rs
+++ b/crates/ivyward-core/src/router/ppd.rs
@@ -332,8 +332,7 @@
     /// Updates the KV retention of a machine type from the cached tokens of a local turn. If the endpoint had evicted the
     /// session (because of other sessions, a cache flush or an unnoticed restart), the turn prefilled its whole prompt
     /// and slowed down running streams. The number of cached tokens shows that at once, long before the cell's
-    /// statistics do.
-    /// A drawback: if engines do not report cached tokens, every local turn counts as evicted.
+    /// statistics do. A drawback: if engines do not report cached tokens, every local turn counts as evicted.
     pub(super) fn record_kv_retention(
         &mut self,
         id: EndpointId,
