--- a/crates/ivyward-core/src/release/mod.rs
+++ b/crates/ivyward-core/src/release/mod.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReleaseSettings {
     /// Reservations are to be released within this span; the time before the release is sent is the caller's.
-    pub within: Micros,
+    pub release_within: Micros,
     /// Attempts in flight at once, over all releases. Each takes a connection.
     pub max_concurrent_attempts: usize,
     /// Releases pending at once: beyond this the oldest is left to the engines' own expiry.
@@ -32,7 +32,8 @@
     /// How long to wait for the answer to a reservation. If the prefill beside it never reached its engine, no attempt
     /// uses what was reserved, and its time runs: the rest of the span is for the release.
     pub fn reserve_timeout(&self) -> Micros {
-        ((self.within.max(SHORTEST_SPAN) as f64 * RESERVE_WAIT) as Micros).min(MAX_RESERVE_WAIT)
+        ((self.release_within.max(SHORTEST_SPAN) as f64 * RESERVE_WAIT) as Micros)
+            .min(MAX_RESERVE_WAIT)
     }
 }
 
@@ -93,7 +94,7 @@
 
     /// This multiple of the span, in microseconds.
     fn span(&self, share: f64) -> Micros {
-        (self.settings.within.max(SHORTEST_SPAN) as f64 * share) as Micros
+        (self.settings.release_within.max(SHORTEST_SPAN) as f64 * share) as Micros
     }
 
     /// The number of requests with a pending release.
--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -33,7 +33,7 @@
     fn new(engines: u64, answers: impl Fn(EndpointId, Micros) -> bool + 'static) -> Simulation {
         Simulation::with(
             ReleaseSettings {
-                within: WITHIN,
+                release_within: WITHIN,
                 max_concurrent_attempts: 28,
                 max_pending: 1_000,
             },
@@ -341,7 +341,7 @@
 #[test]
 fn beyond_the_limit_the_oldest_release_is_abandoned() {
     let settings = ReleaseSettings {
-        within: WITHIN,
+        release_within: WITHIN,
         max_concurrent_attempts: 4,
         max_pending: 3,
     };
@@ -408,7 +408,7 @@
 fn a_very_short_span_leaves_time_for_answers() {
     for within in [0, MS, 20 * MS] {
         let settings = ReleaseSettings {
-            within,
+            release_within: within,
             max_concurrent_attempts: 28,
             max_pending: 10,
         };
@@ -460,7 +460,7 @@
         flaps in proptest::collection::vec(0u64..4_000, 30),
         confirmed in any::<bool>(),
     ) {
-        let settings = ReleaseSettings { within: WITHIN, max_concurrent_attempts: most_asks, max_pending: 1_000 };
+        let settings = ReleaseSettings { release_within: WITHIN, max_concurrent_attempts: most_asks, max_pending: 1_000 };
         let well = START + 5_000 * MS;
         let mut simulation = Simulation::with(settings, engines, move |id, now| {
             now >= well && id.0 == 1 || (now - START) / MS % 4_000 < flaps[id.0 as usize % 30] / 2
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -13,7 +13,7 @@
         max_connections: 2,
         report_fields: Vec::new(),
         release: ReleaseSettings {
-            within: 300_000,
+            release_within: 300_000,
             max_concurrent_attempts: RESERVE,
             max_pending: 10,
         },
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -186,7 +186,7 @@
         max_connections: bounds.engine_connections,
         report_fields: deployment.report_fields.clone(),
         release: ReleaseSettings {
-            within: settings.rules.release_within,
+            release_within: settings.rules.release_within,
             max_concurrent_attempts: bounds.release_connections,
             max_pending: bounds.pending_releases,
         },
