--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -7,7 +7,7 @@
 
 impl Peers {
     /// Sets how many nodes there are at most by configuration. It holds until the view is complete.
-    pub fn expect(&mut self, nodes: u32) {
+    pub fn set_expected_replicas(&mut self, nodes: u32) {
         self.expected_replicas = nodes;
     }
 
--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -471,13 +471,15 @@
 #[test]
 fn the_count_does_not_fall_before_a_view_was_whole() {
     let mut alone = Peers::new(0, card(0, 1), vec![address(1)], PeerSettings::default(), 1);
-    alone.expect(40);
+    alone.set_expected_replicas(40);
     assert_eq!(
         (alone.replica_count(), alone.has_complete_view()),
         (40, false)
     );
     let mut net = Net::new(6, 22, easy());
-    net.peers.iter_mut().for_each(|p| p.expect(40));
+    net.peers
+        .iter_mut()
+        .for_each(|p| p.set_expected_replicas(40));
     net.run(10 * SECOND);
     assert!(net
         .peers
@@ -490,12 +492,14 @@
         .iter()
         .all(|p| p.has_complete_view() && p.replica_count() == 6));
     net.restart(4);
-    net.peers[4].expect(40);
+    net.peers[4].set_expected_replicas(40);
     net.run(70 * SECOND);
     assert!(net.peers[4].has_complete_view() && net.peers[4].replica_count() == 6);
     // As many as were said are enough.
     let mut net = Net::new(6, 23, easy());
-    net.peers.iter_mut().for_each(|p| p.expect(6));
+    net.peers
+        .iter_mut()
+        .for_each(|p| p.set_expected_replicas(6));
     net.run(10 * SECOND);
     assert!(net
         .peers
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -80,7 +80,7 @@
     };
     let now = runtime.now();
     let mut peers = Peers::new(now, local, options.peers, options.spans, runtime.random());
-    peers.expect(rules.replica_count);
+    peers.set_expected_replicas(rules.replica_count);
     let view = Arc::new(Mutex::new(peers));
     let (commands, receiver) = async_channel::bounded(COMMAND_CAPACITY);
     let handle = PeersHandle {
