--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -19,7 +19,7 @@
         let known = self
             .members
             .all()
-            .filter(|peer| !peer.confirmed_gone && !is_miscounted(peer))
+            .filter(|peer| !peer.confirmed_stopped && !is_miscounted(peer))
             .count();
         // The store knows nodes that are not heard here.
         let unheard = self
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -75,7 +75,7 @@
     /// Heard by other nodes, but not by this one.
     pub indirect_only: bool,
     /// It is certain that it sends no more.
-    pub confirmed_gone: bool,
+    pub confirmed_stopped: bool,
     /// The latest known heartbeat, and when some node heard it.
     heartbeat: u64,
     pub(super) last_seen_at: Micros,
@@ -111,7 +111,7 @@
             node: update.node,
             state,
             indirect_only: false,
-            confirmed_gone: false,
+            confirmed_stopped: false,
             heartbeat: update.heartbeat,
             last_seen_at,
             last_direct_at: if direct { now } else { 0 },
@@ -264,7 +264,7 @@
         *self.digest.get_or_insert_with(|| {
             peers
                 .values()
-                .filter(|peer| !peer.confirmed_gone)
+                .filter(|peer| !peer.confirmed_stopped)
                 .fold(0, |digest, peer| {
                     let dead = if peer.state == PeerState::Dead {
                         mix(peer.node.id.0)
@@ -417,7 +417,7 @@
         peer.record_heartbeat(now, update, source);
         if was != PeerState::Alive && peer.ends_suspicion(now, update, source, fresh) {
             peer.state = PeerState::Alive;
-            peer.confirmed_gone = false;
+            peer.confirmed_stopped = false;
             self.digest = None;
             out.push(PeerAction::Changed {
                 node: peer.node,
@@ -432,8 +432,8 @@
     pub(super) fn apply_ended_leases(&mut self, now: Micros) {
         for peer in self.peers.values_mut() {
             let lease_ended = peer.sends_until.is_some_and(|at| at <= now);
-            if peer.state == PeerState::Dead && lease_ended && !peer.confirmed_gone {
-                peer.confirmed_gone = true;
+            if peer.state == PeerState::Dead && lease_ended && !peer.confirmed_stopped {
+                peer.confirmed_stopped = true;
                 self.digest = None;
             }
         }
@@ -473,7 +473,7 @@
             is: PeerState::Left,
         });
         peer.state = PeerState::Left;
-        peer.confirmed_gone = true;
+        peer.confirmed_stopped = true;
         self.digest = None;
         true
     }
--- a/crates/ivyward-core/src/peers/probing.rs
+++ b/crates/ivyward-core/src/peers/probing.rs
@@ -397,7 +397,7 @@
         let mut absent: Vec<SocketAddr> = self
             .members
             .all()
-            .filter(|peer| peer.state == PeerState::Dead && !peer.confirmed_gone)
+            .filter(|peer| peer.state == PeerState::Dead && !peer.confirmed_stopped)
             .map(|peer| peer.node.address)
             .collect();
         absent.extend(
--- a/crates/ivyward-core/src/peers/view_sync.rs
+++ b/crates/ivyward-core/src/peers/view_sync.rs
@@ -99,10 +99,9 @@
     /// The page of the view after an id.
     fn page(&self, now: Micros, after: Option<PeerId>) -> Page {
         // With the dead that may be sending: a node that starts on one side of a partition is to count the other side.
-        let mut peers = self
-            .members
-            .all()
-            .filter(|peer| !peer.confirmed_gone && after.is_none_or(|after| peer.node.id > after));
+        let mut peers = self.members.all().filter(|peer| {
+            !peer.confirmed_stopped && after.is_none_or(|after| peer.node.id > after)
+        });
         let updates: Vec<Update> = peers
             .by_ref()
             .take(PAGE_SIZE)
--- a/crates/ivyward/src/peers/handle.rs
+++ b/crates/ivyward/src/peers/handle.rs
@@ -78,7 +78,7 @@
                 let _ = writeln!(
                     out,
                     "peer id={:016x} start={} zone={} address={} state={state} certain={}",
-                    node.id.0, node.incarnation, node.zone, node.address, peer.confirmed_gone
+                    node.id.0, node.incarnation, node.zone, node.address, peer.confirmed_stopped
                 );
             }
             out
