--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -1,7 +1,7 @@
 //! The table of known nodes, and what counts as evidence of them.
 
 use super::messages::{NodeInfo, PeerAction, PeerId, ReportedState, Update};
-use super::{Dropped, PeerSettings};
+use super::{DroppedCounts, PeerSettings};
 use crate::hash::mix;
 use crate::interface::Micros;
 use crate::mutations::{self, Mutation};
@@ -165,7 +165,7 @@
         now: Micros,
         heartbeat: u64,
         source: EvidenceSource,
-        dropped: &mut Dropped,
+        dropped: &mut DroppedCounts,
     ) -> bool {
         let direct = source.is_direct();
         if source == EvidenceSource::Ack || direct && !self.anchor.direct {
@@ -176,7 +176,7 @@
             };
         } else if direct && heartbeat + HEARTBEAT_TOLERANCE < self.direct_heartbeat {
             // Guards against replays of messages that a node sent before it died.
-            dropped.old += 1;
+            dropped.replayed += 1;
             return false;
         } else if !self.anchor.allows(now, heartbeat) {
             dropped.implausible += 1;
@@ -245,7 +245,7 @@
     /// The nodes that sent each report.
     witnesses: BTreeMap<IncarnationReport, BTreeSet<PeerId>>,
     max_peers: usize,
-    pub(super) dropped: Dropped,
+    pub(super) dropped: DroppedCounts,
 }
 
 impl Members {
@@ -255,7 +255,7 @@
             peers: BTreeMap::new(),
             witnesses: BTreeMap::new(),
             max_peers,
-            dropped: Dropped::default(),
+            dropped: DroppedCounts::default(),
         }
     }
 
@@ -320,7 +320,7 @@
         };
         match update.node.incarnation.cmp(&known.node.incarnation) {
             Ordering::Less => {
-                self.dropped.stale += 1;
+                self.dropped.superseded += 1;
                 false
             }
             Ordering::Greater => self.replace(now, new, source, fresh, out),
@@ -341,7 +341,7 @@
             return false;
         }
         if self.peers.len() >= self.max_peers {
-            self.dropped.over += 1;
+            self.dropped.over_limit += 1;
             return false;
         }
         self.peers.insert(new.node.id, new);
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -110,15 +110,15 @@
 
 /// Counts of dropped updates and messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DroppedCounts {
     /// From superseded incarnations.
-    pub stale: u64,
+    pub superseded: u64,
     /// With heartbeats ahead of what time allows.
     pub implausible: u64,
     /// Far behind their sender's latest message: replays, and messages delayed for long.
-    pub old: u64,
+    pub replayed: u64,
     /// About nodes beyond the bound.
-    pub over: u64,
+    pub over_limit: u64,
 }
 
 /// The view of one node. See the module's documentation.
@@ -245,7 +245,7 @@
     }
 
     /// Counts of what was dropped.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedCounts {
         self.members.dropped
     }
 
--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -132,7 +132,7 @@
         .iter()
         .all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().node.incarnation == 2));
     // A word of the old run brings nothing back, and tells the old one that it is over.
-    let before = net.peers[2].dropped().stale;
+    let before = net.peers[2].dropped().superseded;
     let mut out = Vec::new();
     let old = Message {
         view_digest: 0,
@@ -144,7 +144,7 @@
     let now = net.now;
     net.peers[2].handle_message(now, old, &mut out);
     assert!(
-        net.peers[2].dropped().stale == before + 1
+        net.peers[2].dropped().superseded == before + 1
             && net.peers[2].peer(PeerId(10)).unwrap().node.incarnation == 2
     );
     assert!(
@@ -260,7 +260,7 @@
         };
         small.handle_message(1, hello, &mut Vec::new());
     }
-    assert_eq!((small.peers().count(), small.dropped().over), (8, 11));
+    assert_eq!((small.peers().count(), small.dropped().over_limit), (8, 11));
     // All fall silent: dead after a while, and later forgotten.
     let mut out = Vec::new();
     for step in 1..2_000 {
@@ -592,7 +592,7 @@
     one.handle_message(now, hello(10_000), &mut out);
     one.handle_message(now, hello(1_000), &mut out);
     assert_eq!(
-        (standing(&one), one.dropped().old),
+        (standing(&one), one.dropped().replayed),
         (Some(PeerState::Dead), 1)
     );
     // Its machine slept and its clock with it, or ours did: far ahead of what can be, unless it answers us.
--- a/crates/ivyward/src/peers/handle.rs
+++ b/crates/ivyward/src/peers/handle.rs
@@ -98,10 +98,10 @@
             let _ = writeln!(out, "ivyward_nodes {}", peers.replica_count());
             let dropped = peers.dropped();
             let reasons = [
-                ("stale", dropped.stale),
+                ("stale", dropped.superseded),
                 ("implausible", dropped.implausible),
-                ("old", dropped.old),
-                ("over", dropped.over),
+                ("old", dropped.replayed),
+                ("over", dropped.over_limit),
             ];
             for (reason, count) in reasons {
                 let _ = writeln!(
