--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -348,8 +348,8 @@
         self.digest = None;
         out.push(PeerAction::Changed {
             node: new.node,
-            was: None,
-            is: new.state,
+            previous: None,
+            current: new.state,
         });
         true
     }
@@ -381,13 +381,13 @@
         self.witnesses.retain(|report, _| report.id != id);
         out.push(PeerAction::Changed {
             node: known.node,
-            was: Some(known.state),
-            is: PeerState::Left,
+            previous: Some(known.state),
+            current: PeerState::Left,
         });
         out.push(PeerAction::Changed {
             node: new.node,
-            was: None,
-            is: new.state,
+            previous: None,
+            current: new.state,
         });
         true
     }
@@ -421,8 +421,8 @@
             self.digest = None;
             out.push(PeerAction::Changed {
                 node: peer.node,
-                was: Some(was),
-                is: PeerState::Alive,
+                previous: Some(was),
+                current: PeerState::Alive,
             });
         }
         true
@@ -454,8 +454,8 @@
         self.digest = None;
         out.push(PeerAction::Changed {
             node: peer.node,
-            was: Some(from),
-            is: to,
+            previous: Some(from),
+            current: to,
         });
         true
     }
@@ -469,8 +469,8 @@
         };
         out.push(PeerAction::Changed {
             node,
-            was: Some(peer.state),
-            is: PeerState::Left,
+            previous: Some(peer.state),
+            current: PeerState::Left,
         });
         peer.state = PeerState::Left;
         peer.confirmed_stopped = true;
--- a/crates/ivyward-core/src/peers/messages.rs
+++ b/crates/ivyward-core/src/peers/messages.rs
@@ -132,8 +132,8 @@
         /// The node.
         node: NodeInfo,
         /// Its previous state; none if it is new.
-        was: Option<super::PeerState>,
+        previous: Option<super::PeerState>,
         /// Its new state.
-        is: super::PeerState,
+        current: super::PeerState,
     },
 }
--- a/crates/ivyward-testbed/src/peer_simulation.rs
+++ b/crates/ivyward-testbed/src/peer_simulation.rs
@@ -135,9 +135,11 @@
     pub fn carry(&mut self, node: usize, out: Vec<PeerAction>) {
         for one in out {
             match one {
-                PeerAction::Changed { node: card, is, .. } => {
-                    self.changes.push((self.now, node, card.id, is))
-                }
+                PeerAction::Changed {
+                    node: card,
+                    current: is,
+                    ..
+                } => self.changes.push((self.now, node, card.id, is)),
                 PeerAction::Send { to, message } => {
                     let [_, _, high, low] = match to.ip() {
                         std::net::IpAddr::V4(ip) => ip.octets(),
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -141,7 +141,11 @@
         for action in actions {
             match action {
                 PeerAction::Send { to, message } => self.send(&message, to),
-                PeerAction::Changed { node, was, is } => self.log_change(&node, was, is),
+                PeerAction::Changed {
+                    node,
+                    previous,
+                    current,
+                } => self.log_change(&node, previous, current),
             }
         }
         if replica_count != self.replica_count {
