--- a/crates/ivyward-core/src/peers/messages.rs
+++ b/crates/ivyward-core/src/peers/messages.rs
@@ -79,7 +79,7 @@
         /// Ids after this one; from the first if there is none.
         after: Option<PeerId>,
         /// The following pages are wanted as well.
-        whole: bool,
+        complete: bool,
     },
     /// A page of the view.
     ViewPage {
@@ -90,7 +90,7 @@
         /// The complete view was requested, and this is its last page.
         last: bool,
         /// The sender's own view is complete.
-        confirmed: bool,
+        sender_complete: bool,
     },
     /// The sender leaves.
     Leave,
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -323,19 +323,19 @@
             MessageBody::Ack { seq, of } => self.on_ack(now, seq, of, out),
             MessageBody::PingRequest { seq, to } => self.on_ping_request(now, from, seq, to, out),
             MessageBody::Nack { seq } => self.on_nack(seq),
-            MessageBody::ViewRequest { after, whole } => {
-                self.on_view_request(now, from, after, whole, out);
+            MessageBody::ViewRequest { after, complete } => {
+                self.on_view_request(now, from, after, complete, out);
             }
             MessageBody::ViewPage {
                 updates,
                 next,
                 last,
-                confirmed,
+                sender_complete,
             } => {
                 let end = PageEnd {
                     next,
                     last,
-                    confirmed,
+                    sender_complete,
                 };
                 self.on_page(now, from.address, &end, out);
                 self.on_updates(now, from, updates, out);
--- a/crates/ivyward-core/src/peers/view_sync.rs
+++ b/crates/ivyward-core/src/peers/view_sync.rs
@@ -29,7 +29,7 @@
     /// It is the last page.
     pub(super) last: bool,
     /// The sender's view is complete.
-    pub(super) confirmed: bool,
+    pub(super) sender_complete: bool,
 }
 
 struct Page {
@@ -74,7 +74,10 @@
         after: Option<PeerId>,
         out: &mut Vec<PeerAction>,
     ) {
-        let body = MessageBody::ViewRequest { after, whole: true };
+        let body = MessageBody::ViewRequest {
+            after,
+            complete: true,
+        };
         self.send(now, to, body, out);
     }
 
@@ -83,15 +86,15 @@
         now: Micros,
         from: NodeInfo,
         after: Option<PeerId>,
-        whole: bool,
+        complete: bool,
         out: &mut Vec<PeerAction>,
     ) {
         let page = self.page(now, after);
         let body = MessageBody::ViewPage {
             updates: page.updates,
-            next: page.next.filter(|_| whole),
-            last: whole && page.next.is_none(),
-            confirmed: self.complete_view,
+            next: page.next.filter(|_| complete),
+            last: complete && page.next.is_none(),
+            sender_complete: self.complete_view,
         };
         self.send(now, from.address, body, out);
     }
@@ -129,7 +132,7 @@
             self.view_sync = None;
             self.last_sync = now;
             self.synced_once = true;
-            self.complete_view |= end.confirmed;
+            self.complete_view |= end.sender_complete;
         } else if end.next.is_some() && end.next > sync.after {
             sync.after = end.next;
             sync.requested_at = now;
@@ -209,7 +212,7 @@
             let after = present[self.random_below(present.len())];
             let body = MessageBody::ViewRequest {
                 after: Some(after),
-                whole: false,
+                complete: false,
             };
             self.send(now, to, body, out);
         }
--- a/crates/ivyward/src/peers/codec.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -225,20 +225,20 @@
             to: Some(encode_node(to)),
         }),
         MessageBody::Nack { seq } => Out::Nack(*seq),
-        MessageBody::ViewRequest { after, whole } => Out::Ask(pb::Ask {
+        MessageBody::ViewRequest { after, complete } => Out::Ask(pb::Ask {
             after: after.map(|a| a.0),
-            whole: *whole,
+            whole: *complete,
         }),
         MessageBody::ViewPage {
             updates,
             next,
             last,
-            confirmed,
+            sender_complete,
         } => Out::Page(pb::Page {
             claims: updates.iter().map(encode_update).collect(),
             next: next.map(|n| n.0),
             last: *last,
-            sure: *confirmed,
+            sure: *sender_complete,
         }),
         MessageBody::Leave => Out::Leave(true),
         MessageBody::Updates => Out::Gossip(true),
@@ -267,7 +267,7 @@
         In::Nack(seq) => MessageBody::Nack { seq },
         In::Ask(ask) => MessageBody::ViewRequest {
             after: ask.after.map(PeerId),
-            whole: ask.whole,
+            complete: ask.whole,
         },
         In::Page(page) => {
             let claims = decode_updates(page.claims)?;
@@ -275,7 +275,7 @@
                 updates: claims,
                 next: page.next.map(PeerId),
                 last: page.last,
-                confirmed: page.sure,
+                sender_complete: page.sure,
             }
         }
         In::Leave(_) => MessageBody::Leave,
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -33,7 +33,7 @@
         updates: vec![claim(FAR); n],
         next: Some(PeerId(1)),
         last: true,
-        confirmed: true,
+        sender_complete: true,
     };
     let bodies = [
         (page(taken), 4),
@@ -47,7 +47,7 @@
         (
             MessageBody::ViewRequest {
                 after: Some(PeerId(u64::MAX)),
-                whole: true,
+                complete: true,
             },
             MAX_UPDATES,
         ),
@@ -128,7 +128,7 @@
         updates: vec![claim(far)],
         next: None,
         last: false,
-        confirmed: false,
+        sender_complete: false,
     };
     let bad = [
         of(far, ping.clone(), vec![]),
