--- a/crates/ivyward-core/src/peers/dissemination.rs
+++ b/crates/ivyward-core/src/peers/dissemination.rs
@@ -184,8 +184,8 @@
         }
         match update.state {
             ReportedState::Alive => self.on_alive(now, from, update, out),
-            ReportedState::Suspected { since } => {
-                let unanswered_since = now.saturating_sub(since);
+            ReportedState::Suspected { unanswered_for } => {
+                let unanswered_since = now.saturating_sub(unanswered_for);
                 return self.on_suspected(now, from, update, unanswered_since, out);
             }
             ReportedState::Left => self.on_reported_left(from, update, out),
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -97,13 +97,13 @@
     fn new(now: Micros, update: &Update, direct: bool, fresh: Micros) -> Peer {
         let last_seen_at = now.saturating_sub(update.age);
         let (state, unanswered_since) = match update.state {
-            ReportedState::Suspected { since } => {
-                let state = if since >= fresh {
+            ReportedState::Suspected { unanswered_for } => {
+                let state = if unanswered_for >= fresh {
                     PeerState::Dead
                 } else {
                     PeerState::Suspected
                 };
-                (state, now.saturating_sub(since))
+                (state, now.saturating_sub(unanswered_for))
             }
             ReportedState::Alive | ReportedState::Left => (PeerState::Alive, 0),
         };
@@ -147,7 +147,7 @@
         let state = match self.state {
             PeerState::Alive => ReportedState::Alive,
             PeerState::Suspected | PeerState::Dead => ReportedState::Suspected {
-                since: now.saturating_sub(self.unanswered_since),
+                unanswered_for: now.saturating_sub(self.unanswered_since),
             },
             PeerState::Left => ReportedState::Left,
         };
--- a/crates/ivyward-core/src/peers/messages.rs
+++ b/crates/ivyward-core/src/peers/messages.rs
@@ -28,7 +28,7 @@
     /// It does not answer; the heartbeat is the last one known to the reporter.
     Suspected {
         /// How long ago the first unanswered ping was sent.
-        since: Micros,
+        unanswered_for: Micros,
     },
     /// It announced that it leaves.
     Left,
--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -216,7 +216,7 @@
                         node: card(of, 1),
                         heartbeat: beat,
                         age: 60 * SECOND,
-                        state: ReportedState::Suspected { since: 0 },
+                        state: ReportedState::Suspected { unanswered_for: 0 },
                     }
                 })
                 .collect();
--- a/crates/ivyward/src/peers/codec.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -174,7 +174,7 @@
 fn encode_update(update: &Update) -> pb::Claim {
     let (about, since) = match update.state {
         ReportedState::Alive => (0, 0),
-        ReportedState::Suspected { since } => (1, since / 1_000),
+        ReportedState::Suspected { unanswered_for } => (1, unanswered_for / 1_000),
         ReportedState::Left => (2, 0),
     };
     let ago = update.age.div_ceil(1_000);
@@ -191,7 +191,7 @@
     let about = match claim.about {
         0 => ReportedState::Alive,
         1 => ReportedState::Suspected {
-            since: claim.since.saturating_mul(1_000),
+            unanswered_for: claim.since.saturating_mul(1_000),
         },
         2 => ReportedState::Left,
         _ => return Err(ContentError::UnknownState(claim.about)),
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -14,7 +14,7 @@
 fn claim(address: &str) -> Update {
     // A beat of centuries, evidence of an hour.
     let about = ReportedState::Suspected {
-        since: 3_600_000_000,
+        unanswered_for: 3_600_000_000,
     };
     Update {
         node: card(address),
