--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -36,7 +36,7 @@
     }
 
     /// The store has a record of a node. It is a hint where to look, and no evidence of life.
-    pub fn record_added(&mut self, now: Micros, node: NodeInfo, out: &mut Vec<PeerAction>) {
+    pub fn store_record_added(&mut self, now: Micros, node: NodeInfo, out: &mut Vec<PeerAction>) {
         if node.id == self.local.id {
             return;
         }
@@ -51,7 +51,7 @@
     }
 
     /// The store's record of a node is gone: its lease ended. After the grace it is certainly gone, if it is silent.
-    pub fn record_removed(&mut self, now: Micros, id: PeerId) {
+    pub fn store_record_removed(&mut self, now: Micros, id: PeerId) {
         let Some(incarnation) = self.leases.remove(&id) else {
             return;
         };
--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -514,8 +514,8 @@
     net.run(10 * SECOND);
     let (now, mut out) = (net.now, Vec::new());
     // It forgets one that is heard: nothing follows.
-    net.peers[0].record_added(now, card(3, 1), &mut out);
-    net.peers[0].record_removed(now, PeerId(4));
+    net.peers[0].store_record_added(now, card(3, 1), &mut out);
+    net.peers[0].store_record_removed(now, PeerId(4));
     net.run(net.now + 20 * SECOND);
     assert_eq!(
         (net.standing(0, 3), net.peers[0].replica_count()),
@@ -529,7 +529,7 @@
         address: address(200),
     };
     let now = net.now;
-    net.peers[0].record_added(now, ghost, &mut out);
+    net.peers[0].store_record_added(now, ghost, &mut out);
     assert!(
         matches!(out.last(), Some(PeerAction::Send { to, .. }) if *to == address(200)),
         "it is called on"
@@ -541,14 +541,14 @@
         ),
         (true, 9)
     );
-    net.peers[0].record_removed(now, ghost.id);
+    net.peers[0].store_record_removed(now, ghost.id);
     assert_eq!(net.peers[0].replica_count(), 8);
     // A record of an earlier run ends with it, and says nothing of the present one.
     net.restart(5);
     net.run(net.now + 5 * SECOND);
     let now = net.now;
-    net.peers[0].record_added(now, card(5, 1), &mut out);
-    net.peers[0].record_removed(now, PeerId(6));
+    net.peers[0].store_record_added(now, card(5, 1), &mut out);
+    net.peers[0].store_record_removed(now, PeerId(6));
     net.kill(5);
     net.run(net.now + 20 * SECOND);
     assert_eq!(
@@ -557,8 +557,8 @@
     );
     // Of the present one: gone for certain when it is silent and the grace is over, and back if it is heard.
     let now = net.now;
-    net.peers[0].record_added(now, card(5, 2), &mut out);
-    net.peers[0].record_removed(now, PeerId(6));
+    net.peers[0].store_record_added(now, card(5, 2), &mut out);
+    net.peers[0].store_record_removed(now, PeerId(6));
     net.run(net.now + SECOND);
     assert_eq!(net.peers[0].replica_count(), 8, "its grace");
     net.run(net.now + 5 * SECOND);
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -62,10 +62,10 @@
                 }
                 Wakeup::Tick => {}
                 Wakeup::Command(PeerCommand::RecordAdded(node)) => {
-                    self.decide(|peers, out| peers.record_added(now, node, out));
+                    self.decide(|peers, out| peers.store_record_added(now, node, out));
                 }
                 Wakeup::Command(PeerCommand::RecordRemoved(id)) => {
-                    self.decide(|peers, _| peers.record_removed(now, id));
+                    self.decide(|peers, _| peers.store_record_removed(now, id));
                 }
                 Wakeup::Command(PeerCommand::Leave { done }) => {
                     self.decide(|peers, out| peers.leave(now, out));
