--- a/crates/ivyward-core/src/keepalive.rs
+++ b/crates/ivyward-core/src/keepalive.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepaliveSettings {
     /// A connection with calls in flight is pinged after this silence; 0 for no pings at all.
-    pub silence: Micros,
+    pub ping_after: Micros,
     /// A connection whose ping is not answered within this is closed.
-    pub timeout: Micros,
+    pub ping_timeout: Micros,
     /// Idle connections checked in a second, over all engines; 0 for none.
     pub idle_checks_per_second: u32,
     /// Time limit to connect.
@@ -73,7 +73,7 @@
     /// The time between two checks.
     fn check_interval(&self) -> Option<Micros> {
         let checks = Micros::from(self.settings.idle_checks_per_second);
-        (checks > 0 && self.settings.silence > 0).then(|| (1_000_000 / checks).max(1))
+        (checks > 0 && self.settings.ping_after > 0).then(|| (1_000_000 / checks).max(1))
     }
 
     /// A connection became idle: its last call ended, or it was opened and has none yet.
@@ -104,7 +104,7 @@
     pub fn next_check(&self, now: Micros, jitter: f64) -> Option<Micros> {
         let round = self.round(self.check_interval()?);
         let jitter = clamp_jitter(jitter);
-        let silence = self.settings.silence as f64 * (1.0 + 0.5 * jitter);
+        let silence = self.settings.ping_after as f64 * (1.0 + 0.5 * jitter);
         Some(now.saturating_add((round * (0.5 + jitter)).max(silence) as Micros))
     }
 
@@ -127,13 +127,13 @@
     /// is detected after a silence and a time-out; one that received something within these is as good, idle or not.
     pub fn before_use(&self, now: Micros, last_received: Micros) -> BeforeUse {
         let KeepaliveSettings {
-            silence,
-            timeout,
+            ping_after,
+            ping_timeout,
             dial_timeout,
             ..
         } = self.settings;
-        let detected_after = silence.saturating_add(timeout);
-        let good = silence == 0 || now.saturating_sub(last_received) <= detected_after;
+        let detected_after = ping_after.saturating_add(ping_timeout);
+        let good = ping_after == 0 || now.saturating_sub(last_received) <= detected_after;
         match good || mutations::is_active(Mutation::UncheckedUse) {
             true => BeforeUse::Nothing,
             false => BeforeUse::Check((dial_timeout / CHECK_DIVISOR).max(1)),
--- a/crates/ivyward-core/tests/keepalive.rs
+++ b/crates/ivyward-core/tests/keepalive.rs
@@ -7,8 +7,8 @@
 
 fn settings(resting_checks: u32) -> KeepaliveSettings {
     KeepaliveSettings {
-        silence: SECOND,
-        timeout: SECOND,
+        ping_after: SECOND,
+        ping_timeout: SECOND,
         idle_checks_per_second: resting_checks,
         dial_timeout: SECOND / 4,
     }
@@ -156,7 +156,7 @@
     // Without checks at rest they are still checked before use.
     assert_ne!(none.before_use(100 * SECOND, 0), BeforeUse::Nothing);
     let off = Keepalive::new(KeepaliveSettings {
-        silence: 0,
+        ping_after: 0,
         ..settings(16)
     });
     assert_eq!(
@@ -164,8 +164,8 @@
         (None, BeforeUse::Nothing)
     );
     let largest = KeepaliveSettings {
-        silence: u64::MAX,
-        timeout: u64::MAX,
+        ping_after: u64::MAX,
+        ping_timeout: u64::MAX,
         idle_checks_per_second: u32::MAX,
         dial_timeout: u64::MAX,
     };
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -16,8 +16,8 @@
 impl EngineKeepalive {
     pub(crate) fn new(runtime: &RuntimeRef, settings: &NodeSettings) -> Arc<EngineKeepalive> {
         let settings = KeepaliveSettings {
-            silence: settings.ping_every,
-            timeout: settings.ping_timeout,
+            ping_after: settings.ping_every,
+            ping_timeout: settings.ping_timeout,
             idle_checks_per_second: settings.resting_checks,
             dial_timeout: settings.dial_timeout,
         };
