--- a/crates/ivyward-core/src/connection_reuse.rs
+++ b/crates/ivyward-core/src/connection_reuse.rs
@@ -37,11 +37,11 @@
     /// It may be sent again.
     pub repeatable: bool,
     /// It repeats an attempt that may have run.
-    pub repeats_effect: bool,
+    pub repeats_unknown_outcome: bool,
     /// KV state waits for it at another engine, and must be released within this span.
-    pub state_deadline: Option<Micros>,
+    pub kv_state_timeout: Option<Micros>,
     /// When its engine last responded to anything; 0 for never.
-    pub last_answer: Micros,
+    pub last_response: Micros,
 }
 
 /// Which idle connections may carry an attempt now.
@@ -51,11 +51,11 @@
 /// engine that responded within the state's own span counts as reachable.
 pub fn reuse_policy(now: Micros, attempt: &AttemptTraits) -> ReusePolicy {
     let responded = |within: Micros| {
-        attempt.last_answer > 0 && now <= attempt.last_answer.saturating_add(within)
+        attempt.last_response > 0 && now <= attempt.last_response.saturating_add(within)
     };
-    if attempt.repeats_effect
+    if attempt.repeats_unknown_outcome
         || attempt
-            .state_deadline
+            .kv_state_timeout
             .is_some_and(|within| !responded(within))
     {
         return ReusePolicy::Never;
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -98,9 +98,9 @@
         let release_within = self.request.context.settings().rules.release_within;
         AttemptTraits {
             repeatable: self.is_repeatable(),
-            repeats_effect: self.call.repeats_effect(),
-            state_deadline: self.request.kv_state.as_ref().map(|_| release_within),
-            last_answer: self.client.endpoint.last_response(),
+            repeats_unknown_outcome: self.call.repeats_effect(),
+            kv_state_timeout: self.request.kv_state.as_ref().map(|_| release_within),
+            last_response: self.client.endpoint.last_response(),
         }
     }
 
@@ -231,7 +231,7 @@
         connection: &EngineConnection,
     ) -> Option<DeliveryCheck> {
         connection.idle_time?;
-        let within = traits.state_deadline?;
+        let within = traits.kv_state_timeout?;
         Some(connection_reuse::delivery_check(
             self.runtime().now(),
             within,
