--- a/crates/ivyward-core/src/long_poll.rs
+++ b/crates/ivyward-core/src/long_poll.rs
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// It timed out without a byte, while connecting or afterwards.
-    Silent,
+    NoResponse,
     /// It timed out while its response was arriving.
-    Slow,
+    SlowResponse,
     /// It failed.
     Failed,
     /// The service rejected it because of overload.
@@ -88,16 +88,16 @@
         (self.within as f64 * share) as Micros
     }
     /// How long a call asks to wait for changes.
-    pub fn wait(&self) -> Micros {
+    pub fn requested_wait(&self) -> Micros {
         self.share((WAIT * 2f64.powi(self.load as i32)).min(MAX_WAIT))
     }
     /// A call without a byte for this long after its wait is silent: another one begins.
-    pub fn silence(&self) -> Micros {
+    pub fn silence_timeout(&self) -> Micros {
         self.share(SILENCE)
     }
     /// When the call after a silent one begins.
     pub fn next_call_delay(&self) -> Micros {
-        self.connect_timeout() + self.silence()
+        self.connect_timeout() + self.silence_timeout()
     }
     /// A call without a byte for this long after its wait is abandoned.
     pub fn call_timeout(&self) -> Micros {
@@ -135,8 +135,8 @@
     /// A call failed. Returns the pause before the next one.
     pub fn call_failed(&mut self, failure: CallFailure) -> Micros {
         match failure {
-            CallFailure::Silent => 0,
-            CallFailure::Slow => {
+            CallFailure::NoResponse => 0,
+            CallFailure::SlowResponse => {
                 self.slow_bodies = (self.slow_bodies + 1).min(MAX_FAILURES);
                 0
             }
@@ -156,6 +156,8 @@
     /// The longest time from a change until its list begins to arrive, if the call that should have brought it fell silent as
     /// it began and `unanswered` further ones were accepted and never answered.
     pub fn worst_case_delay(&self, unanswered: u32) -> Micros {
-        self.wait() + self.silence() + u64::from(unanswered + 1) * self.next_call_delay()
+        self.requested_wait()
+            + self.silence_timeout()
+            + u64::from(unanswered + 1) * self.next_call_delay()
     }
 }
--- a/crates/ivyward-core/tests/long_poll.rs
+++ b/crates/ivyward-core/tests/long_poll.rs
@@ -14,10 +14,10 @@
         watch.worst_case_delay(3)
     );
     // As a sum of what the parts really are, not of what the module says of them.
-    let call = watch.connect_timeout() + watch.silence();
+    let call = watch.connect_timeout() + watch.silence_timeout();
     assert_eq!(
         watch.worst_case_delay(3),
-        watch.wait() + watch.silence() + 4 * call
+        watch.requested_wait() + watch.silence_timeout() + 4 * call
     );
 }
 
@@ -28,7 +28,7 @@
     let watch = LongPoll::new(CONFIGURED, true, 1);
     assert_eq!(
         watch.next_call_delay(),
-        watch.connect_timeout() + watch.silence()
+        watch.connect_timeout() + watch.silence_timeout()
     );
     assert!(watch.call_timeout() >= 2 * watch.next_call_delay());
     assert!(
@@ -41,7 +41,7 @@
 fn pauses_grow_with_quick_failures_only_and_end_with_a_response() {
     let mut watch = LongPoll::new(CONFIGURED, true, 1);
     assert_eq!(
-        watch.call_failed(CallFailure::Silent),
+        watch.call_failed(CallFailure::NoResponse),
         0,
         "silence has cost time enough"
     );
@@ -85,29 +85,29 @@
         "{one:?}"
     );
     let mut watch = LongPoll::new(CONFIGURED, true, 1);
-    let usual = watch.wait();
+    let usual = watch.requested_wait();
     for _ in 0..8 {
         watch.call_failed(CallFailure::Rejected);
     }
-    let longest = watch.wait();
+    let longest = watch.requested_wait();
     assert!(longest >= 5 * usual && longest <= 2 * CONFIGURED);
     watch.list_received();
     assert_eq!(
-        watch.wait(),
+        watch.requested_wait(),
         longest,
         "one list is no sign that it bears more calls"
     );
     for _ in 0..8 {
         watch.no_changes_received(0);
     }
-    assert_eq!(watch.wait(), usual);
+    assert_eq!(watch.requested_wait(), usual);
     // Late answers say the same, but not where lists come by themselves: there it was this node that was late.
     for costly in [true, false] {
         let mut watch = LongPoll::new(CONFIGURED, costly, 1);
         for _ in 0..8 {
             watch.no_changes_received(CONFIGURED / 10);
         }
-        assert_eq!(watch.wait(), if costly { longest } else { usual });
+        assert_eq!(watch.requested_wait(), if costly { longest } else { usual });
     }
 }
 
@@ -164,7 +164,11 @@
                     } else {
                         watch.list_received()
                     }
-                    next.insert((at + if watches { watch.wait() } else { 0 }, node, true));
+                    next.insert((
+                        at + if watches { watch.requested_wait() } else { 0 },
+                        node,
+                        true,
+                    ));
                 }
                 Err(at) => {
                     turned_away += u32::from(now > 60_000_000);
@@ -191,7 +195,7 @@
     let first = watch.body_timeout();
     assert!(first < CONFIGURED);
     for _ in 0..40 {
-        watch.call_failed(CallFailure::Slow);
+        watch.call_failed(CallFailure::SlowResponse);
     }
     assert!(watch.body_timeout() >= 8 * first && watch.body_timeout() <= 20 * CONFIGURED);
     watch.list_received();
@@ -202,6 +206,10 @@
 fn no_configured_time_makes_a_poll_without_waits() {
     for told in [0, 1, 99] {
         let watch = LongPoll::new(told, true, 1);
-        assert!(watch.wait() > 0 && watch.silence() > 0 && watch.connect_timeout() > 0);
+        assert!(
+            watch.requested_wait() > 0
+                && watch.silence_timeout() > 0
+                && watch.connect_timeout() > 0
+        );
     }
 }
--- a/crates/ivyward-platform/src/discovery/error.rs
+++ b/crates/ivyward-platform/src/discovery/error.rs
@@ -48,8 +48,8 @@
     /// The failure as the long poll's schedule distinguishes them.
     pub(super) fn kind(&self) -> CallFailure {
         match self {
-            ListCallError::Silent => CallFailure::Silent,
-            ListCallError::Slow => CallFailure::Slow,
+            ListCallError::Silent => CallFailure::NoResponse,
+            ListCallError::Slow => CallFailure::SlowResponse,
             ListCallError::Rejected(_) => CallFailure::Rejected,
             ListCallError::Connect(_)
             | ListCallError::Write(_)
--- a/crates/ivyward-platform/src/discovery/list_call.rs
+++ b/crates/ivyward-platform/src/discovery/list_call.rs
@@ -140,7 +140,7 @@
             last_progress: call.runtime.now().saturating_add(call.wait),
             received_bytes: 0,
             silence_timeout: call.schedule.call_timeout(),
-            check_interval: call.schedule.silence() / CHECKS_PER_TIMEOUT,
+            check_interval: call.schedule.silence_timeout() / CHECKS_PER_TIMEOUT,
             complete_by: Micros::MAX,
         }
     }
@@ -164,7 +164,7 @@
             self.last_progress = now;
             self.received_bytes = received_bytes;
             // A response that has begun does not pause for long.
-            self.silence_timeout = call.schedule.silence();
+            self.silence_timeout = call.schedule.silence_timeout();
             let complete_by = now.saturating_add(call.schedule.body_timeout());
             self.complete_by = self.complete_by.min(complete_by);
         }
--- a/crates/ivyward-platform/src/discovery/list_watch.rs
+++ b/crates/ivyward-platform/src/discovery/list_watch.rs
@@ -92,7 +92,7 @@
                     next_call_at = self.begin_long_poll();
                 }
                 None if self.has_progress() => {
-                    next_call_at = now.saturating_add(self.schedule.silence());
+                    next_call_at = now.saturating_add(self.schedule.silence_timeout());
                 }
                 None => {
                     self.begin_full_call();
@@ -145,7 +145,7 @@
                     version,
                     connection,
                 });
-                now.saturating_add(self.schedule.wait() + self.schedule.silence())
+                now.saturating_add(self.schedule.requested_wait() + self.schedule.silence_timeout())
             }
             None => {
                 self.begin(ListRequest::Full);
@@ -167,7 +167,7 @@
     fn begin(&mut self, request: ListRequest) {
         let received_bytes = Arc::default();
         let wait = match &request {
-            ListRequest::ChangesAfter { .. } => self.schedule.wait(),
+            ListRequest::ChangesAfter { .. } => self.schedule.requested_wait(),
             ListRequest::Full => 0,
         };
         let call = ListCall {
