--- a/crates/ivyward-core/src/start_time.rs
+++ b/crates/ivyward-core/src/start_time.rs
@@ -43,7 +43,7 @@
     removals: u64,
     /// A complete list was received: an engine that is new from then on has just started.
     has_complete_list: bool,
-    /// When a list was last received, for callers of [`StartTimes::resolve_listed`].
+    /// When a list was last received, for callers of [`StartTimes::resolve_with_shared_clock`].
     last_response: Option<Micros>,
 }
 
@@ -87,7 +87,12 @@
     /// but reports a start long before the last list without it, counts from that list. So a step of the clock by an
     /// hour, either way, makes no new engine warm and no engine cold for an hour; a list that is merely late does not
     /// make an engine younger than it is.
-    pub fn resolve_listed(&mut self, entry: &Endpoint, now: Micros, unix: Micros) -> Micros {
+    pub fn resolve_with_shared_clock(
+        &mut self,
+        entry: &Endpoint,
+        now: Micros,
+        unix: Micros,
+    ) -> Micros {
         let (id, reported) = (entry.id, entry.started_at);
         let known = self.known(id);
         let local = match known {
@@ -148,7 +153,7 @@
     }
 
     /// A complete list was received: engines that it does not name are removed.
-    pub fn complete_list(&mut self, named: impl Fn(EndpointId) -> bool) {
+    pub fn apply_complete_list(&mut self, named: impl Fn(EndpointId) -> bool) {
         let missing: Vec<EndpointId> = self
             .listed
             .keys()
--- a/crates/ivyward-core/tests/start_time_and_update_interval.rs
+++ b/crates/ivyward-core/tests/start_time_and_update_interval.rs
@@ -23,38 +23,39 @@
 #[test]
 fn a_new_engine_of_a_followed_list_started_after_the_last_list_without_it() {
     let mut starts = StartTimes::new();
-    starts.resolve_listed(&entry(1, UNIX), NOW, UNIX);
-    starts.complete_list(|_| true);
+    starts.resolve_with_shared_clock(&entry(1, UNIX), NOW, UNIX);
+    starts.apply_complete_list(|_| true);
     starts.record_response(NOW);
     let (later, ahead) = (NOW + 3_000_000, UNIX + HOUR);
     assert_eq!(
-        starts.resolve_listed(&entry(2, UNIX + 2_000_000), later, ahead),
+        starts.resolve_with_shared_clock(&entry(2, UNIX + 2_000_000), later, ahead),
         NOW,
         "an hour ahead"
     );
     assert_eq!(
-        starts.resolve_listed(&entry(3, UNIX + 2_000_000), later, UNIX + 3_000_000),
+        starts.resolve_with_shared_clock(&entry(3, UNIX + 2_000_000), later, UNIX + 3_000_000),
         NOW + 2_000_000,
         "by one clock"
     );
-    let late = starts.resolve_listed(&entry(5, UNIX - 5_000_000), later, UNIX + 3_000_000);
+    let late =
+        starts.resolve_with_shared_clock(&entry(5, UNIX - 5_000_000), later, UNIX + 3_000_000);
     assert_eq!(
         late,
         NOW - 5_000_000,
         "a list that is late makes nobody younger"
     );
     assert_eq!(
-        starts.resolve_listed(&entry(1, UNIX + 2_000_000), later, ahead),
+        starts.resolve_with_shared_clock(&entry(1, UNIX + 2_000_000), later, ahead),
         NOW,
         "it started again"
     );
     assert_eq!(
-        starts.resolve_listed(&entry(1, UNIX + 2_000_000), later + HOUR, ahead + HOUR),
+        starts.resolve_with_shared_clock(&entry(1, UNIX + 2_000_000), later + HOUR, ahead + HOUR),
         NOW,
         "told again"
     );
     assert_eq!(
-        starts.resolve_listed(&entry(4, 0), later, ahead),
+        starts.resolve_with_shared_clock(&entry(4, 0), later, ahead),
         0,
         "said to be long ago"
     );
@@ -65,11 +66,11 @@
 fn no_engine_starts_in_the_future() {
     let mut starts = StartTimes::new();
     assert_eq!(
-        starts.resolve_listed(&entry(1, UNIX), NOW, UNIX - HOUR),
+        starts.resolve_with_shared_clock(&entry(1, UNIX), NOW, UNIX - HOUR),
         NOW
     );
     assert_eq!(
-        starts.resolve_listed(&entry(1, UNIX), NOW + WARM, UNIX - HOUR + WARM),
+        starts.resolve_with_shared_clock(&entry(1, UNIX), NOW + WARM, UNIX - HOUR + WARM),
         NOW,
         "its age grows"
     );
@@ -110,7 +111,7 @@
 fn a_new_engine_has_just_started_whatever_its_clock_says() {
     let mut starts = StartTimes::new();
     starts.resolve(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
-    starts.complete_list(|id| id.0 == 1);
+    starts.apply_complete_list(|id| id.0 == 1);
     for (id, skew) in [(2, -(HOUR as i64)), (3, 0), (4, HOUR as i64)] {
         let written = (UNIX as i64 + skew) as Micros;
         assert_eq!(
@@ -133,14 +134,14 @@
     let mut starts = StartTimes::new();
     starts.resolve(&entry(1, UNIX - HOUR), NOW, UNIX, WARM);
     starts.resolve(&entry(2, UNIX - 1), NOW, UNIX, WARM);
-    starts.complete_list(|_| true);
+    starts.apply_complete_list(|_| true);
     starts.remove(EndpointId(1));
     assert_eq!(
         starts.resolve(&entry(1, UNIX - HOUR), NOW + HOUR, UNIX + HOUR, WARM),
         0
     );
     // Missing from a whole list, and back in the next.
-    starts.complete_list(|_| false);
+    starts.apply_complete_list(|_| false);
     assert_eq!(
         starts.resolve(&entry(2, UNIX - 1), NOW + HOUR, UNIX + HOUR, WARM),
         NOW - 1
@@ -160,7 +161,7 @@
     for id in 0..many {
         starts.resolve(&entry(id, UNIX - HOUR), NOW, UNIX, WARM);
     }
-    starts.complete_list(|_| true);
+    starts.apply_complete_list(|_| true);
     (0..many).for_each(|id| starts.remove(EndpointId(id)));
     assert_eq!(
         starts.resolve(&entry(9, UNIX - HOUR), NOW, UNIX, WARM),
--- a/crates/ivyward-platform/src/discovery/list_reader.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader.rs
@@ -57,7 +57,8 @@
         let engines = self.read_cached(list);
         if list.full {
             let known = &self.known;
-            self.start_times.complete_list(|id| known.contains_key(&id));
+            self.start_times
+                .apply_complete_list(|id| known.contains_key(&id));
         }
         self.start_times.record_response(self.runtime.now());
         engines
@@ -152,7 +153,9 @@
         };
         let now = self.runtime.now();
         let unix_now = now.saturating_add(self.clock_offset);
-        endpoint.started_at = self.start_times.resolve_listed(&endpoint, now, unix_now);
+        endpoint.started_at = self
+            .start_times
+            .resolve_with_shared_clock(&endpoint, now, unix_now);
         Ok(Engine { endpoint, address })
     }
 }
--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -119,7 +119,8 @@
             .collect();
         if kind == ListKind::Full {
             let listed: BTreeSet<EndpointId> = engines.iter().map(|e| e.endpoint.id).collect();
-            self.start_times.complete_list(|id| listed.contains(&id));
+            self.start_times
+                .apply_complete_list(|id| listed.contains(&id));
         }
         self.node.update_endpoints(kind, engines).await;
         self.update_interval.delivered(now, self.runtime.now());
