--- a/crates/ivyward-core/src/update_interval.rs
+++ b/crates/ivyward-core/src/update_interval.rs
@@ -20,7 +20,7 @@
 
 impl UpdateIntervalSettings {
     /// For a grace within which drains must take effect: a quarter of the time, an eighth of the grace, a second.
-    pub fn for_grace(grace: Micros) -> UpdateIntervalSettings {
+    pub fn for_drain_grace(grace: Micros) -> UpdateIntervalSettings {
         UpdateIntervalSettings {
             time_share: 0.25,
             urgent_delay: grace / 8,
@@ -54,7 +54,7 @@
     }
 
     /// When to pass on changes of which the first was received at `since`; a time in the past means now.
-    pub fn due(&self, since: Micros, urgent: bool) -> Micros {
+    pub fn deliver_at(&self, since: Micros, urgent: bool) -> Micros {
         let rest = (self.cost * (1.0 / self.settings.time_share - 1.0)) as Micros;
         if rest < MIN_DELAY {
             return since;
--- a/crates/ivyward-core/tests/start_time_and_update_interval.rs
+++ b/crates/ivyward-core/tests/start_time_and_update_interval.rs
@@ -186,27 +186,30 @@
 #[test]
 fn cheap_lists_are_delivered_at_once() {
     let mut pace = pace();
-    assert_eq!(pace.due(100, false), 100);
+    assert_eq!(pace.deliver_at(100, false), 100);
     pace.delivered(100, 200);
-    assert_eq!(pace.due(210, false), 210);
+    assert_eq!(pace.deliver_at(210, false), 210);
 }
 
 #[test]
 fn costly_lists_keep_to_their_share_and_urgent_changes_wait_at_most_the_urgent_delay() {
     let mut pace = pace();
     pace.delivered(0, 1_000);
-    assert_eq!(pace.due(1_001, false), 4_000);
+    assert_eq!(pace.deliver_at(1_001, false), 4_000);
     pace.delivered(4_000, 104_000);
     assert_eq!(
-        (pace.due(104_001, false), pace.due(104_001, true)),
+        (
+            pace.deliver_at(104_001, false),
+            pace.deliver_at(104_001, true)
+        ),
         (404_000, 134_001)
     );
     // One cheap list between costly ones does not hide what they cost.
     pace.delivered(404_000, 404_010);
-    assert_eq!(pace.due(404_011, false), 644_010);
+    assert_eq!(pace.deliver_at(404_011, false), 644_010);
     // Nothing waits longer than the most.
     pace.delivered(1_000_000, 9_000_000);
-    assert_eq!(pace.due(9_000_001, false), 10_000_001);
+    assert_eq!(pace.deliver_at(9_000_001, false), 10_000_001);
 }
 
 proptest! {
@@ -217,7 +220,7 @@
         let mut first = None;
         for (cost, gap) in steps {
             now += gap;
-            let due = pace.due(now, false);
+            let due = pace.deliver_at(now, false);
             prop_assert!(due <= now + 1_000_000);
             now = now.max(due);
             let begun = *first.get_or_insert(now);
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -129,7 +129,7 @@
                 behind_grace: options.behind_grace,
             }),
             start_times: StartTimes::new(),
-            update_interval: UpdateInterval::new(UpdateIntervalSettings::for_grace(
+            update_interval: UpdateInterval::new(UpdateIntervalSettings::for_drain_grace(
                 self.settings().rules.drain_grace,
             )),
             snapshot_outdated: false,
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -121,7 +121,7 @@
     fn delivery_time(&self, batch: &Batch) -> Option<Micros> {
         batch
             .since
-            .map(|since| self.update_interval.due(since, batch.urgent))
+            .map(|since| self.update_interval.deliver_at(since, batch.urgent))
     }
 
     async fn on_wakeup(
