--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -1,98 +1,101 @@
 //! Membership of engines: turns the lists, watch events and failures of a store into endpoint lists for the router.
 //!
-//! It decides which list to believe, what a gap in the watch means, when an old list is better than an empty one, and
-//! what to make of an engine that came back. No I/O, no clock: the watcher of a store (etcd, or a fixed list) passes in
-//! what it received and when, and carries out the returned actions.
+//! [`Membership`] decides which lists to accept, how to bridge a gap in the watch, when to keep the known engines instead
+//! of accepting an empty list, and how to merge the record of an engine that restarted. The module does no I/O and reads
+//! no clock: the watcher of a store (etcd, or a fixed list) passes in each event with the time, and carries out the
+//! returned actions.
 //!
 //! Rules:
-//! - A drain or a removal is passed on in the step in which it is received.
-//! - A gap (a compacted watch, a lost connection) changes nothing by itself: engines stay as last known until the next
+//! - A drain or a removal is passed on in the call that receives it.
+//! - A gap (a compacted watch, a lost connection) changes no engine by itself: engines stay as last known until the next
 //!   complete list. Engines missing from that list are removed.
-//! - An empty complete list is not believed at first while engines are known: a store restored empty, or a wrong key
-//!   prefix, must not stop the service. It is believed once it is received again after `empty_grace`. Deletions of single
-//!   engines are believed at once.
-//! - The same id with another start time is a new process without the old one's KV cache. A record with an older start
-//!   than the known one was written by an earlier process and does not bring that back; but a drain in the store's latest
-//!   record counts, whoever wrote it. A record without a start time leaves the known one.
-//! - Revisions never go back within one store. A list with a lower revision than a known one is stale (from a member that
-//!   lags behind after a failover) and is ignored; but a store that sends nothing else for `behind_grace` was restored
-//!   from an older backup, and is treated like one whose cluster id changed.
+//! - An empty complete list is not accepted at first while engines are known: a store that was restored empty, or a wrong
+//!   key prefix, must not stop the service. The empty list is accepted once it is received again after `empty_grace`.
+//!   Deletions of single engines are accepted at once.
+//! - A record with the same id and a later start time describes a new process, without the KV cache of the old one. A
+//!   record with an earlier start time than the known one was written by an earlier process and does not replace the
+//!   known process; but a drain in the store's latest record takes effect, whoever wrote it. A record without a start
+//!   time leaves the known start time unchanged.
+//! - Revisions never decrease within one store. A list with a lower revision than the known one is stale (it comes from a
+//!   store member that lags behind after a failover) and is ignored. If a store sends only such lists for `behind_grace`,
+//!   it was restored from an older backup and is treated like a store with another cluster id.
 
 use crate::interface::{Endpoint, EndpointId, EndpointState, ListKind, Micros};
 use crate::mutations::{self, Mutation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the store says about one engine.
+/// The store's record of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// The endpoint for the router. `started_at` is on the store's clock and only compared.
+    /// The endpoint for the router. `started_at` is on the store's clock; this module only compares it with other start
+    /// times of the same engine.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// The revision at which its record was written.
+    /// The store revision at which the record was written.
     pub revision: i64,
 }
 
-/// Something received from the store.
+/// An event received from the store, or from the snapshot file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// All records at a revision.
+    /// A complete list: all records of the store at one revision.
     List {
         /// The store's cluster id.
         cluster: u64,
-        /// The revision of the list.
+        /// The store revision of the list.
         revision: i64,
-        /// The readable records.
+        /// The records that could be decoded.
         members: Vec<Member>,
-        /// Engines whose records exist but cannot be decoded: they stay as last known.
+        /// Engines whose records exist but cannot be decoded. They stay as last known.
         unreadable: Vec<EndpointId>,
     },
     /// A record was written.
     Put(Member),
-    /// A record was deleted, by hand or with its lease.
+    /// A record was deleted, explicitly or because its lease expired.
     Deleted {
-        /// The engine.
+        /// The engine whose record was deleted.
         id: EndpointId,
-        /// The revision of the deletion.
+        /// The store revision of the deletion.
         revision: i64,
     },
-    /// The watch is known to be complete up to this revision.
+    /// The watch has delivered all changes up to this store revision.
     Progress(i64),
-    /// The watch broke, was compacted away or cancelled: something may have been missed.
+    /// The watch broke, was cancelled, or its revision was compacted: changes may have been missed.
     Gap,
-    /// The list from the snapshot file of an earlier run.
+    /// The engines in the snapshot file of an earlier run. Ignored once a complete list of the store was accepted.
     Snapshot(Vec<Member>),
 }
 
-/// What the watcher is to do.
+/// An action for the watcher of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Pass an endpoint list to the router.
     EndpointList {
-        /// How it relates to the one before.
+        /// Whether the list is complete, read from the snapshot, or holds changes only.
         kind: ListKind,
-        /// Its entries.
+        /// The listed engines. A removed engine has the state [`EndpointState::Removed`].
         members: Vec<Member>,
     },
-    /// Read the complete list again.
+    /// Read the complete list again now.
     Relist,
-    /// An empty list was not believed yet: read the list again at this time.
+    /// An empty list was not accepted yet: read the complete list again at this time.
     RelistAt(Micros),
-    /// The list changed: save it.
+    /// The known engines changed: write them to the snapshot file.
     SaveSnapshot,
 }
 
-/// Settings.
+/// How long [`Membership`] waits before it accepts a suspicious list. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// An empty complete list is believed after this time while engines are known.
+    /// While engines are known, an empty complete list is accepted only when the store has sent empty lists for this long.
     pub empty_grace: Micros,
-    /// Lists behind a known revision are believed after this time without others.
+    /// Lists with a lower revision than the known one are accepted only when the store has sent no others for this long.
     pub behind_grace: Micros,
 }
 
-/// All records at one revision.
+/// The content of [`WatchEvent::List`].
 struct CompleteList {
     cluster: u64,
     revision: i64,
@@ -100,26 +103,26 @@
     unreadable: Vec<EndpointId>,
 }
 
-/// The known engines of one store. See the module's documentation.
+/// The known engines of one store. The module documentation states the rules.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
     cluster: Option<u64>,
-    /// All changes up to this revision are known.
+    /// All changes up to this store revision are known.
     revision: i64,
     members: BTreeMap<EndpointId, Member>,
     /// The members come from the snapshot file of an earlier run.
     from_snapshot: bool,
-    /// Since when the store sends empty lists.
+    /// When the first of the latest consecutive empty lists was received.
     empty_since: Option<Micros>,
-    /// Since when lists are behind the known revision.
+    /// When the first of the latest consecutive lists with a lower revision than the known one was received.
     behind_since: Option<Micros>,
     /// Changes may have been missed since the last complete list.
     gap: bool,
 }
 
 impl Membership {
-    /// Without any known engine.
+    /// Creates a membership without known engines, which waits for its first list.
     pub fn new(settings: MembershipSettings) -> Membership {
         Membership {
             settings,
@@ -132,24 +135,24 @@
             gap: true,
         }
     }
-    /// The cluster id of the store whose list was last believed.
+    /// Returns the cluster id of the list accepted last; `None` before the first.
     pub fn cluster(&self) -> Option<u64> {
         self.cluster
     }
-    /// The revision up to which all changes are known; a watch starts at the next one.
+    /// Returns the store revision up to which all changes are known. A new watch starts at the revision after it.
     pub fn revision(&self) -> i64 {
         self.revision
     }
-    /// Whether changes may have been missed since the last complete list.
+    /// Returns whether changes may have been missed since the last complete list; true before the first list.
     pub fn has_gap(&self) -> bool {
         self.gap
     }
-    /// The known engines.
+    /// Returns the known engines in the order of their ids.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Takes in an event and appends the resulting actions.
+    /// Handles an event received at `now` and appends the resulting actions to `out`.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -181,7 +184,7 @@
                 self.gap = true;
                 out.push(MembershipAction::Relist);
             }
-            // A snapshot is older than anything received from the store itself.
+            // A snapshot is older than any list received from the store.
             WatchEvent::Snapshot(members) if self.cluster.is_none() => {
                 self.members = members
                     .into_iter()
@@ -199,10 +202,10 @@
             out.push(MembershipAction::Relist);
             return;
         }
-        // Revisions of a restored store cannot be compared with those known before.
+        // The revisions of a restored store are not comparable with those of the store before.
         let same_store = self.cluster == Some(list.cluster) && list.revision >= self.revision;
         self.behind_since = None;
-        if let Some(relist_at) = self.doubts_empty(now, &list) {
+        if let Some(relist_at) = self.empty_list_retry(now, &list) {
             out.push(MembershipAction::RelistAt(relist_at));
             return;
         }
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Whether a list is behind the known revision, and not for `behind_grace` yet.
+    /// Returns whether to ignore a list because its revision is lower than the known one and `behind_grace` is not over.
     fn is_stale(&mut self, now: Micros, list: &CompleteList) -> bool {
         if self.cluster != Some(list.cluster) || list.revision >= self.revision {
             return false;
@@ -230,17 +233,18 @@
         now.saturating_sub(since) < self.settings.behind_grace
     }
 
-    /// When to read the list again, if it is empty while engines are known, and not for `empty_grace` yet.
-    fn doubts_empty(&mut self, now: Micros, list: &CompleteList) -> Option<Micros> {
+    /// Returns when to read the list again if it is empty while engines are known and `empty_grace` is not over. `None`
+    /// means that the list can be accepted.
+    fn empty_list_retry(&mut self, now: Micros, list: &CompleteList) -> Option<Micros> {
         if !list.members.is_empty() || !list.unreadable.is_empty() || self.members.is_empty() {
             return None;
         }
         let since = *self.empty_since.get_or_insert(now);
-        let is_believed = now.saturating_sub(since) >= self.settings.empty_grace;
-        (!is_believed).then(|| since + self.settings.empty_grace)
+        let is_accepted = now.saturating_sub(since) >= self.settings.empty_grace;
+        (!is_accepted).then(|| since + self.settings.empty_grace)
     }
 
-    /// The engines after a complete list.
+    /// Returns the known engines after a complete list.
     fn merge(&self, list: &CompleteList, same_store: bool) -> BTreeMap<EndpointId, Member> {
         let mut members = BTreeMap::new();
         for mut member in list.members.iter().copied() {
@@ -249,7 +253,10 @@
             if let Some(known) = known.filter(|_| mutations::is_active(Mutation::DrainLostInList)) {
                 member.endpoint.state = known.endpoint.state;
             }
-            members.insert(id, known.map_or(member, |known| newer(&member, known)));
+            members.insert(
+                id,
+                known.map_or(member, |known| merge_records(&member, known)),
+            );
         }
         if mutations::is_active(Mutation::MissingStay) {
             for (id, known) in &self.members {
@@ -264,7 +271,7 @@
         members
     }
 
-    /// The action that passes all known engines to the router.
+    /// Returns the action that passes all known engines to the router.
     fn endpoint_list(&self, kind: ListKind) -> MembershipAction {
         MembershipAction::EndpointList {
             kind,
@@ -273,13 +280,13 @@
     }
 
     fn on_put(&mut self, member: Member, out: &mut Vec<MembershipAction>) {
-        // Events are passed on also while there is a gap, so that a drain takes effect at once. But only an unbroken
-        // watch moves the revision from which the next one starts.
+        // Events are passed on during a gap as well, so that a drain takes effect at once. But only a watch without a gap
+        // advances the revision from which the next watch starts.
         if !self.gap {
             self.revision = self.revision.max(member.revision);
         }
         let old = self.members.get(&member.endpoint.id).copied();
-        let member = old.map_or(member, |old| newer(&member, &old));
+        let member = old.map_or(member, |old| merge_records(&member, &old));
         self.members.insert(member.endpoint.id, member);
         if old.is_some_and(|old| (old.endpoint, old.address) == (member.endpoint, member.address)) {
             return;
@@ -296,7 +303,7 @@
         if !self.gap {
             self.revision = self.revision.max(revision);
         }
-        // A deletion from before the known record is stale.
+        // A deletion with a lower revision than the known record is stale.
         let known = self
             .members
             .get(&id)
@@ -313,8 +320,8 @@
     }
 }
 
-/// Merges a record of an engine with the known one from the same store.
-fn newer(new: &Member, old: &Member) -> Member {
+/// Merges a new record of an engine with the known record from the same store.
+fn merge_records(new: &Member, old: &Member) -> Member {
     if new.revision < old.revision {
         return *old;
     }
@@ -330,8 +337,8 @@
     if new.endpoint.started_at >= old.endpoint.started_at {
         return *new;
     }
-    // Guards against a drain that is missed: also written by a tool that does not know when the engine started, or by
-    // the process before this one, it is what the store says now. Only the engine itself may say that it is ready.
+    // Guards against a missed drain: the store's latest record counts even if a tool wrote it without knowing when the
+    // engine started, or the engine's previous process wrote it. Only the current process may declare itself ready.
     let drains = new.endpoint.state != EndpointState::Ready;
     let state = if drains {
         new.endpoint.state
--- a/crates/ivyward-core/tests/membership.rs
+++ b/crates/ivyward-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership of engines, by synthetic events and against a simple model.
+//! Membership of engines, tested with single events and with random ones against a simple model.
 
 use ivyward_core::interface::*;
 use ivyward_core::membership::*;
@@ -9,7 +9,7 @@
 const GRACE: Micros = 5_000_000;
 
 fn member(id: u64, revision: i64, state: EndpointState) -> Member {
-    let entry = Endpoint {
+    let endpoint = Endpoint {
         id: EndpointId(id),
         state,
         weight: 1.0,
@@ -17,7 +17,7 @@
         ..Endpoint::default()
     };
     Member {
-        endpoint: entry,
+        endpoint,
         address: SocketAddr::from(([127, 0, 0, 1], id as u16)),
         revision,
     }
@@ -37,9 +37,9 @@
 }
 
 struct Harness {
-    of: Membership,
+    membership: Membership,
     now: Micros,
-    /// The view of a router that gets all actions.
+    /// The endpoint list of a router to which all actions are passed.
     view: BTreeMap<EndpointId, Endpoint>,
 }
 
@@ -50,30 +50,23 @@
             behind_grace: 2 * GRACE,
         };
         Harness {
-            of: Membership::new(settings),
+            membership: Membership::new(settings),
             now: 1,
             view: BTreeMap::new(),
         }
     }
     fn receive(&mut self, event: WatchEvent) -> Vec<MembershipAction> {
         let mut out = Vec::new();
-        self.of.handle_event(self.now, event, &mut out);
-        for told in &out {
-            if let MembershipAction::EndpointList {
-                kind,
-                members: entries,
-            } = told
-            {
+        self.membership.handle_event(self.now, event, &mut out);
+        for action in &out {
+            if let MembershipAction::EndpointList { kind, members } = action {
                 if matches!(kind, ListKind::Full | ListKind::Cached) {
                     self.view.clear();
                 }
-                for Member {
-                    endpoint: entry, ..
-                } in entries
-                {
-                    match entry.state {
-                        EndpointState::Removed => drop(self.view.remove(&entry.id)),
-                        _ => drop(self.view.insert(entry.id, *entry)),
+                for Member { endpoint, .. } in members {
+                    match endpoint.state {
+                        EndpointState::Removed => drop(self.view.remove(&endpoint.id)),
+                        _ => drop(self.view.insert(endpoint.id, *endpoint)),
                     }
                 }
             }
@@ -92,14 +85,14 @@
 fn drains_and_removals_are_passed_on_at_once() {
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5), ready(2, 6)]));
-    let told = harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
-    let entries = vec![member(1, 11, EndpointState::Draining)];
+    let actions = harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
+    let members = vec![member(1, 11, EndpointState::Draining)];
     assert_eq!(
-        told,
+        actions,
         [
             MembershipAction::EndpointList {
                 kind: ListKind::Changes,
-                members: entries
+                members
             },
             MembershipAction::SaveSnapshot
         ]
@@ -109,18 +102,22 @@
         revision: 12,
     });
     assert_eq!(
-        (harness.ids(), harness.state(1), harness.of.revision()),
+        (
+            harness.ids(),
+            harness.state(1),
+            harness.membership.revision()
+        ),
         (vec![1], Some(EndpointState::Draining), 12)
     );
 }
 
-/// Guards against a watch that was compacted away: missed deletions are found by the next list.
+/// Guards against deletions that are missed because the watch's revision was compacted: the next list shows them.
 #[test]
 fn after_a_gap_the_list_shows_removed_engines() {
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5), ready(2, 6), ready(3, 7)]));
     assert_eq!(harness.receive(WatchEvent::Gap), [MembershipAction::Relist]);
-    assert_eq!(harness.ids(), [1, 2, 3], "a gap alone empties nothing");
+    assert_eq!(harness.ids(), [1, 2, 3], "a gap alone removes no engine");
     harness.receive(list(
         40,
         vec![ready(1, 5), member(3, 30, EndpointState::Draining)],
@@ -131,8 +128,8 @@
     );
 }
 
-/// Guards against a drain that is forgotten while the store restarts: known states stay until the store says otherwise,
-/// and events during the gap are passed on.
+/// Guards against a drain that is lost while the store restarts: known states stay until the store reports others, and
+/// events during the gap are passed on.
 #[test]
 fn a_drain_survives_a_restart_of_the_store() {
     let mut harness = Harness::new();
@@ -140,16 +137,16 @@
     harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining)));
     harness.receive(WatchEvent::Gap);
     assert_eq!(harness.state(1), Some(EndpointState::Draining));
-    // A member that lags behind answers from before the drain: not believed.
+    // A store member that lags behind sends a list from before the drain, which must be ignored.
     assert_eq!(
         harness.receive(list(10, vec![ready(1, 5), ready(2, 6)])),
         [MembershipAction::Relist]
     );
     assert_eq!(harness.state(1), Some(EndpointState::Draining));
-    // An event during the gap is passed on, but the watch must not continue from its revision.
+    // An event during the gap is passed on, but the next watch must not start from its revision.
     harness.receive(WatchEvent::Put(member(2, 14, EndpointState::Draining)));
     assert_eq!(
-        (harness.state(2), harness.of.revision()),
+        (harness.state(2), harness.membership.revision()),
         (Some(EndpointState::Draining), 11)
     );
     harness.receive(list(
@@ -159,21 +156,24 @@
             member(2, 14, EndpointState::Draining),
         ],
     ));
-    assert_eq!((harness.of.revision(), harness.of.has_gap()), (15, false));
+    assert_eq!(
+        (harness.membership.revision(), harness.membership.has_gap()),
+        (15, false)
+    );
 }
 
-/// Guards against a store that comes back empty, and against a wrong prefix.
+/// Guards against a store that comes back empty, and against a wrong key prefix.
 #[test]
-fn an_empty_list_is_believed_only_after_the_grace() {
+fn an_empty_list_is_accepted_only_after_the_grace() {
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5)]));
-    let again = harness.now + GRACE;
+    let relist_at = harness.now + GRACE;
     assert_eq!(
         harness.receive(list(11, vec![])),
-        [MembershipAction::RelistAt(again)]
+        [MembershipAction::RelistAt(relist_at)]
     );
     assert_eq!(harness.ids(), [1]);
-    // An engine is there after all: the grace starts anew next time.
+    // A list with an engine ends the grace, which starts again with the next empty list.
     harness.now += GRACE / 2;
     harness.receive(list(12, vec![ready(1, 5)]));
     harness.now += GRACE;
@@ -184,7 +184,7 @@
     harness.now += GRACE;
     harness.receive(list(14, vec![]));
     assert_eq!(harness.ids(), Vec::<u64>::new());
-    // The deletion of the last one is believed at once.
+    // The deletion of the last engine is accepted at once.
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5)]));
     harness.receive(WatchEvent::Deleted {
@@ -192,7 +192,7 @@
         revision: 11,
     });
     assert!(harness.view.is_empty());
-    // With nobody known, an empty list is just that.
+    // While no engine is known, an empty list is accepted at once.
     let mut harness = Harness::new();
     assert!(matches!(
         harness.receive(list(3, vec![]))[..],
@@ -210,16 +210,16 @@
 fn a_restarted_engine_is_new_and_a_stale_record_is_ignored() {
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5)]));
-    // Deleted and put again between two responses: its new start time tells.
-    let mut again = ready(1, 12);
-    again.endpoint.started_at = 9;
+    // The record was deleted and written again: the new start time shows that the engine restarted.
+    let mut restarted = ready(1, 12);
+    restarted.endpoint.started_at = 9;
     harness.receive(WatchEvent::Deleted {
         id: EndpointId(1),
         revision: 11,
     });
-    harness.receive(WatchEvent::Put(again));
+    harness.receive(WatchEvent::Put(restarted));
     assert_eq!(harness.view[&EndpointId(1)].started_at, 9);
-    // A late record or deletion of the old process changes nothing.
+    // A late record or deletion of the old process has no effect.
     assert_eq!(
         harness.receive(WatchEvent::Put(member(1, 11, EndpointState::Draining))),
         []
@@ -236,19 +236,19 @@
         []
     );
     assert_eq!(harness.state(1), Some(EndpointState::Ready));
-    // A drain and its cancellation.
+    // The new process drains, and cancels the drain.
     let draining = Member {
         endpoint: Endpoint {
             state: EndpointState::Draining,
-            ..again.endpoint
+            ..restarted.endpoint
         },
         revision: 14,
-        ..again
+        ..restarted
     };
     harness.receive(WatchEvent::Put(draining));
     harness.receive(WatchEvent::Put(Member {
         revision: 15,
-        ..again
+        ..restarted
     }));
     assert_eq!(harness.state(1), Some(EndpointState::Ready));
 }
@@ -257,12 +257,12 @@
 fn an_unreadable_record_affects_no_engine() {
     let mut harness = Harness::new();
     harness.receive(list(10, vec![ready(1, 5), ready(2, 6)]));
-    let unread = vec![EndpointId(2), EndpointId(9)];
+    let unreadable = vec![EndpointId(2), EndpointId(9)];
     harness.receive(WatchEvent::List {
         cluster: 1,
         revision: 12,
         members: vec![ready(1, 5), ready(3, 11)],
-        unreadable: unread,
+        unreadable,
     });
     assert_eq!(harness.ids(), [1, 2, 3]);
 }
@@ -270,9 +270,9 @@
 #[test]
 fn a_snapshot_is_used_until_the_store_answers() {
     let mut harness = Harness::new();
-    let told = harness.receive(WatchEvent::Snapshot(vec![ready(1, 5)]));
+    let actions = harness.receive(WatchEvent::Snapshot(vec![ready(1, 5)]));
     assert!(matches!(
-        told[..],
+        actions[..],
         [MembershipAction::EndpointList {
             kind: ListKind::Cached,
             ..
@@ -281,7 +281,7 @@
     harness.receive(list(3, vec![ready(1, 2), ready(2, 3)]));
     assert_eq!(harness.ids(), [1, 2]);
     assert_eq!(harness.receive(WatchEvent::Snapshot(vec![])), []);
-    // Another store with revisions of its own.
+    // The list comes from another store, whose revisions are not comparable.
     let event = WatchEvent::List {
         cluster: 2,
         revision: 1,
@@ -289,21 +289,21 @@
         unreadable: vec![],
     };
     harness.receive(event);
-    assert_eq!((harness.ids(), harness.of.revision()), (vec![2], 1));
+    assert_eq!((harness.ids(), harness.membership.revision()), (vec![2], 1));
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Put(u64, bool),
     Delete(u64),
-    /// The watch breaks; changes are missed until a list.
+    /// The watch breaks: changes are missed until the next list.
     Break,
     List,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (1u64..6, any::<bool>()).prop_map(|(id, drains)| Step::Put(id, drains)),
+        4 => (1u64..6, any::<bool>()).prop_map(|(id, is_draining)| Step::Put(id, is_draining)),
         2 => (1u64..6).prop_map(Step::Delete),
         1 => Just(Step::Break),
         1 => Just(Step::List),
@@ -311,49 +311,49 @@
 }
 
 proptest! {
-    /// Against a plain map with revisions: whenever the watch is whole, the module's view is the store's; while it is
-    /// broken, the view is what it was when it broke.
+    /// Compares the view with a plain map of records and their revisions. While the watch is complete, the view equals the
+    /// store; while it is broken, the view stays as it was when the watch broke.
     #[test]
     fn the_view_equals_the_store_whenever_the_watch_is_complete(steps in prop::collection::vec(step(), 1..120)) {
         let mut harness = Harness::new();
-        // The grace is not the matter here.
-        harness.of = Membership::new(MembershipSettings { empty_grace: 0, behind_grace: 0 });
-        let (mut store, mut revision, mut whole) = (BTreeMap::<u64, Member>::new(), 1i64, true);
+        // Without a grace, empty lists and lower revisions are accepted at once.
+        harness.membership = Membership::new(MembershipSettings { empty_grace: 0, behind_grace: 0 });
+        let (mut store, mut revision, mut watch_complete) = (BTreeMap::<u64, Member>::new(), 1i64, true);
         harness.receive(list(revision, vec![]));
         for step in steps {
             harness.now += 1;
             let before = harness.view.clone();
             match step {
-                Step::Put(id, drains) => {
+                Step::Put(id, is_draining) => {
                     revision += 1;
-                    let state = if drains { EndpointState::Draining } else { EndpointState::Ready };
+                    let state = if is_draining { EndpointState::Draining } else { EndpointState::Ready };
                     store.insert(id, member(id, revision, state));
-                    if whole {
+                    if watch_complete {
                         harness.receive(WatchEvent::Put(store[&id]));
                     }
                 }
                 Step::Delete(id) => {
                     if store.remove(&id).is_some() {
                         revision += 1;
-                        if whole {
+                        if watch_complete {
                             harness.receive(WatchEvent::Deleted { id: EndpointId(id), revision });
                         }
                     }
                 }
                 Step::Break => {
-                    whole = false;
+                    watch_complete = false;
                     harness.receive(WatchEvent::Gap);
                 }
                 Step::List => {
-                    whole = true;
+                    watch_complete = true;
                     harness.receive(list(revision, store.values().copied().collect()));
                 }
             }
-            if whole {
-                let wanted: BTreeMap<EndpointId, Endpoint> =
+            if watch_complete {
+                let expected: BTreeMap<EndpointId, Endpoint> =
                     store.values().map(|m| (m.endpoint.id, m.endpoint)).collect();
-                prop_assert_eq!(&harness.view, &wanted);
-                prop_assert_eq!(harness.of.revision(), revision);
+                prop_assert_eq!(&harness.view, &expected);
+                prop_assert_eq!(harness.membership.revision(), revision);
             } else {
                 prop_assert_eq!(&harness.view, &before);
             }
@@ -361,16 +361,16 @@
     }
 }
 
-/// Guards against a store that was restored from an older copy under its old name: its revisions went back, and a node
-/// that waits for those it heard would never hear of it again.
+/// Guards against a store that was restored from an older backup with its old cluster id. Its revisions went back, and a
+/// node that waits for the revisions it knows would ignore the store's lists forever.
 #[test]
-fn a_store_with_lower_revisions_is_believed_after_the_grace() {
+fn a_store_with_lower_revisions_is_accepted_after_the_grace() {
     let mut harness = Harness::new();
     harness.receive(list(100, vec![ready(1, 50), ready(2, 60), ready(3, 70)]));
     assert_eq!(
         harness.receive(list(40, vec![ready(1, 30)])),
         [MembershipAction::Relist],
-        "an old answer, it seems"
+        "a lower revision is ignored at first"
     );
     assert_eq!(harness.ids(), [1, 2, 3]);
     harness.now += 2 * GRACE - 1;
@@ -379,7 +379,7 @@
         [MembershipAction::Relist]
     );
     harness.now += 1;
-    // Records of lower revisions than the ones known are no echoes now.
+    // Records with lower revisions than the known ones count now.
     harness.receive(list(
         42,
         vec![member(1, 30, EndpointState::Draining), ready(4, 42)],
@@ -388,10 +388,10 @@
         (harness.ids(), harness.state(1)),
         (vec![1, 4], Some(EndpointState::Draining))
     );
-    assert_eq!(harness.of.revision(), 42);
+    assert_eq!(harness.membership.revision(), 42);
 }
 
-/// A member that lags behind now and then, between answers that do not, is never believed.
+/// Lists of a store member that lags behind are never accepted while other members send current ones in between.
 #[test]
 fn a_lagging_store_member_is_ignored() {
     let mut harness = Harness::new();
@@ -407,9 +407,9 @@
     assert_eq!(harness.ids(), [1, 2]);
 }
 
-/// A minute of silence, with a gap every two seconds, removes no engine.
+/// No engine is removed if the store sends nothing for a minute and the watch breaks every two seconds.
 #[test]
-fn a_minute_of_silence_removes_nothing() {
+fn a_minute_without_events_removes_no_engine() {
     let mut harness = Harness::new();
     harness.receive(list(
         100,
@@ -425,50 +425,64 @@
     );
 }
 
-fn started(id: u64, revision: i64, state: EndpointState, started: Micros) -> Member {
+fn member_started_at(id: u64, revision: i64, state: EndpointState, started_at: Micros) -> Member {
     let mut member = member(id, revision, state);
-    member.endpoint.started_at = started;
+    member.endpoint.started_at = started_at;
     member
 }
 
-/// Found by a seed of the virtual world: a drain that was written without the engine's start, or with an older one, was
-/// taken for an echo of the past, and work went on.
+/// Guards against a drain that is ignored as stale because its record has no start time, or an older one than the engine:
+/// the engine then kept receiving requests. A simulation run found this failure.
 #[test]
 fn a_drain_counts_whatever_its_start_time() {
-    for named in [0, 5, 10] {
+    for drain_started_at in [0, 5, 10] {
         let mut harness = Harness::new();
-        harness.receive(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
-        harness.receive(WatchEvent::Put(started(
+        harness.receive(list(
+            10,
+            vec![member_started_at(1, 5, EndpointState::Ready, 10)],
+        ));
+        harness.receive(WatchEvent::Put(member_started_at(
             1,
             11,
             EndpointState::Draining,
-            named,
+            drain_started_at,
         )));
         assert_eq!(
             harness.state(1),
             Some(EndpointState::Draining),
-            "named {named}"
+            "drain written with start time {drain_started_at}"
         );
         assert_eq!(harness.view[&EndpointId(1)].started_at, 10);
-        // Only the engine itself, or a record that says nothing of its start, makes it ready again.
-        harness.receive(WatchEvent::Put(started(1, 12, EndpointState::Ready, 5)));
+        // Only a record of the current process, or one without a start time, makes the engine ready again.
+        harness.receive(WatchEvent::Put(member_started_at(
+            1,
+            12,
+            EndpointState::Ready,
+            5,
+        )));
         assert_eq!(
             harness.state(1),
             Some(EndpointState::Draining),
-            "a process of the past is not the engine"
+            "a record of an earlier process does not make the engine ready"
         );
-        harness.receive(WatchEvent::Put(started(
+        harness.receive(WatchEvent::Put(member_started_at(
             1,
             13,
             EndpointState::Ready,
-            if named == 0 { 0 } else { 20 },
+            if drain_started_at == 0 { 0 } else { 20 },
         )));
         assert_eq!(harness.state(1), Some(EndpointState::Ready));
     }
-    // The same in a list.
+    // The same holds for a drain in a list.
     let mut harness = Harness::new();
-    harness.receive(list(10, vec![started(1, 5, EndpointState::Ready, 10)]));
+    harness.receive(list(
+        10,
+        vec![member_started_at(1, 5, EndpointState::Ready, 10)],
+    ));
     harness.receive(WatchEvent::Gap);
-    harness.receive(list(20, vec![started(1, 15, EndpointState::Draining, 5)]));
+    harness.receive(list(
+        20,
+        vec![member_started_at(1, 15, EndpointState::Draining, 5)],
+    ));
     assert_eq!(harness.state(1), Some(EndpointState::Draining));
 }
