--- a/crates/ivyward-core/src/release/mod.rs
+++ b/crates/ivyward-core/src/release/mod.rs
@@ -1,11 +1,15 @@
-//! Release of reservations: which engines to ask, how many at once, and when to ask again.
+//! Release of reservations: chooses which engines to ask, how many at once, and when to ask again.
 //!
-//! For protocols in which any engine accepts a release on behalf of all engines. A release stays pending until an
-//! engine accepted it: behind a network cut some engines are silent, and nobody knows which. So the engine most likely
-//! to answer is asked first, further ones while it is silent, and engines that failed last, until they respond to
-//! anything again. When all are silent the pauses grow, and end with the first response of any engine. What may still
-//! be on its way to an engine when the release is accepted (a cancelled prefill, a reservation without an answer) is
-//! released again, twice. No I/O, no clock.
+//! [`ReleaseQueue`] is for protocols in which any engine accepts a release on behalf of all engines. A release stays
+//! pending until an engine has accepted it. During a network partition some engines do not answer, and the node cannot
+//! know which. The queue therefore asks the engine that is most likely to answer, and asks further engines while no answer
+//! has arrived (hedging). Engines that have not responded since their last failure are asked last. While all engines are
+//! unresponsive, the pauses between attempts grow; the first response of any engine ends the pauses.
+//!
+//! A reservation can still be on its way to an engine when the release is accepted (a cancelled prefill, or a reservation
+//! without an answer). Such a release is repeated twice.
+//!
+//! The module does no I/O and reads no clock.
 
 mod attempt;
 mod pending;
@@ -17,68 +21,76 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Settings. Times are microseconds.
+/// Limits of a [`ReleaseQueue`]. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReleaseSettings {
-    /// Reservations are to be released within this span; the time before the release is sent is the caller's.
+    /// The release window: reservations are to be released within this time, counted from the call of
+    /// [`ReleaseQueue::enqueue`]. The caller accounts for the time before that call.
     pub release_within: Micros,
-    /// Attempts in flight at once, over all releases. Each takes a connection.
+    /// Maximum number of attempts in flight over all releases. Each attempt uses a connection.
     pub max_concurrent_attempts: usize,
-    /// Releases pending at once: beyond this the oldest is left to the engines' own expiry.
+    /// Maximum number of pending releases. Beyond this the oldest is abandoned, and its reservations end when the engines
+    /// let them expire.
     pub max_pending: usize,
 }
 
 impl ReleaseSettings {
-    /// How long to wait for the answer to a reservation. If the prefill beside it never reached its engine, no attempt
-    /// uses what was reserved, and its time runs: the rest of the span is for the release.
+    /// Returns how long to wait for the answer to a reservation, in microseconds. If the prefill sent along with the
+    /// reservation never reached its engine, no attempt uses what was reserved, while the release window is already
+    /// running. The rest of the window is left for the release.
     pub fn reserve_timeout(&self) -> Micros {
-        ((self.release_within.max(SHORTEST_SPAN) as f64 * RESERVE_WAIT) as Micros)
+        ((self.release_within.max(MIN_WINDOW) as f64 * RESERVE_WAIT) as Micros)
             .min(MAX_RESERVE_WAIT)
     }
 }
 
-/// Share of the span in which a reservation is to be answered, and the longest such time in microseconds.
+/// Share of the release window within which a reservation must be answered, and the upper limit of that time in
+/// microseconds.
 const RESERVE_WAIT: f64 = 0.7;
 const MAX_RESERVE_WAIT: Micros = 800_000;
-/// While the first engine has not answered for this share of the span, a second one is asked; while several have not,
-/// the next one after `FURTHER_HEDGE_DELAY`: then it is no slow engine but a cut.
+/// If the first engine has not answered after this share of the window, a second one is asked. While several engines have
+/// not answered, the next one is asked after `FURTHER_HEDGE_DELAY`, which is shorter because several missing answers
+/// indicate a network partition rather than one slow engine.
 const HEDGE_DELAY: f64 = 0.08;
 const FURTHER_HEDGE_DELAY: f64 = 0.05;
-/// Attempts in flight at once for one release while its span is not over.
+/// Maximum number of attempts in flight for one release during its window.
 const MAX_HEDGED_ATTEMPTS: usize = 6;
-/// After the span, one in this many of all engines is asked in each pause, for all releases together, and at least one
-/// for each.
+/// After the window, all releases together ask one in this many engines per pause, and each release asks at least one.
 const ENGINES_PER_PROBE: usize = 8;
-/// An attempt times out after this share of the span.
+/// An attempt times out after this share of the window.
 const ATTEMPT_TIMEOUT: f64 = 0.4;
-/// Shares are taken of at least this span, in microseconds: an answer takes its way.
-const SHORTEST_SPAN: Micros = 100_000;
-/// The first pause after the span, as a share of it; it doubles up to `MAX_PAUSE` spans.
+/// Shares are taken of at least this window, in microseconds, so that an answer has time to arrive.
+const MIN_WINDOW: Micros = 100_000;
+/// The first pause after the window, as a share of it. Each pause is twice as long as the one before, up to `MAX_PAUSE`
+/// windows.
 const FIRST_PAUSE: f64 = 0.5;
 const MAX_PAUSE: f64 = 4.0;
-/// After an engine accepted a release of what may still be on its way, it is repeated at these shares of the span.
+/// A release of reservations that may still be on their way to an engine is repeated at these shares of the window after
+/// it was first accepted.
 const REPEATS: [f64; 2] = [1.0 / 3.0, 1.0];
-/// An engine that responded within this many spans is expected to be reachable.
+/// An engine that responded within this many windows is expected to be reachable.
 const RECENT: f64 = 10.0;
-/// A node that shuts down goes on releasing for at most this many spans.
+/// A node that shuts down continues to send releases for at most this many windows.
 const SHUTDOWN_GRACE: f64 = 10.0;
 
-/// The releases of a node that no engine has accepted yet. See the module's documentation.
+/// The pending releases of a node. The module documentation describes how engines are chosen.
 pub struct ReleaseQueue {
     settings: ReleaseSettings,
     pending: BTreeMap<u64, PendingRelease>,
+    /// Release id of each request with a pending release.
     by_request: BTreeMap<u64, u64>,
     due: BTreeSet<DueRelease>,
     next_release_id: u64,
-    /// Attempts in flight, in all and at each engine.
+    /// Attempts in flight over all engines.
     in_flight: usize,
+    /// Attempts in flight at each engine.
     at_engine: BTreeMap<EndpointId, EngineAttempts>,
-    /// When a node that shuts down gives up.
+    /// When a node that shuts down abandons the releases that are still pending.
     shutdown_deadline: Option<Micros>,
 }
 
 impl ReleaseQueue {
-    /// A queue without pending releases.
+    /// Creates a queue without pending releases.
     pub fn new(settings: ReleaseSettings) -> ReleaseQueue {
         ReleaseQueue {
             settings,
@@ -92,23 +104,24 @@
         }
     }
 
-    /// This multiple of the span, in microseconds.
-    fn span(&self, share: f64) -> Micros {
-        (self.settings.release_within.max(SHORTEST_SPAN) as f64 * share) as Micros
+    /// Returns this multiple of the release window, in microseconds.
+    fn window_share(&self, share: f64) -> Micros {
+        (self.settings.release_within.max(MIN_WINDOW) as f64 * share) as Micros
     }
 
-    /// The number of requests with a pending release.
+    /// Returns the number of requests with a pending release.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether a release is pending for this request.
+    /// Returns whether a release is pending for this request.
     pub fn is_pending(&self, request: u64) -> bool {
         self.by_request.contains_key(&request)
     }
 
-    /// Adds a release for a request that no longer needs its reservations. `confirmed`: an engine said what is reserved,
-    /// and nothing more is on its way. Returns a request that is left to the engines' own expiry in its stead.
+    /// Adds a release for a request that no longer needs its reservations. `confirmed` means that an engine has confirmed
+    /// the reservations and that nothing more of the request is on its way to an engine, so that one accepted release is
+    /// enough. Returns the request whose release was abandoned because the limit of pending releases was reached.
     pub fn enqueue(&mut self, now: Micros, request: u64, confirmed: bool) -> Option<u64> {
         if let Some(release_id) = self.by_request.get(&request).copied() {
             self.renew(now, release_id, confirmed);
@@ -123,14 +136,14 @@
         self.next_release_id += 1;
         let release = PendingRelease {
             request,
-            since: now,
+            window_start: now,
             confirmed,
             repeats: 0,
             attempted: Vec::new(),
             in_flight: 0,
             last_attempt: 0,
             probes: 0,
-            pause: self.span(FIRST_PAUSE),
+            pause: self.window_share(FIRST_PAUSE),
             next_attempt: now,
         };
         self.pending.insert(release_id, release);
@@ -142,13 +155,13 @@
         abandoned
     }
 
-    /// A request with a pending release needs another one: a release that was accepted already begins anew, one that
-    /// was not goes on.
+    /// Handles another release for a request that already has one pending. If the release was accepted before, or its
+    /// window is over, a new window starts; otherwise its window continues.
     fn renew(&mut self, now: Micros, release_id: u64, confirmed: bool) {
-        let span = self.span(1.0);
+        let window = self.window_share(1.0);
         if let Some(release) = self.pending.get_mut(&release_id) {
-            if release.repeats > 0 || !release.is_hedged(now, span) {
-                release.since = now;
+            if release.repeats > 0 || !release.is_within_window(now, window) {
+                release.window_start = now;
             }
             release.confirmed &= confirmed;
             release.repeats = 0;
@@ -157,8 +170,8 @@
         self.reschedule(release_id, now);
     }
 
-    /// Withdraws the release of a request that needs its reservations again. Returns whether one was pending: the
-    /// caller must then enqueue another one later.
+    /// Withdraws the pending release of a request that needs its reservations again. Returns whether a release was pending;
+    /// if so, the caller must enqueue another one later.
     pub fn withdraw(&mut self, request: u64) -> bool {
         self.by_request
             .get(&request)
@@ -167,7 +180,7 @@
             .is_some()
     }
 
-    /// An engine that had been silent responded again: ends all pauses.
+    /// Ends all pauses because an unresponsive engine has responded again.
     pub fn endpoint_recovered(&mut self, now: Micros) {
         let paused: Vec<u64> = self
             .due
@@ -179,7 +192,7 @@
             let Some(release) = self.pending.get_mut(&release_id) else {
                 continue;
             };
-            // A repetition waits for what may still be on its way, not for an engine.
+            // A repetition waits for reservations that may still be on their way, not for an engine to recover.
             if release.repeats == 0 || !release.waits_for_repeat(now) {
                 release.attempted.clear();
                 self.reschedule(release_id, now);
@@ -187,12 +200,13 @@
         }
     }
 
-    /// The node shuts down. What is still pending long after is left to the engines' own expiry.
+    /// Starts the shutdown of the node. Releases that are still pending after `SHUTDOWN_GRACE` windows are abandoned.
     pub fn shut_down(&mut self, now: Micros) {
-        self.shutdown_deadline = Some(now.saturating_add(self.span(SHUTDOWN_GRACE)));
+        self.shutdown_deadline = Some(now.saturating_add(self.window_share(SHUTDOWN_GRACE)));
     }
 
-    /// Removes the requests that are left to the engines' own expiry as the node shuts down.
+    /// Removes and returns the requests whose releases are abandoned because the shutdown took too long. Their reservations
+    /// end when the engines let them expire.
     pub fn take_abandoned(&mut self, now: Micros) -> Vec<u64> {
         if self.shutdown_deadline.is_none_or(|deadline| now < deadline) {
             return Vec::new();
@@ -205,7 +219,8 @@
             .collect()
     }
 
-    /// When [`ReleaseQueue::next_attempts`] or [`ReleaseQueue::take_abandoned`] has something to do at the latest.
+    /// Returns when to call [`ReleaseQueue::next_attempts`] and [`ReleaseQueue::take_abandoned`] next; `None` if there is
+    /// nothing to do until another call changes the queue.
     pub fn next_deadline(&self) -> Option<Micros> {
         let shutdown = self.shutdown_deadline.filter(|_| !self.pending.is_empty());
         let due = self
@@ -216,7 +231,7 @@
         [due, shutdown].into_iter().flatten().min()
     }
 
-    /// The attempts to send now, given all engines.
+    /// Returns the attempts to send now. `targets` lists all engines that can be asked.
     pub fn next_attempts(&mut self, now: Micros, targets: &[ReleaseTarget]) -> Vec<ReleaseAttempt> {
         let mut attempts = Vec::new();
         while self.in_flight < self.settings.max_concurrent_attempts {
@@ -236,15 +251,15 @@
         attempts
     }
 
-    /// The engine most likely to answer, of those not asked yet.
+    /// Returns the engine that is most likely to answer, of those not asked yet.
     fn pick_target<'a>(
         &self,
         now: Micros,
         release: &PendingRelease,
         targets: &'a [ReleaseTarget],
     ) -> Option<&'a ReleaseTarget> {
-        let recent_since = now.saturating_sub(self.span(RECENT));
-        let hedge_delay = self.span(HEDGE_DELAY);
+        let recent_since = now.saturating_sub(self.window_share(RECENT));
+        let hedge_delay = self.window_share(HEDGE_DELAY);
         targets
             .iter()
             .filter(|target| !release.attempted.contains(&target.id))
@@ -258,26 +273,27 @@
         recent_since: Micros,
         hedge_delay: Micros,
     ) -> Preference {
-        let there = self
+        let attempts = self
             .at_engine
             .get(&target.id)
             .copied()
             .unwrap_or(EngineAttempts {
                 in_flight: 0,
-                silent_since: now,
+                unanswered_since: now,
             });
         let recent = target.is_recent(recent_since);
         Preference {
-            // Guards against many releases that ask one silent engine: each could have found another.
-            silent: target.silent() || there.silent_since.saturating_add(hedge_delay) <= now,
+            // Guards against many releases waiting for the same unresponsive engine while other engines could answer.
+            unresponsive: target.is_unresponsive()
+                || attempts.unanswered_since.saturating_add(hedge_delay) <= now,
             draining: target.is_draining,
-            silent_last_failure: if target.silent() {
+            unresponsive_last_failure: if target.is_unresponsive() {
                 target.last_failure
             } else {
                 0
             },
             lacks_recent_idle_connection: !(target.has_idle_connection && recent),
-            in_flight: there.in_flight,
+            in_flight: attempts.in_flight,
             not_recent: !recent,
             lacks_idle_connection: !target.has_idle_connection,
             last_response: Reverse(target.last_response),
@@ -291,7 +307,7 @@
         release_id: u64,
         target: EndpointId,
     ) -> Option<ReleaseAttempt> {
-        let deadline = now + self.span(ATTEMPT_TIMEOUT);
+        let deadline = now + self.window_share(ATTEMPT_TIMEOUT);
         let release = self.pending.get_mut(&release_id)?;
         release.attempted.push(target);
         release.in_flight += 1;
@@ -301,7 +317,7 @@
             .entry(target)
             .or_insert(EngineAttempts {
                 in_flight: 0,
-                silent_since: now,
+                unanswered_since: now,
             })
             .in_flight += 1;
         Some(ReleaseAttempt {
@@ -312,7 +328,8 @@
         })
     }
 
-    /// Schedules the attempt after one at `target`, or after all engines have been asked.
+    /// Schedules the attempt that follows one at `target`, or, without a target, the first one after all engines were
+    /// asked.
     fn schedule_next(
         &mut self,
         now: Micros,
@@ -320,26 +337,26 @@
         target: Option<&ReleaseTarget>,
         engines: usize,
     ) {
-        let recent_since = now.saturating_sub(self.span(RECENT));
-        let span = self.span(1.0);
-        let hedge_delay = self.span(HEDGE_DELAY);
-        let further_hedge_delay = self.span(FURTHER_HEDGE_DELAY);
-        let max_pause = self.span(MAX_PAUSE);
+        let recent_since = now.saturating_sub(self.window_share(RECENT));
+        let window = self.window_share(1.0);
+        let hedge_delay = self.window_share(HEDGE_DELAY);
+        let further_hedge_delay = self.window_share(FURTHER_HEDGE_DELAY);
+        let max_pause = self.window_share(MAX_PAUSE);
         let probes = engines.div_ceil(ENGINES_PER_PROBE) / self.pending.len().max(1);
         let Some(release) = self.pending.get_mut(&release_id) else {
             return;
         };
-        let hedged = release.is_hedged(now, span);
+        let hedged = release.is_within_window(now, window);
         let at = match target {
             Some(_) if hedged && release.in_flight == 1 => now + hedge_delay,
             Some(_) if hedged && release.in_flight < MAX_HEDGED_ATTEMPTS => {
                 now + further_hedge_delay
             }
-            // Their results come sooner than any pause.
+            // The results of the attempts in flight arrive sooner than any pause would end.
             Some(_) if hedged => Micros::MAX,
-            // Guards against one engine a pause where there are hundreds, all silent and one of them back.
+            // Guards against asking one engine per pause when hundreds are unresponsive and only one of them has recovered.
             Some(target)
-                if (target.silent() || target.last_response < recent_since)
+                if (target.is_unresponsive() || target.last_response < recent_since)
                     && release.probes + 1 < probes =>
             {
                 release.probes += 1;
@@ -359,7 +376,7 @@
         self.due.insert(DueRelease { at, release_id });
     }
 
-    /// Takes in the result of an attempt.
+    /// Records the result of an attempt.
     pub fn on_result(&mut self, now: Micros, attempt: &ReleaseAttempt, result: ReleaseResult) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.end_at_engine(now, attempt.target, result);
@@ -372,29 +389,29 @@
             ReleaseResult::Failed => self.on_failed(now, attempt.release_id),
             ReleaseResult::NoLocalResources => {
                 release.attempted.retain(|id| *id != attempt.target);
-                let since = release.since;
-                let at = (now + self.span(HEDGE_DELAY)).max(since);
+                let window_start = release.window_start;
+                let at = (now + self.window_share(HEDGE_DELAY)).max(window_start);
                 self.reschedule(attempt.release_id, at);
             }
         }
     }
 
     fn end_at_engine(&mut self, now: Micros, target: EndpointId, result: ReleaseResult) {
-        let Some(there) = self.at_engine.get_mut(&target) else {
+        let Some(attempts) = self.at_engine.get_mut(&target) else {
             return;
         };
-        there.in_flight = there.in_flight.saturating_sub(1);
+        attempts.in_flight = attempts.in_flight.saturating_sub(1);
         if result == ReleaseResult::Accepted {
-            there.silent_since = now;
+            attempts.unanswered_since = now;
         }
-        if there.in_flight == 0 {
+        if attempts.in_flight == 0 {
             self.at_engine.remove(&target);
         }
     }
 
     fn on_accepted(&mut self, now: Micros, release_id: u64) {
-        let first_pause = self.span(FIRST_PAUSE);
-        let repeats = REPEATS.map(|share| self.span(share));
+        let first_pause = self.window_share(FIRST_PAUSE);
+        let repeats = REPEATS.map(|share| self.window_share(share));
         let Some(release) = self.pending.get_mut(&release_id) else {
             return;
         };
@@ -403,7 +420,7 @@
             return;
         }
         if release.waits_for_repeat(now) {
-            // The answer to an earlier attempt.
+            // This answers an attempt that was sent before the release was accepted.
             return;
         }
         let previous = if release.repeats == 0 {
@@ -413,25 +430,25 @@
         };
         let at = now + repeats[release.repeats] - previous;
         release.repeats += 1;
-        release.since = at;
+        release.window_start = at;
         release.pause = first_pause;
         release.attempted.clear();
         self.reschedule(release_id, at);
     }
 
     fn on_failed(&mut self, now: Micros, release_id: u64) {
-        let span = self.span(1.0);
-        let further_hedge_delay = self.span(FURTHER_HEDGE_DELAY);
+        let window = self.window_share(1.0);
+        let further_hedge_delay = self.window_share(FURTHER_HEDGE_DELAY);
         let Some(release) = self.pending.get(&release_id) else {
             return;
         };
         if release.waits_for_repeat(now) {
             return;
         }
-        let at = if !release.is_hedged(now, span) {
+        let at = if !release.is_within_window(now, window) {
             release.next_attempt.min(now + release.pause)
         } else if release.in_flight > 0 {
-            // Another engine that was asked just now may answer yet.
+            // An engine that was asked just now may still answer.
             now.max(release.last_attempt + further_hedge_delay)
         } else {
             now
--- a/crates/ivyward-core/src/release/pending.rs
+++ b/crates/ivyward-core/src/release/pending.rs
@@ -1,36 +1,39 @@
-//! What the queue remembers about pending releases and engines. Plain data.
+//! State of the pending releases and of the engines they were sent to, as plain data.
 
 use crate::interface::{EndpointId, Micros};
 use std::cmp::Reverse;
 
-/// A release that no engine has accepted yet, or that is to be repeated.
+/// A release that no engine has accepted yet, or that is still to be repeated.
 pub(super) struct PendingRelease {
     pub(super) request: u64,
-    /// When it became pending, or is to be repeated.
-    pub(super) since: Micros,
-    /// Nothing of the request is on its way any more: one accepted release is enough.
+    /// When the release became pending, or when its next repetition starts.
+    pub(super) window_start: Micros,
+    /// Whether nothing of the request can still be on its way to an engine, so that one accepted release is enough.
     pub(super) confirmed: bool,
+    /// Number of repetitions scheduled so far.
     pub(super) repeats: usize,
-    /// Engines asked since `since` or since an engine recovered.
+    /// Engines asked since `window_start`, or since an engine last recovered.
     pub(super) attempted: Vec<EndpointId>,
     pub(super) in_flight: usize,
+    /// When the latest attempt was sent; 0 before the first.
     pub(super) last_attempt: Micros,
-    /// Attempts in this pause, after the span.
+    /// Engines asked in the current pause, after the release window.
     pub(super) probes: usize,
+    /// The length of the next pause.
     pub(super) pause: Micros,
-    /// The time of its entry in the queue's `due`.
+    /// When the next attempt is due: the time of the release's entry in the queue's `due`.
     pub(super) next_attempt: Micros,
 }
 
 impl PendingRelease {
-    /// Whether its span is not over, so that several engines are asked at once.
-    pub(super) fn is_hedged(&self, now: Micros, span: Micros) -> bool {
-        now <= self.since.saturating_add(span)
+    /// Returns whether the release window is not over. Within the window several engines are asked at once.
+    pub(super) fn is_within_window(&self, now: Micros, window: Micros) -> bool {
+        now <= self.window_start.saturating_add(window)
     }
 
-    /// Whether it was accepted and waits for its repetition.
+    /// Returns whether the release was accepted and waits for its next repetition.
     pub(super) fn waits_for_repeat(&self, now: Micros) -> bool {
-        self.since > now
+        self.window_start > now
     }
 }
 
@@ -45,19 +48,20 @@
 #[derive(Clone, Copy)]
 pub(super) struct EngineAttempts {
     pub(super) in_flight: usize,
-    /// When the first of them was sent, or when the engine accepted one meanwhile.
-    pub(super) silent_since: Micros,
+    /// When the first attempt in flight was sent, or when the engine last accepted one since.
+    pub(super) unanswered_since: Micros,
 }
 
-/// The order in which engines are asked: lowest first.
+/// Sort key of an engine: the engine with the lowest key is asked first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
-    pub(super) silent: bool,
+    pub(super) unresponsive: bool,
     pub(super) draining: bool,
-    /// Of the silent engines, the one asked longest ago: all releases look for one that is back.
-    pub(super) silent_last_failure: Micros,
+    /// When an unresponsive engine last failed, 0 for other engines. Of the unresponsive engines, the one that failed
+    /// longest ago is asked first: all releases together search for one that has recovered.
+    pub(super) unresponsive_last_failure: Micros,
     pub(super) lacks_recent_idle_connection: bool,
-    /// Attempts in flight there.
+    /// Attempts in flight at the engine.
     pub(super) in_flight: usize,
     pub(super) not_recent: bool,
     pub(super) lacks_idle_connection: bool,
--- a/crates/ivyward-core/tests/release.rs
+++ b/crates/ivyward-core/tests/release.rs
@@ -1,4 +1,5 @@
-//! Releases against simulated engines that answer, are silent, or recover: whom to ask, how many at once, when again.
+//! Releases against simulated engines that answer, are unresponsive, or recover: which engines the queue asks, how many at
+//! once, and when it asks again.
 
 use ivyward_core::interface::{EndpointId, Micros};
 use ivyward_core::release::{
@@ -11,20 +12,20 @@
 const WITHIN: Micros = 300 * MS;
 const START: Micros = 3_600_000 * MS;
 
-/// Engines and the way to them, in time moved by hand.
+/// A release queue with simulated engines, network latency and time.
 struct Simulation {
     now: Micros,
     queue: ReleaseQueue,
     targets: BTreeMap<EndpointId, ReleaseTarget>,
-    /// Whether an engine answers at a time.
+    /// Whether an engine answers an attempt sent at a given time.
     answers: Box<dyn Fn(EndpointId, Micros) -> bool>,
     latency: Micros,
-    /// Asks under way by the time of their end.
+    /// Attempts in flight: when each ends, and its result then.
     in_flight: Vec<(Micros, ReleaseAttempt, ReleaseResult)>,
     max_in_flight: usize,
     attempts: Vec<(Micros, ReleaseAttempt)>,
     accepted: Vec<(Micros, u64)>,
-    /// Requests without a pending release.
+    /// When each request had no pending release any more.
     finished_at: BTreeMap<u64, Micros>,
     unfinished: Vec<u64>,
 }
@@ -46,7 +47,7 @@
         engines: u64,
         answers: impl Fn(EndpointId, Micros) -> bool + 'static,
     ) -> Simulation {
-        // All responded lately, the higher ids later.
+        // All engines responded recently, those with higher ids later.
         let target = |i| ReleaseTarget {
             id: EndpointId(i),
             last_response: START - 100 * MS + i,
@@ -72,7 +73,7 @@
         self.unfinished.push(request);
         self.queue.enqueue(self.now, request, confirmed)
     }
-    /// Simulates until a time, or until no release is pending.
+    /// Simulates until `end`, or until no release is pending and no attempt is in flight.
     fn run_until(&mut self, end: Micros) {
         loop {
             let targets: Vec<ReleaseTarget> = self.targets.values().copied().collect();
@@ -106,13 +107,13 @@
                 self.now = if next > end { end } else { self.now };
                 return;
             }
-            assert!(next >= self.now, "time does not run back");
+            assert!(next >= self.now, "time must not go backwards");
             self.now = next;
             self.in_flight.sort_by_key(|o| o.0);
             while self.in_flight.first().is_some_and(|o| o.0 <= self.now) {
                 let (at, attempt, result) = self.in_flight.remove(0);
                 let target = self.targets.get_mut(&attempt.target).unwrap();
-                let silent = target.silent();
+                let was_unresponsive = target.is_unresponsive();
                 match result {
                     ReleaseResult::Accepted => {
                         target.last_response = at;
@@ -121,7 +122,7 @@
                     _ => target.last_failure = at,
                 }
                 self.queue.on_result(self.now, &attempt, result);
-                if result == ReleaseResult::Accepted && silent {
+                if result == ReleaseResult::Accepted && was_unresponsive {
                     self.queue.endpoint_recovered(self.now);
                 }
             }
@@ -152,19 +153,19 @@
     assert_eq!(
         simulation.attempts.len(),
         1,
-        "one ask is enough: {:?}",
+        "one attempt must be enough: {:?}",
         simulation.attempts
     );
     assert_eq!(
         simulation.attempts[0].1.target,
         EndpointId(7),
-        "no new connection where one stands"
+        "an engine with an idle connection is preferred to one without"
     );
     assert_eq!(simulation.finished_at[&1], START + simulation.latency);
 }
 
 #[test]
-fn draining_and_silent_engines_are_asked_last() {
+fn draining_and_unresponsive_engines_are_asked_last() {
     let mut simulation = Simulation::new(3, |_, _| true);
     simulation
         .targets
@@ -181,38 +182,48 @@
     assert_eq!(simulation.attempts[0].1.target, EndpointId(1));
 }
 
-/// A cut has just begun: five engines that responded a moment ago, with idle connections, are silent.
+/// A network partition has just begun: up to five engines that responded a moment ago, with idle connections, no longer
+/// answer.
 #[test]
-fn silent_engines_do_not_use_up_the_time() {
-    for silent in 0..=5 {
-        let mut simulation = Simulation::new(40, move |id, _| id.0 <= 40 - silent);
+fn unresponsive_engines_do_not_use_up_the_release_window() {
+    for unresponsive in 0..=5 {
+        let mut simulation = Simulation::new(40, move |id, _| id.0 <= 40 - unresponsive);
         simulation.enqueue(1, true);
         simulation.run_until(START + 10 * WITHIN);
         let took = simulation.finished_at[&1] - START;
-        assert!(took <= WITHIN * 3 / 10, "{silent} silent: {took} us");
+        assert!(
+            took <= WITHIN * 3 / 10,
+            "{unresponsive} unresponsive engines: {took} us"
+        );
         assert!(
             simulation.max_in_flight <= 6,
-            "{} at once",
+            "{} attempts at once",
             simulation.max_in_flight
         );
-        // Later releases know: no silent engine is asked.
-        let asked = simulation.attempts.len();
+        // The failures are known to later releases, which ask no unresponsive engine.
+        let attempts = simulation.attempts.len();
         simulation.enqueue(2, true);
         simulation.run_until(simulation.now + WITHIN);
-        assert_eq!(simulation.attempts.len(), asked + 1, "{silent} silent");
-        assert!(simulation.attempts.len() as u64 <= silent + 4);
+        assert_eq!(
+            simulation.attempts.len(),
+            attempts + 1,
+            "{unresponsive} unresponsive engines"
+        );
+        assert!(simulation.attempts.len() as u64 <= unresponsive + 4);
     }
 }
 
 #[test]
-fn three_hundred_releases_stay_within_their_connections_and_time() {
-    // A third of the engines is behind the cut; and, worse than any cut, all those that responded last.
-    for (last_ones, within) in [(false, WITHIN), (true, 3 * WITHIN)] {
-        let mut simulation =
-            Simulation::new(
-                300,
-                move |id, _| if last_ones { id.0 <= 200 } else { id.0 % 3 > 0 },
-            );
+fn three_hundred_releases_stay_within_the_attempt_limit_and_the_window() {
+    // A third of the engines is unreachable: every third one, or, as the worst case, all those that responded last.
+    for (latest_unreachable, max_duration) in [(false, WITHIN), (true, 3 * WITHIN)] {
+        let mut simulation = Simulation::new(300, move |id, _| {
+            if latest_unreachable {
+                id.0 <= 200
+            } else {
+                id.0 % 3 > 0
+            }
+        });
         for request in 0..300 {
             simulation.enqueue(request, true);
         }
@@ -220,39 +231,41 @@
         assert_eq!(simulation.queue.pending(), 0);
         assert!(simulation.max_in_flight <= 28);
         let last = simulation.finished_at.values().max().unwrap() - START;
-        assert!(last <= within, "the last after {last} us");
+        assert!(last <= max_duration, "the last release took {last} us");
         assert!(
             simulation.attempts.len() <= 300 + 110,
-            "{} asks",
+            "{} attempts",
             simulation.attempts.len()
         );
     }
 }
 
 #[test]
-fn while_all_are_silent_a_release_stays_pending_until_the_first_response() {
-    let back = START + 60_000 * MS;
-    let mut simulation = Simulation::new(60, move |id, now| id == EndpointId(17) && now >= back);
+fn while_all_engines_are_unresponsive_a_release_stays_pending_until_the_first_response() {
+    let recovered_at = START + 60_000 * MS;
+    let mut simulation = Simulation::new(60, move |id, now| {
+        id == EndpointId(17) && now >= recovered_at
+    });
     for request in 0..20 {
         simulation.enqueue(request, request % 2 == 0);
     }
-    simulation.run_until(back);
-    assert_eq!(simulation.queue.pending(), 20, "nothing is given up");
+    simulation.run_until(recovered_at);
+    assert_eq!(simulation.queue.pending(), 20, "no release is abandoned");
     assert!(
         simulation.attempts.len() < 20 * 60,
-        "{} asks in a minute",
+        "{} attempts in a minute",
         simulation.attempts.len()
     );
-    // That engine responds to something else.
+    // The engine responds to another request.
     simulation
         .targets
         .get_mut(&EndpointId(17))
         .unwrap()
-        .last_response = back;
-    simulation.queue.endpoint_recovered(back);
-    simulation.run_until(back + 4 * WITHIN);
+        .last_response = recovered_at;
+    simulation.queue.endpoint_recovered(recovered_at);
+    simulation.run_until(recovered_at + 4 * WITHIN);
     assert_eq!(simulation.queue.pending(), 0);
-    let first = |request| {
+    let first_accepted = |request| {
         simulation
             .accepted
             .iter()
@@ -261,25 +274,27 @@
             .0
     };
     assert!(
-        (0..20).all(|r| first(r) <= back + 2 * simulation.latency),
-        "at once, and not after a pause"
+        (0..20).all(|r| first_accepted(r) <= recovered_at + 2 * simulation.latency),
+        "all releases must be sent at once, not after a pause"
     );
 }
 
-/// Hundreds of silent engines, one of which recovered without responding to anything else: found within some pauses.
+/// One of several hundred unresponsive engines recovers and no other request reveals that: the queue must find the engine
+/// within a few pauses.
 #[test]
 fn one_recovered_engine_among_hundreds_is_found_soon() {
     for requests in [1, 50] {
-        let back = START + 20_000 * MS;
-        let mut simulation =
-            Simulation::new(400, move |id, now| id == EndpointId(17) && now >= back);
+        let recovered_at = START + 20_000 * MS;
+        let mut simulation = Simulation::new(400, move |id, now| {
+            id == EndpointId(17) && now >= recovered_at
+        });
         for request in 0..requests {
             simulation.enqueue(request, true);
         }
-        simulation.run_until(back);
-        let asked = simulation.attempts.len();
-        assert!(asked < 2_000, "{asked} asks in 20 s");
-        simulation.run_until(back + 60_000 * MS);
+        simulation.run_until(recovered_at);
+        let attempts = simulation.attempts.len();
+        assert!(attempts < 2_000, "{attempts} attempts in 20 s");
+        simulation.run_until(recovered_at + 60_000 * MS);
         let last = simulation
             .finished_at
             .values()
@@ -287,15 +302,15 @@
             .copied()
             .unwrap_or(Micros::MAX);
         assert!(
-            last - back < 12_000 * MS,
-            "{requests} owed: {} us",
-            last - back
+            last - recovered_at < 12_000 * MS,
+            "{requests} pending releases: {} us",
+            last - recovered_at
         );
     }
 }
 
 #[test]
-fn reservations_that_may_be_on_their_way_are_released_again() {
+fn unconfirmed_reservations_are_released_three_times() {
     let mut simulation = Simulation::new(5, |_, _| true);
     simulation.enqueue(1, false);
     simulation.run_until(START + 4 * WITHIN);
@@ -305,7 +320,8 @@
         accepted[1] >= WITHIN / 3 && accepted[2] >= WITHIN && accepted[2] <= WITHIN + 20 * MS,
         "{accepted:?}"
     );
-    // Another release after the first was accepted: all begins anew, and what is unconfirmed stays so.
+    // Another release of the request after the first one was accepted: the repetitions start again, and the reservations
+    // stay unconfirmed although the second call confirms them.
     simulation.enqueue(2, false);
     simulation.run_until(simulation.now + 10 * MS);
     let before = simulation.accepted.len();
@@ -320,11 +336,14 @@
     let mut simulation = Simulation::new(5, |_, _| true);
     simulation.enqueue(1, false);
     simulation.run_until(START + 10 * MS);
-    assert!(simulation.queue.withdraw(1), "repeats were still to come");
+    assert!(
+        simulation.queue.withdraw(1),
+        "repetitions were still pending"
+    );
     assert!(!simulation.queue.withdraw(1) && !simulation.queue.withdraw(2));
     simulation.run_until(START + 4 * WITHIN);
     assert_eq!(simulation.accepted.len(), 1);
-    // An answer that comes after all changes nothing.
+    // An answer that arrives after the release was withdrawn has no effect.
     simulation.enqueue(3, true);
     let targets: Vec<ReleaseTarget> = simulation.targets.values().copied().collect();
     let attempts = simulation.queue.next_attempts(simulation.now, &targets);
@@ -357,19 +376,23 @@
     assert_eq!(
         simulation.enqueue(2, true),
         None,
-        "one that is owed already takes no more room"
+        "another release of a pending request does not count twice"
     );
     assert_eq!(simulation.enqueue(4, true), Some(1));
     assert_eq!(simulation.queue.pending(), 3);
 }
 
 #[test]
-fn a_node_that_shuts_down_releases_first_and_for_a_limited_time() {
+fn a_node_that_shuts_down_continues_to_release_for_a_limited_time() {
     let mut simulation = Simulation::new(4, |_, now| now >= START + 1_000 * MS);
     simulation.enqueue(1, true);
     simulation.queue.shut_down(START);
     simulation.run_until(START + 2_500 * MS);
-    assert_eq!(simulation.queue.pending(), 0, "met while it waits");
+    assert_eq!(
+        simulation.queue.pending(),
+        0,
+        "accepted during the shutdown"
+    );
     let mut simulation = Simulation::new(4, |_, _| false);
     simulation.enqueue(1, true);
     simulation.queue.shut_down(START);
@@ -386,7 +409,7 @@
 }
 
 #[test]
-fn lack_of_descriptors_does_not_count_against_an_engine() {
+fn a_lack_of_file_descriptors_does_not_count_against_an_engine() {
     let mut simulation = Simulation::new(1, |_, _| true);
     simulation.enqueue(1, true);
     let targets: Vec<ReleaseTarget> = simulation.targets.values().copied().collect();
@@ -394,18 +417,18 @@
     simulation
         .queue
         .on_result(simulation.now, &attempt, ReleaseResult::NoLocalResources);
-    let again = simulation.queue.next_deadline().unwrap();
+    let retry_at = simulation.queue.next_deadline().unwrap();
     assert!(
-        again > START && again <= START + WITHIN / 5,
-        "soon, and not at once"
+        retry_at > START && retry_at <= START + WITHIN / 5,
+        "the retry must come soon, but not at once"
     );
-    simulation.now = again;
-    simulation.run_until(again + WITHIN);
+    simulation.now = retry_at;
+    simulation.run_until(retry_at + WITHIN);
     assert_eq!(simulation.queue.pending(), 0);
 }
 
 #[test]
-fn a_very_short_span_leaves_time_for_answers() {
+fn a_very_short_release_window_leaves_time_for_answers() {
     for within in [0, MS, 20 * MS] {
         let settings = ReleaseSettings {
             release_within: within,
@@ -425,7 +448,7 @@
 }
 
 #[test]
-fn without_engines_a_release_waits() {
+fn a_release_waits_while_there_are_no_engines() {
     let mut simulation = Simulation::new(0, |_, _| true);
     simulation.enqueue(1, true);
     simulation.run_until(START + 5_000 * MS);
@@ -450,28 +473,28 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-    /// Whatever is silent when: asks stay within the bound, nothing is lost while it is owed, and all is met soon after any
-    /// engine answers for good.
+    /// Engines answer and stop answering at random: attempts in flight stay within the limit, no pending release is
+    /// lost, and all releases are accepted soon after one engine answers permanently.
     #[test]
     fn all_releases_are_accepted_once_one_engine_answers(
         engines in 1u64..30,
-        owed in 1u64..60,
-        most_asks in 1usize..20,
-        flaps in proptest::collection::vec(0u64..4_000, 30),
+        releases in 1u64..60,
+        max_attempts in 1usize..20,
+        answer_times in proptest::collection::vec(0u64..4_000, 30),
         confirmed in any::<bool>(),
     ) {
-        let settings = ReleaseSettings { release_within: WITHIN, max_concurrent_attempts: most_asks, max_pending: 1_000 };
-        let well = START + 5_000 * MS;
+        let settings = ReleaseSettings { release_within: WITHIN, max_concurrent_attempts: max_attempts, max_pending: 1_000 };
+        let stable_at = START + 5_000 * MS;
         let mut simulation = Simulation::with(settings, engines, move |id, now| {
-            now >= well && id.0 == 1 || (now - START) / MS % 4_000 < flaps[id.0 as usize % 30] / 2
+            now >= stable_at && id.0 == 1 || (now - START) / MS % 4_000 < answer_times[id.0 as usize % 30] / 2
         });
-        for request in 0..owed {
+        for request in 0..releases {
             simulation.enqueue(request, confirmed);
         }
-        simulation.run_until(well + 20 * WITHIN + owed * engines * 120 * MS / most_asks as u64);
+        simulation.run_until(stable_at + 20 * WITHIN + releases * engines * 120 * MS / max_attempts as u64);
         prop_assert_eq!(simulation.queue.pending(), 0);
-        prop_assert!(simulation.max_in_flight <= most_asks);
-        for request in 0..owed {
+        prop_assert!(simulation.max_in_flight <= max_attempts);
+        for request in 0..releases {
             let accepted = simulation.accepted.iter().filter(|t| t.1 == request).count();
             let least = if confirmed { 1 } else { 3 };
             prop_assert!(accepted >= least);
