--- a/crates/ivyward-core/src/peers/dissemination.rs
+++ b/crates/ivyward-core/src/peers/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination: updates piggybacked on messages, and how received updates change the view.
+//! Dissemination: piggybacks updates on messages, and applies received updates to the view.
 
 use super::members::{EvidenceSource, REQUIRED_WITNESSES};
 use super::messages::{
@@ -11,34 +11,37 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node that suspects others wrongly is told so about at most this many at once.
+/// Maximum number of refutations sent at once to a node that suspects others wrongly.
 const MAX_REFUTATIONS: usize = 4;
-/// A node that started less than this many microseconds ago and learns of a higher incarnation of its id has a clock that
-/// went back: it takes an incarnation after that. Later on, another process has taken its id.
-const YOUNG: Micros = 10_000_000;
-/// An incarnation is taken over from others only if it is at most this far ahead of one's own: ten years in microseconds.
+/// A node that learns of a higher incarnation of its id within this many microseconds of its start assumes that its clock
+/// went backwards, and takes an incarnation above that one. After this time it assumes that another process has its id.
+const STARTUP_PERIOD: Micros = 10_000_000;
+/// A node raises its incarnation only if the reported one is at most this far ahead of its own: ten years in microseconds.
 const MAX_INCARNATION_STEP: u64 = 10 * 366 * 86_400 * 1_000_000;
-/// A new update gets messages of its own this many times: enough to reach nearly all, if each receiver does the same.
-/// Nodes that it does not reach probe for themselves before they declare a node dead.
+/// Number of transmissions of a new update for which messages of their own are sent. If each receiver does the same, the
+/// update reaches nearly all nodes. The others send pings of their own before they declare a node dead.
 const URGENT_TRANSMISSIONS: u32 = 3;
-/// An update received from another node counts as this many transmissions: after a few it has reached all but one in
-/// hundreds, who probe for themselves. A suspicion must reach all in time and counts less.
+/// Receiving a pending update from another node counts as this many transmissions of it. After a few such echoes the update
+/// has reached all but one node in hundreds, and that one sends pings of its own. A suspicion must reach all nodes in time,
+/// so its echo counts less.
 const ECHO_TRANSMISSIONS: u32 = 6;
 const SUSPICION_ECHO_TRANSMISSIONS: u32 = 2;
 
-/// How often an update is transmitted without echo: reaches nearly all over a network with much loss.
+/// Returns the maximum number of transmissions of an update. Without any echo, this many transmissions reach nearly all
+/// nodes even over a network with heavy loss.
 fn max_transmissions(nodes: usize) -> u32 {
     3 * (usize::BITS - nodes.leading_zeros() + 1)
 }
 
-/// The place of an update in the queue: the least transmitted first, of these the latest, as old ones have spread already.
+/// The position of an update in the queue. The least transmitted update comes first. Of these the latest comes first,
+/// because older ones have already spread.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     transmissions: u32,
     reverse_order: u64,
 }
 
-/// Nodes with an update to disseminate. Each update is built from the node's state when it is sent.
+/// The nodes about which an update is pending. Each update is built from the node's state at the time of sending.
 #[derive(Default)]
 pub(super) struct PendingUpdates {
     queue: BTreeMap<QueueKey, PeerId>,
@@ -47,19 +50,20 @@
 }
 
 impl PendingUpdates {
-    /// Adds an urgent update, in place of an earlier one about the node.
-    pub(super) fn add(&mut self, id: PeerId) {
+    /// Adds an urgent update, which replaces an earlier one about the same node.
+    pub(super) fn add_urgent(&mut self, id: PeerId) {
         self.remove(id);
         self.insert(0, id);
     }
 
-    /// Adds an update that is not urgent: view synchronization finds it where it is missed.
-    pub(super) fn add_quietly(&mut self, id: PeerId) {
+    /// Adds an update that is only piggybacked on other messages. View synchronization finds the nodes that missed it.
+    pub(super) fn add_non_urgent(&mut self, id: PeerId) {
         self.remove(id);
         self.insert(URGENT_TRANSMISSIONS, id);
     }
 
-    /// Another node sent the same update: it has spread already and needs fewer transmissions by this node.
+    /// Records that another node sent the same update. The update has already spread and needs fewer transmissions by this
+    /// node.
     pub(super) fn record_echo(&mut self, id: PeerId, is_suspicion: bool, nodes: usize) {
         let echo = if is_suspicion {
             SUSPICION_ECHO_TRANSMISSIONS
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Whether an update is so new that it is worth a message of its own.
+    /// Returns whether an update is pending that must be sent in messages of its own.
     pub(super) fn has_urgent(&self) -> bool {
         self.queue
             .first_key_value()
@@ -97,7 +101,7 @@
         self.keys.insert(id, key);
     }
 
-    /// Takes up to `capacity` updates, least transmitted first, and counts the transmission.
+    /// Returns up to `capacity` updates, least transmitted first, and counts one transmission of each.
     fn take(
         &mut self,
         capacity: usize,
@@ -124,20 +128,21 @@
 }
 
 impl Peers {
-    /// Another node knows this incarnation of this node's id.
+    /// Handles the report of an incarnation of this node's own id.
     pub(super) fn on_own_incarnation(&mut self, now: Micros, incarnation: u64) {
         if incarnation <= self.local.incarnation {
             return;
         }
-        if now.saturating_sub(self.started_at) >= YOUNG {
+        if now.saturating_sub(self.started_at) >= STARTUP_PERIOD {
             self.superseded = true;
         } else if incarnation - self.local.incarnation < MAX_INCARNATION_STEP {
             self.local.incarnation = incarnation + 1;
         }
     }
 
-    /// Takes in updates, and refutes wrong suspicions among them. The sender is told at once, not by the random order of
-    /// dissemination: it may hear few nodes, and has little time.
+    /// Applies received updates, and refutes the wrong suspicions among them. The refutations are sent to the sender of the
+    /// updates at once, ahead of the dissemination in random order, because the sender may receive messages from few nodes
+    /// and may soon declare the suspect dead.
     pub(super) fn on_updates(
         &mut self,
         now: Micros,
@@ -161,7 +166,7 @@
         self.send_exactly(now, from.address, MessageBody::Updates, refutations, out);
     }
 
-    /// Takes in one update. Returns the node if the update is a suspicion that this node can refute.
+    /// Applies one update. Returns the suspected node if the update is a suspicion that this node can refute.
     fn on_update(
         &mut self,
         now: Micros,
@@ -200,8 +205,9 @@
         if update.node.incarnation != self.local.incarnation || is_alive {
             return None;
         }
-        // Some node cannot hear this one: it refutes, and suspects its own health first.
-        self.pending_updates.add(id);
+        // Some node does not receive this node's messages. This node refutes the suspicion, and takes it as a sign of
+        // its own bad health first.
+        self.pending_updates.add_urgent(id);
         self.raise_health_penalty();
         Some(id)
     }
@@ -211,9 +217,9 @@
         let before = self.members.get(id).map(|peer| peer.state);
         let accepted = self.apply_evidence(now, update, EvidenceSource::Other(from.id), out);
         let after = self.members.get(id).map(|peer| peer.state);
-        // A node's own refutation is passed on although it is not suspected here.
+        // A node's own refutation is disseminated even if this node does not suspect it.
         if accepted && id == from.id && before == after {
-            self.pending_updates.add(id);
+            self.pending_updates.add_urgent(id);
         }
     }
 
@@ -226,11 +232,11 @@
         out: &mut Vec<PeerAction>,
     ) -> Option<PeerId> {
         let id = update.node.id;
-        let knows_better = self.members.get(id).is_some_and(|peer| {
+        let can_refute = self.members.get(id).is_some_and(|peer| {
             peer.node.incarnation > update.node.incarnation || peer.last_seen_at > unanswered_since
         });
-        if knows_better {
-            // A refutation that is not sent leaves the others with their suspicion.
+        if can_refute {
+            // The mutation drops the refutation, so that other nodes keep their suspicion.
             return (!mutations::is_active(Mutation::RefutationKept)).then_some(id);
         }
         if self.apply_evidence(now, update, EvidenceSource::Other(from.id), out) {
@@ -251,14 +257,14 @@
         }
     }
 
-    /// A node left.
+    /// Marks a node as left and disseminates that.
     pub(super) fn on_left(&mut self, node: NodeInfo, out: &mut Vec<PeerAction>) {
         if self.members.leave(node, out) {
-            self.pending_updates.add(node.id);
+            self.pending_updates.add_urgent(node.id);
         }
     }
 
-    /// Marks a node as suspected that has not answered since a ping at `unanswered_since`.
+    /// Marks an alive node as suspected. The node has not answered since a ping sent at `unanswered_since`.
     pub(super) fn suspect(
         &mut self,
         now: Micros,
@@ -267,7 +273,7 @@
         out: &mut Vec<PeerAction>,
     ) {
         if let Some(peer) = self.members.get_mut(id) {
-            // A silence is as old as the first ping in it; before that, nobody asked.
+            // A silence starts with the first unanswered ping: without a ping before it, there was no answer to expect.
             if peer.state == PeerState::Alive {
                 peer.unanswered_since = unanswered_since;
                 peer.suspected_at = now;
@@ -279,11 +285,12 @@
             .members
             .transition(id, PeerState::Alive, PeerState::Suspected, out)
         {
-            self.pending_updates.add(id);
+            self.pending_updates.add_urgent(id);
         }
     }
 
-    /// Takes in evidence of a node. Returns whether it counts (it need not be news).
+    /// Records evidence of a node and disseminates what changed. Returns whether the evidence was accepted, which is also
+    /// the case if it changed nothing.
     pub(super) fn apply_evidence(
         &mut self,
         now: Micros,
@@ -308,20 +315,20 @@
             {
                 self.start_view_sync(now, peer.node.address, out);
             }
-            // A node that was dead before it was known here is no news to others.
+            // The death of a node that was dead before this node learned of it is not disseminated.
             if peer.state == PeerState::Alive {
-                self.pending_updates.add_quietly(id);
+                self.pending_updates.add_non_urgent(id);
             }
             let at = self.random_below(self.probe_order.len() + 1);
             self.probe_order.insert(at, id);
             return true;
         };
-        let is_back = before.state != PeerState::Alive && peer.state == PeerState::Alive;
-        if is_back || before.node.incarnation != peer.node.incarnation {
-            self.pending_updates.add(id);
+        let recovered = before.state != PeerState::Alive && peer.state == PeerState::Alive;
+        if recovered || before.node.incarnation != peer.node.incarnation {
+            self.pending_updates.add_urgent(id);
         }
-        if is_back && before.state == PeerState::Dead && source.is_direct() {
-            // The network was partitioned: both sides compare their complete views.
+        if recovered && before.state == PeerState::Dead && source.is_direct() {
+            // A network partition has ended: the nodes of both sides exchange their complete views.
             self.start_view_sync(now, peer.node.address, out);
         }
         true
@@ -338,7 +345,7 @@
         self.send_with(now, to, body, None, out);
     }
 
-    /// Sends a message with one given update and with piggybacked ones.
+    /// Sends a message with piggybacked updates and, if given, the update `extra`.
     pub(super) fn send_with(
         &mut self,
         now: Micros,
@@ -347,12 +354,12 @@
         extra: Option<Update>,
         out: &mut Vec<PeerAction>,
     ) {
-        let in_page = if let MessageBody::ViewPage { updates, .. } = &body {
+        let page_updates = if let MessageBody::ViewPage { updates, .. } = &body {
             updates.len()
         } else {
             0
         };
-        let capacity = (MAX_UPDATES - in_page).saturating_sub(usize::from(extra.is_some()));
+        let capacity = (MAX_UPDATES - page_updates).saturating_sub(usize::from(extra.is_some()));
         let own = Update {
             node: self.local,
             heartbeat: self.heartbeat(now),
@@ -374,7 +381,7 @@
         self.send_exactly(now, to, body, updates, out);
     }
 
-    /// Sends a message without piggybacked updates.
+    /// Sends a message with exactly these updates.
     fn send_exactly(
         &mut self,
         now: Micros,
--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of nodes at the store, and the count of nodes that may be sending.
+//! Leases of nodes at the store, and the count of nodes that may still be sending.
 
 use super::messages::{NodeInfo, PeerAction, PeerId};
 use super::{Peer, PeerState, Peers};
@@ -6,12 +6,13 @@
 use crate::mutations::{self, Mutation};
 
 impl Peers {
-    /// Sets how many nodes there are at most by configuration. It holds until the view is complete.
+    /// Sets the configured maximum number of nodes. Until the view is complete, [`Peers::replica_count`] is at least this.
     pub fn set_expected_replicas(&mut self, nodes: u32) {
         self.expected_replicas = nodes;
     }
 
-    /// The number of nodes that may still be sending, this one included. Falls only when one is certainly gone.
+    /// Returns the number of nodes that may still be sending, this one included. The number decreases only for nodes that
+    /// certainly send no more.
     pub fn replica_count(&self) -> u32 {
         let is_miscounted = |peer: &Peer| {
             mutations::is_active(Mutation::CountOnDoubt) && peer.state != PeerState::Alive
@@ -21,13 +22,13 @@
             .all()
             .filter(|peer| !peer.confirmed_stopped && !is_miscounted(peer))
             .count();
-        // The store knows nodes that are not heard here.
-        let unheard = self
+        // Nodes with a lease at the store from which no message or update has arrived here.
+        let known_to_store_only = self
             .leases
             .keys()
             .filter(|id| self.members.get(**id).is_none())
             .count();
-        let count = 1 + (known + unheard) as u32;
+        let count = 1 + (known + known_to_store_only) as u32;
         if self.complete_view {
             count
         } else {
@@ -35,7 +36,8 @@
         }
     }
 
-    /// The store has a record of a node. It is a hint where to look, and no evidence of life.
+    /// Handles a record of a node at the store. The record gives the node's address for a first ping, but is no
+    /// evidence that the node is alive.
     pub fn store_record_added(&mut self, now: Micros, node: NodeInfo, out: &mut Vec<PeerAction>) {
         if node.id == self.local.id {
             return;
@@ -50,7 +52,8 @@
         }
     }
 
-    /// The store's record of a node is gone: its lease ended. After the grace it is certainly gone, if it is silent.
+    /// Handles the deletion of a node's record at the store, which means that the node's lease ended. If the node is
+    /// dead when [`super::PeerSettings::lease_grace`] is over, it certainly sends no more.
     pub fn store_record_removed(&mut self, now: Micros, id: PeerId) {
         let Some(incarnation) = self.leases.remove(&id) else {
             return;
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -1,4 +1,4 @@
-//! The table of known nodes, and what counts as evidence of them.
+//! The table of known nodes, and the rules by which evidence of them is accepted.
 
 use super::messages::{NodeInfo, PeerAction, PeerId, ReportedState, Update};
 use super::{DroppedCounts, PeerSettings};
@@ -8,35 +8,35 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A heartbeat may be ahead of the time since the first one by this many milliseconds, as that one was delayed. A message
-/// this far behind its sender's last one is a replay.
+/// How far, in milliseconds, a heartbeat may be ahead of the time elapsed since the anchor heartbeat, which may have been
+/// delayed on its way. A message whose heartbeat is further behind its sender's latest one is a replay.
 const HEARTBEAT_TOLERANCE: u64 = 2_000;
-/// Heartbeats this many milliseconds apart count as the same news.
+/// Updates whose heartbeats differ by at most this many milliseconds count as the same update.
 const SAME_HEARTBEAT_TOLERANCE: u64 = 1_000;
-/// Clocks drift by at most one part in this many.
+/// Clocks are assumed to drift by at most one part in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
-/// How many other nodes must report that a node left or restarted, if it did not say so here itself.
+/// Number of other nodes that must report that a node left or restarted, unless the node announces that to this one itself.
 pub(super) const REQUIRED_WITNESSES: usize = 2;
 
-/// The state of a node as this one sees it.
+/// The state of another node in this node's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// It is heard, by this node or others.
+    /// Messages of the node arrive at this node or at others.
     Alive,
-    /// It does not answer; no node is known to have heard it since.
+    /// The node does not answer pings, and no other node is known to have received anything from it since.
     Suspected,
-    /// No node has heard it for long.
+    /// No node has received anything from the node for the death timeout.
     Dead,
-    /// It announced that it leaves.
+    /// The node announced that it leaves, or was replaced by a higher incarnation.
     Left,
 }
 
-/// Where evidence of a node comes from.
+/// The source of evidence of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvidenceSource {
-    /// Its own message.
+    /// A message from the node itself.
     Itself,
-    /// Its ack of a ping of this node, whose number nobody else knows.
+    /// The node's ack of a ping of this node. No other node knows the sequence number of that ping.
     Ack,
     /// An update from another node.
     Other(PeerId),
@@ -48,8 +48,8 @@
     }
 }
 
-/// A heartbeat and when it was heard: the limit for later ones. It does not move with them, so that no series of small
-/// lies moves it.
+/// A heartbeat with the time at which it was received, from which the limit for later heartbeats is computed. Later updates
+/// from other nodes do not move the anchor, so that a series of slightly forged heartbeats cannot raise the limit.
 #[derive(Clone, Copy, Debug)]
 struct HeartbeatAnchor {
     at: Micros,
@@ -58,47 +58,49 @@
 }
 
 impl HeartbeatAnchor {
-    /// Whether the node can have reached this heartbeat by now.
+    /// Returns whether the node can have reached this heartbeat by `now`.
     fn allows(&self, now: Micros, heartbeat: u64) -> bool {
         let elapsed = now.saturating_sub(self.at) / 1_000;
         heartbeat <= self.heartbeat + elapsed + elapsed / CLOCK_DRIFT_DIVISOR + HEARTBEAT_TOLERANCE
     }
 }
 
-/// A node as this one knows it.
+/// Another node, as known to this one.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
-    /// How it announced itself.
+    /// The id, incarnation, zone and address that the node announces.
     pub node: NodeInfo,
-    /// Its state.
+    /// The node's state in this view.
     pub state: PeerState,
-    /// Heard by other nodes, but not by this one.
+    /// Whether other nodes receive messages of the node while this one does not.
     pub indirect_only: bool,
-    /// It is certain that it sends no more.
+    /// Whether it is certain that the node sends no more messages: it left, or it is dead and its lease has ended.
     pub confirmed_stopped: bool,
-    /// The latest known heartbeat, and when some node heard it.
+    /// The latest known heartbeat.
     heartbeat: u64,
+    /// When some node received the latest known heartbeat.
     pub(super) last_seen_at: Micros,
-    /// When this node itself heard it, and its heartbeat then.
+    /// When this node itself last received a message from the node; 0 for never.
     pub(super) last_direct_at: Micros,
+    /// The heartbeat of that message.
     direct_heartbeat: u64,
     anchor: HeartbeatAnchor,
-    /// Its lease at the store ended; it sends nothing from then on.
+    /// Set when the node's lease at the store has ended: the time from which the node sends nothing.
     pub(super) sends_until: Option<Micros>,
     /// While suspected: when the first unanswered ping was sent.
     pub(super) unanswered_since: Micros,
-    /// While suspected: when that became known here.
+    /// While suspected: when this node learned of the suspicion.
     pub(super) suspected_at: Micros,
-    /// Pings that this node itself sent before it declares a death.
+    /// Number of pings that this node sent to the suspect before declaring it dead.
     pub(super) final_pings: u8,
 }
 
 impl Peer {
-    fn new(now: Micros, update: &Update, direct: bool, fresh: Micros) -> Peer {
+    fn new(now: Micros, update: &Update, direct: bool, death_timeout: Micros) -> Peer {
         let last_seen_at = now.saturating_sub(update.age);
         let (state, unanswered_since) = match update.state {
             ReportedState::Suspected { unanswered_for } => {
-                let state = if unanswered_for >= fresh {
+                let state = if unanswered_for >= death_timeout {
                     PeerState::Dead
                 } else {
                     PeerState::Suspected
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Whether an update reports what is known here, or later news.
+    /// Returns whether an update reports the known state, with the known heartbeat or a later one.
     pub(super) fn agrees_with(&self, update: &Update) -> bool {
         let same_state = match update.state {
             ReportedState::Alive => self.state == PeerState::Alive,
@@ -142,7 +144,7 @@
             && update.heartbeat + SAME_HEARTBEAT_TOLERANCE >= self.heartbeat
     }
 
-    /// The update that reports this node to others.
+    /// Returns the update that reports this peer to others.
     pub(super) fn update(&self, now: Micros) -> Update {
         let state = match self.state {
             PeerState::Alive => ReportedState::Alive,
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Whether a heartbeat is plausible; moves the anchor to the first one from the node itself, and to each ack.
+    /// Returns whether a heartbeat is plausible. Moves the anchor to the first heartbeat received from the node itself, and
+    /// to that of each ack.
     fn accepts(
         &mut self,
         now: Micros,
@@ -185,7 +188,8 @@
         true
     }
 
-    /// Whether a heartbeat is later than the last one of the same kind of source.
+    /// Returns whether a heartbeat is later than the latest known one: than the latest received directly for direct
+    /// evidence.
     fn is_new(&self, heartbeat: u64, source: EvidenceSource) -> bool {
         let last = if source.is_direct() {
             self.direct_heartbeat
@@ -206,16 +210,18 @@
         self.last_seen_at = self.last_seen_at.max(now.saturating_sub(update.age));
     }
 
-    /// Whether evidence is later than the first unanswered ping.
+    /// Returns whether evidence ends a suspicion: it is direct, or later than the first unanswered ping and not older than
+    /// the death timeout.
     fn ends_suspicion(
         &self,
         now: Micros,
         update: &Update,
         source: EvidenceSource,
-        fresh: Micros,
+        death_timeout: Micros,
     ) -> bool {
         let seen_at = now.saturating_sub(update.age);
-        let is_later = seen_at > self.unanswered_since && now.saturating_sub(seen_at) < fresh;
+        let is_later =
+            seen_at > self.unanswered_since && now.saturating_sub(seen_at) < death_timeout;
         source.is_direct() || is_later
     }
 
@@ -224,12 +230,12 @@
     }
 }
 
-/// A node's part of a view's digest.
+/// Returns a node's contribution to the digest of a view.
 pub(super) fn digest_of(node: &NodeInfo) -> u64 {
     mix(node.id.0 ^ mix(node.incarnation))
 }
 
-/// Something that only a node itself can announce, reported by others: that its incarnation ended, or began.
+/// A report by another node that an incarnation ended or began, which only the node itself can announce reliably.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IncarnationReport {
     id: PeerId,
@@ -239,10 +245,10 @@
 
 /// The table of known nodes.
 pub(super) struct Members {
-    /// Over the nodes that may be sending and which of them are dead; none while it must be computed anew.
+    /// Cached digest of the nodes that may still be sending and of which of them are dead; `None` after a change.
     digest: Option<u64>,
     peers: BTreeMap<PeerId, Peer>,
-    /// The nodes that sent each report.
+    /// The nodes that sent each report, for reports that are not confirmed yet.
     witnesses: BTreeMap<IncarnationReport, BTreeSet<PeerId>>,
     max_peers: usize,
     pub(super) dropped: DroppedCounts,
@@ -290,7 +296,7 @@
             .filter(|peer| peer.state == PeerState::Suspected)
     }
 
-    /// Nodes that are neither dead nor left.
+    /// Returns the nodes that are alive or suspected.
     pub(super) fn present(&self) -> impl Iterator<Item = &Peer> {
         self.all().filter(|peer| !peer.is_absent())
     }
@@ -303,8 +309,8 @@
         self.peers.get_mut(&id)
     }
 
-    /// Takes in evidence. Returns whether it counts. Evidence that brings a node back must be younger than the death
-    /// timeout.
+    /// Records evidence of a node. Returns whether the evidence was accepted. To end a suspicion or a death, evidence from
+    /// other nodes must be younger than the death timeout.
     pub(super) fn apply(
         &mut self,
         now: Micros,
@@ -313,8 +319,8 @@
         settings: &PeerSettings,
         out: &mut Vec<PeerAction>,
     ) -> bool {
-        let fresh = settings.death_timeout;
-        let new = Peer::new(now, update, source.is_direct(), fresh);
+        let death_timeout = settings.death_timeout;
+        let new = Peer::new(now, update, source.is_direct(), death_timeout);
         let Some(known) = self.peers.get(&update.node.id) else {
             return self.insert(update, new, settings.tombstone_ttl, out);
         };
@@ -323,8 +329,8 @@
                 self.dropped.superseded += 1;
                 false
             }
-            Ordering::Greater => self.replace(now, new, source, fresh, out),
-            Ordering::Equal => self.refresh(now, update, source, fresh, out),
+            Ordering::Greater => self.replace(now, new, source, death_timeout, out),
+            Ordering::Equal => self.refresh(now, update, source, death_timeout, out),
         }
     }
 
@@ -335,7 +341,8 @@
         tombstone_ttl: Micros,
         out: &mut Vec<PeerAction>,
     ) -> bool {
-        // A tombstone is as old as the last news of its node, from whomever it comes, and expires then.
+        // The age of a tombstone is the age of the latest evidence of its node, whichever node reports it. An expired
+        // tombstone must not be added again.
         let expired = new.state != PeerState::Alive && update.age >= tombstone_ttl;
         if update.state == ReportedState::Left || expired {
             return false;
@@ -354,21 +361,22 @@
         true
     }
 
-    /// Replaces a node by its next incarnation. The earlier one certainly ended if the new one says so itself. If one other
-    /// node reports it, an incarnation that is still heard stays: a liar may name any.
+    /// Replaces a node by a higher incarnation. A message from the new incarnation itself is proof that the earlier one has
+    /// ended. If other nodes report the new incarnation while the earlier one still sends, `REQUIRED_WITNESSES` nodes must
+    /// report it, because a faulty node may report any incarnation.
     fn replace(
         &mut self,
         now: Micros,
         new: Peer,
         source: EvidenceSource,
-        fresh: Micros,
+        death_timeout: Micros,
         out: &mut Vec<PeerAction>,
     ) -> bool {
         let id = new.node.id;
         let Some(known) = self.peers.get(&id).copied() else {
             return false;
         };
-        let still_seen = now.saturating_sub(known.last_seen_at) < fresh;
+        let still_seen = now.saturating_sub(known.last_seen_at) < death_timeout;
         if let EvidenceSource::Other(reporter) = source {
             if still_seen
                 && self.add_witness(id, new.node.incarnation, false, reporter) < REQUIRED_WITNESSES
@@ -392,13 +400,13 @@
         true
     }
 
-    /// Takes in evidence of a known incarnation.
+    /// Records evidence of the known incarnation of a node.
     fn refresh(
         &mut self,
         now: Micros,
         update: &Update,
         source: EvidenceSource,
-        fresh: Micros,
+        death_timeout: Micros,
         out: &mut Vec<PeerAction>,
     ) -> bool {
         let Some(peer) = self.peers.get_mut(&update.node.id) else {
@@ -415,7 +423,7 @@
         }
         let was = peer.state;
         peer.record_heartbeat(now, update, source);
-        if was != PeerState::Alive && peer.ends_suspicion(now, update, source, fresh) {
+        if was != PeerState::Alive && peer.ends_suspicion(now, update, source, death_timeout) {
             peer.state = PeerState::Alive;
             peer.confirmed_stopped = false;
             self.digest = None;
@@ -428,7 +436,7 @@
         true
     }
 
-    /// Dead nodes whose lease ended are certainly gone.
+    /// Marks dead nodes whose lease has ended as stopped.
     pub(super) fn apply_ended_leases(&mut self, now: Micros) {
         for peer in self.peers.values_mut() {
             let lease_ended = peer.sends_until.is_some_and(|at| at <= now);
@@ -439,7 +447,7 @@
         }
     }
 
-    /// Changes a node's state if it is `from`. Returns whether it did.
+    /// Changes a node's state from `from` to `to`. Returns false if the node is not known or in another state.
     pub(super) fn transition(
         &mut self,
         id: PeerId,
@@ -460,7 +468,7 @@
         true
     }
 
-    /// Marks a node as left. Returns whether that is news.
+    /// Marks a node as left. Returns false if this incarnation is not known or was marked before.
     pub(super) fn leave(&mut self, node: NodeInfo, out: &mut Vec<PeerAction>) -> bool {
         let Some(peer) = self.peers.get_mut(&node.id).filter(|peer| {
             peer.node.incarnation == node.incarnation && peer.state != PeerState::Left
@@ -478,7 +486,7 @@
         true
     }
 
-    /// Notes who reported that an incarnation ended or began. Returns the number of witnesses so far.
+    /// Records which node reported that an incarnation ended or began. Returns the number of nodes that have reported it.
     pub(super) fn add_witness(
         &mut self,
         id: PeerId,
@@ -486,7 +494,7 @@
         ended: bool,
         reporter: PeerId,
     ) -> usize {
-        // A liar may name any incarnation: the number of reports is bounded.
+        // A faulty node may report any number of incarnations, so the number of reports is limited.
         if self.witnesses.len() >= self.max_peers {
             self.witnesses.clear();
         }
@@ -500,7 +508,7 @@
         witnesses.len()
     }
 
-    /// Forgets nodes that have been dead or left for long, and returns them.
+    /// Removes the nodes that are dead or left and of which there was no evidence for `tombstone_ttl`. Returns their ids.
     pub(super) fn forget(&mut self, now: Micros, tombstone_ttl: Micros) -> Vec<PeerId> {
         if mutations::is_active(Mutation::TombstoneStays) {
             return Vec::new();
--- a/crates/ivyward-core/src/peers/messages.rs
+++ b/crates/ivyward-core/src/peers/messages.rs
@@ -1,61 +1,61 @@
-//! The messages between nodes, and the actions of [`super::Peers`].
+//! The messages between nodes, and the actions that [`super::Peers`] returns.
 
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// A node's id, the same after a restart.
+/// The id of a node. It stays the same after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u64);
 
-/// How a node announces itself.
+/// A node's announcement of itself, part of each message and update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeInfo {
-    /// Its id.
+    /// The node's id.
     pub id: PeerId,
-    /// Grows with each start: a higher one supersedes all lower ones.
+    /// Increases with each start of the node. A higher incarnation supersedes all lower ones.
     pub incarnation: u64,
-    /// Its zone.
+    /// The zone in which the node runs.
     pub zone: u8,
-    /// The address at which it is reached. Replies go there.
+    /// The address at which the node receives messages. All replies are sent there.
     pub address: SocketAddr,
 }
 
-/// The state that an update reports of a node.
+/// The state of a node as reported by an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
-    /// It was heard with this heartbeat.
+    /// The reporter knows of a message with the update's heartbeat.
     Alive,
-    /// It does not answer; the heartbeat is the last one known to the reporter.
+    /// The node does not answer. The update's heartbeat is the latest one known to the reporter.
     Suspected {
-        /// How long ago the first unanswered ping was sent.
+        /// How long ago the first unanswered ping was sent, in microseconds.
         unanswered_for: Micros,
     },
-    /// It announced that it leaves.
+    /// The node announced that it leaves.
     Left,
 }
 
-/// An update (rumor) about a node.
+/// An update (a rumor, in the terms of gossip protocols) about a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// The node.
+    /// The node that the update is about.
     pub node: NodeInfo,
-    /// Its last known heartbeat: its own uptime in milliseconds.
+    /// The node's latest heartbeat known to the reporter: the node's own uptime in milliseconds.
     pub heartbeat: u64,
-    /// How long ago the reporter learned of that heartbeat.
+    /// How long ago some node received that heartbeat, in microseconds.
     pub age: Micros,
-    /// The reported state.
+    /// The state of the node, as known to the reporter.
     pub state: ReportedState,
 }
 
-/// The purpose of a message.
+/// The body of a message, by purpose.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageBody {
-    /// Asks for an [`MessageBody::Ack`] with the same number.
+    /// Asks for a [`MessageBody::Ack`] with the same sequence number.
     Ping {
         /// The sender's sequence number.
         seq: u64,
     },
-    /// The reply to a ping, or a relay passes that reply on.
+    /// The reply to a ping, from the pinged node or passed on by a relay.
     Ack {
         /// The sequence number of the ping.
         seq: u64,
@@ -69,71 +69,71 @@
         /// The node to ping.
         to: NodeInfo,
     },
-    /// The relay is alive, but the pinged node has not replied to it.
+    /// A relay's answer to a [`MessageBody::PingRequest`] when the pinged node has not replied to the relay.
     Nack {
-        /// The sequence number of the ping.
+        /// The sequence number of the ping request.
         seq: u64,
     },
-    /// Asks for a page of the view.
+    /// Asks for a page of the receiver's view.
     ViewRequest {
-        /// Ids after this one; from the first if there is none.
+        /// The page begins after this id; `None` for the first page.
         after: Option<PeerId>,
-        /// The following pages are wanted as well.
+        /// Whether the sender fetches the complete view, and will request the following pages as well.
         complete: bool,
     },
-    /// A page of the view.
+    /// A page of the sender's view.
     ViewPage {
-        /// Nodes that may still be sending.
+        /// Updates about nodes that may still be sending, in the order of their ids.
         updates: Vec<Update>,
-        /// Where the next page begins, if that is wanted.
+        /// The id after which the next page begins; `None` if there is none or a single page was requested.
         next: Option<PeerId>,
-        /// The complete view was requested, and this is its last page.
+        /// Whether the complete view was requested and this is its last page.
         last: bool,
-        /// The sender's own view is complete.
+        /// Whether the sender considers its own view complete.
         sender_complete: bool,
     },
-    /// The sender leaves.
+    /// Announces that the sender leaves.
     Leave,
-    /// Carries piggybacked updates only.
+    /// No body of its own: the message only carries piggybacked updates.
     Updates,
 }
 
-/// A message, as one datagram.
+/// A message between nodes. Each is sent as one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The sender.
+    /// The sender's announcement of itself.
     pub from: NodeInfo,
-    /// The sender's uptime in milliseconds.
+    /// The sender's heartbeat: its uptime in milliseconds.
     pub heartbeat: u64,
-    /// A digest of the sender's view; 0 if it sends none.
+    /// A digest of the sender's view; 0 stands for no digest.
     pub view_digest: u32,
-    /// The purpose.
+    /// The purpose of the message and its fields.
     pub body: MessageBody,
-    /// Piggybacked updates.
+    /// Piggybacked updates, at most [`MAX_UPDATES`] together with those of a [`MessageBody::ViewPage`].
     pub updates: Vec<Update>,
 }
 
-/// The most updates in a message: with header and authentication tag it stays under 1,200 bytes with any addresses (at most
-/// 66 bytes an update, 145 for the rest).
+/// Maximum number of updates in a message. With this many, a message stays under 1,200 bytes with header and authentication
+/// tag, whatever the addresses: an update takes at most 66 bytes, everything else 145.
 pub const MAX_UPDATES: usize = 15;
 
-/// What [`super::Peers`] wants done or announces.
+/// An action for the caller of [`super::Peers`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAction {
-    /// Send a message.
+    /// Send a message as one datagram.
     Send {
-        /// The receiver's address.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// The view changed.
+    /// The state of a node in the view changed. Informs the caller; there is nothing to carry out.
     Changed {
-        /// The node.
+        /// The node whose state changed.
         node: NodeInfo,
-        /// Its previous state; none if it is new.
+        /// The node's previous state; `None` if the node is new to the view.
         previous: Option<super::PeerState>,
-        /// Its new state.
+        /// The node's new state.
         current: super::PeerState,
     },
 }
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -1,33 +1,35 @@
-//! Membership of nodes: a failure detector and gossip protocol in the manner of SWIM. Received messages and the time go in;
-//! messages to send and changes of the view come out.
+//! Membership of nodes: a failure detector and gossip protocol based on SWIM. The inputs are received messages and the
+//! time; the outputs are messages to send and changes of the view.
 //!
-//! No I/O, no clock, no hash order: the caller moves messages and time. Nothing here knows about requests. docs/peers.md
-//! compares the alternatives.
+//! The module does no I/O, reads no clock and depends on no hash order: the caller transports the messages and passes in
+//! the time. The protocol knows nothing about requests. docs/peers.md compares the alternatives.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | `messages` | messages and actions |
-//! | `members` | the table of known nodes, what counts as evidence |
+//! | `members` | the table of known nodes, and the rules for evidence of them |
 //! | `probing` | direct and indirect pings, suspicion, death, reconnection |
 //! | `dissemination` | piggybacked updates, refutation |
 //! | `view_sync` | comparison and transfer of complete views |
 //! | `leases` | leases at the store, the replica count |
 //!
 //! Properties:
-//! - Evidence is a *heartbeat*: a node's own uptime, sent in each of its messages and passed on by nodes that heard it. A
-//!   higher heartbeat is later evidence, whoever sends it. So no refutation needs a new incarnation, and no update kills: a
-//!   node dies of silence alone, judged by each node for itself: when no node that can be heard has heard it for
-//!   [`PeerSettings::death_timeout`] since a ping that it left unanswered.
-//! - A failed probe, direct and indirect, only raises a suspicion. The suspicion spreads with the last known heartbeat; a
-//!   node with a later one passes that on. If two nodes cannot hear each other while others can, the link between them is
-//!   at fault ([`Peer::indirect_only`]).
-//! - A node that was paused, by its own clock, suspects itself first: its pause is no silence of the others. A node that
-//!   hears nobody waits several times as long.
-//! - A heartbeat ahead of what the time since the first one allows is a lie or a broken clock, and is dropped; one far
-//!   behind the last is a replay. The ack of this node's own ping is proof in itself.
-//! - The count of nodes that may still be sending ([`Peers::replica_count`]) falls for nodes that left, restarted, or are
-//!   dead with their lease and its grace over; never for silence alone.
-//! - Replies go to the address that a node announces; the source address of a message is never seen here.
+//! - The evidence that a node is alive is its *heartbeat*: the node's own uptime, sent in each of its messages and passed
+//!   on by the nodes that received it. A higher heartbeat is later evidence, whoever sends it. A refutation therefore needs
+//!   no new incarnation, and no update can declare a node dead. Each node decides on its own that another one is dead:
+//!   when, for [`PeerSettings::death_timeout`] since a ping that the node left unanswered, none of the nodes from which
+//!   messages arrive has received anything from it.
+//! - A failed probe, direct and indirect, only raises a suspicion. The suspicion is disseminated with the last known
+//!   heartbeat, and a node that knows a later heartbeat refutes the suspicion with it. If two nodes cannot reach each other
+//!   while other nodes reach both, the link between the two is at fault ([`Peer::indirect_only`]).
+//! - A node that finds, by its own clock, that it was paused suspects itself first: the time of its pause does not count as
+//!   a silence of the others. A node that receives no messages at all waits several times as long as usual before it
+//!   declares others dead.
+//! - A heartbeat further ahead than the time since the first one allows is forged or due to a faulty clock, and is dropped.
+//!   A heartbeat far behind the latest one is a replay. The ack of this node's own ping is always accepted as evidence.
+//! - The count of nodes that may still be sending ([`Peers::replica_count`]) falls for nodes that left, that restarted, or
+//!   that are dead and whose lease and the grace after it have ended. It never falls for silence alone.
+//! - Replies go to the address that a node announces. The source address of a message is not visible to this module.
 
 mod dissemination;
 mod leases;
@@ -50,40 +52,42 @@
 use std::net::SocketAddr;
 use view_sync::{PageEnd, ViewSync, MIN_RESYNC_INTERVAL};
 
-/// A node that received nothing for this many probe intervals is isolated.
+/// A node that has received no message for this many probe intervals is isolated.
 const ISOLATED_PROBE_INTERVALS: u64 = 4;
 
-/// Settings. Times are microseconds.
+/// Settings of the failure detector and the gossip protocol. Times are microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerSettings {
-    /// One node is probed in each interval.
+    /// Interval between probes. Each probe pings one node.
     pub probe_interval: Micros,
-    /// Without an ack for this long other nodes are asked for indirect pings.
+    /// A probe without an ack after this time is repeated through other nodes, as indirect pings.
     pub ack_timeout: Micros,
-    /// How many nodes are asked for indirect pings.
+    /// Number of nodes that are asked for an indirect ping when a probe is not answered.
     pub indirect_probes: usize,
-    /// Nodes that start together consider their view complete after this time, even if it is smaller than expected.
-    pub settle_time: Micros,
-    /// A silent node is suspected, and others are told, after this time.
+    /// A node considers its view complete this long after its start, even if the view has fewer nodes than expected and
+    /// none of them has a complete view. This happens when nodes start together.
+    pub complete_view_timeout: Micros,
+    /// A node that does not answer a probe is suspected, and other nodes are notified, after this time.
     pub suspicion_timeout: Micros,
-    /// A node that no node has heard for this long is dead.
+    /// A suspected node from which no node has received anything for this long is dead.
     pub death_timeout: Micros,
-    /// A suspicion is known here for at least this long before it becomes a death.
-    pub suspicion_notice: Micros,
-    /// A longer gap between two ticks is a pause of this node.
+    /// Minimum time from when this node learns of a suspicion until it declares the suspected node dead.
+    pub min_suspicion_duration: Micros,
+    /// A gap between two ticks that is longer than this counts as a pause of this node.
     pub pause_threshold: Micros,
-    /// Dead nodes are pinged once in each interval.
+    /// Mean interval between rounds of pings to dead nodes and to seeds at which no node is known.
     pub reconnect_interval: Micros,
-    /// A page of the view is compared with a random node in each interval.
+    /// Mean interval between comparisons of a random page of the view with a random node.
     pub sync_interval: Micros,
-    /// Dead nodes are forgotten after this time.
+    /// Dead nodes, and nodes that left, are forgotten after this time without evidence of them.
     pub tombstone_ttl: Micros,
-    /// A node whose lease ended goes on sending for at most this long.
+    /// Maximum time for which a node continues to send after its lease at the store has ended.
     pub lease_grace: Micros,
-    /// The node considers its own health: it waits longer the worse it hears, ignores silences from before a pause of its
-    /// own, and pings for itself before it declares a death. Off only as a baseline for measurements.
+    /// Whether the node takes its own health into account (local health awareness): it waits longer for acks the more
+    /// of them it misses, ignores silences from before a pause of its own, and pings a suspect itself before it
+    /// declares it dead. Turned off only for baseline measurements.
     pub local_health: bool,
-    /// The most nodes that are remembered; further ones are ignored.
+    /// Maximum number of nodes in the view. Further nodes are ignored.
     pub max_peers: usize,
 }
 
@@ -93,10 +97,10 @@
             probe_interval: 125_000,
             ack_timeout: 80_000,
             indirect_probes: 3,
-            settle_time: 60_000_000,
+            complete_view_timeout: 60_000_000,
             suspicion_timeout: 900_000,
             death_timeout: 2_400_000,
-            suspicion_notice: 1_000_000,
+            min_suspicion_duration: 1_000_000,
             pause_threshold: 600_000,
             reconnect_interval: 1_000_000,
             sync_interval: 10_000_000,
@@ -108,20 +112,20 @@
     }
 }
 
-/// Counts of dropped updates and messages.
+/// Numbers of dropped updates and messages since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DroppedCounts {
-    /// From superseded incarnations.
+    /// The sender or the reported node has a higher incarnation by now.
     pub superseded: u64,
-    /// With heartbeats ahead of what time allows.
+    /// The heartbeat is further ahead than the elapsed time allows.
     pub implausible: u64,
-    /// Far behind their sender's latest message: replays, and messages delayed for long.
+    /// The heartbeat is far behind the sender's latest message: a replayed message, or one delayed for a long time.
     pub replayed: u64,
-    /// About nodes beyond the bound.
+    /// The node is new and [`PeerSettings::max_peers`] is reached.
     pub over_limit: u64,
 }
 
-/// The view of one node. See the module's documentation.
+/// One node's view of the others. The module documentation describes the protocol.
 pub struct Peers {
     local: NodeInfo,
     started_at: Micros,
@@ -129,9 +133,9 @@
     random_state: u64,
     members: Members,
     pending_updates: PendingUpdates,
-    /// Configured addresses; kept for good.
+    /// Configured addresses, which are never forgotten.
     seeds: Vec<SocketAddr>,
-    /// Nodes in the order of the next probes, last first.
+    /// Nodes in the order in which they are probed; the last one is next.
     probe_order: Vec<PeerId>,
     seq: u64,
     probes: BTreeMap<u64, Probe>,
@@ -145,28 +149,30 @@
     /// When this node last resumed after a pause.
     resumed_at: Micros,
     last_received: Micros,
-    /// How badly this node itself seems to hear.
+    /// Number of signs that this node misses messages, up to `MAX_HEALTH_PENALTY`; 0 for a healthy node.
     health_penalty: u32,
     superseded: bool,
-    /// The least number of nodes to count while the view is not complete.
+    /// Minimum replica count while the view is not complete.
     expected_replicas: u32,
     complete_view: bool,
-    /// Some node's complete view was fetched, whether that node considered it complete or not.
+    /// Whether the whole view of some node was fetched, complete or not in that node's own judgement.
     synced_once: bool,
     view_sync: Option<ViewSync>,
     last_sync: Micros,
-    /// When a message last came from a node with the same view, and a node with another one.
+    /// When a message from a node with the same view was last received.
     last_agreement: Micros,
+    /// Address of the last node from which a message with a different view was received.
     differing_peer: Option<SocketAddr>,
     resync_interval: Micros,
-    /// The digest at the last synchronization with a differing node.
+    /// The digest of this node's view at the last synchronization with a node whose view differed.
     compared_digest: u32,
-    /// Incarnations that hold a lease at the store, whether they are heard or not.
+    /// Incarnations that hold a lease at the store, whether messages of these nodes arrive or not.
     leases: BTreeMap<PeerId, u64>,
 }
 
 impl Peers {
-    /// A node that knows itself and some addresses. `seed` feeds its random choices.
+    /// Creates the view of a node that knows only itself and the addresses in `seeds`. `seed` initializes its random
+    /// choices.
     pub fn new(
         now: Micros,
         local: NodeInfo,
@@ -208,48 +214,48 @@
         }
     }
 
-    /// How often [`Peers::tick`] is to be called.
+    /// Returns the interval at which to call [`Peers::tick`], in microseconds.
     pub fn tick_interval(&self) -> Micros {
         (self.settings.ack_timeout / 2).max(1)
     }
 
-    /// All known peers, in the order of their ids.
+    /// Returns all known peers in the order of their ids, including dead ones and those that left.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.members.all()
     }
 
-    /// One of them.
+    /// Returns a known peer.
     pub fn peer(&self, id: PeerId) -> Option<&Peer> {
         self.members.get(id)
     }
 
-    /// How this node announces itself.
+    /// Returns the id, incarnation, zone and address that this node announces.
     pub fn local_node(&self) -> NodeInfo {
         self.local
     }
 
-    /// Whether the view is complete, and the replica count therefore reliable.
+    /// Returns whether the view is complete, and the replica count therefore reliable.
     pub fn has_complete_view(&self) -> bool {
         self.complete_view
     }
 
-    /// Whether no node has been heard for long although others are known.
+    /// Returns whether no message has been received for several probe intervals, a pause of this node not counted.
     pub fn is_isolated(&self, now: Micros) -> bool {
         let silence = now.saturating_sub(self.last_received.max(self.resumed_at));
         silence > ISOLATED_PROBE_INTERVALS * self.settings.probe_interval
     }
 
-    /// Whether a higher incarnation of this node's id was heard: this one is to stop.
+    /// Returns whether another process has taken over this node's id with a higher incarnation, so that this one must stop.
     pub fn superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Counts of what was dropped.
+    /// Returns the numbers of dropped updates and messages.
     pub fn dropped(&self) -> DroppedCounts {
         self.members.dropped
     }
 
-    /// This node leaves: announces it to all present nodes, once each.
+    /// Announces to all present nodes, once each, that this node leaves.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let present: Vec<SocketAddr> = self
             .members
@@ -261,7 +267,7 @@
         }
     }
 
-    /// Takes in a message.
+    /// Handles a received message and appends the resulting actions to `out`.
     pub fn handle_message(&mut self, now: Micros, message: Message, out: &mut Vec<PeerAction>) {
         let from = message.from;
         if from.id == self.local.id {
@@ -289,8 +295,8 @@
         self.on_updates(now, from, message.updates, out);
     }
 
-    /// Whether a message answers a ping of this node. Only the pinged node knows the ping's number, so this is proof of life
-    /// now, whatever is thought of its clock.
+    /// Returns whether a message is the pinged node's own answer to a ping of this node. Only the pinged node knows the
+    /// sequence number of the ping, so the answer proves that the node is alive now, even if its heartbeat is implausible.
     fn is_ack_of_ping(&self, from: PeerId, body: &MessageBody) -> bool {
         let MessageBody::Ack { seq, of } = body else {
             return false;
@@ -299,7 +305,8 @@
         *of == from && (is_probe() || self.contact_pings.contains(seq))
     }
 
-    /// Tells a node that a higher incarnation of it is known: it does not know that it ended, or that its clock went back.
+    /// Notifies a node that a higher incarnation of its id is known. The node was superseded without noticing, or its clock
+    /// went backwards.
     fn notify_superseded(&mut self, now: Micros, from: NodeInfo, out: &mut Vec<PeerAction>) {
         let known = self.members.get(from.id).copied();
         if let Some(peer) = known.filter(|peer| peer.node.incarnation > from.incarnation) {
@@ -345,7 +352,7 @@
         }
     }
 
-    /// Moves time on: probes, judges silences, reconnects, synchronizes views.
+    /// Advances the time to `now`: sends probes, declares suspects dead, reconnects to dead nodes and synchronizes views.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let gap = now.saturating_sub(self.last_tick);
         if self.checks_own_health() && gap > self.settings.pause_threshold {
@@ -353,12 +360,12 @@
         }
         self.last_tick = now;
         self.check_probes(now, out);
-        self.check_silences(now, out);
+        self.check_suspects(now, out);
         if now >= self.next_probe {
             self.next_probe = now + self.settings.probe_interval;
             self.probe_next(now, out);
         }
-        // New updates get messages of their own; in quiet times none are sent.
+        // New updates are sent in messages of their own. Without new updates there are no such messages.
         if self.pending_updates.has_urgent() {
             if let Some(to) = self.random_peer() {
                 self.send(now, to, MessageBody::Updates, out);
@@ -375,8 +382,8 @@
         }
     }
 
-    /// A random present node; one that is not suspected, if there is any. Guards against most messages going to the dead,
-    /// where many died at once.
+    /// Returns a random present node, and a suspected one only if there are no others. Guards against most messages
+    /// going to dead nodes after many nodes have failed at once.
     fn random_peer(&mut self) -> Option<SocketAddr> {
         let alive = self
             .members
@@ -397,18 +404,19 @@
             .map(|peer| peer.node.address)
     }
 
-    /// This node's uptime in milliseconds.
+    /// Returns this node's heartbeat: its uptime in milliseconds.
     fn heartbeat(&self, now: Micros) -> u64 {
         now.saturating_sub(self.started_at) / 1_000
     }
 
-    /// A digest of the nodes that may be sending, this one included, and of which are dead; never 0.
+    /// Returns a digest of the nodes that may still be sending, this one included, and of which of them are dead. It is
+    /// never 0, which stands for no digest.
     fn view_digest(&mut self) -> u32 {
         let own = members::digest_of(&self.local);
         ((self.members.digest() ^ own) as u32).max(1)
     }
 
-    /// A sequence number that cannot be guessed: an ack with it answers this ping.
+    /// Returns a sequence number that other nodes cannot guess, so that an ack with it must answer this ping.
     fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         mix(self.next_random() ^ self.seq)
@@ -419,12 +427,12 @@
         self.random_state
     }
 
-    /// A random number below a bound.
+    /// Returns a random number below `bound`; 0 if `bound` is 0.
     fn random_below(&mut self, bound: usize) -> usize {
         (mix(self.next_random()) % bound.max(1) as u64) as usize
     }
 
-    /// A random time from half of an interval to one and a half.
+    /// Returns a random time from 0.5 to 1.5 times `interval`.
     fn jittered(&mut self, interval: Micros) -> Micros {
         interval / 2 + self.random_below(interval.max(1) as usize) as Micros
     }
--- a/crates/ivyward-core/src/peers/probing.rs
+++ b/crates/ivyward-core/src/peers/probing.rs
@@ -7,36 +7,36 @@
 use crate::mutations::{self, Mutation};
 use std::net::SocketAddr;
 
-/// The highest health penalty; an ack time-out grows by one of its length with each.
+/// The highest health penalty. Each point of the penalty lengthens the ack timeout by its base length.
 pub(super) const MAX_HEALTH_PENALTY: u32 = 8;
-/// A node that was paused sends its updates to this many others, and to one more for each `PEERS_PER_RESUME_MESSAGE`.
+/// After a pause, a node sends its updates to this many others, plus one for every `PEERS_PER_RESUME_MESSAGE` known nodes.
 const RESUME_MESSAGES: usize = 8;
 const PEERS_PER_RESUME_MESSAGE: usize = 16;
-/// Dead nodes and unknown seeds pinged at each reconnection: nodes that hear this one without being heard must go on
-/// hearing it.
+/// Number of dead nodes and seeds without a known node that are pinged in each reconnect interval. The pings also keep this
+/// node alive in the views of nodes that receive its messages although their own do not arrive here.
 const RECONNECT_PINGS: usize = 3;
-/// The same while no node is heard: this one may still be heard.
+/// Number of such pings while this node is isolated. Other nodes may still receive them.
 const ISOLATED_RECONNECT_PINGS: usize = 8;
-/// This long before it declares a death, in microseconds, a node pings for itself, at each tick,
+/// How long before it declares a suspect dead, in microseconds, a node starts to ping the suspect itself at each tick.
 const FINAL_PING_LEAD: Micros = 320_000;
-/// at most this many suspects,
+/// Maximum number of suspects that are pinged in this way in one tick.
 const MAX_FINAL_PING_TARGETS: usize = 64;
-/// and each at least this often, with time for a reply to each but the last.
+/// Minimum number of such pings before a suspect is declared dead. There is time for a reply to each of them but the last.
 const MIN_FINAL_PINGS: u8 = 5;
-/// The numbers of this many contact pings are remembered, to recognize their acks.
+/// Number of contact pings whose sequence numbers are remembered, to recognize their acks.
 const MAX_CONTACT_PINGS: usize = 64;
-/// A node that hears nobody waits this many times as long before it declares others dead.
+/// An isolated node waits this many times as long before it declares others dead.
 const ISOLATION_MULTIPLE: u64 = 4;
 
-/// A ping of the regular probing, until it is answered or the node is suspected.
+/// A ping of the regular probing that is not answered yet and has not led to a suspicion.
 #[derive(Clone, Copy)]
 pub(super) struct Probe {
     target: PeerId,
     sent: Micros,
-    /// Other nodes were asked for an indirect ping.
+    /// Whether other nodes were asked for an indirect ping.
     indirect: bool,
-    /// How many of these have not sent anything back.
-    silent_relays: usize,
+    /// Number of the asked relays that have sent neither an ack nor a nack.
+    unanswered_relays: usize,
 }
 
 impl Probe {
@@ -45,7 +45,7 @@
     }
 }
 
-/// An indirect ping sent for another node.
+/// An indirect ping, sent on behalf of another node.
 #[derive(Clone, Copy)]
 pub(super) struct RelayedPing {
     target: PeerId,
@@ -55,39 +55,39 @@
     seq: u64,
 }
 
-/// When a silence counts as a death.
-struct SilenceLimits {
+/// The conditions under which a suspected node is declared dead.
+struct DeathCriteria {
     death_timeout: Micros,
-    /// A silence counts from then on at the earliest.
-    counted_from: Micros,
-    /// A suspicion is known here for at least so long.
-    notice: Micros,
-    /// Whether this node pings for itself first.
+    /// Earliest time from which a silence counts.
+    earliest_start: Micros,
+    /// Minimum time since this node learned of the suspicion.
+    min_suspicion_duration: Micros,
+    /// Whether this node must ping the suspect itself first.
     needs_final_pings: bool,
 }
 
-impl SilenceLimits {
+impl DeathCriteria {
     fn silent_since(&self, peer: &Peer) -> Micros {
         peer.unanswered_since
             .max(peer.last_seen_at)
-            .max(self.counted_from)
+            .max(self.earliest_start)
     }
 
     fn is_dead(&self, now: Micros, peer: &Peer) -> bool {
         peer.state == PeerState::Suspected
             && now.saturating_sub(self.silent_since(peer)) >= self.death_timeout
-            && now.saturating_sub(peer.suspected_at) >= self.notice
+            && now.saturating_sub(peer.suspected_at) >= self.min_suspicion_duration
             && (peer.final_pings >= MIN_FINAL_PINGS || !self.needs_final_pings)
     }
 }
 
 impl Peers {
-    /// Whether this node considers its own health.
+    /// Returns whether this node takes its own health into account.
     pub(super) fn checks_own_health(&self) -> bool {
         self.settings.local_health && !mutations::is_active(Mutation::NeverDoubtsItself)
     }
 
-    /// How long to wait for an ack, by this node's own health.
+    /// Returns how long to wait for an ack. The worse this node's own health is, the longer the time.
     pub(super) fn ack_wait(&self) -> Micros {
         let penalty = if self.checks_own_health() {
             self.health_penalty
@@ -97,18 +97,18 @@
         self.settings.ack_timeout * u64::from(1 + penalty)
     }
 
-    /// Tells others that this node is alive after a pause that they may have noticed.
+    /// Handles the end of a pause of this node: notifies other nodes, which may suspect this one, that it is alive.
     pub(super) fn resume(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         self.resumed_at = now;
         self.health_penalty = MAX_HEALTH_PENALTY;
-        // Nodes that suspect it by now hear of it before the silence counts as a death.
-        self.pending_updates.add(self.local.id);
+        // The update reaches nodes that suspect this one before they declare it dead.
+        self.pending_updates.add_urgent(self.local.id);
         for _ in 0..RESUME_MESSAGES + self.members.len() / PEERS_PER_RESUME_MESSAGE {
             if let Some(to) = self.random_peer() {
                 self.send(now, to, MessageBody::Updates, out);
             }
         }
-        // Missing replies are due to the pause, not to the nodes pinged.
+        // Replies are missing because of the pause, not because of the pinged nodes.
         self.probes.clear();
         self.relayed_pings.clear();
     }
@@ -119,7 +119,8 @@
             let Some(id) = self.probe_order.pop() else {
                 break;
             };
-            // Back to a random place in the older half: each node's turn comes once in about a round.
+            // The node goes back to a random position in the half that is probed last, so that each node is probed
+            // about once per round.
             let at = self.random_below(self.probe_order.len() / 2 + 1);
             self.probe_order.insert(at, id);
             let Some(peer) = self.members.get(id).copied() else {
@@ -133,10 +134,10 @@
                 target: id,
                 sent: now,
                 indirect: false,
-                silent_relays: 0,
+                unanswered_relays: 0,
             };
             self.probes.insert(seq, probe);
-            // A suspect learns of the suspicion first of all.
+            // The ping carries the suspicion, so that the suspect learns of it first and can refute it.
             let suspicion = (peer.state == PeerState::Suspected).then(|| peer.update(now));
             let body = MessageBody::Ping { seq };
             self.send_with(now, peer.node.address, body, suspicion, out);
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Pings on behalf of another node.
+    /// Handles a request for an indirect ping: pings `target` on behalf of the node `from`.
     pub(super) fn on_ping_request(
         &mut self,
         now: Micros,
@@ -154,7 +155,8 @@
         out: &mut Vec<PeerAction>,
     ) {
         let relayed_seq = self.next_seq();
-        // Enough for all that arrive before earlier ones end; each node's probes ask a few others.
+        // This limit is high enough for all requests that arrive before earlier ones end, because each node's probes
+        // ask only a few others.
         if self.relayed_pings.len() >= self.settings.max_peers {
             return;
         }
@@ -171,7 +173,7 @@
 
     pub(super) fn on_nack(&mut self, seq: u64) {
         if let Some(probe) = self.probes.get_mut(&seq) {
-            probe.silent_relays = probe.silent_relays.saturating_sub(1);
+            probe.unanswered_relays = probe.unanswered_relays.saturating_sub(1);
         }
     }
 
@@ -179,27 +181,29 @@
         let relayed = self.relayed_pings.get(&seq).copied();
         if let Some(ping) = relayed.filter(|ping| ping.target == of) {
             self.relayed_pings.remove(&seq);
-            // With the evidence that it was heard.
+            // The ack carries the relayed node's heartbeat as evidence.
             let evidence = self.members.get(of).map(|peer| peer.update(now));
             let body = MessageBody::Ack { seq: ping.seq, of };
             self.send_with(now, ping.requester, body, evidence, out);
         }
-        // Guards against a node that took over its address acknowledging the probe.
+        // Guards against an ack from another node that has taken over the address of the probed node.
         let probe = self.probes.get(&seq).copied();
         if let Some(probe) = probe.filter(|probe| probe.target == of) {
             self.probes.remove(&seq);
             self.health_penalty = self.health_penalty.saturating_sub(1);
             if let Some(peer) = self.members.get_mut(of) {
-                // Other nodes reach it, this one does not: the link between them is at fault.
+                // If other nodes reach the node and this one does not, the link between the two is at fault.
                 peer.indirect_only = probe.indirect && peer.last_direct_at < probe.sent;
             }
         }
     }
 
-    /// Escalates unanswered probes: indirect pings first, then suspicion.
+    /// Escalates unanswered probes: requests indirect pings after the ack timeout, and raises a suspicion after the
+    /// suspicion timeout.
     pub(super) fn check_probes(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let ack_wait = self.ack_wait();
-        // Most pauses end before it: no other node need learn of them. The rest of the time is enough to reach all.
+        // Most pauses of a node end before the suspicion timeout, so that other nodes need not be notified of them. The
+        // time from there to the death timeout is enough for the suspicion to reach all nodes.
         let suspect_after = self
             .settings
             .suspicion_timeout
@@ -219,7 +223,8 @@
             if !probe.indirect && elapsed >= ack_wait {
                 self.request_indirect_pings(now, seq, target.node, out);
             } else if probe.indirect && elapsed < suspect_after {
-                // Guards against suspicions by chance: in a lossy network each would be sent to and refuted by all.
+                // Guards against suspicions due to a few lost messages: on a lossy network each suspicion and its
+                // refutation would be sent to all nodes.
                 self.send(now, target.node.address, MessageBody::Ping { seq }, out);
             } else if probe.indirect {
                 self.probes.remove(&seq);
@@ -245,7 +250,7 @@
         }
         if let Some(probe) = self.probes.get_mut(&seq) {
             probe.indirect = true;
-            probe.silent_relays = requests;
+            probe.unanswered_relays = requests;
         }
     }
 
@@ -257,18 +262,18 @@
         ack_wait: Micros,
         out: &mut Vec<PeerAction>,
     ) {
-        // Silent relays say as much about this node as about the target, unless others are heard: where most nodes were
-        // killed at once they are most of the relays.
-        if probe.silent_relays > 0 && self.last_received < probe.sent + ack_wait {
+        // Relays that do not answer indicate a fault of this node as much as one of the target, unless messages of
+        // other nodes arrive: after most nodes were killed at once, most relays are dead.
+        if probe.unanswered_relays > 0 && self.last_received < probe.sent + ack_wait {
             self.raise_health_penalty();
         }
-        // A node that was heard since, by anybody, is not silent.
+        // A node from which any node has received a message since the probe is not suspected.
         if target.last_seen_at < probe.sent {
             self.suspect(now, probe.target, probe.sent, out);
         }
     }
 
-    /// Reports to the requesters which relayed pings got no reply.
+    /// Sends a nack to the requester of each relayed ping that got no reply in time.
     fn expire_relayed_pings(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let ack_timeout = self.settings.ack_timeout;
         let expired: Vec<u64> = self
@@ -285,28 +290,29 @@
         }
     }
 
-    /// Nodes to ask for an indirect ping: preferably those heard directly, as the replies of others would not arrive.
+    /// Returns the addresses of the nodes to ask for an indirect ping. Nodes whose messages arrive here directly are
+    /// preferred, because the replies of the others would not arrive.
     fn relays(&self, target: PeerId) -> Vec<SocketAddr> {
         let present = || self.members.present().filter(|peer| peer.node.id != target);
-        let heard: Vec<SocketAddr> = present()
+        let direct: Vec<SocketAddr> = present()
             .filter(|peer| peer.state == PeerState::Alive && !peer.indirect_only)
             .map(|peer| peer.node.address)
             .collect();
-        if heard.len() < self.settings.indirect_probes {
+        if direct.len() < self.settings.indirect_probes {
             present().map(|peer| peer.node.address).collect()
         } else {
-            heard
+            direct
         }
     }
 
-    /// Declares suspects dead after a long silence, and forgets nodes that are dead for long.
-    pub(super) fn check_silences(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
-        let limits = self.silence_limits(now);
-        self.send_final_pings(now, &limits, out);
+    /// Declares suspects dead that meet the [`DeathCriteria`], and forgets nodes whose tombstone has expired.
+    pub(super) fn check_suspects(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
+        let criteria = self.death_criteria(now);
+        self.send_final_pings(now, &criteria, out);
         let dead: Vec<PeerId> = self
             .members
             .all()
-            .filter(|peer| limits.is_dead(now, peer))
+            .filter(|peer| criteria.is_dead(now, peer))
             .map(|peer| peer.node.id)
             .collect();
         for id in dead {
@@ -314,8 +320,9 @@
                 .members
                 .transition(id, PeerState::Suspected, PeerState::Dead, out)
             {
-                // Sent again: where many died at once, most earlier updates about them went to the dead.
-                self.pending_updates.add_quietly(id);
+                // The update is sent again because, if many nodes failed at once, most earlier transmissions went to
+                // dead nodes.
+                self.pending_updates.add_non_urgent(id);
             }
         }
         self.members.apply_ended_leases(now);
@@ -325,37 +332,44 @@
         }
     }
 
-    fn silence_limits(&self, now: Micros) -> SilenceLimits {
+    fn death_criteria(&self, now: Micros) -> DeathCriteria {
         let checks_own_health = self.checks_own_health();
-        // While no node at all is heard, their silence is more likely this node's fault.
+        // While no messages arrive at all, the cause is more likely at this node than at all others.
         let isolated = checks_own_health && self.is_isolated(now);
-        let (multiple, counted_from) = if isolated {
+        let (multiple, earliest_start) = if isolated {
             (ISOLATION_MULTIPLE, self.last_received)
         } else {
             (1, 0)
         };
-        // A suspicion that arrives late, from a node that waits long, is known here for a while before it counts.
-        let notice = if mutations::is_active(Mutation::NeverDoubtsItself) {
+        // A suspicion may arrive late, from a node that waits longer than this one. It must be known here for a minimum
+        // time before it can lead to a death, so that the suspect can refute it.
+        let min_suspicion_duration = if mutations::is_active(Mutation::NeverDoubtsItself) {
             0
         } else {
             self.settings
-                .suspicion_notice
+                .min_suspicion_duration
                 .min(self.settings.death_timeout / 2)
         };
-        SilenceLimits {
+        DeathCriteria {
             death_timeout: self.settings.death_timeout * multiple,
-            counted_from: self.resumed_at.max(counted_from),
-            notice,
+            earliest_start: self.resumed_at.max(earliest_start),
+            min_suspicion_duration,
             needs_final_pings: checks_own_health,
         }
     }
 
-    /// Guards against a death that is declared just before the news of its refutation: a node pings for itself first. Each
-    /// tick pings and the next one sees the reply, so a node that was paused pings before it declares.
-    fn send_final_pings(&mut self, now: Micros, limits: &SilenceLimits, out: &mut Vec<PeerAction>) {
+    /// Pings suspects that will soon be declared dead. Guards against declaring a node dead just before its refutation
+    /// arrives. Each tick sends a ping and a later tick sees the reply, so that a node that was paused itself pings the
+    /// suspect before it declares the suspect dead.
+    fn send_final_pings(
+        &mut self,
+        now: Micros,
+        criteria: &DeathCriteria,
+        out: &mut Vec<PeerAction>,
+    ) {
         let mut targets = Vec::new();
         let nearly_dead = self.members.suspected().filter(|peer| {
-            now + FINAL_PING_LEAD >= limits.silent_since(peer) + limits.death_timeout
+            now + FINAL_PING_LEAD >= criteria.silent_since(peer) + criteria.death_timeout
         });
         for peer in nearly_dead.take(MAX_FINAL_PING_TARGETS) {
             peer.final_pings = peer.final_pings.saturating_add(1);
@@ -363,7 +377,7 @@
         }
         for (node, pings) in targets {
             self.contact(now, node.address, out);
-            // Every other time through a relay as well: its own reply may not arrive here.
+            // Every other ping is also sent through a relay, because direct replies of the suspect may not arrive here.
             if pings % 2 == 0 {
                 continue;
             }
@@ -377,7 +391,7 @@
         }
     }
 
-    /// Pings an address outside the regular probing: a node that replies is known by that.
+    /// Pings an address outside the regular probing. A node that replies is added to the view, or becomes alive again.
     pub(super) fn contact(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<PeerAction>) {
         let seq = self.next_seq();
         if self.contact_pings.len() >= MAX_CONTACT_PINGS {
@@ -387,7 +401,8 @@
         self.send(now, to, MessageBody::Ping { seq }, out);
     }
 
-    /// Pings dead nodes, and seeds at which no node is known: parts of a partitioned network find each other again.
+    /// Pings dead nodes, and seeds at which no node is known, so that the parts of a partitioned network find each
+    /// other again.
     pub(super) fn reconnect(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let present: Vec<SocketAddr> = self
             .members
--- a/crates/ivyward-core/src/peers/view_sync.rs
+++ b/crates/ivyward-core/src/peers/view_sync.rs
@@ -1,45 +1,45 @@
-//! View synchronization: nodes compare digests of their views, and fetch a complete view page by page.
+//! View synchronization: nodes compare digests of their views, and fetch complete views page by page.
 
 use super::messages::{MessageBody, NodeInfo, PeerAction, PeerId, Update, MAX_UPDATES};
 use super::Peers;
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// Updates in one page.
+/// Maximum number of updates in one page. The rest of [`MAX_UPDATES`] is left for piggybacked updates.
 const PAGE_SIZE: usize = MAX_UPDATES - 4;
-/// A lost page is requested again after this, in microseconds.
+/// Minimum time, in microseconds, after which a page that did not arrive is requested again.
 const PAGE_TIMEOUT: Micros = 300_000;
-/// Views that differ for this long, in microseconds, do not converge by dissemination.
+/// Two views that have differed for this long, in microseconds, are not expected to converge by dissemination alone.
 pub(super) const MIN_RESYNC_INTERVAL: Micros = 2_000_000;
-/// Each time that a synchronization does not help, the interval doubles, up to this.
+/// The interval doubles each time a synchronization left the views different, up to this many microseconds.
 const MAX_RESYNC_INTERVAL: Micros = 32_000_000;
 
-/// A synchronization in progress.
+/// The fetch of a complete view that is in progress.
 pub(super) struct ViewSync {
     from: SocketAddr,
-    /// The id after which the requested page begins.
+    /// The id after which the requested page begins; `None` for the first page.
     after: Option<PeerId>,
     requested_at: Micros,
 }
 
-/// What a page says about the rest of the view.
+/// The fields of a received page that concern the rest of the view.
 pub(super) struct PageEnd {
-    /// Where the next page begins.
+    /// The id after which the next page begins.
     pub(super) next: Option<PeerId>,
-    /// It is the last page.
+    /// Whether this is the last page.
     pub(super) last: bool,
-    /// The sender's view is complete.
+    /// Whether the sender considers its view complete.
     pub(super) sender_complete: bool,
 }
 
 struct Page {
     updates: Vec<Update>,
-    /// The last id of the page, if there are more.
+    /// The last id of the page, if further pages follow.
     next: Option<PeerId>,
 }
 
 impl Peers {
-    /// Notes whether the sender of a message has the same view; 0 for no digest.
+    /// Compares the digest in a received message with that of this node's view. The digest 0 is ignored.
     pub(super) fn compare_views(&mut self, now: Micros, from: SocketAddr, digest: u32) {
         if digest == self.view_digest() {
             self.last_agreement = now;
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Begins to fetch a node's complete view, if no synchronization is in progress: one that heals a partition brings all.
+    /// Starts to fetch a node's complete view. Does nothing while another synchronization is in progress, which brings all
+    /// nodes of a healed partition as well.
     pub(super) fn start_view_sync(
         &mut self,
         now: Micros,
@@ -99,9 +100,10 @@
         self.send(now, from.address, body, out);
     }
 
-    /// The page of the view after an id.
+    /// Returns the page of this node's view that begins after an id.
     fn page(&self, now: Micros, after: Option<PeerId>) -> Page {
-        // With the dead that may be sending: a node that starts on one side of a partition is to count the other side.
+        // The page includes dead nodes that may still be sending, so that a node that starts on one side of a partition
+        // counts the nodes on the other side.
         let mut peers = self.members.all().filter(|peer| {
             !peer.confirmed_stopped && after.is_none_or(|after| peer.node.id > after)
         });
@@ -117,7 +119,7 @@
         Page { updates, next }
     }
 
-    /// Goes on to the next page of a synchronization, or completes it.
+    /// Requests the next page of the synchronization in progress, or completes the synchronization after the last page.
     pub(super) fn on_page(
         &mut self,
         now: Micros,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Starts a synchronization where one is needed, and requests lost pages again.
+    /// Starts a synchronization if one is needed, and requests lost pages again.
     pub(super) fn advance_view_sync(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         self.resync_differing_view(now, out);
         self.check_complete_view(now);
@@ -153,8 +155,9 @@
         self.retry_lost_page(now, out);
     }
 
-    /// Synchronizes if no message for long came from a node with the same view: something was missed. Nodes that start
-    /// together are in nobody's complete view, and updates that are sent a few times don't reach all.
+    /// Starts a synchronization with a node whose view differs if no node with the same view has sent a message for the
+    /// resync interval: one of the two has missed an update. Nodes that start together are in no node's complete view,
+    /// and updates with a limited number of transmissions do not reach all nodes.
     fn resync_differing_view(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let Some(from) = self.differing_peer else {
             return;
@@ -163,7 +166,8 @@
             return;
         }
         if self.view_sync.is_none() {
-            // With a link that is cut in one direction views differ for as long as that lasts.
+            // Views differ permanently while a link is cut in one direction, so the interval grows if the last
+            // synchronization changed nothing.
             let digest = self.view_digest();
             let helped = self.compared_digest != digest;
             self.resync_interval = if helped {
@@ -176,17 +180,19 @@
         self.start_view_sync(now, from, out);
     }
 
-    /// Guards against nodes that start together taking each other's small views for complete: a view is complete if it
-    /// comes from a node whose view is, or has the expected size, or after a while.
+    /// Marks the view as complete when it has the expected size, or after `complete_view_timeout`. A page from a node
+    /// with a complete view marks it as well. Guards against nodes that start together and take each other's small
+    /// views for complete.
     fn check_complete_view(&mut self, now: Micros) {
         if !self.complete_view && self.synced_once {
             let known = 1 + self.members.len() as u32;
-            let settled = now >= self.started_at + self.settings.settle_time;
-            self.complete_view = known >= self.expected_replicas || settled;
+            let timed_out = now >= self.started_at + self.settings.complete_view_timeout;
+            self.complete_view = known >= self.expected_replicas || timed_out;
         }
     }
 
-    /// Requests a lost page again, from another node: ids have the same order everywhere.
+    /// Requests a lost page again from a random node. Any node can continue the synchronization, because all order
+    /// their views by id.
     fn retry_lost_page(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let timeout = self.ack_wait().max(PAGE_TIMEOUT);
         let is_lost = |sync: &ViewSync| now >= sync.requested_at + timeout;
@@ -205,7 +211,7 @@
         }
     }
 
-    /// Compares a random part of the view with a random node.
+    /// Requests a random page of the view from a random node, to find updates that this node has missed.
     pub(super) fn sync_random_page(&mut self, now: Micros, out: &mut Vec<PeerAction>) {
         let present: Vec<PeerId> = self.members.present().map(|peer| peer.node.id).collect();
         if let Some(to) = self.random_peer() {
