--- a/crates/ivyward-core/tests/keepalive.rs
+++ b/crates/ivyward-core/tests/keepalive.rs
@@ -1,21 +1,21 @@
-//! The schedule of connection checks.
+//! The schedule of checks of idle connections, and the decision before a connection is used.
 
 use ivyward_core::keepalive::*;
 use std::collections::BTreeSet;
 
 const SECOND: u64 = 1_000_000;
 
-fn settings(resting_checks: u32) -> KeepaliveSettings {
+fn settings(idle_checks_per_second: u32) -> KeepaliveSettings {
     KeepaliveSettings {
         ping_after: SECOND,
         ping_timeout: SECOND,
-        idle_checks_per_second: resting_checks,
+        idle_checks_per_second,
         dial_timeout: SECOND / 4,
     }
 }
 
-/// Most of these times that lie within a second.
-fn most_in_a_second(mut times: Vec<u64>) -> usize {
+/// Returns the maximum number of these times that lie within one second.
+fn max_in_a_second(mut times: Vec<u64>) -> usize {
     times.sort_unstable();
     let from = |i: usize| {
         times[i..]
@@ -26,7 +26,7 @@
     (0..times.len()).map(from).max().unwrap_or(0)
 }
 
-/// Simulates connections that are idle from `since` until `until`; returns when each was checked.
+/// Simulates connections that are idle from `since` until `until`. Returns the times of the checks of each connection.
 fn checks(keepalive: &mut Keepalive, connections: usize, since: u64, until: u64) -> Vec<Vec<u64>> {
     let mut random = 1_u64;
     let mut jitter = move || {
@@ -36,11 +36,11 @@
         (random >> 40) as f64 / (1_u64 << 24) as f64
     };
     (0..connections).for_each(|_| keepalive.connection_idle());
-    let mut asks: BTreeSet<(u64, usize)> = (0..connections)
+    let mut requests: BTreeSet<(u64, usize)> = (0..connections)
         .map(|i| (keepalive.next_check(since, jitter()).unwrap(), i))
         .collect();
     let mut checked = vec![Vec::new(); connections];
-    while let Some((at, connection)) = asks.pop_first().filter(|(at, _)| *at < until) {
+    while let Some((at, connection)) = requests.pop_first().filter(|(at, _)| *at < until) {
         let next = match keepalive.request_check(at, jitter()) {
             CheckDecision::RetryAt(next) => next,
             CheckDecision::Check => {
@@ -48,7 +48,7 @@
                 keepalive.next_check(at, jitter()).unwrap()
             }
         };
-        asks.insert((next, connection));
+        requests.insert((next, connection));
     }
     checked
 }
@@ -63,53 +63,57 @@
         let all: Vec<u64> = checked.iter().flatten().copied().collect();
         assert!(
             all.iter().all(|at| *at >= since + SECOND),
-            "none before the silence is over"
+            "no connection is checked before it was silent for `ping_after`"
         );
-        let most = most_in_a_second(all.clone());
+        let max = max_in_a_second(all.clone());
         assert!(
-            most <= budget as usize + 1,
-            "{most} in a second of {budget}"
+            max <= budget as usize + 1,
+            "{max} checks in a second, with a budget of {budget}"
         );
-        // Half of the budget is used at least, and all have their turns.
+        // At least half of the budget is used, and every connection is checked.
         assert!(
             all.len() >= connections * 8,
-            "{} checks of {connections} in 20 rounds",
+            "{} checks of {connections} connections in 20 rounds",
             all.len()
         );
-        let least = checked.iter().map(Vec::len).min().unwrap();
-        assert!(least >= 1, "one was checked {least} times in 20 rounds");
+        let min = checked.iter().map(Vec::len).min().unwrap();
+        assert!(
+            min >= 1,
+            "a connection was checked {min} times in 20 rounds"
+        );
     }
 }
 
-/// A process that stood still for a minute finds all due: one is checked, and the others take turns within the budget.
+/// After a pause of the process the checks of all connections are due. One connection is checked at once, and the
+/// others are spread out within the budget.
 #[test]
-fn checks_due_during_a_pause_are_not_made_up_for_at_once() {
+fn checks_missed_during_a_pause_are_spread_within_the_budget() {
     let mut keepalive = Keepalive::new(settings(16));
     (0..600).for_each(|_| keepalive.connection_idle());
-    let woke = 100 * SECOND;
-    let told: Vec<CheckDecision> = (0..600)
-        .map(|i| keepalive.request_check(woke, f64::from(i) / 600.0))
+    let resumed_at = 100 * SECOND;
+    let decisions: Vec<CheckDecision> = (0..600)
+        .map(|i| keepalive.request_check(resumed_at, f64::from(i) / 600.0))
         .collect();
-    let at_once = told
+    let checked_at_once = decisions
         .iter()
-        .filter(|told| **told == CheckDecision::Check)
+        .filter(|decision| **decision == CheckDecision::Check)
         .count();
-    assert_eq!(at_once, 1);
-    let again: Vec<u64> = told
+    assert_eq!(checked_at_once, 1);
+    let retries: Vec<u64> = decisions
         .into_iter()
-        .filter_map(|told| {
-            if let CheckDecision::RetryAt(at) = told {
+        .filter_map(|decision| {
+            if let CheckDecision::RetryAt(at) = decision {
                 Some(at)
             } else {
                 None
             }
         })
         .collect();
-    assert!(again.iter().all(|at| *at > woke));
-    assert!(most_in_a_second(again) <= 17);
+    assert!(retries.iter().all(|at| *at > resumed_at));
+    assert!(max_in_a_second(retries) <= 17);
 }
 
-/// What is taken up again leaves its turn to the others: use takes nothing from the budget.
+/// Connections that calls use again no longer count for the round, so that the remaining idle ones are checked more often.
 #[test]
 fn a_round_is_proportional_to_the_idle_connections() {
     let mut keepalive = Keepalive::new(settings(10));
@@ -144,17 +148,23 @@
             "silent {silent}"
         );
     }
-    // A clock that is behind the last response.
+    // A clock that is behind the time of the last response.
     assert_eq!(keepalive.before_use(now, now + SECOND), BeforeUse::Nothing);
 }
 
 #[test]
-fn settings_at_their_limits() {
-    let mut none = Keepalive::new(settings(0));
-    assert_eq!(none.next_check(5, 0.5), None);
-    assert_eq!(none.request_check(5, 0.5), CheckDecision::RetryAt(u64::MAX));
-    // Without checks at rest they are still checked before use.
-    assert_ne!(none.before_use(100 * SECOND, 0), BeforeUse::Nothing);
+fn zero_and_maximum_settings_are_handled() {
+    let mut without_idle_checks = Keepalive::new(settings(0));
+    assert_eq!(without_idle_checks.next_check(5, 0.5), None);
+    assert_eq!(
+        without_idle_checks.request_check(5, 0.5),
+        CheckDecision::RetryAt(u64::MAX)
+    );
+    // Without checks of idle connections, connections are still checked before use.
+    assert_ne!(
+        without_idle_checks.before_use(100 * SECOND, 0),
+        BeforeUse::Nothing
+    );
     let off = Keepalive::new(KeepaliveSettings {
         ping_after: 0,
         ..settings(16)
@@ -169,7 +179,7 @@
         idle_checks_per_second: u32::MAX,
         dial_timeout: u64::MAX,
     };
-    let most = Keepalive::new(largest);
-    assert_eq!(most.next_check(u64::MAX, f64::NAN), Some(u64::MAX));
-    assert_eq!(most.before_use(u64::MAX, 0), BeforeUse::Nothing);
+    let with_largest = Keepalive::new(largest);
+    assert_eq!(with_largest.next_check(u64::MAX, f64::NAN), Some(u64::MAX));
+    assert_eq!(with_largest.before_use(u64::MAX, 0), BeforeUse::Nothing);
 }
