--- a/crates/ivyward-core/src/connect_backoff.rs
+++ b/crates/ivyward-core/src/connect_backoff.rs
@@ -1,12 +1,15 @@
-//! When to retry a connection that failed for want of local resources. No I/O, no clock.
+//! When to retry a connection attempt that failed because the node lacked local resources. The module does no I/O and reads
+//! no clock.
 
 use crate::interface::Micros;
 
-/// Pause in microseconds: lack of ports, buffers or descriptors is short, as closing connections free them.
+/// Pause before the retry, in microseconds. A lack of ports, buffers or file descriptors is short, because connections that
+/// close release them.
 const PAUSE: Micros = 10_000;
 
-/// When to retry a connection that failed locally at `now` and has time until `until`; `None` if no time is left.
-pub fn retry_at(now: Micros, until: Micros) -> Option<Micros> {
+/// Returns when to retry a connection attempt that failed for lack of local resources at `now`; `None` if the retry
+/// would not start before `deadline`.
+pub fn retry_at(now: Micros, deadline: Micros) -> Option<Micros> {
     let at = now.saturating_add(PAUSE);
-    (at < until).then_some(at)
+    (at < deadline).then_some(at)
 }
--- a/crates/ivyward-core/src/connection_reuse.rs
+++ b/crates/ivyward-core/src/connection_reuse.rs
@@ -1,54 +1,60 @@
-//! Whether an idle connection may carry the next request.
+//! Decides whether an idle connection may carry the next request.
 //!
-//! Whoever closes an idle connection may do so while a request is on its way, and then nobody can say whether it ran. How
-//! long engines keep idle connections is unknown, and a middlebox may close them sooner, so it is learned: failures
-//! under a request are counted by how long the connection had been idle, next to those of new connections. An idle time
-//! at which connections fail more often than new ones is not used until that is long ago. A connection that was idle for
-//! longer has outlived whatever closes the younger ones, so each range of idle times is judged by itself. No I/O, no clock.
+//! An engine or a middlebox may close an idle connection while a request is on its way. It is then unknown whether the
+//! request ran. The time after which idle connections are closed is unknown as well, so the module learns it: it counts
+//! the connections that fail under a request by how long they had been idle, and compares them with the failures of new
+//! connections. Idle times at which connections fail more often than new ones are not used until those failures are long
+//! ago. A connection with a longer idle time was not closed by whatever closes connections at the shorter one, so each
+//! range of idle times is judged separately. The module does no I/O and reads no clock.
 
 use crate::decaying_mean::DecayingMean;
 use crate::interface::Micros;
 
-/// Ranges of idle times: each is about three times the previous one, from a millisecond to over a minute.
+/// Number of ranges of idle times. Each range is about three times as long as the previous one, from one millisecond to
+/// over a minute.
 const RANGES: usize = 11;
-/// Decay span of observations, in microseconds: an idle time that is not used is tried again after a few of them.
+/// Time constant of the decay of observations, in microseconds. An idle time that is not used is tried again after a few
+/// time constants.
 const DECAY_SPAN: f64 = 30e6;
-/// A range is taken to fail as rarely as new connections until about this many uses tell otherwise.
+/// Weight of the prior, in uses: a range is assumed to fail as rarely as new connections until about this many uses show
+/// otherwise.
 const PRIOR_USES: f64 = 10.0;
-/// Idle connections may fail this much more often than new ones: the handshake of a new one costs more than that.
+/// Failure rate by which idle connections may exceed new ones. The handshake of a new connection costs more than that.
 const TOLERATED_EXCESS: f64 = 0.03;
-/// For requests that must not be sent again, a range must have proven safe: the prior has this many failures more.
+/// Additional failures in the prior for requests that must not be sent again, so that a range must have proven safe first.
 const UNPROVEN_FAILURES: f64 = 1.0;
 
-/// Which idle connections may carry an attempt.
+/// The idle connections that may carry an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReusePolicy {
-    /// Any: the attempt may be sent again.
+    /// Any connection whose idle time [`ReuseHistory`] allows: the attempt may be sent again.
     Any,
-    /// Those whose idle time has proven safe.
+    /// Only connections whose idle time has proven safe.
     ProvenSafe,
-    /// None: only a new connection shows that the bytes will not wait in a network cut.
+    /// No idle connection. Only opening a new one shows that the bytes will not be held back by a network partition.
     Never,
 }
 
-/// What decides which idle connections may carry an attempt.
+/// The properties of an attempt that decide which idle connections may carry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTraits {
-    /// It may be sent again.
+    /// Whether the attempt may be sent again without harm.
     pub repeatable: bool,
-    /// It repeats an attempt that may have run.
+    /// Whether the attempt repeats an earlier one that may have run and is not idempotent.
     pub repeats_unknown_outcome: bool,
-    /// KV state waits for it at another engine, and must be released within this span.
+    /// Set if KV state for the attempt is waiting at another engine: the time within which that state must be released, in
+    /// microseconds.
     pub kv_state_timeout: Option<Micros>,
-    /// When its engine last responded to anything; 0 for never.
+    /// When the attempt's engine last responded to any request; 0 for never.
     pub last_response: Micros,
 }
 
-/// Which idle connections may carry an attempt now.
+/// Returns which idle connections may carry an attempt now.
 ///
-/// Guards against a repeat that is sent within its window into a network cut and arrives when the cut ends, and against a
-/// decode request that does so while its KV state waits: it has not arrived, so it does not stop that state's clock. An
-/// engine that responded within the state's own span counts as reachable.
+/// Guards against two failures. A repeated attempt may be sent within its deduplication window into a network partition and
+/// arrive only when the partition ends. A decode request may be held back in the same way while its KV state waits: the
+/// time limit of that state ends with the arrival of the request. An engine that responded within that time limit counts as
+/// reachable.
 pub fn reuse_policy(now: Micros, attempt: &AttemptTraits) -> ReusePolicy {
     let responded = |within: Micros| {
         attempt.last_response > 0 && now <= attempt.last_response.saturating_add(within)
@@ -56,7 +62,7 @@
     if attempt.repeats_unknown_outcome
         || attempt
             .kv_state_timeout
-            .is_some_and(|within| !responded(within))
+            .is_some_and(|timeout| !responded(timeout))
     {
         return ReusePolicy::Never;
     }
@@ -66,55 +72,58 @@
     }
 }
 
-/// When to check a decode request that was sent on an idle connection and whose KV state waits: its engine is dialled anew
-/// and must be reachable in time. Nothing else tells a request that waits in a network cut from a slow response.
+/// The times at which to check the delivery of a decode request that was sent on an idle connection while its KV state
+/// waits. The check opens a new connection to the engine. Nothing else distinguishes a request that is held back by a
+/// network partition from a slow response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeliveryCheck {
-    /// Without a byte of the response by then, the engine is dialled.
+    /// If no byte of the response has arrived by then, a new connection to the engine is opened.
     pub connect_at: Micros,
-    /// Without a connection by then, the request is assumed not to have arrived.
+    /// If that connection is not open by then, the request is assumed not to have arrived.
     pub reachable_by: Micros,
 }
 
-/// The check of a request sent at `now`; the KV state waits for at most `within`.
-pub fn delivery_check(now: Micros, within: Micros) -> DeliveryCheck {
+/// Returns the check of a request sent at `now`, whose KV state waits for at most `kv_state_timeout` microseconds.
+pub fn delivery_check(now: Micros, kv_state_timeout: Micros) -> DeliveryCheck {
     DeliveryCheck {
-        connect_at: now.saturating_add(within / 4),
-        reachable_by: now.saturating_add(within / 2),
+        connect_at: now.saturating_add(kv_state_timeout / 4),
+        reachable_by: now.saturating_add(kv_state_timeout / 2),
     }
 }
 
-/// Failures of connections under requests. See the module's documentation.
+/// The failure rates of connections under requests, by idle time. The module documentation describes their use.
 #[derive(Clone, Debug, Default)]
 pub struct ReuseHistory {
-    /// Failures of new connections over their uses.
+    /// Failure rate of new connections.
     new_connections: DecayingMean,
-    /// The same of idle connections, by range of idle time.
+    /// Failure rates of idle connections, by range of idle time.
     ranges: [DecayingMean; RANGES],
 }
 
+/// Returns the index of the range of an idle time.
 fn range_of(idle: Micros) -> usize {
     let decades = (idle.max(1_000) as f64 / 1_000.0).log10();
     ((decades * 2.0) as usize).min(RANGES - 1)
 }
 
 impl ReuseHistory {
-    /// Without any observation.
+    /// Creates a history without observations.
     pub fn new() -> ReuseHistory {
         ReuseHistory::default()
     }
 
-    /// A connection that had been idle for this long, or a new one, carried a request to its response, or `ended` under it
-    /// before a byte of the response.
-    pub fn record_use(&mut self, now: Micros, idle: Option<Micros>, ended: bool) {
+    /// Records that a connection carried a request. `idle` is how long the connection had been idle, `None` for a new one.
+    /// `failed` means that the connection ended before the first byte of the response.
+    pub fn record_use(&mut self, now: Micros, idle: Option<Micros>, failed: bool) {
         let mean = match idle {
             Some(idle) => &mut self.ranges[range_of(idle)],
             None => &mut self.new_connections,
         };
-        mean.add(now, DECAY_SPAN, f64::from(u8::from(ended)));
+        mean.add(now, DECAY_SPAN, f64::from(u8::from(failed)));
     }
 
-    /// Whether a connection that has been idle for this long may carry a request. `repeatable`: it may be sent again.
+    /// Returns whether a connection that has been idle for `idle` may carry a request. `repeatable` means that the
+    /// request may be sent again; for other requests the idle time must have proven safe.
     pub fn allows_reuse(&self, now: Micros, idle: Micros, repeatable: bool) -> bool {
         let usual = self
             .new_connections
