--- a/crates/ivyward-core/tests/long_poll.rs
+++ b/crates/ivyward-core/tests/long_poll.rs
@@ -1,157 +1,160 @@
-//! Timing of long polls against the time within which a change must be known.
+//! Timing of long polls, compared with the time within which a change must be known.
 
 use ivyward_core::long_poll::{CallFailure, LongPoll};
 
-const CONFIGURED: u64 = 6_000_000;
+const MAX_DELAY: u64 = 6_000_000;
 
-/// One call that falls silent as it begins and three more without answer leave time for the list itself.
+/// One call that stops responding as it begins and three more that are not answered leave time for the list itself.
 #[test]
-fn four_silent_calls_fit_into_the_configured_time() {
-    let watch = LongPoll::new(CONFIGURED, true, 1);
+fn four_unanswered_calls_fit_into_the_configured_time() {
+    let long_poll = LongPoll::new(MAX_DELAY, true, 1);
     assert!(
-        watch.worst_case_delay(3) + CONFIGURED / 20 <= CONFIGURED,
+        long_poll.worst_case_delay(3) + MAX_DELAY / 20 <= MAX_DELAY,
         "{} us",
-        watch.worst_case_delay(3)
+        long_poll.worst_case_delay(3)
     );
-    // As a sum of what the parts really are, not of what the module says of them.
-    let call = watch.connect_timeout() + watch.silence_timeout();
+    // The sum is computed independently, from the durations that callers use.
+    let call = long_poll.connect_timeout() + long_poll.silence_timeout();
     assert_eq!(
-        watch.worst_case_delay(3),
-        watch.requested_wait() + watch.silence_timeout() + 4 * call
+        long_poll.worst_case_delay(3),
+        long_poll.requested_wait() + long_poll.silence_timeout() + 4 * call
     );
 }
 
-/// A service that takes its time is not called again and again: what is out at once is bounded, and a call is kept for
-/// several times as long as the next one waits to begin beside it.
+/// A slow service does not get ever more calls: the number of calls in flight is limited, and a call stays open for several
+/// times the delay after which the next one begins.
 #[test]
-fn a_silent_call_is_kept_while_others_begin() {
-    let watch = LongPoll::new(CONFIGURED, true, 1);
+fn an_unanswered_call_stays_open_while_others_begin() {
+    let long_poll = LongPoll::new(MAX_DELAY, true, 1);
     assert_eq!(
-        watch.next_call_delay(),
-        watch.connect_timeout() + watch.silence_timeout()
+        long_poll.next_call_delay(),
+        long_poll.connect_timeout() + long_poll.silence_timeout()
     );
-    assert!(watch.call_timeout() >= 2 * watch.next_call_delay());
+    assert!(long_poll.call_timeout() >= 2 * long_poll.next_call_delay());
     assert!(
-        watch.max_calls() as u64 * watch.next_call_delay() >= watch.call_timeout()
-            && watch.max_calls() <= 4
+        long_poll.max_calls() as u64 * long_poll.next_call_delay() >= long_poll.call_timeout()
+            && long_poll.max_calls() <= 4
     );
 }
 
 #[test]
 fn pauses_grow_with_quick_failures_only_and_end_with_a_response() {
-    let mut watch = LongPoll::new(CONFIGURED, true, 1);
+    let mut long_poll = LongPoll::new(MAX_DELAY, true, 1);
     assert_eq!(
-        watch.call_failed(CallFailure::NoResponse),
+        long_poll.call_failed(CallFailure::NoResponse),
         0,
-        "silence has cost time enough"
+        "no pause follows a call that timed out"
     );
     let pauses: Vec<u64> = (0..12)
-        .map(|_| watch.call_failed(CallFailure::Failed))
+        .map(|_| long_poll.call_failed(CallFailure::Failed))
         .collect();
     assert!(
         pauses.windows(2).all(|p| p[0] <= p[1]) && pauses[0] > 0,
         "{pauses:?}"
     );
     assert!(
-        pauses[11] <= CONFIGURED / 10,
-        "back within a tenth of the told time: {pauses:?}"
+        pauses[11] <= MAX_DELAY / 10,
+        "the next call begins within a tenth of the configured time: {pauses:?}"
     );
-    // A service that is down for a minute is not run against.
-    assert!(pauses[11] >= CONFIGURED / 20, "{pauses:?}");
-    watch.list_received();
-    assert_eq!(watch.call_failed(CallFailure::Failed), pauses[0]);
+    // A service that is down is not called too often.
+    assert!(pauses[11] >= MAX_DELAY / 20, "{pauses:?}");
+    long_poll.list_received();
+    assert_eq!(long_poll.call_failed(CallFailure::Failed), pauses[0]);
 }
 
-/// A service that turns calls away is left alone for longer and longer, by each node of a fleet for another span, and calls
-/// that it takes wait longer for news; when it bears those again, everything goes back step by step.
+/// Each rejected call lengthens the pause before the next one, by a different time on each node, and accepted calls wait
+/// longer for changes. When the service answers in time again, both become shorter step by step.
 #[test]
 fn a_service_that_rejects_calls_gets_fewer() {
     let pauses = |seed: u64| {
-        let mut watch = LongPoll::new(CONFIGURED, true, seed);
+        let mut long_poll = LongPoll::new(MAX_DELAY, true, seed);
         (0..10)
-            .map(|_| watch.call_failed(CallFailure::Rejected))
+            .map(|_| long_poll.call_failed(CallFailure::Rejected))
             .collect::<Vec<_>>()
     };
-    let (one, other) = (pauses(1), pauses(2));
-    assert_eq!(one, pauses(1), "the same seed draws the same");
+    let (first, second) = (pauses(1), pauses(2));
+    assert_eq!(first, pauses(1), "the same seed gives the same pauses");
     assert!(
-        one.iter().zip(&other).all(|(a, b)| a != b),
-        "{one:?} {other:?}"
+        first.iter().zip(&second).all(|(a, b)| a != b),
+        "{first:?} {second:?}"
     );
     assert!(
-        one[0] <= CONFIGURED / 50
-            && one[9] >= CONFIGURED / 2
-            && one.iter().all(|p| *p <= CONFIGURED),
-        "{one:?}"
+        first[0] <= MAX_DELAY / 50
+            && first[9] >= MAX_DELAY / 2
+            && first.iter().all(|p| *p <= MAX_DELAY),
+        "{first:?}"
     );
-    let mut watch = LongPoll::new(CONFIGURED, true, 1);
-    let usual = watch.requested_wait();
+    let mut long_poll = LongPoll::new(MAX_DELAY, true, 1);
+    let usual = long_poll.requested_wait();
     for _ in 0..8 {
-        watch.call_failed(CallFailure::Rejected);
+        long_poll.call_failed(CallFailure::Rejected);
     }
-    let longest = watch.requested_wait();
-    assert!(longest >= 5 * usual && longest <= 2 * CONFIGURED);
-    watch.list_received();
+    let longest = long_poll.requested_wait();
+    assert!(longest >= 5 * usual && longest <= 2 * MAX_DELAY);
+    long_poll.list_received();
     assert_eq!(
-        watch.requested_wait(),
+        long_poll.requested_wait(),
         longest,
-        "one list is no sign that it bears more calls"
+        "one list does not show that the service can handle more calls"
     );
     for _ in 0..8 {
-        watch.no_changes_received(0);
+        long_poll.no_changes_received(0);
     }
-    assert_eq!(watch.requested_wait(), usual);
-    // Late answers say the same, but not where lists come by themselves: there it was this node that was late.
+    assert_eq!(long_poll.requested_wait(), usual);
+    // Late answers are a sign of overload, too, unless the service sends lists on its own: then this node itself was late.
     for costly in [true, false] {
-        let mut watch = LongPoll::new(CONFIGURED, costly, 1);
+        let mut long_poll = LongPoll::new(MAX_DELAY, costly, 1);
         for _ in 0..8 {
-            watch.no_changes_received(CONFIGURED / 10);
+            long_poll.no_changes_received(MAX_DELAY / 10);
         }
-        assert_eq!(watch.requested_wait(), if costly { longest } else { usual });
+        assert_eq!(
+            long_poll.requested_wait(),
+            if costly { longest } else { usual }
+        );
     }
 }
 
-/// A service that answers calls one after the other, and turns away what it could not answer within two seconds. Saying so
-/// takes a quarter of the time of an answer.
+/// A service that answers calls one after the other, and rejects calls that it could not answer within two seconds. A
+/// rejection takes a quarter of the time of an answer.
 struct Service {
     cost: u64,
     free_at: u64,
 }
 
 impl Service {
-    /// When a call is answered, or when it is turned away.
+    /// Returns when a call is answered, or the time of its rejection as an error.
     fn call(&mut self, now: u64) -> Result<u64, u64> {
-        let waits = self.free_at.saturating_sub(now);
-        let (cost, queue) = (self.cost, self.free_at.max(now));
-        if waits > 2_000_000 {
-            self.free_at = queue + cost / 4;
+        let queueing = self.free_at.saturating_sub(now);
+        let (cost, start) = (self.cost, self.free_at.max(now));
+        if queueing > 2_000_000 {
+            self.free_at = start + cost / 4;
             return Err(now + 2_000);
         }
-        self.free_at = queue + cost;
+        self.free_at = start + cost;
         Ok(self.free_at)
     }
 }
 
-/// A fleet of 32 nodes, and a service that can take a call from each of them in four or eight seconds: all of them come to
-/// have a list soon, all of them keep up with it, and the service has more room than they need.
+/// 32 nodes call a service that needs four or eight seconds to answer one call of each. All nodes must get a list soon and
+/// then keep up with the changes, and the service must have capacity left.
 #[test]
 fn many_nodes_reach_a_service_that_accepts_few_calls() {
     const NODES: u64 = 32;
-    for all_in in [4_000_000, 8_000_000] {
+    for time_for_all in [4_000_000, 8_000_000] {
         let mut service = Service {
-            cost: all_in / NODES,
+            cost: time_for_all / NODES,
             free_at: 0,
         };
         let mut nodes: Vec<LongPoll> = (0..NODES)
-            .map(|seed| LongPoll::new(CONFIGURED, true, seed))
+            .map(|seed| LongPoll::new(MAX_DELAY, true, seed))
             .collect();
-        // What each node does next, in the order of time: it calls for the whole list, or goes on with a watch.
+        // The next call of each node in the order of time: for the complete list, or for changes of the list it has.
         let mut next: std::collections::BTreeSet<(u64, usize, bool)> =
             (0..nodes.len()).map(|node| (0, node, false)).collect();
         let (mut last_answer, mut longest_gap) = (vec![0; nodes.len()], 0);
-        let (mut calls, mut turned_away) = (0, 0);
-        while let Some((now, node, watches)) = next.pop_first().filter(|n| n.0 < 120_000_000) {
-            let watch = &mut nodes[node];
+        let (mut calls, mut rejected) = (0, 0);
+        while let Some((now, node, has_list)) = next.pop_first().filter(|n| n.0 < 120_000_000) {
+            let long_poll = &mut nodes[node];
             if now > 60_000_000 {
                 longest_gap = longest_gap.max(now - last_answer[node]);
                 calls += 1;
@@ -159,57 +162,62 @@
             match service.call(now) {
                 Ok(at) => {
                     last_answer[node] = at;
-                    if watches {
-                        watch.no_changes_received(at - now)
+                    if has_list {
+                        long_poll.no_changes_received(at - now)
                     } else {
-                        watch.list_received()
+                        long_poll.list_received()
                     }
                     next.insert((
-                        at + if watches { watch.requested_wait() } else { 0 },
+                        at + if has_list {
+                            long_poll.requested_wait()
+                        } else {
+                            0
+                        },
                         node,
                         true,
                     ));
                 }
                 Err(at) => {
-                    turned_away += u32::from(now > 60_000_000);
-                    next.insert((at + watch.call_failed(CallFailure::Rejected), node, false));
+                    rejected += u32::from(now > 60_000_000);
+                    next.insert((
+                        at + long_poll.call_failed(CallFailure::Rejected),
+                        node,
+                        false,
+                    ));
                 }
             }
         }
         assert!(last_answer.iter().all(|at| *at > 0), "{last_answer:?}");
         assert!(
-            longest_gap < 6 * CONFIGURED,
-            "{longest_gap} us without a word, {turned_away} of {calls} turned away"
-        );
-        assert!(
-            turned_away * 2 < calls,
-            "{turned_away} of {calls} calls turned away"
+            longest_gap < 6 * MAX_DELAY,
+            "{longest_gap} us without an answer, {rejected} of {calls} calls rejected"
         );
+        assert!(rejected * 2 < calls, "{rejected} of {calls} calls rejected");
     }
 }
 
-/// A list that is long for its connection comes in the end: each try has more time, up to a bound.
+/// A list that takes long on its connection arrives in the end: each try gets more time, up to a limit.
 #[test]
 fn a_slow_response_gets_more_time_at_each_try() {
-    let mut watch = LongPoll::new(CONFIGURED, true, 1);
-    let first = watch.body_timeout();
-    assert!(first < CONFIGURED);
+    let mut long_poll = LongPoll::new(MAX_DELAY, true, 1);
+    let first = long_poll.body_timeout();
+    assert!(first < MAX_DELAY);
     for _ in 0..40 {
-        watch.call_failed(CallFailure::SlowResponse);
+        long_poll.call_failed(CallFailure::SlowResponse);
     }
-    assert!(watch.body_timeout() >= 8 * first && watch.body_timeout() <= 20 * CONFIGURED);
-    watch.list_received();
-    assert_eq!(watch.body_timeout(), first);
+    assert!(long_poll.body_timeout() >= 8 * first && long_poll.body_timeout() <= 20 * MAX_DELAY);
+    long_poll.list_received();
+    assert_eq!(long_poll.body_timeout(), first);
 }
 
 #[test]
-fn no_configured_time_makes_a_poll_without_waits() {
-    for told in [0, 1, 99] {
-        let watch = LongPoll::new(told, true, 1);
+fn very_short_configured_times_leave_positive_durations() {
+    for max_delay in [0, 1, 99] {
+        let long_poll = LongPoll::new(max_delay, true, 1);
         assert!(
-            watch.requested_wait() > 0
-                && watch.silence_timeout() > 0
-                && watch.connect_timeout() > 0
+            long_poll.requested_wait() > 0
+                && long_poll.silence_timeout() > 0
+                && long_poll.connect_timeout() > 0
         );
     }
 }
