--- a/crates/ivyward-core/src/start_time.rs
+++ b/crates/ivyward-core/src/start_time.rs
@@ -1,28 +1,31 @@
 //! Start times of engines on this node's clock.
 //!
-//! Engines report when they started by clocks of their own, which may be wrong by hours. An age that is too low wastes some
-//! capacity during the warm-up; one that is too high lets all nodes overload a cold engine. So a reported age is believed
-//! only where nothing better is known: in the first complete list that a node receives. An engine that is new to a node
-//! with a complete list was not there a moment ago and counts as started now, whatever its clock says; so does one that
-//! comes back with another start time. One that comes back with the same start time (its lease was lost, or its store
-//! restored) is the same process and keeps its age. No I/O, no clock.
+//! Engines report their start times by their own clocks, which may be wrong by hours. An age that is too low wastes some of
+//! an engine's capacity during its warm-up; an age that is too high lets all nodes overload a cold engine. A reported start
+//! time is therefore accepted only where nothing better is known: in the first complete list that a node receives.
+//!
+//! An engine that is new to a node with a complete list was not listed a moment ago and counts as started now, whatever
+//! its clock says. The same holds for an engine that comes back with another start time. An engine that comes back with
+//! the same start time (its lease was lost, or its store was restored) is the same process and keeps its age.
+//!
+//! The module does no I/O and reads no clock.
 
 use crate::interface::{Endpoint, EndpointId, Micros};
 use std::collections::BTreeMap;
 
-/// How many removed engines are remembered, in case the same process comes back; the oldest are forgotten first and then
-/// count as new.
+/// Maximum number of removed engines whose start times are remembered in case the same process comes back. The engines that
+/// were removed first are forgotten first, and count as new when they come back.
 pub const MAX_REMEMBERED: usize = 10_000;
 
-/// The longest time from an engine's start until it is listed, in microseconds; a reported start further back is of another
-/// clock.
+/// The longest expected time from an engine's start until it is listed, in microseconds. A new engine whose reported
+/// start is further back has a clock that differs from this node's.
 const MAX_LISTING_DELAY: Micros = 60_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StartTime {
-    /// As the engine reported it.
+    /// The start time as reported by the engine.
     reported: Micros,
-    /// On this node's clock; 0 for long ago.
+    /// The start time on this node's clock; 0 for long ago.
     local: Micros,
 }
 
@@ -30,35 +33,39 @@
 #[derive(Clone, Copy, Debug)]
 struct RemovedEngine {
     start: StartTime,
-    /// Its number in the order of removals.
-    order: u64,
+    /// Number of the removal, counted from 1.
+    removal: u64,
 }
 
-/// Start times of engines. See the module's documentation.
+/// The start times of listed and removed engines. The module documentation describes the rules.
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
     listed: BTreeMap<EndpointId, StartTime>,
     removed: BTreeMap<EndpointId, RemovedEngine>,
+    /// The removed engines by the number of their removal.
     removal_order: BTreeMap<u64, EndpointId>,
+    /// Number of removals so far.
     removals: u64,
-    /// A complete list was received: an engine that is new from then on has just started.
+    /// Whether a complete list was received. Engines that are new from then on have just started.
     has_complete_list: bool,
-    /// When a list was last received, for callers of [`StartTimes::resolve_with_shared_clock`].
+    /// When the list service last responded, for callers of [`StartTimes::resolve_with_shared_clock`].
     last_response: Option<Micros>,
 }
 
 impl StartTimes {
-    /// Without any known engine.
+    /// Creates the table without known engines.
     pub fn new() -> StartTimes {
         StartTimes::default()
     }
 
-    /// The start time to pass to the router for a listed engine; `unix` is this node's own clock.
+    /// Returns the start time of a listed engine to pass to the router, on the clock of `now`; 0 for long ago.
+    /// `unix_now` is the current time of this node's wall clock. An engine that is at least `warm_up_duration` old
+    /// counts as long started.
     pub fn resolve(
         &mut self,
         entry: &Endpoint,
         now: Micros,
-        unix: Micros,
+        unix_now: Micros,
         warm_up_duration: Micros,
     ) -> Micros {
         let (id, reported) = (entry.id, entry.started_at);
@@ -66,11 +73,11 @@
         let local = match known {
             Some(start) if start.reported == reported => start.local,
             _ if reported == 0 => 0,
-            // Not listed a moment ago, or listed as another process.
+            // The engine was not listed a moment ago, or was listed as another process.
             _ if self.has_complete_list || known.is_some() => now.max(1),
             _ => {
-                // A start in the future counts as now.
-                let age = unix.saturating_sub(reported);
+                // A start time in the future counts as now.
+                let age = unix_now.saturating_sub(reported);
                 if age >= warm_up_duration {
                     0
                 } else {
@@ -82,16 +89,18 @@
         local
     }
 
-    /// The same for lists by one clock of all machines, `unix` being this node's estimate of it. That clock is believed as
-    /// far as the lists allow: no engine starts in the future, and an engine that is new to a node which follows the list,
-    /// but reports a start long before the last list without it, counts from that list. So a step of the clock by an
-    /// hour, either way, makes no new engine warm and no engine cold for an hour; a list that is merely late does not
-    /// make an engine younger than it is.
+    /// Returns the same as [`StartTimes::resolve`] for a list whose start times are by one clock shared by all machines.
+    /// `unix_now` is this node's estimate of that clock.
+    ///
+    /// The shared clock is trusted as far as it agrees with the lists. No engine starts in the future. An engine that
+    /// is new to a node which follows the list, but reports a start long before the last list without it, counts as
+    /// started at that list. If the clock steps by an hour, either way, no new engine therefore counts as warm, and no
+    /// engine counts as cold for an hour. A list that is merely late does not make an engine younger than it is.
     pub fn resolve_with_shared_clock(
         &mut self,
         entry: &Endpoint,
         now: Micros,
-        unix: Micros,
+        unix_now: Micros,
     ) -> Micros {
         let (id, reported) = (entry.id, entry.started_at);
         let known = self.known(id);
@@ -101,10 +110,10 @@
             _ => {
                 let start = reported
                     .saturating_add(now)
-                    .saturating_sub(unix)
+                    .saturating_sub(unix_now)
                     .clamp(1, now.max(1));
-                // In the first list nothing better than the reported start is known.
-                let age = unix.saturating_sub(reported);
+                // For the first list, nothing better than the reported start time is known.
+                let age = unix_now.saturating_sub(reported);
                 match self.last_response.filter(|_| self.has_complete_list) {
                     Some(last)
                         if age > now.saturating_sub(last).saturating_add(MAX_LISTING_DELAY) =>
@@ -119,7 +128,7 @@
         local
     }
 
-    /// A list, or the answer that nothing changed, was received.
+    /// Records that the list service sent a list, or the answer that nothing changed.
     pub fn record_response(&mut self, now: Micros) {
         self.last_response = Some(now);
     }
@@ -132,19 +141,19 @@
     fn remember(&mut self, id: EndpointId, start: StartTime) {
         self.listed.insert(id, start);
         if let Some(removed) = self.removed.remove(&id) {
-            self.removal_order.remove(&removed.order);
+            self.removal_order.remove(&removed.removal);
         }
     }
 
-    /// An engine was removed.
+    /// Removes an engine that is no longer listed. Its start time is remembered in case the same process comes back.
     pub fn remove(&mut self, id: EndpointId) {
         let Some(start) = self.listed.remove(&id) else {
             return;
         };
         self.removals += 1;
-        let order = self.removals;
-        self.removed.insert(id, RemovedEngine { start, order });
-        self.removal_order.insert(order, id);
+        let removal = self.removals;
+        self.removed.insert(id, RemovedEngine { start, removal });
+        self.removal_order.insert(removal, id);
         if self.removal_order.len() > MAX_REMEMBERED {
             if let Some((_, oldest)) = self.removal_order.pop_first() {
                 self.removed.remove(&oldest);
@@ -152,13 +161,13 @@
         }
     }
 
-    /// A complete list was received: engines that it does not name are removed.
-    pub fn apply_complete_list(&mut self, named: impl Fn(EndpointId) -> bool) {
+    /// Applies a complete list: removes the known engines for which `is_listed` returns false.
+    pub fn apply_complete_list(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         let missing: Vec<EndpointId> = self
             .listed
             .keys()
             .copied()
-            .filter(|id| !named(*id))
+            .filter(|id| !is_listed(*id))
             .collect();
         missing.into_iter().for_each(|id| self.remove(id));
         self.has_complete_list = true;
