--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -132,7 +132,7 @@
         .iter()
         .all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().node.incarnation == 2));
     // A word of the old run brings nothing back, and tells the old one that it is over.
-    let before = net.peers[2].dropped().stale;
+    let before = net.peers[2].dropped().superseded;
     let mut out = Vec::new();
     let old = Message {
         view_digest: 0,
@@ -144,7 +144,7 @@
     let now = net.now;
     net.peers[2].handle_message(now, old, &mut out);
     assert!(
-        net.peers[2].dropped().stale == before + 1
+        net.peers[2].dropped().superseded == before + 1
             && net.peers[2].peer(PeerId(10)).unwrap().node.incarnation == 2
     );
     assert!(
@@ -216,7 +216,7 @@
                         node: card(of, 1),
                         heartbeat: beat,
                         age: 60 * SECOND,
-                        state: ReportedState::Suspected { since: 0 },
+                        state: ReportedState::Suspected { unanswered_for: 0 },
                     }
                 })
                 .collect();
@@ -260,7 +260,7 @@
         };
         small.handle_message(1, hello, &mut Vec::new());
     }
-    assert_eq!((small.peers().count(), small.dropped().over), (8, 11));
+    assert_eq!((small.peers().count(), small.dropped().over_limit), (8, 11));
     // All fall silent: dead after a while, and later forgotten.
     let mut out = Vec::new();
     for step in 1..2_000 {
@@ -471,13 +471,15 @@
 #[test]
 fn the_count_does_not_fall_before_a_view_was_whole() {
     let mut alone = Peers::new(0, card(0, 1), vec![address(1)], PeerSettings::default(), 1);
-    alone.expect(40);
+    alone.set_expected_replicas(40);
     assert_eq!(
         (alone.replica_count(), alone.has_complete_view()),
         (40, false)
     );
     let mut net = Net::new(6, 22, easy());
-    net.peers.iter_mut().for_each(|p| p.expect(40));
+    net.peers
+        .iter_mut()
+        .for_each(|p| p.set_expected_replicas(40));
     net.run(10 * SECOND);
     assert!(net
         .peers
@@ -490,12 +492,14 @@
         .iter()
         .all(|p| p.has_complete_view() && p.replica_count() == 6));
     net.restart(4);
-    net.peers[4].expect(40);
+    net.peers[4].set_expected_replicas(40);
     net.run(70 * SECOND);
     assert!(net.peers[4].has_complete_view() && net.peers[4].replica_count() == 6);
     // As many as were said are enough.
     let mut net = Net::new(6, 23, easy());
-    net.peers.iter_mut().for_each(|p| p.expect(6));
+    net.peers
+        .iter_mut()
+        .for_each(|p| p.set_expected_replicas(6));
     net.run(10 * SECOND);
     assert!(net
         .peers
@@ -510,8 +514,8 @@
     net.run(10 * SECOND);
     let (now, mut out) = (net.now, Vec::new());
     // It forgets one that is heard: nothing follows.
-    net.peers[0].record_added(now, card(3, 1), &mut out);
-    net.peers[0].record_removed(now, PeerId(4));
+    net.peers[0].store_record_added(now, card(3, 1), &mut out);
+    net.peers[0].store_record_removed(now, PeerId(4));
     net.run(net.now + 20 * SECOND);
     assert_eq!(
         (net.standing(0, 3), net.peers[0].replica_count()),
@@ -525,7 +529,7 @@
         address: address(200),
     };
     let now = net.now;
-    net.peers[0].record_added(now, ghost, &mut out);
+    net.peers[0].store_record_added(now, ghost, &mut out);
     assert!(
         matches!(out.last(), Some(PeerAction::Send { to, .. }) if *to == address(200)),
         "it is called on"
@@ -537,14 +541,14 @@
         ),
         (true, 9)
     );
-    net.peers[0].record_removed(now, ghost.id);
+    net.peers[0].store_record_removed(now, ghost.id);
     assert_eq!(net.peers[0].replica_count(), 8);
     // A record of an earlier run ends with it, and says nothing of the present one.
     net.restart(5);
     net.run(net.now + 5 * SECOND);
     let now = net.now;
-    net.peers[0].record_added(now, card(5, 1), &mut out);
-    net.peers[0].record_removed(now, PeerId(6));
+    net.peers[0].store_record_added(now, card(5, 1), &mut out);
+    net.peers[0].store_record_removed(now, PeerId(6));
     net.kill(5);
     net.run(net.now + 20 * SECOND);
     assert_eq!(
@@ -553,8 +557,8 @@
     );
     // Of the present one: gone for certain when it is silent and the grace is over, and back if it is heard.
     let now = net.now;
-    net.peers[0].record_added(now, card(5, 2), &mut out);
-    net.peers[0].record_removed(now, PeerId(6));
+    net.peers[0].store_record_added(now, card(5, 2), &mut out);
+    net.peers[0].store_record_removed(now, PeerId(6));
     net.run(net.now + SECOND);
     assert_eq!(net.peers[0].replica_count(), 8, "its grace");
     net.run(net.now + 5 * SECOND);
@@ -588,7 +592,7 @@
     one.handle_message(now, hello(10_000), &mut out);
     one.handle_message(now, hello(1_000), &mut out);
     assert_eq!(
-        (standing(&one), one.dropped().old),
+        (standing(&one), one.dropped().replayed),
         (Some(PeerState::Dead), 1)
     );
     // Its machine slept and its clock with it, or ours did: far ahead of what can be, unless it answers us.
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -62,10 +62,10 @@
                 }
                 Wakeup::Tick => {}
                 Wakeup::Command(PeerCommand::RecordAdded(node)) => {
-                    self.decide(|peers, out| peers.record_added(now, node, out));
+                    self.decide(|peers, out| peers.store_record_added(now, node, out));
                 }
                 Wakeup::Command(PeerCommand::RecordRemoved(id)) => {
-                    self.decide(|peers, _| peers.record_removed(now, id));
+                    self.decide(|peers, _| peers.store_record_removed(now, id));
                 }
                 Wakeup::Command(PeerCommand::Leave { done }) => {
                     self.decide(|peers, out| peers.leave(now, out));
@@ -141,7 +141,11 @@
         for action in actions {
             match action {
                 PeerAction::Send { to, message } => self.send(&message, to),
-                PeerAction::Changed { node, was, is } => self.log_change(&node, was, is),
+                PeerAction::Changed {
+                    node,
+                    previous,
+                    current,
+                } => self.log_change(&node, previous, current),
             }
         }
         if replica_count != self.replica_count {
