--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -119,18 +119,18 @@
     };
     let follow = store.as_ref().map(|store| WatcherOptions {
         endpoints: store.endpoints().to_vec(),
-        silence: 400_000,
+        silence_timeout: 400_000,
         empty_grace: 2_000_000,
-        pauses: (10_000, 200_000),
+        backoff: (10_000, 200_000),
         ..WatcherOptions::default()
     });
     let make = ClusterBuilder {
         seed: day.plan.seed,
         engines: engines(day.racks),
         settings: NodeSettings {
-            rules: ivyward_core::interface::Settings {
+            router: ivyward_core::interface::Settings {
                 replica_count: day.nodes as u32,
-                ..settings().rules
+                ..settings().router
             },
             ..settings()
         },
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -8,7 +8,7 @@
     ListKind, Micros, Settings,
 };
 use ivyward::recording::{RecordingError, RecordingReader};
-use ivyward::registration::{Record, State, PREFIX};
+use ivyward::registration::{Record, State, DEFAULT_ENGINE_PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
 use ivyward_fakes::engine::OwnThreads;
 use ivyward_fakes::etcd::{Observer, Shown, Store};
@@ -222,7 +222,7 @@
     let base = NodeSettings::default();
     NodeSettings {
         classes: classes(),
-        rules: Settings {
+        router: Settings {
             release_within: 300_000,
             drain_grace: 250_000,
             overload_multiple: 4.0,
@@ -230,15 +230,15 @@
             initial_capacity: 0.3,
             warm_up_duration: 4_000_000,
             max_retry_after: 300_000,
-            ..base.rules.clone()
+            ..base.router.clone()
         },
         // What the node has for its last word, on a machine that may be busy with other things.
         answer_margin: 200_000,
-        ping_every: 300_000,
+        ping_interval: 300_000,
         ping_timeout: 300_000,
-        redial_most: 300_000,
-        release_tries: 2_000_000,
-        stream_stall: 2_000_000,
+        max_backoff: 300_000,
+        release_retry_window: 2_000_000,
+        stream_idle_timeout: 2_000_000,
         ..base
     }
 }
@@ -420,7 +420,7 @@
                     None => block_on(node.update_endpoints(ListKind::Full, entries.collect())),
                     Some(follow) => {
                         let following = node.clone();
-                        runtime.run(async move { following.follow(follow).await });
+                        runtime.run(async move { following.watch_endpoints(follow).await });
                     }
                 }
                 let serving = node.clone();
@@ -636,7 +636,7 @@
     /// What the auditor allows and asks for here.
     pub fn limits(&self) -> RuleLimits {
         limits(
-            &self.make.settings.rules,
+            &self.make.settings.router,
             self.make.flight,
             &self.make.engines,
         )
@@ -675,7 +675,9 @@
 
 /// What a store's showing tells of engines, and whether each may be sent new work; `known` are those it showed before.
 pub(crate) fn notices(shown: &Shown<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
-    let id = |key: &[u8]| ivyward::registration::key_id(PREFIX.as_bytes(), key).map(|id| id.0);
+    let id = |key: &[u8]| {
+        ivyward::registration::key_id(DEFAULT_ENGINE_PREFIX.as_bytes(), key).map(|id| id.0)
+    };
     let ready = |value: &[u8]| {
         serde_json::from_slice::<Record>(value).is_ok_and(|r| r.state == State::Ready)
     };
@@ -791,19 +793,19 @@
 
 /// The daemon's flags for a node's settings and engines.
 pub fn ivyward_flags(settings: &NodeSettings, engines: &[Listed]) -> Vec<String> {
-    let rules = &settings.rules;
+    let rules = &settings.router;
     let us = |span: Micros| format!("{span}us");
     let mut flags: Vec<String> = Vec::new();
     let mut flag = |name: &str, value: String| flags.push(format!("--{name}={value}"));
     for (name, span) in [
         ("answer-margin", settings.answer_margin),
         ("dial-timeout", settings.dial_timeout),
-        ("redial-first", settings.redial_first),
-        ("redial-most", settings.redial_most),
-        ("reset-wait", settings.reset_wait),
-        ("stream-stall", settings.stream_stall),
-        ("release-tries", settings.release_tries),
-        ("ping-every", settings.ping_every),
+        ("redial-first", settings.initial_backoff),
+        ("redial-most", settings.max_backoff),
+        ("reset-wait", settings.reset_timeout),
+        ("stream-stall", settings.stream_idle_timeout),
+        ("release-tries", settings.release_retry_window),
+        ("ping-every", settings.ping_interval),
         ("ping-timeout", settings.ping_timeout),
         ("release-within", rules.release_within),
         ("drain-grace", rules.drain_grace),
@@ -816,10 +818,13 @@
     flag("seed", settings.seed.to_string());
     flag("fall-multiple", rules.overload_multiple.to_string());
     flag("start-capacity", rules.initial_capacity.to_string());
-    flag("resting-checks", settings.resting_checks.to_string());
+    flag(
+        "resting-checks",
+        settings.idle_checks_per_second.to_string(),
+    );
     flag("max-attempts", rules.max_attempts.to_string());
     flag("nodes", rules.replica_count.to_string());
-    flag("most-open", settings.most_open.to_string());
+    flag("most-open", settings.max_open_requests.to_string());
     for class in &settings.classes {
         let s = &class.settings;
         let effect = match s.idempotency {
--- a/crates/ivyward-testbed/tests/request_path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -255,7 +255,7 @@
     let mut specs = pools(1, 1);
     specs[1].token_gap = 0;
     let mut make = ClusterBuilder::new(1, specs);
-    make.settings.stream_buffer = 64;
+    make.settings.max_buffered_tokens = 64;
     let scene = build(make);
     block_on(async {
         let mut slow = scene.ask(0, QUICK, prompt(1, 50), 60_000);
@@ -310,7 +310,7 @@
     // Forty streams at full speed keep the machine busy: first tokens come late, and the module is not to shed for that,
     // nor to take a wait for a stall. How soon a busy engine takes up what waits in its sockets is not the matter either.
     make.patient();
-    make.settings.rules.release_within = 20_000_000;
+    make.settings.router.release_within = 20_000_000;
     make.flight = 20_000_000;
     let scene = build(make);
     block_on(async {
