--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -169,7 +169,7 @@
             };
             let connection = BufferedConnection::new(conn);
             let reason = self.serve_connection(connection, id, close_requested).await;
-            self.node.metrics().closed(reason);
+            self.node.metrics().count_client_close(reason);
             debug!(
                 connection = id,
                 reason = reason.name(),
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -228,12 +228,12 @@
         known = metrics.engines_known.get(),
         requests = metrics.requests.get(),
         served = metrics.served.get(),
-        refused = metrics.refused.get(),
+        refused = metrics.rejected.get(),
         failed = metrics.failed.get(),
-        gone = metrics.gone.get(),
+        gone = metrics.disconnected.get(),
         violations = metrics.all_violations(),
         attempts = metrics.attempts.get(),
-        module_us = metrics.module_us.get(),
+        module_us = metrics.router_us.get(),
         driver_us = metrics.driver_us.get(),
         "counters"
     );
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -277,7 +277,7 @@
         let first = store.put(&key(1), &record(1, "draining"));
         runtime.block_on(known(first));
         let m = node.metrics();
-        let (module, driver) = (m.module_us.get(), m.driver_us.get());
+        let (module, driver) = (m.router_us.get(), m.driver_us.get());
         for i in 0..count {
             let state = if i / fleet % 2 == 0 {
                 "draining"
@@ -287,7 +287,7 @@
             let last = store.put(&key(i % fleet + 1), &record(i % fleet + 1, state));
             runtime.block_on(known(last));
         }
-        let (module, driver) = (m.module_us.get() - module, m.driver_us.get() - driver);
+        let (module, driver) = (m.router_us.get() - module, m.driver_us.get() - driver);
         out.push(Change {
             fleet,
             load,
--- a/crates/ivyward-testbed/src/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -357,7 +357,7 @@
         });
         runtime.block_on(node.update_endpoints(ListKind::Full, listed.collect()));
         let before = (
-            node.metrics().module_us.get(),
+            node.metrics().router_us.get(),
             node.metrics().driver_us.get(),
         );
         let lanes = 16;
@@ -390,7 +390,7 @@
         let m = node.metrics();
         let per = |now: u64, then: u64| (now - then) as f64 / m.requests.get().max(1) as f64;
         let (module, all) = (
-            per(m.module_us.get(), before.0),
+            per(m.router_us.get(), before.0),
             per(m.driver_us.get(), before.1),
         );
         out.push(Cost {
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -314,7 +314,7 @@
     if wrong.is_empty() {
         wrong.extend(cluster.come_back().await);
     }
-    let buffered = |node: Node| node.metrics().buffered_most.get();
+    let buffered = |node: Node| node.metrics().max_buffered_tokens.get();
     let nodes = (0..size.nodes).filter_map(|n| cluster.node(n));
     if let Some(most) = nodes
         .map(|n| buffered(n.1))
--- a/crates/ivyward-testbed/tests/node_isolation.rs
+++ b/crates/ivyward-testbed/tests/node_isolation.rs
@@ -129,7 +129,7 @@
         }
         // As long as a reset takes to be written, and to cross.
         runtime.sleep(1_000_000).await;
-        (node.open_requests(), node.metrics().gone.get())
+        (node.open_requests(), node.metrics().disconnected.get())
     });
     assert_eq!(played, Ok((0, 5)));
     assert!(stage.engines.iter().all(|e| e.retained() == 0));
--- a/crates/ivyward-testbed/tests/watch_latency.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -290,7 +290,7 @@
             "ivyward/engines/77",
             &rig.scene.registration(4, State::Ready, 0).1,
         );
-        rig.until(|rig| rig.scene.node(0).unwrap().metrics().records_unread.get() == 3)
+        rig.until(|rig| rig.scene.node(0).unwrap().metrics().records_malformed.get() == 3)
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         // A long answer runs while all writers are told to be elsewhere, and come back.
@@ -387,7 +387,7 @@
         );
         runtime.run(async move { following.follow(keeping).await });
         rig.until(|_| node.metrics().engines.get() == 12).await;
-        rig.until(|_| node.metrics().list_keep_failures.get() > 0)
+        rig.until(|_| node.metrics().snapshot_write_failures.get() > 0)
             .await;
         std::fs::create_dir(&folder).unwrap();
         rig.until(|_| path.exists()).await;
--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -105,7 +105,7 @@
             Ok(()) => self.snapshot_outdated = false,
             // Guards against a disk that was full for a moment: the file would stay old until the list changes again.
             Err(error) => {
-                self.node.metrics().list_keep_failures.add(1);
+                self.node.metrics().snapshot_write_failures.add(1);
                 warn!(file = %path.display(), %error, "endpoint snapshot write failed, will retry");
             }
         }
@@ -185,7 +185,7 @@
             self.logged_bad_records.clear();
         }
         self.logged_bad_records.insert(id, record.mod_revision);
-        self.node.metrics().records_unread.add(1);
+        self.node.metrics().records_malformed.add(1);
         let key = String::from_utf8_lossy(&record.key);
         warn!(%key, %problem, "registration record ignored");
     }
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -23,7 +23,7 @@
         self.0.store(n, Ordering::Relaxed);
     }
     /// Raises it to `n`, if it is lower.
-    pub fn most(&self, n: u64) {
+    pub fn raise_to(&self, n: u64) {
         self.0.fetch_max(n, Ordering::Relaxed);
     }
     /// The current value.
@@ -42,11 +42,11 @@
     /// Final answers: served.
     pub served: Counter,
     /// Final answers: rejected, also at the server's bounds.
-    pub refused: Counter,
+    pub rejected: Counter,
     /// Final answers: failed.
     pub failed: Counter,
     /// Requests whose client disconnected first.
-    pub gone: Counter,
+    pub disconnected: Counter,
     /// Attempts sent.
     pub attempts: Counter,
     /// Ends of attempts, in the order of [`OUTCOMES`].
@@ -55,10 +55,10 @@
     pub retries: [Counter; 10],
     /// Steps that an invariant forbade, in the order of [`Rule::ALL`].
     pub violations: [Counter; Rule::ALL.len()],
-    /// Rejections by their reason, in the order of [`REFUSALS`].
-    pub refusals: [Counter; REFUSALS.len()],
+    /// Rejections by their reason, in the order of [`REJECT_REASONS`].
+    pub rejections: [Counter; REJECT_REASONS.len()],
     /// Client connections that were closed, in the order of [`CloseReason::ALL`].
-    pub closes: [Counter; CloseReason::ALL.len()],
+    pub client_closes: [Counter; CloseReason::ALL.len()],
     /// Releases asked of engines.
     pub releases: Counter,
     /// Releases left to the engines' own limit.
@@ -72,29 +72,29 @@
     /// The store's revision up to which the list is known.
     pub list_revision: Counter,
     /// Registration records that could not be read.
-    pub records_unread: Counter,
+    pub records_malformed: Counter,
     /// Failed writes of the endpoint snapshot.
-    pub list_keep_failures: Counter,
+    pub snapshot_write_failures: Counter,
     /// Gaps: watches that broke, were compacted away or fell silent.
     pub list_gaps: Counter,
     /// Microseconds that the driver was busy, the router included.
     pub driver_us: Counter,
     /// Microseconds that the router was busy.
-    pub module_us: Counter,
+    pub router_us: Counter,
     /// Most tokens that ever waited for one client.
-    pub buffered_most: Counter,
+    pub max_buffered_tokens: Counter,
     /// Datagrams sent to peers, and their bytes.
     pub peer_datagrams_sent: Counter,
     /// See `peer_datagrams_sent`.
     pub peer_bytes_sent: Counter,
     /// Datagrams received, and those of them that could not be read.
-    pub peer_datagrams_taken: Counter,
-    /// See `peer_datagrams_taken`.
-    pub peer_datagrams_unread: Counter,
+    pub peer_datagrams_received: Counter,
+    /// See `peer_datagrams_received`.
+    pub peer_datagrams_malformed: Counter,
     /// Changes of the view of the peers.
     pub peer_changes: Counter,
     /// Client connections closed at once at the server's bound.
-    pub clients_turned_away: Counter,
+    pub clients_rejected: Counter,
     /// Traffic with engines.
     pub engine_traffic: Arc<Meter>,
     /// Traffic with the store for the list of engines.
@@ -120,7 +120,7 @@
 ];
 
 /// The reasons of rejections, with their names in metrics.
-pub const REFUSALS: [(RejectReason, &str); 3] = [
+pub const REJECT_REASONS: [(RejectReason, &str); 3] = [
     (RejectReason::Overloaded, "overload"),
     (RejectReason::NodeFull, "node_full"),
     (RejectReason::Stopping, "stopping"),
@@ -128,24 +128,27 @@
 
 impl Metrics {
     /// Counts a closed client connection.
-    pub fn closed(&self, reason: CloseReason) {
-        self.closes[reason as usize].add(1);
+    pub fn count_client_close(&self, reason: CloseReason) {
+        self.client_closes[reason as usize].add(1);
     }
     /// Steps that an invariant forbade, over all rules.
     pub fn all_violations(&self) -> u64 {
         self.violations.iter().map(Counter::get).sum()
     }
-    pub(crate) fn refused_for(&self, why: RejectReason) {
-        if let Some(i) = REFUSALS.iter().position(|(reason, _)| *reason == why) {
-            self.refusals[i].add(1);
+    pub(crate) fn count_rejection(&self, rejected_for: RejectReason) {
+        if let Some(i) = REJECT_REASONS
+            .iter()
+            .position(|(reason, _)| *reason == rejected_for)
+        {
+            self.rejections[i].add(1);
         }
     }
-    pub(crate) fn retry_after(&self, outcome: Outcome) {
+    pub(crate) fn count_retry(&self, outcome: Outcome) {
         if let Some(i) = OUTCOMES.iter().position(|(o, _)| *o == outcome) {
             self.retries[i].add(1);
         }
     }
-    pub(crate) fn outcome(&self, outcome: Outcome) {
+    pub(crate) fn count_outcome(&self, outcome: Outcome) {
         if let Some(i) = OUTCOMES.iter().position(|(o, _)| *o == outcome) {
             self.outcomes[i].add(1);
         }
@@ -166,20 +169,23 @@
             ("attempts_total", &self.attempts),
             ("releases_total", &self.releases),
             ("releases_dropped_total", &self.releases_dropped),
-            ("clients_turned_away_total", &self.clients_turned_away),
+            ("clients_turned_away_total", &self.clients_rejected),
             ("peer_datagrams_sent_total", &self.peer_datagrams_sent),
             ("peer_bytes_sent_total", &self.peer_bytes_sent),
-            ("peer_datagrams_taken_total", &self.peer_datagrams_taken),
-            ("peer_datagrams_unread_total", &self.peer_datagrams_unread),
+            ("peer_datagrams_taken_total", &self.peer_datagrams_received),
+            (
+                "peer_datagrams_unread_total",
+                &self.peer_datagrams_malformed,
+            ),
             ("peer_changes_total", &self.peer_changes),
             ("list_stale", &self.list_stale),
             ("list_revision", &self.list_revision),
-            ("list_keep_failures_total", &self.list_keep_failures),
+            ("list_keep_failures_total", &self.snapshot_write_failures),
             ("list_gaps_total", &self.list_gaps),
-            ("records_unread_total", &self.records_unread),
+            ("records_unread_total", &self.records_malformed),
             ("driver_busy_us_total", &self.driver_us),
-            ("module_us_total", &self.module_us),
-            ("buffered_tokens_most", &self.buffered_most),
+            ("module_us_total", &self.router_us),
+            ("buffered_tokens_most", &self.max_buffered_tokens),
             ("engines", &self.engines),
             ("engines_known", &self.engines_known),
         ];
@@ -193,9 +199,9 @@
     fn labelled_text(&self, out: &mut String) {
         let answers = [
             ("served", &self.served),
-            ("refused", &self.refused),
+            ("refused", &self.rejected),
             ("failed", &self.failed),
-            ("gone", &self.gone),
+            ("gone", &self.disconnected),
         ];
         write_family(out, "answers_total", "final", answers);
         let outcomes = || OUTCOMES.iter().map(|(_, name)| *name);
@@ -203,19 +209,19 @@
         write_family(out, "attempt_ends_total", "outcome", ends);
         let retries = outcomes().zip(&self.retries);
         write_family(out, "retries_total", "after", retries);
-        let refusals = REFUSALS.iter().map(|(_, name)| *name);
+        let reasons = REJECT_REASONS.iter().map(|(_, name)| *name);
         write_family(
             out,
             "refusals_total",
             "reason",
-            refusals.zip(&self.refusals),
+            reasons.zip(&self.rejections),
         );
         let closes = CloseReason::ALL.iter().map(|reason| reason.name());
         write_family(
             out,
             "client_closes_total",
             "reason",
-            closes.zip(&self.closes),
+            closes.zip(&self.client_closes),
         );
         let rules = Rule::ALL.iter().map(|(_, name)| *name);
         let violations = rules.zip(&self.violations);
--- a/crates/ivyward/src/metrics/tests.rs
+++ b/crates/ivyward/src/metrics/tests.rs
@@ -8,11 +8,11 @@
     let metrics = Metrics::default();
     metrics.requests.add(7);
     metrics.engines_known.set(5);
-    metrics.gone.add(2);
-    metrics.outcome(Outcome::KvCacheMiss);
-    metrics.retry_after(Outcome::Rejected);
-    metrics.refused_for(RejectReason::Stopping);
-    metrics.closed(CloseReason::Idle);
+    metrics.disconnected.add(2);
+    metrics.count_outcome(Outcome::KvCacheMiss);
+    metrics.count_retry(Outcome::Rejected);
+    metrics.count_rejection(RejectReason::Stopping);
+    metrics.count_client_close(CloseReason::Idle);
     let text = metrics.text(3);
     let lines: Vec<&str> = text.lines().collect();
     let names: BTreeSet<&str> = lines.iter().filter_map(|l| l.split(' ').next()).collect();
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -194,8 +194,8 @@
             self.driver.send(DriverMessage::Request(Box::new(accepted)));
             return Ok(id);
         };
-        context.metrics.refused.add(1);
-        context.metrics.refused_for(reason);
+        context.metrics.rejected.add(1);
+        context.metrics.count_rejection(reason);
         Err(reason)
     }
 
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -101,13 +101,13 @@
 
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], source: SocketAddr) {
         let metrics = &self.host.context.metrics;
-        metrics.peer_datagrams_taken.add(1);
+        metrics.peer_datagrams_received.add(1);
         match self.seal.open(bytes, source) {
             Ok(message) => self.on_message(now, message, source),
             Err(why) => {
-                metrics.peer_datagrams_unread.add(1);
+                metrics.peer_datagrams_malformed.add(1);
                 // The first one says what is wrong; a flood of them says no more.
-                if metrics.peer_datagrams_unread.get() == 1 {
+                if metrics.peer_datagrams_malformed.get() == 1 {
                     warn!(%source, %why, "datagram dropped, further ones are only counted");
                 }
             }
--- a/crates/ivyward/src/request/answer_stream.rs
+++ b/crates/ivyward/src/request/answer_stream.rs
@@ -111,7 +111,11 @@
         let attempt = self.attempt;
         self.check_tokens(run)?;
         let waiting = attempt.buffer.push(&run.ids).map_err(abandoned)?;
-        attempt.context.metrics.buffered_most.most(waiting as u64);
+        attempt
+            .context
+            .metrics
+            .max_buffered_tokens
+            .raise_to(waiting as u64);
         self.notify_first_token();
         // A slow client holds up its own stream alone: more is read from its engine when there is room.
         attempt
--- a/crates/ivyward/src/request/attempts.rs
+++ b/crates/ivyward/src/request/attempts.rs
@@ -57,7 +57,7 @@
         let check = self.guard.send(now, RequestId(id), number, target);
         let reason = self.log_violation(id, check);
         if let Some(AttemptReason::Retry(outcome)) = reason {
-            self.context.metrics.retry_after(outcome);
+            self.context.metrics.count_retry(outcome);
         }
         let Some(open) = self.open.get(&id) else {
             return;
@@ -180,7 +180,7 @@
             attempt: number,
             result,
         } = ended;
-        self.context.metrics.outcome(result.outcome);
+        self.context.metrics.count_outcome(result.outcome);
         self.guard.ended(RequestId(id), number, result.outcome);
         if !self.settle_attempt(id, number, &result) {
             return;
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -235,7 +235,7 @@
         let began = self.context.runtime.now();
         self.router.handle(now, event, &mut actions);
         let spent = self.context.runtime.now() - began;
-        self.context.metrics.module_us.add(spent);
+        self.context.metrics.router_us.add(spent);
         if let (Some(recorder), Some(event)) = (self.recorder.as_mut(), recorded) {
             let written = recorder.step(now, &event, &actions);
             self.keep_recording(written);
--- a/crates/ivyward/src/request/finish.rs
+++ b/crates/ivyward/src/request/finish.rs
@@ -41,7 +41,7 @@
         open.answered = true;
         open.pending_reserves.clear();
         open.reservations.client_disconnected();
-        self.context.metrics.gone.add(1);
+        self.context.metrics.disconnected.add(1);
         let disconnected = self
             .guard
             .answer(RequestId(id), AnswerKind::ClientDisconnected);
@@ -104,13 +104,13 @@
         let metrics = &self.context.metrics;
         let counter = match status {
             FinalStatus::Served => &metrics.served,
-            FinalStatus::Rejected { .. } => &metrics.refused,
+            FinalStatus::Rejected { .. } => &metrics.rejected,
             FinalStatus::Failed(_) => &metrics.failed,
         };
         let name = open.accepted.call.name();
         debug!(request = id, name, ?status, "request finished");
         if let FinalStatus::Rejected { reason, .. } = status {
-            metrics.refused_for(reason);
+            metrics.count_rejection(reason);
         }
         if open.accepted.call.finish(status) {
             counter.add(1);
--- a/crates/ivyward/src/request/grpc_server.rs
+++ b/crates/ivyward/src/request/grpc_server.rs
@@ -201,7 +201,7 @@
                 }
             };
             let Some(admitted) = self.clients.admit(settings.most_clients) else {
-                self.context.metrics.clients_turned_away.add(1);
+                self.context.metrics.clients_rejected.add(1);
                 continue;
             };
             let (service, node) = (service.clone(), self.clone());
