--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -93,7 +93,7 @@
         let received = before(&self.runtime, until, or(received, close)).await;
         match received.flatten() {
             Some(Ok(count)) if count > 0 => Ok(()),
-            Some(_) => Err(CloseReason::ClientLeft),
+            Some(_) => Err(CloseReason::ClientDisconnected),
             None => Err(self.unless_stopping(CloseReason::Idle)),
         }
     }
@@ -102,7 +102,7 @@
     async fn serve_request(&self, connection: &mut BufferedConnection) -> Result<(), CloseReason> {
         let until = self.runtime.now().saturating_add(REQUEST_TIMEOUT);
         let error = match self.receive(connection, until).await {
-            Err(ReadError::Closed) => return Err(CloseReason::ClientLeft),
+            Err(ReadError::Closed) => return Err(CloseReason::ClientDisconnected),
             Err(ReadError::Invalid(error)) => error,
             Ok((request, prompt)) => {
                 let keep_alive = request.head.keeps();
@@ -133,8 +133,8 @@
         }
         match delivery {
             Delivery::Complete if keep_alive && !self.is_stopping() => Ok(()),
-            Delivery::Complete => Err(self.unless_stopping(CloseReason::Asked)),
-            Delivery::Broken => Err(CloseReason::AnswerBroken),
+            Delivery::Complete => Err(self.unless_stopping(CloseReason::CloseRequested)),
+            Delivery::Broken => Err(CloseReason::ResponseBroken),
         }
     }
 
@@ -151,7 +151,7 @@
             closes,
         };
         if self.respond(connection, &response).await == Delivery::Broken {
-            return Err(CloseReason::ClientLeft);
+            return Err(CloseReason::ClientDisconnected);
         }
         if closes {
             self.linger(connection).await;
--- a/crates/ivyward/src/close_reason.rs
+++ b/crates/ivyward/src/close_reason.rs
@@ -4,17 +4,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed it, or it broke.
-    ClientLeft,
+    ClientDisconnected,
     /// No request came in time, or the connection made room for another one.
     Idle,
     /// The request was answered with an error after which the connection cannot be used.
     InvalidRequest,
     /// The request or its answer asked for the close.
-    Asked,
+    CloseRequested,
     /// More bytes followed a request than are buffered.
     Pipelined,
     /// The answer broke off, or the client read no byte of it for too long.
-    AnswerBroken,
+    ResponseBroken,
     /// The node stops.
     Stopping,
 }
@@ -22,24 +22,24 @@
 impl CloseReason {
     /// All reasons, in the order of their declaration.
     pub const ALL: [CloseReason; 7] = [
-        CloseReason::ClientLeft,
+        CloseReason::ClientDisconnected,
         CloseReason::Idle,
         CloseReason::InvalidRequest,
-        CloseReason::Asked,
+        CloseReason::CloseRequested,
         CloseReason::Pipelined,
-        CloseReason::AnswerBroken,
+        CloseReason::ResponseBroken,
         CloseReason::Stopping,
     ];
 
     /// Its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "client_left",
+            CloseReason::ClientDisconnected => "client_left",
             CloseReason::Idle => "idle",
             CloseReason::InvalidRequest => "invalid_request",
-            CloseReason::Asked => "asked",
+            CloseReason::CloseRequested => "asked",
             CloseReason::Pipelined => "pipelined",
-            CloseReason::AnswerBroken => "answer_broken",
+            CloseReason::ResponseBroken => "answer_broken",
             CloseReason::Stopping => "stopping",
         }
     }
