--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -112,7 +112,7 @@
     ) -> Result<EngineConnection, AttemptResult> {
         let reuse = connection_reuse::reuse_policy(self.runtime().now(), traits);
         let connecting = self.client.connect(self.request.send_deadline, reuse, 0);
-        match self.request.until_cancelled(timer, connecting).await {
+        match self.request.wait_cancel_first(timer, connecting).await {
             WaitResult::Completed(Ok(connection)) => Ok(connection),
             WaitResult::Completed(Err(error)) => Err(connect_failed(&error)),
             WaitResult::TimedOut => {
@@ -140,7 +140,7 @@
         let prompt = self.call.prompt().ok_or_else(not_sent)?;
         let head = self.request_head(&prompt);
         let writing = self.while_connected(self.write(connection, &head, &prompt.bytes));
-        match self.request.until_cancelled(timer, writing).await {
+        match self.request.wait_cancel_first(timer, writing).await {
             WaitResult::Completed(Some(Ok(()))) => Ok(()),
             WaitResult::Completed(Some(Err(error))) => Err(self.write_failed(connection, &error)),
             WaitResult::TimedOut => Err(AttemptResult::new(
--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -121,7 +121,7 @@
         let permit = self.pool.permit(reserve).ok_or(CallError::NoDescriptor)?;
         let address = self.endpoint.address;
         match connect(&self.pool.runtime, address, until).await {
-            Ok(Connected { conn, took }) => Ok(EngineConnection::new(conn, took, permit)),
+            Ok(Connected { conn, duration }) => Ok(EngineConnection::new(conn, duration, permit)),
             Err(ConnectFailure::Local(error)) => Err(CallError::NoLocalResources(error)),
             Err(failure) => Err(CallError::Connect { address, failure }),
         }
--- a/crates/ivyward/src/engines/connect.rs
+++ b/crates/ivyward/src/engines/connect.rs
@@ -11,7 +11,7 @@
     /// The connection.
     pub conn: Conn,
     /// How long its last try took: about one round trip.
-    pub took: Micros,
+    pub duration: Micros,
 }
 
 /// Why no connection came up.
@@ -25,7 +25,7 @@
     Remote(io::Error),
     /// It did not come up in time.
     #[error("no connection in time")]
-    Late,
+    TimedOut,
 }
 
 /// Opens a connection by `until`. Guards against a moment without ports, buffers, descriptors or routes on this machine:
@@ -44,11 +44,11 @@
             Some(Ok(conn)) => {
                 return Ok(Connected {
                     conn,
-                    took: runtime.now() - began,
+                    duration: runtime.now() - began,
                 })
             }
             Some(Err(error)) => error,
-            None => return Err(ConnectFailure::Late),
+            None => return Err(ConnectFailure::TimedOut),
         };
         if ErrorOrigin::of(&error) == ErrorOrigin::Remote {
             return Err(ConnectFailure::Remote(error));
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -13,7 +13,7 @@
 pub use ivyward_core::reservations::ReservationStatus;
 
 use crate::context::NodeContext;
-use crate::response::{FinalStatus, StreamEnd, TokenBuffer};
+use crate::response::{AlreadyFinished, FinalStatus, TokenBuffer};
 use futures_lite::future::{or, poll_fn};
 use ivyward_core::interface::{Endpoint, EndpointId, LoadReport, Micros, Outcome};
 use ivyward_runtime::{BoxFuture, RuntimeRef};
@@ -170,7 +170,7 @@
         .await
     }
     /// Like [`AttemptRequest::wait`], but a cancellation goes first: nothing that can still be left undone is done after it.
-    pub async fn until_cancelled<T>(
+    pub async fn wait_cancel_first<T>(
         &self,
         timer: &mut BoxFuture<()>,
         next: impl Future<Output = T>,
@@ -188,11 +188,11 @@
     pub async fn wait_for_capacity<T: Copy>(
         &self,
         buffer: &TokenBuffer<T>,
-    ) -> Result<(), StreamEnd> {
+    ) -> Result<(), AlreadyFinished> {
         let has_room = poll_fn(|cx| buffer.poll_capacity(cx));
         let abandoned = async {
             while self.cancelled().await == CancelReason::ByRouter {}
-            Err(StreamEnd)
+            Err(AlreadyFinished)
         };
         or(has_room, abandoned).await
     }
--- a/crates/ivyward/src/request/answer_stream.rs
+++ b/crates/ivyward/src/request/answer_stream.rs
@@ -2,7 +2,7 @@
 
 use crate::engines::{AttemptResult, CancelReason, StallDetector, WaitResult};
 use crate::request::attempt::{check_engine, GrpcAttempt};
-use crate::response::StreamEnd;
+use crate::response::AlreadyFinished;
 use ivyward_core::interface::Outcome;
 use ivyward_grpc::{Call, CallError, Cause};
 use ivyward_proto::engine as pb;
@@ -22,7 +22,7 @@
     AttemptResult::new(Outcome::Error, detail)
 }
 
-fn abandoned(_: StreamEnd) -> AttemptResult {
+fn abandoned(_: AlreadyFinished) -> AttemptResult {
     AttemptResult::new(Outcome::Cancelled, "given up")
 }
 
@@ -66,7 +66,7 @@
             let next = self.call.next::<pb::WriteEvent>();
             match self.attempt.wait(&mut self.stall.timer, next).await {
                 WaitResult::Cancelled(CancelReason::RequestFinished) => {
-                    return Err(abandoned(StreamEnd));
+                    return Err(abandoned(AlreadyFinished));
                 }
                 // A stream that has begun is not cancelled.
                 WaitResult::Cancelled(CancelReason::ByRouter) => {}
--- a/crates/ivyward/src/response.rs
+++ b/crates/ivyward/src/response.rs
@@ -84,7 +84,7 @@
 
 /// The request has its final answer; nothing is accepted after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StreamEnd;
+pub struct AlreadyFinished;
 
 impl<T: Copy> TokenBuffer<T> {
     /// An empty buffer.
@@ -112,10 +112,10 @@
     ///
     /// # Errors
     /// When the request has its final answer.
-    pub fn push(&self, items: &[T]) -> Result<usize, StreamEnd> {
+    pub fn push(&self, items: &[T]) -> Result<usize, AlreadyFinished> {
         let mut state = self.lock();
         if state.end.is_some() {
-            return Err(StreamEnd);
+            return Err(AlreadyFinished);
         }
         state.items.extend_from_slice(items);
         let (reader, waiting) = (state.reader.take(), state.items.len());
@@ -126,10 +126,10 @@
         Ok(waiting)
     }
     /// Ready when fewer items wait than the bound.
-    pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<Result<(), StreamEnd>> {
+    pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<Result<(), AlreadyFinished>> {
         let mut state = self.lock();
         if state.end.is_some() {
-            return Poll::Ready(Err(StreamEnd));
+            return Poll::Ready(Err(AlreadyFinished));
         }
         if state.items.len() < self.bound || mutations::is_active(Mutation::NoBound) {
             return Poll::Ready(Ok(()));
--- a/crates/ivyward/src/response/tests.rs
+++ b/crates/ivyward/src/response/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(buffer.push(&[1, 2]), Ok(2));
     assert!(buffer.finish(FinalStatus::Served));
     assert!(!buffer.finish(FinalStatus::Failed(FailureReason::Deadline)));
-    assert_eq!(buffer.push(&[3]), Err(StreamEnd));
+    assert_eq!(buffer.push(&[3]), Err(AlreadyFinished));
     let run = ResponsePart::Tokens(TokenRun {
         first_index: 0,
         ids: vec![1, 2],
@@ -48,7 +48,7 @@
     let mut cx = Context::from_waker(Waker::noop());
     buffer.push(b"late").unwrap();
     assert!(buffer.finish(FinalStatus::Failed(FailureReason::Deadline)));
-    assert_eq!(buffer.push(b"later"), Err(StreamEnd));
+    assert_eq!(buffer.push(b"later"), Err(AlreadyFinished));
     assert_eq!(
         buffer.poll_items(&mut cx),
         Poll::Ready(Err(FinalStatus::Failed(FailureReason::Deadline)))
