--- a/crates/ivyward-testbed/src/peer_scenario.rs
+++ b/crates/ivyward-testbed/src/peer_scenario.rs
@@ -52,7 +52,7 @@
             name: Some(i.to_string()),
             ..PeerOptions::at(self.real[i])
         };
-        node.peers(options).map_err(|e| e.to_string())
+        node.start_peers(options).map_err(|e| e.to_string())
     }
 }
 
@@ -79,7 +79,7 @@
     let mut wrong = Vec::new();
     let all = nodes.len() as u32;
     for (i, node) in nodes.iter().enumerate() {
-        let Some(peers) = node.as_ref().and_then(Node::known_peers) else {
+        let Some(peers) = node.as_ref().and_then(Node::peers_handle) else {
             continue;
         };
         let (alive, count) = peers.with_view(|p| {
@@ -104,7 +104,7 @@
     let counts = nodes
         .iter()
         .enumerate()
-        .filter_map(|(i, node)| Some((i, node.as_ref()?.known_peers()?)));
+        .filter_map(|(i, node)| Some((i, node.as_ref()?.peers_handle()?)));
     let mut low = counts
         .map(|(i, peers)| (i, peers.with_view(|p| p.replica_count())))
         .filter(|c| c.1 < there);
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -189,7 +189,7 @@
         store: Some(peer_store),
         ..PeerOptions::at(local())
     };
-    node.peers(options).map_err(|e| failed(&e))?;
+    node.start_peers(options).map_err(|e| failed(&e))?;
     Ok(node)
 }
 
--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -77,12 +77,12 @@
         (Some("GET"), Some("/healthz")) => ("503 Service Unavailable", "stopping\n".into()),
         (Some("GET"), Some("/metrics")) => {
             let mut text = node.metrics().text(node.open_requests());
-            if let Some(peers) = node.known_peers() {
+            if let Some(peers) = node.peers_handle() {
                 peers.metrics(&mut text);
             }
             ("200 OK", text)
         }
-        (Some("GET"), Some("/peers")) => match node.known_peers() {
+        (Some("GET"), Some("/peers")) => match node.peers_handle() {
             Some(peers) => ("200 OK", peers.text()),
             None => (
                 "404 Not Found",
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -227,7 +227,7 @@
     ///
     /// # Errors
     /// [`PeerError`].
-    pub fn peers(&self, options: PeerOptions) -> Result<PeersHandle, PeerError> {
+    pub fn start_peers(&self, options: PeerOptions) -> Result<PeersHandle, PeerError> {
         let node = self.clone();
         let host = PeerHost {
             context: self.context.clone(),
@@ -241,7 +241,7 @@
     }
 
     /// The node's peers, if it was told to know any.
-    pub fn known_peers(&self) -> Option<&PeersHandle> {
+    pub fn peers_handle(&self) -> Option<&PeersHandle> {
         self.peers.get()
     }
 
--- a/crates/ivywardd/src/grpc_node.rs
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -121,7 +121,7 @@
         smol.run(async move { node.follow(options).await });
     }
     if let Some(options) = flags.peers() {
-        node.peers(options)?;
+        node.start_peers(options)?;
     }
     Ok(())
 }
--- a/crates/ivywardd/tests/compatibility.rs
+++ b/crates/ivywardd/tests/compatibility.rs
@@ -102,7 +102,7 @@
         ..NodeSettings::default()
     };
     let node = Node::start(runtime.clone(), settings, None).unwrap();
-    node.peers(PeerOptions::at("127.0.0.1:0".parse().unwrap()))
+    node.start_peers(PeerOptions::at("127.0.0.1:0".parse().unwrap()))
         .unwrap();
     let listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.address();
