--- a/crates/ivyward-etcd/src/client.rs
+++ b/crates/ivyward-etcd/src/client.rs
@@ -107,7 +107,7 @@
             let (usable, endpoint) = {
                 let connection = self.connection();
                 (
-                    connection.channel.clone().filter(Channel::usable),
+                    connection.channel.clone().filter(Channel::is_usable),
                     connection.endpoint,
                 )
             };
--- a/crates/ivyward-etcd/src/watch.rs
+++ b/crates/ivyward-etcd/src/watch.rs
@@ -68,7 +68,7 @@
             request_union: Some(union),
         };
         let call = channel
-            .open("/etcdserverpb.Watch/Watch", encode(&request), headers)
+            .client_streaming_call("/etcdserverpb.Watch/Watch", encode(&request), headers)
             .await?;
         Ok(Watcher {
             call,
--- a/crates/ivyward-fakes/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -128,7 +128,7 @@
     }
     /// Whether it may still be used.
     pub fn usable(&self) -> bool {
-        self.channel.usable()
+        self.channel.is_usable()
     }
     /// Closes the connection; its calls break.
     pub fn close(&self) {
--- a/crates/ivyward-grpc/src/call.rs
+++ b/crates/ivyward-grpc/src/call.rs
@@ -102,13 +102,14 @@
         let reset_by_server = error.is_reset() && error.is_remote();
         let refused = reset_by_server && error.reason() == Some(Reason::REFUSED_STREAM);
         // The server may have run a call whose HEADERS were sent, unless a GOAWAY's last stream lies below it.
-        let never_ran =
-            refused || observer.disowned(self.stream) || !observer.headers_sent(self.stream);
+        let never_ran = refused
+            || observer.excluded_by_goaway(self.stream)
+            || !observer.headers_sent(self.stream);
         let text = error.to_string();
         let cause = if reset_by_server {
             Cause::Reset(text)
         } else {
-            Cause::Broken(text)
+            Cause::ConnectionBroken(text)
         };
         CallError { cause, never_ran }
     }
@@ -203,7 +204,7 @@
     }
 
     /// The next message if it has been received already.
-    pub async fn ready<M: Message + Default>(&mut self) -> Option<Result<Option<M>, CallError>> {
+    pub async fn try_next<M: Message + Default>(&mut self) -> Option<Result<Option<M>, CallError>> {
         poll_fn(|cx| match self.poll_message(cx) {
             Poll::Pending => Poll::Ready(None),
             Poll::Ready(next) => Poll::Ready(Some(next)),
@@ -217,7 +218,7 @@
     }
 
     /// Whether any part of the call was written to the socket.
-    pub fn left(&self) -> bool {
+    pub fn headers_sent(&self) -> bool {
         self.channel.observer.headers_sent(self.stream)
     }
 
@@ -250,10 +251,10 @@
     pub async fn abandon(mut self, within: Micros) -> bool {
         // No reset is sent for a stream that both sides have ended.
         if self.ended
-            || self.channel.closed()
+            || self.channel.is_closed()
             || poll_fn(|cx| Poll::Ready(self.discard_until_end(cx))).await
         {
-            return self.left();
+            return self.headers_sent();
         }
         let written = self.channel.observer.await_reset(self.stream);
         self.upload.send_reset(Reason::CANCEL);
@@ -262,14 +263,14 @@
         let wait = before(&runtime, deadline, written.recv()).await;
         // Nor for a call whose HEADERS were never sent, nor for one that ended just as it was reset.
         if wait.is_none()
-            && self.left()
+            && self.headers_sent()
             && !poll_fn(|cx| Poll::Ready(self.ended_in_order(cx))).await
         {
             self.channel.close();
             // Ends with an error when the connection is closed.
             let _ = written.recv().await;
         }
-        self.left()
+        self.headers_sent()
     }
 
     /// Whether the server ended the stream in order, rather than by our reset.
--- a/crates/ivyward-grpc/src/channel.rs
+++ b/crates/ivyward-grpc/src/channel.rs
@@ -32,17 +32,17 @@
 
 impl Channel {
     /// Whether new calls may be made on the connection.
-    pub fn usable(&self) -> bool {
-        !self.observer.closed() && !self.observer.going_away()
+    pub fn is_usable(&self) -> bool {
+        !self.observer.is_closed() && !self.observer.goaway_received()
     }
 
     /// Whether the connection is closed.
-    pub fn closed(&self) -> bool {
-        self.observer.closed()
+    pub fn is_closed(&self) -> bool {
+        self.observer.is_closed()
     }
 
     /// Number of calls in flight.
-    pub fn calls(&self) -> usize {
+    pub fn calls_in_flight(&self) -> usize {
         self.activity.calls_in_flight()
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// Whether the last check failed and nothing was received since.
-    pub fn doubtful(&self) -> bool {
+    pub fn last_check_failed(&self) -> bool {
         self.received_at_failed_check.load(Ordering::SeqCst) == self.observer.received_bytes()
     }
 
     /// Returns when bytes are received or the connection closes.
-    pub async fn answered(&self) {
+    pub async fn wait_for_bytes(&self) {
         let received = self.observer.received_bytes();
         self.received_more_than(received).await;
     }
@@ -66,7 +66,7 @@
     async fn received_more_than(&self, received: u64) {
         loop {
             let changed = self.observer.listen();
-            if self.observer.closed() || self.observer.received_bytes() != received {
+            if self.observer.is_closed() || self.observer.received_bytes() != received {
                 return;
             }
             changed.await;
@@ -91,7 +91,7 @@
             self.received_at_failed_check
                 .store(received, Ordering::SeqCst);
         }
-        answered && !self.closed()
+        answered && !self.is_closed()
     }
 
     /// Number of concurrent streams that the server allows, as far as it announced a limit.
--- a/crates/ivyward-grpc/src/frame_observer.rs
+++ b/crates/ivyward-grpc/src/frame_observer.rs
@@ -59,19 +59,19 @@
     }
 
     /// Whether a GOAWAY of the server promises that it did nothing for a stream.
-    pub fn disowned(&self, stream: u32) -> bool {
+    pub fn excluded_by_goaway(&self, stream: u32) -> bool {
         self.observed()
             .goaway_last_stream
             .is_some_and(|last| stream > last)
     }
 
     /// Whether the server accepts no new streams.
-    pub fn going_away(&self) -> bool {
+    pub fn goaway_received(&self) -> bool {
         self.observed().goaway_last_stream.is_some()
     }
 
     /// Whether the connection is closed.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.observed().closed
     }
 
--- a/crates/ivyward-grpc/src/handshake.rs
+++ b/crates/ivyward-grpc/src/handshake.rs
@@ -108,7 +108,7 @@
             let _ = close_requested.recv().await;
         };
         let pinging = async {
-            if let Some(pings) = pings.filter(|_| keepalive.options.ping_every > 0) {
+            if let Some(pings) = pings.filter(|_| keepalive.options.ping_interval > 0) {
                 keepalive.run(pings).await;
             } else {
                 std::future::pending::<()>().await;
--- a/crates/ivyward-grpc/src/keepalive.rs
+++ b/crates/ivyward-grpc/src/keepalive.rs
@@ -85,7 +85,7 @@
             self.observer
                 .last_received()
                 .max(began)
-                .saturating_add(self.options.ping_every)
+                .saturating_add(self.options.ping_interval)
         };
         loop {
             if self.check_requested_before(ping_at()).await {
--- a/crates/ivyward-grpc/src/options.rs
+++ b/crates/ivyward-grpc/src/options.rs
@@ -15,7 +15,7 @@
     /// A ping is sent after this span without received bytes, with or without calls in flight; 0 for never.
     /// Connections begun with [`Channel::begin_with_idle_checks`](crate::Channel::begin_with_idle_checks) are pinged
     /// by this rule only while calls are in flight.
-    pub ping_every: Micros,
+    pub ping_interval: Micros,
     /// A connection on which a ping stays unanswered for this span is closed.
     pub ping_timeout: Micros,
 }
@@ -26,7 +26,7 @@
             stream_window: 16 << 10,
             streams: 100,
             max_message_size: 4 << 20,
-            ping_every: 1_000_000,
+            ping_interval: 1_000_000,
             ping_timeout: 1_000_000,
         }
     }
--- a/crates/ivyward-grpc/src/start_call.rs
+++ b/crates/ivyward-grpc/src/start_call.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// When the call could not be started, or no time is left; it never ran then.
-    pub async fn call_before(
+    pub async fn call_with_deadline(
         &self,
         path: &'static str,
         body: Bytes,
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// When the call could not be started; it never ran then.
-    pub async fn open(
+    pub async fn client_streaming_call(
         &self,
         path: &'static str,
         body: Bytes,
@@ -135,12 +135,12 @@
     fn timeout_value(&self, deadline: Micros) -> Result<HeaderValue, CallError> {
         let remaining = deadline.saturating_sub(self.runtime.now());
         if remaining == 0 {
-            return Err(CallError::never_ran(Cause::Late));
+            return Err(CallError::never_ran(Cause::DeadlinePassed));
         }
         HeaderValue::from_str(&encode_timeout(remaining)).map_err(not_started)
     }
 }
 
 fn not_started(error: impl Display) -> CallError {
-    CallError::never_ran(Cause::Broken(error.to_string()))
+    CallError::never_ran(Cause::ConnectionBroken(error.to_string()))
 }
--- a/crates/ivyward-grpc/src/status.rs
+++ b/crates/ivyward-grpc/src/status.rs
@@ -39,10 +39,10 @@
 pub enum Cause {
     /// Its deadline passed before it could be sent.
     #[error("no time was left before the call could leave")]
-    Late,
+    DeadlinePassed,
     /// The connection broke, or was closed by either side.
     #[error("the connection broke: {0}")]
-    Broken(String),
+    ConnectionBroken(String),
     /// The server reset the stream.
     #[error("the server reset the stream: {0}")]
     Reset(String),
--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -374,7 +374,7 @@
             let deadline = scene.runtime.now() + 1_000_000 + more;
             let call = dial(&scene, 0)
                 .await
-                .call_before(path, encode(&ask), Some(deadline))
+                .call_with_deadline(path, encode(&ask), Some(deadline))
                 .await;
             to_end::<pb::WriteEvent>(call.unwrap()).await;
             heard(&scene, 1, ClientOutcome::Served);
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -94,7 +94,7 @@
     ) -> Arc<GrpcEngineClient> {
         let options = Options {
             streams: settings.calls_per_connection as u32,
-            ping_every: settings.ping_every,
+            ping_interval: settings.ping_every,
             ping_timeout: settings.ping_timeout,
             ..Options::default()
         };
@@ -171,16 +171,18 @@
         let mut pool = self.pool();
         let stale = mutations::is_active(Mutation::StaleConnection);
         pool.channels
-            .retain(|c| c.usable() || c.calls() > 0 && !c.closed() || stale);
+            .retain(|c| c.is_usable() || c.calls_in_flight() > 0 && !c.is_closed() || stale);
         // Guards against a call that leaves on a connection whose engine did not answer its last check.
-        let room = |c: &Channel| c.calls() < self.calls_per_channel.min(c.stream_capacity().max(1));
-        let eligible = |c: &&Channel| (c.usable() || stale) && !c.doubtful() && room(c);
+        let room = |c: &Channel| {
+            c.calls_in_flight() < self.calls_per_channel.min(c.stream_capacity().max(1))
+        };
+        let eligible = |c: &&Channel| (c.is_usable() || stale) && !c.last_check_failed() && room(c);
         let rated = pool
             .channels
             .iter()
             .filter(eligible)
             .map(|c| (self.check_before_use(c), c));
-        let best = rated.min_by_key(|(check, c)| (check.is_some(), c.calls()));
+        let best = rated.min_by_key(|(check, c)| (check.is_some(), c.calls_in_flight()));
         match best.map(|(check, channel)| (check, channel.clone())) {
             Some((None, channel)) => {
                 (pool.attempts_since_use, pool.next_attempt_at) = (0, 0);
@@ -206,7 +208,7 @@
         }
         let (client, channel) = (self.clone(), channel.clone());
         self.runtime.run(async move {
-            channel.answered().await;
+            channel.wait_for_bytes().await;
             client.changed.notify(usize::MAX);
         });
         false
--- a/crates/ivyward/src/request/answer_stream.rs
+++ b/crates/ivyward/src/request/answer_stream.rs
@@ -29,7 +29,7 @@
 /// The outcome of a stream that broke. Once it has begun, nothing proves that it never ran.
 fn broken_stream_outcome(error: &CallError) -> Outcome {
     match error.cause {
-        Cause::Broken(_) | Cause::Reset(_) | Cause::Late => Outcome::Reset,
+        Cause::ConnectionBroken(_) | Cause::Reset(_) | Cause::DeadlinePassed => Outcome::Reset,
         Cause::Status(_) | Cause::Frame(_) => Outcome::Error,
     }
 }
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -111,7 +111,9 @@
         (Cause::Status(_), false) if mutations::is_active(Mutation::StatusAsProof) => {
             Outcome::Rejected
         }
-        (Cause::Broken(_) | Cause::Reset(_) | Cause::Late, false) => Outcome::Reset,
+        (Cause::ConnectionBroken(_) | Cause::Reset(_) | Cause::DeadlinePassed, false) => {
+            Outcome::Reset
+        }
         (Cause::Status(_) | Cause::Frame(_), false) => Outcome::Error,
     }
 }
@@ -189,7 +191,7 @@
         )
     {
         let deadline = attempt.call_deadline();
-        if let Ok(again) = channel.call_before(path, body, deadline).await {
+        if let Ok(again) = channel.call_with_deadline(path, body, deadline).await {
             call = again;
             result = write(attempt, &mut call).await;
         }
@@ -237,11 +239,12 @@
     path: &'static str,
     body: bytes::Bytes,
 ) -> Result<Call, AttemptResult> {
-    let sending = channel.call_before(path, body, attempt.call_deadline());
+    let sending = channel.call_with_deadline(path, body, attempt.call_deadline());
     let (outcome, detail) = match unless_finished(attempt, sending).await {
         Some(Ok(call)) => return Ok(call),
         Some(Err(CallError {
-            cause: Cause::Late, ..
+            cause: Cause::DeadlinePassed,
+            ..
         })) => (Outcome::NotSent, "no time left".into()),
         Some(Err(error)) => (Outcome::ConnectFailed, error.to_string()),
         None => (
@@ -270,9 +273,10 @@
         WaitResult::Completed(Some(Ok(None))) => {
             (Outcome::Error, "the engine's answer is empty".into())
         }
-        WaitResult::Completed(Some(Err(error))) => {
-            (failed_call_outcome(&error, call.left()), error.to_string())
-        }
+        WaitResult::Completed(Some(Err(error))) => (
+            failed_call_outcome(&error, call.headers_sent()),
+            error.to_string(),
+        ),
         WaitResult::Completed(None) | WaitResult::Cancelled(_) => {
             (Outcome::Cancelled, "called off".into())
         }
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -275,7 +275,7 @@
     if draining || request.is_finished() {
         return ReservationStatus::Denied;
     }
-    let Ok(mut call) = channel.call_before(HOLD, body, Some(until)).await else {
+    let Ok(mut call) = channel.call_with_deadline(HOLD, body, Some(until)).await else {
         return ReservationStatus::Denied;
     };
     let reply = or(
@@ -310,7 +310,10 @@
     let timeout = 2 * context.settings.dial_timeout;
     let until = runtime.now().saturating_add(timeout);
     let channel = engine.channel(until).await.ok()?;
-    let mut call = channel.call_before(path, body, Some(until)).await.ok()?;
+    let mut call = channel
+        .call_with_deadline(path, body, Some(until))
+        .await
+        .ok()?;
     let reply = before(runtime, until, call.next::<M>()).await;
     drop(call);
     engine.call_ended();
