--- a/crates/ivyward/src/request/attempts.rs
+++ b/crates/ivyward/src/request/attempts.rs
@@ -1,4 +1,4 @@
-//! Starting and cancelling attempts, and what follows from their ends.
+//! Starts and cancels attempts, and handles their first token and their end.
 
 use crate::engines::{AttemptRequest, AttemptResult, CancelReason, EngineHandle};
 use crate::request::driver::Driver;
@@ -11,17 +11,17 @@
 use ivyward_runtime::RuntimeExt;
 use tracing::debug;
 
-/// The content of [`ivyward_core::interface::Action::Send`] beside its request.
+/// The fields of [`ivyward_core::interface::Action::Send`] except the request.
 pub(super) struct SendAction {
     pub(super) endpoint: EndpointId,
-    /// 0 for until the client's time is over.
+    /// Time for the first token, in microseconds; 0 for until the request's deadline.
     pub(super) timeout: Micros,
-    /// 0 for no such time.
+    /// The time by which the last byte of the attempt must be sent; 0 for no such limit.
     pub(super) send_deadline: Micros,
 }
 
 impl SendAction {
-    /// When the attempt ends without a first token.
+    /// The time at which the attempt ends unless the first token was received.
     fn first_token_deadline(&self, now: Micros, request_deadline: Micros) -> Micros {
         if self.timeout == 0 {
             request_deadline
@@ -30,7 +30,7 @@
         }
     }
 
-    /// When the attempt ends unless its last byte left.
+    /// The time at which the attempt ends unless its last byte was sent.
     fn last_byte_deadline(&self, first_token_deadline: Micros) -> Micros {
         if self.send_deadline == 0 {
             first_token_deadline
@@ -41,7 +41,8 @@
 }
 
 impl Driver {
-    /// Starts an attempt as a task of its own. One to an engine that is not known, or one that breaks a rule, ends at once.
+    /// Starts an attempt in a task of its own. An attempt ends at once as not sent if its engine is not in the endpoint list or
+    /// if it violates an invariant.
     pub(super) fn start_attempt(&mut self, now: Micros, id: u64, action: SendAction) {
         let endpoint = action.endpoint;
         let engine = self.engines.get(endpoint).cloned();
@@ -104,7 +105,7 @@
             prefill_only,
             kv_state: kv_state.map(|state| (state.engine.clone(), state.attempt)),
             deadline,
-            // The engine is told when this node will end the stream, so that it never does so first.
+            // The engine receives the time at which this node ends the stream, so that the engine never ends it earlier.
             stream_deadline: accepted
                 .response_deadline
                 .map(|at| final_deadline(&self.context, at)),
@@ -135,7 +136,7 @@
         }
     }
 
-    /// The router no longer waits for an attempt.
+    /// Cancels an attempt for which the router no longer waits.
     pub(super) fn cancel_attempt(&mut self, id: u64, number: u16) {
         let open = self.open.get(&id);
         if let Some(attempt) = open.and_then(|open| open.attempt_in_flight(number)) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Nobody wants the answer of a request any more.
+    /// Cancels all attempts of a request that has its final status or whose client disconnected.
     pub(super) fn cancel_attempts(&mut self, id: u64) {
         if let Some(open) = self.open.get(&id) {
             open.cancel_attempts();
@@ -157,7 +158,8 @@
         open.streaming = true;
         open.pending_reserves.clear();
         self.timers.clear_deadline(open.deadline, id);
-        // From now on only the call's own deadline counts; the first token's is that less the margin.
+        // From now on only the deadline of the whole response applies. The first-token deadline, which lies the answer
+        // margin before the time at which the client stops waiting, does not.
         open.deadline = open
             .accepted
             .response_deadline
@@ -182,7 +184,7 @@
         } = ended;
         self.context.metrics.count_outcome(result.outcome);
         self.guard.ended(RequestId(id), number, result.outcome);
-        if !self.settle_attempt(id, number, &result) {
+        if !self.finish_attempt(id, number, &result) {
             return;
         }
         let Some(open) = self.open.get(&id) else {
@@ -207,8 +209,9 @@
         self.remove_if_done(id);
     }
 
-    /// Takes an attempt off those in flight, with its reservations. Whether it was one of them.
-    fn settle_attempt(&mut self, id: u64, number: u16, result: &AttemptResult) -> bool {
+    /// Marks an attempt as no longer in flight and releases the reservations that it no longer needs. Returns whether the
+    /// attempt was in flight.
+    fn finish_attempt(&mut self, id: u64, number: u16, result: &AttemptResult) -> bool {
         let Some(open) = self.open.get_mut(&id) else {
             return false;
         };
@@ -233,7 +236,7 @@
             engine,
             prefill_only,
             outcome,
-            // What an earlier release still has to do is done with this state's.
+            // The later release of this KV state also does what the withdrawn release still had to do.
             release_withdrawn: prefilled && self.protocol.withdraw_release(id),
         });
         let call = open.accepted.call.clone();
--- a/crates/ivyward/src/request/clients.rs
+++ b/crates/ivyward/src/request/clients.rs
@@ -1,4 +1,4 @@
-//! Counts the client connections of a node's listeners: how many are open, and when all have closed.
+//! Counts the open client connections of a node's listeners, enforces their limit, and reports when all have closed.
 
 use event_listener::Event;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 }
 
 impl ClientConnections {
-    /// Admits one more connection, unless `max` are open.
+    /// Counts one more connection, or returns `None` if `max` connections are open.
     pub(crate) fn admit(self: &Arc<Self>, max: usize) -> Option<ClientConnection> {
         let admitted = self
             .open
@@ -22,7 +22,7 @@
         admitted.ok().map(|_| ClientConnection(self.clone()))
     }
 
-    /// Returns when none is open.
+    /// Returns when no connection is open.
     pub(crate) async fn all_closed(&self) {
         loop {
             let listener = self.closed.listen();
@@ -34,7 +34,7 @@
     }
 }
 
-/// An open connection; dropped when it has closed.
+/// Counts one connection as open until it is dropped.
 pub(crate) struct ClientConnection(Arc<ClientConnections>);
 
 impl Drop for ClientConnection {
--- a/crates/ivyward/src/request/driver.rs
+++ b/crates/ivyward/src/request/driver.rs
@@ -1,7 +1,8 @@
-//! The event loop: the one task that owns the router, turns what happened into events and applies the actions it decides.
+//! The event loop: the single task that owns the router. It turns messages and timers into events for the router and applies
+//! the actions that the router returns.
 //!
-//! It decides nothing itself. Every event goes to the router through [`Driver::handle_event`], every action comes back
-//! through [`Driver::apply_action`]; a recording holds both. The steps of a request stand beside it: [`super::attempts`],
+//! All routing decisions are the router's. Every event goes to the router through [`Driver::handle_event`], and every action
+//! is applied by [`Driver::apply_action`]; a recording contains both. The steps of a request are in [`super::attempts`],
 //! [`super::reservations`] and [`super::finish`].
 
 use crate::context::NodeContext;
@@ -23,17 +24,17 @@
 use std::sync::Arc;
 use tracing::{debug, error, info, warn};
 
-/// How often a stopping node looks whether its releases are done.
+/// How often a stopping node checks whether its releases are done, in microseconds.
 const RELEASE_CHECK_INTERVAL: Micros = 5_000;
 
-/// The owner of the router and of all open requests.
+/// Owns the router and all open requests.
 pub(crate) struct Driver {
     pub(super) context: Arc<NodeContext>,
     pub(super) protocol: Arc<dyn Protocol>,
     pub(super) handle: DriverHandle,
     messages: async_channel::Receiver<DriverMessage>,
     router: Router,
-    /// Checks each step against the rules, apart from what decided it.
+    /// Checks each step against the invariants, independently of the router that decided it.
     pub(super) guard: Guard,
     recorder: Option<Recorder>,
     pub(super) open: OpenRequests,
@@ -44,7 +45,7 @@
     pub(super) stop_deadline_passed: bool,
 }
 
-/// What a [`Driver`] is made of.
+/// The arguments of [`Driver::new`].
 pub(crate) struct DriverParts {
     pub(crate) context: Arc<NodeContext>,
     pub(crate) protocol: Arc<dyn Protocol>,
@@ -53,17 +54,17 @@
     pub(crate) recorder: Option<Recorder>,
 }
 
-/// The timer that wakes the loop.
-struct Alarm {
+/// The timer that wakes the event loop.
+struct WakeupTimer {
     at: Micros,
     timer: BoxFuture<()>,
 }
 
-/// Why the loop goes on.
+/// What wakes the event loop.
 enum Wakeup {
     Message(DriverMessage),
     Timer,
-    /// All handles are gone: nobody is left to serve.
+    /// All handles were dropped, so that no message can arrive any more.
     Closed,
 }
 
@@ -90,14 +91,14 @@
     /// Runs until the node has stopped.
     pub(crate) async fn run(mut self) {
         let runtime = self.context.runtime.clone();
-        let mut alarm: Option<Alarm> = None;
+        let mut wakeup_timer: Option<WakeupTimer> = None;
         loop {
             let now = runtime.now();
             self.fire_timers(now);
             if self.is_drained(now) {
                 break;
             }
-            match self.next_wakeup(&mut alarm).await {
+            match self.next_wakeup(&mut wakeup_timer).await {
                 Wakeup::Message(message) => {
                     let began = runtime.now();
                     self.handle_message(message);
@@ -113,17 +114,17 @@
         self.engines.clients().for_each(|client| client.close());
     }
 
-    async fn next_wakeup(&mut self, alarm: &mut Option<Alarm>) -> Wakeup {
+    async fn next_wakeup(&mut self, wakeup_timer: &mut Option<WakeupTimer>) -> Wakeup {
         if let Ok(message) = self.messages.try_recv() {
             return Wakeup::Message(message);
         }
-        // The timer is set anew only for an earlier time; one that fires too early does no harm.
+        // The timer is replaced only by an earlier one. A timer that fires too early only runs the loop once more.
         let due = self.next_due();
-        if alarm.as_ref().is_none_or(|alarm| due < alarm.at) {
+        if wakeup_timer.as_ref().is_none_or(|set| due < set.at) {
             let timer = self.context.runtime.sleep_until(due);
-            *alarm = Some(Alarm { at: due, timer });
+            *wakeup_timer = Some(WakeupTimer { at: due, timer });
         }
-        let timer = alarm.as_mut().map(|alarm| &mut alarm.timer);
+        let timer = wakeup_timer.as_mut().map(|set| &mut set.timer);
         let fired = async {
             match timer {
                 Some(timer) => timer.await,
@@ -135,13 +136,13 @@
             Some(Ok(message)) => Wakeup::Message(message),
             Some(Err(_)) => Wakeup::Closed,
             None => {
-                *alarm = None;
+                *wakeup_timer = None;
                 Wakeup::Timer
             }
         }
     }
 
-    /// When the loop has something to do without a message.
+    /// The next time at which the loop has something to do without a message.
     fn next_due(&self) -> Micros {
         let timers = self.timers.next_due();
         let stop = self.stop_deadline.filter(|_| !self.stop_deadline_passed);
@@ -156,7 +157,9 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// Whether a node that is to stop is done. One that ended before its releases would leave what engines hold for it pinned.
+    /// Whether a stopping node is done: no request is open, and all releases are done or the stop deadline has passed.
+    ///
+    /// A node that ended before its releases would leave its KV states and decode slots reserved at the engines.
     fn is_drained(&self, now: Micros) -> bool {
         let all_released = self.context.pending_releases.load(Ordering::SeqCst) == 0;
         self.stop_deadline
@@ -175,7 +178,8 @@
             self.fail_now(id, FailureReason::Deadline);
         }
         if !self.stop_deadline_passed && self.stop_deadline.is_some_and(|at| at <= now) {
-            // Once: a time that stays due would keep this task from ever yielding to the attempts that are to end.
+            // The flag makes this happen once. If the deadline stayed due, this task would never yield to the attempts that
+            // it cancels here.
             self.stop_deadline_passed = true;
             let ids: Vec<u64> = self.open.keys().copied().collect();
             for id in ids {
@@ -208,7 +212,7 @@
                 done,
             } => {
                 self.on_endpoint_list(kind, engines);
-                // The sender may have left.
+                // Fails when the sender no longer waits.
                 let _ = done.try_send(());
             }
             DriverMessage::ReplicaCount(nodes) => self.handle_event(Event::ReplicaCount(nodes)),
@@ -218,17 +222,19 @@
                 let _ = done.try_send(());
             }
             DriverMessage::ListEngines(reply) => {
-                // The sender may have left.
+                // Fails when the sender no longer waits.
                 let _ = reply.try_send(self.engines.clients().cloned().collect());
             }
         }
     }
 
-    /// Hands the router one event and applies the actions it asks for: the only way in.
+    /// Passes one event to the router and applies the actions that the router returns. No event reaches the router in any
+    /// other way.
     pub(super) fn handle_event(&mut self, event: Event) {
         self.handle_event_at(self.context.runtime.now(), event);
     }
 
+    /// Like [`Driver::handle_event`], for an event that happened at `now`.
     pub(super) fn handle_event_at(&mut self, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let recorded = self.recorder.is_some().then(|| event.clone());
@@ -238,7 +244,7 @@
         self.context.metrics.router_us.add(spent);
         if let (Some(recorder), Some(event)) = (self.recorder.as_mut(), recorded) {
             let written = recorder.step(now, &event, &actions);
-            self.keep_recording(written);
+            self.stop_recording_on_error(written);
         }
         for action in actions.drain(..) {
             self.apply_action(now, action);
@@ -246,7 +252,7 @@
         self.actions = actions;
     }
 
-    /// Does what the router asks for: the only way out.
+    /// Applies one action of the router. The router acts in no other way.
     fn apply_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send {
@@ -281,7 +287,7 @@
             }
             Action::SetTimer { at, token } => self.timers.set_router_timer(at, token),
             Action::HealthCheck(endpoint) => self.check_health(endpoint),
-            // Lists come by themselves here.
+            // The node's owner passes endpoint lists to `Node::update_endpoints` without being asked.
             Action::Subscribe => {}
             Action::Log(line) => info!(target: "ivyward::module", "{line}"),
         }
@@ -337,7 +343,9 @@
         }
     }
 
-    /// Takes note of a step's check: whether the step may be taken. The first violation of each rule is logged as an error.
+    /// Returns the value of a passed check. A violation is counted and logged, and `None` tells the caller to skip the step.
+    ///
+    /// The first violation of each rule is logged as an error, later ones at debug level.
     pub(super) fn log_violation<T>(&self, request: u64, check: Result<T, Violation>) -> Option<T> {
         let violation = match check {
             Ok(passed) => return Some(passed),
@@ -360,12 +368,12 @@
     fn flush_recording(&mut self) {
         if let Some(recorder) = self.recorder.as_mut() {
             let flushed = recorder.flush();
-            self.keep_recording(flushed);
+            self.stop_recording_on_error(flushed);
         }
     }
 
-    /// Ends the recording when it cannot be written.
-    fn keep_recording(&mut self, written: std::io::Result<()>) {
+    /// Stops the recording if a write to it failed.
+    fn stop_recording_on_error(&mut self, written: std::io::Result<()>) {
         if let Err(error) = written {
             warn!(%error, "recording write failed, recording stopped");
             self.recorder = None;
--- a/crates/ivyward/src/request/engine_table.rs
+++ b/crates/ivyward/src/request/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines of the present endpoint list, each with its client.
+//! The engines of the current endpoint list, each with its client.
 
 use crate::context::NodeContext;
 use crate::engines::{Engine, EngineHandle, Protocol};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use tracing::{debug, warn};
 
-struct KnownEngine {
+struct ListedEngine {
     client: EngineHandle,
     machine_type: u8,
 }
@@ -15,7 +15,7 @@
 /// Engines by their ids.
 #[derive(Default)]
 pub(super) struct EngineTable {
-    engines: BTreeMap<EndpointId, KnownEngine>,
+    engines: BTreeMap<EndpointId, ListedEngine>,
 }
 
 impl EngineTable {
@@ -31,14 +31,14 @@
         self.engines.values().map(|engine| &engine.client)
     }
 
-    /// Whether an engine only prefills. One that is not known does not.
+    /// Whether an engine only prefills; false for an engine that is not in the list.
     pub(super) fn is_prefill_only(&self, context: &NodeContext, id: EndpointId) -> bool {
         self.engines
             .get(&id)
             .is_some_and(|engine| role_of(context, engine.machine_type) == Some(Role::Prefill))
     }
 
-    /// Applies an endpoint list. Returns what the router is told of it.
+    /// Applies an endpoint list. Returns its endpoints for the router, without those of unknown machine types.
     pub(super) fn apply(
         &mut self,
         context: &Arc<NodeContext>,
@@ -47,7 +47,7 @@
         engines: Vec<Engine>,
     ) -> Vec<Endpoint> {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.remove_all_but(&engines);
+            self.remove_unlisted(&engines);
         }
         let mut endpoints = Vec::with_capacity(engines.len());
         for engine in engines {
@@ -67,7 +67,7 @@
         endpoints
     }
 
-    fn remove_all_but(&mut self, engines: &[Engine]) {
+    fn remove_unlisted(&mut self, engines: &[Engine]) {
         let listed: BTreeSet<EndpointId> = engines.iter().map(|e| e.endpoint.id).collect();
         for (id, engine) in &self.engines {
             if !listed.contains(id) {
@@ -88,15 +88,15 @@
             }
         }
         if endpoint.state != EndpointState::Removed {
-            let known = self
+            let listed = self
                 .engines
                 .entry(endpoint.id)
-                .or_insert_with(|| KnownEngine {
+                .or_insert_with(|| ListedEngine {
                     client: protocol.engine_client(context, engine),
                     machine_type: endpoint.machine_type,
                 });
-            known.machine_type = endpoint.machine_type;
-            known
+            listed.machine_type = endpoint.machine_type;
+            listed
                 .client
                 .set_draining(endpoint.state != EndpointState::Ready);
         }
--- a/crates/ivyward/src/request/finish.rs
+++ b/crates/ivyward/src/request/finish.rs
@@ -1,4 +1,4 @@
-//! From a request's acceptance to its one final answer, and to its removal.
+//! Accepts requests, sets the single final status of each, and removes finished requests.
 
 use crate::request::driver::Driver;
 use crate::request::messages::AcceptedRequest;
@@ -15,17 +15,18 @@
         let now = self.context.runtime.now();
         let mut request = accepted.request;
         let id = request.id.0;
-        // The router's time ends at once with ours, whenever this message was handled.
+        // The timeout is the time left from now, so that the router's deadline equals the node's however long the message
+        // was queued.
         request.client_timeout = accepted.first_token_deadline.saturating_sub(now);
         let deadline = final_deadline(&self.context, accepted.first_token_deadline);
         self.timers.set_deadline(deadline, id);
         let open = OpenRequest::new(accepted, deadline, self.release_mode());
         self.open.insert(id, open);
-        let taken = self.guard.take(RequestId(id), request.class, deadline);
-        self.log_violation(id, taken);
+        let accepted = self.guard.take(RequestId(id), request.class, deadline);
+        self.log_violation(id, accepted);
         self.handle_event_at(now, Event::Request(request));
         if self.stop_deadline_passed {
-            // It was accepted while the node stopped.
+            // The request was accepted before the node stopped, but its message was handled only after the stop deadline.
             self.fail_now(id, FailureReason::NodeStopped);
         }
         self.remove_if_done(id);
@@ -49,7 +50,7 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        // Tokens that an attempt still has in hand go nowhere.
+        // From now on the call discards tokens that an attempt still delivers.
         let reason = FailureReason::StreamBroken("the client left".into());
         open.accepted.call.finish(FinalStatus::Failed(reason));
         let streaming = open.streaming;
@@ -60,7 +61,8 @@
         self.remove_if_done(id);
     }
 
-    /// The client's time, or the node's, is over: the request gets its answer now, whatever is in flight.
+    /// Fails a request and cancels its attempts in flight, because the request's deadline or the node's stop deadline has
+    /// passed.
     pub(super) fn fail_now(&mut self, id: u64, reason: FailureReason) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -79,7 +81,7 @@
         self.remove_if_done(id);
     }
 
-    /// The router gave the request up.
+    /// Fails a request for which the router makes no further attempt.
     pub(super) fn fail_request(&mut self, now: Micros, id: u64) {
         let in_time = self
             .open
@@ -91,12 +93,12 @@
         self.finish_request(id, FinalStatus::Failed(reason));
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Sets the final status of a request, unless it has one.
     pub(super) fn finish_request(&mut self, id: u64, status: FinalStatus) {
         if self.open.get(&id).is_none_or(|open| open.answered) {
             return;
         }
-        let status = self.permitted(id, status);
+        let status = self.checked_status(id, status);
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -117,17 +119,20 @@
         }
     }
 
-    /// The answer itself, or a failure where it would promise what may not hold.
-    fn permitted(&mut self, id: u64, status: FinalStatus) -> FinalStatus {
+    /// Returns `status`, or a failure if `status` is a rejection that an invariant forbids.
+    ///
+    /// A rejection promises that nothing was done for the request, so that retrying is harmless.
+    fn checked_status(&mut self, id: u64, status: FinalStatus) -> FinalStatus {
         let kind = match status {
             FinalStatus::Served => AnswerKind::Served,
             FinalStatus::Rejected { .. } => AnswerKind::Rejected,
             FinalStatus::Failed(_) => AnswerKind::Failed,
         };
         let check = self.guard.answer(RequestId(id), kind);
-        let breaks_promise = check.is_err_and(|violation| violation.rule == Rule::HarmlessRefusal);
+        let forbidden_rejection =
+            check.is_err_and(|violation| violation.rule == Rule::HarmlessRefusal);
         self.log_violation(id, check);
-        if !breaks_promise {
+        if !forbidden_rejection {
             return status;
         }
         let failed = self.guard.answer(RequestId(id), AnswerKind::Failed);
@@ -139,14 +144,14 @@
         FinalStatus::Failed(FailureReason::AttemptsExhausted(last_error))
     }
 
-    /// Forgets a request that is answered and has no attempt in flight.
+    /// Removes a request that has its final status and no attempt in flight, and releases its reservations.
     pub(super) fn remove_if_done(&mut self, id: u64) {
         if !self.open.get(&id).is_some_and(OpenRequest::is_done) {
             return;
         }
         self.release_all(id);
-        let forgotten = self.guard.forget(RequestId(id));
-        self.log_violation(id, forgotten);
+        let removed = self.guard.forget(RequestId(id));
+        self.log_violation(id, removed);
         if let Some(open) = self.open.remove(&id) {
             self.timers.clear_deadline(open.deadline, id);
             self.context.open.fetch_sub(1, Ordering::SeqCst);
--- a/crates/ivyward/src/request/messages.rs
+++ b/crates/ivyward/src/request/messages.rs
@@ -1,5 +1,6 @@
-//! The messages to the driver, and the handle that sends them. The parts of the request path that exchange them all depend on
-//! this module.
+//! The messages to the driver, and the handle that sends them.
+//!
+//! The modules of the request path that exchange messages depend on this module instead of each other.
 
 use crate::engines::{AttemptResult, Call, Engine, EngineHandle, ReservationStatus};
 use ivyward_core::interface::{EndpointId, ListKind, LoadReport, Micros, Request};
@@ -8,9 +9,10 @@
 /// A request that the node has accepted.
 pub(crate) struct AcceptedRequest {
     pub(crate) request: Request,
-    /// The client stops waiting if it has no first token by then.
+    /// The request fails if it has no first token by this time. Lies one answer margin before the client stops waiting.
     pub(crate) first_token_deadline: Micros,
-    /// The client stops waiting if the answer has not ended by then; `None` for no such time.
+    /// The response fails if it has not ended by this time; `None` for no limit. Lies one answer margin before the client
+    /// stops waiting.
     pub(crate) response_deadline: Option<Micros>,
     pub(crate) call: Arc<dyn Call>,
 }
@@ -48,18 +50,21 @@
         engines: Vec<Engine>,
         done: async_channel::Sender<()>,
     },
-    /// How many nodes may be sending.
+    /// Number of nodes that may be sending requests to the engines.
     ReplicaCount(u32),
     Stop {
         deadline: Micros,
     },
     FlushRecording(async_channel::Sender<()>),
-    /// Asks for the clients of all engines in the list.
+    /// Asks for the clients of all engines in the endpoint list.
     ListEngines(async_channel::Sender<Vec<EngineHandle>>),
 }
 
-/// The sender to the driver. The channel holds at most a few messages for each open request (its arrival, its end, and each
-/// attempt's first token and end) beside what the node's owner sends and awaits, so `most_open` bounds it.
+/// Sends messages to the driver.
+///
+/// The channel is unbounded, but the limit on open requests bounds its length: each open request adds at most a few messages
+/// (its arrival, its client's disconnect, and the first token and the end of each attempt). Messages of the node's owner come
+/// on top, but the owner awaits their completion.
 #[derive(Clone)]
 pub(crate) struct DriverHandle(async_channel::Sender<DriverMessage>);
 
@@ -69,7 +74,7 @@
         (DriverHandle(handle), messages)
     }
     pub(crate) fn send(&self, message: DriverMessage) {
-        // Fails only when the driver is gone, and the node with it.
+        // Fails only when the driver has ended, which means that the node has stopped.
         let _ = self.0.try_send(message);
     }
 }
--- a/crates/ivyward/src/request/mod.rs
+++ b/crates/ivyward/src/request/mod.rs
@@ -1,12 +1,16 @@
-//! The path of a request: [`grpc_server`] or a library call -> `driver`, the one task that owns the router -> `attempt`, a
-//! task each -> tokens back through the bounded buffer of [`crate::response`].
+//! The path of a request through a node.
+//!
+//! A request enters through [`grpc_server`] or a library call and goes to `driver`, the single task that owns the router.
+//! The driver runs each attempt in a task of its own (`attempt`). The engine's tokens return to the client through the
+//! bounded buffer of [`crate::response`].
 //!
 //! - `validation`: checks on a client's request.
 //! - `messages`: the messages to the driver.
-//! - `driver`: the event loop; its steps: `attempts` (start, cancel, end), `reservations` (reserve, release) and
-//!   `finish` (acceptance, final answer, removal).
-//! - `open_requests`, `engine_table`, `timers`: what the driver keeps.
-//! - `grpc`: gRPC to engines, behind the interface of [`crate::engines`]; `answer_stream`: an answer on its way.
+//! - `driver`: the event loop. `attempts` starts, cancels and ends attempts, `reservations` reserves and releases, and
+//!   `finish` accepts requests, sets their final status and removes them.
+//! - `open_requests`, `engine_table`, `timers`: the state of the driver.
+//! - `grpc`: the gRPC protocol to engines, behind the interface of [`crate::engines`]; `answer_stream`: the token stream of
+//!   one attempt.
 //! - `clients`: open client connections.
 
 mod answer_stream;
--- a/crates/ivyward/src/request/open_requests.rs
+++ b/crates/ivyward/src/request/open_requests.rs
@@ -1,4 +1,4 @@
-//! The table of open requests: those not yet answered, or with an attempt still in flight.
+//! The table of open requests: those without a final status or with an attempt still in flight.
 
 use crate::context::NodeContext;
 use crate::engines::{CancelReason, EngineHandle};
@@ -7,30 +7,30 @@
 use ivyward_core::reservations::{ReleaseMode, RequestReservations};
 use std::collections::BTreeMap;
 
-/// Open requests by their numbers at this node.
+/// Open requests by their ids at this node.
 pub(super) type OpenRequests = BTreeMap<u64, OpenRequest>;
 
 /// One attempt of an open request.
 pub(super) struct Attempt {
-    /// The engine it was sent to; `None` when the engine was no longer known.
+    /// The engine that the router chose; `None` if it was no longer in the endpoint list.
     pub(super) engine: Option<EngineHandle>,
     pub(super) prefill_only: bool,
     pub(super) in_flight: bool,
     pub(super) cancel: async_channel::Sender<CancelReason>,
 }
 
-/// A request that was accepted.
+/// An accepted request with its attempts and reservations.
 pub(super) struct OpenRequest {
     pub(super) accepted: Box<AcceptedRequest>,
     pub(super) attempts: Vec<Attempt>,
     pub(super) reservations: RequestReservations<EngineHandle>,
-    /// Calls for a decode slot that are under way; dropping one ends its call.
+    /// One sender for each decode slot reservation in progress. Dropping it ends the reservation's call.
     pub(super) pending_reserves: Vec<async_channel::Sender<()>>,
     pub(super) streaming: bool,
     pub(super) answered: bool,
-    /// Its deadline as it stands in [`super::timers::Timers`].
+    /// The deadline that is set for this request in [`super::timers::Timers`].
     pub(super) deadline: Micros,
-    /// What the last failed attempt said.
+    /// The detail text of the last failed attempt.
     pub(super) last_error: String,
 }
 
@@ -70,17 +70,17 @@
         self.answered && !self.any_in_flight()
     }
 
-    /// Tells all attempts in flight that nobody wants their answer any more.
+    /// Cancels all attempts in flight because the request has its final status.
     pub(super) fn cancel_attempts(&self) {
         for attempt in self.attempts.iter().filter(|attempt| attempt.in_flight) {
-            // A full channel means that the attempt was cancelled before, for a reason that ends it no later.
+            // Fails if the attempt has ended, or if an earlier cancellation is still pending, which ends the attempt no later.
             let _ = attempt.cancel.try_send(CancelReason::RequestFinished);
         }
     }
 }
 
-/// When a request whose time is over at `client_deadline` gets its answer whatever the router and the attempts do: half the
-/// margin before its client stops waiting.
+/// The time at which the driver fails a request with this deadline, whatever the router and the attempts do: half the answer
+/// margin later, which is half the margin before the client stops waiting.
 pub(super) fn final_deadline(context: &NodeContext, client_deadline: Micros) -> Micros {
     client_deadline.saturating_add(context.settings.answer_margin / 2)
 }
--- a/crates/ivyward/src/request/reservations.rs
+++ b/crates/ivyward/src/request/reservations.rs
@@ -1,4 +1,5 @@
-//! Carries out what [`ivyward_core::reservations`] decides: asks engines for decode slots, and to release what they hold.
+//! Carries out the decisions of [`ivyward_core::reservations`]: asks engines to reserve decode slots and to release
+//! reservations.
 
 use crate::engines::{Call, ReleaseRequest, Reservation, ReservationStatus, ReserveRequest};
 use crate::request::driver::Driver;
@@ -10,15 +11,15 @@
 use tracing::debug;
 
 impl Driver {
-    /// Asks an engine for a decode slot, as a task of its own.
+    /// Asks an engine to reserve a decode slot, in a task of its own.
     pub(super) fn reserve_decode_slot(&mut self, id: u64, endpoint: EndpointId) {
         let engine = self.engines.get(endpoint).cloned();
         let (Some(open), Some(engine)) = (self.open.get_mut(&id), engine) else {
             return;
         };
         let attempt = (open.attempts.len() as u16).saturating_sub(1);
-        let (stop, finished) = async_channel::bounded(1);
-        open.pending_reserves.push(stop);
+        let (pending, finished) = async_channel::bounded(1);
+        open.pending_reserves.push(pending);
         self.context.add_pending_releases(1);
         let (context, handle) = (self.context.clone(), self.handle.clone());
         let call = open.accepted.call.clone();
@@ -67,7 +68,7 @@
             .get_mut(&id)
             .filter(|open| !open.answered && !open.streaming);
         let Some(open) = waiting else {
-            // The request ended meanwhile, or its stream began.
+            // The request no longer needs the slot: it has its final status, or its stream has started.
             self.release(id, &call, slot.into_iter().collect());
             return;
         };
@@ -81,7 +82,7 @@
         });
     }
 
-    /// Releases everything that may be held for a request.
+    /// Releases every decode slot and KV state that engines may have reserved for a request.
     pub(super) fn release_all(&mut self, id: u64) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -93,8 +94,8 @@
         self.release(id, &call, reservations);
     }
 
-    /// Asks engines to release reservations, each by a call of its own where the protocol works so. The first try leaves at
-    /// once.
+    /// Asks engines to release reservations, with one call per reservation or one call for all of them, depending on the
+    /// protocol. The first call is sent immediately.
     pub(super) fn release(
         &self,
         request: u64,
--- a/crates/ivyward/src/request/timers.rs
+++ b/crates/ivyward/src/request/timers.rs
@@ -1,4 +1,4 @@
-//! What the driver waits for beside messages: the router's timers and the deadlines of open requests.
+//! The driver's timers: those that the router sets, and the deadlines of open requests.
 
 use ivyward_core::interface::Micros;
 use std::collections::BTreeSet;
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RouterTimer {
     at: Micros,
-    /// Timers of the same moment fire in the order in which they were set.
+    /// Timers that are due at the same time fire in the order in which they were set.
     sequence: u64,
     token: u64,
 }
@@ -43,21 +43,21 @@
         self.deadlines.remove(&Deadline { at, request });
     }
 
-    /// When the next timer or deadline is due.
+    /// The time of the next timer or deadline.
     pub(super) fn next_due(&self) -> Option<Micros> {
         let timer = self.router.first().map(|timer| timer.at);
         let deadline = self.deadlines.first().map(|deadline| deadline.at);
         [timer, deadline].into_iter().flatten().min()
     }
 
-    /// Takes the router's next timer that is due: its token.
+    /// Removes the router's next timer that is due, and returns its token.
     pub(super) fn take_due_timer(&mut self, now: Micros) -> Option<u64> {
         let due = self.router.first().copied().filter(|t| t.at <= now)?;
         self.router.remove(&due);
         Some(due.token)
     }
 
-    /// Takes the next deadline that is due: its request.
+    /// Removes the next deadline that is due, and returns its request.
     pub(super) fn take_due_deadline(&mut self, now: Micros) -> Option<u64> {
         let due = self.deadlines.first().copied().filter(|d| d.at <= now)?;
         self.deadlines.remove(&due);
