--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The gRPC client of one engine: a pool of connections, opened on demand, with jittered exponential backoff.
+//! The gRPC client of one engine: a pool of connections, which are opened on demand with jittered exponential backoff.
 
 use crate::engines::connect::connect;
 use crate::engines::keepalive::EngineKeepalive;
@@ -13,30 +13,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection is available for a call. Nothing was sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ChannelError {
     #[error("cannot connect to {0}: {1}")]
-    Failed(SocketAddr, String),
+    ConnectFailed(SocketAddr, String),
     #[error("no connection to {0} in time")]
-    Late(SocketAddr),
+    TimedOut(SocketAddr),
 }
 
 #[derive(Default)]
 struct Pool {
     channels: Vec<Channel>,
-    /// Connection attempts under way.
+    /// Number of connection attempts in progress.
     connecting: usize,
-    /// Calls that wait for a connection.
+    /// Number of calls that wait for a connection.
     waiting: usize,
-    /// Connection attempts since a call last got a connection.
+    /// Number of ended connection attempts since a call last got a connection; determines the backoff.
     attempts_since_use: u32,
-    /// The error of the last one that failed.
+    /// The error of the last failed connection attempt.
     last_error: String,
-    /// Counts ended connection attempts, so that those who wait know whether theirs failed.
+    /// Number of ended connection attempts. A waiting call compares it to tell whether an attempt ended since it began to wait.
     ended: u64,
+    /// Whether the last connection attempt that ended has failed.
     last_failed: bool,
-    /// When the next connection attempt may start.
+    /// The time from which the next connection attempt may start.
     next_attempt_at: Micros,
 }
 
@@ -50,25 +51,26 @@
     calls_per_channel: usize,
     max_channels: usize,
     connect_timeout: Micros,
-    first_pause: Micros,
-    longest_pause: Micros,
+    min_backoff: Micros,
+    max_backoff: Micros,
     pool: Mutex<Pool>,
+    /// Notified when a connection attempt or a call ends, or when a connection answers a late check.
     changed: Event,
-    /// Whether the engine drains or was removed: then nothing that has not left yet is sent to it.
+    /// Whether the engine drains or was removed. If so, no new call is sent to it.
     draining: AtomicBool,
 }
 
-/// What the pool has for a call.
+/// The result of a search in the pool for a connection.
 enum Available {
-    /// A connection that is known to work.
+    /// A connection that needs no check.
     Ready(Channel),
-    /// One that was idle for long, and how long to wait for the answer to its check.
+    /// A connection that must be checked first because it was idle for long, and the timeout of its check.
     Unchecked(Channel, Micros),
-    /// No connection with room.
-    Nothing,
+    /// No connection has capacity for another call.
+    NoCapacity,
 }
 
-/// Counts a call among those that wait, until dropped.
+/// Counts a call as waiting for a connection until it is dropped.
 struct Waiting<'a>(&'a GrpcEngineClient);
 
 impl Waiting<'_> {
@@ -107,8 +109,8 @@
             calls_per_channel: settings.calls_per_connection,
             max_channels: settings.connections_per_engine,
             connect_timeout: settings.dial_timeout,
-            first_pause: settings.redial_first,
-            longest_pause: settings.redial_most,
+            min_backoff: settings.redial_first,
+            max_backoff: settings.redial_most,
             pool: Mutex::default(),
             changed: Event::new(),
             draining: AtomicBool::new(false),
@@ -129,15 +131,16 @@
         self.pool().channels.drain(..).for_each(|c| c.close());
     }
 
-    /// A connection with room for a call, opened if need be. One that was idle for long is checked first.
+    /// Returns a connection with capacity for a call; opens one if necessary. A connection that was idle for long is checked
+    /// first.
     ///
     /// # Errors
-    /// When the connection attempt that this call waited for failed, or none succeeded in time.
+    /// [`ChannelError`] when the connection attempt that this call waited for failed, or when none succeeded in time.
     pub(crate) async fn channel(self: &Arc<Self>, until: Micros) -> Result<Channel, ChannelError> {
         let connect_deadline =
             || until.min(self.runtime.now().saturating_add(self.connect_timeout));
         let mut connect_by = connect_deadline();
-        // Connection attempts that had ended when this call began to wait for one.
+        // Number of connection attempts that had ended when this call began to wait for one.
         let mut ended_before = None;
         let mut may_check = true;
         loop {
@@ -146,37 +149,39 @@
                 Available::Ready(channel) => return Ok(channel),
                 Available::Unchecked(channel, wait) => {
                     let left = until.saturating_sub(self.runtime.now());
-                    // One check for each call: a second one would take longer than a new connection.
+                    // Each call waits for one failed check at most: a second one would take longer than a new connection.
                     let answered = self.check(&channel, wait.min(left)).await;
                     if !answered && mutations::is_active(Mutation::DoubtfulReused) {
                         return Ok(channel);
                     }
                     may_check = answered;
-                    // Guards against engines that are far away: after the check a new connection has its whole time.
+                    // After the check a new connection has the whole connect timeout again. Otherwise it would time out
+                    // for distant engines, whose round trips are long.
                     connect_by = connect_deadline();
                 }
-                Available::Nothing => {
+                Available::NoCapacity => {
                     self.connect_if_needed(connect_by, &mut ended_before)?;
                     let _waiting = Waiting::new(self);
                     if before(&self.runtime, connect_by, changed).await.is_none() {
-                        return Err(ChannelError::Late(self.address));
+                        return Err(ChannelError::TimedOut(self.address));
                     }
                 }
             }
         }
     }
 
-    /// The best connection of the pool: one that is known to work before one that has to be checked.
+    /// Finds the connection for a call: one that needs no check if possible, and among these the one with the fewest calls.
     fn find(&self, may_check: bool) -> Available {
         let mut pool = self.pool();
         let stale = mutations::is_active(Mutation::StaleConnection);
         pool.channels
             .retain(|c| c.is_usable() || c.calls_in_flight() > 0 && !c.is_closed() || stale);
-        // Guards against a call that leaves on a connection whose engine did not answer its last check.
-        let room = |c: &Channel| {
+        // A connection whose last check failed is not eligible: the engine may no longer be reachable on it.
+        let has_capacity = |c: &Channel| {
             c.calls_in_flight() < self.calls_per_channel.min(c.stream_capacity().max(1))
         };
-        let eligible = |c: &&Channel| (c.is_usable() || stale) && !c.last_check_failed() && room(c);
+        let eligible =
+            |c: &&Channel| (c.is_usable() || stale) && !c.last_check_failed() && has_capacity(c);
         let rated = pool
             .channels
             .iter()
@@ -189,11 +194,11 @@
                 Available::Ready(channel)
             }
             Some((Some(wait), channel)) if may_check => Available::Unchecked(channel, wait),
-            _ => Available::Nothing,
+            _ => Available::NoCapacity,
         }
     }
 
-    /// How long to wait for the answer to a check before a call leaves on a connection; `None` if it needs no check.
+    /// Returns the timeout of the check that a connection needs before a call is sent on it; `None` if it needs no check.
     fn check_before_use(&self, channel: &Channel) -> Option<Micros> {
         match self.keepalive.before_use(channel.last_received()) {
             BeforeUse::Check(wait) => Some(wait),
@@ -201,7 +206,8 @@
         }
     }
 
-    /// Checks a connection. Returns whether it answered; one that answers later is used by whoever waits then.
+    /// Checks a connection. Returns whether it answered in time. If it answers later, the calls that wait by then are notified
+    /// and may use it.
     async fn check(self: &Arc<Self>, channel: &Channel, wait: Micros) -> bool {
         if channel.check(wait).await {
             return true;
@@ -214,19 +220,26 @@
         false
     }
 
-    /// Starts as many connection attempts as the waiting calls need; one at a time while none succeeds.
+    /// Starts a connection attempt if the waiting calls need more than are in progress. Only one attempt at a time runs until
+    /// a call gets a connection.
+    ///
+    /// # Errors
+    /// [`ChannelError`] when the call's time is over, an attempt that it waited for failed, or the backoff lasts too long.
     fn connect_if_needed(
         self: &Arc<Self>,
         until: Micros,
         ended_before: &mut Option<u64>,
     ) -> Result<(), ChannelError> {
         let mut pool = self.pool();
-        // Also when attempts succeed and the engine closes each connection at once.
+        // Checked here too, because connection attempts may keep succeeding while the engine closes each connection at once.
         if self.runtime.now() >= until {
-            return Err(ChannelError::Late(self.address));
+            return Err(ChannelError::TimedOut(self.address));
         }
         if ended_before.is_some_and(|ended| ended < pool.ended) && pool.last_failed {
-            return Err(ChannelError::Failed(self.address, pool.last_error.clone()));
+            return Err(ChannelError::ConnectFailed(
+                self.address,
+                pool.last_error.clone(),
+            ));
         }
         ended_before.get_or_insert(pool.ended);
         let needed = if pool.attempts_since_use > 0 {
@@ -238,8 +251,8 @@
             return Ok(());
         }
         if pool.next_attempt_at >= until {
-            let text = format!("{}; next dial later", pool.last_error);
-            return Err(ChannelError::Failed(self.address, text));
+            let error = format!("{}; next dial later", pool.last_error);
+            return Err(ChannelError::ConnectFailed(self.address, error));
         }
         pool.connecting += 1;
         let (client, at) = (self.clone(), pool.next_attempt_at);
@@ -248,7 +261,7 @@
         Ok(())
     }
 
-    /// Opens a connection at a time, and tells those who wait how that ended.
+    /// Opens a connection at the time `at`, and notifies the waiting calls when the attempt ends.
     async fn open_channel(self: Arc<Self>, at: Micros) {
         if at > self.runtime.now() {
             self.runtime.sleep_until(at).await;
@@ -265,12 +278,13 @@
         let connected = connect(&self.runtime, self.address, until)
             .await
             .map_err(|e| e.to_string())?;
-        let resting: Option<Arc<dyn IdleChecks>> = Some(self.keepalive.clone());
-        Channel::begin_with_idle_checks(&self.runtime, connected.conn, self.options, resting)
+        let idle_checks: Option<Arc<dyn IdleChecks>> = Some(self.keepalive.clone());
+        Channel::begin_with_idle_checks(&self.runtime, connected.conn, self.options, idle_checks)
             .await
             .map_err(|e| e.to_string())
     }
 
+    /// Records the end of a connection attempt and sets the backoff of the next one.
     fn record_end(&self, opened: Result<Channel, String>) {
         let mut pool = self.pool();
         pool.connecting -= 1;
@@ -278,21 +292,21 @@
         pool.last_failed = opened.is_err();
         match opened {
             Ok(channel) => pool.channels.push(channel),
-            Err(text) => pool.last_error = text,
+            Err(error) => pool.last_error = error,
         }
-        // Also after a success, until a call gets a connection: an engine that closes each one at once is not connected to
-        // without end.
-        let pause = self
-            .first_pause
+        // The backoff also grows after a success, until a call gets a connection. Otherwise the node would reconnect without
+        // pause to an engine that closes each connection at once.
+        let backoff = self
+            .min_backoff
             .saturating_mul(1 << pool.attempts_since_use.min(20))
-            .min(self.longest_pause);
+            .min(self.max_backoff);
         pool.attempts_since_use += 1;
-        // Half to whole of the pause, so that many nodes do not come back in one moment.
+        // The jitter scales the backoff to between half and all of it, so that many nodes do not reconnect at the same time.
         let jitter = 0.5 + 0.5 * self.runtime.unit();
-        pool.next_attempt_at = self.runtime.now() + (pause as f64 * jitter) as Micros;
+        pool.next_attempt_at = self.runtime.now() + (backoff as f64 * jitter) as Micros;
     }
 
-    /// Tells those who wait for room that a call ended.
+    /// Notifies one of the waiting calls that a call ended, so that a connection may have capacity.
     pub(crate) fn call_ended(&self) {
         self.changed.notify(1);
     }
--- a/crates/ivyward/src/request/answer_stream.rs
+++ b/crates/ivyward/src/request/answer_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of an answer, from the engine's first event to its end.
+//! The token stream of one attempt, from the engine's first event to the end of the stream.
 
 use crate::engines::{AttemptResult, CancelReason, StallDetector, WaitResult};
 use crate::request::attempt::{check_engine, GrpcAttempt};
@@ -7,14 +7,14 @@
 use ivyward_grpc::{Call, CallError, Cause};
 use ivyward_proto::engine as pb;
 
-/// Passes an engine's tokens on to the client.
+/// Forwards an engine's tokens to the client's buffer.
 pub(super) struct AnswerStream<'a> {
     attempt: &'a GrpcAttempt,
     call: &'a mut Call,
     stall: StallDetector,
-    /// Tokens received so far.
+    /// Number of tokens received so far.
     received: u32,
-    /// Whether the driver knows of the first token.
+    /// Whether the driver was notified of the first token.
     notified: bool,
 }
 
@@ -26,7 +26,8 @@
     AttemptResult::new(Outcome::Cancelled, "given up")
 }
 
-/// The outcome of a stream that broke. Once it has begun, nothing proves that it never ran.
+/// Returns the outcome of a stream that broke. The engine has started the call by then, so that no failure proves that the
+/// call never ran.
 fn broken_stream_outcome(error: &CallError) -> Outcome {
     match error.cause {
         Cause::ConnectionBroken(_) | Cause::Reset(_) | Cause::DeadlinePassed => Outcome::Reset,
@@ -36,9 +37,9 @@
 
 impl<'a> AnswerStream<'a> {
     pub(super) fn new(attempt: &'a GrpcAttempt, call: &'a mut Call) -> AnswerStream<'a> {
-        let span = attempt.context.settings.stream_stall;
+        let stall_timeout = attempt.context.settings.stream_stall;
         AnswerStream {
-            stall: StallDetector::new(&attempt.context.runtime, span),
+            stall: StallDetector::new(&attempt.context.runtime, stall_timeout),
             attempt,
             call,
             received: 0,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Passes the stream on until its end.
+    /// Forwards the stream until its end, starting with its `first` event.
     pub(super) async fn run(mut self, first: pb::WriteEvent) -> AttemptResult {
         let mut next = Ok(first);
         loop {
@@ -68,7 +69,7 @@
                 WaitResult::Cancelled(CancelReason::RequestFinished) => {
                     return Err(abandoned(AlreadyFinished));
                 }
-                // A stream that has begun is not cancelled.
+                // The router does not cancel a stream that has started.
                 WaitResult::Cancelled(CancelReason::ByRouter) => {}
                 WaitResult::TimedOut => {
                     if self.stall.is_stalled(&self.attempt.context.runtime) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Takes in one event. Returns the attempt's result, if the answer ended with it.
+    /// Handles one event. Returns the attempt's result if the event ends the stream.
     async fn handle(
         &mut self,
         event: pb::WriteEvent,
@@ -110,14 +111,15 @@
     async fn on_tokens(&mut self, run: &pb::WriteTokens) -> Result<(), AttemptResult> {
         let attempt = self.attempt;
         self.check_tokens(run)?;
-        let waiting = attempt.buffer.push(&run.ids).map_err(abandoned)?;
+        let buffered = attempt.buffer.push(&run.ids).map_err(abandoned)?;
         attempt
             .context
             .metrics
             .max_buffered_tokens
-            .raise_to(waiting as u64);
+            .raise_to(buffered as u64);
         self.notify_first_token();
-        // A slow client holds up its own stream alone: more is read from its engine when there is room.
+        // Backpressure: the stream reads no further events until the client's buffer has capacity. Only this stream waits
+        // for a slow client.
         attempt
             .wait_for_capacity(&attempt.buffer)
             .await
--- a/crates/ivyward/src/request/attempt.rs
+++ b/crates/ivyward/src/request/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt over gRPC: a call to one engine, from the router's `Send` to its one outcome.
+//! One attempt over gRPC: a call to one engine, from the router's `Send` action to the attempt's single outcome.
 //!
-//! What proves that an attempt never ran is decided here, in [`failed_call_outcome`] and [`turned_away`]; what follows from
-//! that is the router's decision.
+//! [`failed_call_outcome`] and [`rejection_result`] decide whether a failure proves that the attempt never ran. The router
+//! decides what follows from the outcome.
 
 use crate::engines::connection_pool::{ChannelError, GrpcEngineClient};
 use crate::engines::{AttemptRequest, AttemptResult, WaitResult};
@@ -19,28 +19,30 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-const READ: &str = "/ivyward.engine.v1.Engine/Read";
-const WRITE: &str = "/ivyward.engine.v1.Engine/Write";
+const PREFILL_PATH: &str = "/ivyward.engine.v1.Engine/Read";
+const GENERATE_PATH: &str = "/ivyward.engine.v1.Engine/Write";
 
 /// The call that an attempt makes.
 pub(crate) enum EngineCall {
-    Read(pb::ReadRequest),
-    Write(pb::WriteRequest),
+    /// Computes the prompt's KV state only.
+    Prefill(pb::ReadRequest),
+    /// Generates the response.
+    Generate(pb::WriteRequest),
 }
 
 impl EngineCall {
-    /// The most tokens that its answer may have.
+    /// Maximum number of tokens in the response.
     pub(super) fn max_tokens(&self) -> u32 {
         match self {
-            EngineCall::Write(write) => write.max_output_tokens,
-            EngineCall::Read(_) => 0,
+            EngineCall::Generate(request) => request.max_output_tokens,
+            EngineCall::Prefill(_) => 0,
         }
     }
 
     fn encode(&self) -> (&'static str, bytes::Bytes) {
         match self {
-            EngineCall::Read(read) => (READ, encode(read)),
-            EngineCall::Write(write) => (WRITE, encode(write)),
+            EngineCall::Prefill(request) => (PREFILL_PATH, encode(request)),
+            EngineCall::Generate(request) => (GENERATE_PATH, encode(request)),
         }
     }
 }
@@ -61,23 +63,25 @@
 }
 
 impl GrpcAttempt {
-    /// When the engine's answer is of no use any more. A write may take as long as its client waits for the end, and has
-    /// no bound where the client stated none.
+    /// The deadline that is sent to the engine. A generate call may last until the client's deadline for the whole response,
+    /// and has no deadline if the client set none.
     fn call_deadline(&self) -> Option<Micros> {
         match self.engine_call {
-            EngineCall::Read(_) => Some(self.request.deadline),
-            EngineCall::Write(_) => self.request.stream_deadline,
+            EngineCall::Prefill(_) => Some(self.request.deadline),
+            EngineCall::Generate(_) => self.request.stream_deadline,
         }
     }
 
-    /// The values of a load report in the order that the settings say.
+    /// The values of a load report in the order of the router's settings.
     pub(super) fn report(&self, load: Option<&pb::Load>) -> LoadReport {
         report(load, &self.context.router_settings.report_fields)
     }
 }
 
-/// Runs `next`, unless the request has its final answer first. Guards against an attempt that begins after its client
-/// disconnected, where a connection comes up late and attempts may not be cancelled.
+/// Runs `next`, unless the request gets its final status first.
+///
+/// This keeps an attempt from starting after its client disconnected: the connection may be established only then, and the
+/// router may not cancel the attempt.
 async fn unless_finished<T>(attempt: &GrpcAttempt, next: impl Future<Output = T>) -> Option<T> {
     let mut next = pin!(next);
     poll_fn(|cx| match attempt.buffer.poll_finished(cx) {
@@ -87,7 +91,7 @@
     .await
 }
 
-/// Runs `next`, unless the attempt is cancelled first.
+/// Runs `next` until it completes or the attempt is cancelled.
 async fn unless_cancelled<T>(
     attempt: &GrpcAttempt,
     next: impl Future<Output = T>,
@@ -98,12 +102,15 @@
     .await
 }
 
-/// The outcome of a failed call. Proofs that it never ran: it did not leave the socket (a failed connection),
-/// REFUSED_STREAM, or a GOAWAY below its stream (rejected). Everything else may have run: a break or reset after its bytes
-/// left, a status (which may come from any proxy in between), bytes that are no message.
-fn failed_call_outcome(error: &CallError, left: bool) -> Outcome {
+/// Returns the outcome of a failed call. `headers_sent` says whether any part of it was written to the socket.
+///
+/// Three facts prove that the call never ran: its headers were never written (`ConnectFailed`), the server reset it with
+/// REFUSED_STREAM, or a GOAWAY named a lower last stream (both `Rejected`). After any other failure the call may have run: a
+/// broken connection or a reset after its bytes were sent, a status (any proxy on the way may have sent it), or a malformed
+/// message.
+fn failed_call_outcome(error: &CallError, headers_sent: bool) -> Outcome {
     match (&error.cause, error.never_ran) {
-        (_, true) if left => Outcome::Rejected,
+        (_, true) if headers_sent => Outcome::Rejected,
         (_, true) => Outcome::ConnectFailed,
         (Cause::Reset(_), false) if mutations::is_active(Mutation::ResetAsProof) => {
             Outcome::Rejected
@@ -118,9 +125,9 @@
     }
 }
 
-/// The outcome of an engine's statement that it ran nothing.
-fn turned_away(away: &pb::TurnedAway) -> AttemptResult {
-    match away.reason() {
+/// Returns the result of an attempt that the engine rejected, which states that the engine ran nothing of it.
+fn rejection_result(rejection: &pb::TurnedAway) -> AttemptResult {
+    match rejection.reason() {
         pb::turned_away::Reason::StateLost => {
             AttemptResult::new(Outcome::KvCacheMiss, "no state to fetch")
         }
@@ -128,7 +135,7 @@
         pb::turned_away::Reason::Draining => {
             AttemptResult::new(Outcome::Rejected, "turned away: draining")
         }
-        // A reason of a later version: that nothing was run holds all the same.
+        // A reason added in a later protocol version. The engine ran nothing in this case, either.
         pb::turned_away::Reason::Unspecified => {
             AttemptResult::new(Outcome::Rejected, "turned away")
         }
@@ -154,7 +161,7 @@
             ReportField::WaitingKTokens => load.waiting_ktokens,
             ReportField::Other => None,
         };
-        // A missing value, or one that is no number, makes the whole report useless rather than wrong.
+        // If a value is missing, infinite or NaN, the whole report is discarded: the router must not use a wrong value.
         let Some(value) = value.filter(|v| v.is_finite()) else {
             return LoadReport::default();
         };
@@ -163,7 +170,7 @@
     report
 }
 
-/// Runs an attempt to its one outcome.
+/// Runs an attempt to its single outcome.
 pub(crate) async fn run(attempt: GrpcAttempt) -> AttemptResult {
     let result = connect_and_call(&attempt).await;
     attempt.engine.call_ended();
@@ -181,26 +188,26 @@
         Err(result) => return result,
     };
     let mut result = match attempt.engine_call {
-        EngineCall::Read(_) => read(attempt, &mut call).await,
-        EngineCall::Write(_) => write(attempt, &mut call).await,
+        EngineCall::Prefill(_) => prefill(attempt, &mut call).await,
+        EngineCall::Generate(_) => generate(attempt, &mut call).await,
     };
     if mutations::is_active(Mutation::SentTwice)
         && matches!(
             (&attempt.engine_call, result.outcome),
-            (EngineCall::Write(_), Outcome::Reset)
+            (EngineCall::Generate(_), Outcome::Reset)
         )
     {
         let deadline = attempt.call_deadline();
         if let Ok(again) = channel.call_with_deadline(path, body, deadline).await {
             call = again;
-            result = write(attempt, &mut call).await;
+            result = generate(attempt, &mut call).await;
         }
     }
-    // The outcome is reported only when the stream is over or its reset is written, so that the next attempt never runs
-    // beside this one.
-    let left = call.abandon(attempt.context.settings.reset_wait).await;
+    // The outcome is reported only after the stream ended or its reset was written, so that the next attempt never runs at
+    // the same time as this one.
+    let headers_sent = call.abandon(attempt.context.settings.reset_wait).await;
     match result.outcome {
-        Outcome::TimedOut | Outcome::Cancelled if !left => {
+        Outcome::TimedOut | Outcome::Cancelled if !headers_sent => {
             AttemptResult::new(Outcome::NotSent, "given up before it left")
         }
         _ => result,
@@ -217,7 +224,7 @@
     let channel = match unless_finished(attempt, opening).await {
         Some(WaitResult::Completed(Ok(channel))) => channel,
         Some(WaitResult::Completed(Err(
-            error @ (ChannelError::Failed(..) | ChannelError::Late(_)),
+            error @ (ChannelError::ConnectFailed(..) | ChannelError::TimedOut(_)),
         ))) => {
             return Err(AttemptResult::new(
                 Outcome::ConnectFailed,
@@ -226,7 +233,7 @@
         }
         _ => return not_sent("called off before it was sent"),
     };
-    // The engine may have begun to drain while the connection was opened.
+    // The engine may have started to drain while the connection was being established.
     if attempt.engine.is_draining() && !mutations::is_active(Mutation::ClosingIgnored) {
         return not_sent("the engine drains or is gone");
     }
@@ -255,13 +262,14 @@
     Err(AttemptResult::new(outcome, detail))
 }
 
-/// The first message, or the end of an attempt without one.
+/// Returns the first message of the response, or the result of an attempt that ended without one.
 async fn first_message<M: Message + Default>(
     attempt: &GrpcAttempt,
     call: &mut Call,
 ) -> Result<M, AttemptResult> {
     let mut timer = attempt.context.runtime.sleep_until(attempt.deadline);
-    // Guards against an attempt that begins after its client left: what is still leaving comes to its engine in parts.
+    // Stops uploading once the request has its final status. Otherwise the rest of the request could reach the engine, and
+    // start the attempt, after the client disconnected.
     let next = poll_fn(|cx| {
         if !call.uploaded() && attempt.buffer.poll_finished(cx).is_ready() {
             return Poll::Ready(None);
@@ -285,7 +293,7 @@
     Err(AttemptResult::new(outcome, detail))
 }
 
-/// Checks that the engine that answered is the one that was called.
+/// Checks that the response is from the engine that was called.
 pub(super) fn check_engine(attempt: &GrpcAttempt, answered: u64) -> Result<(), AttemptResult> {
     let called = attempt.engine.id.0;
     if called == answered {
@@ -297,7 +305,7 @@
     ))
 }
 
-async fn read(attempt: &GrpcAttempt, call: &mut Call) -> AttemptResult {
+async fn prefill(attempt: &GrpcAttempt, call: &mut Call) -> AttemptResult {
     let reply = match first_message::<pb::ReadReply>(attempt, call).await {
         Ok(reply) => reply,
         Err(result) => return result,
@@ -310,7 +318,7 @@
             cached_tokens: done.kept_tokens,
             ..AttemptResult::new(Outcome::Prefilled, "read")
         },
-        Some(pb::read_reply::Result::TurnedAway(away)) => turned_away(&away),
+        Some(pb::read_reply::Result::TurnedAway(rejection)) => rejection_result(&rejection),
         None => AttemptResult::new(Outcome::Error, "a read's reply says nothing"),
     };
     AttemptResult {
@@ -319,15 +327,15 @@
     }
 }
 
-async fn write(attempt: &GrpcAttempt, call: &mut Call) -> AttemptResult {
+async fn generate(attempt: &GrpcAttempt, call: &mut Call) -> AttemptResult {
     let event = match first_message::<pb::WriteEvent>(attempt, call).await {
         Ok(event) => event,
         Err(result) => return result,
     };
-    if let (Ok(()), Some(pb::write_event::Event::TurnedAway(away))) =
+    if let (Ok(()), Some(pb::write_event::Event::TurnedAway(rejection))) =
         (check_engine(attempt, event.engine), &event.event)
     {
-        return turned_away(away);
+        return rejection_result(rejection);
     }
     AnswerStream::new(attempt, call).run(event).await
 }
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC to engines, behind the interface of [`crate::engines`].
+//! The gRPC protocol to engines, `ivyward.engine.v1`: an implementation of the interface of [`crate::engines`].
 
 use crate::context::NodeContext;
 use crate::engines::connection_pool::GrpcEngineClient;
@@ -20,9 +20,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const HOLD: &str = "/ivyward.engine.v1.Engine/Hold";
-const RELEASE: &str = "/ivyward.engine.v1.Engine/Release";
-const PROBE: &str = "/ivyward.engine.v1.Engine/Probe";
+const RESERVE_PATH: &str = "/ivyward.engine.v1.Engine/Hold";
+const RELEASE_PATH: &str = "/ivyward.engine.v1.Engine/Release";
+const HEALTH_CHECK_PATH: &str = "/ivyward.engine.v1.Engine/Probe";
 
 /// A request that the gRPC server accepted.
 pub(crate) struct GrpcCall {
@@ -35,8 +35,8 @@
 }
 
 impl Call for GrpcCall {
-    fn finish(&self, end: FinalStatus) -> bool {
-        self.buffer.finish(end)
+    fn finish(&self, status: FinalStatus) -> bool {
+        self.buffer.finish(status)
     }
     fn as_any(&self) -> &dyn Any {
         self
@@ -84,7 +84,7 @@
     }
 }
 
-/// The key of an attempt at engines.
+/// The key by which engines identify an attempt.
 fn key(context: &NodeContext, request: u64, attempt: u16) -> Option<pb::AttemptKey> {
     Some(pb::AttemptKey {
         node: context.incarnation,
@@ -112,14 +112,14 @@
     let context = &attempt.context;
     let header = header(context, call, attempt.attempt, engine);
     let request = &call.request;
-    let (opening, opening_tokens) = (request.prefix, request.prefix_tokens as u32);
+    let (prefix, prefix_tokens) = (request.prefix, request.prefix_tokens as u32);
     let (prompt, session) = (call.prompt.to_vec(), request.session);
     if attempt.prefill_only {
-        return EngineCall::Read(pb::ReadRequest {
+        return EngineCall::Prefill(pb::ReadRequest {
             header,
             prompt,
-            opening,
-            opening_tokens,
+            opening: prefix,
+            opening_tokens: prefix_tokens,
             session,
         });
     }
@@ -131,11 +131,11 @@
             engine: holder.id().0,
             address: holder.address().to_string(),
         });
-    EngineCall::Write(pb::WriteRequest {
+    EngineCall::Generate(pb::WriteRequest {
         header,
         prompt,
-        opening,
-        opening_tokens,
+        opening: prefix,
+        opening_tokens: prefix_tokens,
         session,
         max_output_tokens: request.max_output as u32,
         state,
@@ -190,7 +190,8 @@
         Box::pin(async move {
             let body = encode(&pb::ProbeRequest { engine: self.id.0 });
             let reply =
-                unary::<pb::ProbeReply>(&context.runtime, &self, PROBE, body, &context).await;
+                unary::<pb::ProbeReply>(&context.runtime, &self, HEALTH_CHECK_PATH, body, &context)
+                    .await;
             let alive = reply.as_ref().is_some_and(|r| r.engine == self.id.0);
             let load = reply.and_then(|r| r.load);
             let fields = &context.router_settings.report_fields;
@@ -199,7 +200,7 @@
     }
 }
 
-/// Asks an engine for a release, as a task of its own.
+/// Asks an engine to release a reservation, in a task of its own.
 fn spawn_release(
     context: &Arc<NodeContext>,
     engine: Arc<GrpcEngineClient>,
@@ -225,8 +226,11 @@
     });
 }
 
-/// Asks an engine for a release until it is done; whether it was. A reservation that is not confirmed is asked for again
-/// while it may still arrive: a release on another connection may overtake the call that it is about.
+/// Asks an engine to release a reservation, and returns whether the engine answered.
+///
+/// A call that fails is retried with exponential backoff until the retry time is over. The release of an unconfirmed
+/// reservation is also repeated while the engine has nothing to release: the call that makes the reservation may still be on
+/// its way on another connection.
 async fn release(
     context: &NodeContext,
     engine: &Arc<GrpcEngineClient>,
@@ -234,18 +238,18 @@
     confirmed: bool,
 ) -> bool {
     let (runtime, settings) = (&context.runtime, &context.settings);
-    let give_up_at = runtime.now().saturating_add(settings.release_tries);
-    let may_arrive_until = runtime
+    let retry_until = runtime.now().saturating_add(settings.release_tries);
+    let may_reserve_until = runtime
         .now()
         .saturating_add(context.router_settings.release_within);
     let mut pause = settings.redial_first;
     loop {
         let reply =
-            unary::<pb::ReleaseReply>(runtime, engine, RELEASE, body.clone(), context).await;
+            unary::<pb::ReleaseReply>(runtime, engine, RELEASE_PATH, body.clone(), context).await;
         let next = runtime.now().saturating_add(pause);
         match reply {
-            Some(reply) if reply.released || confirmed || next > may_arrive_until => return true,
-            None if next > give_up_at => return false,
+            Some(reply) if reply.released || confirmed || next > may_reserve_until => return true,
+            None if next > retry_until => return false,
             _ => {}
         }
         runtime.sleep(pause).await;
@@ -253,8 +257,10 @@
     }
 }
 
-/// Reserves a decode slot, unless the request stops needing one first. Guards against slots that outlast their request: a
-/// call that waits for a connection is never sent then, one that has left is released at once.
+/// Reserves a decode slot, unless the request stops needing one first.
+///
+/// This keeps slots from outlasting their request: in that case a call that still waits for a connection is not sent, and the
+/// slot of a call that was sent is released at once.
 async fn reserve(
     engine: &Arc<GrpcEngineClient>,
     body: bytes::Bytes,
@@ -270,12 +276,15 @@
     let Some(channel) = opened.await else {
         return ReservationStatus::Denied;
     };
-    // The engine may have begun to drain while the connection was opened.
+    // The engine may have started to drain while the connection was being established.
     let draining = engine.is_draining() && !mutations::is_active(Mutation::ClosingIgnored);
     if draining || request.is_finished() {
         return ReservationStatus::Denied;
     }
-    let Ok(mut call) = channel.call_with_deadline(HOLD, body, Some(until)).await else {
+    let Ok(mut call) = channel
+        .call_with_deadline(RESERVE_PATH, body, Some(until))
+        .await
+    else {
         return ReservationStatus::Denied;
     };
     let reply = or(
@@ -286,20 +295,22 @@
         },
     );
     let reply = reply.await;
-    // Its reset leaves before the release, so that an engine that hangs never takes the call up after it.
-    let left = call.abandon(settings.reset_wait).await;
+    // The reset is written before any release is sent, so that an engine that was unresponsive does not start the call after
+    // it handled the release.
+    let headers_sent = call.abandon(settings.reset_wait).await;
     engine.call_ended();
     match reply {
         Some(Ok(Some(reply))) if reply.engine == engine.id.0 && reply.held => {
             ReservationStatus::Granted
         }
         Some(Ok(Some(reply))) if reply.engine == engine.id.0 => ReservationStatus::Denied,
-        _ if left => ReservationStatus::Unknown,
+        _ if headers_sent => ReservationStatus::Unknown,
         _ => ReservationStatus::Denied,
     }
 }
 
-/// A short call whose failure is no attempt's outcome.
+/// Makes a unary call that is not part of an attempt. Returns `None` if the call fails or takes longer than twice the connect
+/// timeout.
 async fn unary<M: prost::Message + Default>(
     runtime: &RuntimeRef,
     engine: &Arc<GrpcEngineClient>,
