--- a/crates/ivyward/src/request/grpc_server.rs
+++ b/crates/ivyward/src/request/grpc_server.rs
@@ -1,4 +1,4 @@
-//! The gRPC server: accepts calls on a listener, and gives each one's final answer as a gRPC status.
+//! The gRPC server for clients: accepts calls on a listener, and reports the final status of each as a gRPC status.
 
 use crate::node::{Node, ResponseStream};
 use crate::request::clients::ClientConnection;
@@ -20,20 +20,20 @@
 use tonic_types::{ErrorDetails, StatusExt};
 use tracing::debug;
 
-/// Concurrent calls on one client connection.
+/// Maximum number of concurrent calls on one client connection.
 const MAX_CALLS_PER_CLIENT: u32 = 4_096;
-/// Longest headers of one call, in bytes.
+/// Maximum size of the headers of one call, in bytes.
 const MAX_HEADERS: u32 = 16 << 10;
-/// Longest encoded token, in bytes: a varint of 32 bits has five at most.
+/// Maximum size of an encoded token, in bytes: a varint of 32 bits has at most five.
 const MAX_TOKEN_BYTES: usize = 5;
-/// Longest encoded request beside its prompt, in bytes.
+/// Maximum size of an encoded request without its prompt, in bytes.
 const MAX_REQUEST_OVERHEAD: usize = 64 << 10;
-/// Pause after a connection could not be accepted for lack of something on this machine.
+/// Pause in microseconds after a connection could not be accepted because this machine lacks a resource.
 const ACCEPT_PAUSE: Micros = 10_000;
 const OUTCOME_HEADER: &str = "ivyward-outcome";
 const PUSHBACK_HEADER: &str = "grpc-retry-pushback-ms";
 
-/// How long a call's client waits, as `grpc-timeout` says.
+/// Returns how long the client waits for the call, from the `grpc-timeout` header; `None` without the header.
 fn grpc_timeout(metadata: &MetadataMap) -> Result<Option<Micros>, String> {
     let Some(value) = metadata.get(TIMEOUT_HEADER) else {
         return Ok(None);
@@ -44,10 +44,10 @@
     parse_timeout(text).map(Some).map_err(|e| e.to_string())
 }
 
-/// A final answer as a gRPC status; served ones are OK.
+/// Converts a final status to a gRPC status.
 ///
-/// A rejection is `RESOURCE_EXHAUSTED` or `UNAVAILABLE` with `grpc-retry-pushback-ms` and a `RetryInfo`; a failure is
-/// none of these and forbids retries by pushback.
+/// A served request has the status OK. A rejection is `RESOURCE_EXHAUSTED` or `UNAVAILABLE`, with `grpc-retry-pushback-ms` and
+/// a `RetryInfo`. A failure has any other code and a negative pushback, which forbids automatic retries.
 pub fn status(end: &FinalStatus) -> Status {
     match end {
         FinalStatus::Served => Status::with_metadata(Code::Ok, "", outcome_metadata("served")),
@@ -81,7 +81,7 @@
         ),
     };
     let after = Duration::from_micros(retry_after.unwrap_or(0));
-    // Rounded up: nobody is to come back too soon.
+    // Rounded up, so that no client retries too early.
     let ms = u64::try_from(after.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX);
     let mut metadata = outcome_metadata("refused");
     metadata.insert(PUSHBACK_HEADER, MetadataValue::from(ms));
@@ -111,21 +111,21 @@
     Status::with_metadata(code, text, metadata)
 }
 
-/// Marks an error that was given before there was a request (a message too large or malformed, an unknown method) as a
-/// failure like all others: nothing is promised, and it says so.
+/// Adds the headers of a failure to an error that is returned before there is a request, for example for a malformed or too
+/// large message or an unknown method. They tell the client that, as after any failure, no automatic retry is allowed.
 fn mark_early_failure<B>(mut response: http::Response<B>) -> http::Response<B> {
     let headers = response.headers_mut();
-    let ended = headers
+    let has_error = headers
         .get("grpc-status")
         .is_some_and(|status| status != "0");
-    if ended && !headers.contains_key(OUTCOME_HEADER) {
+    if has_error && !headers.contains_key(OUTCOME_HEADER) {
         headers.insert(OUTCOME_HEADER, http::HeaderValue::from_static("failed"));
         headers.insert(PUSHBACK_HEADER, http::HeaderValue::from_static("-1"));
     }
     response
 }
 
-/// The tokens of a call's answer, and its final status.
+/// The response stream of a call: its tokens, then its final status.
 pub struct TokenStream {
     response: Option<ResponseStream>,
 }
@@ -150,7 +150,7 @@
     }
 }
 
-/// The generated service trait on a node.
+/// Implements the generated service trait for a node.
 #[derive(Clone)]
 struct Service(Node);
 
@@ -174,8 +174,8 @@
 }
 
 impl Node {
-    /// Serves gRPC on a listener until the node stops: then it accepts no more, and closes each connection once its last
-    /// call is answered.
+    /// Serves gRPC clients on a listener until the node stops. From then on no connection is accepted, and each open one is
+    /// closed once its last call has ended.
     pub async fn serve(&self, mut listener: Box<dyn Listener>) {
         let traffic = &self.context.metrics.client_traffic;
         let runtime = metered(&self.context.runtime, traffic);
@@ -193,7 +193,8 @@
                 Some(Ok((conn, _))) => traffic.watch(conn),
                 Some(Err(error)) => {
                     debug!(%error, "accept failed");
-                    // A pause lets what this machine lacks come free. One connection's own end needs none.
+                    // The pause gives this machine time to free the resource that it lacks. A connection that failed by
+                    // itself needs no pause.
                     if ErrorOrigin::of(&error) == ErrorOrigin::Local {
                         runtime.sleep(ACCEPT_PAUSE).await;
                     }
@@ -213,7 +214,7 @@
     }
 }
 
-/// Serves one connection to its end, or until the node stops and its calls are answered.
+/// Serves one connection until it closes, or until the node has stopped and the connection's calls have ended.
 async fn serve_connection(
     node: Node,
     tasks: Tasks,
@@ -238,7 +239,7 @@
     });
     if ended.await.is_none() {
         connection.as_mut().graceful_shutdown();
-        // Errors concern this client alone.
+        // An error affects only this client.
         let _ = connection.await;
     }
     drop(admitted);
--- a/crates/ivyward/src/request/grpc_server/tests.rs
+++ b/crates/ivyward/src/request/grpc_server/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn grpc_timeout_header_is_parsed() {
-    let read = |text: &'static str| {
+    let parse = |text: &'static str| {
         let mut metadata = MetadataMap::new();
         metadata.insert("grpc-timeout", MetadataValue::from_static(text));
         grpc_timeout(&metadata)
@@ -15,9 +15,9 @@
         ("3S", 3_000_000),
         ("4m", 4_000),
     ] {
-        assert_eq!(read(text), Ok(Some(micros)), "{text}");
+        assert_eq!(parse(text), Ok(Some(micros)), "{text}");
     }
-    assert_eq!(read("99999999n"), Ok(Some(99_999)));
+    assert_eq!(parse("99999999n"), Ok(Some(99_999)));
     for text in [
         "",
         "S",
@@ -29,22 +29,22 @@
         "1.5S",
         "1 S",
     ] {
-        assert!(read(text).is_err(), "{text:?}");
+        assert!(parse(text).is_err(), "{text:?}");
     }
     assert_eq!(grpc_timeout(&MetadataMap::new()), Ok(None));
 }
 
 #[test]
 fn failure_status_differs_from_rejection() {
-    let refusals = [
+    let reject_reasons = [
         RejectReason::Overloaded,
         RejectReason::NodeFull,
         RejectReason::Stopping,
     ];
-    for why in refusals {
+    for reason in reject_reasons {
         let status = status(&FinalStatus::Rejected {
             retry_after: Some(1_500),
-            reason: why,
+            reason,
         });
         assert!(matches!(
             status.code(),
@@ -58,15 +58,15 @@
         assert_eq!(retry.retry_delay, Some(Duration::from_micros(1_500)));
     }
     let text = || "why".to_string();
-    let failures = [
+    let failure_reasons = [
         FailureReason::Deadline,
         FailureReason::AttemptsExhausted(text()),
         FailureReason::StreamBroken(text()),
         FailureReason::NodeStopped,
         FailureReason::InvalidRequest(text()),
     ];
-    for why in failures {
-        let status = status(&FinalStatus::Failed(why));
+    for reason in failure_reasons {
+        let status = status(&FinalStatus::Failed(reason));
         assert!(!matches!(
             status.code(),
             Code::ResourceExhausted | Code::Unavailable | Code::Ok
