--- a/crates/ivyward/src/engines/connect.rs
+++ b/crates/ivyward/src/engines/connect.rs
@@ -6,33 +6,35 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A connection that came up.
+/// An established connection.
 pub struct Connected {
-    /// The connection.
+    /// The socket, on which nothing was sent yet.
     pub conn: Conn,
-    /// How long its last try took: about one round trip.
+    /// Duration of the successful connection attempt in microseconds: about one round trip.
     pub duration: Micros,
 }
 
-/// Why no connection came up.
+/// Why no connection was established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
-    /// This machine could not open one, which says nothing about the engine.
+    /// This machine could not open a connection, which says nothing about the engine.
     #[error("this machine could not open a connection: {0}")]
     Local(io::Error),
-    /// The engine's side refused it, or it broke.
+    /// The engine's host refused the connection, or the connection broke.
     #[error("{0}")]
     Remote(io::Error),
-    /// It did not come up in time.
+    /// The connection was not established in time.
     #[error("no connection in time")]
     TimedOut,
 }
 
-/// Opens a connection by `until`. Guards against a moment without ports, buffers, descriptors or routes on this machine:
-/// counted as failures of the engines, it would eject the whole fleet at once.
+/// Opens a connection by `until`. Retries after errors of this machine.
+///
+/// This machine may briefly lack ports, buffers, descriptors or routes. If these errors counted as failures of the engines,
+/// outlier detection would eject all engines at once.
 ///
 /// # Errors
-/// [`ConnectFailure`], which says whose failure it was.
+/// [`ConnectFailure`], which says whether this machine or the engine's side failed.
 pub async fn connect(
     runtime: &RuntimeRef,
     address: SocketAddr,
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -1,4 +1,4 @@
-//! The budget of checks on idle connections, shared by a node's connections to all engines.
+//! The rate limit on checks of idle connections, shared by a node's connections to all engines.
 
 use crate::settings::NodeSettings;
 use ivyward_core::interface::Micros;
@@ -7,7 +7,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Decides when connections are checked, for all connections together.
+/// Decides when idle connections to engines are checked. One instance serves all of a node's connections.
 pub(crate) struct EngineKeepalive {
     decider: Mutex<Keepalive>,
     runtime: RuntimeRef,
@@ -31,7 +31,7 @@
         self.decider.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What to do before a call leaves on a connection that last received something at `last_received`.
+    /// Decides whether to check a connection that last received bytes at `last_received` before a call is sent on it.
     pub(crate) fn before_use(&self, last_received: Micros) -> BeforeUse {
         self.decider().before_use(self.runtime.now(), last_received)
     }
--- a/crates/ivyward/src/engines/mod.rs
+++ b/crates/ivyward/src/engines/mod.rs
@@ -1,9 +1,10 @@
 //! The interface between the driver and the protocols that engines speak.
 //!
-//! A protocol knows the form of prompts, answers and the keys under which engines hold things; the driver passes them on
-//! without looking. The driver knows requests, deadlines, timers and reservations; a protocol decides nothing of that.
+//! A protocol knows the format of prompts and responses, and the keys under which engines store KV states and decode slots;
+//! to the driver all of these are opaque. The driver manages requests, deadlines, timers and reservations; a protocol makes no
+//! decision about them.
 //!
-//! - [`connect`]: opens a connection, whatever the protocol.
+//! - [`connect`]: opens a connection, for any protocol.
 //! - `connection_pool` and `keepalive`: connections of the gRPC protocol.
 
 pub mod connect;
@@ -22,39 +23,39 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An engine as a list names it, with its address.
+/// An engine of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// What the router is told. `machine_type` is an index into the router's roles.
+    /// The endpoint as the router sees it. Its `machine_type` is an index into the router's roles.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
 }
 
 /// Why the driver cancels an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// The router no longer waits for it. An attempt whose stream has begun goes on.
+    /// The router no longer waits for the attempt. An attempt whose stream has started ignores this.
     ByRouter,
-    /// Nobody wants its answer any more.
+    /// The request has its final status, or its client disconnected.
     RequestFinished,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// What the router is told.
+    /// The outcome that the router receives.
     pub outcome: Outcome,
-    /// Prompt tokens that were found in the engine's cache.
+    /// Number of prompt tokens that were in the engine's cache.
     pub cached_tokens: u32,
-    /// The engine's load report, if one came along.
+    /// The engine's load report; empty if the engine sent none.
     pub report: LoadReport,
-    /// A text for logs and clients.
+    /// Details for logs. The client receives them if the request fails and this is the last failed attempt.
     pub detail: String,
 }
 
 impl AttemptResult {
-    /// A result without cached tokens and load report.
+    /// Creates a result without cached tokens and without a load report.
     pub fn new(outcome: Outcome, detail: impl Into<String>) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -65,93 +66,97 @@
     }
 }
 
-/// A request as its protocol holds it: the prompt, and the path of the answer to the client.
+/// The protocol's part of a request: its prompt, and where the response for the client goes.
 pub trait Call: Send + Sync + 'static {
-    /// Sets the final answer; only the first one counts. Returns whether this was the first.
-    fn finish(&self, end: FinalStatus) -> bool;
-    /// For the protocol to downcast to its own type.
+    /// Sets the final status, unless one is set. Returns whether this call set it.
+    fn finish(&self, status: FinalStatus) -> bool;
+    /// Returns `self` for the protocol to downcast to its own type.
     fn as_any(&self) -> &dyn Any;
-    /// The request's name outside this node, for logs.
+    /// The request's name outside this node, for logs; empty if it has none.
     fn name(&self) -> &str;
 }
 
-/// The client of one engine, as the driver holds it.
+/// The driver's client of one engine.
 pub trait EngineClient: Send + Sync + 'static {
-    /// Which engine.
+    /// The engine's id.
     fn id(&self) -> EndpointId;
-    /// Where it listens.
+    /// The address on which the engine listens.
     fn address(&self) -> SocketAddr;
-    /// Sets whether the engine drains or was removed: then nothing that has not left yet is sent to it.
+    /// Sets whether the engine drains or was removed. While it does, the client starts no new call to it; calls that were
+    /// already sent continue.
     fn set_draining(&self, draining: bool);
-    /// Closes all connections.
+    /// Closes all connections to the engine. Their calls fail.
     fn close(&self);
-    /// For the protocol to downcast to its own type.
+    /// Returns `self` for the protocol to downcast to its own type.
     fn as_any_arc(self: Arc<Self>) -> Arc<dyn Any + Send + Sync>;
-    /// Runs one attempt to its one outcome. Ends only when no byte of it is under way any more.
+    /// Runs one attempt to its single outcome. Completes only when the node sends no further byte of the attempt.
     fn run_attempt(self: Arc<Self>, request: AttemptRequest) -> BoxFuture<AttemptResult>;
     /// Reserves a decode slot, unless the request stops needing one first.
     fn reserve(self: Arc<Self>, request: ReserveRequest) -> BoxFuture<ReservationStatus>;
-    /// Checks the engine's health: whether it answered, and its load report.
+    /// Checks the engine's health. Returns whether the engine answered, and its load report.
     fn health_check(self: Arc<Self>, context: Arc<NodeContext>) -> BoxFuture<(bool, LoadReport)>;
 }
 
-/// A shared engine client.
+/// A shared reference to the client of an engine.
 pub type EngineHandle = Arc<dyn EngineClient>;
 
 /// A protocol that engines speak.
 pub trait Protocol: Send + Sync + 'static {
-    /// The client of an engine that is new or has moved.
+    /// Creates the client of an engine that is new or has a new address.
     fn engine_client(&self, context: &Arc<NodeContext>, engine: &Engine) -> EngineHandle;
-    /// Whether reservations are released one by one. Otherwise one release ends all that is held for its request anywhere,
-    /// and is asked for once, when no attempt is in flight and none follows.
+    /// Whether each reservation is released by a call of its own. Otherwise one release covers all reservations of its request
+    /// on all engines, and is sent once, when no attempt is in flight and none follows.
     fn releases_individually(&self) -> bool;
-    /// Releases reservations, as a task of its own.
+    /// Starts a task that releases reservations.
     fn release(&self, context: &Arc<NodeContext>, request: ReleaseRequest);
-    /// A prefill of this request ended well, so that a release still under way would take away the state that it left.
-    /// Returns whether there was such a release: it is to be asked for again.
+    /// Stops a release of this request that is still in progress. The driver calls this when a prefill succeeded, whose KV
+    /// state that release would delete. Returns whether there was such a release; the driver then releases again later.
     fn withdraw_release(&self, _request: u64) -> bool {
         false
     }
 }
 
-/// What the driver asks of one attempt.
+/// One attempt that the driver asks an engine client to run.
 pub struct AttemptRequest {
-    /// The node's context.
+    /// The runtime, settings and metrics of the node.
     pub context: Arc<NodeContext>,
-    /// The request as its protocol holds it.
+    /// The protocol's part of the request.
     pub call: Arc<dyn Call>,
-    /// The request's number at this node.
+    /// The request's id at this node.
     pub request: u64,
-    /// The attempt's number.
+    /// The attempt's index within its request, from 0.
     pub attempt: u16,
-    /// Whether the engine only prefills.
+    /// Whether the engine computes the prompt's KV state only, without generating tokens.
     pub prefill_only: bool,
-    /// The engine that holds the KV state to fetch, and the prefill attempt that left it there.
+    /// The engine to fetch the KV state from, and the prefill attempt that computed it there; `None` if there is none.
     pub kv_state: Option<(EngineHandle, u16)>,
-    /// When it ends without a first token.
+    /// The time at which the attempt ends unless the first token was received.
     pub deadline: Micros,
-    /// When the node ends the stream, if the client stated a time for the whole answer.
+    /// The time at which the node ends the stream; `None` if the client set no timeout for the whole response.
     pub stream_deadline: Option<Micros>,
-    /// When it ends unless its last byte has left: engines hold something meanwhile, and that time runs on.
+    /// The time at which the attempt ends unless its last byte was sent. An engine's
+    /// reservation for the attempt expires after a limited time, which passes meanwhile.
     pub send_deadline: Micros,
     pub(crate) cancel: async_channel::Receiver<CancelReason>,
     pub(crate) on_first_token: Box<dyn Fn() + Send + Sync>,
 }
 
 impl AttemptRequest {
-    /// Reports that the answer began to stream: from now on the attempt belongs to the client.
+    /// Notifies the driver that the response has started to stream. From then on the router neither cancels nor retries the
+    /// attempt.
     pub fn notify_first_token(&self) {
         (self.on_first_token)();
     }
-    /// Returns when the driver cancels this attempt.
+    /// Waits until the driver cancels this attempt.
     pub async fn cancelled(&self) -> CancelReason {
-        // Without a driver there is no node.
+        // The channel is closed when the driver has ended, and the node with it.
         self.cancel
             .recv()
             .await
             .unwrap_or(CancelReason::RequestFinished)
     }
-    /// Waits for `next`, a cancellation, or the timer.
+    /// Waits until `next` completes, the attempt is cancelled, or the timer fires; if several are ready, the first of them in
+    /// this order counts.
     pub async fn wait<T>(
         &self,
         timer: &mut BoxFuture<()>,
@@ -169,7 +174,8 @@
         })
         .await
     }
-    /// Like [`AttemptRequest::wait`], but a cancellation goes first: nothing that can still be left undone is done after it.
+    /// Like [`AttemptRequest::wait`], but a cancellation takes precedence over `next`, which is then not polled any more. For
+    /// steps that must not happen after a cancellation.
     pub async fn wait_cancel_first<T>(
         &self,
         timer: &mut BoxFuture<()>,
@@ -181,55 +187,55 @@
         )
         .await
     }
-    /// Waits until the client's buffer has room.
+    /// Waits until the client's buffer has capacity.
     ///
     /// # Errors
-    /// When nobody wants the answer any more.
+    /// [`AlreadyFinished`] when the request has its final status or its client disconnected.
     pub async fn wait_for_capacity<T: Copy>(
         &self,
         buffer: &TokenBuffer<T>,
     ) -> Result<(), AlreadyFinished> {
-        let has_room = poll_fn(|cx| buffer.poll_capacity(cx));
+        let has_capacity = poll_fn(|cx| buffer.poll_capacity(cx));
         let abandoned = async {
             while self.cancelled().await == CancelReason::ByRouter {}
             Err(AlreadyFinished)
         };
-        or(has_room, abandoned).await
+        or(has_capacity, abandoned).await
     }
 }
 
-/// What ends a wait.
+/// Why a wait ended.
 pub enum WaitResult<T> {
-    /// The result waited for.
+    /// The future completed with this result.
     Completed(T),
     /// The driver cancelled the attempt.
     Cancelled(CancelReason),
-    /// The timer fired.
+    /// The timer fired first.
     TimedOut,
 }
 
-/// Finds streams without progress, with one timer for each span rather than for each piece.
+/// Detects streams without progress. Sets one timer per timeout interval instead of one for each received message.
 pub struct StallDetector {
-    span: Micros,
-    /// When the stream last made progress.
+    timeout: Micros,
+    /// The time at which the stream last made progress.
     pub last_progress: Micros,
-    /// The timer to wait for; after it fired, call [`StallDetector::is_stalled`].
+    /// The timer to wait for. After it fired, call [`StallDetector::is_stalled`].
     pub timer: BoxFuture<()>,
 }
 
 impl StallDetector {
-    /// For a stream that made progress just now.
-    pub fn new(runtime: &RuntimeRef, span: Micros) -> StallDetector {
+    /// Creates a detector for a stream that made progress just now and is stalled after `timeout` microseconds without any.
+    pub fn new(runtime: &RuntimeRef, timeout: Micros) -> StallDetector {
         let last_progress = runtime.now();
         StallDetector {
-            span,
+            timeout,
             last_progress,
-            timer: runtime.sleep_until(last_progress.saturating_add(span)),
+            timer: runtime.sleep_until(last_progress.saturating_add(timeout)),
         }
     }
-    /// Whether the span is over without progress; if not, the timer is set anew.
+    /// Returns whether the timeout passed without progress. If not, the timer is set again.
     pub fn is_stalled(&mut self, runtime: &RuntimeRef) -> bool {
-        let due = self.last_progress.saturating_add(self.span);
+        let due = self.last_progress.saturating_add(self.timeout);
         if runtime.now() >= due {
             return true;
         }
@@ -238,25 +244,25 @@
     }
 }
 
-/// A call for a decode slot.
+/// A request to an engine client to reserve a decode slot.
 pub struct ReserveRequest {
-    /// The node's context.
+    /// The runtime, settings and metrics of the node.
     pub context: Arc<NodeContext>,
-    /// The request as its protocol holds it.
+    /// The protocol's part of the request.
     pub call: Arc<dyn Call>,
-    /// The request's number at this node.
+    /// The request's id at this node.
     pub request: u64,
-    /// The prefill attempt beside which it is asked for.
+    /// The prefill attempt during which the slot is reserved.
     pub attempt: u16,
-    /// When the client's time for a first token is over: a slot is of no use from then on.
+    /// The first-token deadline of the request. After it a slot is of no use.
     pub deadline: Micros,
     pub(crate) finished: async_channel::Receiver<()>,
 }
 
 impl ReserveRequest {
-    /// Returns when the request no longer needs a slot.
+    /// Waits until the request no longer needs a slot.
     pub async fn until_finished(&self) {
-        // Ends when the sender is dropped.
+        // Completes when the driver drops the sender.
         let _ = self.finished.recv().await;
     }
     /// Whether the request no longer needs a slot.
@@ -265,15 +271,15 @@
     }
 }
 
-/// Something that an engine may hold for a request.
+/// A decode slot or KV state that an engine may have reserved for a request.
 pub type Reservation = ivyward_core::reservations::Reservation<EngineHandle>;
 
-/// Reservations to release.
+/// Reservations of one request to release.
 pub struct ReleaseRequest {
-    /// The request as its protocol holds it.
+    /// The protocol's part of the request.
     pub call: Arc<dyn Call>,
-    /// The request's number at this node.
+    /// The request's id at this node.
     pub request: u64,
-    /// What may be held; never empty.
+    /// The reservations that engines may have; never empty.
     pub reservations: Vec<Reservation>,
 }
