--- a/crates/ivyward/src/response.rs
+++ b/crates/ivyward/src/response.rs
@@ -1,16 +1,17 @@
-//! The bounded buffer between an attempt and the client, and how a request ends.
+//! The bounded buffer between an attempt and the client, and the final status of a request.
 
 use ivyward_core::interface::Micros;
 use ivyward_core::mutations::{self, Mutation};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 
-/// Why a request was rejected: nothing was done for it, and trying again is harmless.
+/// Why a request was rejected. Nothing was done for it, so a retry is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The router's decision: overload, or no engine is left that may take it.
+    /// The router rejected the request because of overload or because no engine may run it, or its deadline had passed on
+    /// arrival.
     Overloaded,
-    /// The node has as many open requests as it accepts.
+    /// The number of open requests is at the node's limit.
     NodeFull,
     /// The node is stopping.
     Stopping,
@@ -19,81 +20,83 @@
 /// Why a request failed. An engine may or may not have run it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Its deadline has passed.
+    /// The request's deadline has passed.
     Deadline,
-    /// No attempt led to an answer, and another one could do harm. Holds the last attempt's error.
+    /// No attempt was successful, and another one is not allowed because it could do harm. Contains the last attempt's error.
     AttemptsExhausted(String),
-    /// The stream broke after it had begun.
+    /// The stream broke after it had started. Contains the error.
     StreamBroken(String),
-    /// The node stopped before the answer's end.
+    /// The node stopped before the end of the response.
     NodeStopped,
-    /// The request is invalid; it was never accepted.
+    /// The request is invalid and was not accepted. Contains the message for the client.
     InvalidRequest(String),
 }
 
-/// The final answer of a request; each gets exactly one.
+/// The final status of a request. Each request gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// The answer was streamed to its end.
+    /// The whole response was streamed.
     Served,
-    /// Nothing was done; trying again is harmless.
+    /// Nothing was done for the request, so a retry is harmless.
     Rejected {
-        /// When to try again; `None` for no advice.
+        /// How long the client should wait before a retry, in microseconds; `None` for no advice.
         retry_after: Option<Micros>,
-        /// Why.
+        /// Why the request was rejected.
         reason: RejectReason,
     },
-    /// Failed; an engine may or may not have run it.
+    /// The request failed. An engine may or may not have run it.
     Failed(FailureReason),
 }
 
-/// Consecutive tokens of an answer.
+/// Consecutive tokens of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenRun {
-    /// Index of the first one in the answer.
+    /// Index of the first token in the response, from 0.
     pub first_index: u32,
-    /// The tokens.
+    /// The token ids, in order.
     pub ids: Vec<u32>,
 }
 
-/// The next part of an answer.
+/// The next part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
-    /// Tokens.
+    /// Tokens that follow those received before.
     Tokens(TokenRun),
-    /// The end; nothing follows.
+    /// The end of the response; nothing follows.
     End(FinalStatus),
 }
 
 struct State<T> {
-    /// How many items were handed out.
+    /// Number of items that the reader has taken; wraps around.
     delivered_items: u32,
     items: Vec<T>,
-    end: Option<FinalStatus>,
-    end_delivered: bool,
+    final_status: Option<FinalStatus>,
+    final_status_delivered: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-/// Tokens, or whatever a protocol's answers are made of, on their way from an attempt to the client. It holds at most its
-/// bound and one piece: a piece is accepted while fewer items wait than the bound.
+/// Buffers a response between an attempt and the client: tokens, or other items in which a protocol delivers responses.
+///
+/// The writer waits for [`TokenBuffer::poll_capacity`] before the next chunk, which it may push while the buffer contains fewer
+/// items than its bound. The buffer therefore never contains more than the bound plus one chunk.
 pub struct TokenBuffer<T = u32> {
     state: Mutex<State<T>>,
     bound: usize,
 }
 
-/// The request has its final answer; nothing is accepted after it.
+/// The request already has its final status, after which the buffer accepts nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AlreadyFinished;
 
 impl<T: Copy> TokenBuffer<T> {
-    /// An empty buffer.
+    /// Creates an empty buffer with this bound, in items.
     pub fn new(bound: usize) -> TokenBuffer<T> {
         let state = State {
             delivered_items: 0,
             items: Vec::new(),
-            end: None,
-            end_delivered: false,
+            final_status: None,
+            final_status_delivered: false,
             reader: None,
             writer: None,
         };
@@ -108,27 +111,27 @@
     pub(crate) fn bound(&self) -> usize {
         self.bound
     }
-    /// Adds a piece. Returns how many items wait now.
+    /// Appends a chunk, also if the bound is exceeded. Returns the number of items that the client has not taken.
     ///
     /// # Errors
-    /// When the request has its final answer.
+    /// [`AlreadyFinished`] when the request has its final status.
     pub fn push(&self, items: &[T]) -> Result<usize, AlreadyFinished> {
         let mut state = self.lock();
-        if state.end.is_some() {
+        if state.final_status.is_some() {
             return Err(AlreadyFinished);
         }
         state.items.extend_from_slice(items);
-        let (reader, waiting) = (state.reader.take(), state.items.len());
+        let (reader, buffered) = (state.reader.take(), state.items.len());
         drop(state);
         if let Some(reader) = reader {
             reader.wake();
         }
-        Ok(waiting)
+        Ok(buffered)
     }
-    /// Ready when fewer items wait than the bound.
+    /// Is ready when the buffer contains fewer items than its bound, or with an error when the request has its final status.
     pub fn poll_capacity(&self, cx: &mut Context<'_>) -> Poll<Result<(), AlreadyFinished>> {
         let mut state = self.lock();
-        if state.end.is_some() {
+        if state.final_status.is_some() {
             return Poll::Ready(Err(AlreadyFinished));
         }
         if state.items.len() < self.bound || mutations::is_active(Mutation::NoBound) {
@@ -137,39 +140,39 @@
         state.writer = Some(cx.waker().clone());
         Poll::Pending
     }
-    /// Sets the final answer; only the first one counts. Returns whether this was the first. A failure does not wait behind
-    /// items that the client has not taken.
-    pub fn finish(&self, end: FinalStatus) -> bool {
+    /// Sets the final status, unless one is set. Returns whether this call set it. Any status but `Served` discards the items
+    /// that the client has not taken, so that the client learns of it without delay.
+    pub fn finish(&self, status: FinalStatus) -> bool {
         let mut state = self.lock();
-        if state.end.is_some() {
+        if state.final_status.is_some() {
             return false;
         }
-        if end != FinalStatus::Served {
+        if status != FinalStatus::Served {
             state.items = Vec::new();
         }
-        state.end = Some(end);
+        state.final_status = Some(status);
         let wakers = [state.reader.take(), state.writer.take()];
         drop(state);
         wakers.into_iter().flatten().for_each(Waker::wake);
         true
     }
-    /// Ready when the request has its final answer. For use before the answer begins, in place of
-    /// [`TokenBuffer::poll_capacity`]: both register the same waker.
+    /// Is ready when the request has its final status. Only for use before the response starts, because this method and
+    /// [`TokenBuffer::poll_capacity`] register their waker in the same place.
     pub(crate) fn poll_finished(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut state = self.lock();
-        if state.end.is_some() {
+        if state.final_status.is_some() {
             return Poll::Ready(());
         }
         state.writer = Some(cx.waker().clone());
         Poll::Pending
     }
-    /// All items that wait, with the index of the first one in the answer, or the end.
+    /// Takes all buffered items, with the index of the first one in the response, or returns the final status as an error.
     pub fn poll_items(&self, cx: &mut Context<'_>) -> Poll<Result<(u32, Vec<T>), FinalStatus>> {
         let mut state = self.lock();
         if !state.items.is_empty() {
             let items = std::mem::take(&mut state.items);
             if mutations::is_active(Mutation::AnsweredTwice)
-                && state.end.is_some()
+                && state.final_status.is_some()
                 && items.len() > 1
             {
                 state.items = items.clone();
@@ -183,25 +186,25 @@
             }
             return Poll::Ready(Ok((first, items)));
         }
-        if let Some(end) = state.end.clone() {
-            state.end_delivered = true;
-            return Poll::Ready(Err(end));
+        if let Some(status) = state.final_status.clone() {
+            state.final_status_delivered = true;
+            return Poll::Ready(Err(status));
         }
         state.reader = Some(cx.waker().clone());
         Poll::Pending
     }
-    /// Whether the client got its final answer.
+    /// Whether the client has taken the final status.
     pub fn is_delivered(&self) -> bool {
-        self.lock().end_delivered
+        self.lock().final_status_delivered
     }
 }
 
 impl TokenBuffer<u32> {
-    /// All tokens that wait, or the end.
+    /// Takes all buffered tokens, or returns the end.
     pub(crate) fn poll_part(&self, cx: &mut Context<'_>) -> Poll<ResponsePart> {
         self.poll_items(cx).map(|part| match part {
             Ok((first_index, ids)) => ResponsePart::Tokens(TokenRun { first_index, ids }),
-            Err(end) => ResponsePart::End(end),
+            Err(status) => ResponsePart::End(status),
         })
     }
 }
--- a/crates/ivyward/src/response/tests.rs
+++ b/crates/ivyward/src/response/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `answer` that nobody outside sees.
+//! Tests of [`TokenBuffer`].
 
 use super::*;
 
 #[test]
-fn first_final_answer_wins_and_later_tokens_are_rejected() {
+fn first_final_status_counts_and_later_tokens_are_rejected() {
     let buffer = TokenBuffer::new(4);
     let mut cx = Context::from_waker(Waker::noop());
     assert_eq!(buffer.push(&[1, 2]), Ok(2));
