--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: health, metrics and peers over HTTP/1.
+//! The admin endpoint: health, metrics and peers over HTTP/1.1.
 
 use crate::node::Node;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -6,18 +6,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Most connections at once; one more is closed.
+/// Maximum number of open connections; any further one is closed at once.
 const MAX_CONNECTIONS: usize = 32;
-/// Longest head of a request, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD: usize = 8 << 10;
-/// Time for a whole request, in microseconds.
+/// Time after which a connection is closed even if its request is not finished, in microseconds.
 const REQUEST_TIMEOUT: u64 = 2_000_000;
 /// Pause after a failed accept, in microseconds.
 const ACCEPT_PAUSE: u64 = 10_000;
 
 impl Node {
-    /// Serves `/healthz` (200 while the node accepts requests, else 503), `/metrics` and, if it knows other nodes, `/peers`,
-    /// until the runtime ends.
+    /// Serves the admin endpoint until the runtime ends: `/healthz` (200 while the node accepts requests, else 503), `/metrics`
+    /// and, after [`Node::start_peers`], `/peers`.
     pub async fn serve_admin(&self, mut listener: Box<dyn Listener>) {
         let runtime = self.context.runtime.clone();
         let open = Arc::new(AtomicUsize::new(0));
@@ -32,7 +32,7 @@
             }
             let (node, open, until) = (self.clone(), open.clone(), runtime.now() + REQUEST_TIMEOUT);
             runtime.run(async move {
-                // Errors concern this client alone.
+                // An error affects only this client.
                 let _ = before(&node.context.runtime, until, serve_one(&node, conn)).await;
                 open.fetch_sub(1, Ordering::SeqCst);
             });
@@ -40,7 +40,7 @@
     }
 }
 
-/// Serves the one request of a connection.
+/// Serves the single request of a connection and closes the connection.
 async fn serve_one(node: &Node, mut conn: Conn) -> std::io::Result<()> {
     let (mut head, mut chunk) = (Vec::new(), [0u8; 1024]);
     let (code, body) = loop {
--- a/crates/ivyward/src/close_reason.rs
+++ b/crates/ivyward/src/close_reason.rs
@@ -1,26 +1,26 @@
-//! Why a node closes a client's connection.
+//! The reasons for which client connections are closed.
 
-/// Why a client connection was closed; counted as `ivyward_client_closes_total{reason}` and logged with the connection.
+/// Why a client connection was closed. Counted in `ivyward_client_closes_total{reason}` and logged with the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, or it broke.
+    /// The client closed the connection, or the connection broke.
     ClientDisconnected,
-    /// No request came in time, or the connection made room for another one.
+    /// No request arrived in time, or the idle connection was closed in favour of a new one at the connection limit.
     Idle,
-    /// The request was answered with an error after which the connection cannot be used.
+    /// The request was answered with an error after which the connection cannot be reused.
     InvalidRequest,
-    /// The request or its answer asked for the close.
+    /// The request or its response asked for the connection to be closed.
     CloseRequested,
-    /// More bytes followed a request than are buffered.
+    /// The client sent more bytes after a request than the node buffers.
     Pipelined,
-    /// The answer broke off, or the client read no byte of it for too long.
+    /// The response could not be completed, or the client read no byte of it for too long.
     ResponseBroken,
-    /// The node stops.
+    /// The node is stopping.
     Stopping,
 }
 
 impl CloseReason {
-    /// All reasons, in the order of their declaration.
+    /// All reasons, in the order of their declaration, which is that of [`Metrics::client_closes`](crate::metrics::Metrics).
     pub const ALL: [CloseReason; 7] = [
         CloseReason::ClientDisconnected,
         CloseReason::Idle,
@@ -31,7 +31,7 @@
         CloseReason::Stopping,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "client_left",
--- a/crates/ivyward/src/context.rs
+++ b/crates/ivyward/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share: its runtime, settings and counters. It depends on none of the parts.
+//! What the parts of a node share: its runtime, settings, counters and limits. This module depends on none of those parts.
 
 use crate::metrics::Metrics;
 use crate::settings::NodeSettings;
@@ -8,20 +8,21 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The runtime, settings and counters that the parts of a node share.
+/// The runtime, settings and metrics of a node, which all its parts share.
 pub struct NodeContext {
     pub(crate) runtime: RuntimeRef,
     pub(crate) settings: NodeSettings,
     pub(crate) router_settings: core::Settings,
-    /// The number of this run of the node, as engines see it.
+    /// The random number that identifies this run of the node to engines.
     pub(crate) incarnation: u64,
+    /// Number of open requests.
     pub(crate) open: AtomicUsize,
-    pub(crate) next_id: AtomicU64,
+    pub(crate) next_request_id: AtomicU64,
     pub(crate) stopping: AtomicBool,
     pub(crate) stopping_event: event_listener::Event,
-    /// Releases under way, the oldest first.
+    /// Releases in progress, the oldest first.
     releases: Mutex<VecDeque<OngoingRelease>>,
-    /// Releases under way, and calls for decode slots that may lead to one.
+    /// Number of releases in progress, and of decode slot reservations in progress, which may need a release.
     pub(crate) pending_releases: AtomicUsize,
     pub(crate) metrics: Metrics,
 }
@@ -38,7 +39,7 @@
             settings,
             router_settings,
             open: AtomicUsize::new(0),
-            next_id: AtomicU64::new(1),
+            next_request_id: AtomicU64::new(1),
             stopping: AtomicBool::new(false),
             stopping_event: event_listener::Event::new(),
             releases: Mutex::default(),
@@ -50,19 +51,19 @@
     pub fn runtime(&self) -> &RuntimeRef {
         &self.runtime
     }
-    /// The settings the node runs with.
+    /// The settings that the node was started with.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
-    /// The router's part of them.
+    /// The router's part of the settings.
     pub fn router_settings(&self) -> &core::Settings {
         &self.router_settings
     }
-    /// The node's counters.
+    /// The node's metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
-    /// Returns when the node stops taking requests.
+    /// Waits until the node stops accepting requests.
     pub(crate) async fn stopped(&self) {
         loop {
             let listener = self.stopping_event.listen();
@@ -72,7 +73,8 @@
             listener.await;
         }
     }
-    /// Begins a release. At the bound the oldest one ends: its engine's own limit is the next to release that anyway.
+    /// Starts a release. At the limit of concurrent releases the oldest one is evicted, because its engine's own time limit is the
+    /// next to release that reservation in any case.
     pub(crate) fn begin_release(self: &Arc<Self>) -> ReleasePermit {
         let (eviction, evicted) = async_channel::bounded(1);
         let mut releases = self.releases();
@@ -94,11 +96,11 @@
     fn releases(&self) -> MutexGuard<'_, VecDeque<OngoingRelease>> {
         self.releases.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// Counts more pending releases.
+    /// Adds to the number of pending releases. A stopping node waits until it is zero.
     pub fn add_pending_releases(&self, count: usize) {
         self.pending_releases.fetch_add(count, Ordering::SeqCst);
     }
-    /// Counts off pending releases.
+    /// Subtracts from the number of pending releases.
     pub fn finish_pending_releases(&self, count: usize) {
         self.pending_releases.fetch_sub(count, Ordering::SeqCst);
     }
@@ -106,11 +108,11 @@
 
 struct OngoingRelease {
     number: u64,
-    /// Dropped when the release is pushed out.
+    /// Dropped when the release is evicted.
     _eviction: async_channel::Sender<()>,
 }
 
-/// A release under way; it ends when this is dropped.
+/// Counts one release as in progress until it is dropped.
 pub(crate) struct ReleasePermit {
     context: Arc<NodeContext>,
     number: u64,
@@ -118,9 +120,9 @@
 }
 
 impl ReleasePermit {
-    /// Returns when the release was pushed out at the bound.
+    /// Waits until the release is evicted at the limit.
     pub(crate) async fn evicted(&self) {
-        // Ends when the sender is dropped.
+        // Completes when the sender is dropped.
         let _ = self.evicted.recv().await;
     }
 }
--- a/crates/ivyward/src/lib.rs
+++ b/crates/ivyward/src/lib.rs
@@ -1,24 +1,25 @@
 //! A router node for LLM serving, as a library.
 //!
-//! The path of a request: [`Node::generate`] or the gRPC server -> the driver, the one task that owns the router
-//! (`ivyward_core::router::Router`) -> an attempt task -> a connection to an engine -> tokens back through a bounded buffer. Two
-//! nodes in one process share nothing.
+//! A request enters through [`Node::generate`] or the gRPC server and goes to the driver, the single task that owns the router
+//! (`ivyward_core::router::Router`). For each attempt the driver starts a task, which calls an engine and passes the tokens to
+//! the client through a bounded buffer. Nodes in the same process share no state.
 //!
-//! Modules, those that others depend on first:
+//! Modules, in the order of their dependencies:
 //!
 //! - [`settings`]: the settings of a node, and the checks on them.
-//! - [`metrics`], [`close_reason`]: counters, and why client connections are closed.
-//! - [`response`]: final answers, and the bounded buffer to a client.
-//! - `context`: runtime, settings and counters, shared by all parts of a node.
-//! - [`engines`]: the interface between the driver and the protocols that engines speak, and the connections of one of them.
-//! - [`peers`]: other nodes, known by gossip and by records in the store.
+//! - [`metrics`], [`close_reason`]: counters and gauges, and the reasons for which client connections are closed.
+//! - [`response`]: the final status of a request, and the bounded buffer between an attempt and its client.
+//! - `context`: the runtime, settings and metrics that all parts of a node share.
+//! - [`engines`]: the interface between the driver and the protocols that engines speak, and the connections of the gRPC
+//!   protocol.
+//! - [`peers`]: the other nodes, known by gossip and from records in the store.
 //! - [`recording`]: recordings of the router's events and actions, and their replay.
 //! - [`request`]: the path of a request: server, validation, driver, attempts.
-//! - `node`: [`Node`] and [`ResponseStream`], the handles of owner and client.
-//! - [`membership`]: the list of engines, from the store or a snapshot.
+//! - `node`: [`Node`], the handle of a node's owner, and [`ResponseStream`], the response to a request.
+//! - [`membership`]: the endpoint list, from the store or a snapshot.
 //! - [`admin`]: health, metrics and peers over HTTP.
 //!
-//! `settings`, `metrics`, `response` and `context` depend on none of the others; `engines` on these alone.
+//! `settings`, `metrics`, `response` and `context` depend on no other module in this list; `engines` depends only on these.
 
 pub mod admin;
 pub mod close_reason;
--- a/crates/ivyward/src/metrics.rs
+++ b/crates/ivyward/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a node, and their text format.
+//! Counters and gauges of a node, and their output in Prometheus' text format.
 
 use crate::close_reason::CloseReason;
 use crate::response::RejectReason;
@@ -9,20 +9,20 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// A counter or a gauge.
+/// An atomic number, used as a counter or a gauge.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Adds to it.
+    /// Adds `n`.
     pub fn add(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
     }
-    /// Sets it, if it is a gauge.
+    /// Sets the value. Only for gauges.
     pub fn set(&self, n: u64) {
         self.0.store(n, Ordering::Relaxed);
     }
-    /// Raises it to `n`, if it is lower.
+    /// Raises the value to `n` if it is lower. For gauges that record a maximum.
     pub fn raise_to(&self, n: u64) {
         self.0.fetch_max(n, Ordering::Relaxed);
     }
@@ -32,80 +32,80 @@
     }
 }
 
-/// All metrics of a node.
+/// All metrics of a node. Counts are since the node's start.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Requests accepted.
+    /// Requests that the node passed to its router.
     pub requests: Counter,
-    /// Invalid requests.
+    /// Requests that failed validation.
     pub invalid: Counter,
-    /// Final answers: served.
+    /// Requests with the final status served.
     pub served: Counter,
-    /// Final answers: rejected, also at the server's bounds.
+    /// Requests with the final status rejected, including those rejected at the node's own limits.
     pub rejected: Counter,
-    /// Final answers: failed.
+    /// Requests with the final status failed, without invalid ones.
     pub failed: Counter,
-    /// Requests whose client disconnected first.
+    /// Requests whose client disconnected before the final status.
     pub disconnected: Counter,
-    /// Attempts sent.
+    /// Attempts that were started.
     pub attempts: Counter,
-    /// Ends of attempts, in the order of [`OUTCOMES`].
+    /// Ended attempts by outcome, in the order of [`OUTCOMES`].
     pub outcomes: [Counter; 10],
-    /// Attempts that follow one which ended so, in the order of [`OUTCOMES`].
+    /// Retries by the outcome of the previous attempt, in the order of [`OUTCOMES`].
     pub retries: [Counter; 10],
-    /// Steps that an invariant forbade, in the order of [`Rule::ALL`].
+    /// Violated invariants, in the order of [`Rule::ALL`].
     pub violations: [Counter; Rule::ALL.len()],
-    /// Rejections by their reason, in the order of [`REJECT_REASONS`].
+    /// Rejections by reason, in the order of [`REJECT_REASONS`].
     pub rejections: [Counter; REJECT_REASONS.len()],
-    /// Client connections that were closed, in the order of [`CloseReason::ALL`].
+    /// Closed client connections by reason, in the order of [`CloseReason::ALL`].
     pub client_closes: [Counter; CloseReason::ALL.len()],
-    /// Releases asked of engines.
+    /// Releases requested from engines.
     pub releases: Counter,
-    /// Releases left to the engines' own limit.
+    /// Releases that did not succeed: the engine's own time limit ends the reservation.
     pub releases_dropped: Counter,
-    /// Engines in the list.
+    /// Gauge: engines in the endpoint list.
     pub engines: Counter,
-    /// Engines that the router remembers: also removed ones that may still hold something for this node.
+    /// Gauge: engines that the router knows, including removed ones that may still have reservations of this node.
     pub engines_known: Counter,
-    /// 1 while the list of engines may be out of date: the store does not answer, or something was missed.
+    /// Gauge: 1 while the endpoint list may be out of date, because the store does not answer or a change was missed; else 0.
     pub list_stale: Counter,
-    /// The store's revision up to which the list is known.
+    /// Gauge: the store revision up to which the endpoint list is known.
     pub list_revision: Counter,
-    /// Registration records that could not be read.
+    /// Malformed registration records.
     pub records_malformed: Counter,
-    /// Failed writes of the endpoint snapshot.
+    /// Failed writes of the endpoint list's snapshot.
     pub snapshot_write_failures: Counter,
-    /// Gaps: watches that broke, were compacted away or fell silent.
+    /// Gaps in the watch of the endpoint list: the watch broke, its revision was compacted away, or it became unresponsive.
     pub list_gaps: Counter,
-    /// Microseconds that the driver was busy, the router included.
+    /// Busy time of the driver in microseconds, including the router's.
     pub driver_us: Counter,
-    /// Microseconds that the router was busy.
+    /// Busy time of the router in microseconds.
     pub router_us: Counter,
-    /// Most tokens that ever waited for one client.
+    /// Gauge: the highest number of tokens that were ever buffered for one client.
     pub max_buffered_tokens: Counter,
-    /// Datagrams sent to peers, and their bytes.
+    /// Datagrams sent to peers.
     pub peer_datagrams_sent: Counter,
-    /// See `peer_datagrams_sent`.
+    /// Bytes of the datagrams sent to peers.
     pub peer_bytes_sent: Counter,
-    /// Datagrams received, and those of them that could not be read.
+    /// Datagrams received on the peer port.
     pub peer_datagrams_received: Counter,
-    /// See `peer_datagrams_received`.
+    /// Malformed datagrams among those received.
     pub peer_datagrams_malformed: Counter,
-    /// Changes of the view of the peers.
+    /// Changes to the node's view of its peers.
     pub peer_changes: Counter,
-    /// Client connections closed at once at the server's bound.
+    /// Client connections closed at once because of the connection limit.
     pub clients_rejected: Counter,
-    /// Traffic with engines.
+    /// Traffic and busy time of connections to engines.
     pub engine_traffic: Arc<Meter>,
-    /// Traffic with the store for the list of engines.
+    /// Traffic and busy time of the watch of the endpoint list.
     pub list_traffic: Arc<Meter>,
-    /// Traffic with other nodes.
+    /// Traffic and busy time of the exchange with peers.
     pub peer_traffic: Arc<Meter>,
-    /// Traffic with clients.
+    /// Traffic and busy time of client connections.
     pub client_traffic: Arc<Meter>,
 }
 
-/// The outcomes of attempts, with their names in metrics.
+/// The outcomes of attempts, with their label values in metrics.
 pub const OUTCOMES: [(Outcome, &str); 10] = [
     (Outcome::Served, "served"),
     (Outcome::Prefilled, "read"),
@@ -119,7 +119,7 @@
     (Outcome::NotSent, "not_sent"),
 ];
 
-/// The reasons of rejections, with their names in metrics.
+/// The reasons of rejections, with their label values in metrics.
 pub const REJECT_REASONS: [(RejectReason, &str); 3] = [
     (RejectReason::Overloaded, "overload"),
     (RejectReason::NodeFull, "node_full"),
@@ -131,7 +131,7 @@
     pub fn count_client_close(&self, reason: CloseReason) {
         self.client_closes[reason as usize].add(1);
     }
-    /// Steps that an invariant forbade, over all rules.
+    /// The total number of violated invariants.
     pub fn all_violations(&self) -> u64 {
         self.violations.iter().map(Counter::get).sum()
     }
@@ -153,16 +153,15 @@
             self.outcomes[i].add(1);
         }
     }
-    /// The metrics in Prometheus' text format.
+    /// Returns the metrics in Prometheus' text format. `open` is the number of open requests.
     pub fn text(&self, open: usize) -> String {
         let mut out = String::new();
-        self.plain_text(&mut out, open);
-        self.labelled_text(&mut out);
-        self.traffic_text(&mut out);
+        self.write_unlabelled(&mut out, open);
+        self.write_labelled(&mut out);
+        self.write_traffic(&mut out);
         out
     }
-    /// Metrics without labels.
-    fn plain_text(&self, out: &mut String, open: usize) {
+    fn write_unlabelled(&self, out: &mut String, open: usize) {
         let metrics = [
             ("requests_total", &self.requests),
             ("invalid_total", &self.invalid),
@@ -189,14 +188,14 @@
             ("engines", &self.engines),
             ("engines_known", &self.engines_known),
         ];
-        // Writing to a String cannot fail, here and below.
+        // Writing to a String cannot fail.
         for (name, counter) in metrics {
             let _ = writeln!(out, "ivyward_{name} {}", counter.get());
         }
         let _ = writeln!(out, "ivyward_open_requests {open}");
     }
-    /// Metrics that are split by an outcome or a reason.
-    fn labelled_text(&self, out: &mut String) {
+    /// Writes the metrics with a label for an outcome, a reason or a rule.
+    fn write_labelled(&self, out: &mut String) {
         let answers = [
             ("served", &self.served),
             ("refused", &self.rejected),
@@ -227,8 +226,8 @@
         let violations = rules.zip(&self.violations);
         write_family(out, "invariant_violations_total", "rule", violations);
     }
-    /// Traffic with each kind of peer, and what its tasks cost.
-    fn traffic_text(&self, out: &mut String) {
+    /// Writes the traffic with engines, store, peers and clients, and the busy time of the tasks that handle each.
+    fn write_traffic(&self, out: &mut String) {
         let parts = [
             ("engines", &self.engine_traffic),
             ("list", &self.list_traffic),
@@ -254,7 +253,7 @@
     }
 }
 
-/// Writes the counters of one metric, each with the value of its label.
+/// Writes the counters of one metric, one line per label value.
 fn write_family<'a>(
     out: &mut String,
     metric: &str,
--- a/crates/ivyward/src/metrics/tests.rs
+++ b/crates/ivyward/src/metrics/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the metrics' text format.
+//! Tests of the text format of the metrics.
 
 use super::*;
 use std::collections::BTreeSet;
 
 #[test]
-fn text_holds_every_metric_once_with_its_value() {
+fn text_contains_every_metric_once_with_its_value() {
     let metrics = Metrics::default();
     metrics.requests.add(7);
     metrics.engines_known.set(5);
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -1,4 +1,4 @@
-//! The node's handle: start, stop, requests in, state out.
+//! [`Node`], the handle with which its owner starts, uses and stops a node, and [`ResponseStream`], the response to a request.
 
 use crate::context::NodeContext;
 use crate::engines::{Call, Engine, Protocol};
@@ -20,39 +20,41 @@
 use std::sync::{Arc, OnceLock};
 use std::task::{Context, Poll};
 
-/// Why a node does not start.
+/// Why a node could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A setting cannot hold.
+    /// A setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The recording cannot be written.
-    #[error("the recording cannot be begun: {0}")]
+    #[error("cannot start the recording: {0}")]
     Recording(#[from] std::io::Error),
 }
 
-/// Health checks that run at once.
+/// Number of health checks that [`Node::open_connections`] runs concurrently.
 const CONCURRENT_CHECKS: usize = 32;
-/// How long the last answers of a stopping node may take to reach their clients, in microseconds.
-const LAST_ANSWERS_TIME: Micros = 50_000;
+/// Minimum time that a stopping node gives its clients to receive their last responses, in microseconds.
+const MIN_FLUSH_TIME: Micros = 50_000;
 
-/// A running node. Clones are handles to the same one. It ends by [`Node::stop`], or with its runtime.
+/// A handle to a running node. Clones refer to the same node. The node runs until [`Node::stop`] or until its runtime ends.
 #[derive(Clone)]
 pub struct Node {
     pub(crate) context: Arc<NodeContext>,
-    /// Connections that its listeners have accepted.
+    /// The open connections that the node's listeners have accepted.
     pub(crate) clients: Arc<ClientConnections>,
-    /// Set once, if the node is to know others.
+    /// Set by [`Node::start_peers`].
     pub(crate) peers: Arc<OnceLock<PeersHandle>>,
     driver: DriverHandle,
     done: async_channel::Receiver<()>,
 }
 
 impl Node {
-    /// Starts a node that knows no engines yet: see [`Node::update_endpoints`].
+    /// Starts a node whose engines speak `ivyward.engine.v1`. It has no engines until [`Node::update_endpoints`].
+    ///
+    /// The router's events and actions are written to `recording`, if there is one.
     ///
     /// # Errors
-    /// When a setting cannot hold or the recording cannot be written.
+    /// [`StartError`] when a setting is invalid or the recording cannot be written.
     pub fn start(
         runtime: RuntimeRef,
         settings: NodeSettings,
@@ -62,7 +64,7 @@
         Node::start_with(runtime, settings, recording, protocol)
     }
 
-    /// Starts a node that speaks another protocol to engines.
+    /// Starts a node whose engines speak another protocol.
     ///
     /// # Errors
     /// As for [`Node::start`].
@@ -100,8 +102,8 @@
         })
     }
 
-    /// Updates the list of engines, and returns when the node has applied it: from then on nothing new goes to an engine that
-    /// drains or was removed.
+    /// Updates the endpoint list. Returns when the node has applied it: from then on no new call goes to an engine that drains
+    /// or was removed.
     pub async fn update_endpoints(&self, kind: ListKind, engines: Vec<Engine>) {
         let (done, wait) = async_channel::bounded(1);
         self.driver.send(DriverMessage::EndpointList {
@@ -109,12 +111,13 @@
             engines,
             done,
         });
-        // An error means that the node ended.
+        // Fails if the node has ended.
         let _ = wait.recv().await;
     }
 
-    /// Takes a request. `client_timeout` is how long the client waits for the whole answer, in microseconds; without one the
-    /// deadline of its class holds for the first token. An invalid request gets its answer like all others.
+    /// Accepts a request and returns its response stream. `client_timeout` is how long the client waits for the whole response,
+    /// in microseconds; without it the deadline of the request's class applies to the first token. An invalid or rejected
+    /// request gets its final status in the stream, too.
     pub fn generate(
         &self,
         request: GenerateRequest,
@@ -130,9 +133,9 @@
         let accepted = validation::accept(context, request, client_timeout, buffer.clone());
         let accepted = match accepted {
             Ok(accepted) => accepted,
-            Err(problem) => {
+            Err(error) => {
                 context.metrics.invalid.add(1);
-                let reason = FailureReason::InvalidRequest(problem.to_string());
+                let reason = FailureReason::InvalidRequest(error.to_string());
                 buffer.finish(FinalStatus::Failed(reason));
                 return response;
             }
@@ -149,18 +152,18 @@
         response
     }
 
-    /// Takes a request of another protocol. Returns its number at this node, for [`Node::client_disconnected`]. The id and the
-    /// client's timeout of `request` are filled in; `call` gets the final answer.
+    /// Accepts a request of another protocol. Returns its id at this node, for [`Node::client_disconnected`]. The node fills in
+    /// the id and the client timeout of `request`, and passes the final status to `call`.
     ///
     /// # Errors
-    /// Why it is rejected: nothing was done, and `call` gets no answer.
+    /// The reason of the rejection. Nothing was done for the request, and `call` gets no final status.
     pub fn accept(
         &self,
         request: Request,
         first_token_deadline: Micros,
         call: Arc<dyn Call>,
     ) -> Result<u64, RejectReason> {
-        let id = self.context.next_id.fetch_add(1, Ordering::Relaxed);
+        let id = self.context.next_request_id.fetch_add(1, Ordering::Relaxed);
         let request = Request {
             id: RequestId(id),
             ..request
@@ -173,18 +176,18 @@
         })
     }
 
-    /// The client of a request left before its answer's end.
+    /// Notifies the node that the client of a request disconnected before the end of its response.
     pub fn client_disconnected(&self, id: u64) {
         self.driver.send(DriverMessage::ClientDisconnected(id));
     }
 
-    /// Hands a request to the driver: its number, or why it is rejected.
+    /// Passes a request to the driver and returns its id, or rejects it.
     fn submit(&self, accepted: AcceptedRequest) -> Result<u64, RejectReason> {
         let (context, id) = (&self.context, accepted.request.id.0);
         let reason = if context.stopping.load(Ordering::SeqCst) {
             RejectReason::Stopping
         } else if accepted.first_token_deadline <= context.runtime.now() {
-            // No time is left to do anything, and nothing was done.
+            // The deadline has passed. Nothing was done for the request, so it can be rejected.
             RejectReason::Overloaded
         } else if context.open.fetch_add(1, Ordering::SeqCst) >= context.settings.most_open {
             context.open.fetch_sub(1, Ordering::SeqCst);
@@ -199,34 +202,36 @@
         Err(reason)
     }
 
-    /// Stops: accepts no new request, lets those in flight end for `within` microseconds at most, fails the rest, and returns
-    /// when the node is done and its clients have their answers.
+    /// Stops the node: rejects new requests, gives open ones up to `within` microseconds to finish, and fails the rest. Returns
+    /// when the node has stopped and its clients have received their last responses. Clients have until the end of `within` for
+    /// that, and at least 50 ms.
     pub async fn stop(&self, within: Micros) {
         let deadline = self.context.runtime.now().saturating_add(within);
         self.context.stopping.store(true, Ordering::SeqCst);
         self.context.stopping_event.notify(usize::MAX);
         self.driver.send(DriverMessage::Stop { deadline });
-        // Ends with an error when the driver is done.
+        // Returns an error when the driver has ended.
         let _ = self.done.recv().await;
-        self.flush_answers(deadline).await;
-        // Only now: until then it was still sending, and counts.
+        self.flush_responses(deadline).await;
+        // The node leaves its peers last: while it still sends to engines, they must count it as a replica.
         if let Some(peers) = self.peers.get() {
             peers.leave().await;
         }
     }
 
-    /// Waits until all client connections have closed, each after its last answer. Guards against a process that ends while
-    /// answers are on their way: a slow client would never get the end of its own.
-    async fn flush_answers(&self, stop_deadline: Micros) {
+    /// Waits until all client connections have closed, each after its last response. If the process ended earlier, slow clients
+    /// would not receive the end of their responses.
+    async fn flush_responses(&self, stop_deadline: Micros) {
         let runtime = &self.context.runtime;
-        let deadline = stop_deadline.max(runtime.now().saturating_add(LAST_ANSWERS_TIME));
+        let deadline = stop_deadline.max(runtime.now().saturating_add(MIN_FLUSH_TIME));
         before(runtime, deadline, self.clients.all_closed()).await;
     }
 
-    /// Starts to know other nodes. The settings' replica count holds as the least one until a complete view was seen.
+    /// Starts the exchange with other nodes (peers). Until the node has a complete view of its peers, the replica count of the
+    /// settings is the minimum.
     ///
     /// # Errors
-    /// [`PeerError`].
+    /// [`PeerError`] when the exchange cannot start.
     pub fn start_peers(&self, options: PeerOptions) -> Result<PeersHandle, PeerError> {
         let node = self.clone();
         let host = PeerHost {
@@ -240,20 +245,21 @@
         Ok(handle)
     }
 
-    /// The node's peers, if it was told to know any.
+    /// The handle that [`Node::start_peers`] returned; `None` before that.
     pub fn peers_handle(&self) -> Option<&PeersHandle> {
         self.peers.get()
     }
 
-    /// Checks the health of the first `most` engines of the list, by their ids, which leaves a connection to each. Returns how
-    /// many answered. For measurements, and to warm a node up before it takes requests; the router is told nothing.
-    pub async fn open_connections(&self, most: usize) -> usize {
+    /// Checks the health of the `max` engines with the lowest ids, which leaves a connection open to each. Returns how many
+    /// answered. Meant for measurements and for warming up a node before it receives requests; the router does not see the
+    /// results.
+    pub async fn open_connections(&self, max: usize) -> usize {
         let (reply, engines) = async_channel::bounded(1);
         self.driver.send(DriverMessage::ListEngines(reply));
-        // An error means that the node ended.
+        // Fails if the node has ended.
         let engines = engines.recv().await.unwrap_or_default();
         let mut answered = 0;
-        for batch in engines[..most.min(engines.len())].chunks(CONCURRENT_CHECKS) {
+        for batch in engines[..max.min(engines.len())].chunks(CONCURRENT_CHECKS) {
             let (results, received) = async_channel::bounded(CONCURRENT_CHECKS);
             for engine in batch {
                 let (engine, context) = (engine.clone(), self.context.clone());
@@ -271,45 +277,45 @@
         answered
     }
 
-    /// Flushes the recording.
+    /// Writes buffered parts of the recording to its output. Returns when that is done, at once if there is no recording.
     pub async fn flush_recording(&self) {
         let (done, wait) = async_channel::bounded(1);
         self.driver.send(DriverMessage::FlushRecording(done));
         let _ = wait.recv().await;
     }
 
-    /// Returns when the node stops taking requests.
+    /// Waits until the node stops accepting requests.
     pub(crate) async fn closed(&self) {
         self.context.stopped().await;
     }
 
-    /// The node's counters.
+    /// The node's metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.context.metrics
     }
-    /// Open requests: those not yet answered, or with an attempt in flight.
+    /// Number of open requests: those without a final status or with an attempt still in flight.
     pub fn open_requests(&self) -> usize {
         self.context.open.load(Ordering::SeqCst)
     }
-    /// Releases under way at engines, and calls for decode slots that may lead to one.
+    /// Number of releases in progress, and of decode slot reservations in progress, which may need a release.
     pub fn pending_releases(&self) -> usize {
         self.context.pending_releases.load(Ordering::SeqCst)
     }
-    /// Whether it still accepts requests.
+    /// Whether the node accepts requests; false once [`Node::stop`] was called.
     pub fn is_accepting(&self) -> bool {
         !self.context.stopping.load(Ordering::SeqCst)
     }
-    /// The number of this run of the node, as engines see it.
+    /// The random number that identifies this run of the node to engines.
     pub fn incarnation(&self) -> u64 {
         self.context.incarnation
     }
-    /// The settings it runs with.
+    /// The settings that the node was started with.
     pub fn settings(&self) -> &NodeSettings {
         &self.context.settings
     }
 }
 
-/// The answer to a request. Dropping it before its end cancels the request.
+/// The response to a request. Dropping it before its end cancels the request.
 pub struct ResponseStream {
     buffer: Arc<TokenBuffer>,
     id: Option<u64>,
@@ -317,15 +323,15 @@
 }
 
 impl ResponseStream {
-    /// The next run of tokens, or the end, after which it must not be polled again.
+    /// Polls for the next run of tokens, or for the end, after which the stream must not be polled again.
     pub fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<ResponsePart> {
         self.buffer.poll_part(cx)
     }
-    /// The next run of tokens, or the end.
+    /// Returns the next run of tokens, or the end.
     pub async fn next(&mut self) -> ResponsePart {
         poll_fn(|cx| self.poll_part(cx)).await
     }
-    /// All tokens and the end.
+    /// Collects all tokens up to the end of the stream.
     pub async fn collect(mut self) -> (Vec<u32>, FinalStatus) {
         let mut ids = Vec::new();
         loop {
--- a/crates/ivyward/src/request/validation.rs
+++ b/crates/ivyward/src/request/validation.rs
@@ -1,4 +1,4 @@
-//! Checks a client's request, and fills in what the router needs to know of it.
+//! Checks a client's request, and derives from it the request that the router sees.
 
 use crate::context::NodeContext;
 use crate::request::grpc::GrpcCall;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Why a request is invalid. Clients get the text.
+/// Why a request is invalid. The client receives the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum InvalidRequest {
     #[error("{field} {name:?} is none of: {}", known.join(", "))]
@@ -31,16 +31,17 @@
     MissingIdempotencyKey { class: String },
 }
 
-/// A request's deadlines, on the node's clock.
+/// The deadlines of a request, as times of the node's clock.
 struct Deadlines {
     first_token: Micros,
     response: Option<Micros>,
 }
 
-/// Accepts a request of a client that waits for `client_timeout`, if it said so.
+/// Checks a request and assigns it an id. `client_timeout` is how long the client waits for the whole response; `None` if the
+/// client set no timeout.
 ///
 /// # Errors
-/// When the request is invalid: no number was given to it.
+/// [`InvalidRequest`] if the request is invalid; it gets no id.
 pub(crate) fn accept(
     context: &NodeContext,
     request: GenerateRequest,
@@ -54,7 +55,7 @@
     let class_settings = &settings.classes[class];
     check_idempotency_key(class_settings, &request)?;
     let deadlines = deadlines(context, class_settings, &request, client_timeout);
-    let id = context.next_id.fetch_add(1, Ordering::Relaxed);
+    let id = context.next_request_id.fetch_add(1, Ordering::Relaxed);
     let routed = Request {
         id: RequestId(id),
         class,
@@ -91,7 +92,7 @@
     find_name("class", name, names)
 }
 
-/// Without tenants in the settings every name is the first one.
+/// Returns the index of a tenant. If the settings have no tenants, every name is tenant 0.
 fn find_tenant(settings: &NodeSettings, name: &str) -> Result<usize, InvalidRequest> {
     if settings.tenants.is_empty() {
         return Ok(0);
@@ -100,13 +101,13 @@
     find_name("tenant", name, names)
 }
 
-/// The index of a name; an empty one stands for the first.
+/// Returns the index of a name; an empty name means the first one.
 fn find_name<'a>(
     field: &'static str,
     name: &str,
     known: impl Iterator<Item = &'a str> + Clone,
 ) -> Result<usize, InvalidRequest> {
-    let found = known.clone().position(|one| one == name);
+    let found = known.clone().position(|candidate| candidate == name);
     found
         .or(name.is_empty().then_some(0))
         .ok_or_else(|| InvalidRequest::UnknownName {
@@ -142,7 +143,7 @@
     Ok(())
 }
 
-/// The key of the shared prefix; 0 for none.
+/// Returns the key of the shared prefix; 0 if there is none.
 fn prefix_key(request: &GenerateRequest) -> u64 {
     let tokens = request.shared_opening_tokens as usize;
     if tokens == 0 {
@@ -155,7 +156,7 @@
     xxh3_64(&bytes).max(1)
 }
 
-/// The key of the session; 0 for none.
+/// Returns the key of the session; 0 if there is none.
 fn session_key(request: &GenerateRequest) -> u64 {
     if request.session.is_empty() {
         return 0;
@@ -163,7 +164,7 @@
     xxh3_64(request.session.as_bytes()).max(1)
 }
 
-/// Each deadline lies the answer margin before the moment at which the client stops waiting.
+/// Computes a request's deadlines. Each lies one answer margin before the time at which the client stops waiting.
 fn deadlines(
     context: &NodeContext,
     class: &Class,
--- a/crates/ivyward/src/request/validation/tests.rs
+++ b/crates/ivyward/src/request/validation/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the texts that clients get for invalid requests.
+//! Tests of the messages that clients receive for invalid requests.
 
 use super::*;
 
@@ -35,7 +35,7 @@
             "class \"send\" needs an idempotency_key",
         ),
     ];
-    for (problem, text) in texts {
-        assert_eq!(problem.to_string(), text);
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
     }
 }
