--- a/crates/ivyward-grpc/src/activity.rs
+++ b/crates/ivyward-grpc/src/activity.rs
@@ -1,10 +1,10 @@
-//! Calls in flight on a connection and requested checks, shared by the connection's calls and its keepalive.
+//! The calls in flight on a connection and the requests to check it, shared by the connection's calls and its keepalive.
 
 use event_listener::{Event, EventListener};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Calls in flight on a connection, and whether a check of it is requested.
+/// The number of calls in flight on a connection, and whether a check of it is requested.
 #[derive(Default)]
 pub(crate) struct Activity {
     calls_in_flight: AtomicUsize,
@@ -23,7 +23,7 @@
         self.calls_in_flight() > 0
     }
 
-    /// Requests a ping now.
+    /// Requests a ping of the connection without delay.
     pub(crate) fn request_check(&self) {
         self.check_requested.store(true, Ordering::SeqCst);
         self.changed.notify(usize::MAX);
@@ -34,13 +34,13 @@
         self.check_requested.swap(false, Ordering::SeqCst)
     }
 
-    /// Is notified when a call starts or a check is requested.
+    /// Returns a listener that is notified when a call starts or a check is requested.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 }
 
-/// Counts one call as in flight until it is dropped.
+/// Counts one call as in flight until the guard is dropped.
 pub(crate) struct InFlightGuard(Arc<Activity>);
 
 impl InFlightGuard {
--- a/crates/ivyward-grpc/src/call.rs
+++ b/crates/ivyward-grpc/src/call.rs
@@ -1,4 +1,4 @@
-//! One call on a connection: its upload, its response, its end, and what its end proves.
+//! One call on a connection: its upload, its response, its end, and whether a failed call provably never ran.
 
 use crate::activity::InFlightGuard;
 use crate::channel::Channel;
@@ -15,19 +15,20 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 
-/// How far the response has come.
+/// The state of the response.
 enum ResponseState {
-    /// Its headers have not been received.
+    /// The response headers have not been received.
     AwaitingHeaders(ResponseFuture),
-    /// Its messages are being received.
+    /// The response headers were received; messages or trailers follow.
     Body(RecvStream),
 }
 
-/// What follows a response's headers.
+/// What follows the response headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterHeaders {
+    /// Messages and trailers follow.
     Body,
-    /// The headers carry the status of a call without messages ("trailers-only").
+    /// Nothing follows: the headers contain the status of a call without messages ("Trailers-Only").
     End,
 }
 
@@ -35,9 +36,9 @@
 pub struct Call {
     stream: u32,
     upload: SendStream<Bytes>,
-    /// What remains of the request messages.
+    /// The part of the request messages that has not been handed to h2; `None` if there is none.
     body: Option<Bytes>,
-    /// More request messages may follow.
+    /// Whether more request messages may follow.
     client_streaming: bool,
     response: ResponseState,
     decoder: Decoder,
@@ -56,7 +57,7 @@
 }
 
 impl Call {
-    /// Takes over a started call. Its request messages are sent as it is polled.
+    /// Creates the handle of a started call. The request messages are sent as the call is polled.
     pub(crate) fn new(channel: &Channel, start: CallStart) -> Call {
         Call {
             stream: u32::from(start.upload.stream_id()),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Sends as much of the request as flow control allows, so that what h2 buffers stays bounded.
+    /// Sends as much of the request as flow control allows. This bounds the data that h2 buffers.
     fn poll_upload(&mut self, cx: &mut Context<'_>) {
         while let Some(body) = self.body.as_mut() {
             self.upload.reserve_capacity(body.len());
@@ -80,7 +81,7 @@
                     Poll::Pending => return,
                     Poll::Ready(Some(Ok(_))) => continue,
                     Poll::Ready(_) => {
-                        // Polling the response reports what happened.
+                        // The error is reported when the response is polled.
                         self.body = None;
                         return;
                     }
@@ -95,13 +96,13 @@
         }
     }
 
-    /// Ends the call with an error of its stream or connection.
+    /// Marks the call as ended, and returns the error for a failure of its stream or connection.
     fn fail(&mut self, error: &h2::Error) -> CallError {
         self.ended = true;
         let observer = &self.channel.observer;
         let reset_by_server = error.is_reset() && error.is_remote();
         let refused = reset_by_server && error.reason() == Some(Reason::REFUSED_STREAM);
-        // The server may have run a call whose HEADERS were sent, unless a GOAWAY's last stream lies below it.
+        // The server may have run a call whose HEADERS were sent, unless a GOAWAY named a last stream below the call's.
         let never_ran = refused
             || observer.excluded_by_goaway(self.stream)
             || !observer.headers_sent(self.stream);
@@ -135,7 +136,7 @@
                 ResponseState::Body(body) => match ready!(body.poll_data(cx)) {
                     Some(Ok(chunk)) => {
                         self.decoder.push(&chunk);
-                        // Fails only when the stream has ended, which the next poll reports.
+                        // Fails only when the stream has ended, which is reported by the next poll.
                         let _ = body.flow_control().release_capacity(chunk.len());
                     }
                     Some(Err(e)) => return Poll::Ready(Err(self.fail(&e))),
@@ -187,15 +188,15 @@
         Ok(())
     }
 
-    /// The next message, or `None` after the last one when the status is OK.
+    /// Waits for the next message. Returns `None` after the last one if the status is OK.
     ///
     /// # Errors
-    /// [`CallError`] when the call ended in any other way; it says whether the call provably never ran.
+    /// [`CallError`] when the call ended in any other way. The error tells whether the call provably never ran.
     pub async fn next<M: Message + Default>(&mut self) -> Result<Option<M>, CallError> {
         poll_fn(|cx| self.poll_message(cx)).await
     }
 
-    /// Adds a message to the request of a client-streaming call. [`Call::next`] sends it.
+    /// Adds a message to the request of a client-streaming call. Polling the call, as [`Call::next`] does, sends the message.
     pub fn send(&mut self, body: Bytes) {
         self.body = Some(match self.body.take() {
             Some(unsent) => [unsent, body].concat().into(),
@@ -203,7 +204,7 @@
         });
     }
 
-    /// The next message if it has been received already.
+    /// Returns the next message, or the end, if it has been received already; else `None`.
     pub async fn try_next<M: Message + Default>(&mut self) -> Option<Result<Option<M>, CallError>> {
         poll_fn(|cx| match self.poll_message(cx) {
             Poll::Pending => Poll::Ready(None),
@@ -212,17 +213,17 @@
         .await
     }
 
-    /// Whether the whole request was handed to the connection.
+    /// Whether all request messages so far were handed to the connection.
     pub fn uploaded(&self) -> bool {
         self.body.is_none()
     }
 
-    /// Whether any part of the call was written to the socket.
+    /// Whether the call's HEADERS were written to the socket, at least in part.
     pub fn headers_sent(&self) -> bool {
         self.channel.observer.headers_sent(self.stream)
     }
 
-    /// Whether the server has ended the stream. Discards what is received until then.
+    /// Discards the received part of the response. Returns whether the server has ended the stream.
     fn discard_until_end(&mut self, cx: &mut Context<'_>) -> bool {
         loop {
             match &mut self.response {
@@ -246,10 +247,10 @@
 
     /// Abandons the call: resets its stream and returns once the reset is written or the connection is closed.
     ///
-    /// A connection on which the reset is not written within `within` is closed: nothing gets through it anyway.
-    /// Returns whether the call had been written to the socket.
-    pub async fn abandon(mut self, within: Micros) -> bool {
-        // No reset is sent for a stream that both sides have ended.
+    /// If the reset is not written within `timeout` microseconds, the connection is closed, because nothing can be sent on it.
+    /// Returns whether the call's HEADERS were written to the socket, at least in part.
+    pub async fn abandon(mut self, timeout: Micros) -> bool {
+        // h2 sends no reset for a stream that both sides have ended.
         if self.ended
             || self.channel.is_closed()
             || poll_fn(|cx| Poll::Ready(self.discard_until_end(cx))).await
@@ -259,22 +260,22 @@
         let written = self.channel.observer.await_reset(self.stream);
         self.upload.send_reset(Reason::CANCEL);
         let runtime = self.channel.runtime.clone();
-        let deadline = runtime.now().saturating_add(within);
+        let deadline = runtime.now().saturating_add(timeout);
         let wait = before(&runtime, deadline, written.recv()).await;
-        // Nor for a call whose HEADERS were never sent, nor for one that ended just as it was reset.
+        // h2 sends no reset either for a call whose HEADERS were never sent, or for one that ended just as it was reset.
         if wait.is_none()
             && self.headers_sent()
-            && !poll_fn(|cx| Poll::Ready(self.ended_in_order(cx))).await
+            && !poll_fn(|cx| Poll::Ready(self.ended_normally(cx))).await
         {
             self.channel.close();
-            // Ends with an error when the connection is closed.
+            // Returns an error when the connection is closed.
             let _ = written.recv().await;
         }
         self.headers_sent()
     }
 
-    /// Whether the server ended the stream in order, rather than by our reset.
-    fn ended_in_order(&mut self, cx: &mut Context<'_>) -> bool {
+    /// Whether the server ended the stream normally, rather than this client by its reset.
+    fn ended_normally(&mut self, cx: &mut Context<'_>) -> bool {
         match &mut self.response {
             ResponseState::AwaitingHeaders(_) => false,
             ResponseState::Body(body) => matches!(body.poll_data(cx), Poll::Ready(None)),
--- a/crates/ivyward-grpc/src/frame.rs
+++ b/crates/ivyward-grpc/src/frame.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-/// Length of the prefix of each message, in bytes: one of flags, four of length.
+/// Length of a message's prefix, in bytes: one byte of flags and four of length.
 pub const PREFIX_LENGTH: usize = 5;
 
 /// Why bytes are not a valid message.
@@ -12,9 +12,9 @@
     /// The message is larger than the receiver accepts.
     #[error("a message of {length} bytes is over the limit of {limit}")]
     TooLarge {
-        /// The message's length.
+        /// The message's length, in bytes.
         length: usize,
-        /// The receiver's limit.
+        /// The receiver's limit, in bytes.
         limit: usize,
     },
     /// The message is compressed, but no compression was negotiated.
@@ -39,7 +39,8 @@
     out.freeze()
 }
 
-/// Turns received chunks into whole messages. Buffers at most a message of the largest size plus one chunk.
+/// Decodes messages from received chunks. If every whole message is taken before the next chunk is added, it buffers at most
+/// one message of the maximum size plus one chunk.
 #[derive(Debug)]
 pub struct Decoder {
     buffer: BytesMut,
@@ -47,7 +48,7 @@
 }
 
 impl Decoder {
-    /// A decoder that rejects messages of more than `max_message_size` bytes.
+    /// Creates a decoder that rejects messages of more than `max_message_size` bytes.
     pub fn new(max_message_size: usize) -> Decoder {
         Decoder {
             buffer: BytesMut::new(),
@@ -65,10 +66,10 @@
         self.buffer.is_empty()
     }
 
-    /// The next whole message, if one is buffered.
+    /// Removes and returns the next message, if a whole one is buffered.
     ///
     /// # Errors
-    /// [`FrameError`] when the bytes are not a valid message; the stream cannot be read any further.
+    /// [`FrameError`] when the bytes are not a valid message. The rest of the stream cannot be decoded then.
     pub fn pop<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let Some(prefix) = self.buffer.get(..PREFIX_LENGTH) else {
             return Ok(None);
--- a/crates/ivyward-grpc/src/frame/tests.rs
+++ b/crates/ivyward-grpc/src/frame/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decoder: messages in chunks, and rejected bytes.
+//! Tests of the decoder: messages split into chunks, and invalid messages.
 
 use super::*;
 
--- a/crates/ivyward-grpc/src/frame_observer.rs
+++ b/crates/ivyward-grpc/src/frame_observer.rs
@@ -1,7 +1,7 @@
 //! A socket wrapper that records which HTTP/2 frames crossed it.
 //!
-//! Whether the server may have run a request depends on facts that h2 does not expose: whether its HEADERS were
-//! written to the socket, the last stream that a GOAWAY names, and when a RST_STREAM was written. Only frame heads
+//! Whether the server may have run a request depends on facts that h2 does not expose: whether the request's HEADERS were
+//! written to the socket, the last stream that a GOAWAY names, and when a RST_STREAM was written. Only frame headers
 //! and the last-stream field of GOAWAY are parsed.
 
 use event_listener::{Event, EventListener};
@@ -13,11 +13,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{ready, Context, Poll};
 
-/// Length of a frame's head, in bytes.
-const HEAD_LENGTH: usize = 9;
+/// Length of a frame header, in bytes.
+const FRAME_HEADER_LENGTH: usize = 9;
 /// Length of the client's connection preface, in bytes.
 const PREFACE_LENGTH: usize = 24;
-/// Length of the payload's part that is parsed: GOAWAY's last stream, RST_STREAM's error code.
+/// Length of the parsed part of a payload, in bytes: GOAWAY's last stream, RST_STREAM's error code.
 const PARSED_PAYLOAD: usize = 4;
 /// A stream identifier without its reserved bit.
 const STREAM_MASK: u32 = 0x7fff_ffff;
@@ -25,7 +25,8 @@
 const RST_STREAM: u8 = 3;
 const GOAWAY: u8 = 7;
 
-/// What the frames of a connection prove. Shared by the connection, its calls and its keepalive.
+/// Records the facts about a connection's frames that decide whether a call may have run. Shared by the connection, its
+/// calls and its keepalive.
 #[derive(Debug, Default)]
 pub struct FrameObserver {
     observed: Mutex<Observed>,
@@ -37,14 +38,16 @@
 struct Observed {
     /// The highest stream whose HEADERS were written, at least in part.
     last_headers_sent: u32,
-    /// The last stream that the server may have worked on, according to a GOAWAY.
+    /// The last stream that the server may have processed, according to the GOAWAY with the lowest one; `None` without a
+    /// GOAWAY.
     goaway_last_stream: Option<u32>,
-    /// Notified when a stream's reset is written. One entry for each abandoned call, so bounded by the calls.
+    /// Senders to notify when the reset of a stream is written. Bounded by the number of calls, because each abandoned call
+    /// has one entry.
     reset_waiters: BTreeMap<u32, async_channel::Sender<()>>,
     closed: bool,
-    /// Total of bytes received.
+    /// Total number of bytes received.
     received_bytes: u64,
-    /// When bytes were last received, or when the connection was opened.
+    /// The time at which bytes were last received, or the connection was opened.
     last_received: Micros,
 }
 
@@ -58,14 +61,14 @@
         self.observed().last_headers_sent >= stream
     }
 
-    /// Whether a GOAWAY of the server promises that it did nothing for a stream.
+    /// Whether a GOAWAY of the server guarantees that it did not process a stream.
     pub fn excluded_by_goaway(&self, stream: u32) -> bool {
         self.observed()
             .goaway_last_stream
             .is_some_and(|last| stream > last)
     }
 
-    /// Whether the server accepts no new streams.
+    /// Whether a GOAWAY was received: the server accepts no new streams.
     pub fn goaway_received(&self) -> bool {
         self.observed().goaway_last_stream.is_some()
     }
@@ -75,17 +78,17 @@
         self.observed().closed
     }
 
-    /// Total of bytes received.
+    /// Total number of bytes received.
     pub fn received_bytes(&self) -> u64 {
         self.observed().received_bytes
     }
 
-    /// When bytes were last received, or when the connection was opened.
+    /// The time at which bytes were last received, or the connection was opened.
     pub fn last_received(&self) -> Micros {
         self.observed().last_received
     }
 
-    /// Is notified when bytes are received or the connection closes.
+    /// Returns a listener that is notified when bytes are received or the connection closes.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
@@ -98,7 +101,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Receives an item when the stream's reset is written; is closed when the connection closes.
+    /// Returns a receiver that gets an item when the reset of a stream is written, and is closed when the connection closes.
     pub(crate) fn await_reset(&self, stream: u32) -> async_channel::Receiver<()> {
         let (waiter, written) = async_channel::bounded(1);
         let mut observed = self.observed();
@@ -117,13 +120,13 @@
         self.changed.notify(usize::MAX);
     }
 
-    fn record_sent_frame(&self, head: &FrameHead) {
+    fn record_sent_frame(&self, header: &FrameHeader) {
         let mut observed = self.observed();
-        match head.kind {
-            HEADERS => observed.last_headers_sent = observed.last_headers_sent.max(head.stream),
+        match header.kind {
+            HEADERS => observed.last_headers_sent = observed.last_headers_sent.max(header.stream),
             RST_STREAM => {
-                if let Some(waiter) = observed.reset_waiters.remove(&head.stream) {
-                    // Fails when nobody waits any more.
+                if let Some(waiter) = observed.reset_waiters.remove(&header.stream) {
+                    // Fails when the call no longer waits.
                     let _ = waiter.try_send(());
                 }
             }
@@ -131,8 +134,8 @@
         }
     }
 
-    fn record_received_frame(&self, head: &FrameHead, payload: &[u8]) {
-        if head.kind != GOAWAY {
+    fn record_received_frame(&self, header: &FrameHeader, payload: &[u8]) {
+        if header.kind != GOAWAY {
             return;
         }
         let Ok(field) = <[u8; PARSED_PAYLOAD]>::try_from(payload) else {
@@ -146,26 +149,26 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct FrameHead {
+struct FrameHeader {
     kind: u8,
     stream: u32,
 }
 
-/// Finds the frames in one direction of a connection's bytes.
+/// Finds the frames in the bytes of one direction of a connection.
 #[derive(Debug, Default)]
 struct FrameScanner {
-    /// Bytes to skip before the next frame head.
+    /// Number of bytes to skip before the next frame header.
     skip: usize,
-    /// The current frame's head and the parsed part of its payload, as far as seen.
-    seen: Vec<u8>,
+    /// The bytes received so far of the current frame's header and of the parsed part of its payload.
+    partial: Vec<u8>,
 }
 
 impl FrameScanner {
-    /// Scans bytes that crossed the socket and reports their frames.
+    /// Scans bytes that were written to or read from the socket, and reports their frames.
     ///
-    /// RST_STREAM is reported once its whole frame crossed, HEADERS once the head did (part of a request may be
-    /// enough for the server to start it), GOAWAY once its last stream is known.
-    fn scan(&mut self, mut bytes: &[u8], mut report: impl FnMut(FrameHead, &[u8])) {
+    /// RST_STREAM is reported once the whole frame was scanned, GOAWAY once its last stream is known, and any other frame once
+    /// its header was scanned: for HEADERS, part of a request may be enough for the server to start it.
+    fn scan(&mut self, mut bytes: &[u8], mut report: impl FnMut(FrameHeader, &[u8])) {
         while !bytes.is_empty() {
             if self.skip > 0 {
                 let skipped = self.skip.min(bytes.len());
@@ -173,24 +176,24 @@
                 bytes = &bytes[skipped..];
                 continue;
             }
-            self.seen.push(bytes[0]);
+            self.partial.push(bytes[0]);
             bytes = &bytes[1..];
-            if self.seen.len() < HEAD_LENGTH {
+            if self.partial.len() < FRAME_HEADER_LENGTH {
                 continue;
             }
-            let s = &self.seen;
+            let s = &self.partial;
             let length = usize::from(s[0]) << 16 | usize::from(s[1]) << 8 | usize::from(s[2]);
             let stream = u32::from_be_bytes([s[5], s[6], s[7], s[8]]) & STREAM_MASK;
-            let head = FrameHead { kind: s[3], stream };
-            let parsed = match head.kind {
+            let header = FrameHeader { kind: s[3], stream };
+            let parsed = match header.kind {
                 GOAWAY | RST_STREAM => length.min(PARSED_PAYLOAD),
                 _ => 0,
             };
-            if s.len() < HEAD_LENGTH + parsed {
+            if s.len() < FRAME_HEADER_LENGTH + parsed {
                 continue;
             }
-            report(head, &s[HEAD_LENGTH..]);
-            self.seen.clear();
+            report(header, &s[FRAME_HEADER_LENGTH..]);
+            self.partial.clear();
             self.skip = length - parsed;
         }
     }
@@ -228,7 +231,7 @@
     fn scan_sent(&mut self, bytes: &[u8]) {
         let observer = &self.observer;
         self.sent
-            .scan(bytes, |head, _| observer.record_sent_frame(&head));
+            .scan(bytes, |header, _| observer.record_sent_frame(&header));
     }
 }
 
@@ -242,8 +245,8 @@
         let length = ready!(Pin::new(&mut this.conn).poll_read(cx, buf))?;
         let observer = &this.observer;
         observer.record_received(length, this.runtime.now());
-        this.received.scan(&buf[..length], |head, payload| {
-            observer.record_received_frame(&head, payload);
+        this.received.scan(&buf[..length], |header, payload| {
+            observer.record_received_frame(&header, payload);
         });
         Poll::Ready(Ok(length))
     }
--- a/crates/ivyward-grpc/src/frame_observer/tests.rs
+++ b/crates/ivyward-grpc/src/frame_observer/tests.rs
@@ -21,8 +21,8 @@
     for size in [1, 2, 3, 8, 9, 10, 13, 100, bytes.len()] {
         let (mut scanner, mut frames) = (FrameScanner::default(), Vec::new());
         for chunk in bytes.chunks(size) {
-            scanner.scan(chunk, |head, payload| {
-                frames.push((head.kind, head.stream, payload.to_vec()))
+            scanner.scan(chunk, |header, payload| {
+                frames.push((header.kind, header.stream, payload.to_vec()))
             });
         }
         let kinds: Vec<(u8, u32)> = frames.iter().map(|f| (f.0, f.1)).collect();
@@ -48,8 +48,12 @@
     let written = observer.await_reset(3);
     let mut scanner = FrameScanner::default();
     let bytes = frame(RST_STREAM, 3, &[0, 0, 0, 8]);
-    scanner.scan(&bytes[..12], |head, _| observer.record_sent_frame(&head));
+    scanner.scan(&bytes[..12], |header, _| {
+        observer.record_sent_frame(&header)
+    });
     assert!(written.try_recv().is_err() && !written.is_closed());
-    scanner.scan(&bytes[12..], |head, _| observer.record_sent_frame(&head));
+    scanner.scan(&bytes[12..], |header, _| {
+        observer.record_sent_frame(&header)
+    });
     assert!(written.try_recv().is_ok());
 }
--- a/crates/ivyward-grpc/src/handshake.rs
+++ b/crates/ivyward-grpc/src/handshake.rs
@@ -16,10 +16,10 @@
 type Http2Connection = Connection<Io<ObservedConnection>, Bytes>;
 
 impl Channel {
-    /// Begins HTTP/2 on a connection. A task of the runtime drives its frames and pings until it closes.
+    /// Starts HTTP/2 on a connection. A task of the runtime drives the connection's frames and pings until it closes.
     ///
     /// # Errors
-    /// When the preface cannot be written.
+    /// The error of h2 when the connection preface cannot be written.
     pub async fn begin(
         runtime: &RuntimeRef,
         conn: Conn,
@@ -28,10 +28,10 @@
         Channel::begin_with_idle_checks(runtime, conn, options, None).await
     }
 
-    /// Like [`Channel::begin`], where `idle_checks` decides when the connection is checked while no call is in flight.
+    /// Like [`Channel::begin`], but `idle_checks` decides when the connection is checked while no call is in flight.
     ///
     /// # Errors
-    /// When the preface cannot be written.
+    /// The error of h2 when the connection preface cannot be written.
     pub async fn begin_with_idle_checks(
         runtime: &RuntimeRef,
         conn: Conn,
@@ -82,7 +82,7 @@
         .await
 }
 
-/// Drives a connection until it breaks, its close is requested, or a ping stays unanswered.
+/// Drives a connection until the connection breaks, a close is requested, or a ping is not answered.
 struct ConnectionTask {
     connection: Http2Connection,
     pings: Option<h2::PingPong>,
@@ -101,7 +101,7 @@
             observer,
         } = self;
         let frames = async {
-            // Errors reach the calls by themselves.
+            // h2 also reports an error of the connection to each of its calls.
             let _ = connection.await;
         };
         let close = async {
@@ -114,7 +114,7 @@
                 std::future::pending::<()>().await;
             }
         };
-        // Dropping the frames' future closes the socket.
+        // The `frames` future owns the socket, so dropping it closes the socket.
         or(frames, or(close, pinging)).await;
         observer.close();
     }
--- a/crates/ivyward-grpc/src/keepalive.rs
+++ b/crates/ivyward-grpc/src/keepalive.rs
@@ -1,5 +1,5 @@
-//! When a connection is pinged: on request, while calls are in flight and nothing is received, and while idle when
-//! the budget of all connections allows it.
+//! Decides when a connection is pinged: on request, when calls are in flight and nothing is received, and while idle when the
+//! rate limit of all connections allows it.
 
 use crate::activity::Activity;
 use crate::frame_observer::FrameObserver;
@@ -8,19 +8,20 @@
 use ivyward_runtime::{before, Micros, RuntimeRef};
 use std::sync::Arc;
 
-/// Decides when idle connections are checked, for all connections of an owner together.
+/// Decides when idle connections are checked. One instance may serve all connections of an owner, to limit the rate of checks.
 pub trait IdleChecks: Send + Sync {
-    /// A connection became idle.
+    /// Is called when a connection becomes idle.
     fn connection_idle(&self);
-    /// An idle connection was taken into use by a call, or closed.
+    /// Is called when an idle connection is used by a call or closed.
     fn connection_active(&self);
-    /// When an idle connection requests its check; `None` for never.
+    /// Returns the time at which a connection that is idle from `now` on requests its check; `None` for never.
     fn next_check(&self, now: Micros) -> Option<Micros>;
-    /// When a connection that requests its check now is to request it again; `None` when it is checked now.
+    /// Is called when an idle connection requests its check. Returns the time at which the connection must request it again, or
+    /// `None` to check it now.
     fn retry_check_at(&self, now: Micros) -> Option<Micros>;
 }
 
-/// Counts a connection as idle until it is dropped.
+/// Counts a connection as idle until the guard is dropped.
 struct IdleGuard<'a>(&'a dyn IdleChecks);
 
 impl<'a> IdleGuard<'a> {
@@ -36,27 +37,27 @@
     }
 }
 
-/// Why a wait is over.
+/// Why a wait ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitResult {
     /// A ping is due.
     PingDue,
-    /// The connection became idle, or was taken into use: the other wait begins.
+    /// The connection became idle or was used again, so that the rules for the next ping change.
     UseChanged,
 }
 
-/// Keeps one connection alive.
+/// The keepalive of one connection.
 pub(crate) struct Keepalive {
     pub(crate) runtime: RuntimeRef,
     pub(crate) options: Options,
     pub(crate) observer: Arc<FrameObserver>,
     pub(crate) activity: Arc<Activity>,
-    /// Without it an idle connection is pinged like one in use.
+    /// Decides about idle connections. If `None`, an idle connection is pinged like one in use.
     pub(crate) idle_checks: Option<Arc<dyn IdleChecks>>,
 }
 
 impl Keepalive {
-    /// Pings whenever a ping is due. Returns when a ping stays unanswered.
+    /// Sends pings when they are due. Returns when a ping is not answered in time.
     pub(crate) async fn run(&self, mut pings: h2::PingPong) {
         loop {
             let wait = match &self.idle_checks {
@@ -78,7 +79,8 @@
         )
     }
 
-    /// Waits until nothing was received for a whole span, counted from now at the earliest.
+    /// Waits until a ping is due because nothing was received for the ping interval, counted from now at the earliest. Ends
+    /// earlier if a check is requested or the connection becomes idle.
     async fn wait_in_use(&self) -> WaitResult {
         let began = self.runtime.now();
         let ping_at = || {
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Whether a check is requested before this time.
+    /// Waits until a check is requested or `deadline` is reached. Returns whether a check was requested.
     async fn check_requested_before(&self, deadline: Micros) -> bool {
         let requested = async {
             loop {
@@ -114,7 +116,7 @@
         before(&self.runtime, deadline, requested).await.is_some()
     }
 
-    /// Waits until the connection is taken into use, or its check is granted.
+    /// Waits until an idle connection is used by a call, or until its check is allowed or requested.
     async fn wait_idle(&self, checks: &dyn IdleChecks) -> WaitResult {
         let _idle = IdleGuard::new(checks);
         let mut check_at = checks.next_check(self.runtime.now()).unwrap_or(Micros::MAX);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// What ended the idle wait before this time, if anything did.
+    /// Waits until a check is requested, the connection is used by a call, or `deadline` is reached; returns `None` for the last.
     async fn idle_ended_before(&self, deadline: Micros) -> Option<WaitResult> {
         let ended = async {
             loop {
--- a/crates/ivyward-grpc/src/lib.rs
+++ b/crates/ivyward-grpc/src/lib.rs
@@ -1,15 +1,15 @@
 //! A gRPC client over h2 whose clock, tasks and sockets come from `ivyward-runtime`.
 //!
-//! Modules, lowest first; each uses only those above it:
+//! Modules, in the order of their dependencies: each uses only those above it.
 //!
 //! - [`frame`]: gRPC's length-prefixed messages.
-//! - [`timeout`]: the `grpc-timeout` header, which states a call's deadline.
+//! - [`timeout`]: the `grpc-timeout` header, which contains the time left to a call's deadline.
 //! - [`status`]: gRPC statuses, and why a call failed.
 //! - [`options`]: settings of a connection.
 //! - [`frame_observer`]: a socket wrapper that records which HTTP/2 frames crossed it.
 //! - `activity`: calls in flight on a connection and requested checks, shared by calls and keepalive.
-//! - [`channel`]: a connection as its user holds it: its state, its checks, its close.
-//! - [`call`]: one call on a connection, and what its end proves.
+//! - [`channel`]: the handle of a connection: its state, checking it, closing it.
+//! - [`call`]: one call on a connection, and whether a failed call provably never ran.
 //! - `start_call`: the methods of [`Channel`] that start a call.
 //! - [`keepalive`]: when a connection is pinged.
 //! - `handshake`: the constructors of [`Channel`] and the task that drives a connection.
--- a/crates/ivyward-grpc/src/options.rs
+++ b/crates/ivyward-grpc/src/options.rs
@@ -1,22 +1,22 @@
-//! Settings of a connection.
+//! Settings of a connection, and the HTTP/2 limits that follow from them.
 
 use ivyward_runtime::Micros;
 
-/// How a connection behaves.
+/// Settings of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Flow-control window of each stream, in bytes: what a peer may send ahead of the reader.
+    /// Flow-control window of each stream, in bytes: how much the server may send before the reader takes it.
     pub stream_window: u32,
-    /// Number of full stream windows that the connection's window holds, so that slow readers do not stall other
-    /// streams.
+    /// Number of full stream windows that fit into the connection's window. At least the number of concurrent streams, so that
+    /// slow readers do not stall the other streams.
     pub streams: u32,
-    /// Largest accepted message, in bytes.
+    /// Maximum size of a received message, in bytes. A larger one ends its call with an error.
     pub max_message_size: usize,
-    /// A ping is sent after this span without received bytes, with or without calls in flight; 0 for never.
-    /// Connections begun with [`Channel::begin_with_idle_checks`](crate::Channel::begin_with_idle_checks) are pinged
-    /// by this rule only while calls are in flight.
+    /// A ping is sent when no bytes were received for this interval, with or without calls in flight; in microseconds, 0 for
+    /// never. Connections begun with [`Channel::begin_with_idle_checks`](crate::Channel::begin_with_idle_checks) are
+    /// pinged by this rule only while calls are in flight.
     pub ping_interval: Micros,
-    /// A connection on which a ping stays unanswered for this span is closed.
+    /// A connection is closed when a ping is not answered within this time, in microseconds.
     pub ping_timeout: Micros,
 }
 
@@ -34,11 +34,11 @@
 
 /// Size of the smallest frame of a token stream: a gRPC prefix and a message of a few bytes.
 const MIN_FRAME_SIZE: usize = 12;
-/// What h2 charges against its budget for buffering a small frame, in bytes.
+/// The amount by which a buffered small frame reduces h2's frame budget, in bytes.
 const FRAME_COST: usize = 256;
-/// Smallest window of a connection, in bytes.
+/// Minimum flow-control window of a connection, in bytes.
 const MIN_CONNECTION_WINDOW: u32 = 1 << 16;
-/// Largest window that HTTP/2 allows, in bytes.
+/// Maximum flow-control window that HTTP/2 allows, in bytes.
 const MAX_CONNECTION_WINDOW: u32 = (1 << 31) - 1;
 
 impl Options {
@@ -49,11 +49,11 @@
             .clamp(MIN_CONNECTION_WINDOW, MAX_CONNECTION_WINDOW)
     }
 
-    /// The budget for h2's guard against floods of small frames.
+    /// The budget for h2's protection against floods of small frames, in bytes.
     ///
-    /// Guards against that guard itself: token streams consist of small frames only, and h2's default budget would
-    /// close the connection, with every stream on it, as soon as some readers are slow. This budget covers all
-    /// windows full of the smallest frames; the windows then bound the memory.
+    /// Token streams consist of small frames only. With h2's default budget, a few slow readers would be enough for h2 to close
+    /// the connection with every stream on it. This budget is large enough for all windows to be full of the smallest frames;
+    /// the windows then limit the memory.
     pub(crate) fn frame_budget(&self) -> usize {
         let frames = self.stream_window as usize / MIN_FRAME_SIZE + 1;
         (self.streams as usize)
--- a/crates/ivyward-grpc/src/start_call.rs
+++ b/crates/ivyward-grpc/src/start_call.rs
@@ -10,27 +10,27 @@
 use ivyward_runtime::Micros;
 use std::fmt::Display;
 
-/// Headers of every request, besides those of HTTP/2 itself.
+/// The gRPC headers of every request.
 const GRPC_HEADERS: [(&str, &str); 2] = [("content-type", "application/grpc"), ("te", "trailers")];
 /// The `:authority` of every request.
 const AUTHORITY: &str = "engine";
 
-/// What differs from call to call.
+/// The options in which the kinds of calls differ.
 #[derive(Debug, Default)]
 struct CallOptions {
-    /// Headers besides gRPC's own.
+    /// Additional headers.
     headers: HeaderMap,
-    /// When the response becomes useless. The server receives the time that remains when the call is sent.
+    /// The time after which the response is of no use. The server receives the time that remains when the call is sent.
     deadline: Option<Micros>,
-    /// More messages may follow the first one.
+    /// Whether more request messages may follow the first one.
     client_streaming: bool,
 }
 
 impl Channel {
-    /// Makes a call with one request message. [`Call::next`] drives its upload and its response.
+    /// Starts a call with one request message. [`Call::next`] drives the upload and the response.
     ///
     /// # Errors
-    /// When the call could not be started; it never ran then.
+    /// [`CallError`] when the call could not be started, and thus never ran.
     pub async fn call(
         &self,
         path: &'static str,
@@ -44,11 +44,11 @@
         self.start_call(path, body, options).await
     }
 
-    /// Makes a call with one request message and sends the server its deadline: the time that remains to `deadline`
-    /// when the call is sent, however long it waited for a stream.
+    /// Starts a call with one request message and tells the server its deadline. The `grpc-timeout` header contains the time
+    /// that remains until `deadline` once the call has waited for a stream; without a deadline there is no such header.
     ///
     /// # Errors
-    /// When the call could not be started, or no time is left; it never ran then.
+    /// [`CallError`] when the call could not be started or no time is left. The call never ran in both cases.
     pub async fn call_with_deadline(
         &self,
         path: &'static str,
@@ -62,10 +62,10 @@
         self.start_call(path, body, options).await
     }
 
-    /// Makes a client-streaming call: more messages follow by [`Call::send`].
+    /// Starts a client-streaming call. [`Call::send`] adds more request messages.
     ///
     /// # Errors
-    /// When the call could not be started; it never ran then.
+    /// [`CallError`] when the call could not be started, and thus never ran.
     pub async fn client_streaming_call(
         &self,
         path: &'static str,
@@ -131,7 +131,7 @@
         Ok(request)
     }
 
-    /// The timeout header's value: the time that remains to the deadline.
+    /// Returns the value of the timeout header: the time that remains until the deadline.
     fn timeout_value(&self, deadline: Micros) -> Result<HeaderValue, CallError> {
         let remaining = deadline.saturating_sub(self.runtime.now());
         if remaining == 0 {
--- a/crates/ivyward-grpc/src/status.rs
+++ b/crates/ivyward-grpc/src/status.rs
@@ -1,4 +1,4 @@
-//! gRPC statuses, and why a call failed.
+//! gRPC statuses, and the errors of failed calls.
 
 use crate::frame::FrameError;
 use http::HeaderMap;
@@ -6,13 +6,13 @@
 /// gRPC's status code for errors that have no code of their own.
 const UNKNOWN: u32 = 2;
 
-/// Why a call failed, and whether the server may have run it.
+/// The error of a failed call. Tells why the call failed and whether the server may have run it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{cause}")]
 pub struct CallError {
-    /// What happened.
+    /// What ended the call.
     pub cause: Cause,
-    /// The server provably did nothing for this call.
+    /// Whether the server provably did nothing for this call.
     pub never_ran: bool,
 }
 
@@ -37,13 +37,13 @@
 /// What ended a call.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Cause {
-    /// Its deadline passed before it could be sent.
+    /// The call's deadline passed before the call could be sent.
     #[error("no time was left before the call could leave")]
     DeadlinePassed,
     /// The connection broke, or was closed by either side.
     #[error("the connection broke: {0}")]
     ConnectionBroken(String),
-    /// The server reset the stream.
+    /// The server reset the call's stream.
     #[error("the server reset the stream: {0}")]
     Reset(String),
     /// The server answered with a status other than OK.
@@ -59,14 +59,14 @@
 pub struct Status {
     /// gRPC's status code; 0 is OK.
     pub code: u32,
-    /// A description for people.
+    /// The message for developers that came with the code.
     pub message: String,
     /// The headers or trailers that carried the status.
     pub metadata: HeaderMap,
 }
 
 impl Status {
-    /// The status that headers or trailers carry, if they carry one.
+    /// Parses the status in headers or trailers; `None` if they contain no status.
     pub(crate) fn from_headers(headers: HeaderMap) -> Option<Status> {
         let text = |name: &str| {
             headers
@@ -85,7 +85,7 @@
         })
     }
 
-    /// A status with code `UNKNOWN`, for responses that carry no gRPC status.
+    /// Creates a status with code `UNKNOWN`, for responses without a gRPC status.
     pub(crate) fn unknown(message: impl Into<String>) -> Status {
         Status {
             code: UNKNOWN,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Decodes the percent-encoding of a status message. Invalid escapes stay as they are.
+/// Decodes the percent-encoding of a status message. Invalid escapes are left unchanged.
 fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
--- a/crates/ivyward-grpc/src/timeout.rs
+++ b/crates/ivyward-grpc/src/timeout.rs
@@ -1,12 +1,12 @@
-//! The `grpc-timeout` header: at most eight digits and one of the units `H`, `M`, `S`, `m`, `u` and `n`.
+//! The `grpc-timeout` header. Its value has at most eight digits and one of the units `H`, `M`, `S`, `m`, `u` and `n`.
 
 use ivyward_runtime::Micros;
 
-/// The header's name.
+/// The name of the header that contains a call's timeout.
 pub const TIMEOUT_HEADER: &str = "grpc-timeout";
-/// Largest number of digits that the protocol allows.
+/// Maximum number of digits that the protocol allows.
 const MAX_DIGITS: usize = 8;
-/// The units that are encoded, finest first, with their length in microseconds.
+/// The units that [`encode_timeout`] uses, finest first, with their length in microseconds.
 const ENCODED_UNITS: [(char, Micros); 5] = [
     ('u', 1),
     ('m', 1_000),
@@ -15,27 +15,28 @@
     ('H', 3_600_000_000),
 ];
 
-/// A header value that the protocol does not allow.
+/// A header value that the protocol does not allow. Contains the value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("grpc-timeout {0:?} is not up to eight digits and one of H M S m u n")]
 pub struct TimeoutError(pub String);
 
-/// The header's value for a span, rounded down to what the protocol can express: never more than the span.
-pub fn encode_timeout(span: Micros) -> String {
+/// Encodes a timeout as a header value. It is rounded down to what the protocol can express, so that the value is never
+/// longer than the timeout.
+pub fn encode_timeout(timeout: Micros) -> String {
     let max_number = 10_u64.pow(MAX_DIGITS as u32) - 1;
     let fits = ENCODED_UNITS
         .iter()
-        .find(|(_, micros)| span / micros <= max_number);
+        .find(|(_, micros)| timeout / micros <= max_number);
     match fits {
-        Some((unit, micros)) => format!("{}{unit}", span / micros),
+        Some((unit, micros)) => format!("{}{unit}", timeout / micros),
         None => format!("{max_number}H"),
     }
 }
 
-/// The span that a header's value expresses.
+/// Parses a header value. Returns the timeout in microseconds, rounded down.
 ///
 /// # Errors
-/// When the protocol does not allow the value.
+/// [`TimeoutError`] when the protocol does not allow the value.
 pub fn parse_timeout(text: &str) -> Result<Micros, TimeoutError> {
     let invalid = || TimeoutError(text.to_owned());
     let unit_at = text
--- a/crates/ivyward-grpc/src/timeout/tests.rs
+++ b/crates/ivyward-grpc/src/timeout/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of parsing and encoding the `grpc-timeout` header.
+//! Tests of the parser and the encoder of the `grpc-timeout` header.
 
 use super::*;
 
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn encoded_timeouts_are_never_longer_than_the_span() {
-    for span in [
+fn encoded_value_is_never_longer_than_the_timeout() {
+    for timeout in [
         0,
         1,
         999,
@@ -40,13 +40,13 @@
         360_000_000_000_123,
         u64::MAX,
     ] {
-        let text = encode_timeout(span);
+        let text = encode_timeout(timeout);
         let parsed = parse_timeout(&text).unwrap();
-        assert!(text.len() <= 9 && parsed <= span, "{span} as {text}");
-        // The next unit is at most a thousand times as large, so that five digits at least are left.
+        assert!(text.len() <= 9 && parsed <= timeout, "{timeout} as {text}");
+        // Each unit is at most a thousand times the one before, so that a rounded value has at least five digits.
         assert!(
-            span > 3_600_000_000 * 99_999_999 || span - parsed <= span / 100_000,
-            "{span} as {text}"
+            timeout > 3_600_000_000 * 99_999_999 || timeout - parsed <= timeout / 100_000,
+            "{timeout} as {text}"
         );
     }
 }
