--- a/crates/ivyward-grpc/src/options.rs
+++ b/crates/ivyward-grpc/src/options.rs
@@ -7,8 +7,8 @@
 pub struct Options {
     /// Flow-control window of each stream, in bytes: how much the server may send before the reader takes it.
     pub stream_window: u32,
-    /// Number of full stream windows that fit into the connection's window. At least the number of concurrent streams, so that
-    /// slow readers do not stall the other streams.
+    /// Number of full stream windows that fit into the connection's window. Should be at least the number of concurrent streams,
+    /// so that slow readers do not stall the other streams.
     pub streams: u32,
     /// Maximum size of a received message, in bytes. A larger one ends its call with an error.
     pub max_message_size: usize,
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -147,10 +147,10 @@
             let changed = self.changed.listen();
             match self.find(may_check) {
                 Available::Ready(channel) => return Ok(channel),
-                Available::Unchecked(channel, wait) => {
+                Available::Unchecked(channel, check_timeout) => {
                     let left = until.saturating_sub(self.runtime.now());
                     // Each call waits for one failed check at most: a second one would take longer than a new connection.
-                    let answered = self.check(&channel, wait.min(left)).await;
+                    let answered = self.check(&channel, check_timeout.min(left)).await;
                     if !answered && mutations::is_active(Mutation::DoubtfulReused) {
                         return Ok(channel);
                     }
@@ -176,10 +176,10 @@
         let stale = mutations::is_active(Mutation::StaleConnection);
         pool.channels
             .retain(|c| c.is_usable() || c.calls_in_flight() > 0 && !c.is_closed() || stale);
-        // A connection whose last check failed is not eligible: the engine may no longer be reachable on it.
         let has_capacity = |c: &Channel| {
             c.calls_in_flight() < self.calls_per_channel.min(c.stream_capacity().max(1))
         };
+        // A connection whose last check failed is not eligible: the engine may no longer be reachable on it.
         let eligible =
             |c: &&Channel| (c.is_usable() || stale) && !c.last_check_failed() && has_capacity(c);
         let rated = pool
@@ -193,7 +193,7 @@
                 (pool.attempts_since_use, pool.next_attempt_at) = (0, 0);
                 Available::Ready(channel)
             }
-            Some((Some(wait), channel)) if may_check => Available::Unchecked(channel, wait),
+            Some((Some(timeout), channel)) if may_check => Available::Unchecked(channel, timeout),
             _ => Available::NoCapacity,
         }
     }
@@ -201,15 +201,15 @@
     /// Returns the timeout of the check that a connection needs before a call is sent on it; `None` if it needs no check.
     fn check_before_use(&self, channel: &Channel) -> Option<Micros> {
         match self.keepalive.before_use(channel.last_received()) {
-            BeforeUse::Check(wait) => Some(wait),
+            BeforeUse::Check(timeout) => Some(timeout),
             BeforeUse::Nothing => None,
         }
     }
 
     /// Checks a connection. Returns whether it answered in time. If it answers later, the calls that wait by then are notified
     /// and may use it.
-    async fn check(self: &Arc<Self>, channel: &Channel, wait: Micros) -> bool {
-        if channel.check(wait).await {
+    async fn check(self: &Arc<Self>, channel: &Channel, timeout: Micros) -> bool {
+        if channel.check(timeout).await {
             return true;
         }
         let (client, channel) = (self.clone(), channel.clone());
--- a/crates/ivyward/src/request/attempts.rs
+++ b/crates/ivyward/src/request/attempts.rs
@@ -152,7 +152,7 @@
     }
 
     pub(super) fn on_first_token(&mut self, id: u64, attempt: u16) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.has_final_status) else {
             return;
         };
         open.streaming = true;
@@ -197,7 +197,7 @@
             attempt: number,
             outcome: result.outcome,
             cached_tokens: result.cached_tokens,
-            finished: open.answered || open.streaming || served,
+            finished: open.has_final_status || open.streaming || served,
             report: result.report,
         });
         if served {
--- a/crates/ivyward/src/request/finish.rs
+++ b/crates/ivyward/src/request/finish.rs
@@ -33,13 +33,13 @@
     }
 
     pub(super) fn on_client_disconnected(&mut self, id: u64) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else {
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.has_final_status) else {
             return;
         };
         if mutations::is_active(Mutation::LeavingIgnored) && !open.streaming && id % 4 == 0 {
             return;
         }
-        open.answered = true;
+        open.has_final_status = true;
         open.pending_reserves.clear();
         open.reservations.client_disconnected();
         self.context.metrics.disconnected.add(1);
@@ -67,8 +67,8 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        if !open.answered {
-            open.answered = true;
+        if !open.has_final_status {
+            open.has_final_status = true;
             open.pending_reserves.clear();
             if open.accepted.call.finish(FinalStatus::Failed(reason)) {
                 self.context.metrics.failed.add(1);
@@ -95,14 +95,14 @@
 
     /// Sets the final status of a request, unless it has one.
     pub(super) fn finish_request(&mut self, id: u64, status: FinalStatus) {
-        if self.open.get(&id).is_none_or(|open| open.answered) {
+        if self.open.get(&id).is_none_or(|open| open.has_final_status) {
             return;
         }
         let status = self.checked_status(id, status);
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        open.answered = true;
+        open.has_final_status = true;
         let metrics = &self.context.metrics;
         let counter = match status {
             FinalStatus::Served => &metrics.served,
--- a/crates/ivyward/src/request/open_requests.rs
+++ b/crates/ivyward/src/request/open_requests.rs
@@ -27,7 +27,7 @@
     /// One sender for each decode slot reservation in progress. Dropping it ends the reservation's call.
     pub(super) pending_reserves: Vec<async_channel::Sender<()>>,
     pub(super) streaming: bool,
-    pub(super) answered: bool,
+    pub(super) has_final_status: bool,
     /// The deadline that is set for this request in [`super::timers::Timers`].
     pub(super) deadline: Micros,
     /// The detail text of the last failed attempt.
@@ -46,7 +46,7 @@
             reservations: RequestReservations::new(mode),
             pending_reserves: Vec::new(),
             streaming: false,
-            answered: false,
+            has_final_status: false,
             deadline,
             last_error: "no engine could take it".into(),
         }
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn is_done(&self) -> bool {
-        self.answered && !self.any_in_flight()
+        self.has_final_status && !self.any_in_flight()
     }
 
     /// Cancels all attempts in flight because the request has its final status.
--- a/crates/ivyward/src/request/reservations.rs
+++ b/crates/ivyward/src/request/reservations.rs
@@ -66,7 +66,7 @@
         let waiting = self
             .open
             .get_mut(&id)
-            .filter(|open| !open.answered && !open.streaming);
+            .filter(|open| !open.has_final_status && !open.streaming);
         let Some(open) = waiting else {
             // The request no longer needs the slot: it has its final status, or its stream has started.
             self.release(id, &call, slot.into_iter().collect());
