--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -102,13 +102,13 @@
 
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], source: SocketAddr) {
         let metrics = &self.host.context.metrics;
-        metrics.peer_datagrams_taken.add(1);
+        metrics.peer_datagrams_received.add(1);
         match self.datagram_codec.decode(bytes, source) {
             Ok(message) => self.on_message(now, message, source),
             Err(error) => {
-                metrics.peer_datagrams_unread.add(1);
+                metrics.peer_datagrams_malformed.add(1);
                 // Only the first one is logged, so that a flood of them does not fill the log.
-                if metrics.peer_datagrams_unread.get() == 1 {
+                if metrics.peer_datagrams_malformed.get() == 1 {
                     warn!(%source, why = %error, "datagram dropped, further ones are only counted");
                 }
             }
