--- a/crates/ivyward-platform/src/buffered_connection.rs
+++ b/crates/ivyward-platform/src/buffered_connection.rs
@@ -1,4 +1,4 @@
-//! A connection with a read buffer, and the HTTP responses that arrive on it.
+//! A connection with a read buffer, and reading HTTP responses from it.
 
 use futures_lite::future::poll_fn;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -11,20 +11,20 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
 
-/// Bytes asked of the system in one read.
+/// The size of one read from the socket, in bytes.
 const READ_SIZE: usize = 16 << 10;
-/// Interim (1xx) responses that are skipped before the final one.
+/// The limit on interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// A connection and the bytes that were received on it and not consumed yet.
+/// A connection with a buffer of the received bytes that have not been consumed yet.
 pub(crate) struct BufferedConnection {
     conn: Conn,
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that were consumed.
+    /// The number of consumed bytes at the beginning of `buffer`.
     consumed: usize,
-    /// Counts received bytes, where the caller wants to know.
+    /// Counts received bytes, if set by the caller.
     received_bytes: Option<Arc<AtomicU64>>,
-    /// Bytes that were received beyond a limit and dropped.
+    /// The number of received bytes that were dropped because they exceeded a limit.
     discarded_bytes: usize,
 }
 
@@ -39,34 +39,35 @@
         }
     }
 
-    /// Counts the bytes received from now on, so that a slow response can be told from a silent peer.
+    /// Adds the number of bytes received from now on to a counter, which tells a slow response from an unresponsive peer.
     pub(crate) fn count_received(&mut self, received_bytes: Arc<AtomicU64>) {
         self.received_bytes = Some(received_bytes);
     }
 
-    /// Makes the close of this connection a reset: bytes that have not arrived by then never will.
+    /// Makes the close of this connection a reset, which discards bytes that have not reached the peer.
     pub(crate) fn reset_on_close(&mut self) {
         self.conn.reset_on_close();
     }
 
-    /// A handle by which others can look at the state of the peer.
+    /// Returns a handle that shows the state of the peer, for use by other tasks.
     pub(crate) fn peer(&self) -> Arc<dyn Peer> {
         self.conn.peer()
     }
 
-    /// Keeps no more than `limit` unread bytes, and counts those that are dropped.
+    /// Truncates the unread bytes to `limit`, and counts the dropped ones as discarded.
     pub(crate) fn truncate_unread(&mut self, limit: usize) {
         let excess = self.unread().len().saturating_sub(limit);
         self.buffer.truncate(self.buffer.len() - excess);
         self.discarded_bytes += excess;
     }
 
-    /// Bytes that were dropped: what follows them on the connection cannot be parsed.
+    /// Returns the number of dropped bytes. If it is not 0, the bytes that follow on the connection cannot be parsed.
     pub(crate) fn discarded_bytes(&self) -> usize {
         self.discarded_bytes
     }
 
-    /// Reads up to `limit` unread bytes without waiting; whether the peer has closed its sending side by then.
+    /// Reads without waiting until `limit` bytes are unread. Returns whether the peer has closed its sending side, or the
+    /// connection has failed.
     pub(crate) fn peer_has_closed(&mut self, limit: usize) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         while self.unread().len() < limit {
@@ -79,12 +80,12 @@
         false
     }
 
-    /// Bytes that were received and not consumed yet.
+    /// Returns the received bytes that have not been consumed yet.
     pub(crate) fn unread(&self) -> &[u8] {
         &self.buffer[self.consumed..]
     }
 
-    /// Consumes `count` unread bytes. An empty buffer frees its memory: most connections are idle.
+    /// Consumes `count` unread bytes. Frees the memory of an empty buffer, since most connections are idle.
     pub(crate) fn consume(&mut self, count: usize) {
         self.consumed += count;
         if self.consumed >= self.buffer.len() {
@@ -108,12 +109,12 @@
         }))
     }
 
-    /// Waits for more bytes; 0 at the end of what the peer sends.
+    /// Waits for more bytes and returns their number; 0 if the peer has closed its sending side.
     pub(crate) async fn fill(&mut self) -> io::Result<usize> {
         poll_fn(|cx| self.poll_fill(cx)).await
     }
 
-    /// Takes the next step of a body; its bytes are appended to `output`.
+    /// Parses the next part of a body from the unread bytes, and appends its data to `output`.
     pub(crate) fn read_body_step(
         &mut self,
         body: &mut Body,
@@ -127,13 +128,14 @@
         Ok(step)
     }
 
-    /// Whether nothing was received and the peer has not closed: an idle connection that may be reused.
-    pub(crate) fn is_quiet(&mut self) -> bool {
+    /// Returns whether the connection can be used for another request: the peer has not closed it, and no byte is unread.
+    pub(crate) fn is_reusable(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         self.unread().is_empty() && self.poll_fill(&mut cx).is_pending()
     }
 
-    /// Writes both slices. If dropped before its end, an unknown part of them was sent, and the last byte was not.
+    /// Writes both slices. If the future is dropped before it completes, any part of them but the last byte may have been
+    /// sent.
     pub(crate) async fn write(&mut self, mut first: &[u8], mut second: &[u8]) -> io::Result<()> {
         while !first.is_empty() || !second.is_empty() {
             let written = self.write_some(first, second).await?;
@@ -144,7 +146,7 @@
         self.flush().await
     }
 
-    /// Writes to a peer that may be slow; fails when it takes no byte for `stall`.
+    /// Writes to a peer that may be slow. Fails with [`io::ErrorKind::TimedOut`] if no byte can be written for `stall`.
     pub(crate) async fn write_with_stall_timeout(
         &mut self,
         runtime: &RuntimeRef,
@@ -160,7 +162,7 @@
         self.flush().await
     }
 
-    /// Writes what the system takes in one call: at least one byte.
+    /// Writes once, and returns the number of bytes that the socket accepted, at least 1.
     async fn write_some(&mut self, first: &[u8], second: &[u8]) -> io::Result<usize> {
         let parts = [IoSlice::new(first), IoSlice::new(second)];
         match poll_fn(|cx| Pin::new(&mut self.conn).poll_write_vectored(cx, &parts)).await? {
@@ -173,9 +175,9 @@
         poll_fn(|cx| Pin::new(&mut self.conn).poll_flush(cx)).await
     }
 
-    /// Closes our sending side, so that what was written reaches a peer that still sends.
+    /// Shuts down the sending side. Unlike a close, this delivers the written bytes to a peer that is still sending.
     pub(crate) async fn close_write(&mut self) {
-        // The peer may have disconnected already; then there is nothing to deliver.
+        // An error means that the peer has already disconnected, and there is nothing left to deliver.
         let _ = poll_fn(|cx| Pin::new(&mut self.conn).poll_close(cx)).await;
     }
 }
@@ -183,21 +185,21 @@
 /// Why no response head was received.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ResponseHeadError {
-    /// The connection was closed by the peer without a response.
-    #[error("the connection ended without an answer")]
+    /// The peer closed the connection without a complete response head.
+    #[error("the connection ended without a response")]
     Closed,
-    /// The connection broke.
+    /// Reading from the connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// What was received is no response head.
+    /// The received bytes are not a valid response head.
     #[error("{0}")]
     Invalid(#[from] ivyward_http1::Fault),
-    /// Interim responses kept coming.
-    #[error("interim answers without end")]
+    /// More than `MAX_INTERIM_RESPONSES` (8) interim responses were received.
+    #[error("more than {MAX_INTERIM_RESPONSES} interim responses")]
     TooManyInterimResponses,
 }
 
-/// Reads the head of a response; interim ones are skipped.
+/// Reads the head of the final response, skipping interim ones.
 pub(crate) async fn read_response_head(
     connection: &mut BufferedConnection,
     limits: &Limits,
@@ -224,7 +226,8 @@
     }
 }
 
-/// Reads the whole body of a short response; `None` if it breaks or is longer than the limit.
+/// Reads the whole body of a short response. Returns `None` if the connection fails, or the body is malformed or exceeds
+/// the limit.
 pub(crate) async fn read_response_body(
     connection: &mut BufferedConnection,
     response: &Answer,
--- a/crates/ivyward-platform/src/engine.rs
+++ b/crates/ivyward-platform/src/engine.rs
@@ -1,18 +1,18 @@
 //! Engines over HTTP/1.1: connections, attempts, reservations and releases.
 //!
-//! Each module uses only modules above it:
+//! Each module uses only modules listed before it:
 //!
-//! - `load_report`, `event_parser`: what engines write.
-//! - `connection`: a connection to an engine, and the limit on them.
+//! - `load_report`, `event_parser`: parse load reports and streamed events of engines.
+//! - `connection`: a connection to an engine, and the limit on open connections.
 //! - `pending_releases`: releases that no engine has accepted yet.
-//! - `pool`: idle connections of all endpoints, and what their clients share.
-//! - `endpoint`: the client of one engine: connecting, and calls without a prompt.
-//! - `stream`: passes a streamed response on; `attempt`: one attempt; `reservation`: one reservation.
+//! - `pool`: the idle connections of all endpoints, and the state that their clients share.
+//! - `endpoint`: the client of one engine: connecting, and requests without a prompt.
+//! - `stream`: forwards a streamed response; `attempt`: one attempt; `reservation`: one reservation.
 //! - `release_dispatcher`: sends releases.
 //! - `client`: implements [`ivyward::engines::EngineClient`].
 //!
-//! What proves that an attempt never ran is decided here, by the platform's table; what follows from it is the router's
-//! decision. Nothing is retried at this level.
+//! These modules decide, by the platform's table of statuses and connection errors, whether an attempt is known not to have
+//! run. The router decides whether to retry; nothing is retried at this level.
 
 mod attempt;
 mod client;
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an engine, from its connection to its one outcome.
+//! One attempt at an engine, from opening the connection to the outcome. Every attempt has exactly one outcome.
 
 use super::connection::EngineConnection;
 use super::endpoint::{CallError, HttpEngineClient};
@@ -20,27 +20,29 @@
 use std::sync::Arc;
 use std::task::Poll;
 
-/// How long the rest of a response that is known already, or the engine's close after an attempt was given up, is waited
-/// for. Some round trips and an engine's own pause: a matter of networks and machines, not of a deployment's deadlines.
+/// The timeout for the rest of a response whose outcome is already known, and for the engine's close after an attempt was
+/// abandoned. 50 ms cover a few round trips and a pause of the engine; they depend on networks and machines, not on a
+/// deployment's deadlines.
 const ABANDON_TIMEOUT: Micros = 50_000;
 
-/// The same for an engine that takes no new connections: a round trip, should it be reachable all the same.
+/// The timeout for the close of an engine that accepts no new connections: 10 ms, one round trip in case the engine is
+/// reachable after all.
 const UNREACHABLE_TIMEOUT: Micros = 10_000;
 
-/// Why an attempt has no response head.
+/// Why an attempt got no response head.
 #[derive(Debug, thiserror::Error)]
 enum AwaitError {
-    /// The engine takes no new connection while its response is overdue.
-    #[error("the engine cannot be reached any more")]
+    /// The response is overdue, and the engine accepts no new connection.
+    #[error("the engine accepts no new connection while its response is overdue")]
     Unreachable,
-    /// The connection ended, or brought no response head.
+    /// The connection ended, or no valid response head was received.
     #[error(transparent)]
     Head(#[from] ResponseHeadError),
 }
 
-/// The result of an attempt that ended before it was sent because nobody waits for it.
+/// Returns the result of an attempt that was cancelled, or whose client disconnected, before the request was sent.
 fn not_sent() -> AttemptResult {
-    AttemptResult::new(Outcome::NotSent, "called off before it was sent")
+    AttemptResult::new(Outcome::NotSent, "cancelled before it was sent")
 }
 
 /// One attempt at one engine.
@@ -51,16 +53,16 @@
 }
 
 impl Attempt<'_> {
-    /// Runs the attempt to its one outcome.
+    /// Runs the attempt and returns its outcome.
     pub(super) async fn run(&self) -> AttemptResult {
         match self.run_steps().await {
             Ok(result) | Err(result) => result,
         }
     }
 
-    /// The steps of an attempt; `Err` is the result of one that ended early.
+    /// Runs the steps of the attempt. `Err` is the result of an attempt that ended before a response head was received.
     async fn run_steps(&self) -> Result<AttemptResult, AttemptResult> {
-        self.check_wanted()?;
+        self.check_still_needed()?;
         let mut timer = self.runtime().sleep_until(self.request.send_deadline);
         let traits = self.traits();
         let mut connection = self.connect(&mut timer, &traits).await?;
@@ -78,18 +80,21 @@
         &self.client.pool.runtime
     }
 
-    /// Ends an attempt whose client has disconnected or whose time is over.
-    fn check_wanted(&self) -> Result<(), AttemptResult> {
+    /// Ends an attempt whose client has disconnected or whose deadline has passed.
+    fn check_still_needed(&self) -> Result<(), AttemptResult> {
         if self.call.is_disconnected() {
             return Err(not_sent());
         }
         if self.request.deadline <= self.runtime().now() {
-            return Err(AttemptResult::new(Outcome::NotSent, "no time left"));
+            return Err(AttemptResult::new(
+                Outcome::NotSent,
+                "the deadline had passed before it was sent",
+            ));
         }
         Ok(())
     }
 
-    /// Whether the attempt may be sent again without harm.
+    /// Returns whether sending the request twice does no harm: it is a prefill or idempotent.
     fn is_repeatable(&self) -> bool {
         self.request.prefill_only || self.call.is_idempotent
     }
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Takes a connection for the request.
+    /// Takes an idle connection from the pool or opens one.
     async fn connect(
         &self,
         timer: &mut BoxFuture<()>,
@@ -119,7 +124,7 @@
                 self.client.record_failure();
                 Err(AttemptResult::new(
                     Outcome::ConnectFailed,
-                    "no connection in time",
+                    "no connection before the send deadline",
                 ))
             }
             WaitResult::Cancelled(_) => Err(not_sent()),
@@ -134,7 +139,7 @@
     ) -> Result<(), AttemptResult> {
         // The engine may have begun to drain while the connection was opened.
         if self.client.endpoint.is_draining() {
-            let detail = "the engine drains or is gone";
+            let detail = "the engine drains or was removed";
             return Err(AttemptResult::new(Outcome::NotSent, detail));
         }
         let prompt = self.call.prompt().ok_or_else(not_sent)?;
@@ -145,13 +150,13 @@
             WaitResult::Completed(Some(Err(error))) => Err(self.write_failed(connection, &error)),
             WaitResult::TimedOut => Err(AttemptResult::new(
                 Outcome::ConnectFailed,
-                "the engine does not take the request",
+                "the engine did not read the request before the send deadline",
             )),
             WaitResult::Completed(None) | WaitResult::Cancelled(_) => Err(not_sent()),
         }
     }
 
-    /// The head of the request, with the time that is left for its response.
+    /// Builds the head of the request. `X-Timeout-Ms` is the time left until the attempt's deadline, at least 1 ms.
     fn request_head(&self, prompt: &Arc<Prompt>) -> Vec<u8> {
         let time_left = self.request.deadline.saturating_sub(self.runtime().now());
         let timeout_ms = (time_left / 1_000).max(1).to_string();
@@ -164,7 +169,7 @@
             ("Content-Type", "application/json"),
             ("Content-Length", &length),
         ];
-        // Guards against an effect that happens twice: an engine recognises the retries of a request by this key alone.
+        // Engines recognise the retries of a request only by this key; without it a retry could have its effect twice.
         let idempotency_key = self.call.idempotency_key.as_deref();
         headers.extend(idempotency_key.map(|key| ("Idempotency-Key", key)));
         let request_line = format!("{} {} HTTP/1.1", self.call.method, self.call.target);
@@ -173,9 +178,9 @@
         request
     }
 
-    /// Writes the request. The last byte of one that may not be sent again is held back for two round trips: a connection
-    /// that is closed at the first bytes of a request, as kept ones are, or under a busy engine, has shown it by then, and
-    /// nothing can have run.
+    /// Writes the request. If the request may not be sent twice, its last byte is delayed by two round trips: an idle
+    /// connection that the engine has closed, or a connection that a busy engine closes at the first bytes of a request,
+    /// fails within that time, and an engine without the last byte cannot have run the request.
     async fn write(
         &self,
         connection: &mut EngineConnection,
@@ -186,14 +191,14 @@
         if self.is_repeatable() || body.is_empty() {
             return connection.write(head, body).await;
         }
-        let (most, last_byte) = body.split_at(body.len() - 1);
-        connection.write(head, most).await?;
+        let (all_but_last, last_byte) = body.split_at(body.len() - 1);
+        connection.write(head, all_but_last).await?;
         let until = self
             .runtime()
             .now()
             .saturating_add(2 * connection.round_trip);
         match before(self.runtime(), until, connection.fill()).await {
-            // An engine that takes the request is silent.
+            // An engine that accepts the request sends nothing before it has the last byte.
             None => connection.write(last_byte, &[]).await,
             Some(Ok(received)) if received > 0 => connection.write(last_byte, &[]).await,
             Some(Ok(_)) => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -201,10 +206,10 @@
         }
     }
 
-    /// The last byte was never sent, so the request never ran; the connection is closed with the rest of it.
+    /// Returns the result of a failed write. The last byte was never sent, so the request never ran.
     fn write_failed(&self, connection: &EngineConnection, error: &io::Error) -> AttemptResult {
         self.client.pool.record_use(connection.idle_time, true);
-        // That its engine closed an idle connection says nothing of the engine.
+        // Engines close idle connections in normal operation; this does not count as a failure of the engine.
         let outcome = match connection.idle_time {
             Some(_) => Outcome::NotSent,
             None => Outcome::ConnectFailed,
@@ -212,9 +217,9 @@
         AttemptResult::new(outcome, error.to_string())
     }
 
-    /// Runs `sending` only while the client is connected. Guards against an attempt that begins after its client has
-    /// disconnected, where a node is busy, a connection is opened late or a body is sent slowly: whether attempts may be
-    /// cancelled or not, what was not sent by then stays here.
+    /// Polls `sending` only while the client is connected, and returns `None` once it has disconnected. On a busy node, or
+    /// with a slow connection attempt or a slow write, an attempt could otherwise begin after its client has disconnected.
+    /// This holds even if the deployment does not allow attempts to be cancelled: the rest of the request is not sent.
     async fn while_connected<T>(&self, sending: impl Future<Output = T>) -> Option<T> {
         let mut sending = pin!(sending);
         poll_fn(|cx| match self.call.is_disconnected() {
@@ -224,7 +229,8 @@
         .await
     }
 
-    /// When to check that a request on a reused connection, for which a state waits at another engine, was delivered.
+    /// Returns when to check that a request was delivered: only for a request on a reused connection whose KV state is
+    /// reserved at another engine.
     fn delivery_check(
         &self,
         traits: &AttemptTraits,
@@ -263,20 +269,20 @@
             }
             WaitResult::Completed(Err(error)) => error,
             WaitResult::TimedOut => {
-                let detail = "no answer in time";
+                let detail = "no response head before the deadline";
                 return Err(self.abandon(connection, Outcome::TimedOut, detail).await);
             }
             WaitResult::Cancelled(_) => {
-                let detail = "called off";
+                let detail = "cancelled while waiting for the response head";
                 return Err(self.abandon(connection, Outcome::Cancelled, detail).await);
             }
         };
         Err(self.head_failed(connection, &error).await)
     }
 
-    /// Waits for the head of the response, and checks meanwhile that the engine is reachable. Guards against a request that
-    /// was sent into a network partition which had just begun: it has not arrived, and the state that it was to fetch would
-    /// wait for as long as the request.
+    /// Waits for the head of the response, and checks in parallel that the engine is reachable by opening a new connection.
+    /// A request that is sent just after a network partition began does not arrive; without the check, the KV state that it
+    /// was to fetch would stay reserved until the deadline of the attempt.
     async fn read_head_checking_delivery(
         &self,
         connection: &mut EngineConnection,
@@ -296,7 +302,7 @@
         or(received, unreachable).await
     }
 
-    /// The result of an attempt without a response head.
+    /// Returns the result of an attempt without a response head.
     async fn head_failed(
         &self,
         connection: &mut EngineConnection,
@@ -321,7 +327,7 @@
         }
     }
 
-    /// Reads the rest of the response as its status asks for.
+    /// Reads the rest of the response according to its status.
     async fn handle_response(
         &self,
         mut connection: EngineConnection,
@@ -345,7 +351,8 @@
         let until = self.runtime().now().saturating_add(ABANDON_TIMEOUT);
         let body = read_response_body(&mut connection, &response, &LIMITS);
         if let Some(Some(_)) = before(self.runtime(), until, body).await {
-            self.client.keep_idle(connection, response.head.keeps());
+            self.client
+                .return_connection(connection, response.head.keeps());
         }
         AttemptResult {
             report,
@@ -364,7 +371,8 @@
         let reading = read_response_body(&mut connection, response, &LIMITS);
         let (outcome, detail) = match self.request.wait(timer, reading).await {
             WaitResult::Completed(Some(body)) => {
-                self.client.keep_idle(connection, response.head.keeps());
+                self.client
+                    .return_connection(connection, response.head.keeps());
                 let result: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
                 return AttemptResult {
                     cached_tokens: cached_tokens(&result),
@@ -372,14 +380,20 @@
                     ..AttemptResult::new(Outcome::Prefilled, "read")
                 };
             }
-            WaitResult::Completed(None) => (Outcome::Error, "the answer to a read is spoilt"),
-            WaitResult::TimedOut => (Outcome::TimedOut, "the end of a read did not come"),
-            WaitResult::Cancelled(_) => (Outcome::Cancelled, "called off"),
+            WaitResult::Completed(None) => (Outcome::Error, "malformed response to a prefill"),
+            WaitResult::TimedOut => (
+                Outcome::TimedOut,
+                "prefill response incomplete at the deadline",
+            ),
+            WaitResult::Cancelled(_) => (
+                Outcome::Cancelled,
+                "cancelled while reading the response to a prefill",
+            ),
         };
         self.abandon(&mut connection, outcome, detail).await
     }
 
-    /// Passes a streamed response on to the client.
+    /// Forwards a streamed response to the client.
     async fn relay_stream(
         &self,
         mut connection: EngineConnection,
@@ -391,7 +405,8 @@
         match relay.run(&mut connection, timer, report).await {
             StreamResult::Ended(result) => {
                 if result.outcome == Outcome::Served {
-                    self.client.keep_idle(connection, response.head.keeps());
+                    self.client
+                        .return_connection(connection, response.head.keeps());
                 }
                 result
             }
@@ -401,7 +416,7 @@
         }
     }
 
-    /// Gives the attempt up while its engine may still work on it.
+    /// Ends the attempt while its engine may still be processing it, and waits for the engine to close the connection.
     async fn abandon(
         &self,
         connection: &mut EngineConnection,
@@ -413,24 +428,27 @@
     }
 }
 
-/// The result of an attempt without a connection.
+/// Returns the result of an attempt without a connection.
 fn connect_failed(error: &CallError) -> AttemptResult {
     let outcome = match error.is_local() {
-        // Nothing is known of an engine that was not asked.
+        // A local failure does not indicate a failure of the engine, which was not contacted.
         true => Outcome::NotSent,
         false => Outcome::ConnectFailed,
     };
     AttemptResult::new(outcome, error.to_string())
 }
 
-/// The result of an attempt whose response is an error.
+/// Returns the result of an attempt whose response is an error. `X-Not-Processed: 1` states that the engine ran nothing.
 fn error_result(response: &Answer) -> AttemptResult {
     let never_ran = response.head.text("x-not-processed") == Some("1");
     match response.status {
         status @ (503 | 504) if never_ran => {
-            AttemptResult::new(Outcome::Rejected, format!("turned away with {status}"))
+            AttemptResult::new(Outcome::Rejected, format!("rejected with status {status}"))
         }
-        410 if never_ran => AttemptResult::new(Outcome::KvCacheMiss, "no state to fetch"),
-        status => AttemptResult::new(Outcome::Error, format!("status {status}")),
+        410 if never_ran => AttemptResult::new(
+            Outcome::KvCacheMiss,
+            "the KV state is no longer at the prefill engine",
+        ),
+        status => AttemptResult::new(Outcome::Error, format!("the engine answered {status}")),
     }
 }
--- a/crates/ivyward-platform/src/engine/client.rs
+++ b/crates/ivyward-platform/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! What the driver asks of an engine's client.
+//! Implements the driver's [`EngineClient`] for engines over HTTP/1.1.
 
 use super::attempt::Attempt;
 use super::endpoint::HttpEngineClient;
@@ -41,14 +41,15 @@
     fn run_attempt(self: Arc<Self>, request: AttemptRequest) -> BoxFuture<AttemptResult> {
         Box::pin(async move {
             let Some(call) = request.call.as_any().downcast_ref::<HttpCall>() else {
-                return AttemptResult::new(Outcome::NotSent, "a request of another protocol");
+                return AttemptResult::new(Outcome::NotSent, "not an HTTP request");
             };
             let attempt = Attempt {
                 client: &self,
                 request: &request,
                 call,
             };
-            // A connection that is not kept is closed when this returns, so that nothing runs on beside the attempt.
+            // A connection that was not returned to the pool is closed when `run` returns, so that the engine does not go on
+            // with an attempt that has ended.
             let result = attempt.run().await;
             if !request.prefill_only {
                 call.record_outcome(result.outcome);
--- a/crates/ivyward-platform/src/engine/connection.rs
+++ b/crates/ivyward-platform/src/engine/connection.rs
@@ -7,11 +7,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// A measured round trip is clamped to these bounds: what a clock and a busy machine show is not the network.
+/// Bounds of the estimated round-trip time, in microseconds. The time that connecting took also contains the clock's error
+/// and scheduling delays of a busy machine, which are not part of the network's round trip.
 const MIN_ROUND_TRIP: Micros = 200;
 const MAX_ROUND_TRIP: Micros = 3_000;
 
-/// Counts the open connections to all engines.
+/// Counts the open connections to all engines, up to a limit.
 pub(super) struct ConnectionLimit {
     open: AtomicUsize,
     max: usize,
@@ -25,24 +26,24 @@
         })
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     pub(super) fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Whether the limit, extended by `reserve`, allows no further connection.
+    /// Returns whether the limit plus `reserve` allows no further connection.
     pub(super) fn is_reached(&self, reserve: usize) -> bool {
         self.open() >= self.max + reserve
     }
 
-    /// Counts one more connection, until the permit is dropped.
+    /// Counts one more connection until the permit is dropped. Does not check the limit.
     pub(super) fn acquire(self: &Arc<Self>) -> ConnectionPermit {
         self.open.fetch_add(1, Ordering::Relaxed);
         ConnectionPermit(self.clone())
     }
 }
 
-/// Counts as an open connection; returned to the limit on drop.
+/// Counts as one open connection until dropped.
 pub(super) struct ConnectionPermit(Arc<ConnectionLimit>);
 
 impl Drop for ConnectionPermit {
@@ -54,17 +55,17 @@
 /// A connection to an engine.
 pub(super) struct EngineConnection {
     connection: BufferedConnection,
-    /// How long it had been idle before its present request; `None` for a new connection.
+    /// How long the connection was idle before its current request; `None` for a new connection.
     pub(super) idle_time: Option<Micros>,
-    /// The round-trip time, estimated from the time that connecting took.
+    /// The round-trip time, estimated from the duration of the connection attempt.
     pub(super) round_trip: Micros,
-    /// A request was begun on it, and its response was not received completely.
+    /// Writing a request has begun, and its response was not received completely.
     pub(super) has_pending_request: bool,
     _permit: ConnectionPermit,
 }
 
 impl EngineConnection {
-    /// A connection that was opened in `connect_time`.
+    /// Wraps a connection whose connection attempt took `connect_time`.
     pub(super) fn new(
         conn: Conn,
         connect_time: Micros,
@@ -79,10 +80,11 @@
         }
     }
 
-    /// Closes our sending side, and discards what is received until the engine closes too or `timeout` is over. Guards
-    /// against an attempt that reaches another engine before this one learns that its request was given up: for so long
-    /// there would be two. The engine's own close says that it knows. One that is cut off or hangs is waited for no longer
-    /// than `timeout`.
+    /// Shuts down the sending side, and discards received bytes until the engine closes the connection or `timeout` ends.
+    ///
+    /// Without the wait the next attempt could reach another engine before this one notices that its request was abandoned,
+    /// and two attempts would run at once. The engine's close confirms that it has noticed. `timeout` bounds the wait for an
+    /// engine that is partitioned or unresponsive.
     pub(super) async fn abandon(&mut self, runtime: &RuntimeRef, timeout: Micros) {
         let until = runtime.now().saturating_add(timeout);
         let closed = async {
@@ -97,8 +99,9 @@
 }
 
 impl Drop for EngineConnection {
-    /// Guards against a request that was given up and arrives long after: bytes in flight when a network partition begins
-    /// are sent again by the system when it ends, after the last release of their request. A reset takes them back.
+    /// Resets the connection if its request was abandoned. When a network partition ends, the kernel retransmits the bytes
+    /// that were in flight when it began, and the request would reach the engine after its reservations were released. A
+    /// reset discards these bytes.
     fn drop(&mut self) {
         if self.has_pending_request {
             self.connection.reset_on_close();
--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -1,4 +1,4 @@
-//! One engine as the node reaches it: connections, and the calls that carry no prompt.
+//! The client of one engine: opens connections, and sends the requests that carry no prompt.
 
 use super::connection::EngineConnection;
 use super::load_report;
@@ -14,36 +14,36 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Why a call without a prompt has no response.
+/// Why a request without a prompt got no response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// The node has no file descriptor left for a connection.
-    #[error("this machine could not open a connection: no descriptor is left")]
+    /// The limit on open connections, which bounds the node's file descriptors, is reached.
+    #[error("cannot open a connection: the limit on open connections is reached")]
     NoDescriptor,
-    /// This machine lacks something for a connection (a port, a buffer, a route), which says nothing of the engine.
-    #[error("this machine could not open a connection: {0}")]
+    /// This machine has no free port, buffer or route for a connection. The engine may still be reachable.
+    #[error("cannot open a connection for want of local resources: {0}")]
     NoLocalResources(std::io::Error),
-    /// The engine could not be connected to.
+    /// Connecting to the engine failed.
     #[error("cannot connect to {address}: {failure}")]
     Connect {
-        /// Where.
+        /// The engine's address.
         address: SocketAddr,
-        /// Why not.
+        /// Why the connection attempt failed.
         failure: ConnectFailure,
     },
     /// The request could not be written.
-    #[error("{0}")]
+    #[error("cannot write the request: {0}")]
     Write(std::io::Error),
-    /// The connection brought no response.
-    #[error("no answer")]
+    /// No response head was received on the connection.
+    #[error("no response: {0}")]
     NoResponse(#[source] ResponseHeadError),
-    /// No response came in time.
-    #[error("no answer from {0} in time")]
+    /// The engine at this address did not respond before the deadline of the call.
+    #[error("no response from {0} before the deadline")]
     TimedOut(SocketAddr),
 }
 
 impl CallError {
-    /// Whether the call failed on this machine, so that nothing is known of the engine.
+    /// Returns whether the call failed on this machine, which does not indicate a failure of the engine.
     pub(super) fn is_local(&self) -> bool {
         matches!(
             self,
@@ -52,15 +52,15 @@
     }
 }
 
-/// The response to a call without a prompt.
+/// The response to a request without a prompt.
 #[derive(Debug)]
 pub(super) struct CallResponse {
     pub(super) status: u16,
-    /// The load report of its head or body.
+    /// The load report in the `X-Server-Load` header, or else in the body.
     pub(super) report: LoadReport,
 }
 
-/// The client of one engine, as the driver holds it.
+/// The client of one engine, used by the driver as an [`ivyward::engines::EngineClient`].
 #[derive(Clone)]
 pub(super) struct HttpEngineClient {
     pub(super) endpoint: Arc<PooledEndpoint>,
@@ -68,7 +68,7 @@
 }
 
 impl HttpEngineClient {
-    /// The client of an engine that is new or has moved.
+    /// Creates the client of an engine that is new in the list or has a new address.
     pub(super) fn new(engine: &Engine, pool: &Arc<EnginePool>) -> HttpEngineClient {
         HttpEngineClient {
             endpoint: pool.add(engine),
@@ -76,19 +76,20 @@
         }
     }
 
-    /// Records that the engine responded; after a silence, pending releases may be sent to it again.
+    /// Records that the engine responded. If its last call had failed, pending releases may be sent to it again.
     pub(super) fn record_response(&self) {
         if self.endpoint.record_response(self.pool.runtime.now()) {
             self.pool.releases.endpoint_recovered();
         }
     }
 
-    /// Records that a call ended without a response or a connection.
+    /// Records that connecting to the engine failed, or that a call ended without a response.
     pub(super) fn record_failure(&self) {
         self.endpoint.record_failure(self.pool.runtime.now());
     }
 
-    /// An idle connection that may be reused, or a new one.
+    /// Returns an idle connection if `reuse` allows it, or else opens one by `until` or within the connect timeout. `reserve`
+    /// is the number of connections that the caller may open beyond the limit.
     pub(super) async fn connect(
         &self,
         until: Micros,
@@ -112,7 +113,7 @@
         opened
     }
 
-    /// Opens a new connection by `until`.
+    /// Opens a new connection; fails at `until`.
     async fn open_connection(
         &self,
         until: Micros,
@@ -127,24 +128,26 @@
         }
     }
 
-    /// Whether a new connection can be opened by `until`; it is kept for the next request. If this machine cannot open one,
-    /// nothing is known, and the engine counts as reachable.
+    /// Returns whether a new connection can be opened by `until`, and adds the connection to the pool. If this machine lacks
+    /// the resources to open one, the engine counts as reachable, since nothing indicates that it is not.
     pub(super) async fn is_reachable(&self, until: Micros) -> bool {
         match self.open_connection(until, 0).await {
             Ok(connection) => {
-                self.keep_idle(connection, true);
+                self.return_connection(connection, true);
                 true
             }
             Err(error) => error.is_local(),
         }
     }
 
-    /// Keeps a connection whose response was received completely, if it `can_be_kept`.
-    pub(super) fn keep_idle(&self, connection: EngineConnection, can_be_kept: bool) {
-        self.pool.keep_idle(&self.endpoint, connection, can_be_kept);
+    /// Returns a connection to the pool. `keep_alive`: the response was received completely and does not ask for a close.
+    pub(super) fn return_connection(&self, connection: EngineConnection, keep_alive: bool) {
+        self.pool
+            .return_connection(&self.endpoint, connection, keep_alive);
     }
 
-    /// Sends a request without a body, and reads its response.
+    /// Sends a request without a body, and reads its response. The connection may be one of those reserved for releases and
+    /// health checks.
     pub(super) async fn call(
         &self,
         method: &str,
@@ -173,7 +176,7 @@
         if let Some(body) = body.as_deref().filter(|_| report.len == 0) {
             report = self.load_report(std::str::from_utf8(body).ok());
         }
-        self.keep_idle(connection, body.is_some() && head.head.keeps());
+        self.return_connection(connection, body.is_some() && head.head.keeps());
         Ok(CallResponse {
             status: head.status,
             report,
@@ -199,7 +202,7 @@
         connection.write(&request, &[]).await
     }
 
-    /// The load report in a text, if there is one.
+    /// Parses a load report; an absent or malformed one yields an empty report.
     pub(super) fn load_report(&self, text: Option<&str>) -> LoadReport {
         text.map_or(LoadReport::default(), |text| {
             load_report::parse(text, &self.pool.report_fields)
--- a/crates/ivyward-platform/src/engine/event_parser.rs
+++ b/crates/ivyward-platform/src/engine/event_parser.rs
@@ -2,27 +2,27 @@
 
 use crate::config::MAX_BODY_BYTES;
 
-/// Why a stream cannot be passed on.
+/// Why a stream cannot be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum EventError {
-    /// An event is longer than any body may be.
-    #[error("an event without end")]
+    /// An event is longer than `MAX_BODY_BYTES` (256 KiB).
+    #[error("an event of the stream exceeds {MAX_BODY_BYTES} bytes")]
     Unterminated,
-    /// A line belongs to no event.
-    #[error("noise in a stream")]
+    /// A line is neither an event's data nor a comment, or the data is no JSON object.
+    #[error("malformed event in the stream")]
     Malformed,
 }
 
-/// Collects the bytes of a stream, and what its events say about the response.
+/// Splits the bytes of a stream into events, and extracts the cached tokens, the load report and the end of the stream.
 #[derive(Default)]
 pub(super) struct EventParser {
-    /// Bytes that were received and are no complete event yet.
+    /// Received bytes that do not form a complete event yet.
     pub(super) pending: Vec<u8>,
-    /// Prompt tokens that the engine found in its cache.
+    /// The number of prompt tokens that the engine found in its KV cache.
     pub(super) cached_tokens: u32,
-    /// The load report in the stream's comments.
+    /// The last load report in a comment of the stream (`: X-Server-Load: ...`).
     pub(super) load_report: Option<String>,
-    /// Whether the stream's terminating event was received.
+    /// Whether the terminating event `[DONE]` was received.
     pub(super) is_done: bool,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// The number of cached tokens in an engine's JSON object; 0 if it says none.
+/// Returns `cached_tokens` of a JSON object from an engine; 0 if the field is absent.
 pub(super) fn cached_tokens(object: &serde_json::Value) -> u32 {
     let tokens = object["cached_tokens"].as_u64().unwrap_or(0);
     tokens.min(u64::from(u32::MAX)) as u32
--- a/crates/ivyward-platform/src/engine/load_report.rs
+++ b/crates/ivyward-platform/src/engine/load_report.rs
@@ -1,11 +1,11 @@
-//! Load reports as engines write them.
+//! Parses the load reports of engines.
 
 use ivyward::core::interface::LoadReport;
 
-/// Most values of a report that are used.
+/// The limit on the values of a report; further fields are ignored.
 const MAX_VALUES: usize = 4;
 
-/// The name that engines may use on the wire for a field of the settings.
+/// Returns the alternative name that engines may use on the wire for a report field of the settings; empty if there is none.
 fn wire_name(field: &str) -> &'static str {
     match field {
         "outstanding" => "inflight",
@@ -18,8 +18,8 @@
     }
 }
 
-/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61` into the values of `fields`, in their order. A
-/// report with a missing or malformed value counts as none.
+/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61` into the values of `fields`, in their order. Returns
+/// an empty report if any value is missing or malformed.
 pub(super) fn parse(text: &str, fields: &[String]) -> LoadReport {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
--- a/crates/ivyward-platform/src/engine/load_report/tests.rs
+++ b/crates/ivyward-platform/src/engine/load_report/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_report_is_parsed_completely_or_not_at_all() {
+fn a_report_with_a_missing_or_malformed_value_is_empty() {
     let fields: Vec<String> = ["utilization", "backlog", "x0"].map(str::to_owned).to_vec();
     let values = |text: &str| parse(text, &fields).values[..parse(text, &fields).len].to_vec();
     assert_eq!(
@@ -15,13 +15,13 @@
         [0.61, 7.0, 1.0],
         "the names used on the wire"
     );
-    for bad in [
+    for malformed in [
         "",
         "TEXT",
         "TEXT utilization=0.5, backlog=3",
         "TEXT utilization=NaN, backlog=3, x0=1",
         "\u{1}=",
     ] {
-        assert!(values(bad).is_empty(), "{bad:?}");
+        assert!(values(malformed).is_empty(), "{malformed:?}");
     }
 }
--- a/crates/ivyward-platform/src/engine/pending_releases.rs
+++ b/crates/ivyward-platform/src/engine/pending_releases.rs
@@ -1,4 +1,4 @@
-//! Releases that were not accepted by an engine yet, kept as [`ivyward::core::release`] decides.
+//! Releases that no engine has accepted yet. [`ivyward::core::release`] decides when they are sent and dropped.
 
 use crate::sync::lock;
 use event_listener::{Event, EventListener};
@@ -14,29 +14,30 @@
 
 /// A release that is sent until an engine accepts it.
 struct PendingRelease {
-    /// The path of its DELETE request.
+    /// The path of the DELETE request.
     path: Arc<str>,
-    /// The engines at which something may be reserved: their clients are kept though they leave the list.
+    /// The engines at which something may be reserved. Holding their clients keeps the endpoints in the pool after the
+    /// engines were removed from the list.
     _engines: Vec<EngineHandle>,
 }
 
 struct State {
     queue: ReleaseQueue,
-    /// The releases in the queue, by the number of their request.
+    /// The releases in the queue, by request number.
     releases: BTreeMap<u64, PendingRelease>,
 }
 
-/// An attempt of a release that is due.
+/// A release attempt that is due.
 pub(super) struct DueRelease {
     pub(super) attempt: ReleaseAttempt,
     pub(super) path: Arc<str>,
 }
 
-/// The releases that a node still has to deliver.
+/// The pending releases of a node.
 pub(crate) struct PendingReleases {
     state: Mutex<State>,
     changed: Event,
-    /// Set with the first release; from then on a task sends them.
+    /// Set with the first release, which starts the task that sends releases.
     context: OnceLock<Arc<NodeContext>>,
 }
 
@@ -52,12 +53,12 @@
         }
     }
 
-    /// Stores the node's context; whether this is the first release, so that a task has to be started.
+    /// Stores the node's context. Returns `true` for the first release; the caller then starts the task that sends releases.
     pub(super) fn start(&self, context: &Arc<NodeContext>) -> bool {
         self.context.set(context.clone()).is_ok()
     }
 
-    /// See [`ReleaseQueue::enqueue`].
+    /// Adds a release; see [`ReleaseQueue::enqueue`].
     pub(super) fn enqueue(&self, request: u64, path: String, reservations: Vec<Reservation>) {
         self.update(|state, context, now| {
             let all_confirmed = reservations.iter().all(|r| r.confirmed);
@@ -71,38 +72,38 @@
         });
     }
 
-    /// See [`ReleaseQueue::withdraw`].
+    /// Withdraws the release of a request; see [`ReleaseQueue::withdraw`].
     pub(crate) fn withdraw(&self, request: u64) -> bool {
         self.update(|state, _, _| state.queue.withdraw(request))
             .unwrap_or(false)
     }
 
-    /// See [`ReleaseQueue::endpoint_recovered`].
+    /// Notifies the queue that an engine responds again; see [`ReleaseQueue::endpoint_recovered`].
     pub(super) fn endpoint_recovered(&self) {
         self.update(|state, _, now| state.queue.endpoint_recovered(now));
     }
 
-    /// See [`ReleaseQueue::shut_down`].
+    /// Notifies the queue that the node shuts down; see [`ReleaseQueue::shut_down`].
     pub(crate) fn shut_down(&self) {
         self.update(|state, _, now| state.queue.shut_down(now));
     }
 
-    /// See [`ReleaseQueue::on_result`].
+    /// Records the result of a release attempt; see [`ReleaseQueue::on_result`].
     pub(super) fn on_result(&self, attempt: &ReleaseAttempt, result: ReleaseResult) {
         self.update(|state, _, now| state.queue.on_result(now, attempt, result));
     }
 
-    /// Notified by the next change after which a release is due at some time.
+    /// Returns a listener for the next change that leaves a deadline in the queue.
     pub(super) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// See [`ReleaseQueue::next_deadline`].
+    /// Returns when the queue next needs attention; see [`ReleaseQueue::next_deadline`].
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         lock(&self.state).queue.next_deadline()
     }
 
-    /// Drops the releases that are given up, and returns the attempts that are due.
+    /// Drops the abandoned releases, and returns the attempts that are due.
     pub(super) fn next_attempts(
         &self,
         context: &NodeContext,
@@ -123,8 +124,8 @@
             .collect()
     }
 
-    /// Changes the queue, if anything ever was in it, updates the node's count of pending releases, and wakes the task that
-    /// sends them.
+    /// Applies `change` to the queue, updates the node's count of pending releases, and wakes the task that sends them.
+    /// Returns `None` before the first release, when the queue has never been used.
     fn update<T>(&self, change: impl FnOnce(&mut State, &NodeContext, Micros) -> T) -> Option<T> {
         let context = self.context.get()?;
         let mut state = lock(&self.state);
@@ -146,7 +147,7 @@
     }
 }
 
-/// Counts and logs releases that were dropped: the engines' own limit ends what they hold.
+/// Counts and logs dropped releases. Their reservations end at the engines' own time limit.
 fn log_dropped(context: &NodeContext, requests: &[u64], reason: &str) {
     for request in requests {
         context.metrics().releases_dropped.add(1);
--- a/crates/ivyward-platform/src/engine/pool.rs
+++ b/crates/ivyward-platform/src/engine/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to engines: idle connections of each endpoint, and which are closed to make room.
+//! The pool of connections to engines: the idle connections of each endpoint, and which of them are closed at the limit.
 
 use super::connection::{ConnectionLimit, ConnectionPermit, EngineConnection};
 use super::pending_releases::PendingReleases;
@@ -13,33 +13,33 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 
-/// Part of the engines' keep-alive time after which a connection is closed: a request that crosses the engine's own close
-/// ends as a reset.
+/// The idle timeout as a fraction of the engines' keep-alive time. It is below 1 because a request that is sent while the
+/// engine closes the connection ends in a reset.
 const IDLE_FRACTION: f64 = 0.6;
-/// Used where the settings state no keep-alive time.
+/// The idle timeout if the settings state no keep-alive time: 5 s.
 const DEFAULT_IDLE_TIMEOUT: Micros = 5_000_000;
 
-/// What the connections of a node to its engines are bound to.
+/// The settings of a node's connections to engines.
 pub(crate) struct EnginePoolSettings {
-    /// A connection attempt fails after this.
+    /// The timeout of a connection attempt.
     pub(crate) connect_timeout: Micros,
-    /// Engines close a connection that was idle for so long; 0 where that is not known.
+    /// The time after which engines close an idle connection; 0 if unknown.
     pub(crate) keep_alive: Micros,
-    /// Most open connections, besides the reserve of releases and health checks.
+    /// The limit on open connections, not counting those reserved for releases and health checks.
     pub(crate) max_connections: usize,
-    /// Fields of a load report, in the router's order.
+    /// The fields of a load report, in the order that the router expects.
     pub(crate) report_fields: Vec<String>,
-    /// How releases are sent.
+    /// The time limit of a release, and the limits on concurrent and pending releases.
     pub(crate) release: ReleaseSettings,
 }
 
-/// What all engine clients of a node share.
+/// The state that all engine clients of a node share.
 pub(crate) struct EnginePool {
     pub(super) runtime: RuntimeRef,
     pub(super) connect_timeout: Micros,
     pub(super) reserve_timeout: Micros,
     pub(super) report_fields: Vec<String>,
-    /// Connections that only releases and health checks may open beyond the limit.
+    /// The number of connections that releases and health checks may open beyond the limit.
     pub(super) release_connections: usize,
     pub(crate) releases: Arc<PendingReleases>,
     idle_timeout: Micros,
@@ -68,37 +68,38 @@
         })
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     pub(crate) fn open_connections(&self) -> usize {
         self.limit.open()
     }
 
-    /// Adds an endpoint, which belongs to the pool for as long as somebody else holds it.
+    /// Adds an endpoint. The pool keeps a weak reference: an endpoint leaves the pool when its last client is dropped.
     pub(super) fn add(&self, engine: &Engine) -> Arc<PooledEndpoint> {
         let endpoint = Arc::new(PooledEndpoint::new(engine));
         lock(&self.endpoints).push(Arc::downgrade(&endpoint));
         endpoint
     }
 
-    /// All endpoints that are still held, in the order of their adding.
+    /// Returns the endpoints that still have a client, in the order in which they were added.
     pub(super) fn endpoints(&self) -> Vec<Arc<PooledEndpoint>> {
         let endpoints = lock(&self.endpoints);
         endpoints.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Closes connections that were idle for too long or that their engine closed, and forgets dropped endpoints.
+    /// Closes connections that reached the idle timeout or that their engine closed, and removes dropped endpoints.
     pub(crate) fn sweep(&self) {
         lock(&self.endpoints).retain(|endpoint| endpoint.strong_count() > 0);
         let oldest = self.runtime.now().saturating_sub(self.idle_timeout);
         for endpoint in self.endpoints() {
-            // One that its engine closed holds a descriptor for nothing.
+            // A connection that its engine closed would otherwise use up a file descriptor until the idle timeout.
             lock(&endpoint.idle)
-                .retain_mut(|idle| idle.since > oldest && idle.connection.is_quiet());
+                .retain_mut(|idle| idle.since > oldest && idle.connection.is_reusable());
         }
     }
 
-    /// Takes a permit for a new connection. At the limit, the connection idle longest at any endpoint is closed. Releases
-    /// have a `reserve`, so that reservations are released even while all other connections are in use.
+    /// Acquires a permit for a new connection, or returns `None` at the limit. At the limit, the connection that was idle
+    /// longest at any endpoint is closed first. `reserve` extends the limit for releases and health checks, so that
+    /// reservations are released even while all other connections are in use.
     pub(super) fn permit(&self, reserve: usize) -> Option<ConnectionPermit> {
         if self.limit.is_reached(reserve) {
             self.close_longest_idle();
@@ -118,8 +119,9 @@
         drop(longest_idle.and_then(|endpoint| lock(&endpoint.idle).pop_front()));
     }
 
-    /// The most recently used idle connection that may be reused for a request, which may or may not be sent again. A
-    /// connection that its engine closed, or that brought more than its response, is dropped.
+    /// Takes the most recently used idle connection that may be reused. `is_repeatable` states whether the request may be
+    /// sent again if the engine closes the connection under it. A connection that its engine closed, or on which more than
+    /// the response was received, is dropped.
     pub(super) fn take_idle(
         &self,
         endpoint: &PooledEndpoint,
@@ -136,7 +138,7 @@
                 continue;
             }
             if let Some(IdleConnection { mut connection, .. }) = idle.remove(index) {
-                if connection.is_quiet() {
+                if connection.is_reusable() {
                     connection.idle_time = Some(idle_time);
                     return Some(connection);
                 }
@@ -145,15 +147,16 @@
         None
     }
 
-    /// Keeps a connection whose response was received completely, if it `can_be_kept`.
-    pub(super) fn keep_idle(
+    /// Adds a connection to the idle ones of its endpoint, unless the endpoint drains. `keep_alive`: the response was
+    /// received completely and does not ask for a close.
+    pub(super) fn return_connection(
         &self,
         endpoint: &PooledEndpoint,
         mut connection: EngineConnection,
-        can_be_kept: bool,
+        keep_alive: bool,
     ) {
         connection.has_pending_request = false;
-        if can_be_kept && !endpoint.is_draining() && connection.is_quiet() {
+        if keep_alive && !endpoint.is_draining() && connection.is_reusable() {
             lock(&endpoint.idle).push_back(IdleConnection {
                 connection,
                 since: self.runtime.now(),
@@ -161,28 +164,28 @@
         }
     }
 
-    /// Records whether a connection with this idle time was closed under a request.
+    /// Records whether the engine closed a connection with this idle time while a request was being sent on it.
     pub(super) fn record_use(&self, idle_time: Option<Micros>, was_closed: bool) {
         lock(&self.reuse_history).record_use(self.runtime.now(), idle_time, was_closed);
     }
 }
 
-/// A connection without a request.
+/// A connection without a request in progress.
 struct IdleConnection {
     connection: EngineConnection,
     since: Micros,
 }
 
-/// An engine at one address: its idle connections, and when it last responded.
+/// An engine at one address: its idle connections, and the times of its last response and failure.
 pub(super) struct PooledEndpoint {
     pub(super) id: EndpointId,
     pub(super) address: SocketAddr,
-    /// The connection idle longest first.
+    /// Ordered by idle time, the longest first.
     idle: Mutex<VecDeque<IdleConnection>>,
     draining: AtomicBool,
-    /// When any call to it last brought a response; 0 for never.
+    /// When the engine last responded to any call; 0 for never.
     last_response: AtomicU64,
-    /// When a call to it last ended without a response or a connection; 0 for never.
+    /// When connecting to the engine last failed or a call to it last ended without a response; 0 for never.
     last_failure: AtomicU64,
 }
 
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Whether the engine drains or was removed: nothing new is sent to it.
+    /// Returns whether the engine drains or was removed from the list. No new request is sent to it then.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
@@ -219,18 +222,18 @@
         self.last_response.load(Ordering::Relaxed)
     }
 
-    /// Records a response; whether it ends a silence that began with a failure.
+    /// Records a response. Returns whether it is the first one after a failure.
     pub(super) fn record_response(&self, now: Micros) -> bool {
-        let was_silent = self.last_failure.load(Ordering::Relaxed) > self.last_response();
+        let had_failed = self.last_failure.load(Ordering::Relaxed) > self.last_response();
         self.last_response.store(now, Ordering::Relaxed);
-        was_silent
+        had_failed
     }
 
     pub(super) fn record_failure(&self, now: Micros) {
         self.last_failure.store(now, Ordering::Relaxed);
     }
 
-    /// What is known of it as a target of releases.
+    /// Returns what [`ivyward::core::release`] needs to choose the target of a release.
     pub(super) fn release_target(&self) -> ReleaseTarget {
         ReleaseTarget {
             id: self.id,
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -4,7 +4,7 @@
 use ivyward_sim::{Net, Sim};
 
 #[test]
-fn releases_have_release_connections() {
+fn releases_may_open_reserved_connections_at_the_limit() {
     let runtime = Sim::new(1, Net::default()).host(1).runtime();
     const RESERVE: usize = 12;
     let settings = EnginePoolSettings {
@@ -19,7 +19,7 @@
         },
     };
     let pool = EnginePool::new(&runtime, settings);
-    let usual: Vec<ConnectionPermit> = (0..2)
+    let regular: Vec<ConnectionPermit> = (0..2)
         .map(|_| pool.permit(0).expect("within the limit"))
         .collect();
     assert!(pool.permit(0).is_none());
@@ -28,6 +28,6 @@
         .collect();
     assert!(pool.permit(RESERVE).is_none());
     drop(reserved);
-    drop(usual);
+    drop(regular);
     assert_eq!(pool.open_connections(), 0);
 }
--- a/crates/ivyward-platform/src/engine/release_dispatcher.rs
+++ b/crates/ivyward-platform/src/engine/release_dispatcher.rs
@@ -3,7 +3,7 @@
 use super::endpoint::{CallError, CallResponse, HttpEngineClient};
 use super::pending_releases::{DueRelease, PendingReleases};
 use super::pool::{EnginePool, PooledEndpoint};
-use super::reservation::hold_path;
+use super::reservation::reservation_path;
 use crate::call::HttpCall;
 use futures_lite::future::or;
 use ivyward::core::interface::EndpointId;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use tracing::debug;
 
-/// Releases what may be reserved for a request. The first release starts the task that sends them.
+/// Queues the release of a request's reservations. The first release starts the task that sends releases.
 pub(super) fn release(pool: &Arc<EnginePool>, context: &Arc<NodeContext>, request: ReleaseRequest) {
     let Some(call) = request.call.as_any().downcast_ref::<HttpCall>() else {
         return;
@@ -27,12 +27,12 @@
         };
         context.runtime().run(async move { dispatcher.run().await });
     }
-    let path = hold_path(&call.id);
+    let path = reservation_path(&call.id);
     pool.releases
         .enqueue(request.request, path, request.reservations);
 }
 
-/// Sends releases for as long as the node runs.
+/// Sends the pending releases for as long as the node runs.
 struct ReleaseDispatcher {
     context: Arc<NodeContext>,
     pool: Arc<EnginePool>,
@@ -55,11 +55,11 @@
         }
     }
 
-    /// The endpoints that releases can be sent to.
+    /// Returns the endpoints that releases can be sent to, one for each engine.
     fn endpoints(&self) -> BTreeMap<EndpointId, Arc<PooledEndpoint>> {
         let mut endpoints: BTreeMap<EndpointId, Arc<PooledEndpoint>> = BTreeMap::new();
         for endpoint in self.pool.endpoints() {
-            // An engine that moved may have two addresses: the one in the list counts.
+            // An engine whose address changed may have two endpoints; the one that does not drain is in the list.
             let known = endpoints.get(&endpoint.id);
             if known.is_none_or(|known| known.is_draining()) {
                 endpoints.insert(endpoint.id, endpoint);
@@ -68,7 +68,7 @@
         endpoints
     }
 
-    /// Sends the releases that are due, each in a task of its own.
+    /// Sends each release that is due in its own task.
     fn dispatch(&self) {
         let endpoints = self.endpoints();
         let targets: Vec<ReleaseTarget> = endpoints
--- a/crates/ivyward-platform/src/engine/reservation.rs
+++ b/crates/ivyward-platform/src/engine/reservation.rs
@@ -1,4 +1,4 @@
-//! Reserves a decode slot at an engine ahead of the request that will use it.
+//! Reserves a decode slot at an engine before the decode attempt that will use it.
 
 use super::endpoint::HttpEngineClient;
 use crate::buffered_connection::{read_response_body, read_response_head};
@@ -10,12 +10,12 @@
 use ivyward::engines::{ReservationStatus, ReserveRequest};
 use ivyward::runtime::before;
 
-/// The path under which an engine holds something for a request.
-pub(super) fn hold_path(request_id: &str) -> String {
+/// Returns the path of a request's reservation: POST reserves a decode slot, DELETE releases what is reserved.
+pub(super) fn reservation_path(request_id: &str) -> String {
     format!("/v1/holds/{request_id}")
 }
 
-/// One reservation at one engine.
+/// An attempt to reserve a decode slot at one engine.
 pub(super) struct ReservationAttempt<'a> {
     pub(super) client: &'a HttpEngineClient,
     pub(super) request: &'a ReserveRequest,
@@ -23,9 +23,10 @@
 }
 
 impl ReservationAttempt<'_> {
-    /// Asks for a slot, until the request no longer needs one.
+    /// Requests a slot. Stops early if the client's request finishes before the engine responds.
     pub(super) async fn run(&self) -> ReservationStatus {
-        // An engine knows a reservation only beside its prefill, so it is sent after the prefill's last byte.
+        // An engine accepts a reservation only while the prefill of the same request is in progress, so the reservation is
+        // sent after the last byte of the prefill.
         let prefill_sent = or(self.call.wait_until_sent(self.request.attempt), async {
             self.request.until_finished().await;
             false
@@ -37,7 +38,7 @@
         let until = runtime
             .now()
             .saturating_add(self.client.pool.reserve_timeout);
-        // The status if the call is given up: before anything is sent nothing can be held.
+        // The status if the call is abandoned: nothing can be reserved before the request is sent.
         let mut status_if_abandoned = ReservationStatus::Denied;
         let reserving = self.send(until, &mut status_if_abandoned);
         let status = or(before(runtime, until, reserving), async {
@@ -48,7 +49,7 @@
         status.unwrap_or(status_if_abandoned)
     }
 
-    /// Sends the reservation, and reads what the engine says to it.
+    /// Sends the reservation and reads the response. Sets `status_if_abandoned` to `Unknown` once a byte may have been sent.
     async fn send(
         &self,
         until: Micros,
@@ -58,7 +59,7 @@
         let Ok(mut connection) = client.connect(until, ReusePolicy::Any, 0).await else {
             return ReservationStatus::Denied;
         };
-        // While the connection was opened the engine may have begun to drain, and the request may have ended.
+        // The engine may have begun to drain, or the request may have ended, while the connection was being opened.
         if client.endpoint.is_draining()
             || self.request.is_finished()
             || self.call.is_disconnected()
@@ -66,7 +67,7 @@
             return ReservationStatus::Denied;
         }
         *status_if_abandoned = ReservationStatus::Unknown;
-        let path = hold_path(&self.call.id);
+        let path = reservation_path(&self.call.id);
         let written = client
             .write_empty_request(&mut connection, "POST", &path)
             .await;
@@ -78,7 +79,7 @@
         };
         client.record_response();
         let body = read_response_body(&mut connection, &response, &LIMITS).await;
-        client.keep_idle(connection, body.is_some() && response.head.keeps());
+        client.return_connection(connection, body.is_some() && response.head.keeps());
         match response.status {
             200 => ReservationStatus::Granted,
             404 | 409 => ReservationStatus::Denied,
--- a/crates/ivyward-platform/src/engine/stream.rs
+++ b/crates/ivyward-platform/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Passes the events of an engine's streamed response on to the client.
+//! Forwards the events of an engine's streamed response to the client.
 
 use super::connection::EngineConnection;
 use super::endpoint::HttpEngineClient;
@@ -10,15 +10,15 @@
 use ivyward::runtime::BoxFuture;
 use ivyward_http1::{Body, Framing, Step};
 
-/// How a stream ended, and whether the engine may still work on it.
+/// How a stream ended, and whether the engine may still be processing the request.
 pub(super) enum StreamResult {
-    /// The attempt is over at both sides.
+    /// The attempt has ended at the engine too.
     Ended(AttemptResult),
-    /// The engine has to learn that the attempt was given up.
+    /// The engine may still be processing the request: the connection has to be closed before the attempt ends.
     Abandoned {
-        /// What the router gets.
+        /// The outcome reported to the router.
         outcome: Outcome,
-        /// For people.
+        /// The cause, for logs.
         detail: String,
     },
 }
@@ -36,14 +36,14 @@
     }
 }
 
-/// A stream on its way from an engine to the client.
+/// Forwards one stream from an engine to the client.
 pub(super) struct StreamRelay<'a> {
     client: &'a HttpEngineClient,
     request: &'a AttemptRequest,
     call: &'a HttpCall,
     body: Body,
     events: EventParser,
-    /// Set with the first event: from then on the attempt's own deadline no longer counts.
+    /// Set with the first event. From then on the stall timeout applies in place of the attempt's deadline.
     stall: Option<StallDetector>,
 }
 
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Passes events on as they become complete, until the stream ends; `report` is that of the response's head.
+    /// Forwards events as they become complete, until the stream ends. `report` is the load report of the response's head,
+    /// which is used if the stream contains none.
     pub(super) async fn run(
         &mut self,
         connection: &mut EngineConnection,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Passes complete events on, and waits until the client has room for more.
+    /// Forwards the complete events, and waits until the response buffer has capacity for more.
     async fn forward_events(&mut self) -> Result<(), StreamResult> {
         let events = self
             .events
@@ -96,15 +97,18 @@
         if events.is_empty() {
             return Ok(());
         }
-        let given_up = || StreamResult::ended(Outcome::Cancelled, "given up");
+        let cancelled = || {
+            let detail = "the request ended while its response was being forwarded";
+            StreamResult::ended(Outcome::Cancelled, detail)
+        };
         let buffer = &self.call.response_buffer;
-        buffer.push(&events).map_err(|_| given_up())?;
+        buffer.push(&events).map_err(|_| cancelled())?;
         if self.stall.is_none() {
             self.request.notify_first_token();
             self.call.drop_prompt();
         }
         let capacity = self.request.wait_for_capacity(buffer).await;
-        capacity.map_err(|_| given_up())?;
+        capacity.map_err(|_| cancelled())?;
         let runtime = &self.client.pool.runtime;
         let timeout = self.request.context.settings().stream_stall;
         self.stall
@@ -113,10 +117,10 @@
         Ok(())
     }
 
-    /// The result of a stream whose body is complete.
+    /// Returns the result of a stream whose body is complete.
     fn finish(&self, report: LoadReport) -> StreamResult {
         if self.stall.is_none() || !self.events.is_done || !self.events.pending.is_empty() {
-            return StreamResult::abandoned(Outcome::Error, "a stream that is not whole");
+            return StreamResult::abandoned(Outcome::Error, "the stream is incomplete");
         }
         let report = match self.events.load_report.as_deref() {
             Some(text) => self.client.load_report(Some(text)),
@@ -149,17 +153,21 @@
             // A stream that has begun is not cancelled by the router.
             (WaitResult::Cancelled(CancelReason::ByRouter), Some(_)) => Ok(()),
             (WaitResult::Cancelled(_), _) => {
-                Err(StreamResult::abandoned(Outcome::Cancelled, "called off"))
+                let detail = "cancelled while waiting for the stream";
+                Err(StreamResult::abandoned(Outcome::Cancelled, detail))
             }
             (WaitResult::TimedOut, Some(stall)) => {
                 match stall.is_stalled(&self.client.pool.runtime) {
-                    true => Err(StreamResult::ended(Outcome::Reset, "no event for too long")),
+                    true => Err(StreamResult::ended(
+                        Outcome::Reset,
+                        "no event within the stall timeout",
+                    )),
                     false => Ok(()),
                 }
             }
             (WaitResult::TimedOut, None) => Err(StreamResult::abandoned(
                 Outcome::TimedOut,
-                "no event in time",
+                "no event before the deadline",
             )),
         }
     }
