--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -1,7 +1,8 @@
 //! The HTTP/1.1 server for clients.
 //!
-//! - `connection_table`: which client connections there are; `connection`: the requests on one of them.
-//! - `request_reader`: reads a request; `request_headers`: what its headers say.
+//! - `connection_table`: the states of the client connections, and the limit on them; `connection`: the requests on one
+//!   connection.
+//! - `request_reader`: reads a request; `request_headers`: parses and checks its headers.
 //! - `request`: handles one request; `in_flight`: requests that are being handled.
 //! - `response`: writes responses.
 
@@ -27,14 +28,14 @@
 use std::sync::{Arc, Mutex};
 use tracing::debug;
 
-/// Pause after an accept that failed on this machine.
-const ACCEPT_PAUSE: Micros = 5_000;
-/// Accepts that may fail in a row without a pause.
+/// The pause after an accept that failed for want of local resources, or after too many failures in a row: 5 ms.
+const ACCEPT_RETRY_PAUSE: Micros = 5_000;
+/// The number of accepts that may fail in a row before each further failure is followed by a pause.
 const MAX_FAILURES_WITHOUT_PAUSE: usize = 16;
-/// Failed accepts at a stop, before the connections that the system still queues are given up.
+/// The number of accepts that may fail at shutdown before the remaining connections in the accept queue are abandoned.
 const MAX_FAILURES_AT_STOP: usize = 200;
 
-/// The server of one node.
+/// The HTTP/1.1 server of one node.
 pub(crate) struct Server {
     node: Node,
     runtime: RuntimeRef,
@@ -42,7 +43,7 @@
     bounds: Bounds,
     prompt_budget: Arc<PromptBudget>,
     table: ConnectionTable,
-    /// Ids of the requests in flight; no more than there are connections.
+    /// The ids of the requests in flight, at most one for each connection.
     request_ids: Mutex<BTreeSet<String>>,
     pub(crate) ready: AtomicBool,
     pub(crate) stopping: AtomicBool,
@@ -68,22 +69,22 @@
         })
     }
 
-    /// Client connections in the table.
+    /// Returns the number of client connections in the table.
     pub(crate) fn connections(&self) -> usize {
         self.table.len()
     }
 
-    /// Client connections that have not closed yet, closing ones among them.
+    /// Returns the number of client connections that have not closed yet, including those that are closing.
     pub(crate) fn unclosed_connections(&self) -> usize {
         self.table.unclosed()
     }
 
-    /// Bytes of prompts in memory.
+    /// Returns the number of bytes of prompts in memory.
     pub(crate) fn prompt_bytes(&self) -> usize {
         self.prompt_budget.used()
     }
 
-    /// Closes connections without a request.
+    /// Closes the connections that have no request in progress.
     pub(crate) fn close_idle(&self) {
         self.table.close_idle();
     }
@@ -92,14 +93,14 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Accepts connections until the sender of `stop` is dropped, and then those that the system still queues.
+    /// Accepts connections until the sender of `stop` is dropped, and then those that are still in the accept queue.
     pub(crate) async fn serve(
         self: Arc<Self>,
         mut listener: Box<dyn Listener>,
         stop: async_channel::Receiver<()>,
     ) {
         let stopped = async {
-            // Ends when the sender is dropped.
+            // Returns an error when the sender is dropped.
             let _ = stop.recv().await;
         };
         or(self.accept_all(&mut *listener), stopped).await;
@@ -123,15 +124,16 @@
         }
     }
 
-    /// Accepts the connections that the system queues. Guards against clients that connected just then, or while evicted
-    /// connections closed: with the listener they would be reset, whether a request was sent on them or not.
+    /// Accepts the connections that are in the listener's accept queue. Clients may have connected just before the stop, or
+    /// while [`ConnectionTable::all_closed`] was awaited; closing the listener would reset their connections, including those
+    /// on which a request was sent.
     async fn accept_queued(self: &Arc<Self>, listener: &mut dyn Listener) {
         let mut failures = 0;
         while let Some(accepted) = poll_once(listener.accept()).await {
             match accepted {
                 Ok((conn, _)) => self.clone().admit(conn),
-                // Guards against one connection that was aborted, or a moment without descriptors: the others behind it
-                // would be reset.
+                // An aborted connection, or a temporary lack of descriptors, must not cause a reset of the connections
+                // behind it in the queue.
                 Err(error) if failures < MAX_FAILURES_AT_STOP => {
                     failures += 1;
                     self.accept_failed(&error, failures).await;
@@ -141,18 +143,20 @@
         }
     }
 
-    /// Logs a failed accept, and waits if need be. An aborted connection (ECONNABORTED and the like) says nothing of the next
-    /// one in the queue; where this machine lacks something, connections that close make room.
+    /// Logs a failed accept. Pauses if this machine lacks resources, which closing connections will free, or after too many
+    /// failures in a row. An aborted connection (ECONNABORTED and the like) does not affect the next one in the queue, so
+    /// there is no pause after it.
     async fn accept_failed(&self, error: &std::io::Error, failures_in_a_row: usize) {
         debug!(%error, "accept failed");
         if ErrorOrigin::of(error) == ErrorOrigin::Local
             || failures_in_a_row > MAX_FAILURES_WITHOUT_PAUSE
         {
-            self.runtime.sleep(ACCEPT_PAUSE).await;
+            self.runtime.sleep(ACCEPT_RETRY_PAUSE).await;
         }
     }
 
-    /// Serves a new connection in a task of its own, if the table has room for it.
+    /// Serves a new connection in its own task. Closes the connection if the table is full and every connection in it has a
+    /// request.
     fn admit(self: Arc<Self>, conn: Conn) {
         let Some(TableEntry {
             id,
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Requests on one client connection, one after the other.
+//! Serves the requests on one client connection, one after the other.
 
 use super::request_reader::ReadError;
 use super::response::{error_body, Delivery, ShortResponse};
@@ -9,17 +9,17 @@
 use ivyward::runtime::before;
 use ivyward::CloseReason;
 
-/// A request that has begun is received completely within this span, or is answered with an error. The platform requires
-/// that within 3 s of connecting, whatever the deployment's deadlines.
+/// The timeout for receiving a request: 2 s, both for its first byte on a new connection and from there to its last byte. The
+/// platform requires a response or a close within 3 s of connecting, regardless of the deployment's deadlines.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
-/// A connection without a request is kept for this span after a response.
+/// The idle timeout of a connection after a response: 30 s.
 const KEEP_ALIVE_TIMEOUT: Micros = 30_000_000;
-/// What is still received after an error is discarded for this span and up to so many bytes, so that no reset overtakes the
-/// error.
+/// After the last response, received bytes are discarded for up to 1.5 s and 64 MiB before the connection is closed. Closing
+/// it with unread bytes would send a reset, which could reach the client before the response.
 const LINGER_TIMEOUT: Micros = 1_500_000;
 const LINGER_BYTES: usize = 64 << 20;
 
-/// An error for a client, and whether the connection closes after it.
+/// An error response, and whether the connection closes after it.
 pub(super) struct RequestError {
     pub(super) status: u16,
     pub(super) text: String,
@@ -27,7 +27,7 @@
 }
 
 impl RequestError {
-    /// An error after which the next request can be read.
+    /// Creates an error after which the next request on the connection can be read.
     pub(super) fn new(status: u16, text: impl Into<String>) -> RequestError {
         RequestError {
             status,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// An error after which the connection closes.
+    /// Creates an error after which the connection closes.
     pub(super) fn closing(status: u16, text: impl Into<String>) -> RequestError {
         RequestError {
             status,
@@ -47,7 +47,7 @@
 }
 
 impl Server {
-    /// Serves a client's connection until it ends; why it ended.
+    /// Serves a client connection until it closes, and returns why it closed.
     pub(super) async fn serve_connection(
         &self,
         mut connection: BufferedConnection,
@@ -86,7 +86,7 @@
         self.table.set_idle(id, now);
         let received = async { Some(connection.fill().await) };
         let close = async {
-            // Ends when the table's entry is dropped.
+            // Returns an error when the table's entry is dropped.
             let _ = close_requested.recv().await;
             None
         };
@@ -94,11 +94,11 @@
         match received.flatten() {
             Some(Ok(count)) if count > 0 => Ok(()),
             Some(_) => Err(CloseReason::ClientLeft),
-            None => Err(self.unless_stopping(CloseReason::Idle)),
+            None => Err(self.stopping_or(CloseReason::Idle)),
         }
     }
 
-    /// Reads one request and responds to it; the reason if the connection ends with it.
+    /// Reads one request and responds to it. Returns the reason as an error if the connection closes after it.
     async fn serve_request(&self, connection: &mut BufferedConnection) -> Result<(), CloseReason> {
         let until = self.runtime.now().saturating_add(REQUEST_TIMEOUT);
         let error = match self.receive(connection, until).await {
@@ -120,7 +120,7 @@
         self.respond_with_error(connection, &error).await
     }
 
-    /// Whether the connection goes on after a response.
+    /// Returns an error with the reason if the connection closes after a response.
     async fn after_response(
         &self,
         connection: &mut BufferedConnection,
@@ -133,7 +133,7 @@
         }
         match delivery {
             Delivery::Complete if keep_alive && !self.is_stopping() => Ok(()),
-            Delivery::Complete => Err(self.unless_stopping(CloseReason::Asked)),
+            Delivery::Complete => Err(self.stopping_or(CloseReason::Asked)),
             Delivery::Broken => Err(CloseReason::AnswerBroken),
         }
     }
@@ -155,19 +155,20 @@
         }
         if closes {
             self.linger(connection).await;
-            return Err(self.unless_stopping(CloseReason::InvalidRequest));
+            return Err(self.stopping_or(CloseReason::InvalidRequest));
         }
         Ok(())
     }
 
-    fn unless_stopping(&self, reason: CloseReason) -> CloseReason {
+    /// Returns [`CloseReason::Stopping`] if the node is stopping, otherwise `reason`.
+    fn stopping_or(&self, reason: CloseReason) -> CloseReason {
         match self.is_stopping() {
             true => CloseReason::Stopping,
             false => reason,
         }
     }
 
-    /// Closes our sending side, and discards what is still received.
+    /// Shuts down the sending side, and discards received bytes until the client closes or a limit is reached.
     async fn linger(&self, connection: &mut BufferedConnection) {
         connection.close_write().await;
         let until = self.runtime.now().saturating_add(LINGER_TIMEOUT);
--- a/crates/ivyward-platform/src/server/connection_table.rs
+++ b/crates/ivyward-platform/src/server/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of client connections: their limit, the state of each, and which one closes to make room.
+//! The table of client connections: the state of each, the limit on them, and which one is closed at the limit.
 
 use crate::sync::lock;
 use event_listener::Event;
@@ -7,20 +7,21 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The state of a client connection.
+/// The state of a client connection. The order of the variants and of `since` is the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum State {
-    /// It has not received a request yet.
+    /// No request has been received on the connection yet.
     New { since: Micros },
-    /// It waits for its next request.
+    /// The connection waits for its next request.
     Idle { since: Micros },
-    /// It has a request.
+    /// A request is being received or handled; the connection is not evicted.
     Busy,
 }
 
 impl State {
-    /// Waits for a request: one that never received any stays new.
-    fn wait(self, now: Micros) -> State {
+    /// Returns the state of a connection that waits for a request since `now`. A connection without any request so far stays
+    /// new.
+    fn waiting_since(self, now: Micros) -> State {
         match self {
             State::New { .. } => State::New { since: now },
             State::Idle { .. } | State::Busy => State::Idle { since: now },
@@ -28,10 +29,10 @@
     }
 }
 
-/// What a new connection's task needs of the table.
+/// The entry of a new connection, as its task uses it.
 pub(super) struct TableEntry {
     pub(super) id: u64,
-    /// Closed when the connection is to close.
+    /// Closed when the table requests the connection to close.
     pub(super) close_requested: async_channel::Receiver<()>,
 }
 
@@ -41,13 +42,13 @@
     _close: async_channel::Sender<()>,
 }
 
-/// Client connections, at most `max`. One that has to close leaves the table at once, and is counted as closing until it
-/// has closed: it still holds its file descriptor.
+/// The client connections, at most `max`. A connection that is requested to close is removed at once, and counts as closing
+/// until its task has closed it and released its file descriptor.
 pub(super) struct ConnectionTable {
     connections: Mutex<BTreeMap<u64, ClientConnection>>,
     max: usize,
     next_id: AtomicU64,
-    /// Connections that have to close and have not yet.
+    /// The number of connections that were requested to close and have not closed yet.
     closing: AtomicUsize,
     closed: Event,
 }
@@ -67,14 +68,14 @@
         lock(&self.connections).len()
     }
 
-    /// Connections that have not closed yet, closing ones among them: each may still receive a request that was sent before
-    /// its client saw the close.
+    /// Returns the number of connections that have not closed yet. Closing ones are included, because each may still receive
+    /// a request that was sent before its client noticed the close.
     pub(super) fn unclosed(&self) -> usize {
         let connections = lock(&self.connections);
         connections.len() + self.closing.load(Ordering::SeqCst)
     }
 
-    /// Adds a new connection, if need be in place of another one. `None` if all have a request.
+    /// Adds a new connection. At the limit another connection is evicted; returns `None` if all of them are busy.
     pub(super) fn admit(&self, now: Micros) -> Option<TableEntry> {
         let (close, close_requested) = async_channel::bounded(1);
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Closes a connection without a request: new ones first, then the one idle longest. `false` if all have one.
+    /// Closes the oldest new connection, or else the one that was idle longest. Returns `false` if all are busy.
     fn evict(&self, connections: &mut BTreeMap<u64, ClientConnection>) -> bool {
         let candidate = connections
             .iter()
@@ -110,22 +111,22 @@
         true
     }
 
-    /// The connection waits for a request from now on.
+    /// Marks a connection as waiting for a request.
     pub(super) fn set_idle(&self, id: u64, now: Micros) {
         if let Some(connection) = lock(&self.connections).get_mut(&id) {
-            connection.state = connection.state.wait(now);
+            connection.state = connection.state.waiting_since(now);
         }
     }
 
-    /// The connection has a request from now on.
+    /// Marks a connection as busy.
     pub(super) fn set_busy(&self, id: u64) {
         let mut connections = lock(&self.connections);
         if let Some(connection) = connections.get_mut(&id) {
             connection.state = State::Busy;
             return;
         }
-        // Guards against a request that is received in the moment in which its connection was to close: it is served,
-        // and the connection no longer counts as closing; another one is closed in its place.
+        // The connection received a request after the table requested it to close. The request is served: the connection
+        // returns to the table, and at the limit another one is evicted.
         let (close, _) = async_channel::bounded(1);
         if connections.len() >= self.max {
             self.evict(&mut connections);
@@ -137,17 +138,17 @@
                 _close: close,
             },
         );
-        self.note_closed();
+        self.count_closed();
     }
 
-    /// The connection has closed.
+    /// Removes a connection that has closed.
     pub(super) fn remove(&self, id: u64) {
         if lock(&self.connections).remove(&id).is_none() {
-            self.note_closed();
+            self.count_closed();
         }
     }
 
-    /// Tells connections that have no request to close.
+    /// Requests all connections that are not busy to close.
     pub(super) fn close_idle(&self) {
         let mut connections = lock(&self.connections);
         let before = connections.len();
@@ -156,8 +157,8 @@
             .fetch_add(before - connections.len(), Ordering::SeqCst);
     }
 
-    /// Waits until all closing connections have closed. Guards against clients that connect faster than others close: each
-    /// would hold a descriptor beyond the limit, and none would be left for discovery and engines.
+    /// Waits until all closing connections have closed. Without the wait, clients that connect faster than evicted connections
+    /// close would use file descriptors beyond the limit, and leave none for discovery and engines.
     pub(super) async fn all_closed(&self) {
         loop {
             let closed = self.closed.listen();
@@ -168,8 +169,8 @@
         }
     }
 
-    /// One closing connection less.
-    fn note_closed(&self) {
+    /// Decrements the number of closing connections, and wakes the tasks that wait for it.
+    fn count_closed(&self) {
         self.closing.fetch_sub(1, Ordering::SeqCst);
         self.closed.notify(usize::MAX);
     }
--- a/crates/ivyward-platform/src/server/in_flight.rs
+++ b/crates/ivyward-platform/src/server/in_flight.rs
@@ -1,18 +1,18 @@
-//! Requests in flight: their ids, and what happens when a client disconnects.
+//! Requests in flight: the uniqueness of their ids, and notifying the node when a client disconnects.
 
 use super::Server;
 use crate::call::HttpCall;
 use crate::sync::lock;
 use ivyward::Node;
 
-/// The id of a request in flight; no other request may use it until this is dropped.
+/// The id of a request in flight. No other request can use the id until this value is dropped.
 pub(super) struct RequestId<'a> {
     server: &'a Server,
     id: String,
 }
 
 impl<'a> RequestId<'a> {
-    /// `None` if a request with this id is in flight.
+    /// Registers an id. Returns `None` if a request with this id is in flight.
     pub(super) fn register(server: &'a Server, id: &str) -> Option<RequestId<'a>> {
         let is_new = lock(&server.request_ids).insert(id.to_owned());
         is_new.then(|| RequestId {
@@ -28,7 +28,8 @@
     }
 }
 
-/// A request that the node accepted. If it is dropped before its final status was delivered, its client has disconnected.
+/// A request that the node accepted. Dropping it before its final status was delivered means that the client has
+/// disconnected, and notifies the node.
 pub(super) struct InFlightRequest<'a> {
     pub(super) node: &'a Node,
     pub(super) number: u64,
--- a/crates/ivyward-platform/src/server/request.rs
+++ b/crates/ivyward-platform/src/server/request.rs
@@ -1,8 +1,8 @@
-//! Handles one request of a client.
+//! Handles one client request.
 
 use super::connection::RequestError;
 use super::in_flight::{InFlightRequest, RequestId};
-use super::response::{Delivery, ShortResponse, PIPELINED_BYTES};
+use super::response::{Delivery, ShortResponse, MAX_PIPELINED_BYTES};
 use super::Server;
 use crate::buffered_connection::BufferedConnection;
 use crate::call::HttpCall;
@@ -16,7 +16,7 @@
 const CHAT_PATH: &str = "/v1/chat/completions";
 
 impl Server {
-    /// Responds to one request. The caller writes the error, if there is one.
+    /// Checks a request, and responds to it through the node. An error is not written here; the caller writes it.
     pub(super) async fn handle_request(
         &self,
         connection: &mut BufferedConnection,
@@ -40,8 +40,8 @@
         }
         let _id = RequestId::register(self, &id)
             .ok_or_else(|| RequestError::new(409, "a request with this id is open"))?;
-        // Guards against work for a client that disconnected while its request waited to be read.
-        if connection.peer_has_closed(PIPELINED_BYTES) {
+        // The client may have disconnected while its request was waiting to be read.
+        if connection.peer_has_closed(MAX_PIPELINED_BYTES) {
             return Ok(Delivery::Broken);
         }
         let call = Arc::new(HttpCall::new(
@@ -71,7 +71,8 @@
         class.idempotency == Idempotency::Idempotent
     }
 
-    /// Passes a request to the node, and its response to the client.
+    /// Passes the request to the node, and forwards the response to the client. The request's deadline is the client's
+    /// timeout less the answer margin.
     async fn route(
         &self,
         connection: &mut BufferedConnection,
--- a/crates/ivyward-platform/src/server/request_headers.rs
+++ b/crates/ivyward-platform/src/server/request_headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request say to the router.
+//! Parses the headers of a client's request for the router.
 
 use super::connection::RequestError;
 use super::Server;
@@ -7,30 +7,30 @@
 use ivyward_http1::Request;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest request id.
+/// The maximum length of a request id, in bytes.
 const MAX_ID_LENGTH: usize = 128;
-/// Most output tokens that a client may state.
+/// The maximum of `max_out` in `x-attrs`: the number of output tokens that a client may request.
 const MAX_OUTPUT_TOKENS: f64 = 1e7;
-/// Bytes of a prompt for each token, where the client does not state their number.
+/// The assumed size of a prompt token in bytes, used if the client does not state the number of prompt tokens.
 const BYTES_PER_TOKEN: f64 = 4.0;
 
 fn bad_request(text: String) -> RequestError {
     RequestError::new(400, text)
 }
 
-/// The value of a header that must be there.
+/// Returns the value of a required header, or an error if it is absent.
 fn required<'a>(request: &'a Request, name: &str) -> Result<&'a str, RequestError> {
     let value = request.head.text(name);
     value.ok_or_else(|| bad_request(format!("{name} is missing")))
 }
 
-/// The index of a name that a header states.
-fn index_of(what: &str, names: &[String], name: &str) -> Result<usize, RequestError> {
+/// Returns the index in `names` of a name in a header, or an error that starts with `kind`.
+fn index_of(kind: &str, names: &[String], name: &str) -> Result<usize, RequestError> {
     ivyward_settings::index_of(names, name)
-        .ok_or_else(|| bad_request(format!("{what} {name:?} is not known")))
+        .ok_or_else(|| bad_request(format!("{kind} {name:?} is not known")))
 }
 
-/// A hash of a name; 0 stands for none.
+/// Returns the hash of a name, which is never 0; an absent or empty name yields 0.
 fn hash_of(name: Option<&str>) -> u64 {
     name.filter(|name| !name.is_empty())
         .map_or(0, |name| xxh3_64(name.as_bytes()).max(1))
@@ -46,7 +46,7 @@
             .find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A number from 0 to `max`; `None` if it is not stated.
+    /// Parses a number from 0 to `max`. Returns `None` if the attribute is absent.
     fn number(&self, name: &str, max: f64) -> Result<Option<f64>, RequestError> {
         let Some(text) = self.get(name) else {
             return Ok(None);
@@ -61,7 +61,8 @@
 }
 
 impl Server {
-    /// Parses and checks the headers of a request with a body of `length` bytes: its id, and what the router is given.
+    /// Parses and checks the headers of a request with a body of `length` bytes. Returns the request id, and the request as
+    /// the router expects it.
     pub(super) fn parse_headers(
         &self,
         request: &Request,
@@ -106,7 +107,7 @@
         index_of("tenant", &self.deployment.tenants, name)
     }
 
-    /// The time after which the client gives up: never longer than that of its class.
+    /// Parses the client's timeout, and limits it to the deadline of the request's class.
     fn parse_timeout(&self, request: &Request, class: usize) -> Result<Micros, RequestError> {
         let text = required(request, "x-timeout-ms")?;
         let timeout_ms = text
@@ -114,8 +115,8 @@
             .ok()
             .filter(|ms| *ms > 0 && !text.starts_with('+'))
             .ok_or_else(|| bad_request(format!("x-timeout-ms {text:?} must be over 0")))?;
-        let longest = self.deployment.router.classes[class].deadline;
-        Ok(timeout_ms.saturating_mul(1_000).min(longest))
+        let max_timeout = self.deployment.router.classes[class].deadline;
+        Ok(timeout_ms.saturating_mul(1_000).min(max_timeout))
     }
 }
 
@@ -134,7 +135,7 @@
     }
 }
 
-/// Guards against an idempotency key that cannot be passed on: engines would take a retry for a new request.
+/// Rejects an idempotency key that cannot be forwarded: without it engines would treat a retry as a new request.
 fn check_idempotency_key(request: &Request) -> Result<(), RequestError> {
     let is_present = request.head.get(IDEMPOTENCY_KEY).is_some();
     if is_present && request.head.text(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
--- a/crates/ivyward-platform/src/server/request_reader.rs
+++ b/crates/ivyward-platform/src/server/request_reader.rs
@@ -11,9 +11,9 @@
 
 /// Why no request was received.
 pub(super) enum ReadError {
-    /// Something else was, which is answered with an error.
+    /// The received bytes are not a valid request; the error is sent as the response.
     Invalid(RequestError),
-    /// The client closed the connection.
+    /// The client closed the connection, or reading from it failed.
     Closed,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Server {
-    /// Waits for a complete request.
+    /// Waits for a complete request. Responds with status 408 at `until`.
     pub(super) async fn receive(
         &self,
         connection: &mut BufferedConnection,
@@ -63,7 +63,7 @@
     ) -> Result<Prompt, ReadError> {
         let mut body = Body::new(request.framing, &LIMITS);
         let mut share = BudgetShare::new(&self.prompt_budget);
-        // A stated length alone costs nothing: only what was received is counted and held.
+        // Memory is allocated and counted for received bytes only, not for the length that the client states.
         let mut bytes = Vec::new();
         loop {
             let length_before = bytes.len();
@@ -112,7 +112,7 @@
     }
 }
 
-/// Waits for more bytes of a request.
+/// Waits for more bytes of a request. The end of the stream is an error, since the request is incomplete.
 async fn fill(connection: &mut BufferedConnection) -> Result<(), ReadError> {
     match connection.fill().await {
         Ok(received) if received > 0 => Ok(()),
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -10,37 +10,37 @@
 use ivyward::{FailureReason, FinalStatus, RejectReason};
 use ivyward_http1::{body, head};
 
-/// A client that takes no byte of its response for this span counts as disconnected: a matter of its machine, not of its
-/// deadline.
+/// A client that accepts no byte of its response for 5 s counts as disconnected. The value depends on clients' machines and
+/// networks, not on the deadline of the request.
 const WRITE_STALL_TIMEOUT: Micros = 5_000_000;
-/// Bytes that are kept behind a request in flight. More are read all the same, for the client's close may follow them, and
-/// dropped: then the connection ends with the response.
-pub(super) const PIPELINED_BYTES: usize = 16 << 10;
-/// After so many dropped bytes there is a pause before each read, so that no client takes up the node.
-const UNPACED_BYTES: usize = 4 << 20;
-const FLOOD_PAUSE: Micros = 500;
+/// The limit on buffered bytes behind a request in flight: 16 KiB. Further bytes are read, so that the client's close behind
+/// them is detected, and discarded; the connection then closes after the response.
+pub(super) const MAX_PIPELINED_BYTES: usize = 16 << 10;
+/// After 4 MiB of discarded bytes each read is preceded by a pause of 0.5 ms, so that one client cannot occupy the node.
+const MAX_UNTHROTTLED_BYTES: usize = 4 << 20;
+const THROTTLE_PAUSE: Micros = 500;
 
-/// How much of a response was delivered.
+/// Whether a response was delivered completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// All of it: the connection may go on.
+    /// The response was written completely; the connection may be used for the next request.
     Complete,
-    /// Not all: the connection cannot go on.
+    /// The response was not written completely; the connection has to be closed.
     Broken,
 }
 
 /// A response with a short JSON body.
 pub(super) struct ShortResponse<'a> {
     pub(super) status: u16,
-    /// Headers besides those of the body.
+    /// Headers in addition to those that describe the body.
     pub(super) headers: &'a [(&'a str, &'a str)],
     pub(super) body: &'a str,
-    /// Whether the connection closes after it.
+    /// Whether the connection closes after the response.
     pub(super) closes: bool,
 }
 
 impl Server {
-    /// Writes a short response.
+    /// Writes a response with a short body.
     pub(super) async fn respond(
         &self,
         connection: &mut BufferedConnection,
@@ -63,7 +63,8 @@
         self.write(connection, &output).await
     }
 
-    /// Rejects a request.
+    /// Responds with status 429 if the engines are overloaded, or else 503. A `retry_after` above 0 is sent as `Retry-After`
+    /// in seconds.
     pub(super) async fn reject(
         &self,
         connection: &mut BufferedConnection,
@@ -71,8 +72,8 @@
         reason: RejectReason,
     ) -> Delivery {
         let seconds = retry_after
-            .filter(|span| *span > 0)
-            .map(|span| format!("{:.3}", span as f64 / 1e6));
+            .filter(|duration| *duration > 0)
+            .map(|duration| format!("{:.3}", duration as f64 / 1e6));
         let headers: Vec<(&str, &str)> = seconds
             .iter()
             .map(|seconds| ("Retry-After", seconds.as_str()))
@@ -89,7 +90,7 @@
         self.respond(connection, &response).await
     }
 
-    /// Passes the response to a request on to its client.
+    /// Forwards the response to a request to its client.
     pub(super) async fn relay_response(
         &self,
         connection: &mut BufferedConnection,
@@ -111,7 +112,7 @@
                 Err(FinalStatus::Served) if has_begun => {
                     return self.write(connection, body::LAST).await;
                 }
-                // Without the last chunk the client knows that the stream broke.
+                // The missing last chunk shows the client that the stream is incomplete.
                 Err(_) if has_begun => return Delivery::Broken,
                 Err(status) => return self.respond_with_status(connection, status).await,
             }
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Waits for the next part of the response; `None` if the client disconnects.
+    /// Waits for the next events or the final status of the response. Returns `None` if the client disconnects.
     async fn next_part(
         &self,
         connection: &mut BufferedConnection,
@@ -133,12 +134,12 @@
         };
         let disconnected = async {
             loop {
-                // Guards against a client whose close hides behind a flood: what it sends is read up to its end.
-                if connection.discarded_bytes() >= UNPACED_BYTES {
-                    self.runtime.sleep(FLOOD_PAUSE).await;
+                // All bytes are read, however many the client sends, because its close is only visible behind them.
+                if connection.discarded_bytes() >= MAX_UNTHROTTLED_BYTES {
+                    self.runtime.sleep(THROTTLE_PAUSE).await;
                 }
                 match connection.fill().await {
-                    Ok(received) if received > 0 => connection.truncate_unread(PIPELINED_BYTES),
+                    Ok(received) if received > 0 => connection.truncate_unread(MAX_PIPELINED_BYTES),
                     _ => return None,
                 }
             }
@@ -157,7 +158,7 @@
         head::write(output, "HTTP/1.1 200 OK", &headers);
     }
 
-    /// Responds to a request that ended before its stream began.
+    /// Responds to a request that ended before the first event of its stream.
     async fn respond_with_status(
         &self,
         connection: &mut BufferedConnection,
@@ -191,12 +192,12 @@
     }
 }
 
-/// The JSON body of an error. The text may hold what a client sent, so it is escaped.
+/// Returns the JSON body of an error. The text is escaped, because it may contain bytes from a client.
 pub(super) fn error_body(text: &str) -> String {
     serde_json::json!({"error": {"message": text}}).to_string()
 }
 
-/// The reason phrase of RFC 9110 for a status.
+/// Returns the reason phrase of RFC 9110 for a status; `Error` for a status that the server does not send.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/ivyward-platform/src/server/response/tests.rs
+++ b/crates/ivyward-platform/src/server/response/tests.rs
@@ -2,9 +2,9 @@
 
 use super::reason_phrase;
 
-/// The phrases of RFC 9110 for every status that the server sends.
+/// Covers every status that the server sends.
 #[test]
-fn reason_phrases_are_the_standard_ones() {
+fn reason_phrases_match_rfc_9110() {
     let phrases = [
         (200, "OK"),
         (400, "Bad Request"),
