--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -1,4 +1,4 @@
-//! A running node: what the daemon starts, reloads and stops.
+//! A running node, which the daemon starts, reloads and stops.
 
 use crate::config::{list_limits, Bounds, Config};
 use crate::discovery::{Discovery, ListReader, Watch};
@@ -14,27 +14,28 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// New connections are accepted for this span after the stop signal: the load balancer in front learns of it late.
+/// The time for which new connections are accepted after the stop signal: 650 ms, since the load balancer in front of the
+/// nodes notices the stop with a delay.
 const ACCEPT_AFTER_STOP: Micros = 650_000;
-/// Between two sweeps of the idle connections to engines.
+/// The interval between two sweeps of the idle connections to engines: 500 ms.
 const SWEEP_INTERVAL: Micros = 500_000;
-/// Between two log lines of the counters.
+/// The interval between two log lines with the node's counters: 10 s.
 const REPORT_INTERVAL: Micros = 10_000_000;
-/// Between two looks at something that should happen soon.
+/// The interval at which the node polls for readiness after the start, and for the end of its work at a stop: 5 ms.
 const POLL_INTERVAL: Micros = 5_000;
 
-/// Why a node does not run.
+/// Why a node could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// It cannot listen.
-    #[error("listen {0}: {1}")]
+    /// The node cannot listen on the configured address.
+    #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// The node does not start.
+    /// The node cannot be started with these settings.
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// A running node.
+/// A running node: its server, its discovery client and its background tasks.
 pub struct Service {
     node: Node,
     runtime: RuntimeRef,
@@ -49,15 +50,15 @@
     address: SocketAddr,
     /// Dropped to stop listening.
     stop: Option<async_channel::Sender<()>>,
-    /// Closed when the listener is gone, and all connections that it had accepted are in the connection table.
+    /// Closed when the listener is closed and all connections that it accepted are in the connection table.
     stopped: async_channel::Receiver<()>,
 }
 
 impl Service {
-    /// Starts a node: it listens when this returns, and is ready when it has a list of engines.
+    /// Starts a node. It listens when this returns, and is ready (`GET /healthz` answers 200) once it has a list of engines.
     ///
     /// # Errors
-    /// When it cannot listen or the node does not start.
+    /// Returns an error if the node cannot listen on the configured address, or cannot be started with these settings.
     pub async fn start(runtime: RuntimeRef, config: Config) -> Result<Service, ServiceError> {
         let Config {
             name,
@@ -107,7 +108,7 @@
             .run(async move { discovery.follow(&mut watch).await });
     }
 
-    /// Starts the task that sweeps idle connections, logs the counters, and says when the node is ready.
+    /// Starts the task that sweeps idle connections, logs the counters, and sets the server ready.
     fn start_maintenance(&self, pool: Arc<EnginePool>) {
         let (server, node) = (self.server.clone(), self.node.clone());
         let runtime = self.runtime.clone();
@@ -129,29 +130,30 @@
         });
     }
 
-    /// Where it listens.
+    /// Returns the address on which the node listens, with the port that the system chose if port 0 was configured.
     pub fn address(&self) -> SocketAddr {
         self.acceptor.address
     }
 
-    /// The node.
+    /// Returns the node that runs the requests, with its settings and metrics.
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// Applies a new configuration: the address of discovery may change. Other values need a restart.
+    /// Applies the discovery address of a new configuration. Changes of other values need a restart.
     pub fn reload(&self, config: &Config) {
         self.discovery.move_to(config.discovery);
     }
 
-    /// Accepts connections for a while, finishes all accepted requests, and returns when none is open and nothing is left to
-    /// release. The caller bounds how long that may take: a node that ends before its requests loses them.
+    /// Stops the node. It accepts connections for another 650 ms, finishes all accepted requests, and returns when no request
+    /// and no connection is open and no release is pending. There is no timeout: the caller limits the wait, and requests that
+    /// are open when the process ends are lost.
     pub async fn stop(&mut self) {
         self.server.stopping.store(true, Ordering::SeqCst);
         info!(open = self.node.open_requests(), "stopping");
         self.runtime.sleep(ACCEPT_AFTER_STOP).await;
         self.acceptor.stop = None;
-        // Guards against an end before the last accepted connections are in the table. Ends when the sender is dropped.
+        // Waits until the last accepted connections are in the table; returns an error when the sender is dropped.
         let _ = self.acceptor.stopped.recv().await;
         self.server.close_idle();
         let mut releases_shut_down = false;
@@ -166,8 +168,9 @@
         info!("stopped");
     }
 
-    /// Whether nothing is in progress. Guards against a node that ends during a network partition and leaves what it reserved,
-    /// and against one that ends before a connection that is closing, and may bring a request just then, has closed.
+    /// Returns whether no request and no connection is open and no release is pending. A node that ended during a network
+    /// partition without waiting for its releases would leave reservations behind. A closing connection may still receive a
+    /// request until it has closed.
     fn is_drained(&self) -> bool {
         self.node.open_requests() == 0
             && self.server.unclosed_connections() == 0
@@ -193,7 +196,7 @@
     }
 }
 
-/// Listens, and starts the task that accepts connections.
+/// Opens the listener, and starts the task that accepts connections.
 fn start_accepting(
     runtime: &RuntimeRef,
     server: &Arc<Server>,
