--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -1,4 +1,4 @@
-//! A request as the HTTP protocol holds it: what is sent to engines, and the response on its way to the client.
+//! The HTTP part of a client's request: what is sent to engines, and the buffer of the response.
 
 use crate::prompt_budget::Prompt;
 use crate::sync::lock;
@@ -12,37 +12,38 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The header by which engines recognise a retry of a request, in lower case.
+/// The name of the header by which engines recognise a retry of a request, in lower case.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// How far the latest attempt has come.
+/// The progress of the latest attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
     /// The last byte of this attempt's request was sent.
     Sent(u16),
-    /// This attempt is over.
+    /// This attempt has ended.
     Ended(u16),
 }
 
 /// One client's request, from its arrival to its final status.
 pub(crate) struct HttpCall {
-    /// The client's `X-Request-ID`, under which engines keep reservations too.
+    /// The client's `X-Request-ID`. Engines identify the reservations of the request by it.
     pub(crate) id: String,
     pub(crate) method: String,
     pub(crate) target: String,
     /// The client's `Idempotency-Key`, by which engines recognise a retry.
     pub(crate) idempotency_key: Option<String>,
-    /// It may be sent again although it may have run.
+    /// The request may be sent again after an attempt that may have run.
     pub(crate) is_idempotent: bool,
-    /// Dropped with the first event: from then on nothing is sent again.
+    /// Dropped at the first event of the response, after which the request is not retried.
     prompt: Mutex<Option<Arc<Prompt>>>,
     progress: Mutex<Option<Progress>>,
     progress_changed: Event,
     client: Arc<dyn Peer>,
     disconnected: AtomicBool,
-    /// An attempt that has an effect may have run.
+    /// An attempt other than a prefill may have run.
     may_have_run: AtomicBool,
-    /// The engine's events. A slow client slows its own engine down: no more is read while the buffer is full.
+    /// The engine's events on the way to the client. While the buffer is full nothing is read from the engine, so that a slow
+    /// client applies backpressure to its engine.
     pub(crate) response_buffer: TokenBuffer<u8>,
 }
 
@@ -76,8 +77,8 @@
         self.disconnected.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the client has disconnected. The state of its connection is looked at as well: on a busy node the end of its
-    /// stream may not have been read yet, or its message may wait in a queue.
+    /// Returns whether the client has disconnected. Also checks the state of the client's socket, because on a busy node the
+    /// end of the stream may not have been read yet, or the driver's message about it may still be queued.
     pub(crate) fn is_disconnected(&self) -> bool {
         if !self.disconnected.load(Ordering::SeqCst) && self.client.left() {
             self.set_disconnected();
@@ -85,35 +86,36 @@
         self.disconnected.load(Ordering::SeqCst)
     }
 
-    /// Records the outcome of an attempt that has an effect.
+    /// Records the outcome of an attempt other than a prefill.
     pub(crate) fn record_outcome(&self, outcome: Outcome) {
         if outcome.may_have_run() {
             self.may_have_run.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Whether the next attempt repeats something that may have run and is not idempotent.
+    /// Returns whether the next attempt would repeat a non-idempotent request that may have run.
     pub(crate) fn repeats_effect(&self) -> bool {
         !self.is_idempotent && self.may_have_run.load(Ordering::SeqCst)
     }
 
-    /// The prompt, unless nothing is sent any more.
+    /// Returns the prompt; `None` once it was dropped and the request is no longer sent.
     pub(crate) fn prompt(&self) -> Option<Arc<Prompt>> {
         lock(&self.prompt).clone()
     }
 
-    /// Frees the prompt.
+    /// Drops the prompt and returns its memory to the budget as soon as no attempt uses it.
     pub(crate) fn drop_prompt(&self) {
         lock(&self.prompt).take();
     }
 
-    /// Records how far the latest attempt has come.
+    /// Records the progress of the latest attempt, and wakes the tasks that wait for it.
     pub(crate) fn set_progress(&self, progress: Progress) {
         *lock(&self.progress) = Some(progress);
         self.progress_changed.notify(usize::MAX);
     }
 
-    /// Waits until the last byte of an attempt's request was sent; `false` if that attempt is over, or another one has begun.
+    /// Waits until the last byte of an attempt's request was sent. Returns `false` if that attempt has ended or a later one
+    /// has been sent.
     pub(crate) async fn wait_until_sent(&self, attempt: u16) -> bool {
         loop {
             let changed = self.progress_changed.listen();
--- a/crates/ivyward-platform/src/call/tests.rs
+++ b/crates/ivyward-platform/src/call/tests.rs
@@ -1,4 +1,4 @@
-//! What a call knows of its client.
+//! Detection of a disconnected client.
 
 use super::*;
 use crate::prompt_budget::{BudgetShare, PromptBudget};
@@ -6,7 +6,7 @@
 use ivyward_sim::{Net, Sim};
 use std::net::SocketAddr;
 
-/// A client counts as disconnected when its socket says so, before the task that reads the connection sees it.
+/// `is_disconnected` checks the socket itself, so that it detects a closed connection before any task has read from it.
 #[test]
 fn a_closed_connection_counts_as_disconnected_before_it_is_read() {
     let sim = Sim::new(1, Net::default());
@@ -33,7 +33,7 @@
         assert!(!call.is_disconnected());
         drop(client_side);
         runtime.sleep(1_000).await;
-        assert!(call.is_disconnected(), "the end of its stream has arrived");
+        assert!(call.is_disconnected(), "the client closed its socket");
         drop(server_side);
     });
     result.unwrap();
--- a/crates/ivyward-platform/src/lib.rs
+++ b/crates/ivyward-platform/src/lib.rs
@@ -1,14 +1,15 @@
-//! The platform form of a node: HTTP/1.1 to clients, engines and discovery, and the platform's configuration file.
+//! The node for the platform: HTTP/1.1 to clients, engines and discovery, configured by the platform's file.
 //!
-//! - [`config`]: the configuration file, and the bounds that follow from its limits.
-//! - [`service`]: a running node: what the daemon starts, reloads and stops.
+//! - [`config`]: parses the configuration file and derives the node's bounds from its limits.
+//! - [`service`]: a running node, which the daemon starts, reloads and stops.
 //! - `server`: client connections and their requests.
 //! - `engine`: connections, attempts, reservations and releases at engines.
 //! - `discovery`: follows the list of engines.
-//! - `call`: a request as the HTTP protocol holds it; `prompt_budget`: the memory that prompts may take.
+//! - `call`: the HTTP part of a client's request; `prompt_budget`: the limit on the memory of prompts.
 //! - `buffered_connection`: a connection with a read buffer.
 //!
-//! The crate implements [`ivyward::engines`] for the driver; all decisions are made by the router.
+//! The crate implements the traits of [`ivyward::engines`], through which the driver runs attempts. The router makes all
+//! routing decisions.
 
 mod buffered_connection;
 mod call;
--- a/crates/ivyward-platform/src/prompt_budget.rs
+++ b/crates/ivyward-platform/src/prompt_budget.rs
@@ -1,9 +1,9 @@
-//! The memory that prompts may take in all.
+//! The limit on the memory of all prompts of a node.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Bytes of prompts that the node holds in all.
+/// Counts the bytes of all prompts in memory, up to a limit.
 #[derive(Debug)]
 pub(crate) struct PromptBudget {
     used: AtomicUsize,
@@ -18,13 +18,13 @@
         })
     }
 
-    /// Bytes that are held now.
+    /// Returns the number of bytes in use.
     pub(crate) fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
 }
 
-/// A part of the budget; returned on drop.
+/// A share of the budget, which is returned to it on drop.
 #[derive(Debug)]
 pub(crate) struct BudgetShare {
     budget: Arc<PromptBudget>,
@@ -32,7 +32,7 @@
 }
 
 impl BudgetShare {
-    /// An empty share.
+    /// Creates a share of 0 bytes.
     pub(crate) fn new(budget: &Arc<PromptBudget>) -> BudgetShare {
         BudgetShare {
             budget: budget.clone(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes more of the budget; whether it allows that.
+    /// Adds `bytes` to the share. Returns whether the total is still within the limit; the bytes count even if it is not.
     pub(crate) fn grow(&mut self, bytes: usize) -> bool {
         let used = self.budget.used.fetch_add(bytes, Ordering::Relaxed) + bytes;
         self.bytes += bytes;
@@ -54,7 +54,7 @@
     }
 }
 
-/// A prompt with its share of the budget.
+/// The body of a client's request, with its share of the budget.
 pub(crate) struct Prompt {
     pub(crate) bytes: Vec<u8>,
     pub(crate) _share: BudgetShare,
--- a/crates/ivyward-platform/src/prompt_budget/tests.rs
+++ b/crates/ivyward-platform/src/prompt_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Accounting of the prompts' memory.
+//! Accounting of the memory of prompts.
 
 use super::*;
 
