--- a/crates/ivyward-platform/tests/reservations.rs
+++ b/crates/ivyward-platform/tests/reservations.rs
@@ -1,4 +1,5 @@
-//! Rule 5: a reservation without an attempt at an engine is used or released in the settings' time, in partitions too.
+//! Rule 5 of the platform: a reservation whose request has no attempt at an engine is used or released within the settings'
+//! time limit, even during network partitions.
 
 mod common;
 use common::*;
@@ -10,7 +11,7 @@
 const RELEASE_WITHIN: Micros = 300_000;
 const MS: Micros = 1_000;
 
-/// The longest reservation of any of these requests, up to now.
+/// Returns the longest reservation without an attempt among these requests, up to now.
 fn longest_reservation(cluster: &Cluster, ids: &[String]) -> Micros {
     let (log, now) = (cluster.log.lock().unwrap(), cluster.runtime.now());
     ids.iter()
@@ -19,7 +20,8 @@
         .unwrap_or(0)
 }
 
-/// Without a reachable engine releases stay pending, are retried without spinning, and are accepted once one is back.
+/// While no engine is reachable, releases stay pending and are retried at a limited rate. They are accepted once an engine is
+/// reachable again.
 #[test]
 fn releases_stay_pending_until_an_engine_is_reachable() {
     let setup = ClusterSetup::new(|received| {
@@ -44,28 +46,30 @@
         drop(conns);
         cluster.runtime.sleep(30_000 * MS).await;
         let pending = cluster.service.node().pending_releases();
-        assert!(pending > 0, "what they may have reserved is to be released");
+        assert!(pending > 0, "no release is pending");
         let sent_releases = cluster.service.node().metrics().releases.get();
         assert!(
             sent_releases < 20 * 60,
-            "{sent_releases} releases in half a minute"
+            "{sent_releases} releases were sent in 30 s"
         );
         cluster.partition(&[3], false);
-        let back = cluster.runtime.now();
-        wait_until(&cluster.runtime, "all is released", || {
+        let healed_at = cluster.runtime.now();
+        wait_until(&cluster.runtime, "no release is pending", || {
             cluster.service.node().pending_releases() == 0
         })
         .await;
-        let took = cluster.runtime.now() - back;
-        // No other response arrives here: each of four engines is tried after a pause of eight release times at most.
+        let took = cluster.runtime.now() - healed_at;
+        // No other response shows that the engine is reachable. Releases try the four engines in turn, with a backoff of up to
+        // eight release times before each.
         assert!(took < (4 * 8 + 2) * RELEASE_WITHIN, "{took} us");
         assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
     });
 }
 
-/// Stopped within a partition, a node releases first, and ends all the same if no engine can be reached.
+/// A node that is stopped during a partition sends its releases before it ends. If no engine is reachable, it still ends, and
+/// counts the dropped release.
 #[test]
-fn a_stopping_node_releases_first() {
+fn a_stopping_node_releases_before_it_ends() {
     for reachable in [true, false] {
         let setup = ClusterSetup::new(|received| {
             if is_decode(received) {
@@ -83,11 +87,11 @@
                 cluster.attempts("last").iter().any(is_prefill)
             })
             .await;
-            let last = cluster.runtime.now();
+            let prefilled_at = cluster.runtime.now();
             cluster.partition(if reachable { &[0, 1, 2] } else { &[0, 1, 2, 3] }, true);
             drop(conn);
             cluster.service.stop().await;
-            let took = cluster.runtime.now() - last;
+            let took = cluster.runtime.now() - prefilled_at;
             assert_eq!(cluster.service.node().open_requests(), 0);
             match reachable {
                 true => {
@@ -101,7 +105,7 @@
                     assert_eq!(
                         cluster.service.node().metrics().releases_dropped.get(),
                         1,
-                        "and it is counted"
+                        "the dropped release is not counted"
                     )
                 }
             }
@@ -110,7 +114,7 @@
     }
 }
 
-/// A fault of an engine under a request, drawn from the request's id, the engine's number and a salt.
+/// Returns what an engine does with a request, drawn from the request's id, the engine's number and a salt.
 fn draw_fault(received: &EngineRequest, salt: u64) -> EngineBehavior {
     let hash = |text: &str| {
         text.bytes().fold(salt, |hash, byte| {
@@ -126,12 +130,12 @@
     };
     match (hash(id) ^ (received.engine as u64 * 7)) % 16 {
         _ if received.method == "DELETE" => EngineBehavior::Normal,
-        // The 202 is lost, or the connection breaks before it.
+        // The connection closes without a response, so that the node does not know whether the request ran.
         0 | 1 => EngineBehavior::RespondAndClose(Vec::new()),
         2 | 3 => respond_with(REJECTED_UNPROCESSED),
         4 => EngineBehavior::Silent,
         5 => respond_with("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"),
-        // An unknown reservation, and only after a while.
+        // The response to a reservation is late.
         6 | 7 if received.id.is_empty() => EngineBehavior::Delayed(300 * MS),
         8 => EngineBehavior::Delayed(900 * MS),
         9 if is_decode(received) => {
@@ -141,7 +145,7 @@
     }
 }
 
-/// One client: sends a request, and waits for its response or disconnects.
+/// Runs one client, which sends a request and waits for its response or disconnects.
 async fn run_client(client: RuntimeRef, address: SocketAddr, n: u64, id: String) {
     client.sleep(n * 25 * MS).await;
     let class = if n % 3 == 0 { "send" } else { "draft" };
@@ -150,17 +154,17 @@
         .await
         .unwrap();
     if n % 4 == 1 {
-        // Disconnects at each stage of a request.
+        // The times of these disconnects cover all stages of a request.
         client.sleep((n * 37) % 900 * 1_000).await;
     } else {
         read_response(&client, &mut conn).await;
     }
 }
 
-/// Engines break, stay silent, lose their response or confirm a reservation too late; clients disconnect at any moment;
-/// classes are idempotent or not; 60 requests are open at once.
+/// Engines fail, do not respond, lose their response or confirm a reservation too late, and clients disconnect at any stage.
+/// 120 requests of an idempotent and a non-idempotent class arrive 25 ms apart, about 60 of them open at once.
 #[test]
-fn no_reservation_outlives_its_request_however_attempts_end() {
+fn reservations_are_released_in_time_however_attempts_end() {
     for salt in 0..12u64 {
         let setup = ClusterSetup::new(move |received| draw_fault(received, salt));
         setup.run(move |cluster| async move {
@@ -187,10 +191,11 @@
     }
 }
 
-/// The engine with the reservation leaves the list, or is replaced by another process.
+/// The engine with the reservation is removed from the list or begins to drain. The release is sent to an engine that is
+/// still in the list.
 #[test]
-fn the_reserving_engine_leaves_the_list() {
-    for left in ["removed", "draining"] {
+fn reservations_at_removed_or_draining_engines_are_released() {
+    for state in ["removed", "draining"] {
         let setup = ClusterSetup::new(|received| {
             if is_decode(received) {
                 EngineBehavior::Delayed(500 * MS)
@@ -207,37 +212,37 @@
                 cluster.attempts("one").iter().any(is_decode)
             })
             .await;
-            cluster.update_list(list(&[left, left, "up", "up"]));
+            cluster.update_list(list(&[state, state, "up", "up"]));
             cluster.runtime.sleep(50 * MS).await;
             drop(conn);
             cluster.runtime.sleep(3_000 * MS).await;
             let longest = longest_reservation(&cluster, &["one".into()]);
             assert!(
                 longest <= RELEASE_WITHIN,
-                "{left}: reserved for {longest} us"
+                "{state}: reserved for {longest} us"
             );
             assert!(
                 cluster.releases("one").iter().all(|r| r.engine >= 2),
-                "one that is listed is asked"
+                "a release was sent to an engine that is {state}"
             );
             assert_eq!(cluster.service.node().pending_releases(), 0);
         });
     }
 }
 
-/// A very short release time is kept as far as the round trip allows.
+/// A release time of 20 ms, 60 ms or 120 ms is met, with a round trip of about 0.4 ms.
 #[test]
-fn a_short_release_time_is_kept() {
+fn a_short_release_time_is_met() {
     for within in [20, 60, 120] {
         let mut setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         setup.config = setup.config.replace(
             "\"let_go_by_us\":300000",
             &format!("\"let_go_by_us\":{}", within * MS),
         );
-        for writer in 2..4 {
+        for decode_engine in 2..4 {
             setup
                 .sim
-                .cut(setup.node.id(), setup.engines[writer].id(), true);
+                .cut(setup.node.id(), setup.engines[decode_engine].id(), true);
         }
         setup.run(move |cluster| async move {
             let ids: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
@@ -248,15 +253,15 @@
             let longest = longest_reservation(&cluster, &ids);
             assert!(
                 longest <= within * MS,
-                "{within} ms stated: reserved for {longest} us"
+                "release time {within} ms: reserved for {longest} us"
             );
         });
     }
 }
 
-/// Deployments in which a time is not stated, or shorter than usual, are served all the same.
+/// Nodes start and serve requests with times that are 0, or much shorter or longer than usual.
 #[test]
-fn unusual_times_do_not_prevent_a_start() {
+fn nodes_start_with_unusual_times() {
     let changes = [
         ("\"let_go_by_us\":300000", "\"let_go_by_us\":20000"),
         ("\"drain_grace_us\":1000000", "\"drain_grace_us\":100000"),
@@ -277,19 +282,20 @@
         ("\"semantics\":\"fragile\"", "\"semantics\":\"dedup\""),
         ("\"key_ttl_us\":5000000", "\"key_ttl_us\":0"),
     ];
-    for (usual, other) in changes {
+    for (usual, unusual) in changes {
         let mut setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         assert!(setup.config.contains(usual), "{usual}");
-        setup.config = setup.config.replace(usual, other);
+        setup.config = setup.config.replace(usual, unusual);
         setup.run(|cluster| async move {
             assert_eq!(cluster.send_request("one", "draft").await.status, 200);
         });
     }
 }
 
-/// A keyed class without a deduplication window is served, and nothing of it is retried.
+/// Requests of a keyed class whose deduplication window is 0 are served, but not retried: engines would not recognise the
+/// retry.
 #[test]
-fn a_keyed_class_without_a_window_is_never_retried() {
+fn keyed_requests_without_a_deduplication_window_are_not_retried() {
     let mut setup = ClusterSetup::new(|received| {
         if is_decode(received) {
             EngineBehavior::RespondAndClose(Vec::new())
@@ -314,9 +320,10 @@
     });
 }
 
-/// Over a hundred requests that hang at engines end together, of three hundred that arrived at once.
+/// 300 requests arrive at once, over 100 of them reach engines that do not respond, and all clients disconnect together. The
+/// releases are sent although all other connections to engines are in use.
 #[test]
-fn releases_are_sent_while_all_descriptors_are_used() {
+fn releases_are_sent_while_all_other_connections_are_in_use() {
     let setup = ClusterSetup::with_sockets(700, |received| match received.method.as_str() {
         "POST" if received.id.starts_with('h') => EngineBehavior::Silent,
         _ => EngineBehavior::Normal,
@@ -329,14 +336,17 @@
             conn.write_all(&request(id, "draft", 9_000)).await.unwrap();
             conns.push(conn);
         }
-        let came = || {
+        let attempts = || {
             let log = cluster.log.lock().unwrap();
             log.requests
                 .iter()
                 .filter(|s| s.method == "POST" && !s.id.is_empty())
                 .count()
         };
-        wait_until(&cluster.runtime, "many are at an engine", || came() >= 100).await;
+        wait_until(&cluster.runtime, "100 attempts at engines", || {
+            attempts() >= 100
+        })
+        .await;
         drop(conns);
         cluster.runtime.sleep(3_000 * MS).await;
         let longest = longest_reservation(&cluster, &ids);
@@ -345,8 +355,8 @@
     });
 }
 
-/// A partition begins while a prefill, a reservation or a decode is being sent, and ends after the last release of its
-/// request: what was abandoned does not arrive then.
+/// A partition begins while a prefill, a reservation or a decode is being sent, and ends after the last release of the
+/// request. Bytes of an abandoned attempt must not be retransmitted then: the engine would reserve something after the release.
 #[test]
 fn requests_sent_into_a_partition_do_not_arrive_after_it() {
     for engines in [vec![0, 1], vec![2, 3], vec![0, 1, 2, 3], vec![0, 2]] {
@@ -355,7 +365,7 @@
                 let engines = engines.clone();
                 ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
                     cluster.log.lock().unwrap().reservations_need_prefills = true;
-                    // Connections are open already, so that all is sent at once.
+                    // These requests open connections, so that the next one is sent without connecting.
                     for n in 0..4 {
                         cluster.send_request(&format!("w{n}"), "draft").await;
                     }
@@ -370,26 +380,26 @@
                         read_response(&cluster.client, &mut conn).await;
                     }
                     cluster.runtime.sleep(5_000 * MS).await;
-                    let over = cluster.runtime.now();
+                    let healed_at = cluster.runtime.now();
                     cluster.partition(&engines, false);
                     cluster.runtime.sleep(3_000 * MS).await;
-                    let what = format!(
-                        "partition of {engines:?} {after} us after, disconnects {disconnects}"
+                    let scenario = format!(
+                        "partition of engines {engines:?} {after} us after the request, disconnects {disconnects}"
                     );
-                    let of = |s: &&EngineRequest| {
+                    let is_attempt = |s: &&EngineRequest| {
                         s.id == "one" || s.target.ends_with("/one") && s.method == "POST"
                     };
                     let late = cluster
                         .engine_requests()
                         .iter()
-                        .filter(of)
-                        .filter(|s| s.at > over)
+                        .filter(is_attempt)
+                        .filter(|s| s.at > healed_at)
                         .count();
-                    assert_eq!(late, 0, "{what}: what was abandoned arrived");
-                    // In other partitions a decode may be lost, or no engine is reachable, for as long as they last.
+                    assert_eq!(late, 0, "{scenario}: an abandoned attempt arrived");
+                    // In the other partitions a decode may be lost, or no engine is reachable, until the partition ends.
                     if engines == [0, 1] {
                         let longest = longest_reservation(&cluster, &["one".into()]);
-                        assert!(longest <= RELEASE_WITHIN, "{what}: {longest} us");
+                        assert!(longest <= RELEASE_WITHIN, "{scenario}: {longest} us");
                     }
                     assert_eq!(
                         (
@@ -404,14 +414,14 @@
     }
 }
 
-/// Guards against a decode that is sent on an open connection into a partition: it has not arrived, and the state that it
-/// was to fetch would wait until the decode's own deadline.
+/// A decode is sent on an idle connection into a partition and does not arrive. The KV state that it was to fetch is released
+/// in time, and does not stay reserved until the deadline of the decode.
 #[test]
 fn a_decode_sent_into_a_partition_does_not_delay_the_release() {
     for class in ["draft", "send"] {
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         setup.run(move |cluster| async move {
-            // Standing connections to all engines, which then rest for a while.
+            // These requests open connections to all engines, which are then idle for 1.5 s.
             for n in 0..8 {
                 assert_eq!(
                     cluster
@@ -442,7 +452,8 @@
     }
 }
 
-/// The same in a partition that begins right after the engines' last response, so that nothing shows it before the send.
+/// As above, with a partition that begins 20 ms after the engines' last response, so that the node cannot detect it before it
+/// sends the decode.
 #[test]
 fn a_decode_sent_into_a_new_partition_does_not_delay_the_release() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
