--- a/crates/ivyward/src/membership/watcher/delivery.rs
+++ b/crates/ivyward/src/membership/watcher/delivery.rs
@@ -108,7 +108,7 @@
             // Retried: after a disk that was full for a moment, the file would otherwise stay outdated until the next change of
             // the list.
             Err(error) => {
-                self.node.metrics().list_keep_failures.add(1);
+                self.node.metrics().snapshot_write_failures.add(1);
                 warn!(file = %path.display(), %error, "endpoint snapshot write failed, will retry");
             }
         }
@@ -122,7 +122,8 @@
             .collect();
         if kind == ListKind::Full {
             let listed: BTreeSet<EndpointId> = engines.iter().map(|e| e.endpoint.id).collect();
-            self.start_times.complete_list(|id| listed.contains(&id));
+            self.start_times
+                .apply_complete_list(|id| listed.contains(&id));
         }
         self.node.update_endpoints(kind, engines).await;
         self.update_interval.delivered(now, self.runtime.now());
@@ -188,7 +189,7 @@
             self.logged_invalid_records.clear();
         }
         self.logged_invalid_records.insert(id, record.mod_revision);
-        self.node.metrics().records_unread.add(1);
+        self.node.metrics().records_malformed.add(1);
         let key = String::from_utf8_lossy(&record.key);
         warn!(%key, problem = %error, "registration record ignored");
     }
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -77,7 +77,7 @@
     /// Watches from the revision after the last known one, until the watch ends.
     pub(super) async fn watch(&mut self) -> WatchEnd {
         let prefix = self.options.prefix.clone().into_bytes();
-        let next = if mutations::is_active(Mutation::WatchSkips) {
+        let next = if mutations::is_active(Mutation::WatchSkipsRevision) {
             2
         } else {
             1
@@ -125,7 +125,7 @@
     fn delivery_time(&self, batch: &Batch) -> Option<Micros> {
         batch
             .since
-            .map(|since| self.update_interval.due(since, batch.urgent))
+            .map(|since| self.update_interval.deliver_at(since, batch.urgent))
     }
 
     async fn on_wakeup(
--- a/crates/ivyward/src/peers/codec.rs
+++ b/crates/ivyward/src/peers/codec.rs
@@ -175,7 +175,7 @@
 fn encode_update(update: &Update) -> pb::Claim {
     let (state, since) = match update.state {
         ReportedState::Alive => (0, 0),
-        ReportedState::Suspected { since } => (1, since / 1_000),
+        ReportedState::Suspected { unanswered_for } => (1, unanswered_for / 1_000),
         ReportedState::Left => (2, 0),
     };
     let age_ms = update.age.div_ceil(1_000);
@@ -192,7 +192,7 @@
     let state = match update.about {
         0 => ReportedState::Alive,
         1 => ReportedState::Suspected {
-            since: update.since.saturating_mul(1_000),
+            unanswered_for: update.since.saturating_mul(1_000),
         },
         2 => ReportedState::Left,
         _ => return Err(ContentError::UnknownState(update.about)),
@@ -226,20 +226,20 @@
             to: Some(encode_node(to)),
         }),
         MessageBody::Nack { seq } => Out::Nack(*seq),
-        MessageBody::ViewRequest { after, whole } => Out::Ask(pb::Ask {
+        MessageBody::ViewRequest { after, complete } => Out::Ask(pb::Ask {
             after: after.map(|a| a.0),
-            whole: *whole,
+            whole: *complete,
         }),
         MessageBody::ViewPage {
             updates,
             next,
             last,
-            confirmed,
+            sender_complete,
         } => Out::Page(pb::Page {
             claims: updates.iter().map(encode_update).collect(),
             next: next.map(|n| n.0),
             last: *last,
-            sure: *confirmed,
+            sure: *sender_complete,
         }),
         MessageBody::Leave => Out::Leave(true),
         MessageBody::Updates => Out::Gossip(true),
@@ -268,7 +268,7 @@
         In::Nack(seq) => MessageBody::Nack { seq },
         In::Ask(ask) => MessageBody::ViewRequest {
             after: ask.after.map(PeerId),
-            whole: ask.whole,
+            complete: ask.whole,
         },
         In::Page(page) => {
             let updates = decode_updates(page.claims)?;
@@ -276,7 +276,7 @@
                 updates,
                 next: page.next.map(PeerId),
                 last: page.last,
-                confirmed: page.sure,
+                sender_complete: page.sure,
             }
         }
         In::Leave(_) => MessageBody::Leave,
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -14,7 +14,7 @@
 fn update(address: &str) -> Update {
     // Large values, so that their protobuf encoding is long: a heartbeat of 2^42 and ages of an hour.
     let state = ReportedState::Suspected {
-        since: 3_600_000_000,
+        unanswered_for: 3_600_000_000,
     };
     Update {
         node: node(address),
@@ -33,7 +33,7 @@
         updates: vec![update(LONG_ADDRESS); n],
         next: Some(PeerId(1)),
         last: true,
-        confirmed: true,
+        sender_complete: true,
     };
     let bodies = [
         (page(page_updates), 4),
@@ -47,7 +47,7 @@
         (
             MessageBody::ViewRequest {
                 after: Some(PeerId(u64::MAX)),
-                whole: true,
+                complete: true,
             },
             MAX_UPDATES,
         ),
@@ -140,7 +140,7 @@
         updates: vec![update(remote)],
         next: None,
         last: false,
-        confirmed: false,
+        sender_complete: false,
     };
     let rejected_messages = [
         message(remote, ping.clone(), vec![]),
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -63,10 +63,10 @@
                 }
                 Wakeup::Tick => {}
                 Wakeup::Command(PeerCommand::RecordAdded(node)) => {
-                    self.apply(|peers, out| peers.record_added(now, node, out));
+                    self.apply(|peers, out| peers.store_record_added(now, node, out));
                 }
                 Wakeup::Command(PeerCommand::RecordRemoved(id)) => {
-                    self.apply(|peers, _| peers.record_removed(now, id));
+                    self.apply(|peers, _| peers.store_record_removed(now, id));
                 }
                 Wakeup::Command(PeerCommand::Leave { done }) => {
                     self.apply(|peers, out| peers.leave(now, out));
@@ -102,13 +102,13 @@
 
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], source: SocketAddr) {
         let metrics = &self.host.context.metrics;
-        metrics.peer_datagrams_taken.add(1);
+        metrics.peer_datagrams_received.add(1);
         match self.datagram_codec.decode(bytes, source) {
             Ok(message) => self.on_message(now, message, source),
             Err(error) => {
-                metrics.peer_datagrams_unread.add(1);
+                metrics.peer_datagrams_malformed.add(1);
                 // Only the first one is logged, so that a flood of them does not fill the log.
-                if metrics.peer_datagrams_unread.get() == 1 {
+                if metrics.peer_datagrams_malformed.get() == 1 {
                     warn!(%source, why = %error, "datagram dropped, further ones are only counted");
                 }
             }
@@ -119,7 +119,7 @@
         self.apply(|peers, out| {
             let (from, before) = (message.from.address, out.len());
             peers.handle_message(now, message, out);
-            if !mutations::is_active(Mutation::AnswersToSource) {
+            if !mutations::is_active(Mutation::ReplyToSourceAddress) {
                 return;
             }
             for action in &mut out[before..] {
@@ -142,7 +142,11 @@
         for action in actions {
             match action {
                 PeerAction::Send { to, message } => self.send(&message, to),
-                PeerAction::Changed { node, was, is } => self.log_change(&node, was, is),
+                PeerAction::Changed {
+                    node,
+                    previous,
+                    current,
+                } => self.log_change(&node, previous, current),
             }
         }
         if replica_count != self.replica_count {
--- a/crates/ivyward/src/peers/handle.rs
+++ b/crates/ivyward/src/peers/handle.rs
@@ -78,7 +78,7 @@
                 let _ = writeln!(
                     out,
                     "peer id={:016x} start={} zone={} address={} state={state} certain={}",
-                    node.id.0, node.incarnation, node.zone, node.address, peer.confirmed_gone
+                    node.id.0, node.incarnation, node.zone, node.address, peer.confirmed_stopped
                 );
             }
             out
@@ -99,10 +99,10 @@
             let _ = writeln!(out, "ivyward_nodes {}", peers.replica_count());
             let dropped = peers.dropped();
             let reasons = [
-                ("stale", dropped.stale),
+                ("stale", dropped.superseded),
                 ("implausible", dropped.implausible),
-                ("old", dropped.old),
-                ("over", dropped.over),
+                ("old", dropped.replayed),
+                ("over", dropped.over_limit),
             ];
             for (reason, count) in reasons {
                 let _ = writeln!(
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -87,7 +87,7 @@
         options.gossip,
         runtime.random(),
     );
-    peers.expect(router.replica_count);
+    peers.set_expected_replicas(router.replica_count);
     let view = Arc::new(Mutex::new(peers));
     let (commands, receiver) = async_channel::bounded(COMMAND_CAPACITY);
     let handle = PeersHandle {
