--- a/crates/ivyward/src/membership/registration.rs
+++ b/crates/ivyward/src/membership/registration.rs
@@ -62,7 +62,7 @@
     pub cell: u16,
     /// Capacity of the engine relative to others of its machine type, from 0.001 to 1000000. 1 by default.
     #[garde(range(min = 0.001, max = 1_000_000.0))]
-    #[serde(default = "default_weight")]
+    #[serde(default = "one")]
     pub weight: f64,
     /// Start time of the engine's process in milliseconds since the Unix epoch, by the engine's clock. 0, the default, means
     /// long ago. If the start time changes to another one than 0, the engine is a new process with an empty KV cache.
@@ -74,7 +74,7 @@
     pub state: State,
 }
 
-fn default_weight() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -32,6 +32,7 @@
     Datagram(std::io::Result<(usize, SocketAddr)>),
     Tick,
     Command(PeerCommand),
+    /// All senders of commands were dropped.
     Closed,
 }
 
@@ -169,16 +170,16 @@
         let _ = self.socket.send(&bytes, to);
     }
 
-    fn log_change(&self, node: &NodeInfo, was: Option<PeerState>, is: PeerState) {
+    fn log_change(&self, node: &NodeInfo, previous: Option<PeerState>, current: PeerState) {
         self.host.context.metrics.peer_changes.add(1);
-        let was = was.map_or("unknown", |was| state_name(was, false));
+        let previous = previous.map_or("unknown", |state| state_name(state, false));
         info!(
             peer = %format_args!("{:016x}", node.id.0),
             address = %node.address,
             zone = node.zone,
             start = node.incarnation,
-            was,
-            is = state_name(is, false),
+            was = previous,
+            is = state_name(current, false),
             "peer state changed"
         );
     }
--- a/crates/ivyward/src/recording/reader.rs
+++ b/crates/ivyward/src/recording/reader.rs
@@ -69,7 +69,7 @@
     pub settings: Settings,
     /// Seed of the recorded router's random choices.
     pub seed: u64,
-    /// Number of entries read, without the first one.
+    /// Number of steps read so far.
     steps_read: usize,
     truncated: bool,
 }
