--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -1,17 +1,19 @@
-//! Clients: malformed requests get an error or a close in time and reach no engine; others are served beside them.
+//! The server for clients: malformed requests get an error or a close in time and reach no engine, and neither malformed
+//! requests nor slow or silent connections prevent other clients from being served.
 
 mod common;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::runtime::{before, Conn, RuntimeExt};
 
-fn changed(from: &str, to: &str) -> Vec<u8> {
+/// Returns a valid request in which `from` is replaced by `to`.
+fn modified_request(from: &str, to: &str) -> Vec<u8> {
     let text = String::from_utf8(request("bad", "draft", 4_800)).unwrap();
     assert!(text.contains(from), "{from}");
     text.replace(from, to).into_bytes()
 }
 
-/// Malformed requests, with what is wrong with each.
+/// Returns malformed requests, each with the name of its defect.
 fn malformed_requests() -> Vec<(&'static str, Vec<u8>)> {
     let length = format!("Content-Length: {}", BODY.len());
     let mut malformed: Vec<(&'static str, Vec<u8>)> = vec![
@@ -23,16 +25,16 @@
             ]
             .concat(),
         ),
-        ("noise", vec![0; 300]),
+        ("300 zero bytes", vec![0; 300]),
         (
-            "half a head",
+            "incomplete head",
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: a".to_vec(),
         ),
         (
-            "half a body",
+            "incomplete body",
             request("bad", "draft", 4_800)[..request("bad", "draft", 4_800).len() - 30].to_vec(),
         ),
-        ("no byte", Vec::new()),
+        ("empty request", Vec::new()),
     ];
     let changes = [
         ("negative length", length.as_str(), "Content-Length: -4"),
@@ -42,9 +44,9 @@
             &length,
             "Content-Length: 99999999999999999999999",
         ),
-        ("60 MB", &length, "Content-Length: 60000000"),
+        ("length of 60 MB", &length, "Content-Length: 60000000"),
         (
-            "length and coding",
+            "length and transfer coding",
             "Host: app.svc",
             "Host: app.svc\r\nTransfer-Encoding: chunked",
         ),
@@ -53,30 +55,42 @@
             "Host: app.svc",
             "Host: app.svc\r\nContent-Length: 3",
         ),
-        ("coding", &length, "Transfer-Encoding: gzip"),
-        ("class", "X-Priority-Class: draft", "X-Priority-Class: gold"),
+        (
+            "unsupported transfer coding",
+            &length,
+            "Transfer-Encoding: gzip",
+        ),
+        (
+            "unknown class",
+            "X-Priority-Class: draft",
+            "X-Priority-Class: gold",
+        ),
         ("no class", "X-Priority-Class: draft\r\n", ""),
-        ("tenant", "X-Tenant-Id: acme", "X-Tenant-Id: nobody"),
-        ("deadline", "X-Timeout-Ms: 4800", "X-Timeout-Ms: soon"),
+        ("unknown tenant", "X-Tenant-Id: acme", "X-Tenant-Id: nobody"),
         (
-            "negative deadline",
+            "malformed timeout",
             "X-Timeout-Ms: 4800",
-            "X-Timeout-Ms: -1",
+            "X-Timeout-Ms: soon",
         ),
-        ("no deadline", "X-Timeout-Ms: 4800\r\n", ""),
+        ("negative timeout", "X-Timeout-Ms: 4800", "X-Timeout-Ms: -1"),
+        ("no timeout", "X-Timeout-Ms: 4800\r\n", ""),
         ("no id", "X-Request-ID: bad\r\n", ""),
         ("empty id", "X-Request-ID: bad", "X-Request-ID: "),
-        ("tokens", "prompt_len=40", "prompt_len=1e300"),
+        ("too many tokens", "prompt_len=40", "prompt_len=1e300"),
         ("negative tokens", "prompt_len=40", "prompt_len=-3"),
-        ("no number of tokens", "max_out=80", "max_out=NaN"),
-        ("no JSON", "{\"model\"", "[\"model\""),
-        ("path", "POST /v1/chat/completions", "POST /v1/other"),
-        ("method", "POST /v1", "PUT /v1"),
+        ("tokens not a number", "max_out=80", "max_out=NaN"),
+        ("malformed JSON", "{\"model\"", "[\"model\""),
+        (
+            "unknown path",
+            "POST /v1/chat/completions",
+            "POST /v1/other",
+        ),
+        ("unsupported method", "POST /v1", "PUT /v1"),
     ];
     malformed.extend(
         changes
             .into_iter()
-            .map(|(what, from, to)| (what, changed(from, to))),
+            .map(|(defect, from, to)| (defect, modified_request(from, to))),
     );
     malformed
 }
@@ -84,45 +98,46 @@
 #[test]
 fn malformed_requests_get_an_error_or_a_close_in_time() {
     ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
-        for (what, bytes) in malformed_requests() {
+        for (defect, bytes) in malformed_requests() {
             let begun = cluster.client.now();
             let mut conn = cluster.connect().await;
-            // The peer may close while we still write.
+            // The node may close the connection before all bytes are written.
             let _ = conn.write_all(&bytes).await;
             let response = read_response(&cluster.client, &mut conn).await;
             assert!(
                 response.status == 0 || response.status >= 400,
-                "{what}: {}",
+                "{defect}: {}",
                 response.status
             );
             assert!(
                 response.at - begun < 3_000_000,
-                "{what}: {} us",
+                "{defect}: {} us",
                 response.at - begun
             );
-            if !matches!(what, "no byte" | "half a head") {
-                assert!(response.status >= 400, "{what}: an error, not a close");
+            if !matches!(defect, "empty request" | "incomplete head") {
+                assert!(response.status >= 400, "{defect}: closed without an error");
             }
             if response.status >= 400 {
-                let said: serde_json::Value = serde_json::from_slice(&response.body).expect(what);
-                assert!(said["error"]["message"].is_string(), "{what}: {said}");
+                let body: serde_json::Value = serde_json::from_slice(&response.body).expect(defect);
+                assert!(body["error"]["message"].is_string(), "{defect}: {body}");
             }
             assert!(
                 cluster.engine_requests().is_empty(),
-                "{what}: reached an engine"
+                "{defect}: reached an engine"
             );
-            assert_eq!(cluster.service.node().open_requests(), 0, "{what}");
+            assert_eq!(cluster.service.node().open_requests(), 0, "{defect}");
         }
         assert_eq!(cluster.send_request("good", "draft").await.status, 200);
     });
 }
 
-/// A client that reads the error only after it has sent all of a long body gets it, and the body is not kept in memory.
+/// A client that sends a body of 4 MB, above the limit, and reads only after the last byte still receives the error. The
+/// server discards the body, so that no reset of the connection destroys the error.
 #[test]
 fn a_body_that_is_too_long_is_discarded_after_its_error() {
     ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
         let mut conn = cluster.connect().await;
-        let head = changed(
+        let head = modified_request(
             &format!("Content-Length: {}", BODY.len()),
             "Content-Length: 4000000",
         );
@@ -134,7 +149,7 @@
     });
 }
 
-/// A request with the id of one in flight is rejected, and the one in flight goes on unharmed.
+/// A request with the id of a request in flight is rejected, and the one in flight is served normally.
 #[test]
 fn the_id_of_a_request_in_flight_is_rejected() {
     let setup = ClusterSetup::new(|received| {
@@ -158,15 +173,15 @@
         let response = read_response(&cluster.client, &mut first).await;
         assert_eq!((response.status, response.whole), (200, true));
         assert_eq!(cluster.attempts("same").len(), 2, "one prefill, one decode");
-        // After its response the id may be used again.
+        // After the response the id may be used again.
         assert_eq!(cluster.send_request("same", "send").await.status, 200);
     });
 }
 
-/// With more silent connections than descriptors another client is served, on an older connection and on a new one, and the
-/// node's own connections stay within their limit.
+/// With five times as many silent connections as the limit on client connections, and more than the node has file descriptors,
+/// other clients are served on older and on new connections, and the client connections stay within the limit.
 #[test]
-fn silent_connections_do_not_starve_others() {
+fn silent_connections_do_not_prevent_service() {
     let setup = ClusterSetup::with_sockets(160, |_| EngineBehavior::Normal);
     let bound = setup.config().bounds.client_connections;
     setup.run(move |cluster| async move {
@@ -194,7 +209,7 @@
         assert_eq!(
             read_response(&cluster.client, &mut old).await.status,
             200,
-            "the silent ones are evicted first"
+            "silent connections are evicted before one that had a request"
         );
         let mut open = 0;
         for conn in &mut silent {
@@ -207,8 +222,11 @@
             .await;
             open += usize::from(ended.is_none());
         }
-        assert!(open <= bound, "{open} silent connections stand of {bound}");
-        // The rest of them are closed within 3 s of connecting.
+        assert!(
+            open <= bound,
+            "{open} silent connections are open, the limit is {bound}"
+        );
+        // The node closes the rest within 3 s of connecting.
         cluster.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
@@ -223,9 +241,10 @@
     });
 }
 
-/// In a flood beyond the limit on open requests each one gets a response, and nothing was sent for the rejected ones.
+/// 300 requests at once exceed the limit on open requests. None of the responses is truncated, and the requests that were
+/// rejected with 503 were not sent to engines.
 #[test]
-fn every_request_of_a_flood_gets_a_response() {
+fn requests_beyond_the_limit_are_rejected_and_not_sent() {
     let setup = ClusterSetup::with_sockets(256, |received| {
         if received.engine >= 2 {
             EngineBehavior::Delayed(200_000)
@@ -234,7 +253,7 @@
         }
     });
     setup.run(|cluster| async move {
-        let (done, answers) = async_channel::unbounded();
+        let (done, responses) = async_channel::unbounded();
         for n in 0..300 {
             let (client, address, done) = (cluster.client.clone(), cluster.address, done.clone());
             cluster.client.run(async move {
@@ -251,12 +270,12 @@
         }
         drop(done);
         let mut served = 0;
-        while let Ok((id, response)) = answers.recv().await {
+        while let Ok((id, response)) = responses.recv().await {
             served += usize::from(response.status == 200 && response.whole);
             if response.status == 503 {
                 assert!(
                     cluster.attempts(&id).is_empty(),
-                    "{id} was refused by the door and sent all the same"
+                    "{id} was rejected by the node but sent to an engine"
                 );
             }
             assert!(
@@ -269,7 +288,7 @@
     });
 }
 
-/// Bytes behind a request in flight wait for its end, and are then read as the next request.
+/// Bytes behind a request in flight are parsed as the next request after its response.
 #[test]
 fn pipelined_requests_are_served_in_order() {
     ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
@@ -284,9 +303,9 @@
     });
 }
 
-/// When a client disconnects, its attempt's connection to the engine is closed.
+/// When a client disconnects, the connection of its attempt to the engine is closed within 50 ms.
 #[test]
-fn a_disconnected_client_ends_its_attempt() {
+fn a_client_disconnect_ends_the_attempt() {
     let setup = ClusterSetup::new(|received| {
         if received.engine >= 2 {
             EngineBehavior::Silent
@@ -303,19 +322,19 @@
             cluster.attempts("one").len() == 2
         })
         .await;
-        let at = cluster.attempts("one")[1].connection;
+        let connection = cluster.attempts("one")[1].connection;
         drop(conn);
-        let closed = || cluster.log.lock().unwrap().closed_at(at).is_some();
-        let left = cluster.runtime.now();
+        let closed = || cluster.log.lock().unwrap().closed_at(connection).is_some();
+        let disconnected_at = cluster.runtime.now();
         wait_until(&cluster.runtime, "a close", closed).await;
-        assert!(cluster.runtime.now() - left < 50_000);
+        assert!(cluster.runtime.now() - disconnected_at < 50_000);
         assert_eq!(cluster.service.node().open_requests(), 0);
     });
 }
 
-/// A request without a response of any engine fails before its client's timeout, and nothing is sent later.
+/// If no engine responds, the request fails before the client's timeout, and no attempt begins after its response.
 #[test]
-fn a_request_without_a_response_fails_in_time() {
+fn a_request_without_an_engines_response_fails_in_time() {
     let setup = ClusterSetup::new(|received| {
         if received.id.is_empty() {
             EngineBehavior::Normal
@@ -340,31 +359,31 @@
             "{} us",
             response.at - begun
         );
-        let sends = cluster.attempts("one").len();
+        let attempts = cluster.attempts("one").len();
         cluster.runtime.sleep(5_000_000).await;
         assert_eq!(
             cluster.attempts("one").len(),
-            sends,
-            "nothing is sent after the response"
+            attempts,
+            "an attempt began after the response"
         );
     });
 }
 
-/// Prompts beyond the node's budget are rejected and nothing is sent for them; when the others have ended, clients are served
-/// again.
+/// Prompts beyond the node's budget are rejected and not sent to engines. Once the other prompts are gone from memory, requests
+/// are served again.
 #[test]
 fn prompts_beyond_the_budget_are_rejected() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     let bound = setup.config().bounds.prompt_bytes;
     setup.run(move |cluster| async move {
-        let head = changed(
+        let head = modified_request(
             &format!("Content-Length: {}", BODY.len()),
             "Content-Length: 250000",
         );
         let mut conns = Vec::new();
         for _ in 0..bound / 240_000 + 12 {
             let mut conn = cluster.connect().await;
-            // The node may close a rejected one while we write.
+            // The node may close a rejected connection before all bytes are written.
             let _ = conn
                 .write_all(&[head.clone(), vec![b'x'; 240_000]].concat())
                 .await;
@@ -382,11 +401,11 @@
     });
 }
 
-/// A client that reads its response slowly and steadily gets all of it; one that reads nothing for long counts as
-/// disconnected, and its engine's connection is closed.
+/// A client that reads its response slowly but steadily receives all of it. A client that reads nothing counts as disconnected
+/// after the stall timeout, and its request ends.
 #[test]
-fn a_slow_reader_gets_its_whole_response_and_a_stalled_one_is_closed() {
-    for reads_on in [true, false] {
+fn a_slow_client_is_served_and_a_stalled_one_is_disconnected() {
+    for reads in [true, false] {
         let event = format!("data: {{\"x\":\"{}\"}}\n\n", "y".repeat(1_000));
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         let rest = format!(
@@ -408,12 +427,12 @@
                 cluster.attempts("slow").iter().any(is_decode)
             })
             .await;
-            if !reads_on {
+            if !reads {
                 cluster.runtime.sleep(12_000_000).await;
                 assert_eq!(
                     cluster.service.node().open_requests(),
                     0,
-                    "nothing is kept for it"
+                    "the stalled client's request is still open"
                 );
                 return;
             }
@@ -435,10 +454,10 @@
     }
 }
 
-/// A request arrives at the moment in which its idle connection is evicted, and takes seconds: clients that connect meanwhile
-/// are accepted all the same.
+/// A request that takes 3 s arrives on an idle connection while that connection is being evicted. Accepting waits for evicted
+/// connections to close, but not for this request: clients that connect meanwhile are served.
 #[test]
-fn a_request_that_crosses_its_eviction_does_not_block_others() {
+fn a_request_on_an_evicted_connection_does_not_block_accepts() {
     for offset in (0..300u64).step_by(10) {
         let setup = ClusterSetup::with_sockets(160, |received| {
             if received.id == "long" {
@@ -457,29 +476,30 @@
                 rest.push(cluster.connect().await);
             }
             let (client, address) = (cluster.client.clone(), cluster.address);
-            let (done, other) = async_channel::bounded(1);
-            // The node handles both at once.
+            let (done, connected) = async_channel::bounded(1);
+            // The node is paused, so that it finds the request and the new connection at the same time.
             sim.freeze(node, true);
-            let (asks, thaws) = (cluster.client.clone(), cluster.client.clone());
+            let (sender, resumer) = (cluster.client.clone(), cluster.client.clone());
             cluster.client.run(async move {
-                asks.sleep(offset).await;
-                // It may have been evicted already.
+                sender.sleep(offset).await;
+                // The connection may have been evicted already.
                 let _ = first.write_all(&request("long", "draft", 7_000)).await;
                 std::future::pending::<()>().await;
                 drop(first);
             });
             cluster.client.run(async move {
-                // Connecting takes one way; the request may arrive before, with or after the connection.
+                // The request takes one network latency to arrive, as does the connection: depending on the offset, the
+                // request arrives before, with or after the connection.
                 client.sleep(150).await;
-                let dialled = client.connect(address).await;
+                let connection = client.connect(address).await;
                 client.sleep(10_000).await;
-                done.send(dialled).await.unwrap();
+                done.send(connection).await.unwrap();
             });
             cluster.client.run(async move {
-                thaws.sleep(2_000).await;
+                resumer.sleep(2_000).await;
                 sim.freeze(node, false);
             });
-            let _both = other.recv().await.unwrap();
+            let _connection = connected.recv().await.unwrap();
             let begun = cluster.client.now();
             for n in 0..3 {
                 assert_eq!(
