--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -1,4 +1,4 @@
-//! No attempt, first or further, begins more than 0.1 s after its client has disconnected.
+//! No attempt, neither the first nor a later one, begins more than 0.1 s after its client has disconnected.
 
 mod common;
 use common::*;
@@ -14,7 +14,7 @@
 enum Disconnect {
     Closes,
     Resets,
-    /// It ends its sending and still reads.
+    /// The client shuts down its sending side and still reads.
     HalfCloses,
 }
 
@@ -24,7 +24,7 @@
     Disconnect::HalfCloses,
 ];
 
-/// Disconnects, and returns what has to stay open for that.
+/// Disconnects a client. Returns the connection of a half-close, which must stay open.
 async fn disconnect(mut conn: Conn, how: Disconnect) -> Option<Conn> {
     match how {
         Disconnect::Closes => None,
@@ -39,37 +39,38 @@
     }
 }
 
-/// Deployments in which attempts may be cancelled, and in which they may not.
+/// Sets up a deployment that allows attempts to be cancelled, and one that does not.
 fn setups(
     script: impl Fn(&EngineRequest) -> EngineBehavior + Send + Sync + Clone + 'static,
 ) -> impl Iterator<Item = (bool, ClusterSetup)> {
-    [true, false].into_iter().map(move |may| {
+    [true, false].into_iter().map(move |may_cancel| {
         let mut setup = ClusterSetup::new(script.clone());
         assert!(setup.config.contains("\"may_cancel\":true"));
-        setup.config = setup
-            .config
-            .replace("\"may_cancel\":true", &format!("\"may_cancel\":{may}"));
-        (may, setup)
+        setup.config = setup.config.replace(
+            "\"may_cancel\":true",
+            &format!("\"may_cancel\":{may_cancel}"),
+        );
+        (may_cancel, setup)
     })
 }
 
-/// How long after `disconnected_at` the last attempt of these requests reached an engine.
+/// Returns how long after `disconnected_at` the last attempt of these requests reached an engine; 0 if before.
 fn last_attempt_after(cluster: &Cluster, ids: &[String], disconnected_at: Micros) -> Micros {
-    let came = cluster
+    let last = cluster
         .engine_requests()
         .into_iter()
         .filter(|s| ids.contains(&s.id))
         .map(|s| s.at)
         .max();
-    came.unwrap_or(0).saturating_sub(disconnected_at)
+    last.unwrap_or(0).saturating_sub(disconnected_at)
 }
 
-/// Connections to engines come up late, and the client disconnects meanwhile.
+/// The client disconnects while the connection to the engine is being opened.
 #[test]
 fn disconnect_while_a_connection_is_opened() {
     for how in DISCONNECTS {
-        for (may, setup) in setups(|_| EngineBehavior::Normal) {
-            // A dial takes 220 ms, of 250 that it may take.
+        for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
+            // Connecting takes 220 ms; the connect timeout is 250 ms.
             for engine in &setup.engines {
                 setup.sim.lag(setup.node.id(), engine.id(), 110 * MS);
             }
@@ -83,22 +84,23 @@
                 let _open = disconnect(conn, how).await;
                 cluster.runtime.sleep(3_000 * MS).await;
                 let late = last_attempt_after(&cluster, &["one".into()], disconnected_at);
-                // What had left before is on its way as long.
+                // An attempt that was sent before the disconnect may arrive up to one network latency after it.
                 assert!(
                     late <= MAX_DELAY,
-                    "{how:?}, may cancel {may}: an attempt {late} us after"
+                    "{how:?}, may cancel {may_cancel}: an attempt {late} us after"
                 );
             });
         }
     }
 }
 
-/// The prefill goes on where it may not be cancelled, and no decode follows it.
+/// The client disconnects during the prefill. Where attempts may not be cancelled the prefill continues; in both deployments
+/// no decode follows it, and what the prefill reserved is released.
 #[test]
 fn disconnect_between_prefill_and_decode() {
     for how in DISCONNECTS {
         for class in ["draft", "send"] {
-            for (may, setup) in setups(|received| {
+            for (may_cancel, setup) in setups(|received| {
                 if is_prefill(received) {
                     EngineBehavior::Delayed(500 * MS)
                 } else {
@@ -118,7 +120,7 @@
                     assert_eq!(
                         last_attempt_after(&cluster, &["one".into()], disconnected_at),
                         0,
-                        "{how:?}, {class}, may cancel {may}"
+                        "{how:?}, {class}, may cancel {may_cancel}"
                     );
                     assert_eq!(
                         (
@@ -133,12 +135,13 @@
     }
 }
 
-/// A long body is sent slowly: its last byte is never sent.
+/// The client disconnects while the node is sending a long body to the engine over a slow network. The last byte of the body
+/// is not sent.
 #[test]
 fn disconnect_while_a_body_is_sent() {
     for how in DISCONNECTS {
-        for (may, setup) in setups(|_| EngineBehavior::Normal) {
-            // 200 kB at 100 kB a second.
+        for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
+            // The body of 200 kB takes 2 s at 100 kB/s.
             setup
                 .sim
                 .net(|net| (net.rate, net.buffer) = (100_000, 8 << 10));
@@ -164,19 +167,20 @@
                 assert_eq!(
                     last_attempt_after(&cluster, &["long".into()], disconnected_at),
                     0,
-                    "{how:?}, may cancel {may}"
+                    "{how:?}, may cancel {may_cancel}"
                 );
             });
         }
     }
 }
 
-/// More bytes than the node keeps wait behind the request, and then the client's close.
+/// The client sends bytes behind its request, up to far more than the node buffers, and then disconnects. The node reads all
+/// of them to detect the close.
 #[test]
 fn disconnect_behind_pipelined_bytes() {
     for how in DISCONNECTS {
-        for more in [100, 20_000, 300_000, 30_000_000] {
-            for (may, setup) in setups(|received| {
+        for pipelined in [100, 20_000, 300_000, 30_000_000] {
+            for (may_cancel, setup) in setups(|received| {
                 if is_prefill(received) {
                     EngineBehavior::Delayed(500 * MS)
                 } else {
@@ -188,9 +192,10 @@
                     conn.write_all(&request("one", "draft", 4_800))
                         .await
                         .unwrap();
-                    // A client that is not read any more leaves with a part of it unsent.
+                    // If the node reads slowly, the client disconnects after 200 ms with a part of the bytes unsent.
                     let by = cluster.client.now() + 200 * MS;
-                    let sent = before(&cluster.client, by, conn.write_all(&vec![b'x'; more])).await;
+                    let bytes = vec![b'x'; pipelined];
+                    let sent = before(&cluster.client, by, conn.write_all(&bytes)).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
                     wait_until(&cluster.runtime, "a prefill", || {
                         cluster.attempts("one").iter().any(is_prefill)
@@ -202,7 +207,7 @@
                     let late = last_attempt_after(&cluster, &["one".into()], disconnected_at);
                     assert!(
                         late <= MAX_DELAY,
-                        "{how:?}, {more} behind, may cancel {may}: {late} us"
+                        "{how:?}, {pipelined} pipelined bytes, may cancel {may_cancel}: {late} us"
                     );
                 });
             }
@@ -210,10 +215,11 @@
     }
 }
 
-/// A client that sent much behind its request gets its response; the connection ends after it.
+/// A client receives its response however many bytes it sent behind the request. If the node had to discard some of them, the
+/// connection closes after the response; otherwise the next request is served.
 #[test]
-fn many_pipelined_bytes_end_the_connection_after_the_response() {
-    for (more, closes) in [(1_000, false), (300_000, true)] {
+fn discarded_pipelined_bytes_close_the_connection_after_the_response() {
+    for (pipelined, closes) in [(1_000, false), (300_000, true)] {
         ClusterSetup::new(|received| {
             if is_decode(received) {
                 EngineBehavior::Delayed(300 * MS)
@@ -227,13 +233,13 @@
                 .await
                 .unwrap();
             let next = request("two", "draft", 4_800);
-            let many: Vec<u8> = next
+            let bytes: Vec<u8> = next
                 .iter()
                 .copied()
                 .cycle()
-                .take(next.len() * (more / next.len()))
+                .take(next.len() * (pipelined / next.len()))
                 .collect();
-            conn.write_all(&many).await.unwrap();
+            conn.write_all(&bytes).await.unwrap();
             let first = read_response(&cluster.client, &mut conn).await;
             assert_eq!((first.status, first.whole), (200, true));
             let mut rest = Vec::new();
@@ -241,25 +247,26 @@
                 let end = conn.read_to_end(&mut rest).await;
                 assert!(
                     end.is_ok() && rest.is_empty(),
-                    "an orderly end: {end:?}, {} bytes",
+                    "expected a close without further bytes: {end:?}, {} bytes",
                     rest.len()
                 );
             } else {
                 assert_eq!(
                     read_response(&cluster.client, &mut conn).await.status,
                     200,
-                    "the next one is read"
+                    "the next request is served"
                 );
             }
         });
     }
 }
 
-/// The node is frozen while hundreds of clients send and disconnect: it serves none of them when it goes on.
+/// The node is paused while 300 clients send requests and disconnect. When it resumes, it sends none of these requests to
+/// engines.
 #[test]
 fn hundreds_of_clients_disconnect_from_a_busy_node() {
     for how in DISCONNECTS {
-        for (may, setup) in setups(|_| EngineBehavior::Normal) {
+        for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
             let (sim, node) = (setup.sim.clone(), setup.node.id());
             setup.run(move |cluster| async move {
                 assert_eq!(cluster.send_request("before", "draft").await.status, 200);
@@ -271,27 +278,30 @@
                 sim.freeze(node, true);
                 let client = cluster.client.clone();
                 let (done, wait) = async_channel::bounded(1);
-                let (sent, sims) = (ids.clone(), sim.clone());
+                let (sent_ids, sim) = (ids.clone(), sim.clone());
                 cluster.client.run(async move {
                     let mut open = Vec::new();
-                    for (mut conn, id) in conns.into_iter().zip(&sent) {
+                    for (mut conn, id) in conns.into_iter().zip(&sent_ids) {
                         conn.write_all(&request(id, "draft", 4_800)).await.unwrap();
                         open.push(conn);
                     }
                     client.sleep(5 * MS).await;
                     let disconnected_at = client.now();
-                    let mut kept = Vec::new();
+                    let mut half_closed = Vec::new();
                     for conn in open {
-                        kept.extend(disconnect(conn, how).await);
+                        half_closed.extend(disconnect(conn, how).await);
                     }
                     client.sleep(300 * MS).await;
-                    sims.freeze(node, false);
+                    sim.freeze(node, false);
                     client.sleep(3_000 * MS).await;
-                    done.send((disconnected_at, kept)).await.unwrap();
+                    done.send((disconnected_at, half_closed)).await.unwrap();
                 });
-                let (disconnected_at, _kept) = wait.recv().await.unwrap();
+                let (disconnected_at, _half_closed) = wait.recv().await.unwrap();
                 let late = last_attempt_after(&cluster, &ids, disconnected_at);
-                assert!(late <= MAX_DELAY, "{how:?}, may cancel {may}: {late} us");
+                assert!(
+                    late <= MAX_DELAY,
+                    "{how:?}, may cancel {may_cancel}: {late} us"
+                );
                 assert_eq!(cluster.service.node().open_requests(), 0);
             });
         }
