--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -1,4 +1,4 @@
-//! The platform's five rules under many faults, checked from what crossed the engines' and the clients' sockets.
+//! The platform's five rules under many faults, checked against the requests and responses that engines and clients received.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
 
 const DRAIN_GRACE: Micros = 1_000_000;
 const RELEASE_WITHIN: Micros = 300_000;
-/// What the platform adds to every time limit.
+/// The tolerance of 50 ms that the platform adds to every time limit.
 const TOLERANCE: Micros = 50_000;
 
 fn hash(text: &str, salt: u64) -> u64 {
@@ -20,7 +20,7 @@
     })
 }
 
-/// The fault of an engine under a request, drawn from the request's id and the engine's number.
+/// Returns the number of the fault that an engine shows for a request, drawn from the request's id and the engine's number.
 fn fault(received: &EngineRequest) -> u64 {
     if received.id.is_empty() {
         return 99;
@@ -41,12 +41,12 @@
     }
 }
 
-/// Whether the engine rejects the request unprocessed.
+/// Returns whether the engine rejects the request without processing it.
 fn is_rejected(received: &EngineRequest) -> bool {
     matches!(fault(received), 3 | 4)
 }
 
-/// A client's side of one request.
+/// One request as its client saw it.
 struct ClientRecord {
     id: String,
     class: &'static str,
@@ -54,7 +54,7 @@
     timeout: Micros,
     /// `None` if the client disconnected before its response.
     response: Option<Response>,
-    /// When the client had its response or disconnected.
+    /// When the client received its response or disconnected.
     ended: Micros,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// How often something happened in a run, so that it is known to have tested something.
+/// Counts the relevant events of a run, to verify that the run exercised the rules.
 #[derive(Debug, Default)]
 struct Counts {
     retried: usize,
@@ -77,7 +77,7 @@
     broken: usize,
 }
 
-/// One client: sends a request, and waits for its response or disconnects.
+/// Runs one client, which sends a request and waits for its response or disconnects.
 async fn run_client(client: RuntimeRef, address: SocketAddr, n: u64) -> ClientRecord {
     let id = format!("q{n}");
     let class = if n % 3 == 0 { "send" } else { "draft" };
@@ -104,7 +104,7 @@
     }
 }
 
-/// Rule 1: one final response in time, and nothing sent after it.
+/// Rule 1: the client receives one final response in time, and no attempt begins after it.
 fn check_final_response(record: &ClientRecord, attempts: &[&EngineRequest]) {
     let id = &record.id;
     if let Some(response) = &record.response {
@@ -113,7 +113,7 @@
             let took = response.at - record.sent;
             assert!(
                 took <= record.timeout + TOLERANCE,
-                "{id}: a response after {took} us of {}",
+                "{id}: response after {took} us, timeout {} us",
                 record.timeout
             );
         }
@@ -121,35 +121,36 @@
     for attempt in attempts {
         assert!(
             attempt.at <= record.ended + 1_000,
-            "{id}: sent after its end"
+            "{id}: an attempt began after the response or the disconnect"
         );
     }
 }
 
-/// Rule 2: no effect twice, and a rejection only where nothing ran.
+/// Rule 2: a non-idempotent request runs at most once, and is rejected only if it did not run.
 fn check_effects(record: &ClientRecord, decodes: &[&EngineRequest]) {
     let id = &record.id;
     let may_have_run = decodes.iter().filter(|d| !is_rejected(d)).count();
     if record.class == "send" {
         assert!(may_have_run <= 1, "{id}: may have run {may_have_run} times");
         if record.is_rejected() {
-            assert_eq!(may_have_run, 0, "{id}: rejected, and may have run");
+            assert_eq!(may_have_run, 0, "{id}: rejected, but may have run");
         }
     }
 }
 
-/// No two attempts at once: one without a response is over when its connection is closed.
+/// A request has at most one attempt at a time: the connection of an attempt without a response is closed before the next
+/// attempt arrives.
 fn check_one_attempt_at_a_time(id: &str, attempts: &[&EngineRequest], log: &RequestLog) {
     for pair in attempts.windows(2).filter(|pair| fault(pair[0]) == 5) {
         let closed_at = log.closed_at(pair[0].connection);
         assert!(
             closed_at.is_some_and(|at| at <= pair[1].at),
-            "{id}: two attempts at once"
+            "{id}: two attempts at the same time"
         );
     }
 }
 
-/// Rule 5: an unused prefill is released. Whether there was one.
+/// Rule 5: an unused prefill is released. Returns whether there was one.
 fn check_release(record: &ClientRecord, attempts: &[&EngineRequest], log: &RequestLog) -> bool {
     let id = &record.id;
     let streamed = attempts
@@ -176,21 +177,21 @@
     true
 }
 
-/// Rule 3: nothing is sent to engines 1 and 3 while they drain, after the grace time.
-fn check_drains(log: &RequestLog, drained: Micros, back: Micros) {
-    let forbidden = drained + DRAIN_GRACE + TOLERANCE..back;
+/// Rule 3: no request is sent to engines 1 and 3 while they drain, once the grace period has ended.
+fn check_drains(log: &RequestLog, draining_since: Micros, draining_until: Micros) {
+    let forbidden = draining_since + DRAIN_GRACE + TOLERANCE..draining_until;
     let requests = log.requests.iter();
     for request in requests.filter(|r| matches!(r.engine, 1 | 3) && r.method == "POST") {
         assert!(
             !forbidden.contains(&request.at),
-            "{} sent to a draining engine, {} us late",
+            "{} sent to a draining engine, {} us after it began to drain",
             request.id,
-            request.at - drained
+            request.at - draining_since
         );
     }
 }
 
-/// Checks the rules of single requests.
+/// Checks the rules that apply to single requests.
 fn check_requests(records: &[ClientRecord], log: &RequestLog) -> Counts {
     let mut attempts_by_id: BTreeMap<&str, Vec<&EngineRequest>> = BTreeMap::new();
     for request in log.requests.iter().filter(|r| !r.id.is_empty()) {
@@ -235,10 +236,10 @@
         drop(sender);
         cluster.runtime.sleep(3_000_000).await;
         cluster.update_list(list(&["up", "draining", "up", "draining"]));
-        let drained = cluster.runtime.now();
+        let draining_since = cluster.runtime.now();
         cluster.runtime.sleep(3_000_000).await;
         cluster.update_list(list(&["up"; 4]));
-        let back = cluster.runtime.now();
+        let draining_until = cluster.runtime.now();
         let mut records = Vec::new();
         while let Ok(record) = receiver.recv().await {
             records.push(record);
@@ -247,22 +248,22 @@
         assert_eq!(records.len(), 400);
         let log = cluster.log.lock().unwrap();
         let counts = check_requests(&records, &log);
-        check_drains(&log, drained, back);
-        // The run had enough faults to mean something.
+        check_drains(&log, draining_since, draining_until);
+        // The run exercised retries, releases and broken streams often enough.
         assert!(
             counts.retried > 20 && counts.released > 20 && counts.broken > 5,
             "{counts:?}"
         );
         assert!(
             log.requests.iter().any(|r| r.at > begun && r.engine == 1),
-            "engine 1 was used at all"
+            "engine 1 was never used"
         );
         assert_eq!(cluster.service.node().open_requests(), 0);
     });
 }
 
-/// Rule 4: a cold engine gets no more requests in the overload window than its share of a warm one's, times the stated
-/// multiple, though no other engine is left.
+/// Rule 4: within an overload window of 3 s a cold engine receives at most its warm-up share of the requests that a warm engine
+/// received, times the configured multiple (here 1), even if no other decode engine is available.
 #[test]
 fn a_cold_engine_is_not_overloaded() {
     const WINDOW: Micros = 3_000_000;
@@ -295,24 +296,27 @@
         cluster.runtime.sleep(6_000_000).await;
         let log = cluster.log.lock().unwrap();
         let requests_to = |engine: usize, from: Micros| {
-            let span = from..from + WINDOW;
-            let ours = log
+            let window = from..from + WINDOW;
+            let requests = log
                 .requests
                 .iter()
                 .filter(|s| s.engine == engine && !s.id.is_empty());
-            ours.filter(|s| span.contains(&s.at)).count() as f64
+            requests.filter(|s| window.contains(&s.at)).count() as f64
         };
-        // What one warm writer took for all in such a span, before the other one came.
+        // The requests that the only decode engine, which is warm, received in the window before the cold engine was listed.
         let warm = requests_to(2, listed_at - WINDOW);
         assert!(warm > 250.0, "{warm}");
-        // By then it has at most 0.4 and six tenths of what is missing, at three seconds and six.
+        // The share rises linearly from 0.4 at the start to 1 after 10 s: to 0.58 at 3 s and 0.76 at 6 s.
         for (from, share) in [
             (listed_at, 0.4 + 0.6 * 0.3),
             (listed_at + WINDOW, 0.4 + 0.6 * 0.6),
         ] {
             let sent = requests_to(3, from);
-            assert!(sent > 0.0, "it is used all the same");
-            assert!(sent <= share * warm, "{sent} of {warm}");
+            assert!(sent > 0.0, "the cold engine was not used");
+            assert!(
+                sent <= share * warm,
+                "cold engine: {sent} requests, warm engine: {warm}, share {share}"
+            );
         }
     });
 }
