--- a/crates/ivyward-platform/tests/watch_latency.rs
+++ b/crates/ivyward-platform/tests/watch_latency.rs
@@ -1,4 +1,5 @@
-//! A change of the list takes effect 6 s after discovery had it and could be reached, whatever call failed meanwhile.
+//! A change of the list takes effect within 6 s after discovery has it and can be reached, whichever calls to discovery fail
+//! in between.
 
 mod common;
 use common::*;
@@ -8,18 +9,18 @@
 use std::net::SocketAddr;
 
 const MS: Micros = 1_000;
-/// The longest delay, less what a node with a fifth of a core may take to act on a list.
+/// The limit of 6 s, less 100 ms for a node with a fifth of a core to act on a list.
 const MAX_DELAY: Micros = 5_900 * MS;
 
-/// One prefill and one decode engine begin to drain while discovery has `faults`; under steady requests the node sends them
-/// nothing after the longest delay.
+/// One prefill and one decode engine begin to drain while discovery responds to the next calls with `faults`. Under steady
+/// requests the node sends them nothing after `MAX_DELAY`. `silence` also makes the open long poll unresponsive.
 fn check_drain_delay(name: &str, silence: bool, faults: &[DiscoveryBehavior]) {
-    // Just after a response, in the middle of a wait, just before its end.
+    // Milliseconds after the long poll began to wait: at its beginning, in its middle and just before its end.
     for after in [2, 700, 1_490] {
         let faults = faults.to_vec();
         let name = format!("{name}, {after} ms");
         ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
-            // The long poll begins to wait.
+            // Ends the current long poll, and the node begins the next one.
             cluster.update_list(list(&["up"; 4]));
             cluster.runtime.sleep(after * MS).await;
             {
@@ -35,38 +36,36 @@
                 cluster.send_request(&format!("r{n}"), "draft").await;
                 cluster.runtime.sleep(60 * MS).await;
             }
-            let at = |received: &&EngineRequest| {
+            let to_draining = |received: &&EngineRequest| {
                 matches!(received.engine, 0 | 2) && received.method == "POST"
             };
             let last = cluster
                 .engine_requests()
                 .iter()
-                .filter(at)
+                .filter(to_draining)
                 .map(|s| s.at)
                 .max()
                 .unwrap_or(0);
             assert!(
                 last < changed_at + MAX_DELAY,
-                "{name}: a send {} us after the change",
+                "{name}: a request {} us after the change",
                 last - changed_at
             );
-            assert!(
-                cluster.faults.lock().unwrap().calls < 60,
-                "{name}: discovery is not overloaded"
-            );
+            let calls = cluster.faults.lock().unwrap().calls;
+            assert!(calls < 60, "{name}: {calls} calls to discovery");
         });
     }
 }
 
 #[test]
-fn an_open_long_poll_falls_silent() {
-    check_drain_delay("silent", true, &[]);
+fn an_open_long_poll_becomes_unresponsive() {
+    check_drain_delay("unresponsive", true, &[]);
 }
 
 #[test]
-fn a_silent_long_poll_then_calls_without_a_response() {
+fn an_unresponsive_long_poll_then_calls_without_a_response() {
     check_drain_delay(
-        "silent, three more",
+        "unresponsive, then three calls without a response",
         true,
         &[
             DiscoveryBehavior::Silent,
@@ -86,19 +85,19 @@
         DiscoveryBehavior::Truncate(200),
         DiscoveryBehavior::Close,
     ];
-    check_drain_delay("quick", false, &faults);
-    check_drain_delay("silent, then quick", true, &faults);
+    check_drain_delay("quick failures", false, &faults);
+    check_drain_delay("unresponsive, then quick failures", true, &faults);
 }
 
 #[test]
 fn responses_that_stall_within_their_head_or_body() {
     check_drain_delay(
-        "part",
+        "partial responses",
         false,
         &[DiscoveryBehavior::Stall(10), DiscoveryBehavior::Stall(120)],
     );
     check_drain_delay(
-        "silent, then part",
+        "unresponsive, then partial responses",
         true,
         &[DiscoveryBehavior::Stall(10), DiscoveryBehavior::Stall(120)],
     );
@@ -119,18 +118,18 @@
         .map(|b| DiscoveryBehavior::Body((*b).to_owned()))
         .collect();
     check_drain_delay("malformed", false, &faults);
-    check_drain_delay("silent, then malformed", true, &faults);
+    check_drain_delay("unresponsive, then malformed", true, &faults);
 }
 
-/// Changes of an older version are outdated; the present list follows with the next call.
+/// Responses with an older version are ignored; the next call returns the current list.
 #[test]
-fn versions_that_go_backwards() {
+fn responses_with_an_older_version() {
     let old = format!(
         r#"{{"version":0,"full":false,"servers":[{}]}}"#,
         list_entry(0, "up")
     );
     check_drain_delay(
-        "back",
+        "older version",
         false,
         &[
             DiscoveryBehavior::Body(old.clone()),
@@ -139,7 +138,7 @@
     );
 }
 
-/// A drain is not undone by changes of an older version, though nothing newer is received for long.
+/// Changes of an older version do not undo a drain, even if no newer response is received for seconds.
 #[test]
 fn changes_of_an_older_version_do_not_undo_a_drain() {
     ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
@@ -153,7 +152,7 @@
         );
         {
             let mut faults = cluster.faults.lock().unwrap();
-            // The next watch is answered so; the list is asked for after it, and that call hangs.
+            // The next long poll returns the older version. The node then requests the full list, and that call hangs.
             faults.next = [DiscoveryBehavior::Body(older), DiscoveryBehavior::Silent].into();
         }
         for n in 0..60 {
@@ -168,16 +167,16 @@
         assert_eq!(late, 0);
         assert!(
             cluster.faults.lock().unwrap().next.is_empty(),
-            "both were asked for"
+            "the node made fewer than two calls"
         );
     });
 }
 
-/// After a rejection the changes are asked for again, which cost discovery less than the full list; after any other failure
-/// the full list is asked for.
+/// After a rejection (429 or 503) the node requests the changes again, which cost discovery less than the full list. After any
+/// other failure it requests the full list.
 #[test]
-fn after_a_rejection_changes_are_asked_for_again() {
-    for (fault, news) in [
+fn after_a_rejection_changes_are_requested_again() {
+    for (fault, requests_changes) in [
         (DiscoveryBehavior::Status(503), true),
         (DiscoveryBehavior::Status(429), true),
         (DiscoveryBehavior::Status(500), false),
@@ -185,27 +184,27 @@
         ClusterSetup::new(|_| EngineBehavior::Normal).run(move |cluster| async move {
             cluster.update_list(list(&["up"; 4]));
             cluster.runtime.sleep(100 * MS).await;
-            let sent_releases = {
+            let calls_before = {
                 let mut faults = cluster.faults.lock().unwrap();
                 faults.next = [fault.clone()].into();
                 faults.targets.len()
             };
             wait_until(&cluster.runtime, "three calls", || {
-                cluster.faults.lock().unwrap().targets.len() >= sent_releases + 3
+                cluster.faults.lock().unwrap().targets.len() >= calls_before + 3
             })
             .await;
             let targets =
-                cluster.faults.lock().unwrap().targets[sent_releases..sent_releases + 3].to_vec();
-            // The fault meets the watch that follows the one that is out.
-            let again: Vec<bool> = targets.iter().map(|t| t.contains("from=2")).collect();
-            assert_eq!(again[1], news, "{fault:?}: {targets:?}");
-            assert!(again[2], "{fault:?}: {targets:?}");
+                cluster.faults.lock().unwrap().targets[calls_before..calls_before + 3].to_vec();
+            // The first of the three calls is the long poll after the open one; it gets the fault.
+            let changes: Vec<bool> = targets.iter().map(|t| t.contains("from=2")).collect();
+            assert_eq!(changes[1], requests_changes, "{fault:?}: {targets:?}");
+            assert!(changes[2], "{fault:?}: {targets:?}");
         });
     }
 }
 
-/// A discovery that needs 1.6 s for each call, and more while many wait, is followed all the same: a call is not abandoned for
-/// the next one, and discovery is not overloaded.
+/// Discovery takes 1.6 s for each call. The node still receives the list in time: it does not abandon a slow call for the next
+/// one, and makes at most 10 calls in 8 s, so that it does not overload discovery further.
 #[test]
 fn calls_to_an_overloaded_discovery_are_not_abandoned() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
@@ -221,19 +220,19 @@
             cluster.send_request(&format!("r{n}"), "draft").await;
             cluster.runtime.sleep(60 * MS).await;
         }
-        let at = |received: &&EngineRequest| {
+        let to_draining = |received: &&EngineRequest| {
             matches!(received.engine, 0 | 2) && received.method == "POST"
         };
         let last = cluster
             .engine_requests()
             .iter()
-            .filter(at)
+            .filter(to_draining)
             .map(|s| s.at)
             .max()
             .unwrap_or(0);
         assert!(
             last < changed_at + MAX_DELAY,
-            "a send {} us after the change",
+            "a request {} us after the change",
             last - changed_at
         );
         let calls = cluster.faults.lock().unwrap().calls - calls;
@@ -241,15 +240,15 @@
     });
 }
 
-/// While discovery is down the present list is used; its list at its return takes effect soon after.
+/// While discovery is down for 8 s, the last list stays in use. Once discovery is back, its list takes effect within 1.2 s.
 #[test]
-fn discovery_is_silent_for_eight_seconds_and_back() {
-    for down in [DiscoveryBehavior::Silent, DiscoveryBehavior::Reset] {
+fn the_list_is_updated_soon_after_an_outage_of_discovery() {
+    for outage in [DiscoveryBehavior::Silent, DiscoveryBehavior::Reset] {
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         setup.run(move |cluster| async move {
             {
                 let mut discovery = cluster.faults.lock().unwrap();
-                discovery.always = Some(down.clone());
+                discovery.always = Some(outage.clone());
                 discovery.silence();
             }
             cluster.update_list(list(&["draining", "up", "draining", "up"]));
@@ -264,34 +263,37 @@
                 cluster.runtime.sleep(100 * MS).await;
             }
             cluster.faults.lock().unwrap().always = None;
-            let back = cluster.runtime.now();
+            let recovered_at = cluster.runtime.now();
             for n in 0..60 {
                 cluster.send_request(&format!("up{n}"), "draft").await;
                 cluster.runtime.sleep(50 * MS).await;
             }
-            let at = |received: &&EngineRequest| {
-                matches!(received.engine, 0 | 2) && received.method == "POST" && received.at > back
+            let to_draining = |received: &&EngineRequest| {
+                matches!(received.engine, 0 | 2)
+                    && received.method == "POST"
+                    && received.at > recovered_at
             };
             let last = cluster
                 .engine_requests()
                 .iter()
-                .filter(at)
+                .filter(to_draining)
                 .map(|s| s.at)
                 .max()
-                .unwrap_or(back);
-            assert!(last - back < 1_200 * MS, "{down:?}: {} us", last - back);
+                .unwrap_or(recovered_at);
+            let delay = last - recovered_at;
+            assert!(delay < 1_200 * MS, "{outage:?}: {delay} us");
         });
     }
 }
 
-/// A node that starts without a cached list while discovery is down is ready soon after discovery is back.
+/// A node that starts without a cached list during an outage of discovery is ready within 1 s after the outage.
 #[test]
-fn a_start_without_discovery_is_ready_soon_after_its_return() {
+fn a_node_started_without_discovery_is_ready_soon_after_the_outage() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     setup.faults.lock().unwrap().always = Some(DiscoveryBehavior::Silent);
     let (faults, client) = (setup.faults.clone(), setup.client.runtime());
     let (runtime, config) = (setup.runtime.clone(), setup.config());
-    let played = setup.sim.run(&setup.node, RUN_TIMEOUT, async move {
+    let result = setup.sim.run(&setup.node, RUN_TIMEOUT, async move {
         let service = ivyward_platform::Service::start(runtime.clone(), config)
             .await
             .unwrap();
@@ -304,20 +306,20 @@
             .unwrap();
         assert_eq!(read_response(&client, &mut conn).await.status, 200);
     });
-    played.unwrap();
+    result.unwrap();
 }
 
-/// If discovery moves while a call to the old address hangs, the new one is asked at once.
+/// If a reload changes the address of discovery while a call to the old address hangs, the node calls the new address at once.
 #[test]
-fn discovery_moves_while_a_call_hangs() {
+fn the_address_of_discovery_changes_while_a_call_hangs() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
-    let (other, new) = (setup.sim.host(44), SocketAddr::from(([127, 0, 2, 2], 8500)));
-    let newer = std::sync::Arc::new(std::sync::Mutex::new((
+    let (new_host, new_address) = (setup.sim.host(44), SocketAddr::from(([127, 0, 2, 2], 8500)));
+    let new_list = std::sync::Arc::new(std::sync::Mutex::new((
         70,
         list(&["draining", "up", "draining", "up"]),
     )));
-    start_discovery(&other, new, &newer, &Default::default());
-    let moved = config(new, 1024);
+    start_discovery(&new_host, new_address, &new_list, &Default::default());
+    let new_config = config(new_address, 1024);
     setup.run(move |cluster| async move {
         {
             let mut discovery = cluster.faults.lock().unwrap();
@@ -327,7 +329,7 @@
         cluster.runtime.sleep(100 * MS).await;
         cluster
             .service
-            .reload(&Config::parse("f", moved.as_bytes()).unwrap());
+            .reload(&Config::parse("f", new_config.as_bytes()).unwrap());
         cluster.runtime.sleep(50 * MS).await;
         let changed_at = cluster.runtime.now();
         for n in 0..20 {
@@ -342,23 +344,23 @@
     });
 }
 
-/// A list of 1,500 engines, indented, over a slow connection: longer than a request's body may be, and slower than the first
-/// call's timeout.
+/// An indented list of 1,500 engines over a slow connection: it is longer than the limit on a request's body (256 KiB), and
+/// takes longer than the timeout of the first call.
 #[test]
 fn a_long_list_over_a_slow_connection() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
     {
         let mut list = setup.list.lock().unwrap();
         for n in 0..1_500 {
-            let more = format!(
+            let entry = format!(
                 ",\n        {{\n            \"id\": \"s-x{n:06}\",\n            \"addr\": \"127.0.3.1:{}\",\n            \"zone\": \"a\",\n            \"kind\": \"prefill\",\n            \"cell\": 3,\n            \"state\": \"draining\",\n            \"weight\": 1.0,\n            \"started_ms\": 0\n        }}",
                 10_000 + n
             );
-            list.1.push_str(&more);
+            list.1.push_str(&entry);
         }
         assert!(list.1.len() > 256 << 10);
     }
-    // 100 kB a second: some four seconds.
+    // 100 kB/s, which is about 4 s for the list.
     setup.faults.lock().unwrap().always = Some(DiscoveryBehavior::Slow(5_000, 50 * MS));
     setup.run(|cluster| async move {
         assert_eq!(cluster.service.node().metrics().engines.get(), 1_504);
@@ -366,7 +368,7 @@
     });
 }
 
-/// A cached list that is malformed, or has a malformed entry, does not prevent a start.
+/// A cached list that is malformed, or contains a malformed entry, does not prevent a start.
 #[test]
 fn a_malformed_cached_list_is_ignored() {
     for known in [
