--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -1,5 +1,5 @@
-//! The timeout sent to an engine is at most what its client has left, with 0.15 s of slack: on first and further attempts,
-//! after late connects, after queueing and beside reservations. And a request that was read on a new connection is answered.
+//! The timeout that an engine receives is at most the client's remaining time plus a tolerance of 0.15 s: on first and later
+//! attempts, after slow connects and after queueing. A request that was read on a new connection is answered.
 
 mod common;
 use common::*;
@@ -9,21 +9,21 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 const MS: Micros = 1_000;
-const SLACK: Micros = 150 * MS;
-/// Does not say whether anything ran: the next attempt follows where that is allowed.
-const FAILS: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
+const TOLERANCE: Micros = 150 * MS;
+/// Does not state whether the request ran: it is retried only if that is allowed.
+const INTERNAL_ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
 fn engines_are_sent_the_clients_remaining_time() {
     for lag in [0, 80 * MS] {
-        // One attempt of nine fails, two are rejected, one is late.
+        // Of nine attempts one fails, two are rejected, and one gets a late response.
         let count = AtomicUsize::new(0);
         let setup = ClusterSetup::new(move |received| {
             if !is_prefill(received) && !is_decode(received) {
                 return EngineBehavior::Normal;
             }
             match count.fetch_add(1, Ordering::SeqCst) % 9 {
-                0 => respond_with(FAILS),
+                0 => respond_with(INTERNAL_ERROR),
                 3 | 5 => respond_with(REJECTED_UNPROCESSED),
                 7 => EngineBehavior::Delayed(200 * MS),
                 _ => EngineBehavior::Normal,
@@ -33,10 +33,10 @@
             setup.sim.lag(setup.node.id(), engine.id(), lag);
         }
         setup.run(move |cluster| async move {
-            let (mut sent, mut further) = (0, 0);
+            let (mut attempt_count, mut retry_count) = (0, 0);
             for n in 0..40_u64 {
                 let (id, timeout_ms) = (format!("r{n}"), 1_200 + 100 * n);
-                // Long enough for engines that failed to be tried again.
+                // After this pause engines that failed are used again.
                 cluster.runtime.sleep(3_000 * MS).await;
                 let mut conn = cluster.connect().await;
                 let began = cluster.runtime.now();
@@ -44,53 +44,56 @@
                     .await
                     .unwrap();
                 read_response(&cluster.client, &mut conn).await;
-                let sends = cluster.attempts(&id);
-                for send in &sends {
-                    let left = (began + timeout_ms * MS).saturating_sub(send.at);
-                    let timeout = send.timeout_ms * MS;
+                let attempts = cluster.attempts(&id);
+                for attempt in &attempts {
+                    let remaining = (began + timeout_ms * MS).saturating_sub(attempt.at);
+                    let timeout = attempt.timeout_ms * MS;
                     assert!(
-                        timeout <= left + SLACK,
-                        "{id}: a timeout of {timeout} us, {left} us left"
+                        timeout <= remaining + TOLERANCE,
+                        "{id}: a timeout of {timeout} us with {remaining} us remaining"
                     );
-                    assert!(send.timeout_ms > 0, "{id}: no timeout was sent");
+                    assert!(attempt.timeout_ms > 0, "{id}: no timeout was sent");
                 }
-                sent += sends.len();
-                further += sends.len().saturating_sub(2);
+                attempt_count += attempts.len();
+                retry_count += attempts.len().saturating_sub(2);
             }
-            assert!(sent >= 40, "{sent} sent");
-            // Where connecting takes as long, a prefill is released before a decode can be sent.
-            assert!(lag > 0 || further >= 10, "{further} further ones of {sent}");
+            assert!(attempt_count >= 40, "{attempt_count} attempts");
+            // With a lag of 80 ms connecting takes so long that a prefill is released before its decode can be sent.
+            assert!(
+                lag > 0 || retry_count >= 10,
+                "{retry_count} retries of {attempt_count} attempts"
+            );
         });
     }
 }
 
-/// A request on a new connection, at the moment in which the node closes it as idle, is answered or not read at all, which
-/// the client sees as a reset or a close.
+/// A request is sent on a new connection at about the time when the node closes the connection as idle. The request is either
+/// answered or not read at all, which the client notices by a reset or a close.
 #[test]
-fn a_request_that_crosses_a_new_connections_close_is_answered_or_not_read() {
+fn a_request_during_the_close_of_a_new_connection_is_answered_or_not_read() {
     let (mut answered, mut closed) = (0, 0);
-    // A connection on which nothing came is closed after 2 s; the way to it takes 200 us.
+    // A connection without a request is closed after 2 s; the network latency is 200 us.
     for sent_at in (1_998_500..2_001_000).step_by(50) {
         let (outcome, outcomes) = std::sync::mpsc::channel();
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
         setup.sim.net(|net| net.jitter = 0);
         setup.run(move |cluster| async move {
-            let mut silent = cluster.connect().await;
+            let mut conn = cluster.connect().await;
             cluster.client.sleep(sent_at).await;
-            // It may be closed by now.
-            let _ = silent.write_all(&request("crosses", "send", 4_800)).await;
-            let answer = read_response(&cluster.client, &mut silent).await;
+            // The connection may have been closed already.
+            let _ = conn.write_all(&request("crosses", "send", 4_800)).await;
+            let response = read_response(&cluster.client, &mut conn).await;
             cluster.runtime.sleep(2_000 * MS).await;
             assert_eq!(
                 cluster.attempts("crosses").is_empty(),
-                answer.status == 0,
-                "{sent_at}: {answer:?}"
+                response.status == 0,
+                "{sent_at}: {response:?}"
             );
             assert!(
-                answer.status == 0 || answer.status == 200 && answer.whole,
-                "{sent_at}: {answer:?}"
+                response.status == 0 || response.status == 200 && response.whole,
+                "{sent_at}: {response:?}"
             );
-            outcome.send(answer.status).unwrap();
+            outcome.send(response.status).unwrap();
         });
         match outcomes.recv().unwrap() {
             0 => closed += 1,
@@ -99,6 +102,6 @@
     }
     assert!(
         answered > 0 && closed > 0,
-        "both sides of the moment: {answered} answered, {closed} closed"
+        "the send times do not cover both cases: {answered} answered, {closed} closed"
     );
 }
