--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -1,4 +1,4 @@
-//! Accepts and connects that fail on the node's own machine, through a runtime that makes them fail.
+//! Accepts and connects that fail on the node's own machine. A runtime injects the failures.
 
 mod common;
 
@@ -16,20 +16,20 @@
 const ECONNABORTED: i32 = 103;
 const EADDRNOTAVAIL: i32 = 99;
 
-/// What fails in a runtime.
+/// The failures that a runtime injects.
 #[derive(Default)]
-struct Failing {
-    /// The next accept waits for good; those behind it fail in turn.
+struct Failures {
+    /// If set, the next accept never returns, and every second accept after it fails with ECONNABORTED.
     accepts: AtomicBool,
-    /// So many dials fail from now on for want of a port.
-    dials: AtomicUsize,
-    /// Dials that failed so.
-    failed_dials: AtomicUsize,
+    /// The number of connects to engines that will fail with EADDRNOTAVAIL, as without a free local port.
+    connects: AtomicUsize,
+    /// The number of connects that failed so far.
+    failed_connects: AtomicUsize,
 }
 
 struct FailingRuntime {
     runtime: RuntimeRef,
-    failing: Arc<Failing>,
+    failures: Arc<Failures>,
 }
 
 impl Runtime for FailingRuntime {
@@ -46,22 +46,22 @@
         self.runtime.spawn(task);
     }
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Conn>> {
-        let engine = to.port() == 8080;
-        let one_less = |left: usize| left.checked_sub(1);
-        let (dials, order) = (&self.failing.dials, Ordering::SeqCst);
-        if engine && dials.fetch_update(order, order, one_less).is_ok() {
-            self.failing.failed_dials.fetch_add(1, order);
+        let is_engine = to.port() == 8080;
+        let decrement = |remaining: usize| remaining.checked_sub(1);
+        let (connects, order) = (&self.failures.connects, Ordering::SeqCst);
+        if is_engine && connects.fetch_update(order, order, decrement).is_ok() {
+            self.failures.failed_connects.fetch_add(1, order);
             return Box::pin(async { Err(io::Error::from_raw_os_error(EADDRNOTAVAIL)) });
         }
         self.runtime.connect(to)
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let (listener, failing) = (self.runtime.listen(at)?, self.failing.clone());
+        let (listener, failures) = (self.runtime.listen(at)?, self.failures.clone());
         Ok(Box::new(FailingListener {
             listener,
-            failing,
-            waited: false,
-            failed: false,
+            failures,
+            has_blocked: false,
+            has_failed: false,
         }))
     }
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
@@ -74,19 +74,21 @@
 
 struct FailingListener {
     listener: Box<dyn Listener>,
-    failing: Arc<Failing>,
-    waited: bool,
-    failed: bool,
+    failures: Arc<Failures>,
+    /// Whether one accept has been blocked.
+    has_blocked: bool,
+    /// Whether the last accept failed.
+    has_failed: bool,
 }
 
 impl Listener for FailingListener {
     fn accept(&mut self) -> BorrowedFuture<'_, io::Result<(Conn, SocketAddr)>> {
-        if self.failing.accepts.load(Ordering::SeqCst) {
-            if !std::mem::replace(&mut self.waited, true) {
+        if self.failures.accepts.load(Ordering::SeqCst) {
+            if !std::mem::replace(&mut self.has_blocked, true) {
                 return Box::pin(std::future::pending());
             }
-            self.failed = !self.failed;
-            if self.failed {
+            self.has_failed = !self.has_failed;
+            if self.has_failed {
                 return Box::pin(async { Err(io::Error::from_raw_os_error(ECONNABORTED)) });
             }
         }
@@ -97,7 +99,8 @@
     }
 }
 
-async fn healthy(client: &RuntimeRef, address: SocketAddr) {
+/// Waits until a node is ready.
+async fn wait_until_ready(client: &RuntimeRef, address: SocketAddr) {
     loop {
         let mut conn = client.connect(address).await.unwrap();
         conn.write_all(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -110,24 +113,24 @@
     }
 }
 
-/// Guards against an aborted connection that ends the accepting of queued connections at a stop: those behind it would be
-/// reset with the listener.
+/// At a stop the node accepts the connections that are still in the accept queue. An aborted connection among them must not
+/// end this: those behind it would be reset when the listener closes.
 #[test]
 fn queued_connections_behind_an_aborted_one_are_served_at_a_stop() {
     let setup = ClusterSetup::new(|_: &EngineRequest| EngineBehavior::Normal);
-    let failing = Arc::<Failing>::default();
+    let failures = Arc::<Failures>::default();
     let runtime: RuntimeRef = Arc::new(FailingRuntime {
         runtime: setup.runtime.clone(),
-        failing: failing.clone(),
+        failures: failures.clone(),
     });
     let (config, client) = (setup.config(), setup.client.runtime());
-    let played = setup.sim.run(&setup.node, common::RUN_TIMEOUT, async move {
+    let result = setup.sim.run(&setup.node, common::RUN_TIMEOUT, async move {
         let mut service = Service::start(runtime.clone(), config).await.unwrap();
         let address = service.address();
-        healthy(&client, address).await;
-        failing.accepts.store(true, Ordering::SeqCst);
-        // This one is taken by the accept that is waiting; those behind it stay in the queue.
-        let _taken = client.connect(address).await.unwrap();
+        wait_until_ready(&client, address).await;
+        failures.accepts.store(true, Ordering::SeqCst);
+        // This connection is accepted by the pending accept; those behind it stay in the queue.
+        let _accepted = client.connect(address).await.unwrap();
         client.sleep(10_000).await;
         let mut queued = Vec::new();
         for n in 0..4 {
@@ -150,28 +153,28 @@
                 "request {n} of the queue"
             );
         }
-        // Ends when the sender is dropped.
+        // Returns an error when the sender is dropped.
         let _ = ended.recv().await;
     });
-    played.unwrap();
+    result.unwrap();
 }
 
-/// Guards against a moment without local ports that counts as failures of the engines.
+/// A temporary lack of local ports must not count as a failure of engines, and the requests are still served.
 #[test]
-fn a_moment_without_local_ports_fails_no_request_and_no_engine() {
-    const DIALS: usize = 8;
+fn a_temporary_lack_of_local_ports_fails_no_request_and_no_engine() {
+    const CONNECTS: usize = 8;
     let setup = ClusterSetup::new(|_: &EngineRequest| EngineBehavior::Normal);
-    let failing = Arc::<Failing>::default();
+    let failures = Arc::<Failures>::default();
     let runtime: RuntimeRef = Arc::new(FailingRuntime {
         runtime: setup.runtime.clone(),
-        failing: failing.clone(),
+        failures: failures.clone(),
     });
     let (config, client) = (setup.config(), setup.client.runtime());
-    let played = setup.sim.run(&setup.node, common::RUN_TIMEOUT, async move {
+    let result = setup.sim.run(&setup.node, common::RUN_TIMEOUT, async move {
         let service = Service::start(runtime.clone(), config).await.unwrap();
         let address = service.address();
-        healthy(&client, address).await;
-        failing.dials.store(DIALS, Ordering::SeqCst);
+        wait_until_ready(&client, address).await;
+        failures.connects.store(CONNECTS, Ordering::SeqCst);
         for n in 0..4 {
             let mut conn = client.connect(address).await.unwrap();
             conn.write_all(&request(&format!("d{n}"), "draft", 4_800))
@@ -184,7 +187,7 @@
                 "request {n}"
             );
         }
-        assert_eq!(failing.failed_dials.load(Ordering::SeqCst), DIALS);
+        assert_eq!(failures.failed_connects.load(Ordering::SeqCst), CONNECTS);
         let failed = ivyward::metrics::OUTCOMES
             .iter()
             .position(|(_, name)| *name == "connect_failed")
@@ -192,8 +195,8 @@
         assert_eq!(
             service.node().metrics().outcomes[failed].get(),
             0,
-            "no engine is taken for one that refuses"
+            "a local failure was counted as a failed connection to an engine"
         );
     });
-    played.unwrap();
+    result.unwrap();
 }
