--- a/crates/ivyward-platform/tests/shutdown.rs
+++ b/crates/ivyward-platform/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown on real sockets, with concurrent events ordered by barriers.
+//! Shutdown on real sockets. Channels put the concurrent events in a fixed order.
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -18,26 +18,26 @@
         "limits":{"try_limit":5,"retry_after":true,"max_retry_after_us":2000000,"dial_timeout_us":250000}}}"#;
 const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\n\r\n";
 
-/// Client connections of a node with so many file descriptors.
-const MOST_CLIENTS: usize = 60;
+/// The limit on client connections of a node with 160 file descriptors.
+const MAX_CLIENTS: usize = 60;
 
-/// The status line of a response, or `None` if the connection ends without one.
-async fn status(conn: &mut Conn) -> Option<String> {
-    let mut answer = Vec::new();
+/// Reads the response to a health check, and returns its status line, or `None` if the connection ends without a response.
+async fn read_status_line(conn: &mut Conn) -> Option<String> {
+    let mut head = Vec::new();
     let mut byte = [0; 1];
-    while !answer.ends_with(b"\r\n\r\n") {
+    while !head.ends_with(b"\r\n\r\n") {
         match conn.read(&mut byte).await {
-            Ok(1) => answer.push(byte[0]),
+            Ok(1) => head.push(byte[0]),
             _ => return None,
         }
     }
-    // The body of an answer about health.
+    // The body of the response is `{}`.
     conn.read_exact(&mut [0; 2]).await.ok()?;
-    Some(String::from_utf8_lossy(&answer).lines().next()?.to_owned())
+    Some(String::from_utf8_lossy(&head).lines().next()?.to_owned())
 }
 
-/// Connections that the system queues when the listener closes are served, also while evicted ones have not closed yet: with
-/// the listener they would be reset.
+/// Connections that are in the accept queue when the listener closes are served, even if evicted connections have not closed
+/// yet. Closing the listener before they are accepted would reset them.
 #[test]
 fn connections_queued_before_the_listener_closed_are_served() {
     let node = SmolRuntime::start(1, 1);
@@ -49,29 +49,29 @@
                 .await
                 .unwrap();
         let address = service.address();
-        // As many resting connections as the node takes: for each further one another is closed first.
-        let mut resting = Vec::new();
-        for _ in 0..MOST_CLIENTS {
+        // Idle connections up to the node's limit: for each further one an idle one is evicted.
+        let mut idle = Vec::new();
+        for _ in 0..MAX_CLIENTS {
             let mut conn = clients.connect(address).await.unwrap();
             conn.write_all(HEALTH).await.unwrap();
-            assert!(status(&mut conn).await.is_some());
-            resting.push(conn);
+            assert!(read_status_line(&mut conn).await.is_some());
+            idle.push(conn);
         }
-        // The node's one thread is blocked from here until it is resumed.
-        let (open_connections, stands) = async_channel::bounded(1);
-        let (resume, blocked) = mpsc::channel::<()>();
+        // The node's only thread is blocked from here until it is resumed.
+        let (blocked, wait_until_blocked) = async_channel::bounded(1);
+        let (resume, wait_for_resume) = mpsc::channel::<()>();
         node.run(async move {
-            open_connections.send(()).await.unwrap();
-            let _ = blocked.recv();
+            blocked.send(()).await.unwrap();
+            let _ = wait_for_resume.recv();
         });
-        stands.recv().await.unwrap();
-        let mut waiting = Vec::new();
+        wait_until_blocked.recv().await.unwrap();
+        let mut queued = Vec::new();
         for _ in 0..8 {
             let mut conn = clients.connect(address).await.unwrap();
             conn.write_all(HEALTH).await.unwrap();
-            waiting.push(conn);
+            queued.push(conn);
         }
-        // The listener is stopped on this thread; then the node's thread is resumed.
+        // The stop signal to the listener is sent on this thread; then the node's thread is resumed.
         let clock = clients.clone();
         or(service.stop(), async move {
             clock.sleep(750_000).await;
@@ -79,10 +79,10 @@
             std::future::pending().await
         })
         .await;
-        // As the process would end now.
+        // Stops the node's runtime, as the end of the process would.
         node.stop();
-        for (i, conn) in waiting.iter_mut().enumerate() {
-            let status = status(conn).await;
+        for (i, conn) in queued.iter_mut().enumerate() {
+            let status = read_status_line(conn).await;
             assert!(
                 status.as_deref().is_some_and(|s| s.contains("503")),
                 "connection {i}: {status:?}"
@@ -90,7 +90,7 @@
         }
         assert!(
             clients.connect(address).await.is_err(),
-            "it listens no longer"
+            "the node still listens"
         );
     });
 }
