--- a/crates/ivyward-etcd/tests/foreign.rs
+++ b/crates/ivyward-etcd/tests/independent_client.rs
@@ -1,5 +1,5 @@
-//! The fake store against the client of another project: `etcd-client`, on tonic's own transport and a tokio runtime.
-//! Shows that the fake speaks etcd's protocol and not just what this workspace's client expects of it.
+//! The fake store against an independent client: `etcd-client`, which uses tonic's transport and a tokio runtime. Shows that the
+//! fake implements etcd's protocol, and not only what this workspace's client expects.
 
 use etcd_client::{
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
@@ -11,7 +11,7 @@
 use std::future::Future;
 use std::sync::Arc;
 
-fn with<F: Future<Output = ()>>(test: impl FnOnce(Store, String) -> F) {
+fn with_store<F: Future<Output = ()>>(test: impl FnOnce(Store, String) -> F) {
     let host: Arc<dyn Host> = Arc::new(OwnThreads);
     let store = Store::start(&host, 1).unwrap();
     let address = format!("http://{}", store.address());
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn keys_revisions_and_ranges() {
-    with(|store, address| async move {
+fn keys_are_read_at_revisions_and_in_ranges() {
+    with_store(|store, address| async move {
         let mut client = Client::connect([address], None).await.unwrap();
         let first = client
             .put("a/1", "x", None)
@@ -46,13 +46,13 @@
             .unwrap();
         assert_eq!((all.count(), all.more()), (2, false));
         let kv = &all.kvs()[0];
-        let told = (
+        let found = (
             kv.key_str().unwrap(),
             kv.create_revision(),
             kv.mod_revision(),
             kv.version(),
         );
-        assert_eq!(told, ("a/1", first, first + 2, 2));
+        assert_eq!(found, ("a/1", first, first + 2, 2));
         let page = client
             .get("a/", Some(GetOptions::new().with_prefix().with_limit(1)))
             .await
@@ -79,9 +79,9 @@
             .unwrap();
         assert_eq!(keys.kvs()[0].value(), b"");
         let options = DeleteOptions::new().with_prefix().with_prev_key();
-        let gone = client.delete("a/", Some(options)).await.unwrap();
-        assert_eq!((gone.deleted(), gone.prev_kvs().len()), (2, 2));
-        // Deleting what is not there is no revision.
+        let deleted = client.delete("a/", Some(options)).await.unwrap();
+        assert_eq!((deleted.deleted(), deleted.prev_kvs().len()), (2, 2));
+        // Deleting a key that does not exist does not create a revision.
         let at = client
             .delete("none", None)
             .await
@@ -101,9 +101,9 @@
         assert_eq!(
             (kv.create_revision(), kv.version()),
             (last, 1),
-            "a deleted key begins anew"
+            "versions of a deleted key start at 1 again"
         );
-        // Errors, by code and text.
+        // Errors have the messages of etcd.
         let future = client
             .get("a", Some(GetOptions::new().with_revision(last + 9)))
             .await
@@ -115,14 +115,15 @@
             "{future}"
         );
         client.compact(last, None).await.unwrap();
-        let old = client
+        let compacted = client
             .get("a/1", Some(GetOptions::new().with_revision(first)))
             .await
             .unwrap_err();
         assert!(
-            old.to_string()
+            compacted
+                .to_string()
                 .contains("required revision has been compacted"),
-            "{old}"
+            "{compacted}"
         );
         let twice = client.compact(last, None).await.unwrap_err();
         assert!(
@@ -135,28 +136,30 @@
 }
 
 #[test]
-fn transactions() {
-    with(|store, address| async move {
+fn transaction_applies_all_operations_at_one_revision() {
+    with_store(|store, address| async move {
         let mut client = Client::connect([address], None).await.unwrap();
         client.put("a", "1", None).await.unwrap();
-        let txn = |wanted: &str| {
+        let txn = |expected: &str| {
             Txn::new()
                 .when([
-                    Compare::value("a", CompareOp::Equal, wanted),
+                    Compare::value("a", CompareOp::Equal, expected),
                     Compare::version("b", CompareOp::Equal, 0),
                 ])
                 .and_then([TxnOp::put("b", "done", None), TxnOp::delete("a", None)])
                 .or_else([TxnOp::get("a", None)])
         };
-        let no = client.txn(txn("2")).await.unwrap();
-        assert!(!no.succeeded());
-        assert!(matches!(&no.op_responses()[..], [TxnOpResponse::Get(got)] if got.count() == 1));
+        let failed = client.txn(txn("2")).await.unwrap();
+        assert!(!failed.succeeded());
+        assert!(
+            matches!(&failed.op_responses()[..], [TxnOpResponse::Get(got)] if got.count() == 1)
+        );
         let at = store.revision();
-        let yes = client.txn(txn("1")).await.unwrap();
-        assert!(yes.succeeded());
-        // All of it at one revision.
+        let succeeded = client.txn(txn("1")).await.unwrap();
+        assert!(succeeded.succeeded());
+        // All operations of the transaction have the same revision.
         assert_eq!(
-            (yes.header().unwrap().revision(), store.revision()),
+            (succeeded.header().unwrap().revision(), store.revision()),
             (at + 1, at + 1)
         );
         assert_eq!(store.keys(), ["b"]);
@@ -164,8 +167,8 @@
 }
 
 #[test]
-fn watches() {
-    with(|store, address| async move {
+fn watch_delivers_changes_progress_and_compaction() {
+    with_store(|store, address| async move {
         let mut client = Client::connect([address], None).await.unwrap();
         let from = store.put("a/1", "x");
         store.delete("a/1");
@@ -175,23 +178,23 @@
             .with_start_revision(from)
             .with_prev_key();
         let (mut watcher, mut stream) = client.watch("a/", Some(options)).await.unwrap();
-        let mut told = Vec::new();
-        while told.len() < 2 {
+        let mut received = Vec::new();
+        while received.len() < 2 {
             let response = stream.message().await.unwrap().unwrap();
             for event in response.events() {
                 let kv = event.kv().unwrap();
-                told.push((
+                received.push((
                     event.event_type(),
                     kv.mod_revision(),
                     event.prev_kv().map(|kv| kv.value().to_vec()),
                 ));
             }
         }
-        let wanted = [
+        let expected = [
             (EventType::Put, from, None),
             (EventType::Delete, from + 1, Some(b"x".to_vec())),
         ];
-        assert_eq!(told, wanted);
+        assert_eq!(received, expected);
         watcher.request_progress().await.unwrap();
         let progress = stream.message().await.unwrap().unwrap();
         assert_eq!(
@@ -201,11 +204,11 @@
             ),
             (0, store.revision())
         );
-        // One that wants no deletions.
+        // A watch that filters out deletions.
         let options = WatchOptions::new()
             .with_prefix()
             .with_filters([WatchFilterType::NoDelete]);
-        let (_other, mut puts) = client
+        let (_put_watcher, mut puts) = client
             .watch("a/", Some(options.with_start_revision(from)))
             .await
             .unwrap();
@@ -216,12 +219,12 @@
             kinds.extend(response.events().iter().map(|e| e.event_type()));
         }
         assert_eq!(kinds, [EventType::Put, EventType::Put]);
-        // A revision that is gone: told which one is still there, and cancelled.
+        // A watch from a compacted revision is cancelled, with the oldest available revision.
         store.compact();
         let options = WatchOptions::new().with_prefix().with_start_revision(from);
-        let (_late, mut late) = client.watch("a/", Some(options)).await.unwrap();
+        let (_compacted_watcher, mut compacted) = client.watch("a/", Some(options)).await.unwrap();
         let end = loop {
-            let response = late.message().await.unwrap().unwrap();
+            let response = compacted.message().await.unwrap().unwrap();
             if response.canceled() {
                 break response;
             }
@@ -231,8 +234,8 @@
 }
 
 #[test]
-fn leases() {
-    with(|store, address| async move {
+fn keys_live_as_long_as_their_lease() {
+    with_store(|store, address| async move {
         let mut client = Client::connect([address], None).await.unwrap();
         let lease = client.lease_grant(30, None).await.unwrap().id();
         client
@@ -240,21 +243,21 @@
             .await
             .unwrap();
         assert_eq!(client.get("a", None).await.unwrap().kvs()[0].lease(), lease);
-        let (mut keeper, mut answers) = client.lease_keep_alive(lease).await.unwrap();
-        keeper.keep_alive().await.unwrap();
-        assert_eq!(answers.message().await.unwrap().unwrap().ttl(), 30);
+        let (mut keep_alive, mut responses) = client.lease_keep_alive(lease).await.unwrap();
+        keep_alive.keep_alive().await.unwrap();
+        assert_eq!(responses.message().await.unwrap().unwrap().ttl(), 30);
         let options = etcd_client::LeaseTimeToLiveOptions::new().with_keys();
-        let left = client
+        let remaining = client
             .lease_time_to_live(lease, Some(options))
             .await
             .unwrap();
-        assert_eq!((left.granted_ttl(), left.keys().len()), (30, 1));
+        assert_eq!((remaining.granted_ttl(), remaining.keys().len()), (30, 1));
         client.lease_revoke(lease).await.unwrap();
         assert_eq!(store.keys(), Vec::<String>::new());
-        let gone = client.lease_revoke(lease).await.unwrap_err();
+        let missing = client.lease_revoke(lease).await.unwrap_err();
         assert!(
-            gone.to_string().contains("requested lease not found"),
-            "{gone}"
+            missing.to_string().contains("requested lease not found"),
+            "{missing}"
         );
         let put = client
             .put("a", "x", Some(PutOptions::new().with_lease(lease)))
@@ -272,18 +275,18 @@
 }
 
 #[test]
-fn names_and_passwords() {
-    with(|store, address| async move {
+fn wrong_or_missing_credentials_are_rejected() {
+    with_store(|store, address| async move {
         store.fault(|f| f.login = Some(("ivy".into(), "secret".into())));
-        let options = |word: &str| Some(ConnectOptions::new().with_user("ivy", word));
+        let options = |password: &str| Some(ConnectOptions::new().with_user("ivy", password));
         let mut client = Client::connect([address.clone()], options("secret"))
             .await
             .unwrap();
         client.put("a", "x", None).await.unwrap();
         let wrong = Client::connect([address.clone()], options("guess")).await;
         assert!(wrong.is_err_and(|e| e.to_string().contains("invalid user ID or password")));
-        let mut nobody = Client::connect([address], None).await.unwrap();
-        let no = nobody.get("a", None).await.unwrap_err();
-        assert!(no.to_string().contains("invalid auth token"), "{no}");
+        let mut without_credentials = Client::connect([address], None).await.unwrap();
+        let error = without_credentials.get("a", None).await.unwrap_err();
+        assert!(error.to_string().contains("invalid auth token"), "{error}");
     });
 }
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -100,12 +100,12 @@
     }
 
     fn traits(&self) -> AttemptTraits {
-        let release_within = self.request.context.settings().rules.release_within;
+        let release_within = self.request.context.settings().router.release_within;
         AttemptTraits {
             repeatable: self.is_repeatable(),
-            repeats_effect: self.call.repeats_effect(),
-            state_deadline: self.request.kv_state.as_ref().map(|_| release_within),
-            last_answer: self.client.endpoint.last_response(),
+            repeats_unknown_outcome: self.call.repeats_effect(),
+            kv_state_timeout: self.request.kv_state.as_ref().map(|_| release_within),
+            last_response: self.client.endpoint.last_response(),
         }
     }
 
@@ -117,7 +117,7 @@
     ) -> Result<EngineConnection, AttemptResult> {
         let reuse = connection_reuse::reuse_policy(self.runtime().now(), traits);
         let connecting = self.client.connect(self.request.send_deadline, reuse, 0);
-        match self.request.until_cancelled(timer, connecting).await {
+        match self.request.wait_cancel_first(timer, connecting).await {
             WaitResult::Completed(Ok(connection)) => Ok(connection),
             WaitResult::Completed(Err(error)) => Err(connect_failed(&error)),
             WaitResult::TimedOut => {
@@ -145,7 +145,7 @@
         let prompt = self.call.prompt().ok_or_else(not_sent)?;
         let head = self.request_head(&prompt);
         let writing = self.while_connected(self.write(connection, &head, &prompt.bytes));
-        match self.request.until_cancelled(timer, writing).await {
+        match self.request.wait_cancel_first(timer, writing).await {
             WaitResult::Completed(Some(Ok(()))) => Ok(()),
             WaitResult::Completed(Some(Err(error))) => Err(self.write_failed(connection, &error)),
             WaitResult::TimedOut => Err(AttemptResult::new(
@@ -237,7 +237,7 @@
         connection: &EngineConnection,
     ) -> Option<DeliveryCheck> {
         connection.idle_time?;
-        let within = traits.state_deadline?;
+        let within = traits.kv_state_timeout?;
         Some(connection_reuse::delivery_check(
             self.runtime().now(),
             within,
--- a/crates/ivyward-testbed/src/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -48,13 +48,13 @@
         // Nothing is to be shed or timed out: the node's own work is measured.
         (class.settings.ttft_objective, class.settings.deadline) = (3_600_000_000, 3_600_000_000);
     }
-    settings.rules.overload_multiple = 0.0;
+    settings.router.overload_multiple = 0.0;
     // A thousand streams at full speed keep one core busy for longer than a dial may take.
-    (settings.dial_timeout, settings.rules.drain_grace) = (10_000_000, 10_000_000);
+    (settings.dial_timeout, settings.router.drain_grace) = (10_000_000, 10_000_000);
     (
-        settings.ping_every,
-        settings.resting_checks,
-        settings.stream_stall,
+        settings.ping_interval,
+        settings.idle_checks_per_second,
+        settings.stream_idle_timeout,
     ) = (0, 0, 60_000_000);
     settings
 }
@@ -84,7 +84,7 @@
         let node_runtime = SmolRuntime::start(1, 2);
         let node_ref: RuntimeRef = node_runtime.clone();
         let settings = NodeSettings {
-            connections_per_engine: 64,
+            max_connections_per_engine: 64,
             ..relay_settings()
         };
         let node = Node::start(node_ref.clone(), settings, None)?;
@@ -357,7 +357,7 @@
         });
         runtime.block_on(node.update_endpoints(ListKind::Full, listed.collect()));
         let before = (
-            node.metrics().module_us.get(),
+            node.metrics().router_us.get(),
             node.metrics().driver_us.get(),
         );
         let lanes = 16;
@@ -390,7 +390,7 @@
         let m = node.metrics();
         let per = |now: u64, then: u64| (now - then) as f64 / m.requests.get().max(1) as f64;
         let (module, all) = (
-            per(m.module_us.get(), before.0),
+            per(m.router_us.get(), before.0),
             per(m.driver_us.get(), before.1),
         );
         out.push(Cost {
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -141,12 +141,12 @@
         classes: classes(),
         // The virtual machine is never late with an answer; a slow client reads what came before it first.
         answer_margin: 50_000,
-        stream_buffer: STREAM_BUFFER,
+        max_buffered_tokens: STREAM_BUFFER,
         // Every other deployment holds places ahead.
-        rules: ivyward::core::interface::Settings {
+        router: ivyward::core::interface::Settings {
             replica_count: size.nodes as u32,
             reserve_decode_slot: seed % 2 == 1,
-            ..base.rules.clone()
+            ..base.router.clone()
         },
         ..base
     };
@@ -221,7 +221,7 @@
     };
     let held_up = played.iter().map(cut).max().unwrap_or(0);
     let mut limits = limits(
-        &cluster.settings.rules,
+        &cluster.settings.router,
         FLIGHT + held_up,
         &fleet(size.racks),
     );
@@ -314,7 +314,7 @@
     if wrong.is_empty() {
         wrong.extend(cluster.come_back().await);
     }
-    let buffered = |node: Node| node.metrics().buffered_most.get();
+    let buffered = |node: Node| node.metrics().max_buffered_tokens.get();
     let nodes = (0..size.nodes).filter_map(|n| cluster.node(n));
     if let Some(most) = nodes
         .map(|n| buffered(n.1))
--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -231,7 +231,7 @@
         (specs[0].token_gap, specs[0].read_rate) = (0, 1e12);
         let mut make = ClusterBuilder::new(9, specs);
         make.nodes = 0;
-        let rules = &mut make.settings.rules;
+        let rules = &mut make.settings.router;
         (
             rules.initial_capacity,
             rules.overload_window,
@@ -374,7 +374,7 @@
             let deadline = scene.runtime.now() + 1_000_000 + more;
             let call = dial(&scene, 0)
                 .await
-                .call_before(path, encode(&ask), Some(deadline))
+                .call_with_deadline(path, encode(&ask), Some(deadline))
                 .await;
             to_end::<pb::WriteEvent>(call.unwrap()).await;
             heard(&scene, 1, ClientOutcome::Served);
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -1,4 +1,4 @@
-//! The budget of checks on idle connections, shared by a node's connections to all engines.
+//! The rate limit on checks of idle connections, shared by a node's connections to all engines.
 
 use crate::settings::NodeSettings;
 use ivyward_core::interface::Micros;
@@ -7,7 +7,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Decides when connections are checked, for all connections together.
+/// Decides when idle connections to engines are checked. One instance serves all of a node's connections.
 pub(crate) struct EngineKeepalive {
     decider: Mutex<Keepalive>,
     runtime: RuntimeRef,
@@ -16,9 +16,9 @@
 impl EngineKeepalive {
     pub(crate) fn new(runtime: &RuntimeRef, settings: &NodeSettings) -> Arc<EngineKeepalive> {
         let settings = KeepaliveSettings {
-            silence: settings.ping_every,
-            timeout: settings.ping_timeout,
-            idle_checks_per_second: settings.resting_checks,
+            ping_after: settings.ping_interval,
+            ping_timeout: settings.ping_timeout,
+            idle_checks_per_second: settings.idle_checks_per_second,
             dial_timeout: settings.dial_timeout,
         };
         Arc::new(EngineKeepalive {
@@ -31,7 +31,7 @@
         self.decider.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What to do before a call leaves on a connection that last received something at `last_received`.
+    /// Decides whether to check a connection that last received bytes at `last_received` before a call is sent on it.
     pub(crate) fn before_use(&self, last_received: Micros) -> BeforeUse {
         self.decider().before_use(self.runtime.now(), last_received)
     }
--- a/crates/ivywardd/tests/compatibility.rs
+++ b/crates/ivywardd/tests/compatibility.rs
@@ -28,7 +28,7 @@
             (events, actions),
             "{name}"
         );
-        assert!(!summary.cut, "{name}");
+        assert!(!summary.truncated, "{name}");
     }
 }
 
@@ -66,7 +66,7 @@
 #[test]
 fn a_platform_configuration_of_the_earlier_version_is_read() {
     let config = Config::read(&sample("platform.json")).unwrap();
-    let settings = config.node.router();
+    let settings = config.node.router_settings();
     assert_eq!(settings.replica_count, 2);
     assert!(settings.reserve_decode_slot && settings.health_checks && settings.may_cancel);
     assert_eq!(settings.overload_multiple, 2.5);
@@ -102,7 +102,7 @@
         ..NodeSettings::default()
     };
     let node = Node::start(runtime.clone(), settings, None).unwrap();
-    node.peers(PeerOptions::at("127.0.0.1:0".parse().unwrap()))
+    node.start_peers(PeerOptions::new("127.0.0.1:0".parse().unwrap()))
         .unwrap();
     let listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.address();
