--- a/crates/ivyward-platform/tests/common/cluster.rs
+++ b/crates/ivyward-platform/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! A node with its engines, discovery and clients in a simulation.
+//! A node with engines, discovery and a client in a simulation.
 
 use super::deployment::{config, list, request};
 use super::discovery::{start_discovery, DiscoveryFaults};
@@ -14,16 +14,16 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Longest virtual time of a run.
+/// The limit on the virtual time of a run: 10 minutes.
 pub const RUN_TIMEOUT: Micros = 600_000_000;
 
-/// What a run is set up with: engines 0 and 1 prefill, engines 2 and 3 decode.
+/// The hosts and settings of a run before the node starts. Engines 0 and 1 prefill, engines 2 and 3 decode.
 pub struct ClusterSetup {
     pub sim: Sim,
     pub runtime: RuntimeRef,
     pub client: Arc<Host>,
     pub log: Arc<Mutex<RequestLog>>,
-    /// Discovery's list: its version, and the JSON text of its entries.
+    /// The list of discovery: its version, and the JSON text of its entries.
     pub list: Arc<Mutex<(u64, String)>>,
     pub faults: Arc<Mutex<DiscoveryFaults>>,
     pub config: String,
@@ -33,13 +33,14 @@
 }
 
 impl ClusterSetup {
+    /// Sets up a cluster whose node has 1,024 file descriptors.
     pub fn new(
         script: impl Fn(&EngineRequest) -> EngineBehavior + Send + Sync + 'static,
     ) -> ClusterSetup {
         ClusterSetup::with_sockets(1024, script)
     }
 
-    /// A node with so many file descriptors.
+    /// Sets up a cluster whose node has `sockets` file descriptors. `script` determines what engines do with each request.
     pub fn with_sockets(
         sockets: usize,
         script: impl Fn(&EngineRequest) -> EngineBehavior + Send + Sync + 'static,
@@ -79,7 +80,7 @@
         Config::parse("test", self.config.as_bytes()).unwrap()
     }
 
-    /// Runs a test on the client's host, beside a node that serves.
+    /// Starts the node, waits until it is ready, and runs `test`. Afterwards no invariant of the router may be violated.
     pub fn run<F: Future<Output = ()> + Send + 'static>(
         &self,
         test: impl FnOnce(Cluster) -> F + Send + 'static,
@@ -112,14 +113,14 @@
             assert_eq!(
                 node.metrics().all_violations(),
                 0,
-                "invariants that did not hold; the log names them"
+                "violations of the router's invariants; the log names them"
             );
         });
         result.unwrap();
     }
 }
 
-/// A node that serves, with its peers.
+/// A running node with its engines, discovery and client.
 pub struct Cluster {
     pub sim: Sim,
     pub node_host: HostId,
@@ -134,27 +135,27 @@
 }
 
 impl Cluster {
-    /// Partitions engines from the node, or heals that.
-    pub fn partition(&self, engines: &[usize], on: bool) {
+    /// Begins or ends a partition between the node and these engines, in both directions.
+    pub fn partition(&self, engines: &[usize], is_partitioned: bool) {
         for engine in engines {
             let host = self.engine_hosts[*engine];
-            self.sim.cut(self.node_host, host, on);
-            self.sim.cut(host, self.node_host, on);
+            self.sim.cut(self.node_host, host, is_partitioned);
+            self.sim.cut(host, self.node_host, is_partitioned);
         }
     }
 
-    /// All that engines received.
+    /// Returns all requests that engines received, in order of arrival.
     pub fn engine_requests(&self) -> Vec<EngineRequest> {
         self.log.lock().unwrap().requests.clone()
     }
 
-    /// The attempts of a request at engines, without reservations and releases.
+    /// Returns the attempts of a request at engines, without reservations and releases.
     pub fn attempts(&self, id: &str) -> Vec<EngineRequest> {
         let requests = self.engine_requests().into_iter();
         requests.filter(|request| request.id == id).collect()
     }
 
-    /// The releases of a request.
+    /// Returns the releases of a request that engines received.
     pub fn releases(&self, id: &str) -> Vec<EngineRequest> {
         let target = format!("/v1/holds/{id}");
         let requests = self.engine_requests().into_iter();
@@ -163,17 +164,18 @@
             .collect()
     }
 
-    /// Changes discovery's list.
+    /// Replaces the list of discovery, and increments its version.
     pub fn update_list(&self, text: String) {
         let mut list = self.list.lock().unwrap();
         *list = (list.0 + 1, text);
     }
 
+    /// Connects the client to the node.
     pub async fn connect(&self) -> Conn {
         self.client.connect(self.address).await.unwrap()
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection, and returns the response.
     pub async fn send_request(&self, id: &str, class: &str) -> Response {
         let mut conn = self.connect().await;
         conn.write_all(&request(id, class, 4_800)).await.unwrap();
@@ -181,7 +183,7 @@
     }
 }
 
-/// Whether a node says that it is ready.
+/// Returns whether a node is ready: its health check responds with 200.
 async fn is_healthy(client: &RuntimeRef, address: SocketAddr) -> bool {
     let Ok(mut conn) = client.connect(address).await else {
         return false;
--- a/crates/ivyward-platform/tests/common/deployment.rs
+++ b/crates/ivyward-platform/tests/common/deployment.rs
@@ -1,8 +1,8 @@
-//! The deployment of the tests: configuration, list of engines, and requests.
+//! The deployment of the tests: the configuration file, the list of engines, and requests.
 
 use std::net::SocketAddr;
 
-/// An entry of the list: one engine in this state.
+/// Returns the entry of an engine in the list, as JSON. Engines 0 and 1 prefill, the others decode.
 pub fn list_entry(engine: usize, state: &str) -> String {
     let kind = if engine < 2 { "prefill" } else { "decode" };
     let addr = address(engine);
@@ -11,12 +11,12 @@
     )
 }
 
-/// Where an engine listens.
+/// Returns the address on which an engine listens.
 pub fn address(engine: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 1, engine as u8 + 1], 8080))
 }
 
-/// The entries of a list, with the states of the engines in their order.
+/// Returns the entries of a list, as JSON. `states` holds the state of engine 0, engine 1 and so on.
 pub fn list(states: &[&str]) -> String {
     let entries: Vec<String> = states
         .iter()
@@ -26,7 +26,7 @@
     entries.join(",")
 }
 
-/// A configuration file.
+/// Returns a configuration file with one idempotent class (`draft`) and one non-idempotent class (`send`).
 pub fn config(discovery: SocketAddr, sockets: usize) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.9:8080","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -50,7 +50,7 @@
 /// The body of a client's request.
 pub const BODY: &str = r#"{"model":"chat","stream":true,"max_tokens":80,"messages":[{"role":"user","content":"xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"}]}"#;
 
-/// A client's request.
+/// Returns a client's request, with headers and body.
 pub fn request(id: &str, class: &str, timeout_ms: u64) -> Vec<u8> {
     let length = BODY.len();
     format!(
--- a/crates/ivyward-platform/tests/common/discovery.rs
+++ b/crates/ivyward-platform/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake of discovery.
+//! A fake of discovery with injected faults.
 
 use super::read_request;
 use futures_lite::AsyncWriteExt;
@@ -9,48 +9,48 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// What discovery does with a call.
+/// How discovery responds to a call.
 #[derive(Clone, Debug)]
 pub enum DiscoveryBehavior {
-    /// Responds as discovery does.
+    /// Responds normally.
     Normal,
-    /// Writes nothing, and keeps the connection.
+    /// Writes nothing, and leaves the connection open.
     Silent,
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Close,
-    /// Resets the connection.
+    /// Resets the connection without a response.
     Reset,
-    /// Writes so many bytes of the response, then nothing.
+    /// Writes this number of bytes of the response, then nothing, and leaves the connection open.
     Stall(usize),
-    /// The same, then closes the connection.
+    /// Writes this number of bytes of the response, and closes the connection.
     Truncate(usize),
     /// Responds with this body in place of the list.
     Body(String),
     /// Responds with this status.
     Status(u16),
-    /// Responds so much later.
+    /// Responds normally after this delay.
     Delayed(Micros),
-    /// Responds in pieces of so many bytes, with a pause before each.
+    /// Responds in pieces of this number of bytes, with a pause before each piece.
     Slow(usize, Micros),
 }
 
-/// What goes wrong at discovery.
+/// The faults of discovery, and a record of the calls to it.
 #[derive(Default)]
 pub struct DiscoveryFaults {
-    /// For the next calls, one each.
+    /// The behavior for the next calls, one each.
     pub next: VecDeque<DiscoveryBehavior>,
-    /// For all calls after those.
+    /// The behavior for all calls after those; normal if `None`.
     pub always: Option<DiscoveryBehavior>,
-    /// Connections with a lower number are silent for good, whatever was in progress on them.
+    /// Nothing is written any more on connections with a lower number, including to open calls.
     pub silent_below: usize,
     pub connections: usize,
     pub calls: usize,
-    /// What was asked for, in order.
+    /// The request targets of all calls, in order.
     pub targets: Vec<String>,
 }
 
 impl DiscoveryFaults {
-    /// Silences all long polls that are open now.
+    /// Makes all connections that are open now unresponsive, including their long polls.
     pub fn silence(&mut self) {
         self.silent_below = self.connections + 1;
     }
@@ -61,7 +61,7 @@
         self.connections
     }
 
-    /// Records a call, and says what to do with it.
+    /// Records a call, and returns how to respond to it.
     fn next_behavior(&mut self, target: &str) -> DiscoveryBehavior {
         self.calls += 1;
         self.targets.push(target.to_owned());
@@ -71,7 +71,7 @@
     }
 }
 
-/// Starts discovery: a list that changes is sent at once to whoever waits for it.
+/// Starts discovery on a host. A changed list is sent at once on all open long polls.
 pub fn start_discovery(
     host: &Arc<Host>,
     address: SocketAddr,
@@ -94,14 +94,14 @@
     });
 }
 
-/// A number in the query of a call.
+/// Returns a number from the query of a request target.
 fn query(target: &str, name: &str) -> Option<u64> {
     let begin = target.find(&format!("{name}="))? + name.len() + 1;
     let digits = target[begin..].split('&').next()?;
     digits.parse().ok()
 }
 
-/// One connection of discovery.
+/// One connection to discovery.
 struct DiscoveryConnection {
     runtime: RuntimeRef,
     connection: usize,
@@ -141,7 +141,8 @@
         self.list.lock().unwrap().0
     }
 
-    /// Waits as long as a call asks for, unless there are changes or the call fails at once.
+    /// Waits for changes, for as long as the call requests (`hold_ms`). Does not wait if the version in the call is outdated or
+    /// the call gets a fault that shows at once.
     async fn wait_for_changes(&self, target: &str, behavior: &DiscoveryBehavior) {
         let from = query(target, "from");
         let until = self.runtime.now() + query(target, "hold_ms").unwrap_or(0) * 1_000;
@@ -175,7 +176,7 @@
         format!("HTTP/1.1 {status} So\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
     }
 
-    /// Writes as much of a response as the behavior says.
+    /// Writes the part of a response that the behavior allows, with its delays.
     async fn write(
         &self,
         conn: &mut Conn,
@@ -189,8 +190,8 @@
             }
             _ => response.len(),
         };
-        if let DiscoveryBehavior::Delayed(span) = behavior {
-            self.runtime.sleep(*span).await;
+        if let DiscoveryBehavior::Delayed(delay) = behavior {
+            self.runtime.sleep(*delay).await;
         }
         let (piece, pause) = match behavior {
             DiscoveryBehavior::Slow(piece, pause) => (*piece, *pause),
--- a/crates/ivyward-platform/tests/common/engine.rs
+++ b/crates/ivyward-platform/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! A fake of an engine, which does with each request what a script says.
+//! A fake of an engine. A script determines how it responds to each request.
 
 use super::deployment::address;
 use super::read_request;
@@ -9,9 +9,9 @@
 use ivyward_sim::Host;
 use std::sync::{Arc, Mutex};
 
-/// Engines below this number prefill, the others decode.
+/// Engines with a lower number prefill, the others decode.
 const FIRST_DECODE_ENGINE: usize = 2;
-/// Before the rest of a response, and before the response to a reservation that the engine does not know.
+/// The pause between the first event and the rest of a response, and before the response to an unknown reservation: 300 ms.
 const PAUSE: Micros = 300_000;
 
 /// The events of a complete stream.
@@ -30,24 +30,24 @@
 pub const REJECTED_UNPROCESSED: &str =
     "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// What an engine does with a request that was received completely.
+/// How an engine responds to a request that it received completely.
 #[derive(Clone, Debug)]
 pub enum EngineBehavior {
-    /// Responds as an engine does.
+    /// Responds normally.
     Normal,
-    /// Writes these bytes, and keeps the connection.
+    /// Writes these bytes, and leaves the connection open.
     Respond(Vec<u8>),
-    /// Writes the first event, then these bytes, and keeps the connection.
+    /// Writes the first event of a stream and then these bytes, and leaves the connection open.
     RespondAfterFirstEvent(Vec<u8>),
     /// Writes these bytes, and closes the connection.
     RespondAndClose(Vec<u8>),
-    /// Responds normally after this span.
+    /// Responds normally after this delay.
     Delayed(Micros),
-    /// Writes nothing, and keeps the connection.
+    /// Writes nothing, and leaves the connection open.
     Silent,
 }
 
-/// Writes this text, and keeps the connection.
+/// Returns the behavior of writing this text and leaving the connection open.
 pub fn respond_with(text: &str) -> EngineBehavior {
     EngineBehavior::Respond(text.as_bytes().to_vec())
 }
@@ -67,7 +67,7 @@
 }
 
 impl EngineRequest {
-    /// The id of the request that this one reserves a slot for.
+    /// Returns the id of the request for which this one reserves a slot; `None` if it is not a reservation.
     fn reservation(&self) -> Option<&str> {
         let id = self.target.strip_prefix("/v1/holds/")?;
         (self.method == "POST").then_some(id)
@@ -78,19 +78,20 @@
     engine < FIRST_DECODE_ENGINE
 }
 
-/// Whether this is an attempt at a prefill engine.
+/// Returns whether this is an attempt at a prefill engine.
 pub fn is_prefill(request: &EngineRequest) -> bool {
     is_prefill_engine(request.engine) && request.method == "POST" && !request.id.is_empty()
 }
 
-/// Whether this is an attempt at a decode engine.
+/// Returns whether this is an attempt at a decode engine.
 pub fn is_decode(request: &EngineRequest) -> bool {
     !is_prefill_engine(request.engine) && request.method == "POST" && !request.id.is_empty()
 }
 
+/// Determines how engines respond to each request.
 pub type Script = Arc<dyn Fn(&EngineRequest) -> EngineBehavior + Send + Sync>;
 
-/// Starts an engine on a host.
+/// Starts an engine on a host, which records its requests in `log`.
 pub fn start_engine(
     host: &Arc<Host>,
     engine: usize,
@@ -123,7 +124,7 @@
     });
 }
 
-/// What an engine writes, and what it does then.
+/// The last bytes that an engine writes in response to a request, and whether it closes the connection after them.
 struct Output {
     bytes: Vec<u8>,
     closes: bool,
@@ -142,7 +143,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// What an engine responds normally.
+/// Returns the normal response to a request.
 fn normal_response(request: &EngineRequest) -> Output {
     if request.method == "DELETE" {
         Output::new(NO_CONTENT)
@@ -155,7 +156,7 @@
     }
 }
 
-/// One connection of an engine.
+/// One connection to an engine.
 struct EngineConnection {
     runtime: RuntimeRef,
     engine: usize,
@@ -183,7 +184,8 @@
             let index = self.log.lock().unwrap().add(&request);
             let behavior = (self.script)(&request);
             if matches!(behavior, EngineBehavior::Normal) && self.is_unknown_reservation(&request) {
-                // An engine knows a reservation only beside its prefill; otherwise it waits, and cannot say.
+                // An engine accepts a reservation only while the prefill of the same request is in progress. Otherwise it
+                // responds late, with 204, which does not state whether anything is reserved.
                 self.runtime.sleep(PAUSE).await;
                 if conn.write_all(NO_CONTENT.as_bytes()).await.is_err() {
                     return;
@@ -212,7 +214,7 @@
         log.reservations_need_prefills && !log.has_pending_prefill(id)
     }
 
-    /// Does what a script says, up to the last write.
+    /// Performs a behavior up to the last write, and returns what that write consists of.
     async fn respond(
         &self,
         conn: &mut Conn,
@@ -233,8 +235,8 @@
                 self.runtime.sleep(PAUSE).await;
                 Ok(Output::new(bytes))
             }
-            EngineBehavior::Delayed(span) => {
-                self.runtime.sleep(span).await;
+            EngineBehavior::Delayed(delay) => {
+                self.runtime.sleep(delay).await;
                 Ok(normal_response(request))
             }
             EngineBehavior::Silent => Ok(Output::new(Vec::new())),
--- a/crates/ivyward-platform/tests/common/mod.rs
+++ b/crates/ivyward-platform/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A node's peers in a simulation: engines, discovery and clients, and what crossed their sockets.
-#![allow(dead_code, unused_imports)] // Each test file uses its part.
+//! The test harness: a node in a simulation with fakes of engines and discovery, and a log of what the engines received.
+#![allow(dead_code, unused_imports)] // Each test file uses only a part of the harness.
 
 mod cluster;
 mod deployment;
@@ -19,12 +19,15 @@
 pub use ivyward_fakes::platform::exchange::{read_answer as read_response, Got as Response};
 pub use request_log::RequestLog;
 
-/// Waits for something to hold, for a virtual minute at most.
-pub async fn wait_until(runtime: &RuntimeRef, what: &str, holds: impl Fn() -> bool) {
+/// Waits until `condition` is true; panics with `name` after one minute of virtual time.
+pub async fn wait_until(runtime: &RuntimeRef, name: &str, condition: impl Fn() -> bool) {
     let waited = before(runtime, runtime.now() + 60_000_000, async {
-        while !holds() {
+        while !condition() {
             runtime.sleep(1_000).await;
         }
     });
-    assert!(waited.await.is_some(), "{what}");
+    assert!(
+        waited.await.is_some(),
+        "waited a virtual minute in vain: {name}"
+    );
 }
--- a/crates/ivyward-platform/tests/common/request_log.rs
+++ b/crates/ivyward-platform/tests/common/request_log.rs
@@ -1,38 +1,40 @@
-//! What the engines received, and when they responded.
+//! A log of the requests that engines received, and of the times of their responses.
 
 use super::engine::{is_decode, is_prefill, EngineRequest};
 use ivyward::core::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A connection that ended at its engine.
+/// A connection that ended, as its engine saw it.
 pub struct ClosedConnection {
     pub engine: usize,
     pub connection: usize,
     pub at: Micros,
 }
 
+/// The requests and connections of all engines.
 #[derive(Default)]
 pub struct RequestLog {
-    /// A reservation without a pending prefill is answered late and with 204, as engines do.
+    /// Makes engines respond late and with 204 to a reservation without a prefill in progress, as real engines do.
     pub reservations_need_prefills: bool,
     pub requests: Vec<EngineRequest>,
-    /// When requests were answered, by their index in `requests`.
+    /// The times of the responses, by the index of the request in `requests`.
     pub responded_at: BTreeMap<usize, Micros>,
     pub closed: Vec<ClosedConnection>,
     pub connections: usize,
-    /// Ids of requests whose stream a decode engine has begun.
+    /// The ids of the requests for which a decode engine has sent a successful response.
     pub streamed: BTreeSet<String>,
-    /// Connections that are open now, and most ever.
+    /// The number of open connections.
     pub open_connections: usize,
+    /// The highest number of connections that were open at once.
     pub max_open_connections: usize,
 }
 
-/// A time in which something was in progress for a request.
+/// The time interval of an attempt or reservation.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Span {
+struct Interval {
     begin: Micros,
     end: Micros,
-    /// Whether it leaves a reservation behind.
+    /// Whether something may stay reserved at the engine afterwards.
     reserves: bool,
 }
 
@@ -56,7 +58,7 @@
         self.requests.len() - 1
     }
 
-    /// Records that a request was answered.
+    /// Records the time of a response.
     pub fn responded(&mut self, index: usize, now: Micros, is_success: bool) {
         self.responded_at.insert(index, now);
         let request = &self.requests[index];
@@ -65,7 +67,7 @@
         }
     }
 
-    /// When a connection was closed.
+    /// Returns when a connection was closed.
     pub fn closed_at(&self, connection: usize) -> Option<Micros> {
         let closed = self
             .closed
@@ -74,7 +76,7 @@
         closed.map(|closed| closed.at)
     }
 
-    /// Whether a prefill of this request is in progress at an engine.
+    /// Returns whether a prefill of this request is in progress at an engine.
     pub fn has_pending_prefill(&self, id: &str) -> bool {
         self.requests.iter().enumerate().any(|(index, request)| {
             request.id == id
@@ -84,61 +86,61 @@
         })
     }
 
-    /// The longest time in which something may have been reserved for a request with no attempt at an engine, until `end`:
-    /// from the end of the last attempt, of those after a prefill that was not rejected, to the next attempt or a release. A
-    /// decode that streams releases everything.
+    /// Returns the longest time, up to `end`, in which something may have been reserved for a request without an attempt in
+    /// progress: from the end of an attempt, once a prefill or reservation was sent, to the next attempt or release. A decode
+    /// that streams its response releases everything.
     pub fn longest_reservation(&self, id: &str, end: Micros) -> Micros {
-        let spans = self.spans(id, end);
+        let intervals = self.intervals(id, end);
         let releases = self.releases(id);
         let mut longest = 0;
-        for (index, span) in spans.iter().enumerate() {
-            let streamed = !span.reserves && self.streamed.contains(id);
-            let is_reserved = spans[..=index].iter().any(|s| s.reserves) && !streamed;
-            let is_in_progress = spans
+        for (index, interval) in intervals.iter().enumerate() {
+            let streamed = !interval.reserves && self.streamed.contains(id);
+            let is_reserved = intervals[..=index].iter().any(|i| i.reserves) && !streamed;
+            let is_in_progress = intervals
                 .iter()
-                .any(|other| other.begin <= span.end && other.end > span.end);
+                .any(|other| other.begin <= interval.end && other.end > interval.end);
             if is_reserved && !is_in_progress {
-                let begins = spans.iter().map(|other| other.begin);
-                let next = begins.filter(|at| *at > span.end).min().unwrap_or(end);
-                let release = releases.iter().copied().filter(|at| *at >= span.end);
+                let begins = intervals.iter().map(|other| other.begin);
+                let next = begins.filter(|at| *at > interval.end).min().unwrap_or(end);
+                let release = releases.iter().copied().filter(|at| *at >= interval.end);
                 let release = release.min().unwrap_or(end);
-                longest = longest.max(next.min(release).saturating_sub(span.end));
+                longest = longest.max(next.min(release).saturating_sub(interval.end));
             }
         }
         longest
     }
 
-    /// The attempts and reservations of a request, by their begin.
-    fn spans(&self, id: &str, end: Micros) -> Vec<Span> {
-        let hold_path = format!("/v1/holds/{id}");
-        let mut spans = Vec::new();
+    /// Returns the attempts and reservations of a request, ordered by their begin.
+    fn intervals(&self, id: &str, end: Micros) -> Vec<Interval> {
+        let reservation_path = format!("/v1/holds/{id}");
+        let mut intervals = Vec::new();
         for (index, request) in self.requests.iter().enumerate() {
             if request.id == id {
                 let responded = self.responded_at.get(&index).copied();
                 let ended = responded.or(self.closed_at(request.connection));
-                spans.push(Span {
+                intervals.push(Interval {
                     begin: request.at,
                     end: ended.unwrap_or(end),
                     reserves: request.engine < 2,
                 });
-            } else if request.target == hold_path && request.method != "DELETE" {
-                // A reservation counts like the end of an attempt.
-                spans.push(Span {
+            } else if request.target == reservation_path && request.method != "DELETE" {
+                // A reservation may exist from the moment at which its request arrives.
+                intervals.push(Interval {
                     begin: request.at,
                     end: request.at,
                     reserves: true,
                 });
             }
         }
-        spans.sort_unstable();
-        spans
+        intervals.sort_unstable();
+        intervals
     }
 
-    /// When releases of a request were received.
+    /// Returns when engines received releases of a request.
     fn releases(&self, id: &str) -> Vec<Micros> {
-        let hold_path = format!("/v1/holds/{id}");
+        let reservation_path = format!("/v1/holds/{id}");
         let releases = self.requests.iter().filter(|request| {
-            request.id != id && request.target == hold_path && request.method == "DELETE"
+            request.id != id && request.target == reservation_path && request.method == "DELETE"
         });
         releases.map(|request| request.at).collect()
     }
