--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns whether the next attempt would repeat a non-idempotent request that may have run.
-    pub(crate) fn repeats_effect(&self) -> bool {
+    pub(crate) fn repeats_unknown_outcome(&self) -> bool {
         !self.is_idempotent && self.may_have_run.load(Ordering::SeqCst)
     }
 
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -103,7 +103,7 @@
         let release_within = self.request.context.settings().router.release_within;
         AttemptTraits {
             repeatable: self.is_repeatable(),
-            repeats_unknown_outcome: self.call.repeats_effect(),
+            repeats_unknown_outcome: self.call.repeats_unknown_outcome(),
             kv_state_timeout: self.request.kv_state.as_ref().map(|_| release_within),
             last_response: self.client.endpoint.last_response(),
         }
@@ -447,7 +447,7 @@
         }
         410 if never_ran => AttemptResult::new(
             Outcome::KvCacheMiss,
-            "the KV state is no longer at the prefill engine",
+            "no KV state to fetch at the prefill engine",
         ),
         status => AttemptResult::new(Outcome::Error, format!("the engine answered {status}")),
     }
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -369,7 +369,7 @@
     });
 }
 
-/// Prompts beyond the node's budget are rejected and not sent to engines. Once the other prompts are gone from memory, requests
+/// Prompts beyond the node's budget are rejected and not sent to engines. Once the other prompts have been dropped, requests
 /// are served again.
 #[test]
 fn prompts_beyond_the_budget_are_rejected() {
