--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -42,8 +42,8 @@
     disconnected: AtomicBool,
     /// An attempt other than a prefill may have run.
     may_have_run: AtomicBool,
-    /// The engine's events on the way to the client. While the buffer is full nothing is read from the engine, so that a slow
-    /// client applies backpressure to its engine.
+    /// The engine's events on the way to the client. While the buffer is full nothing is read from the engine, so that a
+    /// slow client applies backpressure to its engine.
     pub(crate) response_buffer: TokenBuffer<u8>,
 }
 
--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -88,8 +88,8 @@
         self.endpoint.record_failure(self.pool.runtime.now());
     }
 
-    /// Returns an idle connection if `reuse` allows it, or else opens one by `until` or within the connect timeout. `reserve`
-    /// is the number of connections that the caller may open beyond the limit.
+    /// Returns an idle connection if `reuse` allows it, or else opens one by `until` or within the connect timeout.
+    /// `reserve` is the number of connections that the caller may open beyond the limit.
     pub(super) async fn connect(
         &self,
         until: Micros,
--- a/crates/ivyward-platform/src/server.rs
+++ b/crates/ivyward-platform/src/server.rs
@@ -125,8 +125,8 @@
     }
 
     /// Accepts the connections that are in the listener's accept queue. Clients may have connected just before the stop, or
-    /// while [`ConnectionTable::all_closed`] was awaited; closing the listener would reset their connections, including those
-    /// on which a request was sent.
+    /// while [`ConnectionTable::all_closed`] was awaited; closing the listener would reset their connections, including
+    /// those on which a request was sent.
     async fn accept_queued(self: &Arc<Self>, listener: &mut dyn Listener) {
         let mut failures = 0;
         while let Some(accepted) = poll_once(listener.accept()).await {
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -9,8 +9,8 @@
 use ivyward::runtime::before;
 use ivyward::CloseReason;
 
-/// The timeout for receiving a request: 2 s, both for its first byte on a new connection and from there to its last byte. The
-/// platform requires a response or a close within 3 s of connecting, regardless of the deployment's deadlines.
+/// The timeout for receiving a request: 2 s, both for its first byte on a new connection and from there to its last byte.
+/// The platform requires a response or a close within 3 s of connecting, regardless of the deployment's deadlines.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
 /// The idle timeout of a connection after a response: 30 s.
 const KEEP_ALIVE_TIMEOUT: Micros = 30_000_000;
--- a/crates/ivyward-platform/src/server/connection_table.rs
+++ b/crates/ivyward-platform/src/server/connection_table.rs
@@ -157,8 +157,8 @@
             .fetch_add(before - connections.len(), Ordering::SeqCst);
     }
 
-    /// Waits until all closing connections have closed. Without the wait, clients that connect faster than evicted connections
-    /// close would use file descriptors beyond the limit, and leave none for discovery and engines.
+    /// Waits until all closing connections have closed. Without the wait, clients that connect faster than evicted
+    /// connections close would use file descriptors beyond the limit, and leave none for discovery and engines.
     pub(super) async fn all_closed(&self) {
         loop {
             let closed = self.closed.listen();
--- a/crates/ivyward-platform/src/server/connection_table/tests.rs
+++ b/crates/ivyward-platform/src/server/connection_table/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// A connection that was requested to close counts as unclosed until it has closed, even if it receives a request in between.
-/// A shutdown that waits for the last connection would otherwise end too early.
+/// A connection that was requested to close counts as unclosed until it has closed, even if it receives a request in
+/// between. A shutdown that waits for the last connection would otherwise end too early.
 #[test]
 fn a_closing_connection_counts_as_unclosed_until_it_has_closed() {
     let table = ConnectionTable::new(4);
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -145,9 +145,9 @@
         self.discovery.move_to(config.discovery);
     }
 
-    /// Stops the node. It accepts connections for another 650 ms, finishes all accepted requests, and returns when no request
-    /// and no connection is open and no release is pending. There is no timeout: the caller limits the wait, and requests that
-    /// are open when the process ends are lost.
+    /// Stops the node. It accepts connections for another 650 ms, finishes all accepted requests, and returns when no
+    /// request and no connection is open and no release is pending. There is no timeout: the caller limits the wait, and
+    /// requests that are open when the process ends are lost.
     pub async fn stop(&mut self) {
         self.server.stopping.store(true, Ordering::SeqCst);
         info!(open = self.node.open_requests(), "stopping");
--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -215,8 +215,8 @@
     }
 }
 
-/// A client receives its response however many bytes it sent behind the request. If the node had to discard some of them, the
-/// connection closes after the response; otherwise the next request is served.
+/// A client receives its response however many bytes it sent behind the request. If the node had to discard some of them,
+/// the connection closes after the response; otherwise the next request is served.
 #[test]
 fn discarded_pipelined_bytes_close_the_connection_after_the_response() {
     for (pipelined, closes) in [(1_000, false), (300_000, true)] {
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -178,8 +178,8 @@
     });
 }
 
-/// With five times as many silent connections as the limit on client connections, and more than the node has file descriptors,
-/// other clients are served on older and on new connections, and the client connections stay within the limit.
+/// With five times as many silent connections as the limit on client connections, and more than the node has file
+/// descriptors, other clients are served on older and on new connections, and the client connections stay within the limit.
 #[test]
 fn silent_connections_do_not_prevent_service() {
     let setup = ClusterSetup::with_sockets(160, |_| EngineBehavior::Normal);
@@ -401,8 +401,8 @@
     });
 }
 
-/// A client that reads its response slowly but steadily receives all of it. A client that reads nothing counts as disconnected
-/// after the stall timeout, and its request ends.
+/// A client that reads its response slowly but steadily receives all of it. A client that reads nothing counts as
+/// disconnected after the stall timeout, and its request ends.
 #[test]
 fn a_slow_client_is_served_and_a_stalled_one_is_disconnected() {
     for reads in [true, false] {
@@ -454,8 +454,8 @@
     }
 }
 
-/// A request that takes 3 s arrives on an idle connection while that connection is being evicted. Accepting waits for evicted
-/// connections to close, but not for this request: clients that connect meanwhile are served.
+/// A request that takes 3 s arrives on an idle connection while that connection is being evicted. Accepting waits for
+/// evicted connections to close, but not for this request: clients that connect meanwhile are served.
 #[test]
 fn a_request_on_an_evicted_connection_does_not_block_accepts() {
     for offset in (0..300u64).step_by(10) {
--- a/crates/ivyward-platform/tests/common/discovery.rs
+++ b/crates/ivyward-platform/tests/common/discovery.rs
@@ -141,8 +141,8 @@
         self.list.lock().unwrap().0
     }
 
-    /// Waits for changes, for as long as the call requests (`hold_ms`). Does not wait if the version in the call is outdated or
-    /// the call gets a fault that shows at once.
+    /// Waits for changes, for as long as the call requests (`hold_ms`). Does not wait if the version in the call is outdated
+    /// or the call gets a fault that shows at once.
     async fn wait_for_changes(&self, target: &str, behavior: &DiscoveryBehavior) {
         let from = query(target, "from");
         let until = self.runtime.now() + query(target, "hold_ms").unwrap_or(0) * 1_000;
--- a/crates/ivyward-platform/tests/common/request_log.rs
+++ b/crates/ivyward-platform/tests/common/request_log.rs
@@ -87,8 +87,8 @@
     }
 
     /// Returns the longest time, up to `end`, in which something may have been reserved for a request without an attempt in
-    /// progress: from the end of an attempt, once a prefill or reservation was sent, to the next attempt or release. A decode
-    /// that streams its response releases everything.
+    /// progress: from the end of an attempt, once a prefill or reservation was sent, to the next attempt or release. A
+    /// decode that streams its response releases everything.
     pub fn longest_reservation(&self, id: &str, end: Micros) -> Micros {
         let intervals = self.intervals(id, end);
         let releases = self.releases(id);
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// A request is sent on a new connection at about the time when the node closes the connection as idle. The request is either
-/// answered or not read at all, which the client notices by a reset or a close.
+/// A request is sent on a new connection at about the time when the node closes the connection as idle. The request is
+/// either answered or not read at all, which the client notices by a reset or a close.
 #[test]
 fn a_request_during_the_close_of_a_new_connection_is_answered_or_not_read() {
     let (mut answered, mut closed) = (0, 0);
--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -1,4 +1,5 @@
-//! The platform's five rules under many faults, checked against the requests and responses that engines and clients received.
+//! The platform's five rules under many faults, checked against the requests and responses that engines and clients
+//! received.
 
 mod common;
 use common::*;
@@ -68,7 +69,7 @@
     }
 }
 
-/// Counts the relevant events of a run, to verify that the run exercised the rules.
+/// Counts the relevant events of a run, so that the test can verify that the run exercised the rules.
 #[derive(Debug, Default)]
 struct Counts {
     retried: usize,
@@ -262,8 +263,8 @@
     });
 }
 
-/// Rule 4: within an overload window of 3 s a cold engine receives at most its warm-up share of the requests that a warm engine
-/// received, times the configured multiple (here 1), even if no other decode engine is available.
+/// Rule 4: within an overload window of 3 s a cold engine receives at most its warm-up share of the requests that a warm
+/// engine received, times the configured multiple (here 1), even if no other decode engine is available.
 #[test]
 fn a_cold_engine_is_not_overloaded() {
     const WINDOW: Micros = 3_000_000;
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -163,8 +163,8 @@
     });
 }
 
-/// After a response that is malformed before the first event, the attempt may have run: an idempotent request is retried, and
-/// a non-idempotent one is not.
+/// After a response that is malformed before the first event, the attempt may have run: an idempotent request is retried,
+/// and a non-idempotent one is not.
 #[test]
 fn after_a_malformed_response_only_idempotent_requests_are_retried() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
@@ -408,8 +408,8 @@
     });
 }
 
-/// An abandoned attempt has ended at its engine before the next one reaches any engine, even if the network path of the first
-/// engine is much longer. Otherwise two attempts of a non-idempotent request would run at once.
+/// An abandoned attempt has ended at its engine before the next one reaches any engine, even if the network path of the
+/// first engine is much longer. Otherwise two attempts of a non-idempotent request would run at once.
 #[test]
 fn an_abandoned_attempt_ends_before_the_next_one_arrives() {
     let setup = ClusterSetup::new(|received| {
@@ -603,8 +603,8 @@
     });
 }
 
-/// Engines close a connection at its next request if it was idle for 0.1 s to 1 s. Non-idempotent requests do not fail because
-/// of that, and the pool learns not to reuse connections with such idle times.
+/// Engines close a connection at its next request if it was idle for 0.1 s to 1 s. Non-idempotent requests do not fail
+/// because of that, and the pool learns not to reuse connections with such idle times.
 #[test]
 fn connections_that_engines_close_at_reuse_fail_no_request() {
     let last = std::sync::Mutex::new(std::collections::BTreeMap::new());
--- a/crates/ivyward-platform/tests/reservations.rs
+++ b/crates/ivyward-platform/tests/reservations.rs
@@ -20,8 +20,8 @@
         .unwrap_or(0)
 }
 
-/// While no engine is reachable, releases stay pending and are retried at a limited rate. They are accepted once an engine is
-/// reachable again.
+/// While no engine is reachable, releases stay pending and are retried at a limited rate. They are accepted once an engine
+/// is reachable again.
 #[test]
 fn releases_stay_pending_until_an_engine_is_reachable() {
     let setup = ClusterSetup::new(|received| {
@@ -59,15 +59,15 @@
         })
         .await;
         let took = cluster.runtime.now() - healed_at;
-        // No other response shows that the engine is reachable. Releases try the four engines in turn, with a backoff of up to
-        // eight release times before each.
+        // No other response shows that the engine is reachable. Releases try the four engines in turn, with a backoff of up
+        // to eight release times before each.
         assert!(took < (4 * 8 + 2) * RELEASE_WITHIN, "{took} us");
         assert_eq!(cluster.service.node().metrics().releases_dropped.get(), 0);
     });
 }
 
-/// A node that is stopped during a partition sends its releases before it ends. If no engine is reachable, it still ends, and
-/// counts the dropped release.
+/// A node that is stopped during a partition sends its releases before it ends. If no engine is reachable, it still ends,
+/// and counts the dropped release.
 #[test]
 fn a_stopping_node_releases_before_it_ends() {
     for reachable in [true, false] {
@@ -356,7 +356,8 @@
 }
 
 /// A partition begins while a prefill, a reservation or a decode is being sent, and ends after the last release of the
-/// request. Bytes of an abandoned attempt must not be retransmitted then: the engine would reserve something after the release.
+/// request. Bytes of an abandoned attempt must not be retransmitted then: the engine would reserve something after the
+/// release.
 #[test]
 fn requests_sent_into_a_partition_do_not_arrive_after_it() {
     for engines in [vec![0, 1], vec![2, 3], vec![0, 1, 2, 3], vec![0, 2]] {
@@ -414,8 +415,8 @@
     }
 }
 
-/// A decode is sent on an idle connection into a partition and does not arrive. The KV state that it was to fetch is released
-/// in time, and does not stay reserved until the deadline of the decode.
+/// A decode is sent on an idle connection into a partition and does not arrive. The KV state that it was to fetch is
+/// released in time, and does not stay reserved until the deadline of the decode.
 #[test]
 fn a_decode_sent_into_a_partition_does_not_delay_the_release() {
     for class in ["draft", "send"] {
@@ -452,8 +453,8 @@
     }
 }
 
-/// As above, with a partition that begins 20 ms after the engines' last response, so that the node cannot detect it before it
-/// sends the decode.
+/// As above, with a partition that begins 20 ms after the engines' last response, so that the node cannot detect it before
+/// it sends the decode.
 #[test]
 fn a_decode_sent_into_a_new_partition_does_not_delay_the_release() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -271,8 +271,8 @@
     });
 }
 
-/// A request is sent on an idle connection at about the time when a stopping node closes the connection. The request is either
-/// answered or not read at all. After the stop, when the process would end, nothing is sent to engines.
+/// A request is sent on an idle connection at about the time when a stopping node closes the connection. The request is
+/// either answered or not read at all. After the stop, when the process would end, nothing is sent to engines.
 #[test]
 fn a_request_during_the_close_at_a_stop_is_answered_or_not_read() {
     let (mut answered, mut closed) = (0, 0);
--- a/crates/ivyward-platform/tests/watch_latency.rs
+++ b/crates/ivyward-platform/tests/watch_latency.rs
@@ -172,8 +172,8 @@
     });
 }
 
-/// After a rejection (429 or 503) the node requests the changes again, which cost discovery less than the full list. After any
-/// other failure it requests the full list.
+/// After a rejection (429 or 503) the node requests the changes again, which cost discovery less than the full list. After
+/// any other failure it requests the full list.
 #[test]
 fn after_a_rejection_changes_are_requested_again() {
     for (fault, requests_changes) in [
@@ -203,8 +203,8 @@
     }
 }
 
-/// Discovery takes 1.6 s for each call. The node still receives the list in time: it does not abandon a slow call for the next
-/// one, and makes at most 10 calls in 8 s, so that it does not overload discovery further.
+/// Discovery takes 1.6 s for each call. The node still receives the list in time: it does not abandon a slow call for the
+/// next one, and makes at most 10 calls in 8 s, so that it does not overload discovery further.
 #[test]
 fn calls_to_an_overloaded_discovery_are_not_abandoned() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
@@ -309,7 +309,8 @@
     result.unwrap();
 }
 
-/// If a reload changes the address of discovery while a call to the old address hangs, the node calls the new address at once.
+/// If a reload changes the address of discovery while a call to the old address hangs, the node calls the new address at
+/// once.
 #[test]
 fn the_address_of_discovery_changes_while_a_call_hangs() {
     let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
