--- a/crates/ivyward-core/src/peers/dissemination.rs
+++ b/crates/ivyward-core/src/peers/dissemination.rs
@@ -18,8 +18,8 @@
 const STARTUP_PERIOD: Micros = 10_000_000;
 /// A node raises its incarnation only if the reported one is at most this far ahead of its own: ten years in microseconds.
 const MAX_INCARNATION_STEP: u64 = 10 * 366 * 86_400 * 1_000_000;
-/// Number of transmissions of a new update for which messages of their own are sent. If each receiver does the same, the
-/// update reaches nearly all nodes. The others send pings of their own before they declare a node dead.
+/// A new update is sent in messages of its own until it has been transmitted this many times. If each receiver does the
+/// same, the update reaches nearly all nodes. The others send pings of their own before they declare a node dead.
 const URGENT_TRANSMISSIONS: u32 = 3;
 /// Receiving a pending update from another node counts as this many transmissions of it. After a few such echoes the update
 /// has reached all but one node in hundreds, and that one sends pings of its own. A suspicion must reach all nodes in time,
--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -48,7 +48,7 @@
         match self.members.get_mut(node.id) {
             Some(peer) if peer.node.incarnation == node.incarnation => peer.sends_until = None,
             Some(peer) if peer.node.incarnation > node.incarnation => {}
-            _ => self.contact(now, node.address, out),
+            _ => self.send_contact_ping(now, node.address, out),
         }
     }
 
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -235,7 +235,7 @@
     mix(node.id.0 ^ mix(node.incarnation))
 }
 
-/// A report by another node that an incarnation ended or began, which only the node itself can announce reliably.
+/// A report by another node that an incarnation ended or began. Only the reported node itself can announce that reliably.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IncarnationReport {
     id: PeerId,
--- a/crates/ivyward-core/src/peers/mod.rs
+++ b/crates/ivyward-core/src/peers/mod.rs
@@ -64,8 +64,9 @@
     pub ack_timeout: Micros,
     /// Number of nodes that are asked for an indirect ping when a probe is not answered.
     pub indirect_probes: usize,
-    /// A node considers its view complete this long after its start, even if the view has fewer nodes than expected and
-    /// none of them has a complete view. This happens when nodes start together.
+    /// A node that has fetched another node's view considers its own view complete this long after its start, even if the
+    /// view has fewer nodes than expected. Nodes that start together need this limit, because none of them has a complete
+    /// view to start with.
     pub complete_view_timeout: Micros,
     /// A node that does not answer a probe is suspected, and other nodes are notified, after this time.
     pub suspicion_timeout: Micros,
@@ -140,7 +141,7 @@
     seq: u64,
     probes: BTreeMap<u64, Probe>,
     relayed_pings: BTreeMap<u64, RelayedPing>,
-    /// Sequence numbers of the latest pings outside the regular probing.
+    /// Sequence numbers of the latest contact pings, which are sent outside the regular probing.
     contact_pings: VecDeque<u64>,
     next_probe: Micros,
     next_reconnect: Micros,
@@ -155,7 +156,7 @@
     /// Minimum replica count while the view is not complete.
     expected_replicas: u32,
     complete_view: bool,
-    /// Whether the whole view of some node was fetched, complete or not in that node's own judgement.
+    /// Whether all pages of some node's view were fetched, even if that node did not consider its view complete.
     synced_once: bool,
     view_sync: Option<ViewSync>,
     last_sync: Micros,
--- a/crates/ivyward-core/src/peers/probing.rs
+++ b/crates/ivyward-core/src/peers/probing.rs
@@ -23,7 +23,8 @@
 const MAX_FINAL_PING_TARGETS: usize = 64;
 /// Minimum number of such pings before a suspect is declared dead. There is time for a reply to each of them but the last.
 const MIN_FINAL_PINGS: u8 = 5;
-/// Number of contact pings whose sequence numbers are remembered, to recognize their acks.
+/// Number of contact pings (pings outside the regular probing) whose sequence numbers are remembered, to recognize their
+/// acks.
 const MAX_CONTACT_PINGS: usize = 64;
 /// An isolated node waits this many times as long before it declares others dead.
 const ISOLATION_MULTIPLE: u64 = 4;
@@ -376,7 +377,7 @@
             targets.push((peer.node, peer.final_pings));
         }
         for (node, pings) in targets {
-            self.contact(now, node.address, out);
+            self.send_contact_ping(now, node.address, out);
             // Every other ping is also sent through a relay, because direct replies of the suspect may not arrive here.
             if pings % 2 == 0 {
                 continue;
@@ -391,8 +392,14 @@
         }
     }
 
-    /// Pings an address outside the regular probing. A node that replies is added to the view, or becomes alive again.
-    pub(super) fn contact(&mut self, now: Micros, to: SocketAddr, out: &mut Vec<PeerAction>) {
+    /// Sends a contact ping, which is a ping outside the regular probing. A node that replies is added to the view, or
+    /// becomes alive again.
+    pub(super) fn send_contact_ping(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        out: &mut Vec<PeerAction>,
+    ) {
         let seq = self.next_seq();
         if self.contact_pings.len() >= MAX_CONTACT_PINGS {
             self.contact_pings.pop_front();
@@ -427,7 +434,7 @@
         };
         for _ in 0..pings.min(absent.len()) {
             let to = absent.swap_remove(self.random_below(absent.len()));
-            self.contact(now, to, out);
+            self.send_contact_ping(now, to, out);
         }
     }
 }
