--- a/crates/ivyward-core/src/keepalive.rs
+++ b/crates/ivyward-core/src/keepalive.rs
@@ -85,7 +85,7 @@
 
     /// Removes a connection from the count of idle ones because a call uses it or it was closed.
     pub fn connection_active(&mut self) {
-        if !mutations::is_active(Mutation::RousedUncounted) {
+        if !mutations::is_active(Mutation::CountBusyAsIdle) {
             self.idle_connections = self.idle_connections.saturating_sub(1);
         }
     }
@@ -118,7 +118,7 @@
             return CheckDecision::RetryAt(Micros::MAX);
         };
         let free_at = self.last_check.map_or(0, |at| at.saturating_add(interval));
-        if now >= free_at || mutations::is_active(Mutation::BudgetIgnored) {
+        if now >= free_at || mutations::is_active(Mutation::IgnoreCheckBudget) {
             self.last_check = Some(now);
             return CheckDecision::Check;
         }
@@ -138,7 +138,7 @@
         } = self.settings;
         let detected_after = ping_after.saturating_add(ping_timeout);
         let is_recent = ping_after == 0 || now.saturating_sub(last_received) <= detected_after;
-        match is_recent || mutations::is_active(Mutation::UncheckedUse) {
+        match is_recent || mutations::is_active(Mutation::NoCheckBeforeUse) {
             true => BeforeUse::Nothing,
             false => BeforeUse::Check((dial_timeout / CHECK_DIVISOR).max(1)),
         }
--- a/crates/ivyward-core/src/membership.rs
+++ b/crates/ivyward-core/src/membership.rs
@@ -250,7 +250,8 @@
         for mut member in list.members.iter().copied() {
             let id = member.endpoint.id;
             let known = self.members.get(&id).filter(|_| same_store);
-            if let Some(known) = known.filter(|_| mutations::is_active(Mutation::DrainLostInList)) {
+            if let Some(known) = known.filter(|_| mutations::is_active(Mutation::IgnoreDrainInList))
+            {
                 member.endpoint.state = known.endpoint.state;
             }
             members.insert(
@@ -258,7 +259,7 @@
                 known.map_or(member, |known| merge_records(&member, known)),
             );
         }
-        if mutations::is_active(Mutation::MissingStay) {
+        if mutations::is_active(Mutation::KeepMissingEngines) {
             for (id, known) in &self.members {
                 members.entry(*id).or_insert(*known);
             }
--- a/crates/ivyward-core/src/peers/dissemination.rs
+++ b/crates/ivyward-core/src/peers/dissemination.rs
@@ -237,7 +237,7 @@
         });
         if can_refute {
             // The mutation drops the refutation, so that other nodes keep their suspicion.
-            return (!mutations::is_active(Mutation::RefutationKept)).then_some(id);
+            return (!mutations::is_active(Mutation::NoRefutation)).then_some(id);
         }
         if self.apply_evidence(now, update, EvidenceSource::Other(from.id), out) {
             self.suspect(now, id, unanswered_since, out);
--- a/crates/ivyward-core/src/peers/leases.rs
+++ b/crates/ivyward-core/src/peers/leases.rs
@@ -15,7 +15,8 @@
     /// certainly send no more.
     pub fn replica_count(&self) -> u32 {
         let is_miscounted = |peer: &Peer| {
-            mutations::is_active(Mutation::CountOnDoubt) && peer.state != PeerState::Alive
+            mutations::is_active(Mutation::SuspicionLowersReplicaCount)
+                && peer.state != PeerState::Alive
         };
         let known = self
             .members
--- a/crates/ivyward-core/src/peers/members.rs
+++ b/crates/ivyward-core/src/peers/members.rs
@@ -510,7 +510,7 @@
 
     /// Removes the nodes that are dead or left and of which there was no evidence for `tombstone_ttl`. Returns their ids.
     pub(super) fn forget(&mut self, now: Micros, tombstone_ttl: Micros) -> Vec<PeerId> {
-        if mutations::is_active(Mutation::TombstoneStays) {
+        if mutations::is_active(Mutation::TombstoneNeverExpires) {
             return Vec::new();
         }
         let expired: Vec<PeerId> = self
--- a/crates/ivyward-core/src/peers/probing.rs
+++ b/crates/ivyward-core/src/peers/probing.rs
@@ -85,7 +85,7 @@
 impl Peers {
     /// Returns whether this node takes its own health into account.
     pub(super) fn checks_own_health(&self) -> bool {
-        self.settings.local_health && !mutations::is_active(Mutation::NeverDoubtsItself)
+        self.settings.local_health && !mutations::is_active(Mutation::IgnoreOwnHealth)
     }
 
     /// Returns how long to wait for an ack. The worse this node's own health is, the longer the time.
@@ -344,7 +344,7 @@
         };
         // A suspicion may arrive late, from a node that waits longer than this one. It must be known here for a minimum
         // time before it can lead to a death, so that the suspect can refute it.
-        let min_suspicion_duration = if mutations::is_active(Mutation::NeverDoubtsItself) {
+        let min_suspicion_duration = if mutations::is_active(Mutation::IgnoreOwnHealth) {
             0
         } else {
             self.settings
--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -351,14 +351,14 @@
         tenants: named_tenants(deployment, &rules),
         answer_margin: response_margin(&rules),
         dial_timeout: connect_timeout.min(rules.drain_grace).max(MIN_SPAN),
-        reset_wait: default.reset_wait.min(rules.release_within / 2),
-        stream_stall: STREAM_STALL_TIMEOUT,
-        most_open: max_open,
-        most_clients: bounds.client_connections,
-        connections_per_engine: bounds.engine_connections.min(MAX_CONNECTIONS_PER_ENGINE),
-        calls_per_connection: 1,
-        most_releases: bounds.pending_releases,
-        rules,
+        reset_timeout: default.reset_timeout.min(rules.release_within / 2),
+        stream_idle_timeout: STREAM_STALL_TIMEOUT,
+        max_open_requests: max_open,
+        max_client_connections: bounds.client_connections,
+        max_connections_per_engine: bounds.engine_connections.min(MAX_CONNECTIONS_PER_ENGINE),
+        max_calls_per_connection: 1,
+        max_pending_releases: bounds.pending_releases,
+        router: rules,
         ..default
     }
 }
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -176,20 +176,20 @@
         ..WatcherOptions::default()
     };
     let following = node.clone();
-    runtime.run(async move { following.follow(follow).await });
+    runtime.run(async move { following.watch_endpoints(follow).await });
     let peer_store = PeerStore {
         endpoints: vec![store],
-        prefix: ivyward::peers::NODES.into(),
-        lease: LEASE,
+        prefix: ivyward::peers::DEFAULT_NODE_PREFIX.into(),
+        lease_seconds: LEASE,
         etcd: EtcdOptions::default(),
     };
     let name = Some(format!("hollow-{number}"));
     let options = PeerOptions {
         name,
         store: Some(peer_store),
-        ..PeerOptions::at(local())
+        ..PeerOptions::new(local())
     };
-    node.peers(options).map_err(|e| failed(&e))?;
+    node.start_peers(options).map_err(|e| failed(&e))?;
     Ok(node)
 }
 
@@ -235,7 +235,7 @@
     let keys: Vec<String> = store
         .keys()
         .into_iter()
-        .filter(|k| k.starts_with(ivyward::registration::PREFIX))
+        .filter(|k| k.starts_with(ivyward::registration::DEFAULT_ENGINE_PREFIX))
         .collect();
     let start = store.revision() as usize;
     for i in 0..count as usize {
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -6,7 +6,7 @@
 use crate::peer_scenario::Addresses;
 use crate::registration;
 use ivyward::core::interface::Micros;
-use ivyward::registration::{State, PREFIX};
+use ivyward::registration::{State, DEFAULT_ENGINE_PREFIX};
 use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
 use ivyward_fakes::etcd::Store;
@@ -48,7 +48,10 @@
 
 impl SimulatedCluster {
     pub(super) fn key(&self, engine: usize) -> String {
-        format!("{PREFIX}{}", lock(&self.engines[engine]).0.spec().id)
+        format!(
+            "{DEFAULT_ENGINE_PREFIX}{}",
+            lock(&self.engines[engine]).0.spec().id
+        )
     }
 
     pub(super) fn put(&self, engine: usize, state: State, started: Micros) {
@@ -91,12 +94,12 @@
         runtime.run(async move { serving.serve(listener).await });
         let follow = WatcherOptions {
             endpoints: lock(&self.store).endpoints()[i..=i].to_vec(),
-            silence: 400_000,
+            silence_timeout: 400_000,
             empty_grace: 3_000_000,
-            pauses: (10_000, 200_000),
+            backoff: (10_000, 200_000),
             ..WatcherOptions::default()
         };
-        runtime.run(async move { following.follow(follow).await });
+        runtime.run(async move { following.watch_endpoints(follow).await });
         lock(&self.records).push((i, record));
         place.node = Some((host.id(), node));
         place.client = None;
--- a/crates/ivyward-testbed/tests/node_isolation.rs
+++ b/crates/ivyward-testbed/tests/node_isolation.rs
@@ -129,7 +129,7 @@
         }
         // As long as a reset takes to be written, and to cross.
         runtime.sleep(1_000_000).await;
-        (node.open_requests(), node.metrics().gone.get())
+        (node.open_requests(), node.metrics().disconnected.get())
     });
     assert_eq!(played, Ok((0, 5)));
     assert!(stage.engines.iter().all(|e| e.retained() == 0));
@@ -155,7 +155,7 @@
     let following = node.clone();
     stage
         .runtime
-        .run(async move { following.follow(follow).await });
+        .run(async move { following.watch_endpoints(follow).await });
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let until = |what: fn(&Node) -> bool| {
             let (node, runtime) = (node.clone(), runtime.clone());
--- a/crates/ivyward-testbed/tests/reservations.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -15,7 +15,7 @@
     // Reads take a quarter of a second, so that a place is held meanwhile.
     specs[0].read_rate = 200.0;
     let mut make = ClusterBuilder::new(31, specs);
-    make.settings.rules.reserve_decode_slot = true;
+    make.settings.router.reserve_decode_slot = true;
     make.patient();
     let scene = build(make);
     block_on(async {
@@ -80,7 +80,7 @@
 fn load_reports_ride_on_answers() {
     let memory = RecordingBuffer::default();
     let mut make = ClusterBuilder::new(32, pools(1, 1));
-    make.settings.rules.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
+    make.settings.router.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
     make.record = Some(memory.clone());
     let scene = build(make);
     block_on(async {
@@ -109,7 +109,7 @@
     let mut specs = pools(1, 1);
     specs[1].token_gap = 30_000;
     let mut make = ClusterBuilder::new(33, specs);
-    make.settings.most_open = 2;
+    make.settings.max_open_requests = 2;
     // Refused by the bound alone: a wait on a busy machine is no overload.
     make.patient();
     let scene = build(make);
