--- a/crates/ivyward-core/src/long_poll.rs
+++ b/crates/ivyward-core/src/long_poll.rs
@@ -48,7 +48,7 @@
 /// Maximum number of failures in a row that lengthen pauses and timeouts.
 const MAX_FAILURES: u32 = 16;
 /// The shortest time that can be configured, in microseconds. Shorter ones are raised to it.
-const MIN_MAX_DELAY: Micros = 100_000;
+const MIN_CONFIGURED_TIME: Micros = 100_000;
 
 /// The kinds of failure of a call, as far as the timing of the next call depends on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,7 +82,7 @@
     /// pauses do.
     pub fn new(max_delay: Micros, costly: bool, seed: u64) -> LongPoll {
         LongPoll {
-            max_delay: max_delay.max(MIN_MAX_DELAY),
+            max_delay: max_delay.max(MIN_CONFIGURED_TIME),
             failures: 0,
             slow_bodies: 0,
             costly,
