--- a/crates/ivywardd/src/flags/flag_file.rs
+++ b/crates/ivywardd/src/flags/flag_file.rs
@@ -1,17 +1,17 @@
-//! Flags in a file, given as `@file`.
+//! Files of flags, one flag per line, given on the command line as `@file`.
 
 use std::ffi::OsString;
 use std::io;
 
-/// Most bytes of such a file.
-const MAX_FILE: u64 = 16 << 20;
+/// Maximum size of a file of flags, in bytes.
+const MAX_FILE_SIZE: u64 = 16 << 20;
 
-/// Why the flags of a file cannot be used.
+/// Why a file of flags cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FlagFileError {
-    #[error("@{path}: cannot be read: {error}")]
+    #[error("@{path}: cannot read the file: {error}")]
     Unreadable { path: String, error: io::Error },
-    #[error("@{path}: {size} bytes; {MAX_FILE} at most")]
+    #[error("@{path}: the file has {size} bytes; the limit is {MAX_FILE_SIZE}")]
     TooLarge { path: String, size: u64 },
     #[error("@{path}: line {number}: {line:?} is not a flag like --name=value")]
     NotAFlag {
@@ -21,7 +21,7 @@
     },
 }
 
-/// Replaces each `@file` by the flags in it.
+/// Replaces each argument `@file` by the flags in that file. Files are not nested: an `@file` inside a file is an error.
 pub fn expand(args: impl IntoIterator<Item = OsString>) -> Result<Vec<OsString>, FlagFileError> {
     let mut expanded = Vec::new();
     for arg in args {
@@ -39,7 +39,7 @@
         error,
     };
     let size = std::fs::metadata(path).map_err(unreadable)?.len();
-    if size > MAX_FILE {
+    if size > MAX_FILE_SIZE {
         let path = path.into();
         return Err(FlagFileError::TooLarge { path, size });
     }
--- a/crates/ivywardd/src/flags/values.rs
+++ b/crates/ivywardd/src/flags/values.rs
@@ -1,4 +1,4 @@
-//! Values of flags: durations, and lists of `key=value` pairs.
+//! Parses the values of flags: durations, keywords and lists of `key=value` pairs.
 
 use ivyward::core::interface::{
     ClassSettings, DeduplicationScope, Endpoint, EndpointId, EndpointState, Idempotency, Micros,
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Longest duration that is taken, in microseconds.
+/// Durations must be shorter than this, in microseconds (about 31 years).
 const MAX_DURATION: f64 = 1e15;
-/// Mean time between tokens of a class that states none, in microseconds.
+/// Objective for the time per output token of a class without `tpot-aim`, in microseconds.
 const DEFAULT_TPOT: Micros = 50_000;
 
 const ENGINE_KEYS: [&str; 6] = ["id", "address", "role", "zone", "cell", "weight"];
@@ -28,7 +28,7 @@
 ];
 const TENANT_KEYS: [&str; 2] = ["name", "quota"];
 
-/// Roles with the numbers of their machine types.
+/// The roles and the machine types that stand for them: indexes into `MACHINE_TYPE_ROLES`.
 const ROLES: [(&str, u8); 3] = [("prefill", 0), ("decode", 1), ("mixed", 2)];
 const IDEMPOTENCY: [(&str, Idempotency); 3] = [
     ("safe", Idempotency::Idempotent),
@@ -49,20 +49,20 @@
     ("waiting-ktokens", ReportField::WaitingKTokens),
 ];
 
-/// Why a value cannot be used.
+/// Why the value of a flag is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
     #[error("a unit is missing: us, ms, s or m")]
     MissingUnit,
-    #[error("{0:?} is no unit: us, ms, s or m")]
+    #[error("unknown unit {0:?}: must be us, ms, s or m")]
     UnknownUnit(String),
-    #[error("{0:?} is no number")]
-    NotTheNumber(String),
-    #[error("that is too long")]
-    TooLong,
+    #[error("{0:?} is not a number")]
+    InvalidDuration(String),
+    #[error("the duration must be under 1000000000s")]
+    DurationTooLong,
     #[error("{0:?} is not key=value")]
     NotAPair(String),
-    #[error("{key:?} is none of {known}")]
+    #[error("unknown key {key:?}: must be one of {known}")]
     UnknownKey { key: String, known: String },
     #[error("{0} has no value")]
     EmptyValue(String),
@@ -76,29 +76,29 @@
         value: String,
         error: Box<ValueError>,
     },
-    #[error("no number that fits")]
+    #[error("not a number, or out of range")]
     NotInRange,
-    #[error("no number")]
+    #[error("not a number")]
     NotANumber,
-    #[error("no whole number")]
+    #[error("not a whole number, or out of range")]
     NotAWholeNumber,
     #[error("not IP:PORT")]
     NotAnAddress,
     #[error("must be one of {0}")]
-    UnknownWord(String),
+    UnknownKeyword(String),
     #[error("weight={0} must be over 0")]
     Weight(f64),
 }
 
-/// Reads a duration such as 250ms, 2s, 1.5s or 500us as microseconds.
-pub fn span(text: &str) -> Result<Micros, ValueError> {
+/// Parses a duration such as 250ms, 2s, 1.5s or 500us into microseconds.
+pub fn duration(text: &str) -> Result<Micros, ValueError> {
     let unit_at = text
         .find(|letter: char| !letter.is_ascii_digit() && letter != '.')
         .ok_or(ValueError::MissingUnit)?;
     let (number, unit) = text.split_at(unit_at);
     let number: f64 = number
         .parse()
-        .map_err(|_| ValueError::NotTheNumber(number.into()))?;
+        .map_err(|_| ValueError::InvalidDuration(number.into()))?;
     let scale = match unit {
         "us" => 1.0,
         "ms" => 1e3,
@@ -109,11 +109,11 @@
     let micros = number * scale;
     match micros.is_finite() && micros < MAX_DURATION {
         true => Ok(micros.round() as Micros),
-        false => Err(ValueError::TooLong),
+        false => Err(ValueError::DurationTooLong),
     }
 }
 
-/// The pairs of `key=value,key=value`, each key known and given once.
+/// The pairs of a text like `key=value,key=value`. Each key is known and occurs once.
 struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
@@ -146,12 +146,12 @@
         let Some(value) = self.0.get(key) else {
             return Ok(None);
         };
-        let named = |error| ValueError::Pair {
+        let with_key = |error| ValueError::Pair {
             key: key.into(),
             value: (*value).into(),
             error: Box::new(error),
         };
-        read(value).map(Some).map_err(named)
+        read(value).map(Some).map_err(with_key)
     }
     fn require<T>(
         &self,
@@ -170,15 +170,15 @@
     }
 }
 
-fn word<T: Copy>(text: &str, words: &[(&str, T)]) -> Result<T, ValueError> {
-    let found = words.iter().find(|(word, _)| *word == text);
+fn keyword<T: Copy>(text: &str, keywords: &[(&str, T)]) -> Result<T, ValueError> {
+    let found = keywords.iter().find(|(keyword, _)| *keyword == text);
     found.map(|(_, value)| *value).ok_or_else(|| {
-        let names: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-        ValueError::UnknownWord(names.join(", "))
+        let names: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
+        ValueError::UnknownKeyword(names.join(", "))
     })
 }
 
-/// Reads the value of `--server`.
+/// Parses the value of `--server`.
 pub fn engine(text: &str) -> Result<Engine, ValueError> {
     let pairs = Pairs::read(text, &ENGINE_KEYS)?;
     let id = pairs.require("id", |text| {
@@ -187,7 +187,7 @@
     let address = pairs.require("address", |text| {
         text.parse().map_err(|_| ValueError::NotAnAddress)
     })?;
-    let machine_type = pairs.require("role", |text| word(text, &ROLES))?;
+    let machine_type = pairs.require("role", |text| keyword(text, &ROLES))?;
     let weight: f64 = pairs.number("weight", 1.0)?;
     if !weight.is_finite() || weight <= 0.0 {
         return Err(ValueError::Weight(weight));
@@ -204,29 +204,29 @@
     Ok(Engine { endpoint, address })
 }
 
-/// Reads the value of `--class`.
+/// Parses the value of `--class`.
 pub fn class(text: &str) -> Result<Class, ValueError> {
     let pairs = Pairs::read(text, &CLASS_KEYS)?;
     let settings = ClassSettings {
-        ttft_objective: pairs.require("ttft-aim", span)?,
-        ttft_objective_per_1000: pairs.get("ttft-aim-per-1000", span)?.unwrap_or(0) as f64,
-        tpot_objective: pairs.get("tpot-aim", span)?.unwrap_or(DEFAULT_TPOT) as f64,
-        deadline: pairs.require("deadline", span)?,
+        ttft_objective: pairs.require("ttft-aim", duration)?,
+        ttft_objective_per_1000: pairs.get("ttft-aim-per-1000", duration)?.unwrap_or(0) as f64,
+        tpot_objective: pairs.get("tpot-aim", duration)?.unwrap_or(DEFAULT_TPOT) as f64,
+        deadline: pairs.require("deadline", duration)?,
         priority_weight: pairs.number("worth", 1.0)?,
         late_weight: pairs.number("late-share", 0.0)?,
         idempotency: pairs
-            .get("effect", |text| word(text, &IDEMPOTENCY))?
+            .get("effect", |text| keyword(text, &IDEMPOTENCY))?
             .unwrap_or(Idempotency::Idempotent),
         deduplication_scope: pairs
-            .get("group", |text| word(text, &DEDUPLICATION_SCOPES))?
+            .get("group", |text| keyword(text, &DEDUPLICATION_SCOPES))?
             .unwrap_or(DeduplicationScope::All),
-        deduplication_window: pairs.get("repeat-window", span)?.unwrap_or(0),
+        deduplication_window: pairs.get("repeat-window", duration)?.unwrap_or(0),
     };
     let name = pairs.name()?;
     Ok(Class { name, settings })
 }
 
-/// Reads the value of `--tenant`.
+/// Parses the value of `--tenant`.
 pub fn tenant(text: &str) -> Result<Tenant, ValueError> {
     let pairs = Pairs::read(text, &TENANT_KEYS)?;
     let quota_per_s = pairs.get("quota", |text| {
@@ -237,7 +237,7 @@
     Ok(Tenant { name, settings })
 }
 
-/// Reads a value of `--report`.
+/// Parses one value of `--report`.
 pub fn report_field(text: &str) -> Result<ReportField, ValueError> {
-    word(text, &REPORT_FIELDS)
+    keyword(text, &REPORT_FIELDS)
 }
--- a/crates/ivywardd/src/grpc_node.rs
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -53,15 +53,15 @@
     // Scripts wait for this line.
     println!("listening on {address}");
     let run = format!("{:x}", node.incarnation());
-    info!(%address, engines = flags.servers.len(), threads, seed, run, "taking requests");
+    info!(%address, engines = flags.engines.len(), threads, seed, run, "taking requests");
     smol.block_on(async {
         serve_until_stopped(&mut signals, &node, &runtime, flags, is_recording).await;
         info!(
             open = node.open_requests(),
-            within_us = flags.stop_within,
+            within_us = flags.stop_timeout,
             "stopping"
         );
-        node.stop(flags.stop_within).await;
+        node.stop(flags.stop_timeout).await;
     });
     info!("stopped");
     smol.stop();
@@ -115,7 +115,7 @@
     flags: &Flags,
 ) -> Result<(), DaemonError> {
     if flags.etcd_endpoints.is_empty() {
-        smol.block_on(node.update_endpoints(ListKind::Full, flags.servers.clone()));
+        smol.block_on(node.update_endpoints(ListKind::Full, flags.engines.clone()));
     } else {
         let (node, options) = (node.clone(), flags.watcher());
         smol.run(async move { node.watch_endpoints(options).await });
@@ -159,7 +159,7 @@
 async fn reload(node: &Node) {
     match flags::read(std::env::args_os()) {
         Ok(start) => {
-            let engines = start.flags.servers;
+            let engines = start.flags.engines;
             info!(
                 engines = engines.len(),
                 "endpoint list reloaded; other settings need a restart"
--- a/crates/ivywardd/src/main.rs
+++ b/crates/ivywardd/src/main.rs
@@ -1,8 +1,11 @@
-//! The ivyward daemon: flags, logs, signals and sockets around the library.
+//! The ivyward daemon: sets up flags, logs, signals and sockets and runs a node of the library.
 //!
-//! - `flags`: the command line and the environment.
-//! - `grpc_node`: a node that speaks gRPC; `platform`: a node on the platform, by its configuration file.
-//! - `signals`: SIGTERM, SIGINT and SIGHUP; `logging`: logs on standard error; `error`: why the daemon ends.
+//! - `flags`: the command line and the environment variables of the gRPC node.
+//! - `grpc_node`: a node that speaks gRPC to clients and engines.
+//! - `platform`: a node on the platform (`ivywardd platform`), set up by a configuration file.
+//! - `signals`: SIGTERM, SIGINT and SIGHUP.
+//! - `logging`: logs on standard error.
+//! - `error`: errors that end the daemon.
 
 mod error;
 mod flags;
@@ -32,8 +35,8 @@
     };
     if start.flags.check {
         println!(
-            "the settings hold: {} engines, {} classes",
-            start.flags.servers.len(),
+            "settings are valid: {} engines, {} classes",
+            start.flags.engines.len(),
             start.settings.classes.len()
         );
         return ExitCode::SUCCESS;
--- a/crates/ivywardd/tests/flags.rs
+++ b/crates/ivywardd/tests/flags.rs
@@ -1,8 +1,8 @@
-//! A deliberately broken value of each flag is refused in one line that names the flag, the value and a reason.
+//! Each flag rejects an invalid value with one line of error that names the flag, the value and the reason.
 
 use std::process::{Command, Output};
 
-const GOOD: [&str; 4] = [
+const VALID: [&str; 4] = [
     "--check",
     "--class=name=a,ttft-aim=1s,deadline=4s",
     "--server=id=1,address=127.0.0.1:7001,role=prefill",
@@ -17,32 +17,32 @@
         .expect("the daemon runs")
 }
 
-fn refused(args: &[&str], names: &[&str]) {
+fn assert_rejected(args: &[&str], expected: &[&str]) {
     let output = run(args);
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success(), "{args:?} was taken");
+    assert!(!output.status.success(), "{args:?} was accepted");
     assert_eq!(text.lines().count(), 1, "{args:?}: {text}");
-    for name in names {
+    for part in expected {
         assert!(
-            text.contains(name),
-            "{args:?}: {text:?} does not name {name:?}"
+            text.contains(part),
+            "{args:?}: {text:?} does not contain {part:?}"
         );
     }
 }
 
 #[test]
-fn good_settings_hold() {
-    let output = run(&GOOD);
+fn valid_settings_pass_the_check() {
+    let output = run(&VALID);
     assert!(output.status.success(), "{output:?}");
     assert_eq!(
         String::from_utf8_lossy(&output.stdout),
-        "the settings hold: 2 engines, 1 classes\n"
+        "settings are valid: 2 engines, 1 classes\n"
     );
 }
 
 #[test]
-fn each_flag_refuses_a_broken_value() {
-    let broken = [
+fn each_flag_rejects_an_invalid_value() {
+    let invalid = [
         ("--listen=nowhere", "nowhere"),
         ("--admin=1.2.3.4", "1.2.3.4"),
         ("--nodes=0", "--nodes"),
@@ -162,7 +162,7 @@
         ),
         (
             "--etcd-endpoint=127.0.0.1:2379",
-            "--etcd-endpoint 127.0.0.1:2379: goes with no --server",
+            "--etcd-endpoint 127.0.0.1:2379: cannot be combined with --server",
         ),
         ("--etcd-endpoint=store", "store"),
         ("--etcd-prefix=", "--etcd-prefix"),
@@ -173,21 +173,21 @@
         ("--tenant=name=t,quota=0", "quota must be over 0"),
         ("--tenant=quota=1", "name is missing"),
     ];
-    for (flag, name) in broken {
-        refused(&[&GOOD[..], &[flag]].concat(), &[name]);
+    for (flag, name) in invalid {
+        assert_rejected(&[&VALID[..], &[flag]].concat(), &[name]);
     }
-    refused(&GOOD[..2], &["--server"]);
-    refused(&[GOOD[0], GOOD[2]], &["--class"]);
-    refused(
-        &[&GOOD[..], &["--tenant=name=t", "--tenant=name=t"]].concat(),
+    assert_rejected(&VALID[..2], &["--server"]);
+    assert_rejected(&[VALID[0], VALID[2]], &["--class"]);
+    assert_rejected(
+        &[&VALID[..], &["--tenant=name=t", "--tenant=name=t"]].concat(),
         &["--tenant t: the name is given twice"],
     );
 }
 
 #[test]
-fn flags_come_from_files_and_the_environment_too() {
+fn flags_are_read_from_files_and_the_environment() {
     let path = std::env::temp_dir().join(format!("ivywardd-flags-{}", std::process::id()));
-    std::fs::write(&path, format!("# engines\n\n{}\n{}\n", GOOD[2], GOOD[3])).unwrap();
+    std::fs::write(&path, format!("# engines\n\n{}\n{}\n", VALID[2], VALID[3])).unwrap();
     let file = format!("@{}", path.display());
     let output = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
         .env_clear()
@@ -200,31 +200,32 @@
         .unwrap();
     assert_eq!(
         String::from_utf8_lossy(&output.stdout),
-        "the settings hold: 2 engines, 2 classes\n",
+        "settings are valid: 2 engines, 2 classes\n",
         "{output:?}"
     );
     std::fs::write(&path, "not a flag\n").unwrap();
-    refused(&["--check", &file], &["line 1", "not a flag"]);
+    assert_rejected(&["--check", &file], &["line 1", "not a flag"]);
     std::fs::remove_file(&path).unwrap();
 }
 
-/// Checks of connections at rest: none and most are taken, more is not, and they need pings.
+/// The number of idle connections pinged per second may be 0 or the maximum. A larger number is rejected, and so is a
+/// number over 0 without pings.
 #[test]
-fn checks_at_rest_need_pings_and_have_a_bound() {
-    let with = |more: &[&'static str]| [&GOOD[..], more].concat();
-    for good in [
+fn idle_connection_checks_need_pings_and_have_a_limit() {
+    let with = |more: &[&'static str]| [&VALID[..], more].concat();
+    for valid in [
         &["--resting-checks=0"][..],
         &["--resting-checks=10000"],
         &["--ping-every=0us"],
     ] {
-        let output = run(&with(good));
-        assert!(output.status.success(), "{good:?}: {output:?}");
+        let output = run(&with(valid));
+        assert!(output.status.success(), "{valid:?}: {output:?}");
     }
-    refused(
+    assert_rejected(
         &with(&["--resting-checks=10001"]),
         &["--resting-checks", "10001", "10000 a second at most"],
     );
-    refused(
+    assert_rejected(
         &with(&["--resting-checks=5", "--ping-every=0us"]),
         &["--resting-checks", "5", "--ping-every is 0"],
     );
