--- a/crates/ivywardd/src/error.rs
+++ b/crates/ivywardd/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon ends with an error.
+//! Errors that end the daemon.
 
 use ivyward::{PeerError, StartError};
 use ivyward_platform::{service::ServiceError, ConfigError};
@@ -6,51 +6,51 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// An error that ends the daemon, in one line.
+/// An error that ends the daemon. The text is one line, printed on standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// A log filter that cannot be parsed.
+    /// The log filter cannot be parsed.
     #[error("--log {filter}: {error}")]
     LogFilter {
-        /// The filter as given.
+        /// The value of `--log`.
         filter: String,
-        /// What is wrong with it.
+        /// The reason given by the parser.
         error: tracing_subscriber::filter::ParseError,
     },
-    /// Logs that were set up already.
-    #[error("logs cannot be set up: {0}")]
+    /// The log subscriber cannot be installed, for example because one is installed already.
+    #[error("cannot set up logging: {0}")]
     Logs(Box<dyn std::error::Error + Send + Sync>),
-    /// Signal handlers that cannot be installed.
-    #[error("signals: {0}")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(io::Error),
-    /// A recording that cannot be created.
-    #[error("--record {}: {error}", path.display())]
+    /// The file for the recording cannot be created.
+    #[error("--record {}: cannot create the file: {error}", path.display())]
     Record {
-        /// Its path.
+        /// The value of `--record`.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// An address that cannot be listened at.
-    #[error("{flag} {address}: {error}")]
+    /// A listening socket cannot be opened.
+    #[error("{flag} {address}: cannot listen: {error}")]
     Listen {
-        /// The flag that gave it.
+        /// The flag that states the address.
         flag: &'static str,
-        /// The address.
+        /// The address as given.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A node that does not start.
+    /// The gRPC node cannot be set up.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// Gossip that does not start.
+    /// Gossip between nodes cannot be set up.
     #[error(transparent)]
     Peers(#[from] PeerError),
-    /// A platform configuration that cannot be used.
+    /// The configuration file of the platform is unreadable or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A platform node that does not start.
+    /// The platform node cannot be set up.
     #[error(transparent)]
     Service(#[from] ServiceError),
 }
--- a/crates/ivywardd/src/grpc_node.rs
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -1,4 +1,4 @@
-//! A node that speaks gRPC to clients and engines, set up by flags.
+//! Runs a node that speaks gRPC to clients and engines and is set up by flags.
 
 use crate::error::DaemonError;
 use crate::flags::{self, Flags, FlagsError, Start};
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use tracing::{error, info, warn};
 
-/// Bytes of a recording that are buffered before they are written.
-const RECORDING_BUFFER: usize = 64 << 10;
-/// A recording is flushed this often, in microseconds.
+/// Size of the write buffer of a recording, in bytes.
+const RECORDING_BUFFER_SIZE: usize = 64 << 10;
+/// Interval at which a recording is flushed to its file, in microseconds.
 const FLUSH_INTERVAL: u64 = 1_000_000;
 
-/// Runs a node until SIGTERM or SIGINT.
+/// Runs a node until SIGTERM or SIGINT, then lets open requests finish for at most `--stop-within`.
 ///
 /// # Errors
 /// When the node cannot be set up.
@@ -28,8 +28,9 @@
     logging::init(&start.flags.log, log_format(&start.flags))?;
     let mut signals = SignalListener::install()?;
     let threads = threads(&start.flags);
-    // Guards against nodes that are given one seed and then take one incarnation: engines could not tell them apart.
-    let process_seed = u64::from(std::process::id()) << 32 ^ clock();
+    // The runtime gets its own seed even if `--seed` is given. Nodes that are given the same seed would otherwise take the
+    // same incarnation, and engines could not tell them apart.
+    let process_seed = u64::from(std::process::id()) << 32 ^ unix_micros();
     let seed = start.flags.seed.unwrap_or(process_seed);
     start.settings.seed = seed;
     let smol = SmolRuntime::start(threads, process_seed);
@@ -50,7 +51,7 @@
     }
     let serving = node.clone();
     runtime.run(async move { serving.serve(listener).await });
-    // Scripts wait for this line.
+    // Scripts and tests wait for this line and read the address from it.
     println!("listening on {address}");
     let run = format!("{:x}", node.incarnation());
     info!(%address, engines = flags.engines.len(), threads, seed, run, "taking requests");
@@ -82,7 +83,7 @@
     }
 }
 
-fn clock() -> u64 {
+fn unix_micros() -> u64 {
     SmolRuntime::start(1, 0).unix_micros()
 }
 
@@ -91,7 +92,10 @@
         path: path.into(),
         error,
     })?;
-    Ok(Box::new(BufWriter::with_capacity(RECORDING_BUFFER, file)))
+    Ok(Box::new(BufWriter::with_capacity(
+        RECORDING_BUFFER_SIZE,
+        file,
+    )))
 }
 
 fn listen(
@@ -108,7 +112,8 @@
         })
 }
 
-/// Hands over the engines of the flags, or watches etcd for them, and starts gossip where it is asked for.
+/// Passes the engines of `--server` to the node, or starts watching etcd for engines, and starts gossip if `--peer-listen` is
+/// given.
 fn start_membership(
     smol: &Arc<SmolRuntime>,
     node: &Node,
@@ -126,7 +131,7 @@
     Ok(())
 }
 
-/// Serves until SIGTERM or SIGINT; SIGHUP reads the engines of the flags again.
+/// Serves until SIGTERM or SIGINT. SIGHUP reads the `--server` flags again, unless the engines come from etcd.
 async fn serve_until_stopped(
     signals: &mut SignalListener,
     node: &Node,
@@ -140,7 +145,7 @@
             None
         };
         match or(async { Some(signals.next(runtime).await) }, flush_due).await {
-            // What was recorded is in the file a second later, also when the process is killed.
+            // Flushed every second, so that the file lacks at most the last second if the process is killed.
             None if is_recording => node.flush_recording().await,
             None => {}
             Some(SignalRequest::Reload) if flags.etcd_endpoints.is_empty() => reload(node).await,
@@ -155,7 +160,7 @@
     }
 }
 
-/// Reads the flags again and hands over their engines.
+/// Reads the flags again, files of flags included, and passes their engines to the node. Invalid flags change nothing.
 async fn reload(node: &Node) {
     match flags::read(std::env::args_os()) {
         Ok(start) => {
@@ -166,7 +171,12 @@
             );
             node.update_endpoints(ListKind::Full, engines).await;
         }
-        Err(FlagsError::Page(_)) => warn!("no configuration changes"),
+        Err(FlagsError::Page(_)) => {
+            warn!(
+                reason = "the flags ask for help or the version",
+                "no configuration changes"
+            );
+        }
         Err(error) => error!(%error, "configuration reload failed, keeping the current one"),
     }
 }
--- a/crates/ivywardd/src/logging.rs
+++ b/crates/ivywardd/src/logging.rs
@@ -1,36 +1,36 @@
-//! Logs on standard error.
+//! Sets up logging to standard error.
 
 use crate::error::DaemonError;
 use tracing_subscriber::EnvFilter;
 
-/// How log lines are written.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text, with colours or without.
+    /// Human-readable text.
     Text {
-        /// Whether the lines carry terminal colours.
+        /// Whether the lines contain ANSI colour codes.
         colours: bool,
     },
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Sets up the logs: `filter` is written as RUST_LOG is.
+/// Installs the global log subscriber. `filter` has the syntax of `RUST_LOG`.
 ///
 /// # Errors
-/// When the filter is invalid or logs are set up already.
+/// When the filter is invalid, or a subscriber is already installed.
 pub fn init(filter: &str, format: LogFormat) -> Result<(), DaemonError> {
     let parsed = EnvFilter::try_new(filter).map_err(|error| DaemonError::LogFilter {
         filter: filter.into(),
         error,
     })?;
-    let logs = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(parsed)
         .with_writer(std::io::stderr);
     match format {
-        LogFormat::Json => logs.json().try_init(),
-        LogFormat::Text { colours: true } => logs.try_init(),
-        LogFormat::Text { colours: false } => logs.with_ansi(false).try_init(),
+        LogFormat::Json => subscriber.json().try_init(),
+        LogFormat::Text { colours: true } => subscriber.try_init(),
+        LogFormat::Text { colours: false } => subscriber.with_ansi(false).try_init(),
     }
     .map_err(DaemonError::Logs)
 }
--- a/crates/ivywardd/src/platform.rs
+++ b/crates/ivywardd/src/platform.rs
@@ -1,4 +1,5 @@
-//! The daemon's platform form: one thread, one listener, everything else from the platform's configuration file.
+//! Runs a node on the platform (`ivywardd platform`): one thread and one listener, set up by the platform's configuration
+//! file.
 
 use crate::error::DaemonError;
 use crate::logging::{self, LogFormat};
@@ -12,30 +13,32 @@
 use std::process::ExitCode;
 use tracing::{error, info};
 
-/// The first word on the command line that asks for this form.
+/// The subcommand that runs a platform node. It must be the first argument.
 pub const COMMAND: &str = "platform";
-/// A configuration that cannot be read at SIGHUP is tried so often, with this pause in microseconds.
+/// Maximum number of times that a reload reads the configuration; the file may be incomplete while it is being written.
 const RELOAD_ATTEMPTS: u32 = 15;
-const RELOAD_PAUSE: u64 = 200_000;
-/// Time in microseconds for the last responses to reach their clients.
-const LAST_RESPONSES: u64 = 20_000;
+/// Delay between two attempts of a reload, in microseconds.
+const RELOAD_RETRY_DELAY: u64 = 200_000;
+/// Time between the stop of the service and the end of the process, in microseconds, in which the last responses are
+/// written to their clients.
+const FINAL_WRITE_WINDOW: u64 = 20_000;
 
-/// A node on the platform: HTTP/1.1 to clients, engines and discovery.
+/// A router node on the platform, which speaks HTTP/1.1 to clients, engines and discovery.
 #[derive(Parser, Debug)]
 #[command(name = "ivywardd platform", version, max_term_width = 110)]
 struct Flags {
-    /// The platform's configuration file: addresses, limits, settings and the list as last held.
+    /// The platform's configuration file: addresses, limits, settings and the last known list of engines.
     #[arg(long, env = "BALANCER_CONFIG", value_name = "FILE")]
     config: PathBuf,
-    /// What is logged on standard error, as RUST_LOG is written.
+    /// Filter of the log on standard error, in the syntax of RUST_LOG.
     #[arg(long, env = "IVYWARD_LOG", default_value = "info,ivyward::module=info")]
     log: String,
-    /// Only says whether the configuration holds.
+    /// Checks the configuration, prints the result and exits without starting the node.
     #[arg(long)]
     check: bool,
 }
 
-/// Runs a node until SIGTERM.
+/// Runs a platform node until SIGTERM or SIGINT. `args` begin with the subcommand.
 pub fn main(args: impl Iterator<Item = OsString>) -> ExitCode {
     match run(&Flags::parse_from(args)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -47,13 +50,13 @@
 }
 
 fn run(flags: &Flags) -> Result<(), DaemonError> {
-    // Before anything else: a signal without its handler ends the program.
+    // Installed first, because a signal that arrives before its handler is installed terminates the process.
     let mut signals = SignalListener::install()?;
     logging::init(&flags.log, LogFormat::Text { colours: false })?;
     let config = Config::read(&flags.config)?;
     if flags.check {
         println!(
-            "the configuration holds: {} classes, {:?}",
+            "configuration is valid: {} classes, {:?}",
             config.deployment.classes.len(),
             config.bounds
         );
@@ -63,19 +66,19 @@
     let runtime: RuntimeRef = smol.clone();
     smol.block_on(async {
         let mut service = Service::start(runtime.clone(), config).await?;
-        // Scripts wait for this line.
+        // Scripts and tests wait for this line and read the address from it.
         println!("listening on {}", service.address());
         serve_until_stopped(&mut signals, flags, &service, &runtime).await;
         service.stop().await;
-        runtime.sleep(LAST_RESPONSES).await;
+        runtime.sleep(FINAL_WRITE_WINDOW).await;
         Ok::<(), DaemonError>(())
     })?;
     smol.stop();
     Ok(())
 }
 
-/// Serves until SIGTERM or SIGINT. Guards against a configuration that cannot be read and holds up a shutdown: a signal
-/// interrupts the reload that the one before it began.
+/// Serves until SIGTERM or SIGINT. A signal interrupts the reload that an earlier SIGHUP started, so that retries for an
+/// unreadable configuration do not delay the shutdown.
 async fn serve_until_stopped(
     signals: &mut SignalListener,
     flags: &Flags,
@@ -97,7 +100,8 @@
     }
 }
 
-/// Reads the configuration again. One that cannot be read changes nothing; it may be half written, so it is retried.
+/// Reads the configuration again and applies it. A file that cannot be read may be half written, so it is read again a few
+/// times; if all attempts fail, the current configuration stays.
 async fn reload(flags: &Flags, service: &Service, runtime: &RuntimeRef) {
     for attempt in 0..RELOAD_ATTEMPTS {
         match Config::read(&flags.config) {
@@ -111,7 +115,7 @@
             }
             Err(_) => {}
         }
-        runtime.sleep(RELOAD_PAUSE).await;
+        runtime.sleep(RELOAD_RETRY_DELAY).await;
     }
     error!("configuration reload failed, keeping the current one");
 }
--- a/crates/ivywardd/src/signals.rs
+++ b/crates/ivywardd/src/signals.rs
@@ -1,7 +1,8 @@
-//! The signals that stop the daemon or make it reload.
+//! The signals that stop the daemon or make it reload its configuration.
 //!
-//! Each signal's handler sets a flag, which cannot fail, and then wakes the daemon through a pipe, which can: the write
-//! may find no buffer, and the read may be interrupted. So the flags alone count, and they are also looked at regularly.
+//! The handler of each signal sets a flag, which cannot fail, and then writes to a pipe that wakes the daemon. The pipe can
+//! fail: the write may find the buffer full, and the read may be interrupted. Therefore only the flags say which signal
+//! arrived, and they are also polled at a fixed interval.
 
 use crate::error::DaemonError;
 use async_signal::{Signal, Signals};
@@ -14,52 +15,52 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// The flags are polled this often, in microseconds, where no wake-up came.
+/// Interval at which the flags are polled if no wake-up arrives, in microseconds.
 const POLL_INTERVAL: u64 = 250_000;
-/// A wait that failed is retried after this pause, in microseconds.
-const RETRY_PAUSE: u64 = 10_000;
+/// Delay before a failed wait is retried, in microseconds.
+const RETRY_DELAY: u64 = 10_000;
 
-/// What a signal requests.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
     /// SIGTERM or SIGINT: shut down gracefully.
     Stop,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// The signals that the daemon listens to. While this lives none of them ends the program by itself.
+/// Receives SIGTERM, SIGINT and SIGHUP. While a listener exists, these signals do not terminate the process by themselves.
 pub struct SignalListener {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
-    wake_ups: Signals,
+    wakeups: Signals,
 }
 
 impl SignalListener {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// When the system refuses one.
+    /// When the operating system rejects a handler, or the pipe cannot be created.
     pub fn install() -> Result<SignalListener, DaemonError> {
-        SignalListener::handlers().map_err(DaemonError::Signals)
+        SignalListener::install_handlers().map_err(DaemonError::Signals)
     }
 
-    fn handlers() -> io::Result<SignalListener> {
+    fn install_handlers() -> io::Result<SignalListener> {
         let (stop, reload) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        // Handlers run in this order: a flag is set before its wake-up leaves.
+        // Handlers of one signal run in the order of their registration, so the flag is set before the wake-up is sent.
         signal_hook::flag::register(SIGTERM, stop.clone())?;
         signal_hook::flag::register(SIGINT, stop.clone())?;
         signal_hook::flag::register(SIGHUP, reload.clone())?;
-        let wake_ups = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
+        let wakeups = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
         Ok(SignalListener {
             stop,
             reload,
-            wake_ups,
+            wakeups,
         })
     }
 
-    /// The next request. Guards against an interrupted wait that is taken for SIGTERM, and against a signal that is lost
-    /// because its wake-up failed.
+    /// Waits for the next request. An interrupted wait is not mistaken for SIGTERM, and a signal is not lost if its wake-up
+    /// fails, because the result depends on the flags only.
     pub async fn next(&mut self, runtime: &RuntimeRef) -> SignalRequest {
         loop {
             if self.stop.swap(false, Ordering::SeqCst) {
@@ -68,22 +69,22 @@
             if self.reload.swap(false, Ordering::SeqCst) {
                 return SignalRequest::Reload;
             }
-            let look = async {
+            let poll = async {
                 runtime.sleep(POLL_INTERVAL).await;
                 Some(Ok(()))
             };
             let woken = or(
-                async { self.wake_ups.next().await.map(|w| w.map(drop)) },
-                look,
+                async { self.wakeups.next().await.map(|w| w.map(drop)) },
+                poll,
             )
             .await;
             if let Some(Err(error)) = woken {
                 if error.kind() != io::ErrorKind::Interrupted {
-                    warn!(%error, "signal wait failed, will retry");
-                    runtime.sleep(RETRY_PAUSE).await;
+                    warn!(%error, "waiting for a signal failed, will retry");
+                    runtime.sleep(RETRY_DELAY).await;
                 }
             } else if woken.is_none() {
-                // No wake-up will come any more: the flags are still looked at.
+                // The stream of wake-ups has ended; the flags are still polled.
                 runtime.sleep(POLL_INTERVAL).await;
             }
         }
