--- a/crates/ivywardd/src/grpc_node.rs
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -112,8 +112,8 @@
         })
 }
 
-/// Passes the engines of `--server` to the node, or starts watching etcd for engines, and starts gossip if `--peer-listen` is
-/// given.
+/// Passes the engines of `--server` to the node, or starts watching etcd for engines, and starts gossip if
+/// `--peer-listen` is given.
 fn start_membership(
     smol: &Arc<SmolRuntime>,
     node: &Node,
--- a/crates/ivywardd/tests/common/mod.rs
+++ b/crates/ivywardd/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! What tests of the daemon as a process share: its configuration, its process, and parties that answer by a function.
-#![allow(dead_code)] // Each test file uses its part.
+//! Helpers shared by the tests that run the daemon as a process: configuration files, process handles, fake HTTP servers and
+//! injected system call faults.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_fault_injection::{library_beside, ControlFile, PATH_VARIABLE};
@@ -22,27 +23,27 @@
     )
 }
 
-/// A file of this process's own, removed at the end.
-pub struct File(pub PathBuf);
+/// A temporary file with the process id in its name, removed on drop.
+pub struct TempFile(pub PathBuf);
 
-impl File {
-    pub fn new(name: &str, text: &str) -> File {
+impl TempFile {
+    pub fn new(name: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("ivywardd-{}-{name}", std::process::id()));
         std::fs::write(&path, text).unwrap();
-        File(path)
+        TempFile(path)
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// The child, ended with the test whatever happens.
-pub struct Running(pub Child);
+/// A child process that is killed on drop, also when the test panics.
+pub struct ProcessGuard(pub Child);
 
-impl Running {
+impl ProcessGuard {
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill")
             .args([name, &self.0.id().to_string()])
@@ -52,37 +53,40 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Answers each request on each connection by what `says` makes of its first line; `None` for silence.
-pub fn answers(
+/// Starts a fake HTTP server, which answers each request with what `respond` returns for its request line. `None` leaves the
+/// request without an answer and the connection open.
+///
+/// Returns the address of the server.
+pub fn start_fake_server(
     runtime: &std::sync::Arc<SmolRuntime>,
-    says: impl Fn(&str) -> Option<String> + Send + Sync + 'static,
+    respond: impl Fn(&str) -> Option<String> + Send + Sync + 'static,
 ) -> SocketAddr {
     use ivyward_runtime::RuntimeExt;
     let mut listener = runtime.listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let (address, says, tasks) = (
+    let (address, respond, task_runtime) = (
         listener.address(),
-        std::sync::Arc::new(says),
+        std::sync::Arc::new(respond),
         runtime.clone(),
     );
     runtime.run(async move {
         while let Ok((mut conn, _)) = listener.accept().await {
-            let says = says.clone();
-            tasks.run(async move {
-                let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
-                while let Ok(n) = conn.read(&mut piece).await {
+            let respond = respond.clone();
+            task_runtime.run(async move {
+                let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
+                while let Ok(n) = conn.read(&mut chunk).await {
                     if n == 0 {
                         return;
                     }
-                    bytes.extend_from_slice(&piece[..n]);
+                    bytes.extend_from_slice(&chunk[..n]);
                     let text = String::from_utf8_lossy(&bytes).into_owned();
-                    // A head, and the body of the one request that has one.
+                    // Waits for the complete head and, for chat requests, the complete body. Other requests have none.
                     let Some((head, body)) = text.split_once("\r\n\r\n") else {
                         continue;
                     };
@@ -90,8 +94,8 @@
                         continue;
                     }
                     bytes.clear();
-                    match says(head.lines().next().unwrap_or("")) {
-                        Some(answer) => drop(conn.write_all(answer.as_bytes()).await),
+                    match respond(head.lines().next().unwrap_or("")) {
+                        Some(response) => drop(conn.write_all(response.as_bytes()).await),
                         None => return std::future::pending().await,
                     }
                 }
@@ -101,19 +105,20 @@
     address
 }
 
+/// Body of the chat requests that the tests send.
 pub const BODY: &str = r#"{"messages":[{"role":"user","content":"x"}]}"#;
 
-/// Has a program start with system calls that fail as the control file says.
+/// Makes `command` preload the library that injects the system call faults set in the control file.
 pub fn with_faults(command: &mut Command, control: &ControlFile) {
-    let test = std::env::current_exe().expect("this test's own path");
-    let library = library_beside(&test).expect("the library that Cargo built beside this test");
+    let test = std::env::current_exe().expect("path of the test executable");
+    let library = library_beside(&test).expect("Cargo built the preload library beside this test");
     command
         .env("LD_PRELOAD", library)
         .env(PATH_VARIABLE, control.path());
 }
 
-/// A control file of this process's own.
-pub fn control(name: &str) -> ControlFile {
+/// Creates a control file for system call faults, with the process id in its name.
+pub fn create_control_file(name: &str) -> ControlFile {
     let path = std::env::temp_dir().join(format!("ivywardd-faults-{}-{name}", std::process::id()));
-    ControlFile::create(&path, 7).expect("a control file")
+    ControlFile::create(&path, 7).expect("control file is created")
 }
--- a/crates/ivywardd/tests/platform.rs
+++ b/crates/ivywardd/tests/platform.rs
@@ -1,15 +1,15 @@
-//! The daemon's platform form as a process: its configuration, SIGHUP and SIGTERM.
+//! Tests of `ivywardd platform` as a process: its configuration file, SIGHUP and SIGTERM.
 
 mod common;
 
-use common::{answers, config, File, Running, BODY};
+use common::{config, start_fake_server, ProcessGuard, TempFile, BODY};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_runtime::{Runtime, SmolRuntime};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 
-fn start(file: &File) -> Child {
+fn start(file: &TempFile) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivywardd"));
     command
         .env_clear()
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn a_node_serves_survives_sighup_and_ends_at_sigterm() {
-    let file = File::new("serves", &config("127.0.0.1:0"));
-    let mut child = Running(start(&file));
+fn node_serves_reloads_at_sighup_and_exits_at_sigterm() {
+    let file = TempFile::new("serves", &config("127.0.0.1:0"));
+    let mut child = ProcessGuard(start(&file));
     let mut line = String::new();
     BufReader::new(child.0.stdout.take().unwrap())
         .read_line(&mut line)
@@ -51,44 +51,45 @@
     let runtime = SmolRuntime::start(1, 1);
     while health(&runtime, address) != 200 {}
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
-    let mut until = |word: &str| {
+    let mut wait_for_log = |text: &str| {
         let mut line = String::new();
-        while !line.contains(word) {
+        while !line.contains(text) {
             line.clear();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
-                "the log ended before {word:?}"
+                "the log ended without {text:?}"
             );
         }
     };
-    // A file that cannot be read changes nothing; one that can be is taken over, without another signal.
+    // An unreadable file changes nothing. Once the file is valid, the reload that is being retried applies it without
+    // another signal.
     std::fs::write(&file.0, "{ half").unwrap();
     child.signal("-HUP");
-    until("configuration reload failed, will retry");
+    wait_for_log("configuration reload failed, will retry");
     assert_eq!(health(&runtime, address), 200);
     std::fs::write(
         &file.0,
         config("127.0.0.1:0").replace("127.0.0.1:9\",\"seed", "127.0.0.1:10\",\"seed"),
     )
     .unwrap();
-    until("discovery address updated");
+    wait_for_log("discovery address updated");
     assert_eq!(health(&runtime, address), 200);
     child.signal("-TERM");
-    until("stopping");
+    wait_for_log("stopping");
     assert_eq!(
         health(&runtime, address),
         503,
-        "it goes on accepting, and says that it ends"
+        "a stopping node still accepts connections and reports that it is not ready"
     );
     assert_eq!(child.0.wait().unwrap().code(), Some(0));
 }
 
-/// A file that cannot be read at SIGHUP is tried again for a while; the word to end does not wait for that, and a further
-/// SIGHUP has the newest file read at once.
+/// An unreadable configuration file is read again for a while after SIGHUP. SIGTERM does not wait for these retries, and a
+/// further SIGHUP makes the node read the current file at once.
 #[test]
-fn signals_go_before_the_reading_of_a_file_that_cannot_be_read() {
-    let file = File::new("signals", &config("127.0.0.1:0"));
-    let mut process = Running(start(&file));
+fn signals_interrupt_the_retries_of_a_reload() {
+    let file = TempFile::new("signals", &config("127.0.0.1:0"));
+    let mut process = ProcessGuard(start(&file));
     let mut listening = String::new();
     BufReader::new(process.0.stdout.take().unwrap())
         .read_line(&mut listening)
@@ -107,7 +108,7 @@
     .unwrap();
     process.signal("-HUP");
     let line = log.find(|line| {
-        line.contains("discovery address updated") || line.contains("stays as it was")
+        line.contains("discovery address updated") || line.contains("keeping the current one")
     });
     assert!(
         line.as_deref()
@@ -118,7 +119,8 @@
     process.signal("-HUP");
     assert!(log.any(|line| line.contains("configuration reload failed, will retry")));
     process.signal("-TERM");
-    let line = log.find(|line| line.contains("stopping") || line.contains("stays as it was"));
+    let line =
+        log.find(|line| line.contains("stopping") || line.contains("keeping the current one"));
     assert!(
         line.as_deref().is_some_and(|l| l.contains("stopping")),
         "{line:?}"
@@ -126,20 +128,20 @@
     assert!(process.0.wait().unwrap().success());
 }
 
-/// A node that has no list yet, because discovery takes its calls and answers none, is not ready; it reads its
-/// configuration at every SIGHUP, also at two in a row and at one that changes nothing, and ends at SIGTERM.
+/// A node without an endpoint list, because discovery accepts its calls and never answers, is not ready. It reloads its
+/// configuration at each SIGHUP, also at two in a row and if nothing changed, and exits at SIGTERM.
 #[test]
-fn a_node_that_waits_for_its_first_list_heeds_its_signals() {
+fn node_without_endpoint_list_handles_signals() {
     let runtime = SmolRuntime::start(1, 1);
-    let discovery = answers(&runtime, |_| None);
+    let discovery = start_fake_server(&runtime, |_| None);
     let text = config("127.0.0.1:0").replace(
         "\"discovery\":\"127.0.0.1:9\"",
         &format!("\"discovery\":\"{discovery}\""),
     );
     let (before, known) = text.split_once("\"known\":").unwrap();
     let (_, settings) = known.split_once("\"settings\":").unwrap();
-    let file = File::new("first-list", &format!("{before}\"settings\":{settings}"));
-    let mut process = Running(start(&file));
+    let file = TempFile::new("first-list", &format!("{before}\"settings\":{settings}"));
+    let mut process = ProcessGuard(start(&file));
     let mut line = String::new();
     BufReader::new(process.0.stdout.take().unwrap())
         .read_line(&mut line)
@@ -153,7 +155,11 @@
     let mut log = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    assert_eq!(health(&runtime, address), 503, "it holds no list");
+    assert_eq!(
+        health(&runtime, address),
+        503,
+        "a node without an endpoint list is not ready"
+    );
     for _ in 0..2 {
         process.signal("-HUP");
         process.signal("-HUP");
@@ -166,8 +172,8 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_hold_ends_the_start_in_one_line() {
-    for (from, to, what) in [
+fn invalid_configuration_is_reported_in_one_line() {
+    for (from, to, expected) in [
         (
             "\"listen\":\"127.0.0.1:0\"",
             "\"listen\":\"here\"",
@@ -176,8 +182,8 @@
         ("\"sockets\":256", "\"sockets\":9", "limits.sockets 9"),
         ("retryable", "often", "\"often\" of classes.0.semantics"),
     ] {
-        let file = File::new("bad", &config("127.0.0.1:0").replace(from, to));
-        let mut child = Running(start(&file));
+        let file = TempFile::new("bad", &config("127.0.0.1:0").replace(from, to));
+        let mut child = ProcessGuard(start(&file));
         let mut text = String::new();
         child
             .0
@@ -188,20 +194,21 @@
             .unwrap();
         assert!(!child.0.wait().unwrap().success());
         assert!(
-            text.contains(what) && text.trim().lines().count() == 1,
+            text.contains(expected) && text.trim().lines().count() == 1,
             "{text}"
         );
     }
 }
 
-fn descriptors(process: &Running) -> usize {
+fn open_descriptors(process: &ProcessGuard) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", process.0.id())).map_or(0, Iterator::count)
 }
 
-/// Idle clients fill what there is while discovery is down. It comes back: the node learns from it, dials an engine that it
-/// had no connection to, serves a request among the idle ones, and never asked the system for more than it may have.
+/// Idle client connections use up the node's share of file descriptors while discovery is down. When discovery answers
+/// again, the node still has descriptors to receive the list, to connect to a new engine and to serve a request, and it
+/// never exceeds the descriptor limit of the process.
 #[test]
-fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
+fn idle_clients_do_not_use_up_the_file_descriptors() {
     use std::sync::atomic::{AtomicBool, Ordering};
     let runtime = SmolRuntime::start(2, 1);
     let event = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -210,10 +217,10 @@
         event("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n"),
         event("data: [DONE]\n\n")
     );
-    let reader = answers(&runtime, |_| {
+    let prefill = start_fake_server(&runtime, |_| {
         Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into())
     });
-    let writer = answers(&runtime, move |line| {
+    let decode = start_fake_server(&runtime, move |line| {
         Some(if line.starts_with("POST /v1/chat") {
             stream.clone()
         } else {
@@ -221,17 +228,17 @@
         })
     });
     let up = std::sync::Arc::new(AtomicBool::new(false));
-    let (is_up, asked) = (up.clone(), std::sync::Arc::new(AtomicBool::new(false)));
-    let heard = asked.clone();
-    let discovery = answers(&runtime, move |_| {
-        heard.store(true, Ordering::SeqCst);
+    let (is_up, discovery_called) = (up.clone(), std::sync::Arc::new(AtomicBool::new(false)));
+    let mark_called = discovery_called.clone();
+    let discovery = start_fake_server(&runtime, move |_| {
+        mark_called.store(true, Ordering::SeqCst);
         let entry = |id, kind, at| {
             format!(r#"{{"id":"{id}","addr":"{at}","zone":"a","kind":"{kind}","state":"up"}}"#)
         };
         let list = format!(
             r#"{{"version":2,"full":true,"servers":[{},{}]}}"#,
-            entry("s-2", "prefill", reader),
-            entry("s-3", "decode", writer)
+            entry("s-2", "prefill", prefill),
+            entry("s-3", "decode", decode)
         );
         is_up.load(Ordering::SeqCst).then(|| {
             format!(
@@ -242,14 +249,15 @@
     });
     const LIMIT: usize = 160;
     let text = config("127.0.0.1:0").replace("\"sockets\":256", &format!("\"sockets\":{LIMIT}"));
-    let file = File::new(
+    let file = TempFile::new(
         "idle",
         &text.replace(
             "\"discovery\":\"127.0.0.1:9\"",
             &format!("\"discovery\":\"{discovery}\""),
         ),
     );
-    // The limit itself, so that the system says no where the node's own bounds are wrong.
+    // Sets the descriptor limit of the process to the configured one, so that the system rejects a descriptor if the node's
+    // own limits are wrong.
     let mut command = Command::new("sh");
     command.args([
         "-c",
@@ -260,7 +268,7 @@
         .env_clear()
         .env("BALANCER_CONFIG", &file.0)
         .env("IVYWARD_LOG", "debug");
-    let mut child = Running(
+    let mut child = ProcessGuard(
         command
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
@@ -277,23 +285,23 @@
         .expect("its address")
         .parse()
         .unwrap();
-    // Its log is read as it comes, so that it never waits for us.
+    // A thread reads the log all the time, so that the daemon never blocks on a full pipe.
     let mut log = BufReader::new(child.0.stderr.take().unwrap());
-    let (told, lines) = std::sync::mpsc::channel();
+    let (log_sender, lines) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let mut line = String::new();
         while log.read_line(&mut line).is_ok_and(|n| n > 0) {
-            let _ = told.send(std::mem::take(&mut line));
+            let _ = log_sender.send(std::mem::take(&mut line));
         }
     });
-    while !asked.load(Ordering::SeqCst) {
+    while !discovery_called.load(Ordering::SeqCst) {
         std::thread::yield_now();
     }
-    let mut most = 0;
-    // Some stay for good, and ever new ones come beside them.
+    let mut max_descriptors = 0;
+    // Up to 600 idle connections stay open; for each further one the oldest is closed.
     let mut idle: std::collections::VecDeque<_> = std::collections::VecDeque::new();
-    // All at once: they wait for a process that stands still.
-    let mut crowd = |n: usize, most: &mut usize| {
+    // The process is paused while the clients connect, so that it finds all connections pending at once.
+    let mut connect_idle_clients = |n: usize, max_descriptors: &mut usize| {
         child.signal("-STOP");
         for _ in 0..n {
             if let Ok(conn) = runtime.block_on(runtime.connect(address)) {
@@ -305,14 +313,15 @@
         }
         child.signal("-CONT");
         assert_eq!(health(&runtime, address) / 100, 2);
-        *most = (*most).max(descriptors(&child));
+        *max_descriptors = (*max_descriptors).max(open_descriptors(&child));
     };
-    crowd(600, &mut most);
+    connect_idle_clients(600, &mut max_descriptors);
     up.store(true, Ordering::SeqCst);
-    // What the list says shows as a request that is served, over connections that stood at no time before.
+    // A served request shows that the node applied the new list, because it needs connections to engines that were not
+    // listed before.
     let mut served = String::new();
     for n in 0.. {
-        crowd(20, &mut most);
+        connect_idle_clients(20, &mut max_descriptors);
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: r{n}\r\nX-Priority-Class: draft\r\nX-Timeout-Ms: 2000\r\n\
              X-Route-Key: k\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{BODY}",
@@ -322,25 +331,25 @@
         runtime.block_on(async {
             let mut conn = runtime.connect(address).await.unwrap();
             let sent = conn.write_all(head.as_bytes()).await;
-            sent.expect("a client with a request goes before one without");
+            sent.expect("the node prefers a client with a request to idle ones");
             let _ = conn.read_to_string(&mut served).await;
         });
         if served.starts_with("HTTP/1.1 200") {
             break;
         }
-        // Until the node has read the list, its one engine of before cannot be reached.
+        // Until the node has the new list, it knows only one engine, which cannot be reached.
         runtime.block_on(ivyward_runtime::RuntimeExt::sleep(&*runtime, 20_000));
     }
     assert!(served.contains("[DONE]"), "{served}");
-    assert!(most < LIMIT, "{most} descriptors");
-    let refused: Vec<String> = lines
+    assert!(max_descriptors < LIMIT, "{max_descriptors} descriptors");
+    let failures: Vec<String> = lines
         .try_iter()
         .filter(|l| l.contains("Too many open files"))
         .collect();
     assert!(
-        refused.is_empty(),
-        "{} times without a descriptor: {}",
-        refused.len(),
-        refused[0]
+        failures.is_empty(),
+        "{} times no descriptor was free: {}",
+        failures.len(),
+        failures[0]
     );
 }
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -1,8 +1,10 @@
-//! System calls of the daemon that fail in documented ways: what has to hold all the same.
+//! Tests of the daemon while its system calls fail in documented ways: a preloaded library injects the failures.
 
 mod common;
 
-use common::{answers, config, control, with_faults, File, Running, BODY};
+use common::{
+    config, create_control_file, start_fake_server, with_faults, ProcessGuard, TempFile, BODY,
+};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::EndpointState;
 use ivyward_fakes::event_log::ClientOutcome;
@@ -17,19 +19,20 @@
 use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 
-/// One call in five.
-const OFTEN: u64 = 200_000;
-/// One call in two.
-const HALF: u64 = 500_000;
+/// Fault rate, in millionths of the calls: one call in five.
+const ONE_IN_FIVE: u64 = 200_000;
+/// Fault rate, in millionths of the calls: one call in two.
+const ONE_IN_TWO: u64 = 500_000;
+/// Number of requests to the platform node.
 const REQUESTS: usize = 60;
-/// The stand-in engines of the gRPC node take their time.
+/// Number of calls to the gRPC node, fewer because its fake engines simulate the time that prefill and decode take.
 const CALLS: usize = 16;
 
-/// A daemon that listens, with its address and log.
+/// A daemon process that accepts connections, with its address and its log.
 struct Daemon {
-    process: Running,
+    process: ProcessGuard,
     address: SocketAddr,
-    /// Lines of its log. They are taken in as they come, so that it never waits for this test.
+    /// Lines of the log. A thread reads them all the time, so that the daemon never blocks on a full pipe.
     log: Receiver<String>,
 }
 
@@ -48,7 +51,7 @@
             .spawn()
             .unwrap();
         let (out, errors) = (child.stdout.take().unwrap(), child.stderr.take().unwrap());
-        let process = Running(child);
+        let process = ProcessGuard(child);
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line).unwrap();
         let address = line
@@ -57,11 +60,11 @@
             .expect("its address")
             .parse()
             .unwrap();
-        let (said, log) = std::sync::mpsc::channel();
+        let (log_sender, log) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                // The test may be over.
-                let _ = said.send(line);
+                // The receiver is dropped when the test has ended.
+                let _ = log_sender.send(line);
             }
         });
         Daemon {
@@ -70,48 +73,53 @@
             log,
         }
     }
-    fn platform(control: &ControlFile, file: &File) -> Daemon {
-        let path = file.0.to_str().expect("a path of letters");
+
+    fn start_platform(control: &ControlFile, file: &TempFile) -> Daemon {
+        let path = file.0.to_str().expect("path is valid UTF-8");
         Daemon::start(control, &["platform".into()], &[("BALANCER_CONFIG", path)])
     }
-    fn grpc(control: &ControlFile, scene: &LocalCluster) -> Daemon {
-        let listed: Vec<_> = (0..scene.engines())
-            .map(|e| scene.entry(e, EndpointState::Ready, 0))
+
+    fn start_grpc(control: &ControlFile, cluster: &LocalCluster) -> Daemon {
+        let listed: Vec<_> = (0..cluster.engines())
+            .map(|e| cluster.entry(e, EndpointState::Ready, 0))
             .collect();
-        let mut flags = ivyward_flags(&scene.make().settings, &listed);
+        let mut flags = ivyward_flags(&cluster.make().settings, &listed);
         flags
             .extend(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"].map(String::from));
         Daemon::start(control, &flags, &[])
     }
-    /// Waits for a line of its log; fails where the process ends before.
-    fn says(&mut self, word: &str) {
+
+    /// Waits for a line of the log that contains `text`. Panics if the process ends first.
+    fn wait_for_log(&mut self, text: &str) {
         assert!(
-            self.log.iter().any(|line| line.contains(word)),
-            "the daemon ended before it said {word:?}"
+            self.log.iter().any(|line| line.contains(text)),
+            "the daemon ended without logging {text:?}"
         );
     }
-    fn ends_at_sigterm(&mut self) {
+
+    /// Sends SIGTERM and asserts that the process exits successfully.
+    fn assert_exits_at_sigterm(&mut self) {
         self.process.signal("-TERM");
         assert!(self.process.0.wait().unwrap().success());
     }
 }
 
-/// The next answer on a connection: a stream to its last chunk, or an error with its body.
-async fn answer(conn: &mut Conn) -> std::io::Result<String> {
-    let (mut text, mut piece) = (Vec::new(), [0; 4096]);
+/// Reads the next response from a connection: a stream up to its last chunk, or an error with its body.
+async fn read_response(conn: &mut Conn) -> std::io::Result<String> {
+    let (mut text, mut chunk) = (Vec::new(), [0; 4096]);
     while !text.ends_with(b"0\r\n\r\n") && !text.ends_with(b"}}") {
-        match conn.read(&mut piece).await? {
+        match conn.read(&mut chunk).await? {
             0 => break,
-            n => text.extend_from_slice(&piece[..n]),
+            n => text.extend_from_slice(&chunk[..n]),
         }
     }
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// The faulty calls of the node: the parties around it are sound, so every request is served, on the one connection that
-/// its client opened.
+/// Only the node's own receive and send calls are interrupted. Therefore every request must be served, by one attempt, on
+/// the single connection that the client opened.
 #[test]
-fn interrupted_calls_of_a_platform_node_end_no_connection() {
+fn interrupted_system_calls_of_a_platform_node_close_no_connection() {
     let runtime = SmolRuntime::start(2, 1);
     let event = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let stream = format!(
@@ -120,15 +128,15 @@
         event("data: [DONE]\n\n")
     );
     let attempts = Arc::new(AtomicUsize::new(0));
-    let counted = attempts.clone();
-    let reader = answers(&runtime, |_| {
+    let attempt_counter = attempts.clone();
+    let prefill = start_fake_server(&runtime, |_| {
         Some("HTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\n{}".into())
     });
-    let writer = answers(&runtime, move |line| {
+    let decode = start_fake_server(&runtime, move |line| {
         if !line.starts_with("POST /v1/chat") {
             return Some("HTTP/1.1 204 N\r\n\r\n".into());
         }
-        counted.fetch_add(1, Ordering::SeqCst);
+        attempt_counter.fetch_add(1, Ordering::SeqCst);
         Some(stream.clone())
     });
     let entry = |id, kind, at| {
@@ -136,24 +144,24 @@
     };
     let list = format!(
         r#"{{"version":2,"full":true,"servers":[{},{}]}}"#,
-        entry("s-2", "prefill", reader),
-        entry("s-3", "decode", writer)
+        entry("s-2", "prefill", prefill),
+        entry("s-3", "decode", decode)
     );
-    // The list as it was held is the list: discovery is not needed.
+    // The configuration file contains the endpoint list, so the test needs no discovery server.
     let text = config("127.0.0.1:0");
     let (before, after) = text.split_once("\"known\":").unwrap();
     let settings = after.split_once("\"settings\"").unwrap().1;
-    let file = File::new(
+    let file = TempFile::new(
         "interrupted",
         &format!("{before}\"known\":{list},\"settings\"{settings}"),
     );
-    let control = control("interrupted");
-    let mut daemon = Daemon::platform(&control, &file);
+    let control = create_control_file("interrupted");
+    let mut daemon = Daemon::start_platform(&control, &file);
     control
-        .set_rate(SystemFault::ReceiveInterrupted, OFTEN)
+        .set_rate(SystemFault::ReceiveInterrupted, ONE_IN_FIVE)
         .unwrap();
     control
-        .set_rate(SystemFault::SendInterrupted, OFTEN)
+        .set_rate(SystemFault::SendInterrupted, ONE_IN_FIVE)
         .unwrap();
     runtime.block_on(async {
         let mut conn = runtime.connect(daemon.address).await.unwrap();
@@ -164,38 +172,38 @@
                 BODY.len()
             );
             conn.write_all(head.as_bytes()).await.unwrap();
-            let text = answer(&mut conn).await.unwrap();
+            let text = read_response(&mut conn).await.unwrap();
             assert!(text.starts_with("HTTP/1.1 200") && text.contains("[DONE]"), "request {n}: {text:?}");
         }
     });
     assert_eq!(
         attempts.load(Ordering::SeqCst),
         REQUESTS,
-        "one write each: none was taken for a failed one"
+        "one attempt per request: no interrupted call counts as a failed attempt"
     );
     assert!(control.hits(SystemFault::ReceiveInterrupted).unwrap() > 0);
     assert!(control.hits(SystemFault::SendInterrupted).unwrap() > 0);
-    daemon.ends_at_sigterm();
+    daemon.assert_exits_at_sigterm();
 }
 
 #[test]
-fn interrupted_calls_of_a_grpc_node_break_no_stream() {
+fn interrupted_system_calls_of_a_grpc_node_break_no_stream() {
     let engines: Vec<EngineSpec> = vec![
         EngineSpec::steady(1, Role::Prefill),
         EngineSpec::steady(2, Role::Decode),
     ];
-    let mut make = ClusterBuilder::new(23, engines);
-    make.patient();
-    let scene = make.build().unwrap();
-    let control = control("grpc");
-    let mut daemon = Daemon::grpc(&control, &scene);
+    let mut builder = ClusterBuilder::new(23, engines);
+    builder.patient();
+    let cluster = builder.build().unwrap();
+    let control = create_control_file("grpc");
+    let mut daemon = Daemon::start_grpc(&control, &cluster);
     control
-        .set_rate(SystemFault::ReceiveInterrupted, OFTEN)
+        .set_rate(SystemFault::ReceiveInterrupted, ONE_IN_FIVE)
         .unwrap();
     control
-        .set_rate(SystemFault::SendInterrupted, OFTEN)
+        .set_rate(SystemFault::SendInterrupted, ONE_IN_FIVE)
         .unwrap();
-    let runtime: RuntimeRef = scene.runtime.clone();
+    let runtime: RuntimeRef = cluster.runtime.clone();
     let log = EventLog::new(&runtime);
     futures_lite::future::block_on(async {
         let client = Client::connect(&runtime, &log, daemon.address)
@@ -203,48 +211,53 @@
             .unwrap();
         for n in 0..CALLS {
             let prompt = (0..60).map(|token| token ^ n as u32).collect();
-            let mut ask = scene.ask(0, 0, prompt, 6);
-            ask.behavior.client_timeout = 30_000_000;
-            let end = client.send(&ask).await;
-            assert_eq!(end.outcome, ClientOutcome::Served, "call {n}: {end:?}");
+            let mut client_request = cluster.ask(0, 0, prompt, 6);
+            client_request.behavior.client_timeout = 30_000_000;
+            let response = client.send(&client_request).await;
+            assert_eq!(
+                response.outcome,
+                ClientOutcome::Served,
+                "call {n}: {response:?}"
+            );
         }
         client.close();
     });
     assert!(control.hits(SystemFault::ReceiveInterrupted).unwrap() > 0);
     assert!(control.hits(SystemFault::SendInterrupted).unwrap() > 0);
-    daemon.ends_at_sigterm();
+    daemon.assert_exits_at_sigterm();
 }
 
-/// Each wait for a signal may be interrupted. That is no signal: neither daemon ends before it is told to.
+/// An interrupted wait for signals must not be mistaken for SIGTERM: both forms of the daemon go on serving and reloading
+/// until SIGTERM arrives.
 #[test]
-fn an_interrupted_wait_for_signals_is_no_word_to_end() {
+fn interrupted_wait_for_signals_does_not_stop_the_daemon() {
     const RELOADS: usize = 12;
-    let file = File::new("waits", &config("127.0.0.1:0"));
-    let control_platform = control("waits-platform");
-    let mut platform = Daemon::platform(&control_platform, &file);
-    let scene = ClusterBuilder::new(
+    let file = TempFile::new("waits", &config("127.0.0.1:0"));
+    let control_platform = create_control_file("waits-platform");
+    let mut platform = Daemon::start_platform(&control_platform, &file);
+    let cluster = ClusterBuilder::new(
         24,
         vec![
             EngineSpec::steady(1, Role::Prefill),
             EngineSpec::steady(2, Role::Decode),
         ],
     );
-    let scene = scene.build().unwrap();
-    let control_grpc = control("waits-grpc");
-    let mut grpc = Daemon::grpc(&control_grpc, &scene);
+    let cluster = cluster.build().unwrap();
+    let control_grpc = create_control_file("waits-grpc");
+    let mut grpc = Daemon::start_grpc(&control_grpc, &cluster);
     for control in [&control_platform, &control_grpc] {
         control
-            .set_rate(SystemFault::ReceiveInterrupted, HALF)
+            .set_rate(SystemFault::ReceiveInterrupted, ONE_IN_TWO)
             .unwrap();
     }
     for _ in 0..RELOADS {
         platform.process.signal("-HUP");
-        platform.says("configuration reloaded");
+        platform.wait_for_log("configuration reloaded");
         grpc.process.signal("-HUP");
-        grpc.says("endpoint list reloaded");
+        grpc.wait_for_log("endpoint list reloaded");
     }
-    platform.ends_at_sigterm();
-    grpc.ends_at_sigterm();
+    platform.assert_exits_at_sigterm();
+    grpc.assert_exits_at_sigterm();
     for control in [&control_platform, &control_grpc] {
         assert!(control.hits(SystemFault::ReceiveInterrupted).unwrap() > 0);
     }
