--- a/crates/ivywardd/tests/compatibility.rs
+++ b/crates/ivywardd/tests/compatibility.rs
@@ -1,7 +1,7 @@
-//! Files and texts that an earlier version wrote are read by this one, and what operators depend on keeps its names.
+//! Tests that this version reads the files and texts written by an earlier one, and that the metrics keep their names.
 //!
 //! The samples in `compatibility/` were written by commit c614220: two recordings, a snapshot of the endpoint list, a
-//! configuration of the platform, and the names of all metrics.
+//! configuration file of the platform, and the names of all metrics.
 
 use futures_lite::future::block_on;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn recordings_of_the_earlier_version_replay_without_a_difference() {
+fn recordings_of_the_earlier_version_replay_identically() {
     for (name, events, actions) in [("daemon.rec", 31, 19), ("fault-scenario.rec", 578, 302)] {
         let bytes = std::fs::read(sample(name)).unwrap();
         let summary = replay(&bytes[..]).unwrap_or_else(|error| panic!("{name}: {error}"));
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn a_snapshot_of_the_earlier_version_is_read_and_written_alike() {
+fn snapshot_of_the_earlier_version_is_read_and_rewritten_identically() {
     let members = snapshot::read(&sample("engines.snapshot"))
         .unwrap()
-        .expect("the sample");
+        .expect("the sample is a snapshot");
     let ids: Vec<u64> = members.iter().map(|member| member.endpoint.id.0).collect();
     assert_eq!(ids, [1, 2, 3, 4, 17, 18, 19, 20]);
     assert!(members
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_registration_of_the_earlier_version_is_read() {
+fn registration_record_of_the_earlier_version_is_read() {
     let record = br#"{"version":1,"id":18,"role":"mixed","address":"127.0.0.1:9405","zone":2,"cell":3,"weight":1.5,"started_ms":7,"state":"draining"}"#;
     let member = registration::read(EndpointId(18), record, 5).unwrap();
     assert_eq!(member.address, "127.0.0.1:9405".parse().unwrap());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_platform_configuration_of_the_earlier_version_is_read() {
+fn platform_configuration_of_the_earlier_version_is_read() {
     let config = Config::read(&sample("platform.json")).unwrap();
     let settings = config.node.router_settings();
     assert_eq!(settings.replica_count, 2);
@@ -90,7 +90,7 @@
     assert_eq!(settings.classes[1].deduplication_window, 1_500_000);
 }
 
-/// Dashboards and alerts depend on these names.
+/// Dashboards and alerts of operators depend on the names and labels of the metrics.
 #[test]
 fn metrics_keep_their_names_and_labels() {
     let runtime = SmolRuntime::start(1, 7);
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -1,4 +1,5 @@
-//! The daemon as others meet it: a foreign gRPC client, the same decisions as the library, an orderly stop.
+//! Tests of the gRPC daemon as a process: an independent gRPC client, the same decisions as the library, a graceful stop and
+//! a reload of the engine list.
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::EndpointState;
@@ -16,10 +17,11 @@
 use tonic::Code;
 use tonic_types::StatusExt;
 
-/// One writer: which of several is taken may hang on microseconds, and the clock is a real one here.
+/// Returns three prefill engines and one decode engine. With several decode engines, the choice could depend on
+/// microseconds, since the test runs on a real clock.
 fn engines() -> Vec<EngineSpec> {
-    let readers = (1..=3).map(|i| EngineSpec::steady(i, Role::Prefill));
-    readers
+    let prefill = (1..=3).map(|i| EngineSpec::steady(i, Role::Prefill));
+    prefill
         .chain([EngineSpec::steady(4, Role::Decode)])
         .collect()
 }
@@ -30,15 +32,15 @@
 }
 
 impl Daemon {
-    fn start(scene: &LocalCluster, more: &[String]) -> Daemon {
-        let listed: Vec<_> = (0..scene.engines())
-            .map(|e| scene.entry(e, EndpointState::Ready, 0))
+    fn start(cluster: &LocalCluster, extra_args: &[String]) -> Daemon {
+        let listed: Vec<_> = (0..cluster.engines())
+            .map(|e| cluster.entry(e, EndpointState::Ready, 0))
             .collect();
         let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
             .env_clear()
-            .args(ivyward_flags(&scene.make().settings, &listed))
+            .args(ivyward_flags(&cluster.make().settings, &listed))
             .args(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"])
-            .args(more)
+            .args(extra_args)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
@@ -50,11 +52,12 @@
         let address = line
             .trim()
             .strip_prefix("listening on ")
-            .expect("its address")
+            .expect("the line contains the address")
             .parse()
             .unwrap();
         Daemon { child, address }
     }
+
     fn signal(&self, name: &str) {
         let done = Command::new("kill")
             .args([name, &self.child.id().to_string()])
@@ -71,7 +74,7 @@
     }
 }
 
-fn ask(i: u32) -> GenerateRequest {
+fn request(i: u32) -> GenerateRequest {
     GenerateRequest {
         prompt: (0..60).map(|t| t ^ i).collect(),
         max_output_tokens: 6,
@@ -81,24 +84,24 @@
     }
 }
 
-/// The same scripted scenario, one request at a time, through the library and through the daemon.
+/// Sends the same requests, one at a time, through the library and through the daemon, and compares the recorded decisions.
 #[test]
-fn library_and_daemon_decide_alike() {
-    let memory = RecordingBuffer::default();
-    let mut make = ClusterBuilder::new(21, engines());
-    make.patient();
-    make.record = Some(memory.clone());
-    let scene = make.clone().build().unwrap();
-    let node = scene.node(0).unwrap();
-    let mut inside = Vec::new();
+fn library_and_daemon_make_the_same_decisions() {
+    let recording = RecordingBuffer::default();
+    let mut builder = ClusterBuilder::new(21, engines());
+    builder.patient();
+    builder.record = Some(recording.clone());
+    let cluster = builder.clone().build().unwrap();
+    let node = cluster.node(0).unwrap();
+    let mut from_library = Vec::new();
     for i in 0..16 {
-        inside.push(block_on(node.generate(ask(i), Some(30_000_000)).collect()).0);
+        from_library.push(block_on(node.generate(request(i), Some(30_000_000)).collect()).0);
     }
     block_on(node.flush_recording());
-    // The daemon in its turn, against fresh engines of the same make, with the seed that the library's node had.
-    make.record = None;
-    make.settings.seed = node.settings().seed;
-    let fresh = make.build().unwrap();
+    // The daemon runs with new engines of the same specification and with the seed of the library's node.
+    builder.record = None;
+    builder.settings.seed = node.settings().seed;
+    let fresh = builder.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-record-{}", std::process::id()));
     let daemon = Daemon::start(&fresh, &[format!("--record={}", path.display())]);
     let runtime: RuntimeRef = fresh.runtime.clone();
@@ -108,37 +111,38 @@
             .await
             .unwrap();
         for i in 0..16 {
-            let mut ask_it = fresh.ask(0, 0, ask(i).prompt, 6);
-            ask_it.request = ask(i);
-            ask_it.behavior.client_timeout = 30_000_000;
-            let end = client.send(&ask_it).await;
+            let mut client_request = fresh.ask(0, 0, request(i).prompt, 6);
+            client_request.request = request(i);
+            client_request.behavior.client_timeout = 30_000_000;
+            let response = client.send(&client_request).await;
             assert_eq!(
-                end.outcome,
+                response.outcome,
                 ivyward_fakes::event_log::ClientOutcome::Served,
-                "{end:?}"
+                "{response:?}"
             );
-            assert_eq!(end.tokens as usize, inside[i as usize].len());
+            assert_eq!(response.tokens as usize, from_library[i as usize].len());
         }
         client.close();
     });
     daemon.signal("-TERM");
     let mut daemon = daemon;
     assert!(daemon.child.wait().unwrap().success());
-    let outside = std::fs::read(&path).unwrap();
+    let from_daemon = std::fs::read(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
-    let (inside, outside) = (
-        decisions(&memory.bytes()).unwrap(),
-        decisions(&outside).unwrap(),
+    let (from_library, from_daemon) = (
+        decisions(&recording.bytes()).unwrap(),
+        decisions(&from_daemon).unwrap(),
     );
-    assert!(inside.len() >= 20, "{inside:?}");
-    assert_eq!(inside, outside);
+    assert!(from_library.len() >= 20, "{from_library:?}");
+    assert_eq!(from_library, from_daemon);
 }
 
-/// tonic's own client on a tokio runtime: what any gRPC client sees.
+/// A client that uses tonic and tokio, and none of this project's client code, sees served, failed and rejected requests as
+/// standard gRPC responses.
 #[test]
-fn a_foreign_client_is_served_refused_and_failed_in_grpcs_terms() {
-    let scene = ClusterBuilder::new(22, engines()).build().unwrap();
-    let daemon = Daemon::start(&scene, &[]);
+fn independent_grpc_client_gets_standard_responses() {
+    let cluster = ClusterBuilder::new(22, engines()).build().unwrap();
+    let daemon = Daemon::start(&cluster, &[]);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -147,7 +151,7 @@
         let channel = tonic::transport::Endpoint::from_shared(format!("http://{}", daemon.address));
         let channel = channel.unwrap().connect().await.unwrap();
         let mut client = FrontClient::new(channel);
-        let mut call = tonic::Request::new(ask(1));
+        let mut call = tonic::Request::new(request(1));
         call.set_timeout(Duration::from_secs(2));
         let mut stream = client.generate(call).await.unwrap().into_inner();
         let mut ids = Vec::new();
@@ -155,49 +159,50 @@
             assert_eq!(run.first_index as usize, ids.len());
             ids.extend(run.ids);
         }
-        assert_eq!(ids, text::answer(&ask(1).prompt, 6));
+        assert_eq!(ids, text::answer(&request(1).prompt, 6));
         let trailers = stream.trailers().await.unwrap().unwrap();
         assert_eq!(trailers.get("ivyward-outcome").unwrap(), "served");
-        // Failed: a bad request.
-        let bad = GenerateRequest {
+        // An invalid request fails.
+        let invalid = GenerateRequest {
             prompt: vec![],
-            ..ask(2)
+            ..request(2)
         };
-        let mut stream = client.generate(bad).await.unwrap().into_inner();
+        let mut stream = client.generate(invalid).await.unwrap().into_inner();
         let failed = stream.message().await.unwrap_err();
         assert_eq!(failed.code(), Code::InvalidArgument);
         assert_eq!(
             failed.metadata().get("grpc-retry-pushback-ms").unwrap(),
             "-1"
         );
-        // Refused: every engine is full.
-        (0..scene.engines()).for_each(|e| scene.engine(e).fault(|f| f.full = 1.0));
-        let mut stream = client.generate(ask(3)).await.unwrap().into_inner();
-        let refused = stream.message().await.unwrap_err();
-        assert_eq!(refused.code(), Code::ResourceExhausted);
+        // A request is rejected while every engine is full.
+        (0..cluster.engines()).for_each(|e| cluster.engine(e).fault(|f| f.full = 1.0));
+        let mut stream = client.generate(request(3)).await.unwrap().into_inner();
+        let rejected = stream.message().await.unwrap_err();
+        assert_eq!(rejected.code(), Code::ResourceExhausted);
         assert_eq!(
-            refused.metadata().get("grpc-retry-pushback-ms").unwrap(),
+            rejected.metadata().get("grpc-retry-pushback-ms").unwrap(),
             "300"
         );
-        let delay = refused.get_details_retry_info().unwrap().retry_delay;
+        let delay = rejected.get_details_retry_info().unwrap().retry_delay;
         assert_eq!(delay, Some(Duration::from_millis(300)));
     });
 }
 
-/// SIGHUP takes over the engines of an @file; bad ones change nothing.
+/// At SIGHUP the daemon reads the engines of an `@file` again. An invalid file changes nothing.
 #[test]
-fn engines_are_read_again_on_a_signal() {
-    let writers = (5..=6).map(|i| EngineSpec::steady(i, Role::Decode));
-    let mut make = ClusterBuilder::new(23, engines().into_iter().chain(writers).collect());
-    make.patient();
-    let scene = make.build().unwrap();
+fn sighup_reloads_the_engine_list() {
+    let decode_engines = (5..=6).map(|i| EngineSpec::steady(i, Role::Decode));
+    let mut builder =
+        ClusterBuilder::new(23, engines().into_iter().chain(decode_engines).collect());
+    builder.patient();
+    let cluster = builder.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-engines-{}", std::process::id()));
     let listed: Vec<_> = (0..6)
-        .map(|e| scene.entry(e, EndpointState::Ready, 0))
+        .map(|e| cluster.entry(e, EndpointState::Ready, 0))
         .collect();
     let servers = |of: &[usize]| {
         let flags = ivyward_flags(
-            &scene.make().settings,
+            &cluster.make().settings,
             &of.iter().map(|e| listed[*e]).collect::<Vec<_>>(),
         );
         flags
@@ -209,7 +214,7 @@
     std::fs::write(&path, servers(&[0, 3])).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
         .env_clear()
-        .args(ivyward_flags(&scene.make().settings, &[]))
+        .args(ivyward_flags(&cluster.make().settings, &[]))
         .args([
             "--listen=127.0.0.1:0".to_string(),
             format!("@{}", path.display()),
@@ -240,32 +245,36 @@
     std::fs::write(&path, servers(&[1, 4])).unwrap();
     daemon.signal("-HUP");
     assert!(wait_for("endpoint list reloaded"));
-    let runtime: RuntimeRef = scene.runtime.clone();
+    let runtime: RuntimeRef = cluster.runtime.clone();
     block_on(async {
-        let client = Client::connect(&runtime, &scene.log, daemon.address)
+        let client = Client::connect(&runtime, &cluster.log, daemon.address)
             .await
             .unwrap();
-        // The new ones are told a moment after the line above; the old ones are gone then.
-        scene.engine(0).crash();
-        scene.engine(3).crash();
-        let mut ends = Vec::new();
+        // The node is notified of the new list shortly after the line above is logged, and the old engines have crashed by
+        // then. Requests may therefore fail at first.
+        cluster.engine(0).crash();
+        cluster.engine(3).crash();
+        let mut served = Vec::new();
         for i in 0..10_000 {
-            let mut ask_it = scene.ask(0, 0, ask(i).prompt, 6);
-            ask_it.behavior.client_timeout = 10_000_000;
-            ends.push(
-                client.send(&ask_it).await.outcome
+            let mut client_request = cluster.ask(0, 0, request(i).prompt, 6);
+            client_request.behavior.client_timeout = 10_000_000;
+            served.push(
+                client.send(&client_request).await.outcome
                     == ivyward_fakes::event_log::ClientOutcome::Served,
             );
-            // From the first one that was served on, all are.
-            if ends.iter().filter(|served| **served).count() == 8 {
+            // After the first request that is served, all further ones must be served.
+            if served.iter().filter(|is_served| **is_served).count() == 8 {
                 break;
             }
         }
-        let first = ends
+        let first = served
             .iter()
-            .position(|served| *served)
-            .expect("the new engines serve");
-        assert!(ends[first..].iter().all(|served| *served), "{ends:?}");
+            .position(|is_served| *is_served)
+            .expect("the new engines serve requests");
+        assert!(
+            served[first..].iter().all(|is_served| *is_served),
+            "{served:?}"
+        );
     });
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -1,4 +1,4 @@
-//! Several daemons, a store and a fleet in which every engine has just started, as processes and stand-ins.
+//! Tests of several daemon processes, a fake etcd store and a fleet of fake engines that have all just started.
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::Settings;
@@ -19,7 +19,8 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A daemon that follows a store; ends with the test. It has a key and no peers, as where one environment is all nodes'.
+/// Starts a daemon that gets its engines from etcd; the process ends on drop. It has a peer key and no `--peer-listen`, as
+/// in a deployment in which all nodes share one environment.
 fn start(flags: &[String], store: SocketAddr) -> Process {
     let flags: Vec<String> = flags
         .iter()
@@ -29,12 +30,12 @@
     Process::start(
         Path::new(env!("CARGO_BIN_EXE_ivywardd")),
         &flags,
-        "a key that nobody needs here",
+        "a key that is not used here",
     )
     .unwrap()
 }
 
-async fn engines(daemon: &Process, runtime: &RuntimeRef) -> u64 {
+async fn engine_count(daemon: &Process, runtime: &RuntimeRef) -> u64 {
     let text = daemon.ask(runtime, "/metrics").await.unwrap();
     let line = text
         .lines()
@@ -42,7 +43,7 @@
     line.and_then(|n| n.trim().parse().ok()).unwrap_or(0)
 }
 
-fn ask(node: usize, call: u64) -> ClientRequest {
+fn client_request(node: usize, call: u64) -> ClientRequest {
     ClientRequest {
         request: GenerateRequest {
             prompt: (0..300).map(|t| t ^ ((call as u32) << 10)).collect(),
@@ -62,33 +63,34 @@
     }
 }
 
-/// Guards against a fleet that serves nobody until its engines are warm (15 s of refusals), and against taking a burst
-/// at an idle fleet for overload (29 of 60 refused).
+/// Guards against two failures: a fleet that rejects all requests until its engines are warm (15 s of rejections), and a
+/// burst on an idle fleet that is mistaken for overload (29 of 60 requests rejected).
 #[test]
-fn processes_serve_a_fleet_all_new_at_once() {
+fn daemons_serve_while_all_engines_are_cold() {
     let smol = SmolRuntime::start(2, 5);
     let runtime: RuntimeRef = smol.clone();
     let log = EventLog::new(&runtime);
     let host: Arc<dyn Host> = Arc::new(OwnThreads);
-    // They stay cold for longer than the test takes.
-    let cold = (0.3, 600 * SECOND);
+    // The warm-up lasts longer than the test, so the engines stay cold.
+    let warm_up = (0.3, 600 * SECOND);
     let rules = Settings {
         replica_count: 3,
-        warm_up_duration: cold.1,
+        warm_up_duration: warm_up.1,
         ..settings().router
     };
     let spec = |id: u64| {
         let role = if id <= 4 { Role::Prefill } else { Role::Decode };
         EngineSpec {
-            warm_up: cold,
+            warm_up,
             overload: (rules.overload_multiple, rules.overload_window),
             ..EngineSpec::small(id, role)
         }
     };
     let specs: Vec<EngineSpec> = (1..=8).map(spec).collect();
     let store = Store::start(&host, 1).unwrap();
-    // It comes back cold under its address, unless another socket took that meanwhile; then another one is tried.
-    let cold_one = |spec: &EngineSpec| loop {
+    // Restarts an engine at its address, so that it is cold. If another socket took the address meanwhile, another engine is
+    // started instead.
+    let start_cold = |spec: &EngineSpec| loop {
         let mut engine = Engine::start(&host, &log, spec.clone()).unwrap();
         engine.crash();
         if engine.restart(true).is_ok() {
@@ -102,7 +104,7 @@
             return engine;
         }
     };
-    let fleet: Vec<Engine> = specs.iter().map(cold_one).collect();
+    let fleet: Vec<Engine> = specs.iter().map(start_cold).collect();
     let mut settings = ivyward::NodeSettings {
         router: rules.clone(),
         ..settings()
@@ -115,21 +117,29 @@
     block_on(async {
         let mut clients = Vec::new();
         for daemon in &daemons {
-            while engines(daemon, &runtime).await < 8 {
+            while engine_count(daemon, &runtime).await < 8 {
                 runtime.sleep(10_000).await;
             }
             clients.push(Client::connect(&runtime, &log, daemon.door).await.unwrap());
         }
-        // Every node's first call.
+        // The first call through each node is served.
         for (node, client) in clients.iter().enumerate() {
-            let end = client.send(&ask(node, 1 + node as u64)).await;
-            assert_eq!(end.outcome, ClientOutcome::Served, "node {node}: {end:?}");
+            let response = client.send(&client_request(node, 1 + node as u64)).await;
+            assert_eq!(
+                response.outcome,
+                ClientOutcome::Served,
+                "node {node}: {response:?}"
+            );
         }
-        // A call at a time: as many as come are served, though all engines stay cold.
+        // All calls, sent one at a time, are served although all engines stay cold.
         for call in 10..40 {
             let node = call as usize % 3;
-            let end = clients[node].send(&ask(node, call)).await;
-            assert_eq!(end.outcome, ClientOutcome::Served, "call {call}: {end:?}");
+            let response = clients[node].send(&client_request(node, call)).await;
+            assert_eq!(
+                response.outcome,
+                ClientOutcome::Served,
+                "call {call}: {response:?}"
+            );
         }
     });
     let audit = check(&log.all(), &limits(&rules, 250_000, &specs), log.now());
@@ -139,9 +149,9 @@
     smol.stop();
 }
 
-/// 60 calls in one instant at eight idle engines that are warm: none is refused.
+/// All of 60 simultaneous calls to eight idle, warm engines are served; none is rejected.
 #[test]
-fn a_burst_at_idle_processes_is_served() {
+fn burst_on_an_idle_fleet_is_served() {
     let smol = SmolRuntime::start(2, 6);
     let runtime: RuntimeRef = smol.clone();
     let log = EventLog::new(&runtime);
@@ -159,25 +169,25 @@
         class.settings.deadline = 20 * SECOND;
     }
     let daemon = start(&ivyward_flags(&settings, &[]), store.address());
-    let refused = block_on(async {
-        while engines(&daemon, &runtime).await < 8 {
+    let not_served = block_on(async {
+        while engine_count(&daemon, &runtime).await < 8 {
             runtime.sleep(10_000).await;
         }
         let client = Client::connect(&runtime, &log, daemon.door).await.unwrap();
-        let (told, ends) = std::sync::mpsc::sync_channel(60);
+        let (outcome_sender, outcomes) = std::sync::mpsc::sync_channel(60);
         for call in 1..=60u64 {
-            let (client, told) = (client.clone(), told.clone());
-            let ask = ask(0, call);
+            let (client, outcome_sender) = (client.clone(), outcome_sender.clone());
+            let request = client_request(0, call);
             runtime.run(async move {
-                let end = client.send(&ask).await;
-                let _ = told.send(end.outcome);
+                let response = client.send(&request).await;
+                let _ = outcome_sender.send(response.outcome);
             });
         }
         (0..60)
-            .filter(|_| ends.recv().unwrap() != ClientOutcome::Served)
+            .filter(|_| outcomes.recv().unwrap() != ClientOutcome::Served)
             .count()
     });
-    assert_eq!(refused, 0);
+    assert_eq!(not_served, 0);
     drop(daemon);
     smol.stop();
 }
