--- a/crates/ivyward-benchlink/src/decode.rs
+++ b/crates/ivyward-benchlink/src/decode.rs
@@ -1,4 +1,7 @@
-//! Batches of the simulator as the router's events.
+//! Decodes the simulator's batches into events of the router.
+//!
+//! A batch is a header (length, clock, number of records), the records, and a tail that records refer to by offset and
+//! length.
 
 use crate::error::FrameError;
 use crate::fields::Fields;
@@ -6,34 +9,34 @@
     Endpoint, EndpointState, Event, ListKind, Micros, Outcome, Request, RequestId,
 };
 
-/// Bytes of a record.
+/// Size of an event record in bytes.
 const EVENT_SIZE: usize = 56;
-/// Bytes of an endpoint in a list.
+/// Size of an endpoint in an endpoint list, in bytes.
 const ENDPOINT_SIZE: usize = 23;
-/// Bytes before the first record: length, clock and count.
+/// Size of the batch header in bytes: length, clock and number of records.
 const HEADER_SIZE: usize = 16;
 
-/// What a batch asks of the adapter.
+/// One record of a batch.
 pub(crate) enum Input {
-    /// The next inputs concern this instance.
+    /// The following records concern the instance with this id.
     Target(u32),
-    /// Start an instance with this seed and these settings.
+    /// Create the instance with this seed and these settings, or replace it if it exists.
     Create { seed: u64, settings: String },
-    /// Drop an instance.
+    /// Remove the instance.
     Stop,
-    /// Give an event to the instance.
+    /// Pass the event to the router of the instance.
     Event(Event),
-    /// Valid, and of no use to the router.
-    Nothing,
+    /// A valid record that the router does not use.
+    Ignored,
 }
 
-/// One batch: its clock and what it holds, in order.
+/// A decoded batch: the simulator's clock in microseconds and the records in order.
 pub(crate) struct Batch {
     pub(crate) clock: Micros,
     pub(crate) inputs: Vec<Input>,
 }
 
-/// Decodes a batch; `body` is all that follows the length field.
+/// Decodes a batch. `body` is the frame without its length field.
 pub(crate) fn decode(body: &[u8]) -> Result<Batch, FrameError> {
     let head = Fields {
         bytes: body,
@@ -62,6 +65,8 @@
     Ok(Batch { clock, inputs })
 }
 
+/// Returns the part of the tail that the record refers to: an offset in bytes at `at` and, after it, a length in units of
+/// `unit` bytes.
 fn tail_part<'a>(
     fields: &Fields,
     tail: &'a [u8],
@@ -88,7 +93,7 @@
         9 => return Ok(Input::Target(fields("TARGET_INSTANCE").u32(1)?)),
         3 => return decode_create(&fields("CREATE"), tail),
         1 => return Ok(Input::Stop),
-        8 => return Ok(Input::Nothing),
+        8 => return Ok(Input::Ignored),
         11 => decode_endpoint_list(&fields("UPDATE"), tail)?,
         10 => decode_request(&fields("KNOCK"))?,
         12 => decode_first_token(&fields("STREAMING"))?,
@@ -119,7 +124,7 @@
         tenant: fields.u32(11)? as usize,
         session: fields.u64(15)?,
         client_timeout: u64::from(fields.u32(23)?),
-        // The hint is a time; the caller turns it into tokens by the class's time per token.
+        // The hint is a duration. The caller converts it into tokens by the class's time per token.
         hinted_output: (options & 1 != 0).then_some(f64::from(fields.u32(27)?)),
         prefix: fields.u64(31)?,
         prompt_tokens: fields.tokens(39)?,
@@ -146,12 +151,12 @@
 }
 
 fn decode_attempt_end(fields: &Fields) -> Result<Event, FrameError> {
-    // The number of cached tokens, or the reason of a rejection.
-    let remark = fields.u32(14)?;
+    // The number of cached tokens or, if the outcome is a rejection, its reason: 1 is a KV cache miss.
+    let detail = fields.u32(14)?;
     let outcome = match fields.u8(26)? {
         10 => Outcome::Served,
         20 => Outcome::Error,
-        30 if remark == 1 => Outcome::KvCacheMiss,
+        30 if detail == 1 => Outcome::KvCacheMiss,
         30 => Outcome::Rejected,
         40 => Outcome::TimedOut,
         50 => Outcome::ConnectFailed,
@@ -170,7 +175,7 @@
         request: RequestId(fields.u64(1)?),
         attempt: fields.u16(24)?,
         outcome,
-        cached_tokens: remark,
+        cached_tokens: detail,
         finished: fields.u8(9)? != 0,
         report: fields.report(27)?,
     })
--- a/crates/ivyward-benchlink/src/fields.rs
+++ b/crates/ivyward-benchlink/src/fields.rs
@@ -1,16 +1,17 @@
-//! Little-endian fields of one record.
+//! Reads the little-endian fields of one record.
 
 use crate::error::FrameError;
 use ivyward_core::interface::{EndpointId, LoadReport};
 
-/// Most values of a load report.
-const MAX_REPORT_VALUES: usize = 4;
+/// Maximum number of values in a load report.
+pub(crate) const MAX_REPORT_VALUES: usize = 4;
 
-/// Reads fields out of a slice; its errors name the record and the byte in the frame.
+/// Reads fields from the bytes of one record. Errors name the kind of record and the position in the frame.
 pub(crate) struct Fields<'a> {
     pub(crate) bytes: &'a [u8],
+    /// The kind of record, for errors.
     pub(crate) what: &'static str,
-    /// Position of the slice in the frame.
+    /// Position of the record in the frame, in bytes.
     pub(crate) start: usize,
 }
 
--- a/crates/ivyward-benchlink/src/main.rs
+++ b/crates/ivyward-benchlink/src/main.rs
@@ -1,8 +1,10 @@
-//! Lets a simulator drive the router: batches of events on standard input, replies with actions on standard output.
+//! Adapter through which a simulator drives the router: reads batches of events from standard input and writes one reply
+//! with the resulting actions to standard output for each batch.
 //!
-//! - `decode`: batches as events; `fields`: the fields of one record.
-//! - `reply`: actions as records.
-//! - `error`: what can go wrong.
+//! - `decode`: decodes batches into events.
+//! - `fields`: reads the fields of one record.
+//! - `reply`: encodes actions as records.
+//! - `error`: errors that end the adapter.
 
 mod decode;
 mod error;
@@ -19,15 +21,16 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
+/// One router that the simulator has created.
 struct Instance {
     router: Router,
     settings: Settings,
 }
 
-/// Bytes of a batch's header behind its length field.
-const HEADER_SIZE: u64 = 12;
+/// Size in bytes of a batch header after its length field. The length field does not count these bytes.
+const HEADER_REST_SIZE: u64 = 12;
 
-/// Reads one frame without its length field; `None` at a clean end of the input.
+/// Reads one frame and returns it without its length field. Returns `None` if the input ends before a frame begins.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let mut length_field = [0u8; 4];
     let mut filled = 0;
@@ -43,7 +46,7 @@
             Err(error) => return Err(AdapterError::Read(error)),
         }
     }
-    let length = u64::from(u32::from_le_bytes(length_field)) + HEADER_SIZE;
+    let length = u64::from(u32::from_le_bytes(length_field)) + HEADER_REST_SIZE;
     let mut body = Vec::new();
     let read = input
         .by_ref()
@@ -57,8 +60,9 @@
     Ok(Some(body))
 }
 
-/// Turns a hint of the output length, stated as a time, into tokens by the class's time per token.
-fn hint_in_tokens(event: &mut Event, settings: &Settings) {
+/// Converts the hinted output length of a request from a duration into tokens, by the class's objective for the time per
+/// token. A hint is dropped if it or the objective is not over 0.
+fn convert_output_hint(event: &mut Event, settings: &Settings) {
     let Event::Request(request) = event else {
         return;
     };
@@ -70,14 +74,14 @@
     request.hinted_output = hint.map(|time| time / time_per_token);
 }
 
-/// Gives one event to an instance; the message of a panic in its place.
-fn handle(
+/// Passes one event to the router of an instance. Returns the panic message if the router panics.
+fn handle_event(
     instance: &mut Instance,
     now: Micros,
     mut event: Event,
     actions: &mut Vec<Action>,
 ) -> Result<(), String> {
-    hint_in_tokens(&mut event, &instance.settings);
+    convert_output_hint(&mut event, &instance.settings);
     let handled = catch_unwind(AssertUnwindSafe(|| {
         instance.router.handle(now, event, actions);
     }));
@@ -88,7 +92,8 @@
     })
 }
 
-/// Carries out one batch and returns the reply to it.
+/// Processes one batch and returns the encoded reply. A panic of a router ends the batch; the reply then ends with the panic
+/// message.
 fn process_batch(
     body: &[u8],
     instances: &mut BTreeMap<u32, Instance>,
@@ -115,7 +120,7 @@
             Input::Event(event) => {
                 let instance = instances.get_mut(&id);
                 let instance = instance.ok_or(AdapterError::UnknownInstance(id))?;
-                if let Err(message) = handle(instance, batch.clock, event, &mut actions) {
+                if let Err(message) = handle_event(instance, batch.clock, event, &mut actions) {
                     reply.begin_instance(id);
                     reply.panicked(&message);
                     return Ok(reply.finish());
@@ -125,7 +130,7 @@
                     reply.push(&action);
                 }
             }
-            Input::Target(_) | Input::Nothing => {}
+            Input::Target(_) | Input::Ignored => {}
         }
     }
     Ok(reply.finish())
--- a/crates/ivyward-benchlink/src/reply.rs
+++ b/crates/ivyward-benchlink/src/reply.rs
@@ -1,11 +1,11 @@
-//! Replies to the simulator: the router's actions as records.
+//! Encodes the router's actions as records of a reply to the simulator.
 
 use ivyward_core::interface::{Action, EndpointId, Micros, RequestId};
 
-/// Bytes of a record.
+/// Size of an action record in bytes.
 const ACTION_SIZE: usize = 24;
 
-/// Collects a reply.
+/// A reply under construction: records, and a tail with the texts that the records refer to.
 #[derive(Default)]
 pub(crate) struct Reply {
     count: u32,
@@ -15,6 +15,7 @@
 }
 
 impl Reply {
+    /// Adds a record of `parts`, padded with zeros to [`ACTION_SIZE`].
     fn record(&mut self, code: u8, parts: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
@@ -26,13 +27,15 @@
         self.count += 1;
     }
 
+    /// Appends `text` to the tail and adds a record that refers to it.
     fn text(&mut self, code: u8, text: &str) {
         let (at, len) = (self.tail.len() as u32, text.len() as u32);
         self.tail.extend_from_slice(text.as_bytes());
         self.record(code, &[&at.to_le_bytes(), &len.to_le_bytes()]);
     }
 
-    /// Attributes the following actions to this instance.
+    /// Adds a record that attributes the following actions to this instance, unless the previous actions belong to it
+    /// already.
     pub(crate) fn begin_instance(&mut self, instance: u32) {
         if self.instance != Some(instance) {
             self.instance = Some(instance);
@@ -40,12 +43,12 @@
         }
     }
 
-    /// Reports that the router panicked.
+    /// Adds a record with the message of a panic of the router.
     pub(crate) fn panicked(&mut self, text: &str) {
         self.text(74, text);
     }
 
-    /// Adds an action of the current instance.
+    /// Adds a record for an action of the current instance. Durations are in microseconds, limited to `u32::MAX`.
     pub(crate) fn push(&mut self, action: &Action) {
         let id = |request: &RequestId| request.0.to_le_bytes();
         let endpoint_id = |endpoint: &EndpointId| -> [u8; 6] {
@@ -54,7 +57,8 @@
         };
         let duration = |micros: &Micros| u32::try_from(*micros).unwrap_or(u32::MAX).to_le_bytes();
         match action {
-            // The simulator counts an attempt as in flight from its send, so it has no deadline for the last byte.
+            // The simulator counts an attempt as in flight as soon as it is sent, so the record has no deadline for the last
+            // byte.
             Action::Send {
                 request,
                 endpoint,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The bytes of the reply.
+    /// Returns the encoded reply: the number of records, the length of the rest in bytes, the records and the tail.
     pub(crate) fn finish(self) -> Vec<u8> {
         let mut out = Vec::with_capacity(8 + self.records.len() + self.tail.len());
         out.extend_from_slice(&self.count.to_le_bytes());
