--- a/crates/ivyward-core/tests/cold_endpoint_budget.rs
+++ b/crates/ivyward-core/tests/cold_endpoint_budget.rs
@@ -9,7 +9,7 @@
 use common::*;
 use ivyward_core::interface::*;
 
-/// A load scenario. Each one begins with 20 warm prefill and 20 warm decode endpoints.
+/// A load scenario. Each one begins with 20 warm prefill and 20 warm decode endpoints at the full request rate.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     nodes: u32,
