--- a/crates/ivyward-core/tests/health.rs
+++ b/crates/ivyward-core/tests/health.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// When all prefill endpoints are ejected, one of them is still used.
+/// When all prefill endpoints are ejected, one of them is still used, because ejection must never empty a pool.
 #[test]
 fn ejection_does_not_empty_a_pool() {
     let mut harness = Harness::new(settings(), &endpoints());
