--- a/crates/ivyward-fakes/src/platform/discovery.rs
+++ b/crates/ivyward-fakes/src/platform/discovery.rs
@@ -71,7 +71,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// Changes an entry.
-    pub fn change(&self, engine: usize, change: impl FnOnce(&mut Entry)) {
+    pub fn update_engine(&self, engine: usize, change: impl FnOnce(&mut Entry)) {
         let mut state = self.lock();
         state.version += 1;
         if let Some(entry) = state.entries.get_mut(engine) {
@@ -79,7 +79,7 @@
         }
     }
     /// The list's text, as a node may have held it.
-    pub fn text(&self) -> String {
+    pub fn list_json(&self) -> String {
         let state = self.lock();
         let answer = Answer {
             version: state.version,
@@ -89,7 +89,7 @@
         serde_json::to_string(&answer).unwrap_or_default()
     }
     /// Whether it answers.
-    pub fn set_silent(&self, silent: bool) {
+    pub fn set_unresponsive(&self, silent: bool) {
         self.lock().silent = silent;
     }
     /// Resets all watches.
@@ -156,7 +156,7 @@
                 return;
             }
             for engine in draining {
-                log.add(runtime.now(), Observation::ToldDrain { node, engine });
+                log.add(runtime.now(), Observation::DrainNotified { node, engine });
             }
         }
     }
--- a/crates/ivyward-fakes/src/platform/engine.rs
+++ b/crates/ivyward-fakes/src/platform/engine.rs
@@ -19,21 +19,21 @@
 
 /// What is wrong with an engine's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Troubles {
+pub struct EngineFaults {
     /// It does not run: connections are refused and those that stood are reset.
     pub down: bool,
     /// It takes requests and does nothing.
-    pub hangs: bool,
+    pub hung: bool,
     /// It turns new requests away.
-    pub turns_away: bool,
+    pub rejects_requests: bool,
     /// Everything takes so many times as long.
-    pub slower: f64,
+    pub slowdown: f64,
     /// So many of 100 streams end in the middle.
-    pub breaks_percent: u64,
+    pub broken_stream_percent: u64,
 }
 
 struct State {
-    troubles: Troubles,
+    troubles: EngineFaults,
     /// A crash ends all connections of the runs before it.
     run: u64,
 }
@@ -76,9 +76,9 @@
     ) -> std::io::Result<(PlatformEngine, SocketAddr)> {
         let listener = runtime.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
-        let troubles = Troubles {
-            slower: 1.0,
-            ..Troubles::default()
+        let troubles = EngineFaults {
+            slowdown: 1.0,
+            ..EngineFaults::default()
         };
         let state = State { troubles, run: 0 };
         let engine = PlatformEngine {
@@ -103,12 +103,12 @@
     }
 
     /// Whether it reads prompts.
-    pub fn reads(&self) -> bool {
+    pub fn is_prefill(&self) -> bool {
         self.reads
     }
 
     /// What is wrong with it from now on. A process that goes down loses what it held.
-    pub fn set(&self, change: impl FnOnce(&mut Troubles)) {
+    pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         let mut state = lock(&self.state);
         let was_down = state.troubles.down;
         change(&mut state.troubles);
@@ -123,7 +123,7 @@
         }
     }
 
-    fn troubles(&self) -> Troubles {
+    fn troubles(&self) -> EngineFaults {
         lock(&self.state).troubles
     }
 
@@ -154,8 +154,8 @@
 
     /// Waits for a span of its own work, which stands still while the process hangs.
     async fn work(&self, span: Micros) {
-        let until = self.runtime.now() + (span as f64 * self.troubles().slower) as Micros;
-        while self.runtime.now() < until || self.troubles().hangs {
+        let until = self.runtime.now() + (span as f64 * self.troubles().slowdown) as Micros;
+        while self.runtime.now() < until || self.troubles().hung {
             let left = until.saturating_sub(self.runtime.now()).max(LOOK);
             self.runtime.sleep(left.min(20 * LOOK)).await;
         }
@@ -182,15 +182,19 @@
 
     async fn release(&self, conn: &mut Conn, id: &str) -> bool {
         // A release counts when it came.
-        if !self.troubles().hangs {
+        if !self.troubles().hung {
             lock(&self.platform.held).remove(id);
-            self.log
-                .add(self.runtime.now(), Observation::Freed { id: id.into() });
+            self.log.add(
+                self.runtime.now(),
+                Observation::StateReleased { id: id.into() },
+            );
         }
         self.work(0).await;
         lock(&self.platform.held).remove(id);
-        self.log
-            .add(self.runtime.now(), Observation::Freed { id: id.into() });
+        self.log.add(
+            self.runtime.now(),
+            Observation::StateReleased { id: id.into() },
+        );
         say(conn, "HTTP/1.1 204 No Content\r\n\r\n").await
     }
 
@@ -209,13 +213,13 @@
         let timeout = text("x-timeout-ms").parse::<u64>().unwrap_or(0) * 1_000;
         let attempt = self.platform.attempts.fetch_add(1, Ordering::SeqCst);
         let repeats = !self.reads && !key.is_empty() && !lock(&self.platform.keys).insert(key);
-        let turned_away = self.troubles().turns_away;
+        let turned_away = self.troubles().rejects_requests;
         let dropped = repeats || turned_away;
-        let arrived = Observation::Arrived {
+        let arrived = Observation::AttemptArrived {
             id: id.clone(),
             engine: self.index,
             attempt,
-            reads: self.reads,
+            is_prefill: self.reads,
             timeout,
             dropped,
         };
@@ -254,8 +258,10 @@
     async fn read(&self, id: &str) -> bool {
         self.work(self.work).await;
         lock(&self.platform.held).insert(id.into(), self.index);
-        self.log
-            .add(self.runtime.now(), Observation::Holds { id: id.into() });
+        self.log.add(
+            self.runtime.now(),
+            Observation::StateReserved { id: id.into() },
+        );
         true
     }
 
@@ -268,10 +274,12 @@
             return false;
         }
         if lock(&self.platform.held).remove(id).is_some() {
-            self.log
-                .add(self.runtime.now(), Observation::Freed { id: id.into() });
+            self.log.add(
+                self.runtime.now(),
+                Observation::StateReleased { id: id.into() },
+            );
         }
-        let breaks = self.runtime.random() % 100 < self.troubles().breaks_percent;
+        let breaks = self.runtime.random() % 100 < self.troubles().broken_stream_percent;
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         if !say(conn, head).await {
             return false;
@@ -284,7 +292,7 @@
             if said && breaks && n == 1 {
                 self.log.add(
                     self.runtime.now(),
-                    Observation::StreamBroke { id: id.into() },
+                    Observation::StreamBroken { id: id.into() },
                 );
             }
             if !said || (breaks && n == 1) {
@@ -311,7 +319,7 @@
     fn drop(&mut self) {
         self.engine.log.add(
             self.engine.runtime.now(),
-            Observation::Ended {
+            Observation::AttemptEnded {
                 attempt: self.attempt,
             },
         );
--- a/crates/ivyward-fakes/src/platform/exchange.rs
+++ b/crates/ivyward-fakes/src/platform/exchange.rs
@@ -15,30 +15,30 @@
 
 /// An answer as a client sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct ReceivedResponse {
     /// 0 where the connection ended without one.
     pub status: u16,
     /// What came of the body.
     pub body: Vec<u8>,
     /// The body came to its end.
-    pub whole: bool,
+    pub complete: bool,
     /// The connection does not go on.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// The header of this name.
     pub retry_after: Option<String>,
     /// When its last byte, or the connection's end, came.
-    pub at: Micros,
+    pub ended_at: Micros,
     /// When the body's last byte came.
-    pub last: Micros,
+    pub last_data_at: Micros,
 }
 
 /// Waits for an answer.
 ///
 /// # Panics
 /// When what comes is no HTTP: no stand-in goes on from there.
-pub async fn read_answer(runtime: &RuntimeRef, conn: &mut Conn) -> Got {
-    let (mut bytes, mut out, mut body): (Vec<u8>, Got, Option<Body>) =
-        (Vec::new(), Got::default(), None);
+pub async fn read_response(runtime: &RuntimeRef, conn: &mut Conn) -> ReceivedResponse {
+    let (mut bytes, mut out, mut body): (Vec<u8>, ReceivedResponse, Option<Body>) =
+        (Vec::new(), ReceivedResponse::default(), None);
     loop {
         if body.is_none() {
             if let Some((answer, used)) =
@@ -46,7 +46,7 @@
             {
                 bytes.drain(..used);
                 out.status = answer.status;
-                out.closes = !answer.head.keeps();
+                out.closes_connection = !answer.head.keeps();
                 out.retry_after = answer.head.text("retry-after").map(str::to_owned);
                 body = Some(Body::new(answer.framing, &LIMITS));
             }
@@ -55,14 +55,14 @@
             let (step, used) = body.step(&bytes).expect("a body that can be read");
             if let Step::Data(range) = &step {
                 out.body.extend_from_slice(&bytes[range.clone()]);
-                out.last = runtime.now();
+                out.last_data_at = runtime.now();
             }
             bytes.drain(..used);
             match step {
                 Step::Done => {
-                    return Got {
-                        whole: true,
-                        at: runtime.now(),
+                    return ReceivedResponse {
+                        complete: true,
+                        ended_at: runtime.now(),
                         ..out
                     }
                 }
@@ -74,8 +74,8 @@
         match conn.read(&mut piece).await {
             Ok(n) if n > 0 => bytes.extend_from_slice(&piece[..n]),
             _ => {
-                return Got {
-                    at: runtime.now(),
+                return ReceivedResponse {
+                    ended_at: runtime.now(),
                     ..out
                 }
             }
--- a/crates/ivyward-fakes/src/platform/observe.rs
+++ b/crates/ivyward-fakes/src/platform/observe.rs
@@ -5,13 +5,13 @@
 
 /// How far a request of the class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Freely.
-    Safe,
+    Idempotent,
     /// Engines drop repeats by its key.
-    Keyed,
+    WithKey,
     /// Not at all.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Something that was observed.
@@ -22,7 +22,7 @@
         /// Its id.
         id: String,
         /// Its class's effect.
-        effect: Effect,
+        idempotency: Idempotency,
         /// The node.
         node: usize,
         /// How long the client waits for the first token.
@@ -31,21 +31,21 @@
         new_connection: bool,
     },
     /// The client closed its connection before the answer's end.
-    Left {
+    ClientDisconnected {
         /// The request.
         id: String,
     },
     /// The answer's end, or the connection's, came to the client.
-    Answered {
+    ResponseEnded {
         /// The request.
         id: String,
         /// 0 where the connection ended without an answer.
         status: u16,
         /// The body came to its end.
-        whole: bool,
+        complete: bool,
     },
     /// The last byte of an attempt came to an engine that runs.
-    Arrived {
+    AttemptArrived {
         /// The request.
         id: String,
         /// The engine.
@@ -53,41 +53,41 @@
         /// The attempt, among all.
         attempt: u64,
         /// It reads the prompt.
-        reads: bool,
+        is_prefill: bool,
         /// The time that the attempt tells: how long the node waits.
         timeout: Micros,
         /// It is turned away or dropped as a repeat, and has no effect.
         dropped: bool,
     },
     /// An attempt is over at its engine: answered, or its connection ended.
-    Ended {
+    AttemptEnded {
         /// The attempt.
         attempt: u64,
     },
     /// A read came to its end: its state waits at its engine.
-    Holds {
+    StateReserved {
         /// The request.
         id: String,
     },
     /// What is held for a request was fetched or released.
-    Freed {
+    StateReleased {
         /// The request.
         id: String,
     },
     /// Discovery wrote to a node that an engine drains.
-    ToldDrain {
+    DrainNotified {
         /// The node.
         node: usize,
         /// The engine.
         engine: usize,
     },
     /// An engine begins to drain, as discovery has it.
-    Drains {
+    DrainStarted {
         /// The engine.
         engine: usize,
     },
     /// An engine drains no longer.
-    DrainOver {
+    DrainEnded {
         /// The engine.
         engine: usize,
     },
@@ -104,7 +104,7 @@
         engine: usize,
     },
     /// An engine broke a stream off.
-    StreamBroke {
+    StreamBroken {
         /// The request.
         id: String,
     },
@@ -114,14 +114,14 @@
         engine: usize,
     },
     /// Connections of a node break under it, those of clients among them, or no longer do.
-    ConnectionsBreak {
+    ConnectionFaults {
         /// The node.
         node: usize,
         /// They do.
         on: bool,
     },
     /// A node was told to end.
-    NodeStops {
+    NodeStopRequested {
         /// The node.
         node: usize,
     },
--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -241,7 +241,7 @@
                 .collect();
             conn.write_all(&bytes).await.unwrap();
             let first = read_response(&cluster.client, &mut conn).await;
-            assert_eq!((first.status, first.whole), (200, true));
+            assert_eq!((first.status, first.complete), (200, true));
             let mut rest = Vec::new();
             if closes {
                 let end = conn.read_to_end(&mut rest).await;
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -110,9 +110,9 @@
                 response.status
             );
             assert!(
-                response.at - begun < 3_000_000,
+                response.ended_at - begun < 3_000_000,
                 "{defect}: {} us",
-                response.at - begun
+                response.ended_at - begun
             );
             if !matches!(defect, "empty request" | "incomplete head") {
                 assert!(response.status >= 400, "{defect}: closed without an error");
@@ -171,7 +171,7 @@
         .await;
         assert_eq!(cluster.send_request("same", "send").await.status, 409);
         let response = read_response(&cluster.client, &mut first).await;
-        assert_eq!((response.status, response.whole), (200, true));
+        assert_eq!((response.status, response.complete), (200, true));
         assert_eq!(cluster.attempts("same").len(), 2, "one prefill, one decode");
         // After the response the id may be used again.
         assert_eq!(cluster.send_request("same", "send").await.status, 200);
@@ -271,7 +271,7 @@
         drop(done);
         let mut served = 0;
         while let Ok((id, response)) = responses.recv().await {
-            served += usize::from(response.status == 200 && response.whole);
+            served += usize::from(response.status == 200 && response.complete);
             if response.status == 503 {
                 assert!(
                     cluster.attempts(&id).is_empty(),
@@ -279,7 +279,7 @@
                 );
             }
             assert!(
-                response.status != 200 || response.whole,
+                response.status != 200 || response.complete,
                 "{id} was truncated"
             );
         }
@@ -297,7 +297,7 @@
         conn.write_all(&both).await.unwrap();
         for _ in 0..2 {
             let response = read_response(&cluster.client, &mut conn).await;
-            assert_eq!((response.status, response.whole), (200, true));
+            assert_eq!((response.status, response.complete), (200, true));
         }
         assert_eq!(cluster.attempts("b").len(), 2);
     });
@@ -355,9 +355,9 @@
             response.status
         );
         assert!(
-            response.at - begun <= 2_010_000,
+            response.ended_at - begun <= 2_010_000,
             "{} us",
-            response.at - begun
+            response.ended_at - begun
         );
         let attempts = cluster.attempts("one").len();
         cluster.runtime.sleep(5_000_000).await;
--- a/crates/ivyward-platform/tests/common/mod.rs
+++ b/crates/ivyward-platform/tests/common/mod.rs
@@ -16,7 +16,7 @@
 };
 use ivyward::runtime::{before, RuntimeExt, RuntimeRef};
 use ivyward_fakes::platform::exchange::read_request;
-pub use ivyward_fakes::platform::exchange::{read_answer as read_response, Got as Response};
+pub use ivyward_fakes::platform::exchange::{read_response, ReceivedResponse as Response};
 pub use request_log::RequestLog;
 
 /// Waits until `condition` is true; panics with `name` after one minute of virtual time.
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -90,7 +90,7 @@
                 "{sent_at}: {response:?}"
             );
             assert!(
-                response.status == 0 || response.status == 200 && response.whole,
+                response.status == 0 || response.status == 200 && response.complete,
                 "{sent_at}: {response:?}"
             );
             outcome.send(response.status).unwrap();
--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -111,7 +111,7 @@
     if let Some(response) = &record.response {
         assert_ne!(response.status, 0, "{id}: no response");
         if response.status != 200 {
-            let took = response.at - record.sent;
+            let took = response.ended_at - record.sent;
             assert!(
                 took <= record.timeout + TOLERANCE,
                 "{id}: response after {took} us, timeout {} us",
@@ -211,7 +211,7 @@
         let is_broken = record
             .response
             .as_ref()
-            .is_some_and(|response| response.status == 200 && !response.whole);
+            .is_some_and(|response| response.status == 200 && !response.complete);
         counts.broken += usize::from(is_broken);
         counts.rejected += usize::from(record.is_rejected());
         counts.retried += usize::from(decodes.len() > 1);
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -14,7 +14,7 @@
     ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
         for id in ["one", "two"] {
             let response = cluster.send_request(id, "draft").await;
-            assert_eq!((response.status, response.whole), (200, true));
+            assert_eq!((response.status, response.complete), (200, true));
             assert_eq!(String::from_utf8(response.body).unwrap(), SERVED_EVENTS);
             let attempts = cluster.attempts(id);
             assert_eq!(attempts.len(), 2, "{attempts:?}");
@@ -194,7 +194,7 @@
                 let (idempotent, non_idempotent) = (format!("safe{n}"), format!("once{n}"));
                 let response = cluster.send_request(&idempotent, "draft").await;
                 assert_eq!(
-                    (response.status, response.whole),
+                    (response.status, response.complete),
                     (200, true),
                     "response {i}"
                 );
@@ -247,7 +247,11 @@
         setup.run(move |cluster| async move {
             for n in 0..4 {
                 let response = cluster.send_request(&format!("r{n}"), "send").await;
-                assert_eq!((response.status, response.whole), (200, true), "{status}");
+                assert_eq!(
+                    (response.status, response.complete),
+                    (200, true),
+                    "{status}"
+                );
             }
             assert!(
                 cluster
@@ -288,7 +292,7 @@
         setup.run(move |cluster| async move {
             let response = cluster.send_request("one", "draft").await;
             assert_eq!(
-                (response.status, response.whole),
+                (response.status, response.complete),
                 (200, false),
                 "{malformed:?}"
             );
@@ -297,9 +301,9 @@
                 "{malformed:?}"
             );
             assert!(
-                response.at - response.last < 5_000_000,
+                response.ended_at - response.last_data_at < 5_000_000,
                 "{malformed:?}: the stream ended {} us after its last byte",
-                response.at - response.last
+                response.ended_at - response.last_data_at
             );
             cluster.runtime.sleep(1_000_000).await;
             assert_eq!(
@@ -355,7 +359,7 @@
                 let id = format!("r{n}");
                 let response = cluster.send_request(&id, "draft").await;
                 assert_eq!(
-                    (response.status, response.whole, response.body.as_slice()),
+                    (response.status, response.complete, response.body.as_slice()),
                     (200, true, SERVED_EVENTS.as_bytes())
                 );
                 connections.extend(
@@ -593,7 +597,7 @@
         cluster.runtime.sleep(20_000).await;
         for n in 0..12 {
             let response = cluster.send_request(&format!("r{n}"), "send").await;
-            assert_eq!((response.status, response.whole), (200, true), "r{n}");
+            assert_eq!((response.status, response.complete), (200, true), "r{n}");
             cluster.runtime.sleep(2_000_000).await;
         }
         assert!(
@@ -624,7 +628,7 @@
         for n in 0..60 {
             let (id, class) = (format!("r{n}"), if n % 3 == 0 { "send" } else { "draft" });
             let response = cluster.send_request(&id, class).await;
-            assert_eq!((response.status, response.whole), (200, true), "{id}");
+            assert_eq!((response.status, response.complete), (200, true), "{id}");
             attempts += cluster.attempts(&id).len();
             cluster.runtime.sleep(250_000).await;
         }
--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -148,7 +148,7 @@
         for (n, conn) in queued.iter_mut().enumerate() {
             let response = common::read_response(&client, conn).await;
             assert_eq!(
-                (response.status, response.whole),
+                (response.status, response.complete),
                 (200, true),
                 "request {n} of the queue"
             );
@@ -182,7 +182,7 @@
                 .unwrap();
             let response = common::read_response(&client, &mut conn).await;
             assert_eq!(
-                (response.status, response.whole),
+                (response.status, response.complete),
                 (200, true),
                 "request {n}"
             );
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -201,10 +201,13 @@
         }
         cluster.service.stop().await;
         let early = read_response(&client, &mut early).await;
-        assert_eq!((early.status, early.whole), (200, true));
+        assert_eq!((early.status, early.complete), (200, true));
         for _ in 0..2 {
             let late = responses.recv().await.unwrap();
-            assert_eq!((late.status, late.whole, late.closes), (200, true, true));
+            assert_eq!(
+                (late.status, late.complete, late.closes_connection),
+                (200, true, true)
+            );
         }
         assert!(
             client.connect(address).await.is_err(),
@@ -313,7 +316,7 @@
             );
             assert!(
                 response.status == 0
-                    || (response.status == 200 && response.whole && response.closes)
+                    || (response.status == 200 && response.complete && response.closes_connection)
             );
             outcome.send(response.status).unwrap();
         });
--- a/crates/ivyward-testbed/src/soak/clients.rs
+++ b/crates/ivyward-testbed/src/soak/clients.rs
@@ -2,17 +2,17 @@
 
 use crate::soak::stage::Stage;
 use futures_lite::AsyncWriteExt;
-use ivyward_fakes::platform::exchange::{read_answer, Got};
-use ivyward_fakes::platform::observe::{Effect, Observation};
+use ivyward_fakes::platform::exchange::{read_response, ReceivedResponse};
+use ivyward_fakes::platform::observe::{Idempotency, Observation};
 use ivyward_runtime::{before, Conn, Micros, RuntimeExt};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
 /// The classes of the run's configuration and what their clients may repeat.
-const CLASSES: [(&str, Effect); 3] = [
-    ("draft", Effect::Safe),
-    ("once", Effect::Keyed),
-    ("send", Effect::Unsafe),
+const CLASSES: [(&str, Idempotency); 3] = [
+    ("draft", Idempotency::Idempotent),
+    ("once", Idempotency::WithKey),
+    ("send", Idempotency::NonIdempotent),
 ];
 /// Patience by class, in milliseconds.
 const PATIENCE_MS: u64 = 2_500;
@@ -103,11 +103,11 @@
     stage: &Stage,
     (node, new_connection): (usize, bool),
     id: &str,
-    (class, effect): (&str, Effect),
+    (class, effect): (&str, Idempotency),
     mut conn: Conn,
 ) -> Exchange {
     let runtime = &stage.runtime;
-    let key = if effect == Effect::Keyed {
+    let key = if effect == Idempotency::WithKey {
         format!("Idempotency-Key: {id}\r\n")
     } else {
         String::new()
@@ -127,7 +127,7 @@
     let client_timeout = PATIENCE_MS * 1_000;
     let sent = Observation::Sent {
         id: id.into(),
-        effect,
+        idempotency: effect,
         node,
         client_timeout,
         new_connection,
@@ -140,27 +140,28 @@
         client_timeout + LATE
     };
     let until = runtime.now() + waits;
-    let got = before(runtime, until, read_answer(runtime, &mut conn)).await;
-    let Some(Got {
+    let got = before(runtime, until, read_response(runtime, &mut conn)).await;
+    let Some(ReceivedResponse {
         status,
-        whole,
-        closes,
+        complete: whole,
+        closes_connection: closes,
         ..
     }) = got
     else {
         if leaves {
-            stage
-                .log
-                .add(runtime.now(), Observation::Left { id: id.into() });
+            stage.log.add(
+                runtime.now(),
+                Observation::ClientDisconnected { id: id.into() },
+            );
         }
         return Exchange::Over;
     };
     stage.log.add(
         runtime.now(),
-        Observation::Answered {
+        Observation::ResponseEnded {
             id: id.into(),
             status,
-            whole,
+            complete: whole,
         },
     );
     if status == 0 && !new_connection {
--- a/crates/ivyward-testbed/src/soak/oracle.rs
+++ b/crates/ivyward-testbed/src/soak/oracle.rs
@@ -1,6 +1,6 @@
 //! The rules, checked from what engines and clients observed. It knows nothing of what a node says of itself.
 
-use ivyward_fakes::platform::observe::{Effect, Observation};
+use ivyward_fakes::platform::observe::{Idempotency, Observation};
 use ivyward_runtime::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 struct Request {
     sent: Vec<(Micros, usize, Micros, bool)>,
-    effect: Option<Effect>,
+    effect: Option<Idempotency>,
     left: Option<Micros>,
     answers: Vec<(Micros, u16, bool)>,
     attempts: Vec<Attempt>,
@@ -134,7 +134,7 @@
         match observation {
             Observation::Sent {
                 id,
-                effect,
+                idempotency: effect,
                 node,
                 client_timeout,
                 new_connection,
@@ -145,15 +145,19 @@
                     .sent
                     .push((at, *node, *client_timeout, *new_connection));
             }
-            Observation::Left { id } => self.request(id).left = Some(at),
-            Observation::Answered { id, status, whole } => {
+            Observation::ClientDisconnected { id } => self.request(id).left = Some(at),
+            Observation::ResponseEnded {
+                id,
+                status,
+                complete: whole,
+            } => {
                 self.request(id).answers.push((at, *status, *whole));
             }
-            Observation::Arrived {
+            Observation::AttemptArrived {
                 id,
                 engine,
                 attempt,
-                reads,
+                is_prefill: reads,
                 timeout,
                 dropped,
             } => {
@@ -168,25 +172,25 @@
                 };
                 self.request(id).attempts.push(attempt);
             }
-            Observation::Ended { attempt } => {
+            Observation::AttemptEnded { attempt } => {
                 let mut all = self.requests.values_mut().flat_map(|r| &mut r.attempts);
                 if let Some(found) = all.find(|a| a.number == *attempt) {
                     found.ended = Some(at);
                 }
             }
-            Observation::Holds { id } => self.request(id).holds.push(at),
-            Observation::Freed { id } => self.request(id).freed.push(at),
-            Observation::ToldDrain { node, engine } => {
+            Observation::StateReserved { id } => self.request(id).holds.push(at),
+            Observation::StateReleased { id } => self.request(id).freed.push(at),
+            Observation::DrainNotified { node, engine } => {
                 self.told.entry((*node, *engine)).or_insert(at);
             }
-            Observation::Drains { engine } => {
+            Observation::DrainStarted { engine } => {
                 self.drains.insert(*engine, at);
                 // What was told before was of another drain.
                 self.told.retain(|(_, told), _| told != engine);
             }
             Observation::LinkReset { engine } => self.resets.push((*engine, at)),
-            Observation::StreamBroke { id } => self.request(id).stream_broke = true,
-            Observation::DrainOver { engine } => {
+            Observation::StreamBroken { id } => self.request(id).stream_broke = true,
+            Observation::DrainEnded { engine } => {
                 if let Some(from) = self.drains.remove(engine) {
                     let told = self.told.iter().filter(|((_, e), _)| e == engine);
                     let told = told.map(|((node, _), at)| (*node, *at)).collect();
@@ -209,17 +213,17 @@
                     cut.2 = at;
                 }
             }
-            Observation::ConnectionsBreak { node, on: true } => {
+            Observation::ConnectionFaults { node, on: true } => {
                 self.breaks.push((*node, at, Micros::MAX))
             }
-            Observation::ConnectionsBreak { node, on: false } => {
+            Observation::ConnectionFaults { node, on: false } => {
                 let of_node =
                     |span: &&mut (usize, Micros, Micros)| span.0 == *node && span.2 == Micros::MAX;
                 if let Some(span) = self.breaks.iter_mut().find(of_node) {
                     span.2 = at;
                 }
             }
-            Observation::NodeStops { node } => self.stops.push((*node, at)),
+            Observation::NodeStopRequested { node } => self.stops.push((*node, at)),
             Observation::NodeEnded { node, killed: true } => self.killed.push((*node, at)),
             Observation::NodeEnded { .. } => {}
             Observation::NodeCrashed { node } => {
@@ -488,9 +492,9 @@
         .map(|a| a.at)
         .collect();
     let twice = match request.effect? {
-        Effect::Safe => false,
-        Effect::Unsafe => ran.len() > 1,
-        Effect::Keyed => {
+        Idempotency::Idempotent => false,
+        Idempotency::NonIdempotent => ran.len() > 1,
+        Idempotency::WithKey => {
             let writes = request.attempts.iter().filter(|a| !a.reads);
             let first = ran.first().copied()?;
             writes
@@ -508,7 +512,7 @@
         .iter()
         .any(|(_, status, _)| matches!(status, 429 | 503));
     let ran = request.attempts.iter().any(|a| !a.reads && !a.dropped);
-    let promised = refused && ran && request.effect == Some(Effect::Unsafe);
+    let promised = refused && ran && request.effect == Some(Idempotency::NonIdempotent);
     promised.then(|| {
         (
             "false_refusal",
--- a/crates/ivyward-testbed/src/soak/stage.rs
+++ b/crates/ivyward-testbed/src/soak/stage.rs
@@ -134,7 +134,7 @@
             node,
             self.files.len(),
             self.agents[node][agent],
-            &self.discovery.text(),
+            &self.discovery.list_json(),
         );
         self.files[node].configure(&text)?;
         let process = NodeProcess::start(&self.files[node], self.seed ^ node as u64)?;
@@ -202,7 +202,7 @@
         let Some(mut process) = taken else { return };
         process.signal(Signal::TERM);
         self.log
-            .add(self.runtime.now(), Observation::NodeStops { node });
+            .add(self.runtime.now(), Observation::NodeStopRequested { node });
         let until = self.runtime.now() + STOP_LIMIT;
         // The front learns of it late: new connections come for a while.
         self.runtime.sleep(FRONT_LEARNS).await;
@@ -252,7 +252,7 @@
                 let mark = |on| {
                     self.log.add(
                         self.runtime.now(),
-                        Observation::ConnectionsBreak { node, on },
+                        Observation::ConnectionFaults { node, on },
                     )
                 };
                 mark(true);
@@ -265,9 +265,9 @@
             Kind::ClientsLeave => self.flag(&self.clients_leave, span).await,
             Kind::HalfRequests => self.flag(&self.half_requests, span).await,
             Kind::DiscoverySilent => {
-                self.discovery.set_silent(true);
+                self.discovery.set_unresponsive(true);
                 self.runtime.sleep(span).await;
-                self.discovery.set_silent(false);
+                self.discovery.set_unresponsive(false);
             }
             Kind::WatchReset => self.discovery.reset_watches(),
             kind => self.engine_trouble(kind, engine, span).await,
@@ -296,7 +296,8 @@
             Kind::NodeReload => {
                 for agent in [1, 0] {
                     let agent = self.agents[node][agent];
-                    let text = configuration(node, self.files.len(), agent, &self.discovery.text());
+                    let text =
+                        configuration(node, self.files.len(), agent, &self.discovery.list_json());
                     if self.files[node].configure(&text).is_ok() {
                         self.with_node(node, |process| process.signal(Signal::HUP));
                     }
@@ -367,11 +368,11 @@
             );
         };
         match kind {
-            Kind::EngineCrash => engine.set(|t| t.down = true),
-            Kind::EngineHang => engine.set(|t| t.hangs = true),
-            Kind::EngineTurnsAway => engine.set(|t| t.turns_away = true),
-            Kind::EngineSlow => engine.set(|t| t.slower = SLOWER),
-            Kind::StreamsBreak => engine.set(|t| t.breaks_percent = BREAKS_PERCENT),
+            Kind::EngineCrash => engine.set_faults(|t| t.down = true),
+            Kind::EngineHang => engine.set_faults(|t| t.hung = true),
+            Kind::EngineTurnsAway => engine.set_faults(|t| t.rejects_requests = true),
+            Kind::EngineSlow => engine.set_faults(|t| t.slowdown = SLOWER),
+            Kind::StreamsBreak => engine.set_faults(|t| t.broken_stream_percent = BREAKS_PERCENT),
             Kind::LinkCut => cut(true),
             Kind::LinkReset => {
                 self.log
@@ -379,10 +380,12 @@
                 link.reset();
             }
             Kind::EngineDrain => {
-                self.log
-                    .add(self.runtime.now(), Observation::Drains { engine: index });
+                self.log.add(
+                    self.runtime.now(),
+                    Observation::DrainStarted { engine: index },
+                );
                 self.discovery
-                    .change(index, |entry| entry.state = "draining");
+                    .update_engine(index, |entry| entry.state = "draining");
             }
             _ => {}
         }
@@ -391,19 +394,22 @@
             Kind::EngineCrash => {
                 let started_ms = self.runtime.unix_micros() / 1_000;
                 self.discovery
-                    .change(index, |entry| entry.started_ms = started_ms);
-                engine.set(|t| t.down = false);
+                    .update_engine(index, |entry| entry.started_ms = started_ms);
+                engine.set_faults(|t| t.down = false);
             }
             Kind::LinkCut => cut(false),
             Kind::EngineDrain => {
-                self.discovery.change(index, |entry| entry.state = "up");
-                self.log
-                    .add(self.runtime.now(), Observation::DrainOver { engine: index });
+                self.discovery
+                    .update_engine(index, |entry| entry.state = "up");
+                self.log.add(
+                    self.runtime.now(),
+                    Observation::DrainEnded { engine: index },
+                );
             }
-            Kind::EngineHang => engine.set(|t| t.hangs = false),
-            Kind::EngineTurnsAway => engine.set(|t| t.turns_away = false),
-            Kind::EngineSlow => engine.set(|t| t.slower = 1.0),
-            Kind::StreamsBreak => engine.set(|t| t.breaks_percent = 0),
+            Kind::EngineHang => engine.set_faults(|t| t.hung = false),
+            Kind::EngineTurnsAway => engine.set_faults(|t| t.rejects_requests = false),
+            Kind::EngineSlow => engine.set_faults(|t| t.slowdown = 1.0),
+            Kind::StreamsBreak => engine.set_faults(|t| t.broken_stream_percent = 0),
             _ => {}
         }
     }
