--- a/crates/ivyward-etcd/tests/client.rs
+++ b/crates/ivyward-etcd/tests/client.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::block_on;
 use ivyward_etcd::{rpc, Client, EtcdError, EtcdOptions, LeaseEvent, Notification};
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 fn store(cluster: u64) -> Store {
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     Store::start(&host, cluster).unwrap()
 }
 
@@ -239,7 +239,7 @@
 #[test]
 fn expired_token_is_renewed() {
     let store = store(1);
-    store.fault(|f| (f.login, f.token_life) = (Some(("ivy".into(), "secret".into())), 1));
+    store.fault(|f| (f.login, f.token_ttl) = (Some(("ivy".into(), "secret".into())), 1));
     let credentials = Some(("ivy".to_string(), "secret".to_string()));
     let (_runtime, client) = client(
         &[store.address()],
@@ -254,7 +254,7 @@
             client.put(b"a", b"x", 0).await,
             Err(EtcdError::Status { code: 16, .. })
         ));
-        store.fault(|f| f.token_life = 50_000);
+        store.fault(|f| f.token_ttl = 50_000);
         for i in 0..30 {
             // The token has expired for many of these writes; each of them requests a new one at most once.
             let put = client.put(format!("a/{i}").as_bytes(), b"x", 0).await;
@@ -263,7 +263,7 @@
                 "{put:?}"
             );
         }
-        store.fault(|f| f.token_life = 0);
+        store.fault(|f| f.token_ttl = 0);
         client.put(b"a/last", b"x", 0).await.unwrap();
         assert!(
             client.list(b"a/").await.unwrap().kvs.len() > 7,
@@ -296,9 +296,9 @@
         let Ok(LeaseEvent::Written(first)) = events.recv().await else {
             panic!()
         };
-        store.put_leased("a/1", "draining");
+        store.put_keeping_lease("a/1", "draining");
         assert_eq!(events.recv().await, Ok(LeaseEvent::Changed));
-        store.forget();
+        store.reset_empty();
         let Ok(LeaseEvent::Written(second)) = events.recv().await else {
             panic!()
         };
--- a/crates/ivyward-etcd/tests/independent_client.rs
+++ b/crates/ivyward-etcd/tests/independent_client.rs
@@ -5,14 +5,14 @@
     Client, Compare, CompareOp, ConnectOptions, DeleteOptions, EventType, GetOptions, PutOptions,
     Txn, TxnOp, TxnOpResponse, WatchFilterType, WatchOptions,
 };
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
 use std::future::Future;
 use std::sync::Arc;
 
 fn with_store<F: Future<Output = ()>>(test: impl FnOnce(Store, String) -> F) {
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     let store = Store::start(&host, 1).unwrap();
     let address = format!("http://{}", store.address());
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/ivyward-fakes/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -17,13 +17,13 @@
     /// How long it waits for the whole answer.
     pub client_timeout: Micros,
     /// Leaves without a word after this time.
-    pub leave_after: Option<Micros>,
+    pub disconnect_after: Option<Micros>,
     /// Leaves after so many tokens.
-    pub leave_at_token: Option<u32>,
+    pub disconnect_at_token: Option<u32>,
     /// Waits so long before it takes the next message.
     pub read_pause: Micros,
     /// Sends no deadline with its call, and waits as long all the same.
-    pub silent_deadline: bool,
+    pub omit_deadline: bool,
 }
 
 /// A request as a client makes it.
@@ -127,7 +127,7 @@
         })
     }
     /// Whether it may still be used.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.channel.is_usable()
     }
     /// Closes the connection; its calls break.
@@ -148,11 +148,11 @@
     ) -> ClientResult {
         let (call, began) = (ask.request.call_id, self.runtime.now());
         let until = began.saturating_add(ask.behavior.client_timeout);
-        self.log.add(ObservedEvent::Called {
+        self.log.add(ObservedEvent::CallStarted {
             call,
             operation: ask.operation,
             node: ask.node,
-            effect: ask.idempotency,
+            idempotency: ask.idempotency,
             until: self.log.now().saturating_add(ask.behavior.client_timeout),
         });
         let mut end = ClientResult {
@@ -166,7 +166,7 @@
         };
         let leave_at = ask
             .behavior
-            .leave_after
+            .disconnect_after
             .map_or(Micros::MAX, |span| began.saturating_add(span));
         let followed = self.follow(ask, began, &mut end);
         let how = or(
@@ -186,7 +186,8 @@
         .unwrap_or(ClientOutcome::Disconnected);
         end.outcome = how;
         end.duration = self.runtime.now() - began;
-        self.log.add(ObservedEvent::ClientOutcome { call, how });
+        self.log
+            .add(ObservedEvent::CallEnded { call, outcome: how });
         end
     }
 
@@ -196,7 +197,7 @@
         began: Micros,
         end: &mut ClientResult,
     ) -> ClientOutcome {
-        let headers = match ask.behavior.silent_deadline {
+        let headers = match ask.behavior.omit_deadline {
             true => HeaderMap::new(),
             false => deadline(ask.behavior.client_timeout),
         };
@@ -218,7 +219,7 @@
                 Ok(Some(run)) => {
                     if end.first_token_after.is_none() {
                         end.first_token_after = Some(self.runtime.now() - began);
-                        self.log.add(ObservedEvent::Began {
+                        self.log.add(ObservedEvent::FirstTokenReceived {
                             call: ask.request.call_id,
                         });
                     }
@@ -235,7 +236,7 @@
                     }
                     if ask
                         .behavior
-                        .leave_at_token
+                        .disconnect_at_token
                         .is_some_and(|at| end.tokens >= at)
                     {
                         return ClientOutcome::Disconnected;
--- a/crates/ivyward-fakes/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -46,15 +46,15 @@
     /// Calls at work at once.
     pub slots: usize,
     /// Calls that may wait.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Prompt tokens a second that it reads, when warm and well.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// State tokens a second that it fetches from its own rack; from another a third of it.
-    pub fetch_rate: f64,
+    pub kv_fetch_rate: f64,
     /// Time from one token to the next.
-    pub token_gap: Micros,
+    pub token_interval: Micros,
     /// Tokens of kept states; past it the oldest are lost.
-    pub memory: u64,
+    pub kv_capacity: u64,
     /// A state or place that nobody fetches or releases is let go after this.
     pub retention: Micros,
     /// The part of its capacity with which it starts, and the time to warm.
@@ -64,7 +64,7 @@
     /// Calls a second that it does when warm: the measure for falling over.
     pub capacity: f64,
     /// HTTP/2 streams that it takes at once on a connection.
-    pub streams: u32,
+    pub max_streams: u32,
 }
 
 impl EngineSpec {
@@ -72,9 +72,9 @@
     /// them leads to the same choices in each run: a prompt of 60 tokens takes 150 ms to be read, and 200 ms to be fetched.
     pub fn steady(id: u64, role: Role) -> EngineSpec {
         EngineSpec {
-            read_rate: 400.0,
-            fetch_rate: 300.0,
-            token_gap: 3_000,
+            prefill_rate: 400.0,
+            kv_fetch_rate: 300.0,
+            token_interval: 3_000,
             ..EngineSpec::small(id, role)
         }
     }
@@ -86,16 +86,16 @@
             role,
             rack: 0,
             slots: 64,
-            queue: 64,
-            read_rate: 2e6,
-            fetch_rate: 2e7,
-            token_gap: 1_000,
-            memory: 4_000_000,
+            queue_limit: 64,
+            prefill_rate: 2e6,
+            kv_fetch_rate: 2e7,
+            token_interval: 1_000,
+            kv_capacity: 4_000_000,
             retention: 2_000_000,
             warm_up: (0.3, 1_000_000),
             overload: (0.0, 1_000_000),
             capacity: 200.0,
-            streams: 1_000,
+            max_streams: 1_000,
         }
     }
 }
@@ -154,7 +154,7 @@
 
 impl Drop for Open<'_> {
     fn drop(&mut self) {
-        self.inner.log.add(ObservedEvent::Ended {
+        self.inner.log.add(ObservedEvent::AttemptEnded {
             engine: self.inner.spec.id,
             key: self.key,
         });
@@ -171,9 +171,9 @@
 }
 
 /// Each process has a thread of its own here.
-pub struct OwnThreads;
+pub struct ThreadPerProcess;
 
-impl Host for OwnThreads {
+impl Host for ThreadPerProcess {
     fn process(&self, seed: u64) -> (RuntimeRef, Kill) {
         let runtime = SmolRuntime::start(1, seed);
         (runtime.clone(), Box::new(move || runtime.stop()))
@@ -251,9 +251,9 @@
         if let Some((inner, kill)) = self.running.take() {
             kill();
             inner.lose_all();
-            self.log.add(ObservedEvent::Down {
+            self.log.add(ObservedEvent::EngineStopped {
                 engine: self.spec.id,
-                pushed: false,
+                overloaded: false,
             });
         }
     }
@@ -284,7 +284,7 @@
             inside: AtomicUsize::new(0),
             close_all: Event::new(),
         });
-        self.log.add(ObservedEvent::Up {
+        self.log.add(ObservedEvent::EngineStarted {
             engine: self.spec.id,
             cold,
             capacity: self.spec.capacity,
@@ -308,21 +308,24 @@
             (before, state.faults.hang)
         };
         if before != now {
-            self.log.add(ObservedEvent::Still {
+            self.log.add(ObservedEvent::EnginePaused {
                 engine: self.spec.id,
-                on: now,
+                paused: now,
             });
         }
         inner.changed.notify(usize::MAX);
     }
     /// Runs a task in its process, which ends with it: a registration, for one.
-    pub fn spawn_beside(&self, task: impl FnOnce(RuntimeRef) -> ivyward_runtime::BoxFuture<()>) {
+    pub fn spawn_in_process(
+        &self,
+        task: impl FnOnce(RuntimeRef) -> ivyward_runtime::BoxFuture<()>,
+    ) {
         if let Some((inner, _)) = &self.running {
             inner.runtime.spawn(task(inner.runtime.clone()));
         }
     }
     /// It takes nothing new from now on, or takes work again.
-    pub fn drain(&self, on: bool) {
+    pub fn set_draining(&self, on: bool) {
         if let Some((inner, _)) = &self.running {
             inner.lock().draining = on;
         }
@@ -334,20 +337,20 @@
         }
     }
     /// Answer tokens that left it since its last start.
-    pub fn tokens(&self) -> u64 {
+    pub fn tokens_sent(&self) -> u64 {
         self.running
             .as_ref()
             .map_or(0, |(inner, _)| inner.lock().tokens)
     }
     /// Tells all callers by GOAWAY that it takes no more streams on their connections.
-    pub fn go_away(&self) {
+    pub fn send_goaway(&self) {
         if let Some((inner, _)) = &self.running {
             inner.lock().goaways += 1;
             inner.changed.notify(usize::MAX);
         }
     }
     /// States and places that it keeps for requests.
-    pub fn retained(&self) -> usize {
+    pub fn retained_count(&self) -> usize {
         self.running
             .as_ref()
             .map_or(0, |(inner, _)| inner.lock().held.len())
@@ -489,7 +492,7 @@
         conn.reset_on_close();
         let mut builder = h2::server::Builder::new();
         builder
-            .max_concurrent_streams(self.spec.streams)
+            .max_concurrent_streams(self.spec.max_streams)
             .initial_connection_window_size(4 << 20);
         let muted = Muted {
             conn,
@@ -615,7 +618,7 @@
             return refuse(respond, status(9, "another engine is meant"));
         }
         let (engine, call) = (self.spec.id, header.call_id);
-        self.log.add(ObservedEvent::Arrived {
+        self.log.add(ObservedEvent::AttemptArrived {
             engine,
             key,
             call,
@@ -646,12 +649,13 @@
             let _ = poll_fn(|cx| respond.poll_reset(cx)).await;
             return;
         }
-        let room = self.inside.fetch_add(1, Ordering::SeqCst) < self.spec.slots + self.spec.queue;
+        let room =
+            self.inside.fetch_add(1, Ordering::SeqCst) < self.spec.slots + self.spec.queue_limit;
         let _inside = Inside(&self.inside);
         if self.lock().draining {
             return self.turn_away::<A>(respond, pb::turned_away::Reason::Draining);
         }
-        if !room || self.chance(faults.full) {
+        if !room || self.chance(faults.reject) {
             return self.turn_away::<A>(respond, pb::turned_away::Reason::Full);
         }
         let twist = faults
@@ -715,9 +719,9 @@
         }
         state.fallen = true;
         drop(state);
-        self.log.add(ObservedEvent::Down {
+        self.log.add(ObservedEvent::EngineStopped {
             engine: self.spec.id,
-            pushed: true,
+            overloaded: true,
         });
         self.close_all.notify(usize::MAX);
         true
@@ -738,7 +742,7 @@
             backlog: Some((inside - slots).max(0.0)),
             utilization: Some((inside / slots).min(1.0)),
             recent_ms: Some(0.0),
-            memory_share: Some((held as f32 / self.spec.memory as f32).min(1.0)),
+            memory_share: Some((held as f32 / self.spec.kv_capacity as f32).min(1.0)),
             waiting_ktokens: Some(0.0),
         }
     }
@@ -747,7 +751,9 @@
         let mut lost = Vec::new();
         {
             let mut state = self.lock();
-            while state.held.values().map(|h| h.tokens).sum::<u64>() + tokens > self.spec.memory {
+            while state.held.values().map(|h| h.tokens).sum::<u64>() + tokens
+                > self.spec.kv_capacity
+            {
                 let oldest = state.held.iter().min_by_key(|(_, h)| h.at).map(|(k, _)| *k);
                 let Some(oldest) = oldest else { break };
                 state.held.remove(&oldest);
@@ -820,7 +826,7 @@
             return refuse(respond, status(3, "no attempt key"));
         };
         let (engine, call) = (self.spec.id, header.call_id);
-        self.log.add(ObservedEvent::Arrived {
+        self.log.add(ObservedEvent::AttemptArrived {
             engine,
             key,
             call,
@@ -829,7 +835,7 @@
         });
         // It crossed the socket; while the engine hangs nothing is done for it, nor after a reset.
         if !self.going_on(&mut respond).await {
-            return self.log.add(ObservedEvent::Ended {
+            return self.log.add(ObservedEvent::AttemptEnded {
                 engine: self.spec.id,
                 key,
             });
@@ -838,7 +844,7 @@
         if held {
             self.keep(key, u64::from(ask.prompt_tokens), true);
         }
-        self.log.add(ObservedEvent::Ended {
+        self.log.add(ObservedEvent::AttemptEnded {
             engine: self.spec.id,
             key,
         });
@@ -911,7 +917,7 @@
     /// Prompt tokens that it knows already, and remembers the prompt.
     fn known(&self, opening: (u64, u32), session: u64, prompt: usize) -> u32 {
         let mut state = self.lock();
-        if state.known.values().sum::<u64>() > self.spec.memory {
+        if state.known.values().sum::<u64>() > self.spec.kv_capacity {
             state.known.clear();
         }
         let of = |state: &State, key: u64| state.known.get(&key).copied().unwrap_or(0);
@@ -1088,7 +1094,7 @@
             self.prompt.len(),
         );
         let new = self.prompt.len() as f64 - f64::from(kept_tokens);
-        engine.work(new * 1e6 / engine.spec.read_rate).await;
+        engine.work(new * 1e6 / engine.spec.prefill_rate).await;
         engine.keep(key, self.prompt.len() as u64, false);
         if fate.reset {
             return Err(Stopped::Reset);
@@ -1114,7 +1120,7 @@
                     .await?
             }
             Some(ResponseFault::StatusExhausted) => return Ok(status(8, "slow down")),
-            Some(ResponseFault::NoLastWord) => return Ok(status(0, "")),
+            Some(ResponseFault::MissingFinalMessage) => return Ok(status(0, "")),
             _ => {}
         }
         out.send(encode(&reply)).await?;
@@ -1166,7 +1172,7 @@
                 return Ok(status(0, ""));
             };
             engine
-                .work(tokens as f64 * 1e6 / engine.spec.fetch_rate)
+                .work(tokens as f64 * 1e6 / engine.spec.kv_fetch_rate)
                 .await;
             engine.known(
                 (self.opening, self.opening_tokens),
@@ -1181,7 +1187,9 @@
             );
             let new = self.prompt.len() as f64 - f64::from(kept_tokens);
             // Read between the steps of its answers: slower than a reader.
-            engine.work(2.0 * new * 1e6 / engine.spec.read_rate).await;
+            engine
+                .work(2.0 * new * 1e6 / engine.spec.prefill_rate)
+                .await;
         }
         let repeat = !header.idempotency_key.is_empty() && {
             let (mut state, now) = (engine.lock(), engine.runtime.now());
@@ -1194,7 +1202,7 @@
                 .is_some()
         };
         if !repeat {
-            engine.log.add(ObservedEvent::Ran {
+            engine.log.add(ObservedEvent::AttemptRan {
                 engine: id,
                 key,
                 call: header.call_id,
@@ -1215,7 +1223,7 @@
             })
         };
         for index in 0..length {
-            let span = engine.spec.token_gap as f64 * engine.faults().slowness();
+            let span = engine.spec.token_interval as f64 * engine.faults().slowness();
             if span >= 1.0 {
                 engine.runtime.sleep(span as Micros).await;
                 engine.going().await;
@@ -1237,11 +1245,11 @@
                         .await?
                 }
                 (Some(ResponseFault::OutOfOrder), 0) => out.send(say(run(1, 1))).await?,
-                (Some(ResponseFault::Twice), 1) => out.send(say(run(0, 0))).await?,
-                (Some(ResponseFault::CutShort), 2) => return Err(Stopped::Reset),
-                (Some(ResponseFault::Stuck), 2) => return Err(Stopped::Lost),
+                (Some(ResponseFault::DuplicateToken), 1) => out.send(say(run(0, 0))).await?,
+                (Some(ResponseFault::StreamReset), 2) => return Err(Stopped::Reset),
+                (Some(ResponseFault::StreamStalled), 2) => return Err(Stopped::Lost),
                 (Some(ResponseFault::StatusExhausted), 0) => return Ok(status(8, "slow down")),
-                (Some(ResponseFault::NoLastWord), 2) => return Ok(status(0, "")),
+                (Some(ResponseFault::MissingFinalMessage), 2) => return Ok(status(0, "")),
                 _ => {}
             }
             out.send(say(run(index, index))).await?;
@@ -1253,7 +1261,7 @@
             load: Some(engine.load()),
         };
         out.send(say(Event::Done(done))).await?;
-        if fate.twist == Some(ResponseFault::AfterEnd) {
+        if fate.twist == Some(ResponseFault::TokensAfterEnd) {
             out.send(say(run(length, 0))).await?;
         }
         Ok(status(0, ""))
--- a/crates/ivyward-fakes/src/etcd/connection.rs
+++ b/crates/ivyward-fakes/src/etcd/connection.rs
@@ -63,7 +63,7 @@
     ) -> Poll<std::io::Result<usize>> {
         let (rate, half_open) = {
             let faults = &self.shared.lock().faults;
-            (faults.rate, faults.half_open)
+            (faults.bytes_per_second, faults.half_open)
         };
         // After a lost byte nothing may arrive any more.
         if half_open || self.lost_bytes > 0 {
--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -15,7 +15,7 @@
 mod transactions;
 mod watch;
 
-pub use snapshot::StoreCopy;
+pub use snapshot::StoreSnapshot;
 
 use crate::engine::{Host, Kill};
 use connection::FaultyConnection;
@@ -37,19 +37,19 @@
     /// Calls never return.
     pub hang: bool,
     /// Watches stay open without delivering events.
-    pub mute_watches: bool,
+    pub suppress_watch_events: bool,
     /// User name and password that clients must authenticate with.
     pub login: Option<(String, String)>,
     /// How long a token is valid after it was issued; 0 for ever.
-    pub token_life: Micros,
+    pub token_ttl: Micros,
     /// Delay of watch events per endpoint, so that clients' views differ.
-    pub lag: Vec<Micros>,
+    pub watch_delays: Vec<Micros>,
     /// Events within this span are sent in one response; 0 sends them at once.
-    pub batch: Micros,
+    pub batch_interval: Micros,
     /// Revision as of which each endpoint answers range requests, as a member that lags behind; 0 for the current one.
-    pub behind: Vec<i64>,
+    pub stale_revisions: Vec<i64>,
     /// Bytes per second that a connection sends; 0 for no limit.
-    pub rate: u64,
+    pub bytes_per_second: u64,
     /// Open connections stay open but deliver nothing any more, as if half-open.
     pub half_open: bool,
 }
@@ -204,7 +204,7 @@
     }
 
     /// Discards the contents, as a store restored empty: another cluster id, and revisions start at 1.
-    pub fn forget(&self) {
+    pub fn reset_empty(&self) {
         self.shared.change(|state| {
             // Lease ids are never reused.
             let next_lease = state.next_lease;
@@ -216,9 +216,9 @@
     }
 
     /// Takes a snapshot.
-    pub fn copy(&self) -> StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.shared.lock();
-        StoreCopy {
+        StoreSnapshot {
             cluster: state.cluster,
             revision: state.revision,
             compacted: state.compacted,
@@ -231,7 +231,7 @@
 
     /// Restores a snapshot under its own cluster id: revisions may go back. All leases are renewed, and open watches are
     /// cancelled.
-    pub fn restore(&self, copy: StoreCopy) {
+    pub fn restore(&self, copy: StoreSnapshot) {
         let now = self
             .clock
             .lock()
@@ -286,7 +286,7 @@
     }
 
     /// Writes a key and keeps its lease. Returns the new revision.
-    pub fn put_leased(&self, key: &str, value: &str) -> i64 {
+    pub fn put_keeping_lease(&self, key: &str, value: &str) -> i64 {
         self.shared.change(|state| {
             state.revision += 1;
             let (key, value) = (key.into(), value.into());
--- a/crates/ivyward-fakes/src/etcd/server.rs
+++ b/crates/ivyward-fakes/src/etcd/server.rs
@@ -126,7 +126,12 @@
     ) -> Result<Response<pb::RangeResponse>, Status> {
         let reply = {
             let state = self.shared.lock();
-            let behind = state.faults.behind.get(self.endpoint).copied().unwrap_or(0);
+            let behind = state
+                .faults
+                .stale_revisions
+                .get(self.endpoint)
+                .copied()
+                .unwrap_or(0);
             match request.get_ref().revision {
                 0 if behind > 0 => {
                     let past_request = pb::RangeRequest {
@@ -208,8 +213,8 @@
         ));
         match state.faults.login {
             Some(_) if state.faults.login == given => {
-                let life = if state.faults.token_life > 0 {
-                    state.faults.token_life
+                let life = if state.faults.token_ttl > 0 {
+                    state.faults.token_ttl
                 } else {
                     Micros::MAX
                 };
--- a/crates/ivyward-fakes/src/etcd/snapshot.rs
+++ b/crates/ivyward-fakes/src/etcd/snapshot.rs
@@ -8,7 +8,7 @@
 
 /// A snapshot of a store.
 #[derive(Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     pub(super) cluster: u64,
     pub(super) revision: i64,
     pub(super) compacted: i64,
@@ -19,7 +19,7 @@
     pub(super) next_lease: i64,
 }
 
-impl StoreCopy {
+impl StoreSnapshot {
     /// Writes the snapshot to a file, as length-delimited API messages.
     ///
     /// # Errors
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// Returns the operating system's error, or a decoding error when the file is no snapshot.
-    pub fn load(path: &Path) -> std::io::Result<StoreCopy> {
+    pub fn load(path: &Path) -> std::io::Result<StoreSnapshot> {
         let bytes = std::fs::read(path)?;
         let mut rest = &bytes[..];
         let keys = pb::RangeResponse::decode_length_delimited(&mut rest)?;
@@ -69,7 +69,7 @@
             leases.push((lease.id, lease.ttl));
         }
         let header = keys.header.unwrap_or_default();
-        Ok(StoreCopy {
+        Ok(StoreSnapshot {
             cluster: header.cluster_id,
             revision: header.revision,
             compacted: history.compact_revision,
@@ -85,7 +85,7 @@
     }
 
     /// Drops the history, so that a watch from an older revision is told that it was compacted.
-    pub fn without_history(mut self) -> StoreCopy {
+    pub fn without_history(mut self) -> StoreSnapshot {
         (self.compacted, self.history) = (self.revision, Vec::new());
         self
     }
--- a/crates/ivyward-fakes/src/etcd/watch.rs
+++ b/crates/ivyward-fakes/src/etcd/watch.rs
@@ -189,7 +189,7 @@
                 ..Default::default()
             });
         }
-        if state.faults.mute_watches {
+        if state.faults.suppress_watch_events {
             return WatchStep::Send(header, vec![]);
         }
         let events = self.new_events(&state);
@@ -250,7 +250,11 @@
     async fn wait_for_lag(&self) {
         let lag = {
             let faults = &self.service.shared.lock().faults;
-            faults.lag.get(self.service.endpoint).copied().unwrap_or(0)
+            faults
+                .watch_delays
+                .get(self.service.endpoint)
+                .copied()
+                .unwrap_or(0)
         };
         if lag > 0 {
             self.service.runtime.sleep(lag).await;
@@ -259,7 +263,7 @@
 
     /// Waits for the span within which events are sent in one response.
     async fn wait_for_batch(&self) {
-        let batch = self.service.shared.lock().faults.batch;
+        let batch = self.service.shared.lock().faults.batch_interval;
         if batch > 0 {
             self.service.runtime.sleep(batch).await;
         }
--- a/crates/ivyward-fakes/src/event_log.rs
+++ b/crates/ivyward-fakes/src/event_log.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ObservedEvent {
     /// A call came in whole at an engine.
-    Arrived {
+    AttemptArrived {
         /// Where.
         engine: u64,
         /// Which attempt.
@@ -96,7 +96,7 @@
         timeout: Option<Micros>,
     },
     /// An engine began to do what has an effect.
-    Ran {
+    AttemptRan {
         /// Where.
         engine: u64,
         /// Which attempt.
@@ -105,7 +105,7 @@
         call: u64,
     },
     /// A call ended at an engine, by either side.
-    Ended {
+    AttemptEnded {
         /// Where.
         engine: u64,
         /// Which attempt.
@@ -132,7 +132,7 @@
         how: RetentionEnd,
     },
     /// An engine came up.
-    Up {
+    EngineStarted {
         /// Which.
         engine: u64,
         /// It is cold.
@@ -141,29 +141,29 @@
         capacity: f64,
     },
     /// An engine went down.
-    Down {
+    EngineStopped {
         /// Which.
         engine: u64,
         /// Because it was pushed over.
-        pushed: bool,
+        overloaded: bool,
     },
     /// An engine stands still, or goes on: it neither reads nor answers.
-    Still {
+    EnginePaused {
         /// Which.
         engine: u64,
         /// It stands.
-        on: bool,
+        paused: bool,
     },
     /// An engine's machine is gone without a word, or there again: what is sent to it meanwhile is out, and nobody sees
     /// it arrive.
-    Dark {
+    EngineUnreachable {
         /// Which.
         engine: u64,
         /// It is gone.
-        on: bool,
+        unreachable: bool,
     },
     /// A client called.
-    Called {
+    CallStarted {
         /// The call.
         call: u64,
         /// The same for all tries of one request.
@@ -171,24 +171,24 @@
         /// Which node, as the script counts them.
         node: usize,
         /// How far it may be repeated.
-        effect: CallIdempotency,
+        idempotency: CallIdempotency,
         /// Until when the client waits for its first token; afterwards for the end.
         until: Micros,
     },
     /// A call's first token came to its client.
-    Began {
+    FirstTokenReceived {
         /// The call.
         call: u64,
     },
     /// A call ended for its client.
-    ClientOutcome {
+    CallEnded {
         /// The call.
         call: u64,
         /// How.
-        how: ClientOutcome,
+        outcome: ClientOutcome,
     },
     /// The script told a node that an engine drains, is gone, or is ready again, and the node took it in.
-    Told {
+    NodeNotified {
         /// The node's run.
         node: u64,
         /// The engine.
@@ -197,7 +197,7 @@
         ready: bool,
     },
     /// The script killed a node.
-    Killed {
+    NodeKilled {
         /// Which node, as the script counts them.
         node: usize,
         /// Its run.
@@ -211,7 +211,7 @@
     /// Microseconds on the log's clock.
     pub at: Micros,
     /// What.
-    pub what: ObservedEvent,
+    pub event: ObservedEvent,
 }
 
 type Beside = Box<dyn Fn(&LoggedEvent) + Send + Sync>;
@@ -240,7 +240,7 @@
         }
     }
     /// A log that keeps nothing, for measurements in which memory counts.
-    pub fn forgetful(runtime: &RuntimeRef) -> EventLog {
+    pub fn without_entries(runtime: &RuntimeRef) -> EventLog {
         EventLog {
             most: 0,
             ..EventLog::new(runtime)
@@ -252,7 +252,7 @@
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         let one = LoggedEvent {
             at: self.runtime.now(),
-            what,
+            event: what,
         };
         if seen.len() < self.most {
             seen.push(one);
@@ -264,12 +264,12 @@
     }
     /// Shows everything that is added from now on to one more, as it comes. Meant for worlds of one thread; the first
     /// one counts.
-    pub fn show(&self, to: impl Fn(&LoggedEvent) + Send + Sync + 'static) {
+    pub fn set_observer(&self, to: impl Fn(&LoggedEvent) + Send + Sync + 'static) {
         // An error hands back one that came second.
         let _ = self.beside.set(Box::new(to));
     }
     /// Whether it took all that it takes.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.seen
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/ivyward-fakes/src/faults.rs
+++ b/crates/ivyward-fakes/src/faults.rs
@@ -12,17 +12,17 @@
     /// The second token before the first.
     OutOfOrder,
     /// The first token twice.
-    Twice,
+    DuplicateToken,
     /// Tokens after the last word.
-    AfterEnd,
+    TokensAfterEnd,
     /// The stream is reset after its second token.
-    CutShort,
+    StreamReset,
     /// The stream stands still after its second token.
-    Stuck,
+    StreamStalled,
     /// A status instead of an answer: gRPC's RESOURCE_EXHAUSTED, which proves nothing.
     StatusExhausted,
     /// The answer ends with OK and without a last word.
-    NoLastWord,
+    MissingFinalMessage,
 }
 
 /// What is wrong. Shares are parts of calls, drawn one by one from a seed.
@@ -39,30 +39,30 @@
     /// Calls refused by REFUSED_STREAM.
     pub refuse_stream: f64,
     /// Calls turned away as full.
-    pub full: f64,
+    pub reject: f64,
     /// Calls answered in a wrong way.
     pub malformed: f64,
     /// Which way.
     pub response_fault: Option<ResponseFault>,
     /// All work takes this many times as long; 0 stands for 1.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Fetches from this engine take this many times as long; 0 stands for 1.
-    pub slow_link: f64,
+    pub fetch_slowdown: f64,
     /// Every state is lost when it would be fetched.
     pub drop_states: bool,
 }
 
 impl Faults {
     pub(crate) fn slowness(&self) -> f64 {
-        if self.slow > 0.0 {
-            self.slow
+        if self.slowdown > 0.0 {
+            self.slowdown
         } else {
             1.0
         }
     }
     pub(crate) fn link_slowness(&self) -> f64 {
-        if self.slow_link > 0.0 {
-            self.slow_link
+        if self.fetch_slowdown > 0.0 {
+            self.fetch_slowdown
         } else {
             1.0
         }
--- a/crates/ivyward-fakes/src/rule_checker.rs
+++ b/crates/ivyward-fakes/src/rule_checker.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Debug)]
 pub struct RuleLimits {
     /// What may still be on its way on this machine: between a node's act and the engine's sight of it.
-    pub flight: Micros,
+    pub delivery_allowance: Micros,
     /// The same for rule 3 alone: between what a node heard and the engine's sight of what it does since.
-    pub notice_flight: Micros,
+    pub notification_allowance: Micros,
     /// Rule 3.
     pub drain_grace: Micros,
     /// Rule 4: multiple and window; the cold engine's start share and time to warm.
@@ -36,9 +36,9 @@
     /// How often it was checked.
     pub checked: u64,
     /// What broke it, the first few in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// How often it was broken.
-    pub count: u64,
+    pub violation_count: u64,
 }
 
 /// What was sent to a machine that is gone without a word may be out for so long after it is there again.
@@ -52,9 +52,9 @@
     fn check(&mut self, holds: bool, text: impl FnOnce() -> String) {
         self.checked += 1;
         if !holds {
-            self.count += 1;
-            if self.broken.len() < WORDS {
-                self.broken.push(text());
+            self.violation_count += 1;
+            if self.violations.len() < WORDS {
+                self.violations.push(text());
             }
         }
     }
@@ -89,29 +89,35 @@
 impl RuleReport {
     /// Rules that were kept; deadlines past the client's count against the first, attempts side by side against the
     /// second.
-    pub fn kept(&self) -> usize {
-        let beside = [self.deadlines.count, self.overlap.count, 0, 0, 0];
+    pub fn rules_passed(&self) -> usize {
+        let beside = [
+            self.deadlines.violation_count,
+            self.overlap.violation_count,
+            0,
+            0,
+            0,
+        ];
         self.rules
             .iter()
             .zip(beside)
-            .filter(|(rule, beside)| rule.count + beside == 0)
+            .filter(|(rule, beside)| rule.violation_count + beside == 0)
             .count()
     }
     /// All that was found broken, in words.
-    pub fn broken(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let rules = self
             .rules
             .iter()
             .zip(RULES)
-            .flat_map(|(r, name)| r.broken.iter().map(move |b| (name, b)));
+            .flat_map(|(r, name)| r.violations.iter().map(move |b| (name, b)));
         let overlap = self
             .overlap
-            .broken
+            .violations
             .iter()
             .map(|b| ("attempts side by side", b));
         let deadlines = self
             .deadlines
-            .broken
+            .violations
             .iter()
             .map(|b| ("deadline told to an engine", b));
         rules
@@ -221,11 +227,11 @@
                 facts.overlaps(keys, limits, &mut out);
             }
         };
-        match seen.what {
-            ObservedEvent::Arrived { call, .. }
-            | ObservedEvent::Ran { call, .. }
-            | ObservedEvent::ClientOutcome { call, .. } => of_call(call),
-            ObservedEvent::Ended { key, .. } => facts
+        match seen.event {
+            ObservedEvent::AttemptArrived { call, .. }
+            | ObservedEvent::AttemptRan { call, .. }
+            | ObservedEvent::CallEnded { call, .. } => of_call(call),
+            ObservedEvent::AttemptEnded { key, .. } => facts
                 .tries
                 .get(&key)
                 .into_iter()
@@ -243,7 +249,7 @@
             }
             _ => {}
         }
-        out.broken().into_iter().next()
+        out.violations().into_iter().next()
     }
 }
 
@@ -288,9 +294,9 @@
 
 impl Facts {
     fn take(&mut self, seen: &LoggedEvent) {
-        let LoggedEvent { at, what } = *seen;
+        let LoggedEvent { at, event: what } = *seen;
         match what {
-            ObservedEvent::Arrived {
+            ObservedEvent::AttemptArrived {
                 engine,
                 key,
                 call,
@@ -314,12 +320,12 @@
                     self.by_call.entry(call).or_default().push(key);
                 }
             }
-            ObservedEvent::Ended { engine, key } => {
+            ObservedEvent::AttemptEnded { engine, key } => {
                 if let Some(t) = self.tries.get_mut(&key).filter(|t| t.engine == engine) {
                     t.ended.get_or_insert(at);
                 }
             }
-            ObservedEvent::Ran { engine, key, call } => {
+            ObservedEvent::AttemptRan { engine, key, call } => {
                 self.ran.entry(call).or_default().push((at, engine, key))
             }
             ObservedEvent::Retained {
@@ -340,7 +346,7 @@
                     self.kept[i].4 = Some((at, how));
                 }
             }
-            ObservedEvent::Up {
+            ObservedEvent::EngineStarted {
                 engine,
                 cold,
                 capacity,
@@ -350,17 +356,17 @@
                 }
                 self.up.insert(engine, (at, cold, capacity));
             }
-            ObservedEvent::Down { engine, .. } => {
+            ObservedEvent::EngineStopped { engine, .. } => {
                 self.open_down.entry(engine).or_insert(at);
                 for t in self.tries.values_mut().filter(|t| t.engine == engine) {
                     t.ended.get_or_insert(at);
                 }
             }
-            ObservedEvent::Called {
+            ObservedEvent::CallStarted {
                 call,
                 operation,
                 node,
-                effect,
+                idempotency: effect,
                 until,
             } => {
                 self.calls.insert(
@@ -376,34 +382,40 @@
                 );
                 self.operations.entry(operation).or_default().push(call);
             }
-            ObservedEvent::ClientOutcome { call, how } => {
+            ObservedEvent::CallEnded { call, outcome: how } => {
                 if let Some(c) = self.calls.get_mut(&call) {
                     c.heard = Some((at, how));
                 }
             }
             // A machine that goes dark once more while it is has been so all the time.
-            ObservedEvent::Dark { engine, on: true } => {
+            ObservedEvent::EngineUnreachable {
+                engine,
+                unreachable: true,
+            } => {
                 self.open_dark.entry(engine).or_insert(at);
             }
-            ObservedEvent::Dark { engine, on: false } => {
+            ObservedEvent::EngineUnreachable {
+                engine,
+                unreachable: false,
+            } => {
                 self.dark
                     .extend(self.open_dark.remove(&engine).map(|from| (from, at)));
             }
-            ObservedEvent::Killed { node, run } => self.killed_nodes.push((node, run, at)),
+            ObservedEvent::NodeKilled { node, run } => self.killed_nodes.push((node, run, at)),
             // A notice that says the same again does not begin its time anew.
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
             } => {
                 self.told.entry((node, engine)).or_insert(at);
             }
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
             } => drop(self.told.remove(&(node, engine))),
-            ObservedEvent::Began { .. } | ObservedEvent::Still { .. } => {}
+            ObservedEvent::FirstTokenReceived { .. } | ObservedEvent::EnginePaused { .. } => {}
         }
     }
 
@@ -439,7 +451,7 @@
         let Some((at, how)) = call.heard else {
             if self
                 .goes_on
-                .is_some_and(|now| now <= call.until.saturating_add(limits.flight))
+                .is_some_and(|now| now <= call.until.saturating_add(limits.delivery_allowance))
             {
                 return;
             }
@@ -448,8 +460,12 @@
         };
         // What a killed node held is the client's to try again.
         // It may be that the client did not know of it yet when it called.
-        let since = call.at.saturating_sub(limits.flight);
-        let killed = self.node_killed(call.node, since, at.saturating_add(limits.flight));
+        let since = call.at.saturating_sub(limits.delivery_allowance);
+        let killed = self.node_killed(
+            call.node,
+            since,
+            at.saturating_add(limits.delivery_allowance),
+        );
         let answered = matches!(
             how,
             ClientOutcome::Served
@@ -467,9 +483,9 @@
         });
         // Nothing is sent for it afterwards, a hold neither.
         for (came, engine) in self.holds.get(&id).into_iter().flatten() {
-            let late = *came > at.saturating_add(limits.flight);
+            let late = *came > at.saturating_add(limits.delivery_allowance);
             out.rules[0].check(
-                !late || self.blind(*engine, at, *came, limits.flight),
+                !late || self.blind(*engine, at, *came, limits.delivery_allowance),
                 || {
                     format!(
                         "a hold for call {id:x} came {} ms after its end",
@@ -480,9 +496,9 @@
         }
         for key in self.by_call.get(&id).into_iter().flatten() {
             let t = &self.tries[key];
-            let late = t.arrived > at.saturating_add(limits.flight);
+            let late = t.arrived > at.saturating_add(limits.delivery_allowance);
             out.rules[0].check(
-                !late || self.blind(t.engine, at, t.arrived, limits.flight),
+                !late || self.blind(t.engine, at, t.arrived, limits.delivery_allowance),
                 || {
                     format!(
                         "attempt {} of call {id:x} came {} ms after its end",
@@ -538,7 +554,7 @@
                             let sent = self.tries.get(&first.2).map_or(first.0, |t| t.arrived);
                             let inside = same(t.engine, first.1)
                                 && t.arrived.saturating_sub(sent)
-                                    <= window.saturating_add(limits.flight);
+                                    <= window.saturating_add(limits.delivery_allowance);
                             out.rules[1].check(inside, || {
                                 format!("keyed call {call:x} left its group or window")
                             });
@@ -555,17 +571,19 @@
     }
 
     fn drains(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
-        match seen.what {
+        match seen.event {
             // A notice after which nothing came is a rule kept, too.
-            ObservedEvent::Told { ready: false, .. } => out.rules[2].check(true, String::new),
-            ObservedEvent::Arrived { engine, key, .. } => {
+            ObservedEvent::NodeNotified { ready: false, .. } => {
+                out.rules[2].check(true, String::new)
+            }
+            ObservedEvent::AttemptArrived { engine, key, .. } => {
                 let Some(since) = self.told.get(&(key.node, engine)) else {
                     return;
                 };
                 let by = since
                     .saturating_add(limits.drain_grace)
-                    .saturating_add(limits.notice_flight);
-                let blind = self.blind(engine, *since, seen.at, limits.flight);
+                    .saturating_add(limits.notification_allowance);
+                let blind = self.blind(engine, *since, seen.at, limits.delivery_allowance);
                 out.rules[2].check(seen.at <= by || blind, || {
                     let late = (seen.at - since) / 1000;
                     format!("engine {engine:x} got work {late} ms after its node was told")
@@ -577,14 +595,14 @@
 
     fn cold(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
         let at = seen.at;
-        match seen.what {
-            ObservedEvent::Down {
+        match seen.event {
+            ObservedEvent::EngineStopped {
                 engine,
-                pushed: true,
+                overloaded: true,
             } => out.rules[3].check(false, || {
                 format!("engine {engine:x} was pushed over at {} ms", at / 1000)
             }),
-            ObservedEvent::Arrived { engine, .. } => {
+            ObservedEvent::AttemptArrived { engine, .. } => {
                 let Some((up, true, capacity)) = self.up.get(&engine) else {
                     return;
                 };
@@ -611,13 +629,13 @@
 
     /// The time that a call tells its engine ends with the client's, give or take what is allowed.
     fn deadline(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
-        let ObservedEvent::Arrived {
+        let ObservedEvent::AttemptArrived {
             call,
             timeout: Some(timeout),
             engine,
             key,
             ..
-        } = seen.what
+        } = seen.event
         else {
             return;
         };
@@ -626,7 +644,7 @@
         };
         let left = known.until.saturating_sub(seen.at);
         // On a busy machine a call may be on its way for longer, and its time was told when it left.
-        let slack = DEADLINE_SLACK.max(limits.flight);
+        let slack = DEADLINE_SLACK.max(limits.delivery_allowance);
         out.deadlines.check(timeout <= left.saturating_add(slack), || {
             let attempt = key.attempt;
             format!("engine {engine:x} was told {timeout} us by attempt {attempt} of call {call:x}, {left} us are left")
@@ -662,8 +680,15 @@
             longest = longest.max(a.min(to).saturating_sub(free));
             free = free.max(b);
         }
-        let blind = self.blind(*engine, *from, to, limits.flight + limits.release_within);
-        let allowed = limits.release_within.saturating_add(limits.flight);
+        let blind = self.blind(
+            *engine,
+            *from,
+            to,
+            limits.delivery_allowance + limits.release_within,
+        );
+        let allowed = limits
+            .release_within
+            .saturating_add(limits.delivery_allowance);
         // An attempt at a machine that is gone without a word is out until its time is over, and no engine saw it.
         let unseen = self
             .dark
@@ -712,18 +737,19 @@
             let blind = self.blind(
                 a.engine,
                 a.arrived,
-                b.arrived.saturating_add(limits.flight),
-                limits.flight,
+                b.arrived.saturating_add(limits.delivery_allowance),
+                limits.delivery_allowance,
             );
             if !blind && ended != Micros::MAX {
                 out.longest_overlap = out.longest_overlap.max(over);
             }
-            out.overlap.check(over <= limits.flight || blind, || {
-                format!(
-                    "call {:x} was at engine {:x} and {:x} at once",
-                    a.call, a.engine, b.engine
-                )
-            });
+            out.overlap
+                .check(over <= limits.delivery_allowance || blind, || {
+                    format!(
+                        "call {:x} was at engine {:x} and {:x} at once",
+                        a.call, a.engine, b.engine
+                    )
+                });
         }
     }
 }
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -17,7 +17,7 @@
 use ivyward::core::interface::Settings;
 use ivyward::registration::State;
 use ivyward::NodeSettings;
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::event_log::ObservedEvent;
 use ivyward_fakes::{check, Engine, EngineSpec, EventLog, Host, Role, RuleReport};
@@ -135,7 +135,8 @@
         // The relays of hundreds of processes take more than one core; a late relay would look like a late node.
         let runtime = SmolRuntime::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
         let as_ref: RuntimeRef = runtime.clone();
-        let (log, host): (EventLog, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
+        let (log, host): (EventLog, Arc<dyn Host>) =
+            (EventLog::new(&as_ref), Arc::new(ThreadPerProcess));
         let rules = Settings {
             replica_count: size.nodes as u32,
             ..settings().router
@@ -325,7 +326,7 @@
     /// Kills a node (SIGKILL).
     pub fn kill(&mut self, node: usize) {
         if let Some(process) = self.places[node].process.take() {
-            self.log.add(ObservedEvent::Killed {
+            self.log.add(ObservedEvent::NodeKilled {
                 node,
                 run: process.run,
             });
--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -116,7 +116,7 @@
                     .await;
                 let mut client: Option<Client> = None;
                 while !over.load(Ordering::SeqCst) {
-                    if client.as_ref().is_none_or(|c| !c.usable()) {
+                    if client.as_ref().is_none_or(|c| !c.is_usable()) {
                         client = Client::connect(&runtime, &log, door).await.ok();
                     }
                     if let Some(client) = &client {
@@ -202,8 +202,8 @@
             load.made.load(Ordering::SeqCst),
             load.served.load(Ordering::SeqCst),
         ),
-        rules_kept: audit.kept(),
-        broken: audit.broken(),
+        rules_kept: audit.rules_passed(),
+        broken: audit.violations(),
     })
 }
 
--- a/crates/ivyward-testbed/src/commands/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/commands/fault_scenario.rs
@@ -79,7 +79,7 @@
             true => println!("{}\n{}", report.json()?, report.verdict()),
             false => print!("{}", report.text()),
         }
-        Ok(exit_code(report.audit.kept() == 5))
+        Ok(exit_code(report.audit.rules_passed() == 5))
     }
 }
 
--- a/crates/ivyward-testbed/src/commands/manual.rs
+++ b/crates/ivyward-testbed/src/commands/manual.rs
@@ -74,10 +74,10 @@
             role,
             rack: self.rack,
             slots: self.slots as usize,
-            memory: self.memory,
-            read_rate: f64::from(self.read_rate),
-            fetch_rate: FETCH_RATE,
-            token_gap: u64::from(self.token_gap_ms) * 1_000,
+            kv_capacity: self.memory,
+            prefill_rate: f64::from(self.read_rate),
+            kv_fetch_rate: FETCH_RATE,
+            token_interval: u64::from(self.token_gap_ms) * 1_000,
             ..EngineSpec::small(self.id, role)
         }
     }
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -8,7 +8,7 @@
 use ivyward::registration::State;
 use ivyward::watcher::WatcherOptions;
 use ivyward::{Node, NodeSettings};
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::{Store, StoreFaults};
 use ivyward_fakes::event_log::ObservedEvent;
 use ivyward_fakes::Host;
@@ -50,14 +50,14 @@
 async fn fault(scene: &LocalCluster, kind: &str) {
     let set = |change: &dyn Fn(&mut StoreFaults)| scene.with_store(|s| s.fault(change));
     match kind {
-        "lag" => set(&|f| f.lag = vec![0, 200_000]),
-        "batches" => set(&|f| f.batch = 60_000),
+        "lag" => set(&|f| f.watch_delays = vec![0, 200_000]),
+        "batches" => set(&|f| f.batch_interval = 60_000),
         "cancelled" => scene.with_store(|s| s.cancel_watches()),
-        "mute and compacted" => set(&|f| f.mute_watches = true),
+        "mute and compacted" => set(&|f| f.suppress_watch_events = true),
         "restart" => scene.with_store(Store::crash),
         "hang" => set(&|f| f.hang = true),
         "half open" => set(&|f| f.half_open = true),
-        _ => set(&|f| f.rate = 60_000),
+        _ => set(&|f| f.bytes_per_second = 60_000),
     };
     scene.runtime.sleep(300_000).await;
     match kind {
@@ -94,7 +94,7 @@
 }
 
 fn store() -> Result<Store, LocalClusterError> {
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     Store::start(&host, 1).map_err(io("starting a store"))
 }
 
@@ -187,10 +187,10 @@
         .filter_map(|n| scene.node(n))
         .map(|n| n.metrics().list_gaps.get())
         .sum();
-    out.broken = scene.audit().broken();
+    out.broken = scene.audit().violations();
     for seen in scene.log.all() {
-        match seen.what {
-            ObservedEvent::Told {
+        match seen.event {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
@@ -198,7 +198,7 @@
                 told.insert((node, engine), (seen.at, seen.at));
                 back.remove(&engine);
             }
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
@@ -208,7 +208,7 @@
                     back.entry(engine).or_insert(seen.at);
                 }
             }
-            ObservedEvent::Arrived { engine, key, .. } => {
+            ObservedEvent::AttemptArrived { engine, key, .. } => {
                 if let Some((_, last)) = told.get_mut(&(key.node, engine)) {
                     *last = seen.at;
                 }
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -10,7 +10,7 @@
 use ivyward::registration::State;
 use ivyward::watcher::WatcherOptions;
 use ivyward::NodeSettings;
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::event_log::ClientOutcome;
 use ivyward_fakes::rule_checker::RULES;
@@ -73,14 +73,14 @@
 pub fn engines(racks: u16) -> Vec<EngineSpec> {
     let mut specs = crate::local_cluster::fleet(racks);
     for spec in &mut specs {
-        spec.token_gap = 4_000;
-        spec.fetch_rate = 400_000.0;
-        (spec.slots, spec.queue) = (24, 16);
+        spec.token_interval = 4_000;
+        spec.kv_fetch_rate = 400_000.0;
+        (spec.slots, spec.queue_limit) = (24, 16);
         spec.capacity = 200.0;
-        spec.read_rate = 15_000.0;
+        spec.prefill_rate = 15_000.0;
         if spec.role == Role::Prefill {
-            (spec.slots, spec.queue) = (4, 24);
-            spec.read_rate = 25_000.0;
+            (spec.slots, spec.queue_limit) = (4, 24);
+            spec.prefill_rate = 25_000.0;
             spec.capacity = 150.0;
         }
     }
@@ -108,7 +108,7 @@
     let store = match day.etcd {
         false => None,
         true => {
-            let host: Arc<dyn Host> = Arc::new(OwnThreads);
+            let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
             let open = Store::start(&host, 1)
                 .and_then(|mut store| store.open_endpoints(day.nodes).map(|()| store));
             Some(open.map_err(|error| LocalClusterError::Io {
@@ -226,11 +226,11 @@
 /// A store in trouble: it dies and comes back, loses its history while its watches are mute, ends its watches.
 async fn store_trouble(scene: &Arc<LocalCluster>, spell: &ScheduledFault) {
     let part = spell.len / 6;
-    scene.with_store(|s| s.fault(|f| f.mute_watches = true));
+    scene.with_store(|s| s.fault(|f| f.suppress_watch_events = true));
     scene.runtime.sleep(part).await;
     scene.with_store(|s| {
         s.compact();
-        s.fault(|f| f.mute_watches = false);
+        s.fault(|f| f.suppress_watch_events = false);
     });
     scene.runtime.sleep(part).await;
     scene.with_store(Store::crash);
@@ -322,9 +322,9 @@
         }
         FaultKind::Slow => {
             let slow = some(scene, &mut random, 0.25, None);
-            all(&slow, &|f| f.slow = 2.0 + 6.0 * size);
+            all(&slow, &|f| f.slowdown = 2.0 + 6.0 * size);
             runtime.sleep(spell.len).await;
-            all(&slow, &|f| f.slow = 1.0);
+            all(&slow, &|f| f.slowdown = 1.0);
         }
         FaultKind::Pauses => {
             let engines = some(scene, &mut random, 0.4 * size, None);
@@ -351,9 +351,9 @@
         }
         FaultKind::OriginSlow => {
             let readers = some(scene, &mut random, 0.5, Some(Role::Prefill));
-            all(&readers, &|f| f.slow_link = 2.0 + 18.0 * size);
+            all(&readers, &|f| f.fetch_slowdown = 2.0 + 18.0 * size);
             runtime.sleep(spell.len).await;
-            all(&readers, &|f| f.slow_link = 1.0);
+            all(&readers, &|f| f.fetch_slowdown = 1.0);
         }
         FaultKind::AnswerLost => {
             let engines = some(scene, &mut random, 0.5, None);
@@ -367,12 +367,12 @@
             let engines = some(scene, &mut random, 0.3, Some(Role::Decode));
             for step in 1..=10 {
                 all(&engines, &|f| {
-                    f.slow = 1.0 + 5.0 * size * f64::from(step) / 10.0
+                    f.slowdown = 1.0 + 5.0 * size * f64::from(step) / 10.0
                 });
                 runtime.sleep(spell.len / 10).await;
             }
             let first = engines[0];
-            all(&engines, &|f| f.slow = 1.0);
+            all(&engines, &|f| f.slowdown = 1.0);
             crash(
                 scene,
                 plan,
@@ -386,7 +386,7 @@
         }
         FaultKind::Drain => {
             for engine in some(scene, &mut random, 0.15 * size, None) {
-                scene.engine(engine).drain(true);
+                scene.engine(engine).set_draining(true);
                 list(scene, plan, engine, EndpointState::Draining, None, spell.at).await;
                 runtime.sleep(spell.len / 2).await;
                 scene.engine(engine).crash();
@@ -401,11 +401,11 @@
                 ResponseFault::Malformed,
                 ResponseFault::Oversized,
                 ResponseFault::OutOfOrder,
-                ResponseFault::Twice,
-                ResponseFault::AfterEnd,
-                ResponseFault::CutShort,
+                ResponseFault::DuplicateToken,
+                ResponseFault::TokensAfterEnd,
+                ResponseFault::StreamReset,
                 ResponseFault::StatusExhausted,
-                ResponseFault::NoLastWord,
+                ResponseFault::MissingFinalMessage,
             ];
             let until = scene.log.now() + spell.len;
             while scene.log.now() < until {
@@ -413,11 +413,11 @@
                 let engine = engines[random.random_range(0..engines.len())];
                 scene.engine(engine).fault(|f| {
                     (f.response_fault, f.malformed) = (Some(twist), 0.2 * size);
-                    (f.refuse_stream, f.full, f.stall) = (0.1 * size, 0.1 * size, 0.02 * size);
+                    (f.refuse_stream, f.reject, f.stall) = (0.1 * size, 0.1 * size, 0.02 * size);
                 });
                 runtime.sleep(spell.len / 8).await;
                 scene.engine(engine).fault(|f| {
-                    (f.malformed, f.refuse_stream, f.full, f.stall) = (0.0, 0.0, 0.0, 0.0);
+                    (f.malformed, f.refuse_stream, f.reject, f.stall) = (0.0, 0.0, 0.0, 0.0);
                 });
             }
         }
@@ -533,7 +533,7 @@
         let e = self.all();
         format!(
             "rules kept: {} of 5; requests {}: served {}, refused {}, failed {}, given up {}",
-            self.audit.kept(),
+            self.audit.rules_passed(),
             e.requests,
             e.served,
             e.refused,
@@ -557,13 +557,16 @@
                 .collect(),
             first_token_ms: self.first_tokens(None),
             token_pace_ms: self.paces(),
-            rules_kept: self.audit.kept(),
+            rules_kept: self.audit.rules_passed(),
             rules: rules
-                .map(|(r, name)| (name, (r.checked, r.count)))
+                .map(|(r, name)| (name, (r.checked, r.violation_count)))
                 .collect(),
-            attempts_side_by_side: (self.audit.overlap.checked, self.audit.overlap.count),
+            attempts_side_by_side: (
+                self.audit.overlap.checked,
+                self.audit.overlap.violation_count,
+            ),
             longest_overlap_ms: self.audit.longest_overlap as f64 / 1e3,
-            broken: self.audit.broken(),
+            broken: self.audit.violations(),
         };
         serde_json::to_string_pretty(&json)
     }
@@ -626,16 +629,16 @@
         for (rule, name) in self.audit.rules.iter().zip(RULES) {
             line(format!(
                 "{name:<18} checked {:>7} times, broken {}",
-                rule.checked, rule.count
+                rule.checked, rule.violation_count
             ));
         }
         let o = &self.audit.overlap;
         let longest = self.audit.longest_overlap as f64 / 1e3;
         line(format!(
             "{:<18} checked {:>7} times, broken {} (longest {longest:.1} ms, in flight)",
-            "side by side", o.checked, o.count
+            "side by side", o.checked, o.violation_count
         ));
-        for broken in self.audit.broken() {
+        for broken in self.audit.violations() {
             line(format!("  {broken}"));
         }
         line(self.verdict());
--- a/crates/ivyward-testbed/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -190,10 +190,10 @@
             .on(FaultKind::GiveUp, at)
             .is_some_and(|s| random.random_bool(0.6 * s.size))
         {
-            habit.leave_after = Some(random.random_range(1_000..400_000));
+            habit.disconnect_after = Some(random.random_range(1_000..400_000));
         }
         if random.random_bool(0.01) {
-            habit.leave_at_token = Some(random.random_range(1..=output / 2));
+            habit.disconnect_at_token = Some(random.random_range(1..=output / 2));
         }
         let request = GenerateRequest {
             prompt: prompt.to_vec(),
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -10,7 +10,7 @@
 use ivyward::recording::{RecordingError, RecordingReader};
 use ivyward::registration::{Record, State, DEFAULT_ENGINE_PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::{Observer, Shown, Store};
 use ivyward_fakes::event_log::{CallIdempotency, KeyScope};
 use ivyward_fakes::{
@@ -286,7 +286,7 @@
         let runtime = SmolRuntime::start(2, self.seed);
         let as_ref: RuntimeRef = runtime.clone();
         let log = EventLog::new(&as_ref);
-        let host: Arc<dyn Host> = Arc::new(OwnThreads);
+        let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
         let mut engines = Vec::new();
         for spec in &self.engines {
             engines.push(Mutex::new(
@@ -448,12 +448,12 @@
             Some(Process::Inside(runtime, node)) => {
                 let run = node.incarnation();
                 // Noted before and after: what breaks while it dies is its death's doing.
-                self.log.add(ObservedEvent::Killed { node: i, run });
+                self.log.add(ObservedEvent::NodeKilled { node: i, run });
                 runtime.stop();
                 run
             }
             Some(Process::Daemon(mut child)) => {
-                self.log.add(ObservedEvent::Killed { node: i, run: 0 });
+                self.log.add(ObservedEvent::NodeKilled { node: i, run: 0 });
                 // Already gone is as good.
                 let _ = child.kill();
                 let _ = child.wait();
@@ -461,7 +461,7 @@
             }
             None => return,
         };
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         self.place(i).client = None;
     }
 
@@ -513,7 +513,7 @@
         );
         if took.await {
             let ready = condition == EndpointState::Ready;
-            self.log.add(ObservedEvent::Told {
+            self.log.add(ObservedEvent::NodeNotified {
                 node: handle.incarnation(),
                 engine: entry.endpoint.id.0,
                 ready,
@@ -547,7 +547,7 @@
                 return;
             };
             for (engine, ready) in notices(&shown, known) {
-                scene.log.add(ObservedEvent::Told {
+                scene.log.add(ObservedEvent::NodeNotified {
                     node: node.incarnation(),
                     engine,
                     ready,
@@ -577,7 +577,7 @@
     pub async fn client(&self, node: usize) -> std::io::Result<Client> {
         let address = {
             let place = self.place(node);
-            if let Some(client) = place.client.clone().filter(Client::usable) {
+            if let Some(client) = place.client.clone().filter(Client::is_usable) {
                 return Ok(client);
             }
             place.address
@@ -650,7 +650,9 @@
                 .filter_map(|n| self.node(n))
                 .map(|n| n.open_requests())
                 .sum();
-            let kept: usize = (0..self.engines()).map(|e| self.engine(e).retained()).sum();
+            let kept: usize = (0..self.engines())
+                .map(|e| self.engine(e).retained_count())
+                .sum();
             if open + kept == 0 {
                 break;
             }
@@ -742,8 +744,8 @@
 /// What the auditor allows and asks for, by the nodes' own rules.
 pub fn limits(rules: &Settings, flight: Micros, engines: &[EngineSpec]) -> RuleLimits {
     RuleLimits {
-        flight,
-        notice_flight: flight.min(MOST_NOTICE_FLIGHT),
+        delivery_allowance: flight,
+        notification_allowance: flight.min(MOST_NOTICE_FLIGHT),
         drain_grace: rules.drain_grace,
         overload_multiple: rules.overload_multiple,
         overload_window: rules.overload_window,
--- a/crates/ivyward-testbed/src/manual_cluster.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -5,7 +5,7 @@
 use futures_lite::future::or;
 use ivyward::registration::State;
 use ivyward_fakes::client::{deadline, final_metadata, GENERATE};
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::{Engine, EngineSpec, EventLog, Host};
 use ivyward_grpc::{encode, Cause, Channel, Options};
@@ -113,14 +113,14 @@
 pub fn obey(engine: &mut Engine, order: Order) -> String {
     let id = engine.spec().id;
     match order {
-        Order::Drain(on) => engine.drain(on),
+        Order::Drain(on) => engine.set_draining(on),
         Order::Hang(on) => engine.fault(|f| f.hang = on),
-        Order::Slow(by) => engine.fault(|f| f.slow = by),
+        Order::Slow(by) => engine.fault(|f| f.slowdown = by),
         Order::Ill(share) => {
-            engine.fault(|f| (f.reset, f.lose_answer, f.full) = (share, share, share))
+            engine.fault(|f| (f.reset, f.lose_answer, f.reject) = (share, share, share))
         }
         Order::Lose(share) => engine.fault(|f| f.lose_answer = share),
-        Order::Full(share) => engine.fault(|f| f.full = share),
+        Order::Full(share) => engine.fault(|f| f.reject = share),
         Order::Die => engine.crash(),
         Order::Up => {
             if let Err(e) = engine.restart(true) {
@@ -132,7 +132,7 @@
     let state = if engine.is_running() { "up" } else { "down" };
     format!(
         "engine {id} is {state} and keeps {} states and places",
-        engine.retained()
+        engine.retained_count()
     )
 }
 
@@ -150,9 +150,9 @@
     let specs = crate::local_cluster::fleet(count).into_iter();
     specs
         .map(|spec| EngineSpec {
-            read_rate: 20_000.0,
-            fetch_rate: 200_000.0,
-            token_gap: 20_000,
+            prefill_rate: 20_000.0,
+            kv_fetch_rate: 200_000.0,
+            token_interval: 20_000,
             ..spec
         })
         .collect()
@@ -171,7 +171,7 @@
     ) -> Result<Fleet, ByHandError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
-        let (log, host): (_, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
+        let (log, host): (_, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(ThreadPerProcess));
         let mut engines = Vec::new();
         for (i, spec) in specs.into_iter().enumerate() {
             let port = if port == 0 {
--- a/crates/ivyward-testbed/src/registration.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -41,7 +41,7 @@
     told: impl FnMut(LeaseEvent) + Send + 'static,
 ) {
     let (key, record) = record(engine, State::Ready, started_ms);
-    engine.spawn_beside(move |runtime| {
+    engine.spawn_in_process(move |runtime| {
         Box::pin(async move {
             let client = Client::new(&runtime, endpoints, EtcdOptions::default());
             client
--- a/crates/ivyward-testbed/src/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use ivyward::core::interface::{Endpoint, EndpointId, EndpointState, ListKind};
 use ivyward::{Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::engine::{OwnThreads, SharedRuntime};
+use ivyward_fakes::engine::{SharedRuntime, ThreadPerProcess};
 use ivyward_fakes::{text, Engine, EngineSpec, EventLog, Host, Role};
 use ivyward_grpc::{encode, CallError, Channel, Options};
 use ivyward_proto::engine as pb;
@@ -71,12 +71,12 @@
     fn start(token_gap: Us) -> Result<Pair, LocalClusterError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
-        let host: Arc<dyn Host> = Arc::new(OwnThreads);
+        let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
         let spec = EngineSpec {
-            token_gap,
+            token_interval: token_gap,
             slots: 4_096,
-            queue: 4_096,
-            read_rate: 1e12,
+            queue_limit: 4_096,
+            prefill_rate: 1e12,
             ..EngineSpec::small(1, Role::Mixed)
         };
         let engine = Engine::start(&host, &EventLog::new(&as_ref), spec)
@@ -280,10 +280,10 @@
         let (mut speeds, mut ended) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
         for round in 0..=rounds {
             for (i, node) in [false, true].into_iter().enumerate() {
-                let before = fast.engine.tokens();
+                let before = fast.engine.tokens_sent();
                 // Not all in one moment: the module takes that for overload.
                 let (took, _) = fast.streams(node, streams, tokens, streams as Us * 200)?;
-                let came = fast.engine.tokens() - before;
+                let came = fast.engine.tokens_sent() - before;
                 // The first round opens connections and warms up.
                 if round > 0 {
                     speeds[i].push(came as f64 * 1e6 / took as f64);
@@ -333,7 +333,7 @@
             let role = [Role::Prefill, Role::Mixed, Role::Decode, Role::Decode][i % 4];
             let spec = EngineSpec {
                 rack: (i / 16) as u16,
-                token_gap: 100,
+                token_interval: 100,
                 ..EngineSpec::small(i as u64 + 1, role)
             };
             engines.push(Engine::start(&host, &log, spec).map_err(io("starting an engine"))?);
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -48,9 +48,9 @@
         EngineRole::Decode
     };
     EngineSpec {
-        read_rate: 40_000.0,
-        fetch_rate: 400_000.0,
-        token_gap: TOKEN_GAP,
+        prefill_rate: 40_000.0,
+        kv_fetch_rate: 400_000.0,
+        token_interval: TOKEN_GAP,
         ..EngineSpec::small(id, role)
     }
 }
@@ -129,7 +129,7 @@
             store,
         } => {
             let host: Arc<dyn Host> = Arc::new(SharedRuntime(runtime.clone()));
-            let log = EventLog::forgetful(runtime);
+            let log = EventLog::without_entries(runtime);
             let mut engines = Vec::new();
             for id in first..first + count {
                 let engine = Engine::start(&host, &log, spec(id));
@@ -254,7 +254,7 @@
             1.0
         };
         record["weight"] = weight.into();
-        store.put_leased(key, &record.to_string());
+        store.put_keeping_lease(key, &record.to_string());
     }
     Reply::Done
 }
--- a/crates/ivyward-testbed/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -66,7 +66,7 @@
         }));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         for (number, real) in stage.real.iter().enumerate() {
-            let log = EventLog::forgetful(&runtime);
+            let log = EventLog::without_entries(&runtime);
             let client = stage
                 .runtime
                 .block_on(Client::connect(&runtime, &log, real.door));
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -115,9 +115,9 @@
                 None => return,
             }
         };
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         self.sim.kill(host, true);
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         lock(&self.shown)[i].clear();
     }
 
@@ -155,7 +155,7 @@
                     lately.retain(|n| n.0 + LAST_MOMENT >= now);
                     lately.push((now, node, engine));
                 }
-                cluster.log.add(ObservedEvent::Told {
+                cluster.log.add(ObservedEvent::NodeNotified {
                     node,
                     engine,
                     ready,
@@ -167,7 +167,7 @@
     pub(super) async fn client(&self, i: usize) -> Option<Client> {
         let address = {
             let place = lock(&self.places[i]);
-            if let Some(client) = place.client.clone().filter(Client::usable) {
+            if let Some(client) = place.client.clone().filter(Client::is_usable) {
                 return Some(client);
             }
             place.node.as_ref()?;
--- a/crates/ivyward-testbed/src/simulation/coincidences.rs
+++ b/crates/ivyward-testbed/src/simulation/coincidences.rs
@@ -32,9 +32,9 @@
     let (mut began, mut left) = (BTreeMap::new(), Vec::new());
     let (mut kept, mut dead, mut draining) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     let mut counts = [0u64; 9];
-    for LoggedEvent { at, what } in log {
+    for LoggedEvent { at, event: what } in log {
         match *what {
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
@@ -42,7 +42,7 @@
                 told.push((*at, node, engine));
                 draining.insert(engine);
             }
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
@@ -50,25 +50,27 @@
                 back.push((*at, node, engine));
                 draining.remove(&engine);
             }
-            ObservedEvent::Arrived { key, .. } if key.attempt >= 2 => retries.push((*at, key.node)),
+            ObservedEvent::AttemptArrived { key, .. } if key.attempt >= 2 => {
+                retries.push((*at, key.node))
+            }
             ObservedEvent::Retained { key, .. } => drop(kept.insert(key)),
             ObservedEvent::Released { key, .. } => drop(kept.remove(&key)),
-            ObservedEvent::Killed { run, .. } => {
+            ObservedEvent::NodeKilled { run, .. } => {
                 counts[3] += u64::from(kept.iter().any(|k| k.node == run))
             }
-            ObservedEvent::Began { call } => drop(began.insert(call, *at)),
-            ObservedEvent::ClientOutcome {
+            ObservedEvent::FirstTokenReceived { call } => drop(began.insert(call, *at)),
+            ObservedEvent::CallEnded {
                 call,
-                how: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
+                outcome: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
             } => {
                 left.push(*at);
                 counts[4] += u64::from(began.get(&call).is_some_and(|b| near(*b, *at, 5_000)));
             }
-            ObservedEvent::Down { engine, .. } => {
+            ObservedEvent::EngineStopped { engine, .. } => {
                 dead.insert(engine);
                 counts[5] += u64::from(draining.contains(&engine));
             }
-            ObservedEvent::Up { engine, .. } => drop(dead.remove(&engine)),
+            ObservedEvent::EngineStarted { engine, .. } => drop(dead.remove(&engine)),
             _ => {}
         }
     }
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -21,9 +21,9 @@
             Fault::Die { engine, word } => {
                 let id = self.engine(engine, |e| e.spec().id);
                 if !word {
-                    self.log.add(ObservedEvent::Dark {
+                    self.log.add(ObservedEvent::EngineUnreachable {
                         engine: id,
-                        on: true,
+                        unreachable: true,
                     });
                 }
                 self.hosts.silent.store(!word, Ordering::SeqCst);
@@ -35,9 +35,9 @@
                 runtime.sleep(len).await;
                 let up = self.engine(engine, |e| e.restart(true));
                 if !word {
-                    self.log.add(ObservedEvent::Dark {
+                    self.log.add(ObservedEvent::EngineUnreachable {
                         engine: id,
-                        on: false,
+                        unreachable: false,
                     });
                 }
                 if up.is_ok() {
@@ -62,17 +62,18 @@
                 fault(engine, &|f| f.hang = false);
             }
             Fault::Slow { engine, by } => {
-                fault(engine, &|f| f.slow = by);
+                fault(engine, &|f| f.slowdown = by);
                 runtime.sleep(len).await;
-                fault(engine, &|f| f.slow = 1.0);
+                fault(engine, &|f| f.slowdown = 1.0);
             }
             Fault::Ill { engine, share } => {
                 fault(engine, &|f| {
-                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
+                    (f.reset, f.lose_answer, f.reject, f.refuse_stream) =
+                        (share, share, share, share)
                 });
                 runtime.sleep(len).await;
                 fault(engine, &|f| {
-                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
+                    (f.reset, f.lose_answer, f.reject, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
                 });
             }
             Fault::Odd { engine, share, how } => {
@@ -152,7 +153,7 @@
                 let just = self.runtime.now().saturating_sub(LAST_MOMENT);
                 for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
                     if at >= just {
-                        self.log.add(ObservedEvent::Told {
+                        self.log.add(ObservedEvent::NodeNotified {
                             node,
                             engine,
                             ready: true,
@@ -167,16 +168,16 @@
                 }
             }
             Fault::StoreCompacts => {
-                lock(&self.store).fault(|f| f.mute_watches = true);
+                lock(&self.store).fault(|f| f.suppress_watch_events = true);
                 runtime.sleep(len).await;
                 let store = lock(&self.store);
                 store.compact();
-                store.fault(|f| f.mute_watches = false);
+                store.fault(|f| f.suppress_watch_events = false);
             }
             Fault::StoreLags => {
-                lock(&self.store).fault(|f| f.lag = vec![100_000, 20_000]);
+                lock(&self.store).fault(|f| f.watch_delays = vec![100_000, 20_000]);
                 runtime.sleep(len).await;
-                lock(&self.store).fault(|f| f.lag = vec![]);
+                lock(&self.store).fault(|f| f.watch_delays = vec![]);
             }
         }
     }
--- a/crates/ivyward-testbed/src/simulation/outcome.rs
+++ b/crates/ivyward-testbed/src/simulation/outcome.rs
@@ -48,7 +48,7 @@
     pub fn trace(&self) -> String {
         let ms = |at: Micros| at.saturating_sub(BEGIN) as f64 / 1e3;
         let mut lines = Vec::new();
-        for (i, LoggedEvent { at, what }) in self.seen.iter().enumerate() {
+        for (i, LoggedEvent { at, event: what }) in self.seen.iter().enumerate() {
             lines.push((*at, format!("seen    {what:?}")));
             if let Some(broke) = self.broke.as_ref().filter(|b| b.seen == i + 1) {
                 lines.push((*at, format!("BROKEN  {} (step {})", broke.rule, broke.step)));
@@ -87,7 +87,7 @@
             format!(
                 "{:.3} ms {:?}",
                 s.at.saturating_sub(BEGIN) as f64 / 1e3,
-                s.what
+                s.event
             )
         };
         self.seen[from..until].iter().map(line).collect()
--- a/crates/ivyward-testbed/src/simulation/requests.rs
+++ b/crates/ivyward-testbed/src/simulation/requests.rs
@@ -32,8 +32,8 @@
                 12,
             );
             match random.random_range(0..10) {
-                0 => habit.leave_after = Some(random.random_range(1_000..300_000)),
-                1 => habit.leave_at_token = Some(random.random_range(1..5)),
+                0 => habit.disconnect_after = Some(random.random_range(1_000..300_000)),
+                1 => habit.disconnect_at_token = Some(random.random_range(1..5)),
                 // A long answer, taken slowly.
                 2 => {
                     (max_output_tokens, habit.read_pause) = (200, random.random_range(3_500..4_500))
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -121,9 +121,9 @@
     let mut engines = Vec::new();
     for spec in fleet(size.racks) {
         let spec = EngineSpec {
-            read_rate: 20_000.0,
-            fetch_rate: 200_000.0,
-            token_gap: 3_000,
+            prefill_rate: 20_000.0,
+            kv_fetch_rate: 200_000.0,
+            token_interval: 3_000,
             ..spec
         };
         let engine = Engine::start(&host, &log, spec).map_err(|e| e.to_string())?;
@@ -225,7 +225,7 @@
         FLIGHT + held_up,
         &fleet(size.racks),
     );
-    limits.notice_flight = limits.flight;
+    limits.notification_allowance = limits.delivery_allowance;
     let first: Arc<Mutex<Option<Break>>> = Arc::default();
     let (broken, broke) = async_channel::bounded::<()>(1);
     let note = {
@@ -251,7 +251,7 @@
         before.extend(live.step(&seen));
     }
     let beside = note.clone();
-    log.show(move |seen| {
+    log.set_observer(move |seen| {
         let (rule, count) = {
             let (live, count) = &mut *lock(&live);
             *count += 1;
@@ -276,7 +276,7 @@
                 if let Some(low) = low {
                     return note(log.now(), seen.len(), low);
                 }
-                let found = check_so_far(&seen, &limits, log.now()).broken();
+                let found = check_so_far(&seen, &limits, log.now()).violations();
                 if let Some(rule) = found.into_iter().next() {
                     return note(log.now(), seen.len(), rule);
                 }
@@ -293,7 +293,7 @@
             .map(|n| n.1.open_requests())
             .sum();
         let kept: usize = (0..cluster.engines.len())
-            .map(|e| cluster.engine(e, |e| e.retained()))
+            .map(|e| cluster.engine(e, |e| e.retained_count()))
             .sum();
         (open, kept)
     };
@@ -331,7 +331,7 @@
         None => check(&log.all(), &limits, log.now()),
     };
     if broke.is_none() {
-        wrong.extend(audit.broken());
+        wrong.extend(audit.violations());
     }
     let ids: Vec<u64> = fleet(size.racks).iter().map(|s| s.id).collect();
     let mut met = coincidences(&log.all(), &played, &ids);
--- a/crates/ivyward-testbed/tests/cancellation_safety.rs
+++ b/crates/ivyward-testbed/tests/cancellation_safety.rs
@@ -99,7 +99,13 @@
             };
             let done = drop_after(polls, whole).await;
             drop(answer);
-            let sum = || kept.lock().unwrap().iter().map(|e| e.retained()).sum();
+            let sum = || {
+                kept.lock()
+                    .unwrap()
+                    .iter()
+                    .map(|e| e.retained_count())
+                    .sum()
+            };
             nothing_left(
                 &runtime,
                 std::slice::from_ref(&node),
@@ -145,7 +151,13 @@
             };
             let done = drop_after(polls, client.send(&one)).await;
             let left = runtime.now();
-            let sum = || kept.lock().unwrap().iter().map(|e| e.retained()).sum();
+            let sum = || {
+                kept.lock()
+                    .unwrap()
+                    .iter()
+                    .map(|e| e.retained_count())
+                    .sum()
+            };
             nothing_left(
                 &runtime,
                 std::slice::from_ref(&node),
@@ -155,7 +167,7 @@
             .await;
             // A reset is on its way for less than a millisecond; after it nothing is sent for the call.
             let late = |s: &&ivyward_fakes::LoggedEvent| {
-                matches!(s.what, ObservedEvent::Arrived { call: c, .. } if c == call)
+                matches!(s.event, ObservedEvent::AttemptArrived { call: c, .. } if c == call)
                     && s.at > left + 2_000
             };
             assert_eq!(
@@ -172,7 +184,7 @@
     assert!(played.as_ref().is_ok_and(|polls| *polls >= 3), "{played:?}");
     // One effect at most for each call, and one for the last.
     let ran = |call: u64| {
-        let of = |s: &&ivyward_fakes::LoggedEvent| matches!(s.what, ObservedEvent::Ran { call: c, .. } if c == call);
+        let of = |s: &&ivyward_fakes::LoggedEvent| matches!(s.event, ObservedEvent::AttemptRan { call: c, .. } if c == call);
         stage.log.all().iter().filter(of).count()
     };
     let last = u64::from(played.unwrap()) + 1;
@@ -233,7 +245,7 @@
                 kept.lock()
                     .unwrap()
                     .iter()
-                    .map(|e| e.retained())
+                    .map(|e| e.retained_count())
                     .sum::<usize>(),
             )
         });
@@ -241,7 +253,9 @@
         let log = stage.log.all();
         let ran = |call| {
             log.iter()
-                .filter(|s| matches!(s.what, ObservedEvent::Ran { call: c, .. } if c == call))
+                .filter(
+                    |s| matches!(s.event, ObservedEvent::AttemptRan { call: c, .. } if c == call),
+                )
                 .count()
         };
         assert!(ran(1) <= 1 && ran(2) == 1, "killed at moment {moment}");
--- a/crates/ivyward-testbed/tests/cold_engines.rs
+++ b/crates/ivyward-testbed/tests/cold_engines.rs
@@ -135,13 +135,13 @@
     });
     assert_eq!(played, Ok(()));
     let audit = check(&log.all(), &limits(&rules, 50_000, &specs), log.now());
-    assert_eq!(audit.broken(), Vec::<String>::new());
+    assert_eq!(audit.violations(), Vec::<String>::new());
     let engines = engines.lock().unwrap();
     assert!(COLD.iter().all(|(i, _)| engines[*i].is_running()));
     // The cold ones did work, and more of it than a trial now and then.
     for (i, _) in COLD {
         let id = engines[i].spec().id;
-        let here = |s: &&LoggedEvent| matches!(s.what, ObservedEvent::Arrived { engine, .. } if engine == id);
+        let here = |s: &&LoggedEvent| matches!(s.event, ObservedEvent::AttemptArrived { engine, .. } if engine == id);
         let got = log.all().iter().filter(here).count();
         assert!(got > 10, "engine {id} got {got} calls");
     }
--- a/crates/ivyward-testbed/tests/common/mod.rs
+++ b/crates/ivyward-testbed/tests/common/mod.rs
@@ -52,7 +52,7 @@
 /// Waits until something was seen. The span only keeps a broken build from standing still.
 pub async fn seen(scene: &LocalCluster, what: impl Fn(&ObservedEvent) -> bool) -> LoggedEvent {
     for _ in 0..10_000 {
-        if let Some(seen) = scene.log.all().into_iter().find(|s| what(&s.what)) {
+        if let Some(seen) = scene.log.all().into_iter().find(|s| what(&s.event)) {
             return seen;
         }
         scene.runtime.sleep(1_000).await;
@@ -78,13 +78,14 @@
 
 /// Attempts of a kind that came to engines for a call.
 pub fn attempts(scene: &LocalCluster, call: u64, kind: CallKind) -> usize {
-    let of = |s: &LoggedEvent| matches!(s.what, ObservedEvent::Arrived { call: c, kind: k, .. } if c == call && k == kind);
+    let of = |s: &LoggedEvent| matches!(s.event, ObservedEvent::AttemptArrived { call: c, kind: k, .. } if c == call && k == kind);
     scene.log.all().iter().filter(|s| of(s)).count()
 }
 
 /// Times that something ran for a call.
 pub fn runs(scene: &LocalCluster, call: u64) -> usize {
-    let of = |s: &LoggedEvent| matches!(s.what, ObservedEvent::Ran { call: c, .. } if c == call);
+    let of =
+        |s: &LoggedEvent| matches!(s.event, ObservedEvent::AttemptRan { call: c, .. } if c == call);
     scene.log.all().iter().filter(|s| of(s)).count()
 }
 
@@ -96,9 +97,9 @@
         .map(|n| n.open_requests())
         .sum();
     let kept: usize = (0..scene.engines())
-        .map(|e| scene.engine(e).retained())
+        .map(|e| scene.engine(e).retained_count())
         .sum();
     assert_eq!((open, kept), (0, 0), "requests in hand, states kept");
     let audit = scene.audit();
-    assert_eq!(audit.broken(), Vec::<String>::new());
+    assert_eq!(audit.violations(), Vec::<String>::new());
 }
--- a/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
+++ b/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
@@ -85,8 +85,8 @@
 
 /// When the last call of these kinds came to an engine, after a moment.
 fn latest(log: &EventLog, kinds: &[CallKind], since: Micros) -> Micros {
-    let came = |s: &LoggedEvent| match s.what {
-        ObservedEvent::Arrived { kind, .. } if kinds.contains(&kind) => Some(s.at),
+    let came = |s: &LoggedEvent| match s.event {
+        ObservedEvent::AttemptArrived { kind, .. } if kinds.contains(&kind) => Some(s.at),
         _ => None,
     };
     log.all()
@@ -207,8 +207,8 @@
 
 /// What calls told their engines, as far as their kind is among these: when they came, and the time they stated.
 fn told(log: &EventLog, call: u64, kinds: &[CallKind]) -> Vec<(Micros, Option<Micros>)> {
-    let of = |s: &LoggedEvent| match s.what {
-        ObservedEvent::Arrived {
+    let of = |s: &LoggedEvent| match s.event {
+        ObservedEvent::AttemptArrived {
             call: c,
             kind,
             timeout,
@@ -292,7 +292,7 @@
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let client = cast.client().await;
         let mut one = ask(1, 50, 60_000 * MS);
-        one.behavior.silent_deadline = true;
+        one.behavior.omit_deadline = true;
         let end = client.send(&one).await;
         (
             end.outcome,
@@ -320,8 +320,8 @@
 fn an_engine_behind_a_cut_drops_what_is_over() {
     let mut stage = virtual_cluster();
     // One writer alone, and it takes five seconds over its answer.
-    stage.engines[4].drain(true);
-    stage.engines[3].fault(|f| f.slow = 300.0);
+    stage.engines[4].set_draining(true);
+    stage.engines[3].fault(|f| f.slowdown = 300.0);
     let cast = cast(&stage, true);
     let (log, sim, hosts) = (
         stage.log.clone(),
@@ -346,8 +346,8 @@
         client.send(&ask(1, 50, client_timeout)).await;
         cast.runtime.sleep(3_000 * MS).await;
         drop(engines);
-        let ended = log.all().into_iter().rev().find_map(|s| match s.what {
-            ObservedEvent::Ended { engine: 4, .. } => Some(s.at),
+        let ended = log.all().into_iter().rev().find_map(|s| match s.event {
+            ObservedEvent::AttemptEnded { engine: 4, .. } => Some(s.at),
             _ => None,
         });
         ended.map(|at| at.saturating_sub(began + client_timeout))
@@ -379,7 +379,7 @@
         while !log
             .all()
             .iter()
-            .any(|s| matches!(s.what, ObservedEvent::Began { .. }))
+            .any(|s| matches!(s.event, ObservedEvent::FirstTokenReceived { .. }))
         {
             cast.runtime.sleep(MS).await;
         }
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -66,10 +66,13 @@
             ResponseFault::OutOfOrder,
             "token 1 came where token 0 was due",
         ),
-        (ResponseFault::Twice, "token 0 came where token 1 was due"),
-        (ResponseFault::CutShort, "the server reset the stream"),
-        (ResponseFault::Stuck, "no token for too long"),
-        (ResponseFault::NoLastWord, "without its last word"),
+        (
+            ResponseFault::DuplicateToken,
+            "token 0 came where token 1 was due",
+        ),
+        (ResponseFault::StreamReset, "the server reset the stream"),
+        (ResponseFault::StreamStalled, "no token for too long"),
+        (ResponseFault::MissingFinalMessage, "without its last word"),
     ];
     for (twist, text) in wrong {
         let mut make = ClusterBuilder::new(5, pools(1, 1));
@@ -85,7 +88,7 @@
             });
             seen(
                 &scene,
-                |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+                |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
             )
             .await;
             scene
@@ -114,9 +117,9 @@
 fn tokens_after_the_end_go_nowhere() {
     let scene = build(ClusterBuilder::new(5, pools(1, 1)));
     block_on(async {
-        scene
-            .engine(1)
-            .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::AfterEnd)));
+        scene.engine(1).fault(|f| {
+            (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::TokensAfterEnd))
+        });
         let end = scene
             .send(&scene.ask(0, QUICK, prompt(1, 50), 10))
             .await
@@ -172,7 +175,7 @@
 fn a_node_dies_and_engines_let_go_by_themselves() {
     let mut specs = pools(1, 1);
     // The read is done soon; the fetch takes a second.
-    specs[1].fetch_rate = 50.0;
+    specs[1].kv_fetch_rate = 50.0;
     (specs[0].retention, specs[1].retention) = (1_000_000, 1_000_000);
     specs[1].slots = 1;
     let mut make = ClusterBuilder::new(5, specs);
@@ -192,7 +195,7 @@
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
-        let second = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { kind: CallKind::Decode, key, .. } if key.request == 2);
+        let second = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { kind: CallKind::Decode, key, .. } if key.request == 2);
         seen(&scene, second).await;
         scene.kill_node(0);
         for _ in 0..2 {
@@ -251,7 +254,7 @@
             };
             let _ = tell.send(one.send_until(&ask, leave).await.unwrap()).await;
         });
-        let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Decode, .. } if *c == call);
+        let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
         seen(&scene, came).await;
         // The reader's connections break and break again while the release is due.
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -285,7 +288,7 @@
 #[test]
 fn a_node_stops_in_order() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 10_000;
+    specs[1].token_interval = 10_000;
     let scene = build(ClusterBuilder::new(5, specs));
     block_on(async {
         let short = scene.ask(0, QUICK, prompt(1, 50), 10);
@@ -302,7 +305,7 @@
         for call in calls {
             seen(
                 &scene,
-                |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+                |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
             )
             .await;
         }
@@ -332,7 +335,7 @@
         day.flight = 500_000;
         let report = fault_scenario::run(day).unwrap();
         assert_eq!(
-            (report.audit.kept(), report.audit.broken()),
+            (report.audit.rules_passed(), report.audit.violations()),
             (5, vec![]),
             "{}",
             report.text()
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -353,8 +353,8 @@
         ends.retain(|end| end.outcome != ClientOutcome::Served);
         ask_at_once(&scene, &client, 30..60, 0).await;
         let used = |engine: u64, calls: std::ops::Range<u64>| {
-            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { engine: e, call, .. } if *e == engine && calls.contains(call));
-            scene.log.all().iter().any(|s| of(&s.what))
+            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { engine: e, call, .. } if *e == engine && calls.contains(call));
+            scene.log.all().iter().any(|s| of(&s.event))
         };
         // Whatever was used before the cut is used again.
         let unused = [1, 3]
@@ -381,8 +381,8 @@
         let (hung, when) = async_channel::bounded(1);
         scene.runtime.run(async move {
             loop {
-                let at = log.all().iter().find_map(|s| match s.what {
-                    ObservedEvent::Arrived {
+                let at = log.all().iter().find_map(|s| match s.event {
+                    ObservedEvent::AttemptArrived {
                         engine,
                         kind: CallKind::Decode,
                         ..
@@ -402,8 +402,8 @@
         one.request.max_output_tokens = 6;
         let end = client.send(&one).await;
         let (engine, at) = when.recv().await.unwrap();
-        let next = scene.log.all().iter().find_map(|s| match s.what {
-            ObservedEvent::Arrived {
+        let next = scene.log.all().iter().find_map(|s| match s.event {
+            ObservedEvent::AttemptArrived {
                 engine: e,
                 kind: CallKind::Decode,
                 ..
@@ -442,7 +442,7 @@
                 .log
                 .all()
                 .iter()
-                .filter(|s| matches!(s.what, ObservedEvent::Ran { .. }))
+                .filter(|s| matches!(s.event, ObservedEvent::AttemptRan { .. }))
                 .count();
             let fine = match end.outcome {
                 ClientOutcome::Served => ran == 1,
@@ -488,7 +488,7 @@
         let ends = ask_some(&client, 1..30).await;
         let late = scene.log.all().into_iter().find(|s| {
             let to_drained = |engine: u64| engine > 15 || (engine - 1) % 5 == 0;
-            matches!(s.what, ObservedEvent::Arrived { engine, .. } if to_drained(engine))
+            matches!(s.event, ObservedEvent::AttemptArrived { engine, .. } if to_drained(engine))
                 && s.at > told
         });
         if late.is_some() || ends.iter().any(|end| end.outcome != ClientOutcome::Served) {
--- a/crates/ivyward-testbed/tests/node_isolation.rs
+++ b/crates/ivyward-testbed/tests/node_isolation.rs
@@ -132,7 +132,7 @@
         (node.open_requests(), node.metrics().disconnected.get())
     });
     assert_eq!(played, Ok((0, 5)));
-    assert!(stage.engines.iter().all(|e| e.retained() == 0));
+    assert!(stage.engines.iter().all(|e| e.retained_count() == 0));
 }
 
 /// All endpoints of the store gone for a minute: the old list stands and is marked stale, no pool is emptied, requests
--- a/crates/ivyward-testbed/tests/registration.rs
+++ b/crates/ivyward-testbed/tests/registration.rs
@@ -1,6 +1,6 @@
 //! Registering and draining by the command line, and the engine's end with its lease.
 
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::Host;
 use std::io::{BufRead, BufReader};
@@ -18,7 +18,7 @@
 
 #[test]
 fn an_engine_registers_drains_and_ends_with_its_lease() {
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     let store = Store::start(&host, 1).unwrap();
     let of = [
         "register",
--- a/crates/ivyward-testbed/tests/request_path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -64,9 +64,9 @@
 /// Slow enough that a script can step in at each stage.
 fn slow_stages(specs: &mut [EngineSpec]) {
     for spec in specs {
-        spec.read_rate = 1_000.0;
-        spec.fetch_rate = 1_000.0;
-        spec.token_gap = 20_000;
+        spec.prefill_rate = 1_000.0;
+        spec.kv_fetch_rate = 1_000.0;
+        spec.token_interval = 20_000;
     }
 }
 
@@ -80,9 +80,9 @@
         for stage in 0..6 {
             let ask = scene.ask(0, QUICK, prompt(stage, 100), 200);
             let call = ask.request.call_id;
-            let arrived = |s: &LoggedEvent| matches!(s.what, ObservedEvent::Arrived { call: c, .. } if c == call);
-            let key_of = |s: &LoggedEvent| match s.what {
-                ObservedEvent::Arrived { key, .. } => Some(key),
+            let arrived = |s: &LoggedEvent| matches!(s.event, ObservedEvent::AttemptArrived { call: c, .. } if c == call);
+            let key_of = |s: &LoggedEvent| match s.event {
+                ObservedEvent::AttemptArrived { key, .. } => Some(key),
                 _ => None,
             };
             let keys = || -> Vec<AttemptKey> {
@@ -95,10 +95,10 @@
                     .collect()
             };
             leaves_when(&scene, &ask, |s| match (stage, s) {
-                (0, ObservedEvent::Called { call: c, .. }) => *c == call,
+                (0, ObservedEvent::CallStarted { call: c, .. }) => *c == call,
                 (
                     1,
-                    ObservedEvent::Arrived {
+                    ObservedEvent::AttemptArrived {
                         call: c,
                         kind: CallKind::Prefill,
                         ..
@@ -107,14 +107,14 @@
                 (2, ObservedEvent::Retained { key, .. }) => keys().contains(key),
                 (
                     3,
-                    ObservedEvent::Arrived {
+                    ObservedEvent::AttemptArrived {
                         call: c,
                         kind: CallKind::Decode,
                         ..
                     },
                 ) => *c == call,
                 (4, ObservedEvent::Released { key, .. }) => keys().contains(key),
-                (5, ObservedEvent::Began { call: c }) => *c == call,
+                (5, ObservedEvent::FirstTokenReceived { call: c }) => *c == call,
                 _ => false,
             })
             .await;
@@ -128,7 +128,7 @@
             for key in keys() {
                 seen(
                     &scene,
-                    |s| matches!(s, ObservedEvent::Ended { key: k, .. } if *k == key),
+                    |s| matches!(s, ObservedEvent::AttemptEnded { key: k, .. } if *k == key),
                 )
                 .await;
             }
@@ -136,7 +136,7 @@
         // In the very moment of the first token.
         for i in 0..20 {
             let mut ask = scene.ask(0, QUICK, prompt(i, 20), 20);
-            ask.behavior.leave_at_token = Some(1);
+            ask.behavior.disconnect_at_token = Some(1);
             assert_eq!(
                 scene.send(&ask).await.unwrap().outcome,
                 ClientOutcome::Disconnected
@@ -180,7 +180,7 @@
 #[test]
 fn a_stream_past_the_deadline_is_ended_as_failed() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 100_000;
+    specs[1].token_interval = 100_000;
     let scene = build(ClusterBuilder::new(1, specs));
     block_on(async {
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 100);
@@ -200,7 +200,7 @@
 #[test]
 fn without_a_deadline_the_class_counts_for_the_first_token_only() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 150_000;
+    specs[1].token_interval = 150_000;
     let mut make = ClusterBuilder::new(1, specs);
     make.settings.classes[QUICK].settings.deadline = 1_000_000;
     let scene = build(make);
@@ -208,7 +208,7 @@
         let mut ask = scene.ask(0, QUICK, prompt(1, 50), 12);
         ask.behavior = ClientBehavior {
             client_timeout: 20_000_000,
-            silent_deadline: true,
+            omit_deadline: true,
             ..ClientBehavior::default()
         };
         let end = scene.send(&ask).await.unwrap();
@@ -242,7 +242,7 @@
         let all_seen = scene.log.all();
         let told = all_seen
             .iter()
-            .filter(|s| matches!(s.what, ObservedEvent::Told { .. }))
+            .filter(|s| matches!(s.event, ObservedEvent::NodeNotified { .. }))
             .count();
         assert_eq!(told, 8);
         clean(&scene).await;
@@ -253,7 +253,7 @@
 #[test]
 fn a_slow_client_holds_up_its_own_stream_alone() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 0;
+    specs[1].token_interval = 0;
     let mut make = ClusterBuilder::new(1, specs);
     make.settings.max_buffered_tokens = 64;
     let scene = build(make);
@@ -275,7 +275,7 @@
         });
         seen(
             &scene,
-            |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+            |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
         )
         .await;
         // Others on the same connection are not held up: each is served while the slow one waits.
@@ -290,7 +290,7 @@
         assert_eq!(wait.recv().await, Ok(ClientOutcome::Disconnected));
         // What left the engine: at most what the client took, the node's buffer (twice its bound) and three windows
         // of 64 KiB of messages of at least four bytes for each token.
-        let sent = scene.engine(1).tokens();
+        let sent = scene.engine(1).tokens_sent();
         let bound = 4 * 64 + 2 * 64 + 3 * (64 << 10) / 4;
         assert!(
             sent < bound,
@@ -305,7 +305,7 @@
 #[test]
 fn many_slow_clients_do_not_break_the_connection_they_share() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 0;
+    specs[1].token_interval = 0;
     let mut make = ClusterBuilder::new(1, specs);
     // Forty streams at full speed keep the machine busy: first tokens come late, and the module is not to shed for that,
     // nor to take a wait for a stall. How soon a busy engine takes up what waits in its sockets is not the matter either.
@@ -317,7 +317,7 @@
         let asks = (0..40).map(|i| {
             let mut ask = scene.ask(0, QUICK, prompt(i, 50), 20_000);
             ask.behavior.read_pause = 200_000;
-            ask.behavior.leave_after = Some(1_200_000);
+            ask.behavior.disconnect_after = Some(1_200_000);
             // Not all in one moment, which the module would take for overload.
             ask.behavior.client_timeout = 10_000_000;
             ask
--- a/crates/ivyward-testbed/tests/reservations.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -13,7 +13,7 @@
 fn places_are_held_ahead_taken_and_let_go() {
     let mut specs = pools(1, 2);
     // Reads take a quarter of a second, so that a place is held meanwhile.
-    specs[0].read_rate = 200.0;
+    specs[0].prefill_rate = 200.0;
     let mut make = ClusterBuilder::new(31, specs);
     make.settings.router.reserve_decode_slot = true;
     make.patient();
@@ -66,7 +66,7 @@
         scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
-        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Prefill, .. } if *c == call);
+        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Prefill, .. } if *c == call);
         seen(&scene, came).await;
         for e in [1, 2] {
             scene.engine(e).fault(|f| f.hang = false);
@@ -107,7 +107,7 @@
 #[test]
 fn a_full_node_refuses_and_says_so() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 30_000;
+    specs[1].token_interval = 30_000;
     let mut make = ClusterBuilder::new(33, specs);
     make.settings.max_open_requests = 2;
     // Refused by the bound alone: a wait on a busy machine is no overload.
--- a/crates/ivyward-testbed/tests/retry_safety.rs
+++ b/crates/ivyward-testbed/tests/retry_safety.rs
@@ -73,10 +73,10 @@
 fn proof_the_engines_own_full_answer() {
     let scene = scene();
     block_on(async {
-        let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.full = 1.0)).await;
+        let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.reject = 1.0)).await;
         assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 2, "{came} attempts: turned away is sent on");
-        let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.drain(true)).await;
+        let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.set_draining(true)).await;
         assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 1);
     });
@@ -127,8 +127,8 @@
 fn no_proof_an_engine_that_dies_at_work() {
     let scene = scene();
     block_on(async {
-        scene.engine(1).fault(|f| f.slow = 1_000.0);
-        scene.engine(2).fault(|f| f.slow = 1_000.0);
+        scene.engine(1).fault(|f| f.slowdown = 1_000.0);
+        scene.engine(2).fault(|f| f.slowdown = 1_000.0);
         let ask = scene.ask(0, ORDER, prompt(1, 50), 10);
         let call = ask.request.call_id;
         let (tell, wait) = async_channel::bounded(1);
@@ -136,7 +136,7 @@
         scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await).await;
         });
-        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Decode, .. } if *c == call);
+        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
         seen(&scene, came).await;
         [1, 2].into_iter().for_each(|e| scene.engine(e).crash());
         let end = wait.recv().await.unwrap().unwrap();
@@ -164,10 +164,10 @@
             scene.runtime.run(async move {
                 seen(
                     &one,
-                    |s| matches!(s, ObservedEvent::Arrived { call, .. } if *call == first),
+                    |s| matches!(s, ObservedEvent::AttemptArrived { call, .. } if *call == first),
                 )
                 .await;
-                (0..3).for_each(|e| one.engine(e).go_away());
+                (0..3).for_each(|e| one.engine(e).send_goaway());
                 drop(told);
             });
             let ends = all(&scene, asks).await;
@@ -236,7 +236,7 @@
         let scene = build(make);
         block_on(async {
             for i in 0..scene.engines() {
-                scene.engine(i).fault(|f| f.full = 1.0);
+                scene.engine(i).fault(|f| f.reject = 1.0);
             }
             let ask = scene.ask(0, QUICK, prompt(1, 50), 5);
             let end = scene.send(&ask).await.unwrap();
--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -28,10 +28,10 @@
     let audit = scene.audit();
     let mut out = [false; 7];
     for (i, rule) in audit.rules.iter().enumerate() {
-        out[i] = rule.count > 0;
+        out[i] = rule.violation_count > 0;
     }
-    out[5] = audit.overlap.count > 0;
-    out[6] = audit.deadlines.count > 0;
+    out[5] = audit.overlap.violation_count > 0;
+    out[6] = audit.deadlines.violation_count > 0;
     out
 }
 
@@ -110,17 +110,19 @@
 
 fn called(scene: &LocalCluster, call: u64, effect: CallIdempotency) {
     let until = scene.log.now() + 1_000_000;
-    scene.log.add(ObservedEvent::Called {
+    scene.log.add(ObservedEvent::CallStarted {
         call,
         operation: call,
         node: 0,
-        effect,
+        idempotency: effect,
         until,
     });
 }
 
 fn heard(scene: &LocalCluster, call: u64, how: ClientOutcome) {
-    scene.log.add(ObservedEvent::ClientOutcome { call, how });
+    scene
+        .log
+        .add(ObservedEvent::CallEnded { call, outcome: how });
 }
 
 #[test]
@@ -202,7 +204,7 @@
         let scene = engines(pools(0, 1));
         block_on(async {
             let engine = scene.engine(0).spec().id;
-            scene.log.add(ObservedEvent::Told {
+            scene.log.add(ObservedEvent::NodeNotified {
                 node: NODE,
                 engine,
                 ready: false,
@@ -228,7 +230,7 @@
         (specs[0].overload, specs[0].capacity) = ((4.0, window), 1.0);
         specs[0].warm_up = (0.1, warm);
         // Nothing is worked on meanwhile: a cold engine is slow.
-        (specs[0].token_gap, specs[0].read_rate) = (0, 1e12);
+        (specs[0].token_interval, specs[0].prefill_rate) = (0, 1e12);
         let mut make = ClusterBuilder::new(9, specs);
         make.nodes = 0;
         let rules = &mut make.settings.router;
@@ -295,7 +297,7 @@
             EngineSpec::small(1, Role::Decode),
             EngineSpec::small(2, Role::Decode),
         ];
-        specs[0].token_gap = 100_000;
+        specs[0].token_interval = 100_000;
         let scene = engines(specs);
         block_on(async {
             let first = write(&scene, 0, 1, 0, 1).await;
@@ -309,14 +311,14 @@
                     to_end::<pb::WriteEvent>(first).await;
                     drop(tell);
                 });
-                seen(&scene, |s| matches!(s, ObservedEvent::Ran { .. })).await;
+                seen(&scene, |s| matches!(s, ObservedEvent::AttemptRan { .. })).await;
                 to_end::<pb::WriteEvent>(write(&scene, 1, 1, 1, 1).await).await;
                 let _ = wait.recv().await;
             };
             run.await;
             seen(
                 &scene,
-                |s| matches!(s, ObservedEvent::Ended { key, .. } if key.attempt == 0),
+                |s| matches!(s, ObservedEvent::AttemptEnded { key, .. } if key.attempt == 0),
             )
             .await;
         });
@@ -335,7 +337,10 @@
     called(&scene, 1, CallIdempotency::Idempotent);
     let broken = |after: u64| {
         let audit = check_so_far(&scene.log.all(), &scene.limits(), scene.log.now() + after);
-        (audit.rules[0].count, audit.overlap.count)
+        (
+            audit.rules[0].violation_count,
+            audit.overlap.violation_count,
+        )
     };
     assert_eq!(broken(0), (0, 0));
     assert_eq!(broken(2_000_000), (1, 0), "its client's time is over");
@@ -346,7 +351,7 @@
             request: 1,
             attempt,
         };
-        scene.log.add(ObservedEvent::Arrived {
+        scene.log.add(ObservedEvent::AttemptArrived {
             engine: u64::from(attempt) + 1,
             key,
             call: 1,
--- a/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
+++ b/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
@@ -55,9 +55,9 @@
             Role::Decode
         };
         EngineSpec {
-            read_rate: 4_000.0,
-            fetch_rate: 8_000.0,
-            token_gap: 3_000,
+            prefill_rate: 4_000.0,
+            kv_fetch_rate: 8_000.0,
+            token_interval: 3_000,
             ..EngineSpec::small(id, role)
         }
     };
--- a/crates/ivyward-testbed/tests/watch_latency.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -6,7 +6,7 @@
 use futures_lite::future::block_on;
 use ivyward::registration::State;
 use ivyward::watcher::WatcherOptions;
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::event_log::{ClientOutcome, ObservedEvent};
 use ivyward_fakes::Host;
@@ -43,7 +43,7 @@
     doors: usize,
     change: impl FnOnce(&mut WatcherOptions),
 ) -> Rig {
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     let mut store = Store::start(&host, 1).unwrap();
     store.open_endpoints(doors).unwrap();
     let mut make = ClusterBuilder::new(seed, pools(4, 8));
@@ -78,7 +78,7 @@
         let id = self.scene.engine(engine).spec().id;
         for node in 0..self.scene.nodes() {
             let node = self.scene.node(node).unwrap().incarnation();
-            self.scene.log.add(ObservedEvent::Told {
+            self.scene.log.add(ObservedEvent::NodeNotified {
                 node,
                 engine: id,
                 ready,
@@ -185,13 +185,14 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.fault(|f| f.mute_watches = true);
+        rig.store.fault(|f| f.suppress_watch_events = true);
         let (stop, done) = rig.load();
         for engine in 4..8 {
             rig.put(engine, State::Draining);
             rig.told(engine, false);
         }
-        rig.until(|rig| rig.scene.audit().rules[2].count > 0).await;
+        rig.until(|rig| rig.scene.audit().rules[2].violation_count > 0)
+            .await;
         drop(stop);
         let _ = done.recv().await;
         rig.scene.settle(5_000_000).await;
@@ -206,13 +207,13 @@
     block_on(async {
         rig.all_known(12).await;
         // Nothing comes while changes pass, and the history of them is dropped.
-        rig.store.fault(|f| f.mute_watches = true);
+        rig.store.fault(|f| f.suppress_watch_events = true);
         rig.delete(4);
         rig.put(5, State::Draining);
         rig.delete(6);
         rig.put(6, State::Ready);
         rig.store.compact();
-        rig.store.fault(|f| f.mute_watches = false);
+        rig.store.fault(|f| f.suppress_watch_events = false);
         rig.all_known(11).await;
         let gaps = rig.scene.node(0).unwrap().metrics().list_gaps.get();
         assert!(gaps >= 1);
@@ -256,7 +257,7 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.forget();
+        rig.store.reset_empty();
         rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_gaps.get() >= 1))
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
@@ -265,7 +266,7 @@
         rig.all_known(6).await;
         rig.served(2).await;
         // Empty for good: believed in the end, and refused honestly.
-        rig.store.forget();
+        rig.store.reset_empty();
         rig.all_known(0).await;
         let end = rig
             .scene
@@ -302,7 +303,7 @@
         });
         seen(
             &rig.scene,
-            |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+            |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
         )
         .await;
         for engine in 4..12 {
@@ -456,7 +457,7 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.fault(|f| f.lag = vec![0, 700_000]);
+        rig.store.fault(|f| f.watch_delays = vec![0, 700_000]);
         rig.store.set_observer(rig.scene.witness());
         let (stop, done) = rig.load();
         for engine in 4..8 {
@@ -468,8 +469,8 @@
         clean(&rig.scene).await;
         let all = rig.scene.log.all();
         let told = |engine: u64| -> Vec<u64> {
-            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::Told { engine: e, ready: false, .. } if *e == engine);
-            all.iter().filter(|s| of(&s.what)).map(|s| s.at).collect()
+            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::NodeNotified { engine: e, ready: false, .. } if *e == engine);
+            all.iter().filter(|s| of(&s.event)).map(|s| s.at).collect()
         };
         for engine in 5..9 {
             // Both were told, the second no sooner than its lag after the first.
@@ -501,7 +502,7 @@
         for door in [0, 1] {
             let mut behind = vec![0, 0];
             behind[door] = old;
-            rig.store.fault(|f| f.behind = behind);
+            rig.store.fault(|f| f.stale_revisions = behind);
             for _ in 0..4 {
                 let gaps = rig.scene.node(0).unwrap().metrics().list_gaps.get();
                 // Again and again, for one before the watch stands is missed.
@@ -534,8 +535,8 @@
         let mut rig = rig_of_doors(200_000, 500_000);
         rig.put_all();
         rig.delete(11);
-        rig.store.copy().save(&path).unwrap();
-        let copy = ivyward_fakes::etcd::StoreCopy::load(&path).unwrap();
+        rig.store.snapshot().save(&path).unwrap();
+        let copy = ivyward_fakes::etcd::StoreSnapshot::load(&path).unwrap();
         block_on(async {
             rig.all_known(11).await;
             rig.put(11, State::Ready);
@@ -594,8 +595,9 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store
-            .fault(|f| (f.rate, f.batch, f.lag) = (200_000, 30_000, vec![20_000]));
+        rig.store.fault(|f| {
+            (f.bytes_per_second, f.batch_interval, f.watch_delays) = (200_000, 30_000, vec![20_000])
+        });
         let (stop, done) = rig.load();
         for round in 0..3 {
             for id in 0..300 {
@@ -662,12 +664,12 @@
         // Drained by hand, under the lease that it has.
         let key = rig.scene.registration(4, State::Ready, 0).0;
         let value = rig.store.value(&key).unwrap().replace("ready", "draining");
-        rig.store.put_leased(&key, &value);
+        rig.store.put_keeping_lease(&key, &value);
         // The keeper sees the change with its next renewal, of which there are three in a lease's time; then the store
         // loses everything.
         let renewed = rig.store.renewals();
         rig.until(|rig| rig.store.renewals() >= renewed + 40).await;
-        rig.store.forget();
+        rig.store.reset_empty();
         let back = |rig: &Rig| rig.store.keys().len() == 11;
         rig.until(back).await;
         assert!(rig.store.value(&key).unwrap().contains("draining"));
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -171,7 +171,7 @@
             "-1"
         );
         // Refused: every engine is full.
-        (0..scene.engines()).for_each(|e| scene.engine(e).fault(|f| f.full = 1.0));
+        (0..scene.engines()).for_each(|e| scene.engine(e).fault(|f| f.reject = 1.0));
         let mut stream = client.generate(ask(3)).await.unwrap().into_inner();
         let refused = stream.message().await.unwrap_err();
         assert_eq!(refused.code(), Code::ResourceExhausted);
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::block_on;
 use ivyward::core::interface::Settings;
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
 use ivyward_fakes::{
@@ -69,7 +69,7 @@
     let smol = SmolRuntime::start(2, 5);
     let runtime: RuntimeRef = smol.clone();
     let log = EventLog::new(&runtime);
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     // They stay cold for longer than the test takes.
     let cold = (0.3, 600 * SECOND);
     let rules = Settings {
@@ -133,7 +133,7 @@
         }
     });
     let audit = check(&log.all(), &limits(&rules, 250_000, &specs), log.now());
-    assert_eq!(audit.broken(), Vec::<String>::new());
+    assert_eq!(audit.violations(), Vec::<String>::new());
     assert!(fleet.iter().all(Engine::is_running));
     drop(daemons);
     smol.stop();
@@ -145,7 +145,7 @@
     let smol = SmolRuntime::start(2, 6);
     let runtime: RuntimeRef = smol.clone();
     let log = EventLog::new(&runtime);
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     let spec = |id: u64| EngineSpec::small(id, if id <= 4 { Role::Prefill } else { Role::Decode });
     let store = Store::start(&host, 1).unwrap();
     let fleet: Vec<Engine> = (1..=8)
