--- a/crates/ivyward-fakes/src/etcd/connection.rs
+++ b/crates/ivyward-fakes/src/etcd/connection.rs
@@ -1,4 +1,4 @@
-//! Connections with the faults of a network: limited rate, or open on one side only.
+//! Connections with network faults: a limited send rate, or half-open.
 
 use super::state::SharedState;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -7,9 +7,10 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
+/// Number of bytes that a half-open connection discards before it blocks the writer.
 const MAX_LOST_BYTES: usize = 1 << 20;
 
-/// A connection that can be slow or half-open. A half-open one accepts and discards up to [`MAX_LOST_BYTES`], then
+/// A connection that can be slow or half-open. A half-open connection accepts and discards up to [`MAX_LOST_BYTES`], then
 /// blocks the writer.
 pub(super) struct FaultyConnection {
     pub(super) conn: Conn,
@@ -22,7 +23,7 @@
 }
 
 impl FaultyConnection {
-    pub(super) fn over(conn: Conn, shared: &Arc<SharedState>, runtime: &RuntimeRef) -> Conn {
+    pub(super) fn wrap(conn: Conn, shared: &Arc<SharedState>, runtime: &RuntimeRef) -> Conn {
         let (shared, runtime) = (shared.clone(), runtime.clone());
         Box::new(FaultyConnection {
             conn,
@@ -65,7 +66,7 @@
             let faults = &self.shared.lock().faults;
             (faults.bytes_per_second, faults.half_open)
         };
-        // After a lost byte nothing may arrive any more.
+        // Once bytes have been discarded, nothing more may arrive, because the client would see a stream with a gap.
         if half_open || self.lost_bytes > 0 {
             self.lost_bytes += buf.len();
             return if self.lost_bytes > MAX_LOST_BYTES {
@@ -87,10 +88,11 @@
         }
         self.timer = None;
         // Writes at most the bytes of a tenth of a second at once.
-        let part = buf.len().min((rate / 10).max(1) as usize);
-        let put = std::task::ready!(Pin::new(&mut self.conn).poll_write(cx, &buf[..part]))?;
-        self.writable_at = self.runtime.now() + put as u64 * 1_000_000 / rate;
-        Poll::Ready(Ok(put))
+        let chunk_length = buf.len().min((rate / 10).max(1) as usize);
+        let written =
+            std::task::ready!(Pin::new(&mut self.conn).poll_write(cx, &buf[..chunk_length]))?;
+        self.writable_at = self.runtime.now() + written as u64 * 1_000_000 / rate;
+        Poll::Ready(Ok(written))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
--- a/crates/ivyward-fakes/src/etcd/leases.rs
+++ b/crates/ivyward-fakes/src/etcd/leases.rs
@@ -17,14 +17,14 @@
 impl StoreState {
     /// Revokes expired leases, each lease's keys in one revision. Returns whether there were any.
     pub(super) fn expire(&mut self, now: Micros) -> bool {
-        let over: Vec<i64> = self
+        let expired: Vec<i64> = self
             .leases
             .iter()
             .filter(|(_, l)| l.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        over.iter().for_each(|id| self.revoke(*id));
-        !over.is_empty()
+        expired.iter().for_each(|id| self.revoke(*id));
+        !expired.is_empty()
     }
 
     pub(super) fn revoke(&mut self, id: i64) {
@@ -58,15 +58,15 @@
         &self,
         request: Request<pb::LeaseGrantRequest>,
     ) -> Result<Response<pb::LeaseGrantResponse>, Status> {
-        let (ttl, wanted) = (request.get_ref().ttl, request.get_ref().id);
+        let (ttl, requested_id) = (request.get_ref().ttl, request.get_ref().id);
         if ttl <= 0 {
             return Err(Status::out_of_range("etcdserver: too large lease TTL"));
         }
         let now = self.runtime.now();
         self.shared.change(|state| {
             state.next_lease += 1;
-            let id = if wanted != 0 {
-                wanted
+            let id = if requested_id != 0 {
+                requested_id
             } else {
                 state.next_lease
             };
@@ -112,7 +112,7 @@
         request: Request<tonic::Streaming<pb::LeaseKeepAliveRequest>>,
     ) -> Result<Response<Self::LeaseKeepAliveStream>, Status> {
         let service = self.clone();
-        let answers = request.into_inner().map(move |request| {
+        let responses = request.into_inner().map(move |request| {
             let (id, now) = (request?.id, service.runtime.now());
             let mut state = service.shared.lock();
             let header = state.header();
@@ -124,7 +124,7 @@
             });
             Ok(pb::LeaseKeepAliveResponse { header, id, ttl })
         });
-        Ok(Response::new(answers.boxed()))
+        Ok(Response::new(responses.boxed()))
     }
 
     async fn lease_time_to_live(
--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -31,7 +31,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Faults of a store.
+/// Faults of a store. All are off by default.
 #[derive(Clone, Debug, Default)]
 pub struct StoreFaults {
     /// Calls never return.
@@ -40,30 +40,30 @@
     pub suppress_watch_events: bool,
     /// User name and password that clients must authenticate with.
     pub login: Option<(String, String)>,
-    /// How long a token is valid after it was issued; 0 for ever.
+    /// How long a token is valid after it was issued, in microseconds; 0 means that it does not expire.
     pub token_ttl: Micros,
-    /// Delay of watch events per endpoint, so that clients' views differ.
+    /// Delay of watch events per endpoint, in microseconds, so that clients' views differ.
     pub watch_delays: Vec<Micros>,
-    /// Events within this span are sent in one response; 0 sends them at once.
+    /// Events within this interval, in microseconds, are sent in one response; 0 sends each at once.
     pub batch_interval: Micros,
-    /// Revision as of which each endpoint answers range requests, as a member that lags behind; 0 for the current one.
+    /// Revision as of which each endpoint answers range requests, like a member that lags behind; 0 means the current one.
     pub stale_revisions: Vec<i64>,
-    /// Bytes per second that a connection sends; 0 for no limit.
+    /// Bytes per second that a connection sends; 0 means no limit.
     pub bytes_per_second: u64,
-    /// Open connections stay open but deliver nothing any more, as if half-open.
+    /// Connections stay open but no longer deliver anything to the client, as if half-open.
     pub half_open: bool,
 }
 
-/// What a store sent through one of its endpoints.
+/// Data that a store sends through one of its endpoints.
 pub enum Shown<'a> {
-    /// The response to a range request: a whole list, or a page of one.
+    /// The key-value pairs in the response to a range request: a complete list, or one page of it.
     List(&'a [KeyValue]),
     /// Events sent by a watch.
     Events(&'a [Event]),
 }
 
-/// Called with the endpoint's index and everything the store sends, before it is written to the socket: evidence that
-/// does not depend on a node's own account.
+/// Called with the endpoint's index and all key-value data that the store sends, before the data is written to the socket.
+/// The calls are evidence that does not depend on what a node reports.
 pub type Observer = Arc<dyn Fn(usize, Shown<'_>) + Send + Sync>;
 
 /// A store controlled by a script: it can crash, and restart with its contents or empty.
@@ -111,12 +111,12 @@
         Ok(store)
     }
 
-    /// The address of the first endpoint.
+    /// Returns the address of the first endpoint.
     pub fn address(&self) -> SocketAddr {
         self.endpoints[0]
     }
 
-    /// All endpoints: one for each client whose view is observed separately.
+    /// Returns the addresses of all endpoints: one for each client whose view is observed separately.
     pub fn endpoints(&self) -> &[SocketAddr] {
         &self.endpoints
     }
@@ -140,7 +140,7 @@
             .unwrap_or_else(PoisonError::into_inner) = Some(observer);
     }
 
-    /// Kills the process. The contents stay.
+    /// Kills the process. The contents are preserved.
     pub fn crash(&mut self) {
         if let Some(kill) = self.kill.take() {
             kill();
@@ -170,7 +170,7 @@
                         endpoint: index,
                     };
                     let tasks = Tasks(serving.clone());
-                    let conn = FaultyConnection::over(conn, &shared, &serving);
+                    let conn = FaultyConnection::wrap(conn, &shared, &serving);
                     serving.run(async move {
                         let service = TowerToHyperService::new(service);
                         // A connection error concerns this client alone.
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    /// Discards the contents, as a store restored empty: another cluster id, and revisions start at 1.
+    /// Discards the contents, like a store that was restored empty: the cluster id changes and revisions start at 1.
     pub fn reset_empty(&self) {
         self.shared.change(|state| {
             // Lease ids are never reused.
@@ -215,7 +215,7 @@
         });
     }
 
-    /// Takes a snapshot.
+    /// Returns a snapshot of the current contents.
     pub fn snapshot(&self) -> StoreSnapshot {
         let state = self.shared.lock();
         StoreSnapshot {
@@ -237,7 +237,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .as_ref()
-            .map_or(0, |w| w.now());
+            .map_or(0, |clock| clock.now());
         self.shared.change(|state| {
             let expires_at = |ttl: i64| now + ttl as u64 * 1_000_000;
             let leases = copy.leases.iter().map(|(id, ttl)| {
@@ -285,7 +285,7 @@
         })
     }
 
-    /// Writes a key and keeps its lease. Returns the new revision.
+    /// Writes an existing key without changing its lease. Writes nothing if the key does not exist. Returns the new revision.
     pub fn put_keeping_lease(&self, key: &str, value: &str) -> i64 {
         self.shared.change(|state| {
             state.revision += 1;
@@ -327,17 +327,17 @@
         self.shared.change(|state| state.cancel_watches += 1);
     }
 
-    /// The current revision.
+    /// Returns the current revision.
     pub fn revision(&self) -> i64 {
         self.shared.lock().revision
     }
 
-    /// Number of lease renewals so far.
+    /// Returns the number of lease renewals so far, including those of expired leases.
     pub fn renewals(&self) -> u64 {
         self.shared.lock().renewals
     }
 
-    /// The value of a key.
+    /// Returns the value of a key, or `None` if the key does not exist.
     pub fn value(&self, key: &str) -> Option<String> {
         let state = self.shared.lock();
         state
@@ -346,7 +346,7 @@
             .map(|kv| String::from_utf8_lossy(&kv.value).into_owned())
     }
 
-    /// All keys.
+    /// Returns all keys in order.
     pub fn keys(&self) -> Vec<String> {
         self.shared
             .lock()
--- a/crates/ivyward-fakes/src/etcd/server.rs
+++ b/crates/ivyward-fakes/src/etcd/server.rs
@@ -51,8 +51,8 @@
             if hangs {
                 std::future::pending::<()>().await;
             }
-            let refused = service.login(&service_name, request.headers());
-            if let Err(status) = refused {
+            let authenticated = service.check_token(&service_name, request.headers());
+            if let Err(status) = authenticated {
                 return Ok(status.into_http());
             }
             match service_name.as_str() {
@@ -67,10 +67,10 @@
 }
 
 impl StoreService {
-    /// Tells the observer what is about to be sent.
+    /// Calls the observer with what is about to be sent.
     pub(super) fn report(&self, shown: Shown<'_>) {
         if self.shared.lock().faults.half_open {
-            // Nothing arrives at the client.
+            // A half-open connection delivers nothing to the client.
             return;
         }
         let observer = self
@@ -84,19 +84,19 @@
         }
     }
 
-    /// Checks the token of a call, unless no login is required or the call is a login itself.
-    fn login(&self, service: &str, headers: &http::HeaderMap) -> Result<(), Status> {
+    /// Checks the token of a call, unless no login is required or the call is itself a login.
+    fn check_token(&self, service: &str, headers: &http::HeaderMap) -> Result<(), Status> {
         let state = self.shared.lock();
-        let (wanted, (number, expires_at)) = (state.faults.login.is_some(), state.token);
-        // The API's own header, and the one that etcd's HTTP gateway forwards.
-        let given = headers
+        let (required, (number, expires_at)) = (state.faults.login.is_some(), state.token);
+        // `token` is the API's own header; `authorization` is the one that etcd's HTTP gateway forwards.
+        let presented = headers
             .get("token")
             .or_else(|| headers.get("authorization"));
-        let given = given.and_then(|t| t.to_str().ok());
-        let known = number > 0
-            && given == Some(&format!("token.{number}")[..])
+        let presented = presented.and_then(|t| t.to_str().ok());
+        let valid = number > 0
+            && presented == Some(&format!("token.{number}")[..])
             && self.runtime.now() < expires_at;
-        match !wanted || service == "etcdserverpb.Auth" || known {
+        match !required || service == "etcdserverpb.Auth" || valid {
             true => Ok(()),
             false => Err(Status::unauthenticated("etcdserver: invalid auth token")),
         }
@@ -124,29 +124,32 @@
         &self,
         request: Request<pb::RangeRequest>,
     ) -> Result<Response<pb::RangeResponse>, Status> {
-        let reply = {
+        let response = {
             let state = self.shared.lock();
-            let behind = state
+            let stale_revision = state
                 .faults
                 .stale_revisions
                 .get(self.endpoint)
                 .copied()
                 .unwrap_or(0);
             match request.get_ref().revision {
-                0 if behind > 0 => {
-                    let past_request = pb::RangeRequest {
-                        revision: behind,
+                0 if stale_revision > 0 => {
+                    let stale_request = pb::RangeRequest {
+                        revision: stale_revision,
                         ..request.get_ref().clone()
                     };
-                    let mut reply = state.range(&past_request)?;
-                    reply.header.iter_mut().for_each(|h| h.revision = behind);
-                    reply
+                    let mut response = state.range(&stale_request)?;
+                    response
+                        .header
+                        .iter_mut()
+                        .for_each(|h| h.revision = stale_revision);
+                    response
                 }
                 _ => state.range(request.get_ref())?,
             }
         };
-        self.report(Shown::List(&reply.kvs));
-        Ok(Response::new(reply))
+        self.report(Shown::List(&response.kvs));
+        Ok(Response::new(response))
     }
 
     async fn put(
@@ -207,18 +210,18 @@
         request: Request<pb::AuthenticateRequest>,
     ) -> Result<Response<pb::AuthenticateResponse>, Status> {
         let mut state = self.shared.lock();
-        let given = Some((
+        let presented = Some((
             request.get_ref().name.clone(),
             request.get_ref().password.clone(),
         ));
         match state.faults.login {
-            Some(_) if state.faults.login == given => {
-                let life = if state.faults.token_ttl > 0 {
+            Some(_) if state.faults.login == presented => {
+                let ttl = if state.faults.token_ttl > 0 {
                     state.faults.token_ttl
                 } else {
                     Micros::MAX
                 };
-                state.token = (state.token.0 + 1, self.runtime.now().saturating_add(life));
+                state.token = (state.token.0 + 1, self.runtime.now().saturating_add(ttl));
                 let token = format!("token.{}", state.token.0);
                 Ok(Response::new(pb::AuthenticateResponse {
                     header: state.header(),
--- a/crates/ivyward-fakes/src/etcd/snapshot.rs
+++ b/crates/ivyward-fakes/src/etcd/snapshot.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A snapshot of a store.
+/// A snapshot of a store: its keys, history and leases as of one revision.
 #[derive(Clone)]
 pub struct StoreSnapshot {
     pub(super) cluster: u64,
@@ -57,7 +57,7 @@
     /// Reads a snapshot from a file.
     ///
     /// # Errors
-    /// Returns the operating system's error, or a decoding error when the file is no snapshot.
+    /// Returns the operating system's error, or a decoding error if the file is not a snapshot.
     pub fn load(path: &Path) -> std::io::Result<StoreSnapshot> {
         let bytes = std::fs::read(path)?;
         let mut rest = &bytes[..];
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Drops the history, so that a watch from an older revision is told that it was compacted.
+    /// Drops the history, so that a watch from an older revision is cancelled as compacted.
     pub fn without_history(mut self) -> StoreSnapshot {
         (self.compacted, self.history) = (self.revision, Vec::new());
         self
--- a/crates/ivyward-fakes/src/etcd/state.rs
+++ b/crates/ivyward-fakes/src/etcd/state.rs
@@ -16,7 +16,7 @@
     pub(super) revision: i64,
     pub(super) compacted: i64,
     pub(super) keys: BTreeMap<Vec<u8>, KeyValue>,
-    /// All changes since the last compaction, in order; bounded by what tests write.
+    /// All changes since the last compaction, in order. Their number is bounded by what a test writes.
     pub(super) history: Vec<Event>,
     pub(super) leases: BTreeMap<i64, GrantedLease>,
     pub(super) next_lease: i64,
@@ -57,13 +57,13 @@
     pub(super) fn in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
         match end {
             [] => key == from,
-            // A single zero byte stands for no end.
+            // A single zero byte means that the range has no end.
             [0] => key >= from,
             end => key >= from && key < end,
         }
     }
 
-    /// The keys as of a revision; 0 for the current one.
+    /// Returns the keys as of a revision; 0 means the current revision.
     pub(super) fn keys_at(&self, revision: i64) -> BTreeMap<Vec<u8>, KeyValue> {
         if revision == 0 || revision == self.revision {
             return self.keys.clone();
@@ -173,14 +173,14 @@
         request: &pb::DeleteRangeRequest,
         revision: i64,
     ) -> pb::DeleteRangeResponse {
-        let gone: Vec<Vec<u8>> = self
+        let deleted: Vec<Vec<u8>> = self
             .keys
             .keys()
             .filter(|k| StoreState::in_range(k, &request.key, &request.range_end))
             .cloned()
             .collect();
         let mut prev_kvs = Vec::new();
-        for key in &gone {
+        for key in &deleted {
             let before = self.keys.remove(key);
             let kv = KeyValue {
                 key: key.clone(),
@@ -196,7 +196,7 @@
         }
         pb::DeleteRangeResponse {
             header: None,
-            deleted: gone.len() as i64,
+            deleted: deleted.len() as i64,
             prev_kvs,
         }
     }
@@ -225,8 +225,8 @@
     }
 
     pub(super) fn change<T>(&self, change: impl FnOnce(&mut StoreState) -> T) -> T {
-        let done = change(&mut self.lock());
+        let result = change(&mut self.lock());
         self.changed.notify(usize::MAX);
-        done
+        result
     }
 }
--- a/crates/ivyward-fakes/src/etcd/transactions.rs
+++ b/crates/ivyward-fakes/src/etcd/transactions.rs
@@ -6,10 +6,10 @@
 use tonic::Status;
 
 impl StoreState {
-    pub(super) fn compare_holds(&self, compare: &pb::Compare) -> bool {
+    pub(super) fn comparison_succeeds(&self, compare: &pb::Compare) -> bool {
         use pb::compare::{CompareResult, TargetUnion};
-        let none = KeyValue::default();
-        let one = |kv: &KeyValue| {
+        let missing_key = KeyValue::default();
+        let matches = |kv: &KeyValue| {
             let order = match &compare.target_union {
                 Some(TargetUnion::Version(v)) => kv.version.cmp(v),
                 Some(TargetUnion::CreateRevision(v)) => kv.create_revision.cmp(v),
@@ -26,11 +26,11 @@
             }
         };
         if compare.range_end.is_empty() {
-            return one(self.keys.get(&compare.key).unwrap_or(&none));
+            return matches(self.keys.get(&compare.key).unwrap_or(&missing_key));
         }
         let in_range =
             |kv: &&KeyValue| StoreState::in_range(&kv.key, &compare.key, &compare.range_end);
-        self.keys.values().filter(in_range).all(one)
+        self.keys.values().filter(in_range).all(matches)
     }
 
     pub(super) fn txn(
@@ -40,14 +40,14 @@
     ) -> Result<pb::TxnResponse, Status> {
         use pb::request_op::Request as OpRequest;
         use pb::response_op::Response as OpResponse;
-        let succeeded = request.compare.iter().all(|c| self.compare_holds(c));
+        let succeeded = request.compare.iter().all(|c| self.comparison_succeeds(c));
         let mut responses = Vec::new();
         for op in if succeeded {
             &request.success
         } else {
             &request.failure
         } {
-            let done = match &op.request {
+            let response = match &op.request {
                 Some(OpRequest::RequestRange(range)) => {
                     OpResponse::ResponseRange(self.range(range)?)
                 }
@@ -63,7 +63,7 @@
                 None => continue,
             };
             responses.push(pb::ResponseOp {
-                response: Some(done),
+                response: Some(response),
             });
         }
         Ok(pb::TxnResponse {
--- a/crates/ivyward-fakes/src/etcd/watch.rs
+++ b/crates/ivyward-fakes/src/etcd/watch.rs
@@ -10,7 +10,7 @@
 use pb::watch_server::Watch;
 use tonic::{Request, Response, Status};
 
-/// Most events in one response of a fragmented watch.
+/// Maximum number of events in one response of a fragmented watch.
 const EVENTS_PER_FRAGMENT: usize = 100;
 
 #[tonic::async_trait]
@@ -56,10 +56,10 @@
 /// Sends a watch's responses to its stream.
 type ResponseSender = async_channel::Sender<Result<pb::WatchResponse, Status>>;
 
-/// How often an idle watch checks whether its client has left, in microseconds.
+/// Interval, in microseconds, at which an idle watch checks whether its client has disconnected.
 const CLIENT_CHECK_INTERVAL: Micros = 100_000;
 
-/// What a watch does next.
+/// The next action of a watch.
 enum WatchStep {
     /// Sends these events, possibly none.
     Send(Option<pb::ResponseHeader>, Vec<Event>),
@@ -67,7 +67,7 @@
     Cancel(pb::WatchResponse),
 }
 
-/// One open watch.
+/// The state of one open watch.
 struct OpenWatch {
     service: StoreService,
     create: pb::WatchCreateRequest,
@@ -75,13 +75,14 @@
     sender: ResponseSender,
     /// First revision that has not been sent yet.
     next_revision: i64,
-    /// The store's cluster id and count of cancellations when the watch began; the watch ends when either changes.
+    /// The store's cluster id when the watch began. The watch ends when it changes.
     cluster: u64,
+    /// The store's count of cancellations when the watch began. The watch ends when it changes.
     cancel_watches: u64,
 }
 
 impl OpenWatch {
-    /// Serves one watch until it is cancelled or its client leaves.
+    /// Serves one watch until it is cancelled or its client disconnects.
     async fn run(
         service: StoreService,
         create: pb::WatchCreateRequest,
@@ -107,25 +108,25 @@
                 }
             };
             if !events.is_empty() {
-                watch.wait_for_lag().await;
+                watch.wait_for_delay().await;
             }
             if watch.send_events(header, &events).await.is_err() {
                 return;
             }
-            let client_left = futures_lite::future::or(
+            let disconnected = futures_lite::future::or(
                 async {
                     change.await;
                     false
                 },
                 async {
-                    watch.wait_for_client_to_leave().await;
+                    watch.wait_for_disconnect().await;
                     true
                 },
             );
-            if client_left.await {
+            if disconnected.await {
                 return;
             }
-            watch.wait_for_batch().await;
+            watch.wait_for_batch_interval().await;
         }
     }
 
@@ -234,7 +235,7 @@
         };
         for (index, part) in events.chunks(fragment_size).enumerate() {
             let fragment = (index + 1).saturating_mul(fragment_size) < events.len();
-            // Reported before it is sent, so that no client sees an event earlier than the observer.
+            // Reported before the response is sent, so that no client sees an event earlier than the observer.
             self.service.report(Shown::Events(part));
             let response = pb::WatchResponse {
                 header,
@@ -247,8 +248,8 @@
         Ok(())
     }
 
-    async fn wait_for_lag(&self) {
-        let lag = {
+    async fn wait_for_delay(&self) {
+        let delay = {
             let faults = &self.service.shared.lock().faults;
             faults
                 .watch_delays
@@ -256,20 +257,20 @@
                 .copied()
                 .unwrap_or(0)
         };
-        if lag > 0 {
-            self.service.runtime.sleep(lag).await;
+        if delay > 0 {
+            self.service.runtime.sleep(delay).await;
         }
     }
 
-    /// Waits for the span within which events are sent in one response.
-    async fn wait_for_batch(&self) {
-        let batch = self.service.shared.lock().faults.batch_interval;
-        if batch > 0 {
-            self.service.runtime.sleep(batch).await;
+    /// Waits for the interval whose events are sent in one response.
+    async fn wait_for_batch_interval(&self) {
+        let interval = self.service.shared.lock().faults.batch_interval;
+        if interval > 0 {
+            self.service.runtime.sleep(interval).await;
         }
     }
 
-    async fn wait_for_client_to_leave(&self) {
+    async fn wait_for_disconnect(&self) {
         while !self.sender.is_closed() {
             self.service.runtime.sleep(CLIENT_CHECK_INTERVAL).await;
         }
