--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -175,7 +175,7 @@
             "-1"
         );
         // A request is rejected while every engine is full.
-        (0..cluster.engines()).for_each(|e| cluster.engine(e).fault(|f| f.full = 1.0));
+        (0..cluster.engines()).for_each(|e| cluster.engine(e).fault(|f| f.reject = 1.0));
         let mut stream = client.generate(request(3)).await.unwrap().into_inner();
         let rejected = stream.message().await.unwrap_err();
         assert_eq!(rejected.code(), Code::ResourceExhausted);
