--- a/crates/ivywardd/src/flags.rs
+++ b/crates/ivywardd/src/flags.rs
@@ -86,14 +86,18 @@
     )]
     pub snapshot: Option<PathBuf>,
     /// A request class: name=..,ttft-aim=SPAN,deadline=SPAN and, optionally, ttft-aim-per-1000=SPAN,tpot-aim=SPAN,
-    /// worth=X,late-share=X,effect=safe|keyed|unsafe,group=all|zone|cell,repeat-window=SPAN. ttft-aim and tpot-aim are the
-    /// objectives for the time to first token and per output token, worth is the priority weight, effect says whether a
-    /// request may run more than once, group and repeat-window say where and for how long engines drop repeats. The first
-    /// class is the default for requests that name none. At least one class is required.
+    /// worth=X,late-share=X,effect=safe|keyed|unsafe,group=all|zone|cell,repeat-window=SPAN. At least one class is
+    /// required; the first one is the default for requests that name none. ttft-aim is the objective for the time
+    /// to first token; ttft-aim-per-1000 is added to it for each 1000 prompt tokens (0us by default). tpot-aim is
+    /// the objective for the time per output token (50ms). worth is the priority weight (1). late-share is the
+    /// share of that weight that a late response still has (0); the router does not use it. effect says whether a
+    /// request may run more than once: always (safe, the default), with an idempotency key (keyed), or never
+    /// (unsafe). For keyed requests, the engines of one group (all by default, or one zone or cell) drop repeats
+    /// for repeat-window, which is then required.
     #[arg(long = "class", env = "IVYWARD_CLASSES", value_name = "CLASS", value_delimiter = ';', value_parser = class)]
     pub classes: Vec<Class>,
-    /// A tenant: name=.. and, optionally, quota=X, its quota in requests per second over all nodes. May be given several
-    /// times.
+    /// A tenant: name=.. and, optionally, quota=X, its quota in requests per second over all nodes. Without quota=X, the
+    /// tenant has no quota. May be given several times.
     #[arg(long = "tenant", env = "IVYWARD_TENANTS", value_name = "TENANT", value_delimiter = ';', value_parser = tenant)]
     pub tenants: Vec<Tenant>,
 
@@ -211,7 +215,7 @@
     /// A reservation must be used or released within this time.
     #[arg(long, env = "IVYWARD_RELEASE_WITHIN", value_name = "SPAN", default_value = "500ms", value_parser = duration)]
     pub release_within: Micros,
-    /// How long a draining engine may still get new requests.
+    /// Time after the start of its drain in which an engine may still get new requests.
     #[arg(long, env = "IVYWARD_DRAIN_GRACE", value_name = "SPAN", default_value = "250ms", value_parser = duration)]
     pub drain_grace: Micros,
     /// A cold engine is overloaded when it gets more than this multiple of its present capacity within --fall-window.
@@ -237,7 +241,7 @@
     #[arg(long = "warm-after", env = "IVYWARD_WARM_AFTER", value_name = "SPAN", default_value = "15s", value_parser = duration)]
     pub warm_up_duration: Micros,
 
-    /// How long before the client's deadline the final answer is sent. The deadline of a class must be over twice this
+    /// Time before the client's deadline at which the final answer is sent. The deadline of a class must be over twice this
     /// value.
     #[arg(long, env = "IVYWARD_ANSWER_MARGIN", value_name = "SPAN", default_value = "30ms", value_parser = duration)]
     pub answer_margin: Micros,
@@ -258,7 +262,8 @@
     /// A response stream of an engine that has started and then delivers no token for this long has failed.
     #[arg(long = "stream-stall", env = "IVYWARD_STREAM_STALL", value_name = "SPAN", default_value = "10s", value_parser = duration)]
     pub stream_idle_timeout: Micros,
-    /// How long the release of a reservation is retried while its engine cannot be reached.
+    /// Time for which the release of a reservation is retried while its engine cannot be reached. After that, the reservation
+    /// ends when the engine's own time limit expires.
     #[arg(long = "release-tries", env = "IVYWARD_RELEASE_TRIES", value_name = "SPAN", default_value = "10s", value_parser = duration)]
     pub release_retry_window: Micros,
     /// A connection to an engine with calls in flight is pinged after it has received nothing for this long. 0us disables
@@ -343,7 +348,7 @@
     )]
     pub max_pending_releases: usize,
 
-    /// How long open requests may take to finish after SIGTERM or SIGINT. At most one hour.
+    /// Time that open requests have to finish after SIGTERM or SIGINT. At most one hour.
     #[arg(long = "stop-within", env = "IVYWARD_STOP_WITHIN", value_name = "SPAN", default_value = "10s", value_parser = duration)]
     pub stop_timeout: Micros,
     /// Number of threads, at most 1024. 0 starts one per core.
--- a/crates/ivywardd/src/signals.rs
+++ b/crates/ivywardd/src/signals.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Interval at which the flags are polled if no wake-up arrives, in microseconds.
+/// Interval at which the flags are polled if no wakeup arrives, in microseconds.
 const POLL_INTERVAL: u64 = 250_000;
 /// Delay before a failed wait is retried, in microseconds.
 const RETRY_DELAY: u64 = 10_000;
@@ -47,7 +47,7 @@
 
     fn install_handlers() -> io::Result<SignalListener> {
         let (stop, reload) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        // Handlers of one signal run in the order of their registration, so the flag is set before the wake-up is sent.
+        // Handlers of one signal run in the order of their registration, so the flag is set before the wakeup is sent.
         signal_hook::flag::register(SIGTERM, stop.clone())?;
         signal_hook::flag::register(SIGINT, stop.clone())?;
         signal_hook::flag::register(SIGHUP, reload.clone())?;
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Waits for the next request. An interrupted wait is not mistaken for SIGTERM, and a signal is not lost if its wake-up
+    /// Waits for the next request. An interrupted wait is not mistaken for SIGTERM, and a signal is not lost if its wakeup
     /// fails, because the result depends on the flags only.
     pub async fn next(&mut self, runtime: &RuntimeRef) -> SignalRequest {
         loop {
@@ -84,7 +84,7 @@
                     runtime.sleep(RETRY_DELAY).await;
                 }
             } else if woken.is_none() {
-                // The stream of wake-ups has ended; the flags are still polled.
+                // The stream of wakeups has ended; the flags are still polled.
                 runtime.sleep(POLL_INTERVAL).await;
             }
         }
