--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -207,7 +207,7 @@
             for engine in &self.engines {
                 let id = engine.spec().id;
                 let through = self.relay(End::Node(node), End::Engine(id), engine.address())?;
-                let mut entry = crate::local_cluster::listed(
+                let mut entry = crate::local_cluster::list_entry(
                     engine,
                     ivyward::core::interface::EndpointState::Ready,
                     0,
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -116,7 +116,7 @@
         follow.etcd.call_timeout = 150_000;
     }
     let mut make = ClusterBuilder::new(51, fleet(4));
-    (make.nodes, make.follow) = (nodes, Some(follow));
+    (make.nodes, make.watcher) = (nodes, Some(follow));
     let scene = Arc::new(make.build()?);
     scene.watch_store(store);
     let put = |scene: &LocalCluster, engine: usize, state| {
@@ -180,7 +180,7 @@
         let _ = wait.recv().await;
         drop(stop);
         out.faults = played.recv().await.unwrap_or_default();
-        scene.settle(5_000_000).await;
+        scene.wait_until_idle(5_000_000).await;
     });
     let (mut told, mut back) = (BTreeMap::new(), BTreeMap::new());
     out.gaps = (0..nodes)
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -62,7 +62,7 @@
             load,
             nodes: 3,
             racks: 4,
-            runs: NodePlacement::Inside,
+            runs: NodePlacement::InProcess,
             flight: 250_000,
             etcd: false,
         }
@@ -135,10 +135,10 @@
             ..settings()
         },
         nodes: day.nodes,
-        runs: day.runs.clone(),
+        placement: day.runs.clone(),
         flight: day.flight,
-        follow,
-        record: Some(memory.clone()),
+        watcher: follow,
+        recording: Some(memory.clone()),
     };
     let scene = Arc::new(make.build()?);
     if let Some(store) = store {
@@ -174,7 +174,7 @@
         let tries = play(&scene, &plan, &day.load).await;
         // Troubles that outlast the load end by themselves.
         let _ = wait.recv().await;
-        scene.settle(5_000_000).await;
+        scene.wait_until_idle(5_000_000).await;
         if let Some(node) = scene.node(0) {
             node.flush_recording().await;
         }
@@ -256,7 +256,7 @@
     since: Option<Micros>,
     at: Micros,
 ) {
-    scene.list(engine, condition, since);
+    scene.set_listed_state(engine, condition, since);
     if write_record(scene, engine, condition, since) {
         return;
     }
@@ -269,7 +269,7 @@
             .runtime
             .sleep((LIST_BEHIND + late) / scene.nodes() as u64)
             .await;
-        scene.tell(node, engine).await;
+        scene.notify_node(node, engine).await;
     }
 }
 
--- a/crates/ivyward-testbed/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -1,7 +1,7 @@
 //! Sessions and their turns: what clients ask, and how they come back.
 
 use crate::fault_plan::{FaultKind, Plan};
-use crate::local_cluster::{seen_effect, LocalCluster};
+use crate::local_cluster::{call_idempotency, LocalCluster};
 use ivyward::core::interface::Micros;
 use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
 use ivyward_fakes::{text, ClientBehavior, ClientRequest, ClientResult};
@@ -81,7 +81,7 @@
     let begun = scene.log.now();
     let tries: Arc<Mutex<Vec<Tried>>> = Arc::default();
     let (done, wait) = async_channel::bounded::<()>(1);
-    let classes = scene.make().settings.classes.len();
+    let classes = scene.builder().settings.classes.len();
     for session in draw(plan, load, scene.nodes(), classes) {
         scene
             .runtime
@@ -169,9 +169,9 @@
     (prompt, opening, output): (&[u32], u32, u32),
     tries: &Mutex<Vec<Tried>>,
 ) {
-    let class = &scene.make().settings.classes[session.class];
+    let class = &scene.builder().settings.classes[session.class];
     let operation = scene.call_id();
-    let effect = seen_effect(&class.settings);
+    let effect = call_idempotency(&class.settings);
     let abuse = plan
         .on(FaultKind::RetryAbuse, scene.log.now() - begun)
         .is_some();
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -57,7 +57,7 @@
 pub enum NodePlacement {
     /// In this process, each in a world of its own.
     #[default]
-    Inside,
+    InProcess,
     /// As daemons.
     Daemon(PathBuf),
 }
@@ -137,13 +137,13 @@
     /// How many nodes.
     pub nodes: usize,
     /// How they run.
-    pub runs: NodePlacement,
+    pub placement: NodePlacement,
     /// What may be in flight on this machine, for the rule checker.
     pub flight: Micros,
     /// Nodes in this process follow engines through a store instead of being told.
-    pub follow: Option<ivyward::watcher::WatcherOptions>,
+    pub watcher: Option<ivyward::watcher::WatcherOptions>,
     /// Records the first node's run.
-    pub record: Option<RecordingBuffer>,
+    pub recording: Option<RecordingBuffer>,
 }
 
 /// Nodes, engines and clients on loopback.
@@ -204,7 +204,7 @@
 }
 
 /// How far a class may be repeated, for the rule checker.
-pub fn seen_effect(class: &ClassSettings) -> CallIdempotency {
+pub fn call_idempotency(class: &ClassSettings) -> CallIdempotency {
     let group = match class.deduplication_scope {
         DeduplicationScope::All => KeyScope::All,
         DeduplicationScope::Zone => KeyScope::Zone,
@@ -266,14 +266,14 @@
             engines,
             settings,
             nodes: 1,
-            runs: NodePlacement::Inside,
+            placement: NodePlacement::InProcess,
             flight: 250_000,
-            follow: None,
-            record: None,
+            watcher: None,
+            recording: None,
         }
     }
     /// Aims and deadlines that only a lost request misses, for scenes in which a wait is neither overload nor a stall.
-    pub fn patient(&mut self) {
+    pub fn use_long_deadlines(&mut self) {
         for class in &mut self.settings.classes {
             (class.settings.ttft_objective, class.settings.deadline) = (60_000_000, 60_000_000);
         }
@@ -342,7 +342,7 @@
         self.places.len()
     }
     /// What it is made of.
-    pub fn make(&self) -> &ClusterBuilder {
+    pub fn builder(&self) -> &ClusterBuilder {
         &self.make
     }
     /// The node itself, where it runs in this process.
@@ -355,7 +355,7 @@
 
     /// An engine as lists name it.
     pub fn entry(&self, i: usize, condition: EndpointState, started: Micros) -> Listed {
-        listed(&self.engine(i), condition, started)
+        list_entry(&self.engine(i), condition, started)
     }
 
     /// The key and the registration record of an engine, as it would write them.
@@ -364,9 +364,15 @@
     }
 
     /// The engine registers itself in a store. `skew` is how far its clock is ahead of the others, in seconds.
-    pub fn enlist(&self, engine: usize, endpoints: &[SocketAddr], seconds: i64, skew: i64) {
+    pub fn keep_engine_registered(
+        &self,
+        engine: usize,
+        endpoints: &[SocketAddr],
+        seconds: i64,
+        skew: i64,
+    ) {
         let unix = self.runtime.unix_micros() as i64 / 1_000 + skew * 1_000;
-        registration::keep(
+        registration::keep_registered(
             &self.engine(engine),
             endpoints.to_vec(),
             seconds,
@@ -395,16 +401,20 @@
             seed,
             ..self.make.settings.clone()
         };
-        let (address, process) = match &self.make.runs {
-            NodePlacement::Inside => {
+        let (address, process) = match &self.make.placement {
+            NodePlacement::InProcess => {
                 let runtime = SmolRuntime::start(1, seed);
                 let as_ref: RuntimeRef = runtime.clone();
-                let mut follow = self.make.follow.clone();
+                let mut follow = self.make.watcher.clone();
                 if let Some(follow) = follow.as_mut().filter(|_| self.nodes() > 1) {
                     // A door of the store for each node, so that what was shown to whom is told apart.
                     follow.endpoints = vec![follow.endpoints[i % follow.endpoints.len()]];
                 }
-                let record = self.make.record.clone().filter(|_| i == 0 && starts == 1);
+                let record = self
+                    .make
+                    .recording
+                    .clone()
+                    .filter(|_| i == 0 && starts == 1);
                 let record = record.map(|m| Box::new(m) as Box<dyn Write + Send>);
                 let node = Node::start(as_ref.clone(), settings, record)?;
                 let listener = as_ref.listen(address).map_err(io("opening a door"))?;
@@ -475,13 +485,13 @@
         all.filter(|l| l.1 != EndpointState::Removed).collect()
     }
 
-    /// Changes what the list says of an engine; nodes learn of it by [`LocalCluster::tell`].
-    pub fn list(&self, engine: usize, condition: EndpointState, since: Option<Micros>) {
+    /// Changes what the list says of an engine; nodes learn of it by [`LocalCluster::notify_node`].
+    pub fn set_listed_state(&self, engine: usize, condition: EndpointState, since: Option<Micros>) {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine] = (condition, since);
     }
 
     /// Tells a node what the list says of an engine, and notes when it took that in. Daemons have a fixed list.
-    pub async fn tell(&self, node: usize, engine: usize) {
+    pub async fn notify_node(&self, node: usize, engine: usize) {
         let (condition, since) = self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine];
         let (handle, now) = match &self.place(node).process {
             Some(Process::Inside(runtime, handle)) => {
@@ -522,21 +532,26 @@
     }
 
     /// Changes the list and tells all nodes at once.
-    pub async fn tell_all(&self, engine: usize, condition: EndpointState, since: Option<Micros>) {
-        self.list(engine, condition, since);
+    pub async fn notify_all_nodes(
+        &self,
+        engine: usize,
+        condition: EndpointState,
+        since: Option<Micros>,
+    ) {
+        self.set_listed_state(engine, condition, since);
         for node in 0..self.nodes() {
-            self.tell(node, engine).await;
+            self.notify_node(node, engine).await;
         }
     }
 
     /// Takes a store's sight of what it showed to each node as the time at which the node was told.
     pub fn watch_store(self: &Arc<Self>, store: Store) {
-        store.set_observer(self.witness());
+        store.set_observer(self.store_observer());
         *self.store.lock().unwrap_or_else(PoisonError::into_inner) = Some(store);
     }
 
     /// Notes what a store shows through a door for each node as what that node was told.
-    pub fn witness(self: &Arc<Self>) -> Observer {
+    pub fn store_observer(self: &Arc<Self>) -> Observer {
         let scene = Arc::downgrade(self);
         let known: Mutex<Vec<BTreeSet<u64>>> = Mutex::new(vec![BTreeSet::new(); self.nodes()]);
         Arc::new(move |door, shown| {
@@ -589,7 +604,13 @@
     }
 
     /// A request of a class for a node, with a name of its own.
-    pub fn ask(&self, node: usize, class: usize, prompt: Vec<u32>, most: u32) -> ClientRequest {
+    pub fn new_request(
+        &self,
+        node: usize,
+        class: usize,
+        prompt: Vec<u32>,
+        most: u32,
+    ) -> ClientRequest {
         let call = self.call_id();
         let named = &self.make.settings.classes[class];
         let request = GenerateRequest {
@@ -607,7 +628,7 @@
         ClientRequest {
             request,
             operation: call,
-            idempotency: seen_effect(&named.settings),
+            idempotency: call_idempotency(&named.settings),
             node,
             behavior: habit,
         }
@@ -643,7 +664,7 @@
     }
 
     /// Waits until no node has anything in hand and no engine keeps anything for a request, for `span` at most.
-    pub async fn settle(&self, span: Micros) {
+    pub async fn wait_until_idle(&self, span: Micros) {
         let until = self.log.now().saturating_add(span);
         while self.log.now() < until {
             let open: usize = (0..self.nodes())
@@ -710,7 +731,7 @@
 }
 
 /// The kind, as the node's settings count them, of what a stand-in does.
-pub fn kind(role: Role) -> u8 {
+pub fn machine_type(role: Role) -> u8 {
     match role {
         Role::Prefill => 0,
         Role::Decode => 1,
@@ -722,12 +743,12 @@
 pub const ROLES: [&str; 3] = ["prefill", "decode", "mixed"];
 
 /// A stand-in engine as lists name it.
-pub fn listed(engine: &Engine, condition: EndpointState, started: Micros) -> Listed {
+pub fn list_entry(engine: &Engine, condition: EndpointState, started: Micros) -> Listed {
     let spec = engine.spec();
     let entry = Endpoint {
         id: EndpointId(spec.id),
         zone: 0,
-        machine_type: kind(spec.role),
+        machine_type: machine_type(spec.role),
         rack: spec.rack,
         state: condition,
         weight: 1.0,
--- a/crates/ivyward-testbed/src/manual_cluster.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -1,6 +1,6 @@
 //! A fleet to try a daemon with: engines and a store on addresses of one's choice, faults by a line, and one request.
 
-use crate::local_cluster::{kind, ROLES};
+use crate::local_cluster::{machine_type, ROLES};
 use crate::registration;
 use futures_lite::future::or;
 use ivyward::registration::State;
@@ -218,7 +218,7 @@
                 let (id, address, cell) = (spec.id, e.address(), spec.rack);
                 format!(
                     "--server=id={id},address={address},role={},cell={cell}",
-                    ROLES[usize::from(kind(spec.role))]
+                    ROLES[usize::from(machine_type(spec.role))]
                 )
             })
             .collect()
@@ -283,7 +283,7 @@
                 eprintln!("ivyward-testbed: {e}; tried again");
             }
         };
-        registration::keep(
+        registration::keep_registered(
             &engine,
             endpoints.to_vec(),
             seconds,
--- a/crates/ivyward-testbed/src/registration.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -1,6 +1,6 @@
 //! Writes engines' records into etcd: registers under a lease that is kept alive, and drains.
 
-use crate::local_cluster::kind;
+use crate::local_cluster::machine_type;
 use ivyward::core::interface::EndpointId;
 use ivyward::registration::{read, Record, Role, State, DEFAULT_ENGINE_PREFIX, VERSION};
 use ivyward_etcd::{rpc, Client, EtcdOptions, LeaseEvent};
@@ -16,7 +16,7 @@
     let record = Record {
         version: VERSION,
         id: spec.id,
-        role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(kind(spec.role))],
+        role: [Role::Prefill, Role::Decode, Role::Mixed][usize::from(machine_type(spec.role))],
         address: engine.address().to_string(),
         zone: 0,
         cell: spec.rack,
@@ -33,7 +33,7 @@
 
 /// A stand-in engine registers itself, under a lease of so many seconds that its process keeps alive and that ends after
 /// it.
-pub fn keep(
+pub fn keep_registered(
     engine: &Engine,
     endpoints: Vec<SocketAddr>,
     seconds: i64,
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/hollow.rs
@@ -134,7 +134,7 @@
             for id in first..first + count {
                 let engine = Engine::start(&host, &log, spec(id));
                 let engine = engine.map_err(ScaleError::io(format!("starting engine {id}")))?;
-                registration::keep(&engine, vec![store], LEASE, 0, |_| {});
+                registration::keep_registered(&engine, vec![store], LEASE, 0, |_| {});
                 engines.push(engine);
             }
             Ok(Held::Engines(engines))
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -63,7 +63,7 @@
     pub(super) fn enlist(&self, engine: usize, started: Micros) {
         let endpoints = lock(&self.store).endpoints()[self.places.len()..].to_vec();
         self.engine(engine, |e| {
-            registration::keep(e, endpoints, LEASE, started / 1_000, |_| {})
+            registration::keep_registered(e, endpoints, LEASE, started / 1_000, |_| {})
         });
     }
 
--- a/crates/ivyward-testbed/src/simulation/hosts.rs
+++ b/crates/ivyward-testbed/src/simulation/hosts.rs
@@ -25,7 +25,7 @@
         }
     }
     /// The process that was started last.
-    pub fn last(&self) -> HostId {
+    pub fn last_started(&self) -> HostId {
         *lock(&self.last)
     }
 }
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -41,7 +41,7 @@
                     });
                 }
                 if up.is_ok() {
-                    let host = self.hosts.last();
+                    let host = self.hosts.last_started();
                     lock(&self.engines[engine]).1 = host;
                     self.register(engine, self.runtime.unix_micros());
                 }
@@ -163,7 +163,7 @@
                 // Another fault may have brought it back.
                 let up = lock(&self.store).restart();
                 if up.is_ok() {
-                    *lock(&self.store_host) = self.hosts.last();
+                    *lock(&self.store_host) = self.hosts.last_started();
                 }
             }
             Fault::StoreCompacts => {
--- a/crates/ivyward-testbed/src/simulation/requests.rs
+++ b/crates/ivyward-testbed/src/simulation/requests.rs
@@ -1,7 +1,7 @@
 //! Client requests with their retries.
 
 use super::cluster::SimulatedCluster;
-use crate::local_cluster::seen_effect;
+use crate::local_cluster::call_idempotency;
 use ivyward::core::interface::Micros;
 use ivyward_fakes::event_log::ClientOutcome;
 use ivyward_fakes::{ClientBehavior, ClientRequest};
@@ -58,7 +58,7 @@
             let ask = ClientRequest {
                 request,
                 operation: no,
-                idempotency: seen_effect(&class.settings),
+                idempotency: call_idempotency(&class.settings),
                 node,
                 behavior: habit,
             };
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -127,7 +127,7 @@
             ..spec
         };
         let engine = Engine::start(&host, &log, spec).map_err(|e| e.to_string())?;
-        let id = hosts.last();
+        let id = hosts.last_started();
         engines.push(Mutex::new((engine, id)));
     }
     let mut store = Store::start(&host, 1).map_err(|e| e.to_string())?;
@@ -135,7 +135,7 @@
     store
         .open_endpoints(size.nodes + 1)
         .map_err(|e| e.to_string())?;
-    let store_host = Mutex::new(hosts.last());
+    let store_host = Mutex::new(hosts.last_started());
     let base = settings();
     let settings = NodeSettings {
         classes: classes(),
--- a/crates/ivyward-testbed/tests/cold_engines.rs
+++ b/crates/ivyward-testbed/tests/cold_engines.rs
@@ -14,7 +14,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use ivyward_sim::{Net, Sim};
 use ivyward_testbed::local_cluster::{limits, settings};
-use ivyward_testbed::registration::keep;
+use ivyward_testbed::registration::keep_registered;
 use ivyward_testbed::simulation::Hosts;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -28,7 +28,7 @@
 fn enlist(engine: &Engine, runtime: &RuntimeRef, store: SocketAddr, skew: Option<i64>) {
     let now = runtime.unix_micros() as i64 / 1_000;
     let started = skew.map_or(0, |s| (now + s * 1_000) as u64);
-    keep(engine, vec![store], 60, started, |_| {});
+    keep_registered(engine, vec![store], 60, started, |_| {});
 }
 
 /// Engines whose clocks are an hour off, and cold: none is pushed over, whatever their records say.
--- a/crates/ivyward-testbed/tests/common/mod.rs
+++ b/crates/ivyward-testbed/tests/common/mod.rs
@@ -90,7 +90,7 @@
 
 /// Everything ends, nothing is kept, and all rules held.
 pub async fn clean(scene: &LocalCluster) {
-    scene.settle(10_000_000).await;
+    scene.wait_until_idle(10_000_000).await;
     let open: usize = (0..scene.nodes())
         .filter_map(|n| scene.node(n))
         .map(|n| n.open_requests())
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -17,7 +17,7 @@
     block_on(async {
         for i in 0..10 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served);
@@ -25,7 +25,7 @@
         scene.engine(0).fault(|f| f.stall = 1.0);
         for i in 0..10 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(i + 50, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(i + 50, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -43,7 +43,7 @@
             scene.engine(hung).fault(|f| f.hang = true);
             for i in 0..10 {
                 let end = scene
-                    .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                    .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
                     .await
                     .unwrap();
                 assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -77,7 +77,7 @@
         make.settings.stream_idle_timeout = 1_000_000;
         let scene = build(make);
         block_on(async {
-            let long = scene.ask(0, QUICK, prompt(1_000, 50), 400);
+            let long = scene.new_request(0, QUICK, prompt(1_000, 50), 400);
             let (tell, wait) = async_channel::bounded(1);
             let (one, call) = (scene.clone(), long.request.call_id);
             scene.runtime.run(async move {
@@ -92,7 +92,7 @@
                 .engine(1)
                 .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(twist)));
             let end = scene
-                .send(&scene.ask(0, ORDER, prompt(1, 50), 10))
+                .send(&scene.new_request(0, ORDER, prompt(1, 50), 10))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Failed, "{twist:?}: {end:?}");
@@ -118,7 +118,7 @@
             .engine(1)
             .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::AfterEnd)));
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(1, 50), 10))
+            .send(&scene.new_request(0, QUICK, prompt(1, 50), 10))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -134,7 +134,7 @@
         for round in 0..5 {
             for i in 0..5 {
                 let end = scene
-                    .send(&scene.ask(0, QUICK, prompt(round * 10 + i, 50), 5))
+                    .send(&scene.new_request(0, QUICK, prompt(round * 10 + i, 50), 5))
                     .await
                     .unwrap();
                 assert!(
@@ -145,18 +145,18 @@
             for e in 0..3 {
                 scene.engine(e).restart(false).unwrap();
                 scene
-                    .tell_all(e, EndpointState::Ready, Some(scene.log.now()))
+                    .notify_all_nodes(e, EndpointState::Ready, Some(scene.log.now()))
                     .await;
             }
         }
         // Cold ones get little at first; once told otherwise they get all.
         for e in 0..3 {
-            scene.tell_all(e, EndpointState::Ready, None).await;
+            scene.notify_all_nodes(e, EndpointState::Ready, None).await;
         }
         let mut served = 0;
         for i in 0..40 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(900 + i, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(900 + i, 50), 5))
                 .await
                 .unwrap();
             served += usize::from(end.outcome == ClientOutcome::Served);
@@ -183,7 +183,7 @@
     block_on(async {
         // The second request waits for the only slot while its state is kept at the reader.
         let asks: Vec<_> = (0..2)
-            .map(|i| scene.ask(0, QUICK, prompt(i, 50), 5))
+            .map(|i| scene.new_request(0, QUICK, prompt(i, 50), 5))
             .collect();
         let (tell, wait) = async_channel::bounded(2);
         for ask in asks {
@@ -213,14 +213,14 @@
         .await;
         // The other node shares nothing with the dead one and goes on.
         let end = scene
-            .send(&scene.ask(1, QUICK, prompt(7, 10), 5))
+            .send(&scene.new_request(1, QUICK, prompt(7, 10), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&scene).await;
         scene.start_node(0).unwrap();
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(8, 10), 5))
+            .send(&scene.new_request(0, QUICK, prompt(8, 10), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -240,7 +240,7 @@
     block_on(async {
         // The writer takes the request and does not fetch.
         scene.engine(1).fault(|f| f.stall = 1.0);
-        let ask = scene.ask(0, QUICK, prompt(1, 50), 5);
+        let ask = scene.new_request(0, QUICK, prompt(1, 50), 5);
         let call = ask.request.call_id;
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
@@ -288,8 +288,8 @@
     specs[1].token_gap = 10_000;
     let scene = build(ClusterBuilder::new(5, specs));
     block_on(async {
-        let short = scene.ask(0, QUICK, prompt(1, 50), 10);
-        let mut long = scene.ask(0, QUICK, prompt(2, 50), 5_000);
+        let short = scene.new_request(0, QUICK, prompt(1, 50), 10);
+        let mut long = scene.new_request(0, QUICK, prompt(2, 50), 5_000);
         long.behavior.client_timeout = 30_000_000;
         let calls = [short.request.call_id, long.request.call_id];
         let (tell, wait) = async_channel::bounded(2);
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -8,7 +8,7 @@
 use ivyward_fakes::{Client, ClientBehavior, ClientRequest, ClientResult, Engine, EventLog};
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use ivyward_sim::{HostId, Sim};
-use ivyward_testbed::local_cluster::{listed, settings};
+use ivyward_testbed::local_cluster::{list_entry, settings};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -469,7 +469,7 @@
         let gone = changed.split_off(15);
         for (i, engine) in changed.iter_mut().enumerate().filter(|(i, _)| i % 5 == 0) {
             let engines = scene.engines.lock().unwrap();
-            *engine = listed(&engines[i], EndpointState::Draining, 0);
+            *engine = list_entry(&engines[i], EndpointState::Draining, 0);
         }
         scene
             .node
--- a/crates/ivyward-testbed/tests/request_path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -14,7 +14,7 @@
     let scene = build(ClusterBuilder::new(1, fleet(1)));
     block_on(async {
         for i in 0..20 {
-            let ask = scene.ask(0, QUICK, prompt(i, 400), 20);
+            let ask = scene.new_request(0, QUICK, prompt(i, 400), 20);
             let end = scene.send(&ask).await.unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
             assert_eq!(
@@ -30,7 +30,7 @@
 fn bad_requests_get_a_clear_failure_and_nothing_is_sent() {
     let scene = build(ClusterBuilder::new(1, pools(1, 1)));
     block_on(async {
-        let good = || scene.ask(0, QUICK, prompt(1, 10), 5);
+        let good = || scene.new_request(0, QUICK, prompt(1, 10), 5);
         let mut bad = Vec::new();
         let mut ask = good();
         ask.request.prompt.clear();
@@ -44,7 +44,7 @@
         let mut ask = good();
         ask.request.shared_opening_tokens = 11;
         bad.push((ask, "shared_opening_tokens 11 is over the prompt's 10"));
-        let mut ask = scene.ask(0, NOTE, prompt(1, 10), 5);
+        let mut ask = scene.new_request(0, NOTE, prompt(1, 10), 5);
         ask.request.idempotency_key.clear();
         bad.push((ask, "needs an idempotency_key"));
         for (ask, text) in bad {
@@ -78,7 +78,7 @@
     block_on(async {
         // Read and fetch take 100 ms each, tokens 20 ms each; the answer has 200.
         for stage in 0..6 {
-            let ask = scene.ask(0, QUICK, prompt(stage, 100), 200);
+            let ask = scene.new_request(0, QUICK, prompt(stage, 100), 200);
             let call = ask.request.call_id;
             let arrived = |s: &LoggedEvent| matches!(s.what, ObservedEvent::Arrived { call: c, .. } if c == call);
             let key_of = |s: &LoggedEvent| match s.what {
@@ -120,7 +120,7 @@
             .await;
             if stage == 0 {
                 // It may never have come so far as an engine.
-                scene.settle(10_000_000).await;
+                scene.wait_until_idle(10_000_000).await;
                 continue;
             }
             // All engines that were asked see the end: a stream that nobody reads ends.
@@ -135,7 +135,7 @@
         }
         // In the very moment of the first token.
         for i in 0..20 {
-            let mut ask = scene.ask(0, QUICK, prompt(i, 20), 20);
+            let mut ask = scene.new_request(0, QUICK, prompt(i, 20), 20);
             ask.behavior.leave_at_token = Some(1);
             assert_eq!(
                 scene.send(&ask).await.unwrap().outcome,
@@ -159,7 +159,7 @@
             scene.engine(i).fault(|f| f.hang = true);
         }
         let asks = (0..40).map(|i| {
-            let mut ask = scene.ask(0, i % 4, prompt(i as u32, 50), 5);
+            let mut ask = scene.new_request(0, i % 4, prompt(i as u32, 50), 5);
             ask.behavior.client_timeout = 1_300_000 + i as u64 * 5_000;
             ask
         });
@@ -183,7 +183,7 @@
     specs[1].token_gap = 100_000;
     let scene = build(ClusterBuilder::new(1, specs));
     block_on(async {
-        let mut ask = scene.ask(0, QUICK, prompt(1, 50), 100);
+        let mut ask = scene.new_request(0, QUICK, prompt(1, 50), 100);
         ask.behavior.client_timeout = 1_500_000;
         let end = scene.send(&ask).await.unwrap();
         assert_eq!(
@@ -205,7 +205,7 @@
     make.settings.classes[QUICK].settings.deadline = 1_000_000;
     let scene = build(make);
     block_on(async {
-        let mut ask = scene.ask(0, QUICK, prompt(1, 50), 12);
+        let mut ask = scene.new_request(0, QUICK, prompt(1, 50), 12);
         ask.behavior = ClientBehavior {
             client_timeout: 20_000_000,
             silent_deadline: true,
@@ -226,17 +226,19 @@
             .enumerate()
         {
             for engine in [0, 2] {
-                scene.tell_all(engine, condition, None).await;
+                scene.notify_all_nodes(engine, condition, None).await;
             }
             for i in 0..30 {
-                let ask = scene.ask(0, QUICK, prompt(i + round as u32 * 100, 50), 5);
+                let ask = scene.new_request(0, QUICK, prompt(i + round as u32 * 100, 50), 5);
                 assert_eq!(
                     scene.send(&ask).await.unwrap().outcome,
                     ClientOutcome::Served
                 );
             }
             for engine in [0, 2] {
-                scene.tell_all(engine, EndpointState::Ready, None).await;
+                scene
+                    .notify_all_nodes(engine, EndpointState::Ready, None)
+                    .await;
             }
         }
         let all_seen = scene.log.all();
@@ -258,7 +260,7 @@
     make.settings.max_buffered_tokens = 64;
     let scene = build(make);
     block_on(async {
-        let mut slow = scene.ask(0, QUICK, prompt(1, 50), 60_000);
+        let mut slow = scene.new_request(0, QUICK, prompt(1, 50), 60_000);
         slow.behavior.read_pause = 400_000;
         slow.behavior.client_timeout = 60_000_000;
         let call = slow.request.call_id;
@@ -281,7 +283,7 @@
         // Others on the same connection are not held up: each is served while the slow one waits.
         for i in 0..20 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(i + 2, 50), 20))
+                .send(&scene.new_request(0, QUICK, prompt(i + 2, 50), 20))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -309,13 +311,13 @@
     let mut make = ClusterBuilder::new(1, specs);
     // Forty streams at full speed keep the machine busy: first tokens come late, and the module is not to shed for that,
     // nor to take a wait for a stall. How soon a busy engine takes up what waits in its sockets is not the matter either.
-    make.patient();
+    make.use_long_deadlines();
     make.settings.router.release_within = 20_000_000;
     make.flight = 20_000_000;
     let scene = build(make);
     block_on(async {
         let asks = (0..40).map(|i| {
-            let mut ask = scene.ask(0, QUICK, prompt(i, 50), 20_000);
+            let mut ask = scene.new_request(0, QUICK, prompt(i, 50), 20_000);
             ask.behavior.read_pause = 200_000;
             ask.behavior.leave_after = Some(1_200_000);
             // Not all in one moment, which the module would take for overload.
@@ -332,7 +334,7 @@
             scene.runtime.sleep(5_000).await;
             waits.push(wait);
         }
-        let mut quick = scene.ask(0, QUICK, prompt(99, 50), 20);
+        let mut quick = scene.new_request(0, QUICK, prompt(99, 50), 20);
         quick.behavior.client_timeout = 10_000_000;
         let quick = scene.send(&quick).await.unwrap();
         assert_eq!(quick.outcome, ClientOutcome::Served, "{quick:?}");
--- a/crates/ivyward-testbed/tests/reservations.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -16,12 +16,12 @@
     specs[0].read_rate = 200.0;
     let mut make = ClusterBuilder::new(31, specs);
     make.settings.router.reserve_decode_slot = true;
-    make.patient();
+    make.use_long_deadlines();
     let scene = build(make);
     block_on(async {
         for i in 0..6 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -38,7 +38,7 @@
         };
         seen(&scene, taken).await;
         // A client that leaves during the read: its place is let go at once, long before the engine's own limit.
-        let ask = scene.ask(0, QUICK, prompt(50, 50), 5);
+        let ask = scene.new_request(0, QUICK, prompt(50, 50), 5);
         leaves_when(
             &scene,
             &ask,
@@ -60,7 +60,10 @@
         for e in [1, 2] {
             scene.engine(e).fault(|f| f.hang = true);
         }
-        let (one, ask) = (scene.clone(), scene.ask(0, QUICK, prompt(60, 50), 5));
+        let (one, ask) = (
+            scene.clone(),
+            scene.new_request(0, QUICK, prompt(60, 50), 5),
+        );
         let (tell, wait) = async_channel::bounded(1);
         let call = ask.request.call_id;
         scene.runtime.run(async move {
@@ -81,11 +84,11 @@
     let memory = RecordingBuffer::default();
     let mut make = ClusterBuilder::new(32, pools(1, 1));
     make.settings.router.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
-    make.record = Some(memory.clone());
+    make.recording = Some(memory.clone());
     let scene = build(make);
     block_on(async {
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(1, 50), 5))
+            .send(&scene.new_request(0, QUICK, prompt(1, 50), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served);
@@ -111,14 +114,14 @@
     let mut make = ClusterBuilder::new(33, specs);
     make.settings.max_open_requests = 2;
     // Refused by the bound alone: a wait on a busy machine is no overload.
-    make.patient();
+    make.use_long_deadlines();
     let scene = build(make);
     block_on(async {
         let node = scene.node(0).unwrap();
-        let long = |i| scene.ask(0, QUICK, prompt(i, 50), 2_000).request;
+        let long = |i| scene.new_request(0, QUICK, prompt(i, 50), 2_000).request;
         let held: Vec<_> = (0..2).map(|i| node.generate(long(i), None)).collect();
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(9, 50), 5))
+            .send(&scene.new_request(0, QUICK, prompt(9, 50), 5))
             .await
             .unwrap();
         assert_eq!(
@@ -128,9 +131,9 @@
         );
         assert!(end.message.contains("this node is full"), "{end:?}");
         drop(held);
-        scene.settle(5_000_000).await;
+        scene.wait_until_idle(5_000_000).await;
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(10, 50), 2))
+            .send(&scene.new_request(0, QUICK, prompt(10, 50), 2))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -162,7 +165,7 @@
         });
         for i in 0..5 {
             let end = scene
-                .send(&scene.ask(0, ORDER, prompt(i, 50), 5))
+                .send(&scene.new_request(0, ORDER, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert!(
@@ -172,7 +175,7 @@
         }
         let dials = dials.load(std::sync::atomic::Ordering::SeqCst);
         assert!(dials < 200, "{dials} dials for five requests");
-        scene.settle(5_000_000).await;
+        scene.wait_until_idle(5_000_000).await;
         assert_eq!(scene.node(0).unwrap().open_requests(), 0);
     });
 }
--- a/crates/ivyward-testbed/tests/retry_safety.rs
+++ b/crates/ivyward-testbed/tests/retry_safety.rs
@@ -26,7 +26,7 @@
     [1, 2]
         .into_iter()
         .for_each(|e| trouble(&mut scene.engine(e)));
-    let mut ask = scene.ask(0, ORDER, prompt(1, 50), 10);
+    let mut ask = scene.new_request(0, ORDER, prompt(1, 50), 10);
     ask.behavior.client_timeout = client_timeout;
     let call = ask.request.call_id;
     let end = scene.send(&ask).await.unwrap();
@@ -129,7 +129,7 @@
     block_on(async {
         scene.engine(1).fault(|f| f.slow = 1_000.0);
         scene.engine(2).fault(|f| f.slow = 1_000.0);
-        let ask = scene.ask(0, ORDER, prompt(1, 50), 10);
+        let ask = scene.new_request(0, ORDER, prompt(1, 50), 10);
         let call = ask.request.call_id;
         let (tell, wait) = async_channel::bounded(1);
         let one = scene.clone();
@@ -156,7 +156,7 @@
     block_on(async {
         for round in 0..10 {
             let asks: Vec<_> = (0..12)
-                .map(|i| scene.ask(0, ORDER, prompt(round * 100 + i, 50), 10))
+                .map(|i| scene.new_request(0, ORDER, prompt(round * 100 + i, 50), 10))
                 .collect();
             let calls: Vec<u64> = asks.iter().map(|a| a.request.call_id).collect();
             let (one, first) = (scene.clone(), calls[0]);
@@ -198,7 +198,7 @@
             scene.engine(1).fault(|f| f.reset = 0.0);
             for i in 0..6 {
                 let end = scene
-                    .send(&scene.ask(0, class, prompt(seed * 100 + i, 50), 5))
+                    .send(&scene.new_request(0, class, prompt(seed * 100 + i, 50), 5))
                     .await
                     .unwrap();
                 assert_eq!(end.outcome, ClientOutcome::Served, "class {class}: {end:?}");
@@ -217,7 +217,7 @@
             scene.engine(e).fault(|f| f.reset = 0.5);
         }
         for i in 0..10 {
-            let ask = scene.ask(0, NOTE, prompt(i, 50), 5);
+            let ask = scene.new_request(0, NOTE, prompt(i, 50), 5);
             let end = scene.send(&ask).await.unwrap();
             assert!(
                 matches!(end.outcome, ClientOutcome::Served | ClientOutcome::Rejected),
@@ -238,7 +238,7 @@
             for i in 0..scene.engines() {
                 scene.engine(i).fault(|f| f.full = 1.0);
             }
-            let ask = scene.ask(0, QUICK, prompt(1, 50), 5);
+            let ask = scene.new_request(0, QUICK, prompt(1, 50), 5);
             let end = scene.send(&ask).await.unwrap();
             assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
             let call = ask.request.call_id;
--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -185,7 +185,7 @@
                 to_end::<pb::WriteEvent>(write(&scene, attempt as usize, 1, attempt, 1).await)
                     .await;
             }
-            scene.settle(1_000_000).await;
+            scene.wait_until_idle(1_000_000).await;
             heard(&scene, 1, how);
         });
         assert_eq!(
--- a/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
+++ b/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
@@ -8,7 +8,7 @@
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
 use ivyward_sim::{Host, HostId, Net, Sim};
-use ivyward_testbed::local_cluster::{listed, settings, RecordingBuffer};
+use ivyward_testbed::local_cluster::{list_entry, settings, RecordingBuffer};
 use ivyward_testbed::simulation::Hosts;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -64,7 +64,7 @@
     let (mut engines, mut engine_hosts) = (Vec::new(), Vec::new());
     for id in 1..=readers + writers {
         engines.push(Engine::start(&host, &log, spec(id)).unwrap());
-        engine_hosts.push(hosts.last());
+        engine_hosts.push(hosts.last_started());
     }
     VirtualCluster {
         sim,
@@ -102,7 +102,7 @@
     pub fn listed(&self) -> Vec<ivyward::Engine> {
         self.engines
             .iter()
-            .map(|e| listed(e, EndpointState::Ready, 0))
+            .map(|e| list_entry(e, EndpointState::Ready, 0))
             .collect()
     }
 }
--- a/crates/ivyward-testbed/tests/watch_latency.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -17,7 +17,7 @@
 /// These tests are about notices: what the machine needs for everything else is not held against the node here. Sends
 /// after a notice are judged as strictly as anywhere.
 fn quiet_about_time(make: &mut ClusterBuilder) {
-    make.patient();
+    make.use_long_deadlines();
     make.flight = 2_000_000;
 }
 
@@ -53,7 +53,7 @@
         ..WatcherOptions::default()
     };
     change(&mut follow);
-    (make.nodes, make.follow) = (nodes, Some(follow));
+    (make.nodes, make.watcher) = (nodes, Some(follow));
     quiet_about_time(&mut make);
     Rig {
         scene: build(make),
@@ -129,7 +129,7 @@
             self.scene.runtime.run(async move {
                 let mut i = client * 100_000;
                 while !stopped.is_closed() {
-                    let ask = scene.ask(client as usize % 2, QUICK, prompt(i, 40), 4);
+                    let ask = scene.new_request(client as usize % 2, QUICK, prompt(i, 40), 4);
                     scene.send(&ask).await;
                     i += 1;
                     scene.runtime.sleep(2_000).await;
@@ -143,7 +143,7 @@
         for node in 0..2 {
             let end = self
                 .scene
-                .send(&self.scene.ask(node, QUICK, prompt(i, 40), 4))
+                .send(&self.scene.new_request(node, QUICK, prompt(i, 40), 4))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -194,7 +194,7 @@
         rig.until(|rig| rig.scene.audit().rules[2].count > 0).await;
         drop(stop);
         let _ = done.recv().await;
-        rig.scene.settle(5_000_000).await;
+        rig.scene.wait_until_idle(5_000_000).await;
     });
 }
 
@@ -269,7 +269,7 @@
         rig.all_known(0).await;
         let end = rig
             .scene
-            .send(&rig.scene.ask(0, QUICK, prompt(3, 40), 4))
+            .send(&rig.scene.new_request(0, QUICK, prompt(3, 40), 4))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
@@ -294,7 +294,7 @@
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         // A long answer runs while all writers are told to be elsewhere, and come back.
-        let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 400);
+        let ask = rig.scene.new_request(0, QUICK, prompt(1, 40), 400);
         let (one, call) = (rig.scene.clone(), ask.request.call_id);
         let (tell, wait) = async_channel::bounded(1);
         rig.scene.runtime.run(async move {
@@ -323,7 +323,7 @@
 fn a_kept_list_serves_while_the_store_is_down() {
     let mut rig = rig(200_000);
     let path = std::env::temp_dir().join(format!("ivyward-kept-{}", std::process::id()));
-    let follow = rig.scene.make().follow.clone().unwrap();
+    let follow = rig.scene.builder().watcher.clone().unwrap();
     rig.put_all();
     block_on(async {
         let keeping = WatcherOptions {
@@ -334,7 +334,7 @@
             let runtime = ivyward_runtime::SmolRuntime::start(1, seed);
             let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
             let node =
-                ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
+                ivyward::Node::start(as_ref, rig.scene.builder().settings.clone(), None).unwrap();
             let following = node.clone();
             runtime.run(async move { following.watch_endpoints(follow).await });
             (runtime, node)
@@ -346,7 +346,7 @@
         rig.store.crash();
         let (_second, node) = start(2, keeping);
         rig.until(|_| node.metrics().engines.get() == 12).await;
-        let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 4).request;
+        let ask = rig.scene.new_request(0, QUICK, prompt(1, 40), 4).request;
         assert_eq!(
             node.generate(ask.clone(), Some(2_000_000))
                 .collect()
@@ -372,12 +372,13 @@
     let rig = rig(200_000);
     let folder = std::env::temp_dir().join(format!("ivyward-kept-later-{}", std::process::id()));
     let path = folder.join("engines");
-    let follow = rig.scene.make().follow.clone().unwrap();
+    let follow = rig.scene.builder().watcher.clone().unwrap();
     rig.put_all();
     block_on(async {
         let runtime = ivyward_runtime::SmolRuntime::start(1, 1);
         let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
-        let node = ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
+        let node =
+            ivyward::Node::start(as_ref, rig.scene.builder().settings.clone(), None).unwrap();
         let (following, keeping) = (
             node.clone(),
             WatcherOptions {
@@ -457,7 +458,7 @@
     block_on(async {
         rig.all_known(12).await;
         rig.store.fault(|f| f.lag = vec![0, 700_000]);
-        rig.store.set_observer(rig.scene.witness());
+        rig.store.set_observer(rig.scene.store_observer());
         let (stop, done) = rig.load();
         for engine in 4..8 {
             rig.put(engine, State::Draining);
@@ -517,7 +518,7 @@
         }
         let end = rig
             .scene
-            .send(&rig.scene.ask(0, QUICK, prompt(1, 40), 4))
+            .send(&rig.scene.new_request(0, QUICK, prompt(1, 40), 4))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -653,7 +654,7 @@
     let rig = rig_of(2_000_000, 60_000_000);
     let endpoints = [rig.store.address()];
     for engine in 0..12 {
-        rig.scene.enlist(engine, &endpoints, 3, 0);
+        rig.scene.keep_engine_registered(engine, &endpoints, 3, 0);
     }
     block_on(async {
         rig.all_known(12).await;
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -36,7 +36,7 @@
             .collect();
         let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
             .env_clear()
-            .args(ivyward_flags(&scene.make().settings, &listed))
+            .args(ivyward_flags(&scene.builder().settings, &listed))
             .args(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"])
             .args(more)
             .stdout(Stdio::piped())
@@ -86,8 +86,8 @@
 fn library_and_daemon_decide_alike() {
     let memory = RecordingBuffer::default();
     let mut make = ClusterBuilder::new(21, engines());
-    make.patient();
-    make.record = Some(memory.clone());
+    make.use_long_deadlines();
+    make.recording = Some(memory.clone());
     let scene = make.clone().build().unwrap();
     let node = scene.node(0).unwrap();
     let mut inside = Vec::new();
@@ -96,7 +96,7 @@
     }
     block_on(node.flush_recording());
     // The daemon in its turn, against fresh engines of the same make, with the seed that the library's node had.
-    make.record = None;
+    make.recording = None;
     make.settings.seed = node.settings().seed;
     let fresh = make.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-record-{}", std::process::id()));
@@ -108,7 +108,7 @@
             .await
             .unwrap();
         for i in 0..16 {
-            let mut ask_it = fresh.ask(0, 0, ask(i).prompt, 6);
+            let mut ask_it = fresh.new_request(0, 0, ask(i).prompt, 6);
             ask_it.request = ask(i);
             ask_it.behavior.client_timeout = 30_000_000;
             let end = client.send(&ask_it).await;
@@ -189,7 +189,7 @@
 fn engines_are_read_again_on_a_signal() {
     let writers = (5..=6).map(|i| EngineSpec::steady(i, Role::Decode));
     let mut make = ClusterBuilder::new(23, engines().into_iter().chain(writers).collect());
-    make.patient();
+    make.use_long_deadlines();
     let scene = make.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-engines-{}", std::process::id()));
     let listed: Vec<_> = (0..6)
@@ -197,7 +197,7 @@
         .collect();
     let servers = |of: &[usize]| {
         let flags = ivyward_flags(
-            &scene.make().settings,
+            &scene.builder().settings,
             &of.iter().map(|e| listed[*e]).collect::<Vec<_>>(),
         );
         flags
@@ -209,7 +209,7 @@
     std::fs::write(&path, servers(&[0, 3])).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
         .env_clear()
-        .args(ivyward_flags(&scene.make().settings, &[]))
+        .args(ivyward_flags(&scene.builder().settings, &[]))
         .args([
             "--listen=127.0.0.1:0".to_string(),
             format!("@{}", path.display()),
@@ -250,7 +250,7 @@
         scene.engine(3).crash();
         let mut ends = Vec::new();
         for i in 0..10_000 {
-            let mut ask_it = scene.ask(0, 0, ask(i).prompt, 6);
+            let mut ask_it = scene.new_request(0, 0, ask(i).prompt, 6);
             ask_it.behavior.client_timeout = 10_000_000;
             ends.push(
                 client.send(&ask_it).await.outcome
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -12,7 +12,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward_testbed::cluster::process::Process;
 use ivyward_testbed::local_cluster::{ivyward_flags, limits, settings};
-use ivyward_testbed::registration::keep;
+use ivyward_testbed::registration::keep_registered;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -92,7 +92,7 @@
         let mut engine = Engine::start(&host, &log, spec.clone()).unwrap();
         engine.crash();
         if engine.restart(true).is_ok() {
-            keep(
+            keep_registered(
                 &engine,
                 vec![store.address()],
                 60,
@@ -153,7 +153,7 @@
         .collect();
     fleet
         .iter()
-        .for_each(|e| keep(e, vec![store.address()], 60, 0, |_| {}));
+        .for_each(|e| keep_registered(e, vec![store.address()], 60, 0, |_| {}));
     let mut settings = settings();
     for class in &mut settings.classes {
         class.settings.deadline = 20 * SECOND;
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -78,7 +78,7 @@
         let listed: Vec<_> = (0..scene.engines())
             .map(|e| scene.entry(e, EndpointState::Ready, 0))
             .collect();
-        let mut flags = ivyward_flags(&scene.make().settings, &listed);
+        let mut flags = ivyward_flags(&scene.builder().settings, &listed);
         flags
             .extend(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"].map(String::from));
         Daemon::start(control, &flags, &[])
@@ -185,7 +185,7 @@
         EngineSpec::steady(2, Role::Decode),
     ];
     let mut make = ClusterBuilder::new(23, engines);
-    make.patient();
+    make.use_long_deadlines();
     let scene = make.build().unwrap();
     let control = control("grpc");
     let mut daemon = Daemon::grpc(&control, &scene);
@@ -203,7 +203,7 @@
             .unwrap();
         for n in 0..CALLS {
             let prompt = (0..60).map(|token| token ^ n as u32).collect();
-            let mut ask = scene.ask(0, 0, prompt, 6);
+            let mut ask = scene.new_request(0, 0, prompt, 6);
             ask.behavior.client_timeout = 30_000_000;
             let end = client.send(&ask).await;
             assert_eq!(end.outcome, ClientOutcome::Served, "call {n}: {end:?}");
