--- a/crates/ivyward-testbed/src/commands/manual.rs
+++ b/crates/ivyward-testbed/src/commands/manual.rs
@@ -54,11 +54,11 @@
         let fleet = start(vec![spec], self.listen, None)?;
         for order in &self.orders {
             fleet
-                .obey(order)
+                .apply_command(order)
                 .map_err(|error| format!("--order {error}"))?;
         }
         if !self.register_in.is_empty() {
-            manual_cluster::register(&fleet, &self.register_in, self.lease);
+            manual_cluster::keep_engines_registered(&fleet, &self.register_in, self.lease);
         }
         follow(&fleet)
     }
@@ -111,7 +111,7 @@
 
 impl Fleet {
     pub fn run(self) -> CommandResult {
-        let specs = manual_cluster::racks(self.racks);
+        let specs = manual_cluster::rack_specs(self.racks);
         follow(&start(specs, self.listen, self.store)?)
     }
 }
@@ -132,7 +132,7 @@
     }
     // Whoever reads a file or a pipe needs them while this goes on.
     std::io::stdout().flush()?;
-    fleet.follow()
+    fleet.run_commands_from_stdin()
 }
 
 #[derive(clap::Args)]
@@ -167,7 +167,8 @@
         };
         let timeout = Duration::from_millis(self.timeout_ms);
         let mut out = std::io::stdout();
-        let (served, line) = manual_cluster::ask(self.address, request, timeout, &mut out)?;
+        let (served, line) =
+            manual_cluster::send_request(self.address, request, timeout, &mut out)?;
         println!("{line}");
         Ok(exit_code(served))
     }
--- a/crates/ivyward-testbed/src/manual_cluster.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -17,7 +17,7 @@
 
 /// What goes wrong by hand, in a line that names what to do.
 #[derive(Debug, thiserror::Error)]
-pub enum ByHandError {
+pub enum ManualClusterError {
     /// A port cannot be taken.
     #[error("--listen {address}: {error}")]
     Listen {
@@ -28,7 +28,7 @@
     },
     /// A line on standard input that says nothing.
     #[error("{line:?}: {reason}; one of: drain, ready, hang, go, slow N, ill SHARE, lose SHARE, full SHARE, die, up, show")]
-    Order {
+    Command {
         /// The line.
         line: String,
         /// What is wrong with it.
@@ -36,12 +36,12 @@
     },
     /// The door cannot be reached, or said no.
     #[error("{0}")]
-    Ask(String),
+    Request(String),
 }
 
 /// What an engine is told by a line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum EngineCommand {
     /// It takes nothing new, or does again.
     Drain(bool),
     /// It hangs, or goes on.
@@ -49,15 +49,15 @@
     /// It works so many times as slowly.
     Slow(f64),
     /// It resets, loses answers or turns away this part of calls.
-    Ill(f64),
+    FailCalls(f64),
     /// It loses this part of its answers.
-    Lose(f64),
+    LoseAnswers(f64),
     /// It turns away this part of calls as full.
-    Full(f64),
+    RejectAsFull(f64),
     /// Its process dies: all connections are reset, all states are lost.
-    Die,
+    Crash,
     /// It comes back, cold.
-    Up,
+    Restart,
     /// What it holds.
     Show,
 }
@@ -66,8 +66,8 @@
 ///
 /// # Errors
 /// When it is no order; the message names all of them.
-pub fn order(line: &str) -> Result<Order, ByHandError> {
-    let bad = |reason: &str| ByHandError::Order {
+pub fn parse_command(line: &str) -> Result<EngineCommand, ManualClusterError> {
+    let bad = |reason: &str| ManualClusterError::Command {
         line: line.trim().into(),
         reason: reason.into(),
     };
@@ -81,23 +81,26 @@
         }
     };
     let order = match words.first().copied() {
-        Some("drain") => Order::Drain(true),
-        Some("ready") => Order::Drain(false),
-        Some("hang") => Order::Hang(true),
-        Some("go") => Order::Hang(false),
-        Some("slow") => Order::Slow(number(1_000.0)?),
-        Some("ill") => Order::Ill(number(1.0)?),
-        Some("lose") => Order::Lose(number(1.0)?),
-        Some("full") => Order::Full(number(1.0)?),
-        Some("die") => Order::Die,
-        Some("up") => Order::Up,
-        Some("show") => Order::Show,
+        Some("drain") => EngineCommand::Drain(true),
+        Some("ready") => EngineCommand::Drain(false),
+        Some("hang") => EngineCommand::Hang(true),
+        Some("go") => EngineCommand::Hang(false),
+        Some("slow") => EngineCommand::Slow(number(1_000.0)?),
+        Some("ill") => EngineCommand::FailCalls(number(1.0)?),
+        Some("lose") => EngineCommand::LoseAnswers(number(1.0)?),
+        Some("full") => EngineCommand::RejectAsFull(number(1.0)?),
+        Some("die") => EngineCommand::Crash,
+        Some("up") => EngineCommand::Restart,
+        Some("show") => EngineCommand::Show,
         Some(_) => return Err(bad("not known")),
         None => return Err(bad("empty")),
     };
     let takes = if matches!(
         order,
-        Order::Slow(_) | Order::Ill(_) | Order::Lose(_) | Order::Full(_)
+        EngineCommand::Slow(_)
+            | EngineCommand::FailCalls(_)
+            | EngineCommand::LoseAnswers(_)
+            | EngineCommand::RejectAsFull(_)
     ) {
         2
     } else {
@@ -110,24 +113,24 @@
 }
 
 /// Does what an engine is told; a line of what came of it.
-pub fn obey(engine: &mut Engine, order: Order) -> String {
+pub fn apply_command(engine: &mut Engine, order: EngineCommand) -> String {
     let id = engine.spec().id;
     match order {
-        Order::Drain(on) => engine.drain(on),
-        Order::Hang(on) => engine.fault(|f| f.hang = on),
-        Order::Slow(by) => engine.fault(|f| f.slow = by),
-        Order::Ill(share) => {
+        EngineCommand::Drain(on) => engine.drain(on),
+        EngineCommand::Hang(on) => engine.fault(|f| f.hang = on),
+        EngineCommand::Slow(by) => engine.fault(|f| f.slow = by),
+        EngineCommand::FailCalls(share) => {
             engine.fault(|f| (f.reset, f.lose_answer, f.full) = (share, share, share))
         }
-        Order::Lose(share) => engine.fault(|f| f.lose_answer = share),
-        Order::Full(share) => engine.fault(|f| f.full = share),
-        Order::Die => engine.crash(),
-        Order::Up => {
+        EngineCommand::LoseAnswers(share) => engine.fault(|f| f.lose_answer = share),
+        EngineCommand::RejectAsFull(share) => engine.fault(|f| f.full = share),
+        EngineCommand::Crash => engine.crash(),
+        EngineCommand::Restart => {
             if let Err(e) = engine.restart(true) {
                 return format!("engine {id} cannot come up at {}: {e}", engine.address());
             }
         }
-        Order::Show => {}
+        EngineCommand::Show => {}
     }
     let state = if engine.is_running() { "up" } else { "down" };
     format!(
@@ -146,7 +149,7 @@
 
 /// Specs of so many racks of one prefill, one mixed and two decode engines, at the pace of small models: 20,000 prompt
 /// tokens and 50 answer tokens a second.
-pub fn racks(count: u16) -> Vec<EngineSpec> {
+pub fn rack_specs(count: u16) -> Vec<EngineSpec> {
     let specs = crate::local_cluster::fleet(count).into_iter();
     specs
         .map(|spec| EngineSpec {
@@ -168,7 +171,7 @@
         ip: IpAddr,
         port: u16,
         store: Option<SocketAddr>,
-    ) -> Result<Fleet, ByHandError> {
+    ) -> Result<Fleet, ManualClusterError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
         let (log, host): (_, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
@@ -182,7 +185,7 @@
             let address = SocketAddr::new(ip, port);
             let engine = Engine::start_at(&host, &log, spec, address);
             engines.push(Mutex::new(
-                engine.map_err(|error| ByHandError::Listen { address, error })?,
+                engine.map_err(|error| ManualClusterError::Listen { address, error })?,
             ));
         }
         let mut fleet = Fleet {
@@ -192,7 +195,7 @@
         };
         if let Some(address) = store {
             let store = Store::start_at(&host, 1, address)
-                .map_err(|error| ByHandError::Listen { address, error })?;
+                .map_err(|error| ManualClusterError::Listen { address, error })?;
             for engine in &fleet.engines {
                 let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
                 let (key, record) = registration::record(&engine, State::Ready, 0);
@@ -228,9 +231,9 @@
     ///
     /// # Errors
     /// When it is none.
-    pub fn obey(&self, line: &str) -> Result<String, ByHandError> {
+    pub fn apply_command(&self, line: &str) -> Result<String, ManualClusterError> {
         let (id, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
-        let bad = |reason: String| ByHandError::Order {
+        let bad = |reason: String| ManualClusterError::Command {
             line: line.trim().into(),
             reason,
         };
@@ -249,21 +252,21 @@
             }
             (_, Err(_)) => return Err(bad("the engine's id comes first".into())),
         };
-        let order = order(text)?;
-        Ok(obey(
+        let order = parse_command(text)?;
+        Ok(apply_command(
             &mut engine.lock().unwrap_or_else(PoisonError::into_inner),
             order,
         ))
     }
 
     /// Follows lines from standard input; when that ends, it goes on until the process is ended.
-    pub fn follow(&self) -> ! {
+    pub fn run_commands_from_stdin(&self) -> ! {
         for line in std::io::stdin().lock().lines() {
             let Ok(line) = line else { break };
             if line.trim().is_empty() {
                 continue;
             }
-            match self.obey(&line) {
+            match self.apply_command(&line) {
                 Ok(said) => println!("{said}"),
                 Err(e) => eprintln!("ivyward-testbed: {e}"),
             }
@@ -275,7 +278,7 @@
 }
 
 /// The engines register themselves, under leases of so many seconds.
-pub fn register(fleet: &Fleet, endpoints: &[SocketAddr], seconds: i64) {
+pub fn keep_engines_registered(fleet: &Fleet, endpoints: &[SocketAddr], seconds: i64) {
     for engine in &fleet.engines {
         let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
         let told = |kept| {
@@ -297,16 +300,16 @@
 ///
 /// # Errors
 /// When the door cannot be reached or does not speak gRPC.
-pub fn ask(
+pub fn send_request(
     door: SocketAddr,
     request: GenerateRequest,
     client_timeout: std::time::Duration,
     out: &mut impl Write,
-) -> Result<(bool, String), ByHandError> {
+) -> Result<(bool, String), ManualClusterError> {
     let runtime = SmolRuntime::start(1, 1);
     let as_ref: RuntimeRef = runtime.clone();
     runtime.block_on(async {
-        let error = |what: &str, e: &dyn std::fmt::Display| ByHandError::Ask(format!("{door}: {what}: {e}"));
+        let error = |what: &str, e: &dyn std::fmt::Display| ManualClusterError::Request(format!("{door}: {what}: {e}"));
         let began = runtime.now();
         let conn = as_ref.connect(door).await.map_err(|e| error("cannot connect", &e))?;
         let channel = Channel::begin(&as_ref, conn, Options::default())
--- a/crates/ivyward-testbed/tests/manual_cluster.rs
+++ b/crates/ivyward-testbed/tests/manual_cluster.rs
@@ -1,6 +1,6 @@
 //! The fleet to try and the one request, as the command line gives them.
 
-use ivyward_testbed::manual_cluster::{order, Order};
+use ivyward_testbed::manual_cluster::{parse_command, EngineCommand};
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, Command, Stdio};
 
@@ -45,21 +45,21 @@
 #[test]
 fn orders_are_read_or_refused_in_words() {
     for (line, said) in [
-        ("drain", Order::Drain(true)),
-        (" ready ", Order::Drain(false)),
-        ("hang", Order::Hang(true)),
-        ("go", Order::Hang(false)),
-        ("slow 2.5", Order::Slow(2.5)),
-        ("ill 0.2", Order::Ill(0.2)),
-        ("die", Order::Die),
-        ("up", Order::Up),
+        ("drain", EngineCommand::Drain(true)),
+        (" ready ", EngineCommand::Drain(false)),
+        ("hang", EngineCommand::Hang(true)),
+        ("go", EngineCommand::Hang(false)),
+        ("slow 2.5", EngineCommand::Slow(2.5)),
+        ("ill 0.2", EngineCommand::FailCalls(0.2)),
+        ("die", EngineCommand::Crash),
+        ("up", EngineCommand::Restart),
     ] {
-        assert_eq!(order(line).unwrap(), said, "{line}");
+        assert_eq!(parse_command(line).unwrap(), said, "{line}");
     }
     for line in [
         "", "dance", "slow", "slow x", "slow -1", "slow NaN", "ill 1.5", "drain 3", "slow 2 3",
     ] {
-        let error = order(line).unwrap_err().to_string();
+        let error = parse_command(line).unwrap_err().to_string();
         assert!(error.contains("one of: drain"), "{line:?}: {error}");
     }
 }
