--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -30,7 +30,7 @@
 /// What a directed link does to what crosses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Fault {
+pub struct LinkFault {
     /// Nothing comes through. Bytes of a stream wait, as they would for TCP's next try.
     pub cut: bool,
     /// The part of datagrams that are lost.
@@ -45,8 +45,8 @@
 
 #[derive(Default)]
 struct State {
-    faults: BTreeMap<(End, End), Fault>,
-    everywhere: Fault,
+    faults: BTreeMap<(End, End), LinkFault>,
+    everywhere: LinkFault,
     /// Datagrams and bytes that came to relays.
     came: (u64, u64),
     /// Connections of a link are broken at each new number.
@@ -67,44 +67,44 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// Sets what a link does from now on.
-    pub fn set(&self, from: End, to: End, fault: Fault) {
+    pub fn set(&self, from: End, to: End, fault: LinkFault) {
         self.lock().faults.insert((from, to), fault);
     }
     /// Sets what all links between nodes do that have no fault of their own.
-    pub fn everywhere(&self, fault: Fault) {
+    pub fn set_between_all_nodes(&self, fault: LinkFault) {
         self.lock().everywhere = fault;
     }
     /// Cuts or mends both directions between two sets of nodes.
-    pub fn part(&self, some: &[usize], others: &[usize]) {
+    pub fn set_partition(&self, some: &[usize], others: &[usize]) {
         for (a, b) in some
             .iter()
             .flat_map(|a| others.iter().map(move |b| (*a, *b)))
         {
-            let cut = Fault {
+            let cut = LinkFault {
                 cut: true,
-                ..Fault::default()
+                ..LinkFault::default()
             };
             self.set(End::Node(a), End::Node(b), cut);
             self.set(End::Node(b), End::Node(a), cut);
         }
     }
     /// All links are as they should be again.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         let mut state = self.lock();
         state.faults.clear();
-        state.everywhere = Fault::default();
+        state.everywhere = LinkFault::default();
     }
     /// Breaks the connections that go over a link, in whichever direction they were opened.
     pub fn break_streams(&self, from: End, to: End) {
         *self.lock().breaks.entry((from, to)).or_default() += 1;
     }
-    fn fault(&self, from: End, to: End) -> Fault {
+    fn fault(&self, from: End, to: End) -> LinkFault {
         let state = self.lock();
         let between_nodes = matches!((from, to), (End::Node(_), End::Node(_)));
         let usual = if between_nodes {
             state.everywhere
         } else {
-            Fault::default()
+            LinkFault::default()
         };
         state.faults.get(&(from, to)).copied().unwrap_or(usual)
     }
@@ -112,22 +112,22 @@
         self.lock().breaks.get(&(from, to)).copied().unwrap_or(0)
     }
     /// From where a node's datagrams come.
-    pub fn source(&self, at: SocketAddr, node: usize) {
+    pub fn set_source(&self, at: SocketAddr, node: usize) {
         self.lock().sources.insert(at, node);
     }
     /// Datagrams and bytes that all nodes sent each other.
-    pub fn total(&self) -> (u64, u64) {
+    pub fn total_traffic(&self) -> (u64, u64) {
         self.lock().came
     }
     /// Datagrams that nobody of the rig sent, and those that a node sent to where they came from.
-    pub fn astray(&self) -> (u64, u64) {
+    pub fn misdirected_datagrams(&self) -> (u64, u64) {
         let state = self.lock();
         (state.foreign, state.to_self)
     }
 }
 
 /// Passes on the datagrams for one node that come to its announced address, until the world ends.
-pub async fn datagrams(
+pub async fn relay_datagrams(
     runtime: RuntimeRef,
     links: Links,
     mut door: Box<dyn Datagrams>,
@@ -193,7 +193,7 @@
 }
 
 /// Passes on the connections that one end opens to another, until the world ends.
-pub async fn streams(
+pub async fn relay_streams(
     runtime: RuntimeRef,
     links: Links,
     mut door: Box<dyn Listener>,
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -60,10 +60,10 @@
     },
     /// The stand-ins fail.
     #[error(transparent)]
-    Scene(#[from] LocalClusterError),
+    LocalCluster(#[from] LocalClusterError),
     /// Something that had to come about did not.
     #[error("{0}")]
-    Never(String),
+    Timeout(String),
 }
 
 fn io(doing: &'static str) -> impl Fn(std::io::Error) -> ClusterError {
@@ -175,7 +175,7 @@
         };
         cluster.wire_up()?;
         for node in 0..cluster.size.nodes {
-            cluster.begin(node)?;
+            cluster.start_node(node)?;
         }
         Ok(cluster)
     }
@@ -195,8 +195,8 @@
             let real = socket.address();
             // Held until all are found: one that is free again is found twice.
             held.push(socket);
-            self.links.source(real, node);
-            runtime.run(links::datagrams(
+            self.links.set_source(real, node);
+            runtime.run(links::relay_datagrams(
                 runtime.clone(),
                 self.links.clone(),
                 door,
@@ -261,7 +261,7 @@
         let runtime: RuntimeRef = self.runtime.clone();
         let door = runtime.listen(local()).map_err(io("opening a relay"))?;
         let through = door.address();
-        runtime.run(links::streams(
+        runtime.run(links::relay_streams(
             runtime.clone(),
             self.links.clone(),
             door,
@@ -292,7 +292,7 @@
         self.places.get(node)?.process.as_ref()
     }
     /// Where a node really takes datagrams, past its relay.
-    pub fn real(&self, node: usize) -> SocketAddr {
+    pub fn peer_address(&self, node: usize) -> SocketAddr {
         self.places[node].real
     }
     /// Nodes that run.
@@ -301,7 +301,7 @@
         (0..self.places.len()).filter(runs).collect()
     }
     /// Nodes whose processes are there, stopped or not: each may be sending.
-    pub fn there(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.places.iter().filter(|p| p.process.is_some()).count()
     }
 
@@ -309,7 +309,7 @@
     ///
     /// # Errors
     /// [`ClusterError`].
-    pub fn begin(&mut self, node: usize) -> Result<(), ClusterError> {
+    pub fn start_node(&mut self, node: usize) -> Result<(), ClusterError> {
         let place = &mut self.places[node];
         let mut tries = 0;
         let process = loop {
@@ -323,26 +323,29 @@
         Ok(())
     }
     /// Kills a node (SIGKILL).
-    pub fn kill(&mut self, node: usize) {
+    pub fn kill_node(&mut self, node: usize) {
         if let Some(process) = self.places[node].process.take() {
             self.log.add(ObservedEvent::Killed {
                 node,
-                run: process.run,
+                run: process.incarnation,
             });
         }
     }
     /// Asks a node to end in order (SIGTERM) and waits for it; whether it ended well.
-    pub fn end(&mut self, node: usize) -> bool {
-        self.places[node].process.take().is_some_and(Process::end)
+    pub fn terminate_node(&mut self, node: usize) -> bool {
+        self.places[node]
+            .process
+            .take()
+            .is_some_and(Process::terminate)
     }
     /// Stops a node where it is, or lets it go on.
-    pub fn stop(&mut self, node: usize, on: bool) {
+    pub fn set_paused(&mut self, node: usize, on: bool) {
         let place = &mut self.places[node];
         if let Some(process) = &place.process {
             if on {
-                process.stop();
+                process.pause();
             } else {
-                process.go_on();
+                process.resume();
             }
             place.stopped = on;
         }
@@ -393,7 +396,7 @@
 
     /// What is wrong with the counts: none is to be lower than the number of processes that are there.
     pub fn miscounts(&self, views: &BTreeMap<usize, View>) -> Vec<String> {
-        let there = self.there() as u32;
+        let there = self.process_count() as u32;
         let low = views.iter().filter(|(_, view)| view.count < there);
         low.map(|(node, view)| format!("node {node} counts {} of {there}", view.count))
             .collect()
@@ -403,7 +406,7 @@
     ///
     /// # Errors
     /// [`ClusterError::Never`] with what was still wrong.
-    pub fn until(
+    pub fn wait_until(
         &self,
         most: Micros,
         what: impl Fn(&Cluster, &BTreeMap<usize, View>) -> Vec<String>,
@@ -417,24 +420,24 @@
             }
             if self.runtime.now() - began > most {
                 wrong.truncate(8);
-                return Err(ClusterError::Never(format!(
+                return Err(ClusterError::Timeout(format!(
                     "after {} s: {}",
                     most / 1_000_000,
                     wrong.join("; ")
                 )));
             }
-            self.rest(LOOK);
+            self.sleep(LOOK);
         }
     }
     /// Waits until all views agree.
     ///
     /// # Errors
     /// As for [`Cluster::until`].
-    pub fn until_agreed(&self, most: Micros) -> Result<Micros, ClusterError> {
-        self.until(most, |cluster, views| cluster.disagreements(views))
+    pub fn wait_until_agreed(&self, most: Micros) -> Result<Micros, ClusterError> {
+        self.wait_until(most, |cluster, views| cluster.disagreements(views))
     }
     /// Lets a span go by.
-    pub fn rest(&self, span: Micros) {
+    pub fn sleep(&self, span: Micros) {
         let runtime: RuntimeRef = self.runtime.clone();
         self.runtime.block_on(runtime.sleep(span));
     }
--- a/crates/ivyward-testbed/src/cluster/plan.rs
+++ b/crates/ivyward-testbed/src/cluster/plan.rs
@@ -1,6 +1,6 @@
 //! What happens to a cluster: drawn from a seed or read from a file, an episode after the other.
 
-use crate::cluster::links::Fault;
+use crate::cluster::links::LinkFault;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -26,7 +26,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Episode {
     /// What is wrong.
-    pub fault: Trouble,
+    pub fault: ClusterFault,
     /// Milliseconds until it is mended.
     pub lasts_ms: u64,
 }
@@ -34,29 +34,39 @@
 /// What is wrong with nodes or links.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
+pub enum ClusterFault {
     /// Processes are killed, and started again under their names at the end.
     Kill(Vec<usize>),
     /// Processes are asked to end, one after the other, each started again before the next.
-    Roll(Vec<usize>),
+    #[serde(rename = "roll")]
+    RollingRestart(Vec<usize>),
     /// Processes are stopped, and go on at the end.
-    Stop(Vec<usize>),
+    #[serde(rename = "stop")]
+    Pause(Vec<usize>),
     /// The links between groups are cut in both directions.
-    Split(Vec<Vec<usize>>),
+    #[serde(rename = "split")]
+    Partition(Vec<Vec<usize>>),
     /// What these nodes send reaches nobody, while all reaches them.
-    Mute(Vec<usize>),
+    #[serde(rename = "mute")]
+    OutboundCut(Vec<usize>),
     /// Nothing reaches these nodes, while what they send does.
-    Deaf(Vec<usize>),
+    #[serde(rename = "deaf")]
+    InboundCut(Vec<usize>),
     /// One directed link is cut.
-    Link(usize, usize),
+    #[serde(rename = "link")]
+    LinkCut(usize, usize),
     /// All links between nodes are so.
-    Everywhere(Fault),
+    #[serde(rename = "everywhere")]
+    AllLinks(LinkFault),
     /// All links to and from a node are so.
-    Around(usize, Fault),
+    #[serde(rename = "around")]
+    NodeLinks(usize, LinkFault),
     /// A link goes and comes, each for so many milliseconds.
-    Flap(usize, usize, u64),
+    #[serde(rename = "flap")]
+    LinkFlap(usize, usize, u64),
     /// The store cannot be reached by these.
-    NoStore(Vec<usize>),
+    #[serde(rename = "no_store")]
+    StoreCut(Vec<usize>),
 }
 
 /// Why a plan cannot be played.
@@ -111,7 +121,7 @@
                     self.nodes - 1
                 ));
             }
-            if let Trouble::Everywhere(f) | Trouble::Around(_, f) = &episode.fault {
+            if let ClusterFault::AllLinks(f) | ClusterFault::NodeLinks(_, f) = &episode.fault {
                 if !(0.0..=1.0).contains(&f.lose) || !(0.0..=1.0).contains(&f.repeat) {
                     return bad(format!(
                         "episode {i}: lose and repeat are parts from 0 to 1"
@@ -165,34 +175,37 @@
             .collect::<Vec<Vec<usize>>>()
     };
     let (fault, lasts_ms) = match kind {
-        0 => (Trouble::Kill(vec![one(random)]), long),
-        1 => (Trouble::Kill(some(random, ours, nodes * 7 / 10)), long),
-        2 => (Trouble::Roll(some(random, ours, ours.min(8))), 0),
-        3 => (Trouble::Stop(vec![one(random)]), short),
-        4 => (Trouble::Stop(some(random, ours, nodes / 2)), long),
-        5 => (Trouble::Split(groups(random, 2)), long),
-        6 => (Trouble::Split(groups(random, 3.min(nodes))), long),
-        7 => (Trouble::Mute(vec![one(random)]), long),
-        8 => (Trouble::Deaf(vec![one(random)]), long),
+        0 => (ClusterFault::Kill(vec![one(random)]), long),
+        1 => (ClusterFault::Kill(some(random, ours, nodes * 7 / 10)), long),
+        2 => (
+            ClusterFault::RollingRestart(some(random, ours, ours.min(8))),
+            0,
+        ),
+        3 => (ClusterFault::Pause(vec![one(random)]), short),
+        4 => (ClusterFault::Pause(some(random, ours, nodes / 2)), long),
+        5 => (ClusterFault::Partition(groups(random, 2)), long),
+        6 => (ClusterFault::Partition(groups(random, 3.min(nodes))), long),
+        7 => (ClusterFault::OutboundCut(vec![one(random)]), long),
+        8 => (ClusterFault::InboundCut(vec![one(random)]), long),
         9 => {
             let pair = some(random, nodes, 2);
-            (Trouble::Link(pair[0], pair[1]), long)
+            (ClusterFault::LinkCut(pair[0], pair[1]), long)
         }
         10 => {
-            let fault = Fault {
+            let fault = LinkFault {
                 lose: 0.2,
                 repeat: 0.2,
                 jitter_ms: 20,
-                ..Fault::default()
+                ..LinkFault::default()
             };
-            (Trouble::Everywhere(fault), long)
+            (ClusterFault::AllLinks(fault), long)
         }
         _ => (
-            Trouble::Around(
+            ClusterFault::NodeLinks(
                 one(random),
-                Fault {
+                LinkFault {
                     lose: 0.6,
-                    ..Fault::default()
+                    ..LinkFault::default()
                 },
             ),
             long,
@@ -201,37 +214,39 @@
     Episode { fault, lasts_ms }
 }
 
-impl Trouble {
+impl ClusterFault {
     /// Nodes that it names.
     pub fn nodes(&self) -> Vec<usize> {
         match self {
-            Trouble::Kill(n)
-            | Trouble::Roll(n)
-            | Trouble::Stop(n)
-            | Trouble::Mute(n)
-            | Trouble::Deaf(n) => n.clone(),
-            Trouble::NoStore(n) => n.clone(),
-            Trouble::Split(groups) => groups.concat(),
-            Trouble::Link(a, b) | Trouble::Flap(a, b, _) => vec![*a, *b],
-            Trouble::Everywhere(_) => vec![],
-            Trouble::Around(node, _) => vec![*node],
+            ClusterFault::Kill(n)
+            | ClusterFault::RollingRestart(n)
+            | ClusterFault::Pause(n)
+            | ClusterFault::OutboundCut(n)
+            | ClusterFault::InboundCut(n) => n.clone(),
+            ClusterFault::StoreCut(n) => n.clone(),
+            ClusterFault::Partition(groups) => groups.concat(),
+            ClusterFault::LinkCut(a, b) | ClusterFault::LinkFlap(a, b, _) => vec![*a, *b],
+            ClusterFault::AllLinks(_) => vec![],
+            ClusterFault::NodeLinks(node, _) => vec![*node],
         }
     }
     /// Nodes whose processes it stops or ends.
-    pub fn processes(&self) -> Vec<usize> {
+    pub fn affected_processes(&self) -> Vec<usize> {
         match self {
-            Trouble::Kill(n) | Trouble::Roll(n) | Trouble::Stop(n) => n.clone(),
+            ClusterFault::Kill(n) | ClusterFault::RollingRestart(n) | ClusterFault::Pause(n) => {
+                n.clone()
+            }
             _ => vec![],
         }
     }
     /// Whether nobody may be taken for dead during it but those that are killed: no silence that it makes is long, or
     /// others hear who is cut off.
-    pub fn bears(&self, lasts_ms: u64) -> bool {
+    pub fn forbids_false_deaths(&self, lasts_ms: u64) -> bool {
         match self {
-            Trouble::Stop(_) => lasts_ms < 2_000,
-            Trouble::Split(_) | Trouble::Mute(_) => false,
+            ClusterFault::Pause(_) => lasts_ms < 2_000,
+            ClusterFault::Partition(_) | ClusterFault::OutboundCut(_) => false,
             // Whoever hears nobody may come to take others for dead, who do not take it so.
-            Trouble::Deaf(_) => false,
+            ClusterFault::InboundCut(_) => false,
             _ => true,
         }
     }
--- a/crates/ivyward-testbed/src/cluster/plan/tests.rs
+++ b/crates/ivyward-testbed/src/cluster/plan/tests.rs
@@ -20,22 +20,22 @@
         episodes: vec![Episode { fault, lasts_ms }],
     };
     let bad = [
-        (plan(Trouble::Stop(vec![3]), 1), "names node 3"),
-        (plan(Trouble::Stop(vec![1]), 10_000_000), "at most"),
+        (plan(ClusterFault::Pause(vec![3]), 1), "names node 3"),
+        (plan(ClusterFault::Pause(vec![1]), 10_000_000), "at most"),
         (
             Plan {
                 nodes: 1,
-                ..plan(Trouble::Stop(vec![0]), 1)
+                ..plan(ClusterFault::Pause(vec![0]), 1)
             },
             "2 to 300",
         ),
         (
             plan(
-                Trouble::Around(
+                ClusterFault::NodeLinks(
                     1,
-                    Fault {
+                    LinkFault {
                         lose: 1.5,
-                        ..Fault::default()
+                        ..LinkFault::default()
                     },
                 ),
                 1,
--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -1,7 +1,7 @@
 //! Plays a plan on a rig under a load, and reports what came of it.
 
-use crate::cluster::links::{End, Fault};
-use crate::cluster::plan::{Plan, Trouble};
+use crate::cluster::links::{End, LinkFault};
+use crate::cluster::plan::{ClusterFault, Plan};
 use crate::cluster::{id, Cluster, ClusterError};
 use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
 use ivyward_fakes::{Client, ClientBehavior, ClientRequest};
@@ -22,15 +22,17 @@
 
 /// What came of one episode.
 #[derive(Clone, Debug, Serialize)]
-pub struct Came {
+pub struct EpisodeReport {
     /// What was wrong.
-    pub fault: Trouble,
+    pub fault: ClusterFault,
     /// For so long.
     pub lasted_ms: u64,
     /// Milliseconds from its end until all views agreed.
-    pub agreed_ms: u64,
+    #[serde(rename = "agreed_ms")]
+    pub converged_ms: u64,
     /// Milliseconds until all survivors knew of a kill, where there was one.
-    pub known_ms: Option<u64>,
+    #[serde(rename = "known_ms")]
+    pub detected_ms: Option<u64>,
     /// Somebody was taken for dead whose process was there, and the fault was one that is to be borne.
     pub false_deaths: usize,
     /// Counts below the number of processes that were there, in words.
@@ -43,7 +45,8 @@
     /// The plan.
     pub plan: Plan,
     /// Its episodes.
-    pub came: Vec<Came>,
+    #[serde(rename = "came")]
+    pub episodes: Vec<EpisodeReport>,
     /// Milliseconds until all knew each other at the start.
     pub joined_ms: u64,
     /// Datagrams and bytes that a node sent a second, on the mean of the whole run.
@@ -51,20 +54,23 @@
     /// See `datagrams_s`.
     pub bytes_s: f64,
     /// Datagrams from nobody, and those that went to their source.
-    pub astray: (u64, u64),
+    #[serde(rename = "astray")]
+    pub misdirected_datagrams: (u64, u64),
     /// Calls that were made, and those that were served.
     pub calls: (u64, u64),
     /// Of the five rules, those that were kept, and what broke the others.
-    pub rules_kept: usize,
+    #[serde(rename = "rules_kept")]
+    pub rules_satisfied: usize,
     /// See `rules_kept`.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
 impl Report {
     /// What must not be, in words.
-    pub fn wrong(&self) -> Vec<String> {
-        let mut wrong = self.broken.clone();
-        for (i, came) in self.came.iter().enumerate() {
+    pub fn failures(&self) -> Vec<String> {
+        let mut wrong = self.violations.clone();
+        for (i, came) in self.episodes.iter().enumerate() {
             wrong.extend(came.miscounts.iter().map(|m| format!("episode {i}: {m}")));
             if came.false_deaths > 0 {
                 wrong.push(format!(
@@ -73,10 +79,10 @@
                 ));
             }
         }
-        if self.astray.1 > 0 {
+        if self.misdirected_datagrams.1 > 0 {
             wrong.push(format!(
                 "{} datagrams were answers to their source",
-                self.astray.1
+                self.misdirected_datagrams.1
             ));
         }
         wrong
@@ -103,7 +109,7 @@
         let nodes: Vec<usize> = nodes.collect();
         let pause = PAUSE.max(1_000_000 * nodes.len() as Micros / CALLS_S);
         for node in nodes {
-            let Some(door) = cluster.process(node).map(|p| p.door) else {
+            let Some(door) = cluster.process(node).map(|p| p.client_address) else {
                 continue;
             };
             let (runtime, log) = (runtime.clone(), cluster.log().clone());
@@ -137,7 +143,7 @@
     fn end(&self, cluster: &Cluster) {
         self.over.store(true, Ordering::SeqCst);
         while Arc::strong_count(&self.at_work) > 1 {
-            cluster.rest(10_000);
+            cluster.sleep(10_000);
         }
     }
 }
@@ -165,17 +171,17 @@
 ///
 /// # Errors
 /// When views do not come to agree, or a process does not start.
-pub fn play(
+pub fn run_plan(
     cluster: &mut Cluster,
     plan: &Plan,
-    mut told: impl FnMut(&Came),
+    mut told: impl FnMut(&EpisodeReport),
 ) -> Result<Report, ClusterError> {
     let began = cluster.runtime().now();
-    let joined = cluster.until_agreed(MOST_HEALING)?;
+    let joined = cluster.wait_until_agreed(MOST_HEALING)?;
     let touched: BTreeSet<usize> = plan
         .episodes
         .iter()
-        .flat_map(|e| e.fault.processes())
+        .flat_map(|e| e.fault.affected_processes())
         .collect();
     let load = Load::begin(cluster, (0..plan.nodes).filter(|n| !touched.contains(n)));
     let mut came = Vec::new();
@@ -186,24 +192,24 @@
     }
     load.end(cluster);
     // What engines keep for a while is let go by then, or pinned.
-    cluster.rest(1_000_000);
+    cluster.sleep(1_000_000);
     let seconds = (cluster.runtime().now() - began) as f64 / 1e6;
-    let (datagrams, bytes) = cluster.links().total();
+    let (datagrams, bytes) = cluster.links().total_traffic();
     let a_node = seconds * plan.nodes as f64;
     let audit = cluster.audit();
     Ok(Report {
         plan: plan.clone(),
-        came,
+        episodes: came,
         joined_ms: joined / 1_000,
         datagrams_s: datagrams as f64 / a_node,
         bytes_s: bytes as f64 / a_node,
-        astray: cluster.links().astray(),
+        misdirected_datagrams: cluster.links().misdirected_datagrams(),
         calls: (
             load.made.load(Ordering::SeqCst),
             load.served.load(Ordering::SeqCst),
         ),
-        rules_kept: audit.kept(),
-        broken: audit.broken(),
+        rules_satisfied: audit.kept(),
+        violations: audit.broken(),
     })
 }
 
@@ -216,7 +222,7 @@
         let process = cluster.process(*node);
         let of_one = |name: &String| {
             process.map_or(0, |p| {
-                p.said(&[
+                p.count_log_lines(&[
                     "peer state changed",
                     &format!("\"peer\":\"{name}\""),
                     "\"is\":\"dead\"",
@@ -228,62 +234,66 @@
     running.iter().map(said).sum()
 }
 
-fn one(cluster: &mut Cluster, fault: &Trouble, lasts_ms: u64) -> Result<Came, ClusterError> {
+fn one(
+    cluster: &mut Cluster,
+    fault: &ClusterFault,
+    lasts_ms: u64,
+) -> Result<EpisodeReport, ClusterError> {
     let all: Vec<usize> = (0..cluster.size.nodes).collect();
-    let hit: BTreeSet<usize> = fault.processes().into_iter().collect();
+    let hit: BTreeSet<usize> = fault.affected_processes().into_iter().collect();
     let spared: BTreeSet<usize> = match fault {
         // Those that only stop for a moment are to be borne as well.
-        Trouble::Stop(_) => all.iter().copied().collect(),
+        ClusterFault::Pause(_) => all.iter().copied().collect(),
         _ => all.iter().copied().filter(|n| !hit.contains(n)).collect(),
     };
     let before = deaths(cluster, &spared);
     let links = cluster.links().clone();
     let node = |n: usize| End::Node(n);
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     let mut known_ms = None;
     let mut miscounts = Vec::new();
     match fault {
-        Trouble::Kill(nodes) => {
-            nodes.iter().for_each(|n| cluster.kill(*n));
-            known_ms = Some(cluster.until_agreed(MOST_HEALING)? / 1_000);
+        ClusterFault::Kill(nodes) => {
+            nodes.iter().for_each(|n| cluster.kill_node(*n));
+            known_ms = Some(cluster.wait_until_agreed(MOST_HEALING)? / 1_000);
         }
-        Trouble::Roll(nodes) => {
+        ClusterFault::RollingRestart(nodes) => {
             for n in nodes {
-                if !cluster.end(*n) {
+                if !cluster.terminate_node(*n) {
                     miscounts.push(format!("node {n} did not end well"));
                 }
-                cluster.begin(*n)?;
+                cluster.start_node(*n)?;
             }
         }
-        Trouble::Stop(nodes) => nodes.iter().for_each(|n| cluster.stop(*n, true)),
-        Trouble::Split(groups) => {
+        ClusterFault::Pause(nodes) => nodes.iter().for_each(|n| cluster.set_paused(*n, true)),
+        ClusterFault::Partition(groups) => {
             for (i, some) in groups.iter().enumerate() {
                 groups[i + 1..]
                     .iter()
-                    .for_each(|others| links.part(some, others));
+                    .for_each(|others| links.set_partition(some, others));
             }
         }
-        Trouble::Mute(nodes) | Trouble::Deaf(nodes) => {
-            let mute = matches!(fault, Trouble::Mute(_));
+        ClusterFault::OutboundCut(nodes) | ClusterFault::InboundCut(nodes) => {
+            let mute = matches!(fault, ClusterFault::OutboundCut(_));
             for (n, other) in nodes.iter().flat_map(|n| all.iter().map(move |o| (*n, *o))) {
                 let (from, to) = if mute { (n, other) } else { (other, n) };
                 links.set(node(from), node(to), cut);
             }
         }
-        Trouble::Link(from, to) | Trouble::Flap(from, to, _) => {
+        ClusterFault::LinkCut(from, to) | ClusterFault::LinkFlap(from, to, _) => {
             links.set(node(*from), node(*to), cut)
         }
-        Trouble::Everywhere(fault) => links.everywhere(*fault),
-        Trouble::Around(n, fault) => {
+        ClusterFault::AllLinks(fault) => links.set_between_all_nodes(*fault),
+        ClusterFault::NodeLinks(n, fault) => {
             for other in &all {
                 links.set(node(*n), node(*other), *fault);
                 links.set(node(*other), node(*n), *fault);
             }
         }
-        Trouble::NoStore(nodes) => {
+        ClusterFault::StoreCut(nodes) => {
             for n in nodes {
                 links.set(node(*n), End::Store, cut);
                 links.set(End::Store, node(*n), cut);
@@ -294,15 +304,15 @@
     let (mut on, mut turned) = (true, began);
     while cluster.runtime().now() < began + lasts_ms * 1_000 {
         let now = cluster.runtime().now();
-        if let Trouble::Flap(from, to, each) = fault {
+        if let ClusterFault::LinkFlap(from, to, each) = fault {
             if now >= turned + each * 1_000 {
                 (on, turned) = (!on, now);
                 links.set(
                     node(*from),
                     node(*to),
-                    Fault {
+                    LinkFault {
                         cut: on,
-                        ..Fault::default()
+                        ..LinkFault::default()
                     },
                 );
             }
@@ -310,30 +320,30 @@
         // Counts hold at every moment, not only where all is well.
         let views = cluster.views();
         miscounts.extend(cluster.miscounts(&views));
-        cluster.rest(20_000);
+        cluster.sleep(20_000);
     }
-    links.mend();
+    links.clear_faults();
     for n in &hit {
         match fault {
-            Trouble::Kill(_) => cluster.begin(*n)?,
-            Trouble::Stop(_) => cluster.stop(*n, false),
+            ClusterFault::Kill(_) => cluster.start_node(*n)?,
+            ClusterFault::Pause(_) => cluster.set_paused(*n, false),
             _ => {}
         }
     }
-    let agreed = cluster.until_agreed(MOST_HEALING)?;
+    let agreed = cluster.wait_until_agreed(MOST_HEALING)?;
     let views = cluster.views();
     miscounts.extend(cluster.miscounts(&views));
     miscounts.dedup();
     miscounts.truncate(8);
-    let false_deaths = match fault.bears(lasts_ms) {
+    let false_deaths = match fault.forbids_false_deaths(lasts_ms) {
         true => deaths(cluster, &spared).saturating_sub(before),
         false => 0,
     };
-    Ok(Came {
+    Ok(EpisodeReport {
         fault: fault.clone(),
         lasted_ms: lasts_ms,
-        agreed_ms: agreed / 1_000,
-        known_ms,
+        converged_ms: agreed / 1_000,
+        detected_ms: known_ms,
         false_deaths,
         miscounts,
     })
--- a/crates/ivyward-testbed/src/cluster/process.rs
+++ b/crates/ivyward-testbed/src/cluster/process.rs
@@ -21,17 +21,17 @@
 pub struct Process {
     child: Child,
     /// Where clients call.
-    pub door: SocketAddr,
+    pub client_address: SocketAddr,
     /// Where health, metrics and the view are.
     pub admin: SocketAddr,
     /// The name of its run, as engines see it.
-    pub run: u64,
+    pub incarnation: u64,
     lines: Arc<Mutex<VecDeque<String>>>,
 }
 
 /// A node as another one sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct PeerRow {
     /// Its state: alive, unheard, suspected, dead or left.
     pub state: String,
     /// Its start.
@@ -50,7 +50,7 @@
     /// Its own start.
     pub start: u64,
     /// The others, by their number.
-    pub peers: BTreeMap<u64, Row>,
+    pub peers: BTreeMap<u64, PeerRow>,
 }
 
 impl View {
@@ -76,7 +76,7 @@
                     );
                     view.peers.insert(
                         id,
-                        Row {
+                        PeerRow {
                             state,
                             start,
                             certain,
@@ -178,9 +178,9 @@
         });
         Ok(Process {
             child,
-            door,
+            client_address: door,
             admin,
-            run,
+            incarnation: run,
             lines,
         })
     }
@@ -196,20 +196,20 @@
         }
     }
     /// Stops it where it is (SIGSTOP).
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
     /// Lets it go on (SIGCONT).
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
     /// Asks it to end in order (SIGTERM) and waits; whether it ended well.
-    pub fn end(mut self) -> bool {
+    pub fn terminate(mut self) -> bool {
         self.signal(Signal::TERM);
         self.child.wait().is_ok_and(|status| status.success())
     }
     /// Lines of its log that hold all these words.
-    pub fn said(&self, words: &[&str]) -> usize {
+    pub fn count_log_lines(&self, words: &[&str]) -> usize {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines
             .iter()
@@ -220,7 +220,7 @@
     ///
     /// # Errors
     /// When it does not answer in time.
-    pub async fn ask(&self, runtime: &RuntimeRef, path: &str) -> std::io::Result<String> {
+    pub async fn admin_get(&self, runtime: &RuntimeRef, path: &str) -> std::io::Result<String> {
         let asking = async {
             let mut conn = runtime.connect(self.admin).await?;
             let head = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
@@ -239,7 +239,7 @@
     }
     /// Its view, if it answers.
     pub async fn view(&self, runtime: &RuntimeRef) -> Option<View> {
-        View::read(&self.ask(runtime, "/peers").await.ok()?)
+        View::read(&self.admin_get(runtime, "/peers").await.ok()?)
     }
 }
 
--- a/crates/ivyward-testbed/src/cluster/process/tests.rs
+++ b/crates/ivyward-testbed/src/cluster/process/tests.rs
@@ -8,7 +8,7 @@
                 peer id=0b start=6 zone=0 address=127.0.0.1:2 state=unheard certain=false\n";
     let view = View::read(text).unwrap();
     assert_eq!((view.count, view.joined, view.start), (2, true, 5));
-    let row = Row {
+    let row = PeerRow {
         state: "unheard".into(),
         start: 6,
         certain: false,
--- a/crates/ivyward-testbed/src/commands/cluster.rs
+++ b/crates/ivyward-testbed/src/commands/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::{exit_code, file_error, CommandResult};
 use ivyward_testbed::cluster::plan::Plan;
-use ivyward_testbed::cluster::play::{play, Came, Report};
+use ivyward_testbed::cluster::play::{run_plan, EpisodeReport, Report};
 use ivyward_testbed::cluster::{Cluster, Size};
 use std::error::Error;
 use std::path::PathBuf;
@@ -61,13 +61,13 @@
             "| fault | lasted, ms | all agree after, ms | kill known to all, ms | false deaths | miscounts |"
         );
         println!("| --- | --- | --- | --- | --- | --- |");
-        let report = play(&mut cluster, &plan, print_episode)?;
+        let report = run_plan(&mut cluster, &plan, print_episode)?;
         print_report(&report);
         if let Some(path) = self.keep {
             let text = serde_json::to_string_pretty(&report).unwrap_or_default();
             std::fs::write(&path, text).map_err(|error| file_error("--keep", &path, error))?;
         }
-        Ok(exit_code(report.wrong().is_empty()))
+        Ok(exit_code(report.failures().is_empty()))
     }
 
     fn plan(&self) -> Result<Plan, Box<dyn Error>> {
@@ -81,13 +81,13 @@
     }
 }
 
-fn print_episode(came: &Came) {
+fn print_episode(came: &EpisodeReport) {
     let fault = serde_json::to_string(&came.fault).unwrap_or_default();
-    let known = came.known_ms.map_or("-".into(), |ms| ms.to_string());
+    let known = came.detected_ms.map_or("-".into(), |ms| ms.to_string());
     println!(
         "| {fault} | {} | {} | {known} | {} | {} |",
         came.lasted_ms,
-        came.agreed_ms,
+        came.converged_ms,
         came.false_deaths,
         came.miscounts.len()
     );
@@ -101,9 +101,9 @@
         report.bytes_s,
         report.calls.1,
         report.calls.0,
-        report.rules_kept
+        report.rules_satisfied
     );
-    for line in report.wrong() {
+    for line in report.failures() {
         println!("wrong: {line}");
     }
 }
--- a/crates/ivyward-testbed/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -67,9 +67,10 @@
         let (stop, stopped) = async_channel::bounded::<()>(1);
         for (number, real) in stage.real.iter().enumerate() {
             let log = EventLog::forgetful(&runtime);
-            let client = stage
-                .runtime
-                .block_on(Client::connect(&runtime, &log, real.door));
+            let client =
+                stage
+                    .runtime
+                    .block_on(Client::connect(&runtime, &log, real.client_address));
             let client = client.map_err(ScaleError::io("connecting to a daemon"))?;
             let one = Sender {
                 runtime: runtime.clone(),
--- a/crates/ivyward-testbed/src/scale/stage.rs
+++ b/crates/ivyward-testbed/src/scale/stage.rs
@@ -161,7 +161,7 @@
             return Ok((0, 0));
         };
         let began = self.runtime.now();
-        if !process.end() {
+        if !process.terminate() {
             return Err(ScaleError::Process("a daemon did not end well".into()));
         }
         let ended = self.runtime.now();
@@ -265,7 +265,9 @@
     /// What a daemon tells of itself.
     fn metrics(&self, daemon: &Process) -> Result<String, ScaleError> {
         let runtime: RuntimeRef = self.runtime.clone();
-        let text = self.runtime.block_on(daemon.ask(&runtime, "/metrics"));
+        let text = self
+            .runtime
+            .block_on(daemon.admin_get(&runtime, "/metrics"));
         text.map_err(ScaleError::io("asking a daemon"))
     }
 
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -4,9 +4,9 @@
 //! second or two against a silence of ten that would be a death.
 
 use ivyward_runtime::RuntimeRef;
-use ivyward_testbed::cluster::links::{End, Fault};
-use ivyward_testbed::cluster::plan::{Episode, Plan, Trouble};
-use ivyward_testbed::cluster::play::play;
+use ivyward_testbed::cluster::links::{End, LinkFault};
+use ivyward_testbed::cluster::plan::{ClusterFault, Episode, Plan};
+use ivyward_testbed::cluster::play::run_plan;
 use ivyward_testbed::cluster::process::View;
 use ivyward_testbed::cluster::{id, Cluster, Size};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
 /// Engines are needed for a daemon to start at all; two are enough.
 fn rig(size: Size) -> Cluster {
     let cluster = Cluster::start(Size { engines: 2, ..size }).unwrap();
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
     cluster
 }
 
@@ -40,7 +40,7 @@
     cluster
         .process(at)
         .unwrap()
-        .said(&["peer state changed", &name, "\"is\":\"dead\""])
+        .count_log_lines(&["peer state changed", &name, "\"is\":\"dead\""])
 }
 
 fn all_deaths(cluster: &Cluster, nodes: usize) -> usize {
@@ -69,17 +69,23 @@
 fn a_kill_is_known_to_all_and_a_restarted_one_is_new_at_once() {
     let mut cluster = rig(size(5));
     // They are given one seed, and engines are to tell them apart all the same.
-    let runs: BTreeSet<u64> = (0..5).map(|n| cluster.process(n).unwrap().run).collect();
+    let runs: BTreeSet<u64> = (0..5)
+        .map(|n| cluster.process(n).unwrap().incarnation)
+        .collect();
     assert_eq!(runs.len(), 5);
-    cluster.until(NEVER, |_, views| counted(views, 5)).unwrap();
+    cluster
+        .wait_until(NEVER, |_, views| counted(views, 5))
+        .unwrap();
     let before = cluster.views()[&0].peers[&id(3)].start;
-    cluster.kill(3);
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.kill_node(3);
+    cluster.wait_until_agreed(NEVER).unwrap();
     // Silence is no proof that it sends nothing.
     assert_eq!(counted(&cluster.views(), 5), Vec::<String>::new());
-    cluster.begin(3).unwrap();
-    cluster.until_agreed(NEVER).unwrap();
-    cluster.until(NEVER, |_, views| counted(views, 5)).unwrap();
+    cluster.start_node(3).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
+    cluster
+        .wait_until(NEVER, |_, views| counted(views, 5))
+        .unwrap();
     let after = cluster.views()[&0].peers[&id(3)].start;
     assert!(after > before, "{after} after {before}");
 }
@@ -88,13 +94,13 @@
 fn those_that_stop_do_not_take_the_others_for_dead_on_waking() {
     let mut cluster = rig(size(6));
     let (stopped, running) = ([0, 1, 2], [3, 4, 5]);
-    stopped.iter().for_each(|n| cluster.stop(*n, true));
+    stopped.iter().for_each(|n| cluster.set_paused(*n, true));
     // For as long as the others need to take them for dead.
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
     assert_eq!(counted(&cluster.views(), 6), Vec::<String>::new());
-    cluster.rest(2 * SECOND);
-    stopped.iter().for_each(|n| cluster.stop(*n, false));
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.sleep(2 * SECOND);
+    stopped.iter().for_each(|n| cluster.set_paused(*n, false));
+    cluster.wait_until_agreed(NEVER).unwrap();
     for (at, of) in stopped
         .iter()
         .flat_map(|at| running.iter().map(move |of| (*at, *of)))
@@ -113,32 +119,32 @@
         death_after: 12 * SECOND,
         ..size(5)
     });
-    let sent = |cluster: &Cluster| cluster.links().total().0;
-    let rough = Fault {
+    let sent = |cluster: &Cluster| cluster.links().total_traffic().0;
+    let rough = LinkFault {
         lose: 0.2,
         repeat: 0.3,
         jitter_ms: 50,
-        ..Fault::default()
+        ..LinkFault::default()
     };
-    cluster.links().everywhere(rough);
+    cluster.links().set_between_all_nodes(rough);
     for other in 0..4 {
-        let rougher = Fault {
+        let rougher = LinkFault {
             lose: 0.6,
-            ..Fault::default()
+            ..LinkFault::default()
         };
         cluster.links().set(End::Node(4), End::Node(other), rougher);
         cluster.links().set(End::Node(other), End::Node(4), rougher);
     }
-    cluster.stop(1, true);
-    cluster.rest(2 * SECOND);
-    cluster.stop(1, false);
+    cluster.set_paused(1, true);
+    cluster.sleep(2 * SECOND);
+    cluster.set_paused(1, false);
     let before = sent(&cluster);
     while sent(&cluster) < before + 2_000 {
-        cluster.rest(50_000);
+        cluster.sleep(50_000);
     }
     assert_eq!(all_deaths(&cluster, 5), 0);
-    cluster.links().mend();
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.links().clear_faults();
+    cluster.wait_until_agreed(NEVER).unwrap();
 }
 
 #[test]
@@ -147,23 +153,25 @@
         death_after: 12 * SECOND,
         ..size(4)
     });
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     cluster.links().set(End::Node(1), End::Node(2), cut);
     let unheard = |views: &BTreeMap<usize, View>| match state(views, 2, 1).as_str() {
         "unheard" => vec![],
         other => vec![format!("to node 2, node 1 is {other}")],
     };
-    cluster.until(NEVER, |_, views| unheard(views)).unwrap();
+    cluster
+        .wait_until(NEVER, |_, views| unheard(views))
+        .unwrap();
     assert_eq!(state(&cluster.views(), 3, 1), "alive");
-    cluster.links().mend();
+    cluster.links().clear_faults();
     let heard = |views: &BTreeMap<usize, View>| match state(views, 2, 1).as_str() {
         "alive" => vec![],
         other => vec![format!("to node 2, node 1 is {other}")],
     };
-    cluster.until(NEVER, |_, views| heard(views)).unwrap();
+    cluster.wait_until(NEVER, |_, views| heard(views)).unwrap();
     assert_eq!(all_deaths(&cluster, 4), 0);
 }
 
@@ -177,7 +185,7 @@
         for (i, some) in parts.iter().enumerate() {
             parts[i + 1..]
                 .iter()
-                .for_each(|others| cluster.links().part(some, others));
+                .for_each(|others| cluster.links().set_partition(some, others));
         }
         let apart = |_: &Cluster, views: &BTreeMap<usize, View>| {
             let pairs = parts.iter().flat_map(|some| {
@@ -190,12 +198,12 @@
             here.map(|(at, of)| format!("{of} is not yet dead to {at}"))
                 .collect::<Vec<String>>()
         };
-        cluster.until(NEVER, apart).unwrap();
+        cluster.wait_until(NEVER, apart).unwrap();
         assert_eq!(counted(&cluster.views(), 6), Vec::<String>::new());
-        cluster.links().mend();
-        cluster.until_agreed(NEVER).unwrap();
+        cluster.links().clear_faults();
+        cluster.wait_until_agreed(NEVER).unwrap();
     }
-    assert_eq!(cluster.links().astray(), (0, 0));
+    assert_eq!(cluster.links().misdirected_datagrams(), (0, 0));
 }
 
 /// What some nodes send reaches none of the others, and all reaches them: dead to those, to whom they are not dead.
@@ -203,9 +211,9 @@
 fn a_part_that_nobody_beyond_it_hears_is_back_when_it_is_mended() {
     let cluster = rig(size(5));
     let (mute, others) = ([0, 1], [2, 3, 4]);
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     for (from, to) in mute
         .iter()
@@ -221,35 +229,39 @@
         here.map(|(at, of)| format!("{of} is not yet dead to {at}"))
             .collect::<Vec<String>>()
     };
-    cluster.until(NEVER, apart).unwrap();
+    cluster.wait_until(NEVER, apart).unwrap();
     let views = cluster.views();
     assert_eq!(counted(&views, 5), Vec::<String>::new());
     assert_eq!(
         (state(&views, 0, 1).as_str(), state(&views, 1, 0).as_str()),
         ("alive", "alive")
     );
-    cluster.links().mend();
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.links().clear_faults();
+    cluster.wait_until_agreed(NEVER).unwrap();
 }
 
 #[test]
 fn most_are_killed_at_once_and_all_are_restarted_in_turn() {
     let mut cluster = rig(size(7));
-    (0..5).for_each(|n| cluster.kill(n));
-    cluster.until_agreed(NEVER).unwrap();
+    (0..5).for_each(|n| cluster.kill_node(n));
+    cluster.wait_until_agreed(NEVER).unwrap();
     assert_eq!(counted(&cluster.views(), 7), Vec::<String>::new());
     for n in 0..5 {
-        cluster.begin(n).unwrap();
+        cluster.start_node(n).unwrap();
     }
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
     for n in 0..7 {
-        assert!(cluster.end(n), "node {n} did not end well");
+        assert!(cluster.terminate_node(n), "node {n} did not end well");
         // It said that it leaves: nobody waits for its silence, and nobody counts it any more.
-        cluster.until(NEVER, |_, views| counted(views, 6)).unwrap();
-        cluster.begin(n).unwrap();
-        cluster.until(NEVER, |_, views| counted(views, 7)).unwrap();
+        cluster
+            .wait_until(NEVER, |_, views| counted(views, 6))
+            .unwrap();
+        cluster.start_node(n).unwrap();
+        cluster
+            .wait_until(NEVER, |_, views| counted(views, 7))
+            .unwrap();
     }
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
 }
 
 /// Nodes find each other by the store's records alone, and the count falls when lease and grace of a silent one are over.
@@ -260,19 +272,21 @@
         seeds: 0,
         ..size(4)
     });
-    cluster.until(NEVER, |_, views| counted(views, 4)).unwrap();
+    cluster
+        .wait_until(NEVER, |_, views| counted(views, 4))
+        .unwrap();
     // Cut off from the store alone: its lease ends, and it is heard.
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     cluster.links().set(End::Node(1), End::Store, cut);
     cluster.links().set(End::Store, End::Node(1), cut);
     let key = format!("ivyward/nodes/{:016x}", id(1));
     while cluster.store().unwrap().value(&key).is_some() {
-        cluster.rest(50_000);
+        cluster.sleep(50_000);
     }
-    cluster.kill(2);
+    cluster.kill_node(2);
     let gone = |views: &BTreeMap<usize, View>| {
         let wrong = views
             .iter()
@@ -289,15 +303,15 @@
             .collect()
     };
     cluster
-        .until(NEVER, |_, views| gone(&others(views)))
+        .wait_until(NEVER, |_, views| gone(&others(views)))
         .unwrap();
     let views = cluster.views();
     assert_eq!(state(&views, 0, 1), "alive");
     assert_eq!(views[&1].count, 4, "it was not told, and may not guess");
-    cluster.links().mend();
-    cluster.until(NEVER, |_, views| gone(views)).unwrap();
+    cluster.links().clear_faults();
+    cluster.wait_until(NEVER, |_, views| gone(views)).unwrap();
     while cluster.store().unwrap().value(&key).is_none() {
-        cluster.rest(50_000);
+        cluster.sleep(50_000);
     }
 }
 
@@ -309,13 +323,15 @@
         ..size(4)
     })
     .unwrap();
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
     cluster.store().unwrap().crash();
-    cluster.kill(3);
-    cluster.until_agreed(NEVER).unwrap();
-    cluster.begin(3).unwrap();
-    cluster.until_agreed(NEVER).unwrap();
-    cluster.until(NEVER, |_, views| counted(views, 4)).unwrap();
+    cluster.kill_node(3);
+    cluster.wait_until_agreed(NEVER).unwrap();
+    cluster.start_node(3).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
+    cluster
+        .wait_until(NEVER, |_, views| counted(views, 4))
+        .unwrap();
 }
 
 /// What has no seal, or another one, is counted and dropped.
@@ -331,7 +347,7 @@
         .to_owned();
     assert!(line.ends_with(" 0"), "{line}");
     let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
-    let real = cluster.real(0);
+    let real = cluster.peer_address(0);
     let other = ivyward::peers::DatagramCodec::new(Some("a key of somebody else"));
     let from = ivyward::core::peers::NodeInfo {
         id: ivyward::core::peers::PeerId(id(1)),
@@ -358,16 +374,16 @@
         {
             break;
         }
-        cluster.rest(20_000);
+        cluster.sleep(20_000);
     }
-    cluster.until_agreed(NEVER).unwrap();
+    cluster.wait_until_agreed(NEVER).unwrap();
 }
 
 fn runtime_ask(cluster: &Cluster, path: &str) -> String {
     let runtime: RuntimeRef = cluster.runtime().clone();
     cluster
         .runtime()
-        .block_on(cluster.process(0).unwrap().ask(&runtime, path))
+        .block_on(cluster.process(0).unwrap().admin_get(&runtime, path))
         .unwrap()
 }
 
@@ -381,10 +397,10 @@
     .unwrap();
     let fault = |fault, lasts_ms| Episode { fault, lasts_ms };
     let episodes = vec![
-        fault(Trouble::Kill(vec![3]), 500),
-        fault(Trouble::Split(vec![vec![0, 3], vec![1, 2]]), 4_000),
-        fault(Trouble::Mute(vec![0]), 4_000),
-        fault(Trouble::Flap(0, 1, 300), 3_000),
+        fault(ClusterFault::Kill(vec![3]), 500),
+        fault(ClusterFault::Partition(vec![vec![0, 3], vec![1, 2]]), 4_000),
+        fault(ClusterFault::OutboundCut(vec![0]), 4_000),
+        fault(ClusterFault::LinkFlap(0, 1, 300), 3_000),
     ];
     let plan = Plan {
         seed: 5,
@@ -392,8 +408,8 @@
         episodes,
     };
     plan.check().unwrap();
-    let report = play(&mut cluster, &plan, |_| {}).unwrap();
-    assert_eq!(report.wrong(), Vec::<String>::new());
-    assert_eq!((report.rules_kept, report.came.len()), (5, 4));
+    let report = run_plan(&mut cluster, &plan, |_| {}).unwrap();
+    assert_eq!(report.failures(), Vec::<String>::new());
+    assert_eq!((report.rules_satisfied, report.episodes.len()), (5, 4));
     assert!(report.calls.1 > 0, "{:?}", report.calls);
 }
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -35,7 +35,7 @@
 }
 
 async fn engines(daemon: &Process, runtime: &RuntimeRef) -> u64 {
-    let text = daemon.ask(runtime, "/metrics").await.unwrap();
+    let text = daemon.admin_get(runtime, "/metrics").await.unwrap();
     let line = text
         .lines()
         .find_map(|l| l.strip_prefix("ivyward_engines "));
@@ -118,7 +118,11 @@
             while engines(daemon, &runtime).await < 8 {
                 runtime.sleep(10_000).await;
             }
-            clients.push(Client::connect(&runtime, &log, daemon.door).await.unwrap());
+            clients.push(
+                Client::connect(&runtime, &log, daemon.client_address)
+                    .await
+                    .unwrap(),
+            );
         }
         // Every node's first call.
         for (node, client) in clients.iter().enumerate() {
@@ -163,7 +167,9 @@
         while engines(&daemon, &runtime).await < 8 {
             runtime.sleep(10_000).await;
         }
-        let client = Client::connect(&runtime, &log, daemon.door).await.unwrap();
+        let client = Client::connect(&runtime, &log, daemon.client_address)
+            .await
+            .unwrap();
         let (told, ends) = std::sync::mpsc::sync_channel(60);
         for call in 1..=60u64 {
             let (client, told) = (client.clone(), told.clone());
