--- a/crates/ivyward-testbed/src/commands/soak.rs
+++ b/crates/ivyward-testbed/src/commands/soak.rs
@@ -31,9 +31,9 @@
 
 impl Soak {
     pub fn run(self) -> CommandResult {
-        let report = soak::play(&self.options()?)?;
+        let report = soak::run_seeds(&self.options()?)?;
         print!("{}", report.text());
-        Ok(exit_code(report.holds()))
+        Ok(exit_code(report.all_passed()))
     }
 
     fn options(self) -> Result<Options, Box<dyn std::error::Error>> {
@@ -52,7 +52,7 @@
             seeds: (self.seed, self.seeds),
             seconds: self.seconds,
             plan: self.plan.map(read).transpose()?,
-            keep: self.keep,
+            keep_dir: self.keep,
         })
     }
 }
--- a/crates/ivyward-testbed/src/soak/mod.rs
+++ b/crates/ivyward-testbed/src/soak/mod.rs
@@ -15,7 +15,7 @@
 mod stage;
 
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef, SmolRuntime};
-use oracle::Broken;
+use oracle::Violation;
 use plan::Plan;
 use report::{Report, SeedReport};
 use stage::Stage;
@@ -30,7 +30,7 @@
 /// How often nodes are looked at.
 const LOOK: Micros = 100_000;
 /// Most nodes of a run.
-pub const MOST_NODES: usize = 40;
+pub const MAX_NODES: usize = 40;
 
 /// Why a soak cannot be played.
 #[derive(Debug, thiserror::Error)]
@@ -40,7 +40,7 @@
     Io(&'static str, std::io::Error),
     /// The fault library was not built beside this program.
     #[error("the library ivyward-fault-injection-preload is not beside this program: build the workspace")]
-    NoLibrary,
+    MissingLibrary,
     /// A node does not start.
     #[error("{0}")]
     Start(String),
@@ -69,14 +69,14 @@
     /// A plan to play in place of drawn ones.
     pub plan: Option<Plan>,
     /// Where logs, plans and configurations are kept; without it only those of seeds that broke a rule stay.
-    pub keep: Option<PathBuf>,
+    pub keep_dir: Option<PathBuf>,
 }
 
 /// Plays all seeds, and prints a line for each as it ends.
 ///
 /// # Errors
 /// When a run cannot be played at all.
-pub fn play(options: &Options) -> Result<Report, SoakError> {
+pub fn run_seeds(options: &Options) -> Result<Report, SoakError> {
     let mut report = Report::default();
     for seed in options.seeds.0..options.seeds.0 + options.seeds.1 {
         let plan = options
@@ -85,8 +85,8 @@
             .unwrap_or_else(|| Plan::draw(seed, options.seconds));
         let folder = folder(options, seed)?;
         let played = play_one(options, &folder, plan)?;
-        println!("{}", played.line());
-        if options.keep.is_none() && !played.is_broken() {
+        println!("{}", played.summary_line());
+        if options.keep_dir.is_none() && !played.has_violations() {
             // Files that stay are only untidy.
             let _ = std::fs::remove_dir_all(&folder);
         }
@@ -96,7 +96,7 @@
 }
 
 fn folder(options: &Options, seed: u64) -> Result<PathBuf, SoakError> {
-    let root = options.keep.clone().unwrap_or_else(std::env::temp_dir);
+    let root = options.keep_dir.clone().unwrap_or_else(std::env::temp_dir);
     let folder = root.join(format!("ivyward-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(SoakError::io("a folder"))?;
     Ok(folder)
@@ -107,11 +107,11 @@
     std::fs::write(folder.join("plan.json"), text).map_err(SoakError::io("a plan"))?;
     let smol = SmolRuntime::start(2, plan.seed);
     let runtime: RuntimeRef = smol.clone();
-    let nodes = options.nodes.clamp(1, MOST_NODES);
+    let nodes = options.nodes.clamp(1, MAX_NODES);
     let stage = Stage::start(&runtime, (&options.daemon, folder), nodes, plan.seed)?;
     let (violations, faults) = smol.block_on(run(&stage, &plan, nodes));
     let observed = stage.log.all();
-    let broken: Vec<Broken> = oracle::check(&observed, &stage::LIMITS, runtime.now());
+    let broken: Vec<Violation> = oracle::check(&observed, &stage::LIMITS, runtime.now());
     let lines: Vec<String> = observed
         .iter()
         .map(|(at, o)| format!("{at} {o:?}"))
@@ -128,8 +128,8 @@
         plan,
         folder: folder.to_owned(),
         answers,
-        broken,
-        violations,
+        rule_violations: broken,
+        invariant_violations: violations,
         faults,
     })
 }
@@ -150,13 +150,13 @@
     }
     let began = runtime.now();
     let mut end = began;
-    for trouble in &plan.troubles {
+    for trouble in &plan.faults {
         let at = began + trouble.at_ms * 1_000;
         while runtime.now() < at {
             runtime.sleep(LOOK.min(at - runtime.now())).await;
             stage.look_for_crashes();
         }
-        end = end.max(at + trouble.for_ms * 1_000);
+        end = end.max(at + trouble.duration_ms * 1_000);
         runtime.run(stage.clone().trouble(*trouble));
     }
     while runtime.now() < end + SETTLE / 2 {
--- a/crates/ivyward-testbed/src/soak/node.rs
+++ b/crates/ivyward-testbed/src/soak/node.rs
@@ -62,7 +62,7 @@
         let path = files.folder.join(format!("faults-{}", files.index));
         let control = ControlFile::create(&path, seed).map_err(SoakError::io("a control file"))?;
         let program = std::env::current_exe().map_err(SoakError::io("this program"))?;
-        let library = library_beside(&program).ok_or(SoakError::NoLibrary)?;
+        let library = library_beside(&program).ok_or(SoakError::MissingLibrary)?;
         let mut command = Command::new(&files.daemon);
         let mut child = end_with_parent(&mut command)
             .env_clear()
--- a/crates/ivyward-testbed/src/soak/oracle.rs
+++ b/crates/ivyward-testbed/src/soak/oracle.rs
@@ -33,13 +33,15 @@
 
 /// A rule that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Broken {
+pub struct Violation {
     /// Its name.
     pub rule: &'static str,
     /// The request or the node.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub subject: String,
     /// What was observed.
-    pub seen: String,
+    #[serde(rename = "seen")]
+    pub observed: String,
 }
 
 #[derive(Clone, Debug)]
@@ -89,11 +91,11 @@
     breaks: Vec<(usize, Micros, Micros)>,
     /// Engines whose links were reset, and when.
     resets: Vec<(usize, Micros)>,
-    broken: Vec<Broken>,
+    broken: Vec<Violation>,
 }
 
 /// Rules that did not hold over a run that ended at `end`.
-pub fn check(observed: &[(Micros, Observation)], limits: &Limits, end: Micros) -> Vec<Broken> {
+pub fn check(observed: &[(Micros, Observation)], limits: &Limits, end: Micros) -> Vec<Violation> {
     let mut record = Record::default();
     for (at, observation) in observed {
         record.add(*at, observation);
@@ -113,10 +115,10 @@
             record.pinned(request, limits, end),
         ];
         for (rule, seen) in checks.into_iter().flatten() {
-            broken.push(Broken {
+            broken.push(Violation {
                 rule,
-                of: id.clone(),
-                seen,
+                subject: id.clone(),
+                observed: seen,
             });
         }
     }
@@ -224,10 +226,10 @@
             Observation::NodeEnded { .. } => {}
             Observation::NodeCrashed { node } => {
                 let seen = format!("ended by itself at {at}");
-                self.broken.push(Broken {
+                self.broken.push(Violation {
                     rule: "crash",
-                    of: format!("node {node}"),
-                    seen,
+                    subject: format!("node {node}"),
+                    observed: seen,
                 });
             }
         }
--- a/crates/ivyward-testbed/src/soak/plan.rs
+++ b/crates/ivyward-testbed/src/soak/plan.rs
@@ -18,9 +18,10 @@
 /// A kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// A node stands still for some milliseconds, several times (SIGSTOP, SIGCONT).
-    NodeHeldUp,
+    #[serde(rename = "node_held_up")]
+    NodePaused,
     /// A node is told to end (SIGTERM) and is started again when it has.
     NodeRestart,
     /// A node is killed (SIGKILL) and started again.
@@ -34,17 +35,20 @@
     /// An engine drains.
     EngineDrain,
     /// An engine turns requests away.
-    EngineTurnsAway,
+    #[serde(rename = "engine_turns_away")]
+    EngineRejects,
     /// An engine takes five times as long.
     EngineSlow,
     /// An engine's streams break.
-    StreamsBreak,
+    #[serde(rename = "streams_break")]
+    StreamsReset,
     /// Nothing passes between the nodes and an engine; connections stay open.
     LinkCut,
     /// The connections to an engine are reset.
     LinkReset,
     /// Discovery does not answer.
-    DiscoverySilent,
+    #[serde(rename = "discovery_silent")]
+    DiscoveryUnresponsive,
     /// All watches are reset.
     WatchReset,
     /// Socket calls of a node are interrupted.
@@ -62,51 +66,54 @@
     /// Three times as many requests come.
     Burst,
     /// Many clients leave early.
-    ClientsLeave,
+    #[serde(rename = "clients_leave")]
+    ClientsDisconnect,
     /// Clients send half a request and stay.
     HalfRequests,
 }
 
-impl Kind {
+impl FaultKind {
     /// All kinds.
-    pub const ALL: [Kind; 23] = [
-        Kind::NodeHeldUp,
-        Kind::NodeRestart,
-        Kind::NodeKilled,
-        Kind::NodeReload,
-        Kind::EngineCrash,
-        Kind::EngineHang,
-        Kind::EngineDrain,
-        Kind::EngineTurnsAway,
-        Kind::EngineSlow,
-        Kind::StreamsBreak,
-        Kind::LinkCut,
-        Kind::LinkReset,
-        Kind::DiscoverySilent,
-        Kind::WatchReset,
-        Kind::Interrupted,
-        Kind::ShortCalls,
-        Kind::AcceptFails,
-        Kind::ConnectionsBreak,
-        Kind::ClockAhead,
-        Kind::ClockBehind,
-        Kind::Burst,
-        Kind::ClientsLeave,
-        Kind::HalfRequests,
+    pub const ALL: [FaultKind; 23] = [
+        FaultKind::NodePaused,
+        FaultKind::NodeRestart,
+        FaultKind::NodeKilled,
+        FaultKind::NodeReload,
+        FaultKind::EngineCrash,
+        FaultKind::EngineHang,
+        FaultKind::EngineDrain,
+        FaultKind::EngineRejects,
+        FaultKind::EngineSlow,
+        FaultKind::StreamsReset,
+        FaultKind::LinkCut,
+        FaultKind::LinkReset,
+        FaultKind::DiscoveryUnresponsive,
+        FaultKind::WatchReset,
+        FaultKind::Interrupted,
+        FaultKind::ShortCalls,
+        FaultKind::AcceptFails,
+        FaultKind::ConnectionsBreak,
+        FaultKind::ClockAhead,
+        FaultKind::ClockBehind,
+        FaultKind::Burst,
+        FaultKind::ClientsDisconnect,
+        FaultKind::HalfRequests,
     ];
 }
 
 /// One trouble of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// When it begins, in milliseconds of the run.
     pub at_ms: u64,
     /// How long it lasts, in milliseconds.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub duration_ms: u64,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Which node or engine, as a number that is taken modulo how many there are.
-    pub which: usize,
+    #[serde(rename = "which")]
+    pub target: usize,
 }
 
 /// A run's troubles.
@@ -115,7 +122,8 @@
     /// What it was drawn from; it also feeds the run's other choices.
     pub seed: u64,
     /// By time.
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl Plan {
@@ -126,33 +134,36 @@
         let (mut troubles, mut wave) = (Vec::new(), QUIET_MS);
         while wave < end {
             for _ in 0..random.random_range(2..=3) {
-                let kind = Kind::ALL[random.random_range(0..Kind::ALL.len())];
+                let kind = FaultKind::ALL[random.random_range(0..FaultKind::ALL.len())];
                 let lasts = random.random_range(LASTS_MS.0..=LASTS_MS.1);
-                let for_ms = if kind == Kind::EngineDrain {
+                let for_ms = if kind == FaultKind::EngineDrain {
                     lasts.max(DRAIN_MS)
                 } else {
                     lasts
                 };
                 let at_ms = wave + random.random_range(0..=SPREAD_MS);
-                troubles.push(Trouble {
+                troubles.push(ScheduledFault {
                     at_ms,
-                    for_ms,
+                    duration_ms: for_ms,
                     kind,
-                    which: random.next_u32() as usize,
+                    target: random.next_u32() as usize,
                 });
             }
             wave += random.random_range(WAVE_MS.0..=WAVE_MS.1);
         }
         troubles.sort_by_key(|trouble| trouble.at_ms);
-        Plan { seed, troubles }
+        Plan {
+            seed,
+            faults: troubles,
+        }
     }
 
     /// Kinds that overlapped in time, the lower one first.
-    pub fn pairs(&self) -> Vec<(Kind, Kind)> {
+    pub fn overlapping_kinds(&self) -> Vec<(FaultKind, FaultKind)> {
         let mut pairs = Vec::new();
-        for (i, a) in self.troubles.iter().enumerate() {
-            for b in &self.troubles[i + 1..] {
-                if b.at_ms < a.at_ms + a.for_ms {
+        for (i, a) in self.faults.iter().enumerate() {
+            for b in &self.faults[i + 1..] {
+                if b.at_ms < a.at_ms + a.duration_ms {
                     pairs.push((a.kind.min(b.kind), a.kind.max(b.kind)));
                 }
             }
--- a/crates/ivyward-testbed/src/soak/report.rs
+++ b/crates/ivyward-testbed/src/soak/report.rs
@@ -1,7 +1,7 @@
 //! What came of a soak: a line a seed, faults that took place, and pairs of troubles that met or never did.
 
-use crate::soak::oracle::Broken;
-use crate::soak::plan::{Kind, Plan};
+use crate::soak::oracle::Violation;
+use crate::soak::plan::{FaultKind, Plan};
 use ivyward_fault_injection::SystemFault;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -16,20 +16,20 @@
     /// Answers by status, and whether they came whole.
     pub answers: BTreeMap<(u16, bool), u64>,
     /// Rules that did not hold, by what engines and clients observed.
-    pub broken: Vec<Broken>,
+    pub rule_violations: Vec<Violation>,
     /// Invariants that did not hold, by what the nodes' guards say.
-    pub violations: u64,
+    pub invariant_violations: u64,
     /// How often each fault of a system call took place.
     pub faults: BTreeMap<SystemFault, u64>,
 }
 
 impl SeedReport {
     /// Whether a rule or an invariant did not hold.
-    pub fn is_broken(&self) -> bool {
-        !self.broken.is_empty() || self.violations > 0
+    pub fn has_violations(&self) -> bool {
+        !self.rule_violations.is_empty() || self.invariant_violations > 0
     }
     /// One line.
-    pub fn line(&self) -> String {
+    pub fn summary_line(&self) -> String {
         let total: u64 = self.answers.values().sum();
         let served = self.answers.get(&(200, true)).copied().unwrap_or(0);
         let refused: u64 = self
@@ -39,24 +39,28 @@
             .map(|a| a.1)
             .sum();
         let mut rules: BTreeMap<&str, u64> = BTreeMap::new();
-        for broken in &self.broken {
+        for broken in &self.rule_violations {
             *rules.entry(broken.rule).or_default() += 1;
         }
         let mut line = format!(
             "seed {}: {total} answers, {served} served, {refused} refused, {} troubles, {} overlaps",
             self.plan.seed,
-            self.plan.troubles.len(),
-            self.plan.pairs().len()
+            self.plan.faults.len(),
+            self.plan.overlapping_kinds().len()
         );
-        if self.is_broken() {
+        if self.has_violations() {
             let folder = self.folder.display();
             let _ = write!(
                 line,
                 "; BROKEN {rules:?}, guard {}; plan and logs in {folder}",
-                self.violations
+                self.invariant_violations
             );
-            for broken in self.broken.iter().take(4) {
-                let _ = write!(line, "\n    {} {}: {}", broken.rule, broken.of, broken.seen);
+            for broken in self.rule_violations.iter().take(4) {
+                let _ = write!(
+                    line,
+                    "\n    {} {}: {}",
+                    broken.rule, broken.subject, broken.observed
+                );
             }
         }
         line
@@ -70,43 +74,43 @@
     broken: Vec<u64>,
     answers: u64,
     faults: BTreeMap<SystemFault, u64>,
-    kinds: BTreeMap<Kind, u64>,
-    pairs: BTreeSet<(Kind, Kind)>,
+    kinds: BTreeMap<FaultKind, u64>,
+    pairs: BTreeSet<(FaultKind, FaultKind)>,
 }
 
 impl Report {
     /// Adds a seed.
     pub fn add(&mut self, seed: SeedReport) {
         self.seeds += 1;
-        if seed.is_broken() {
+        if seed.has_violations() {
             self.broken.push(seed.plan.seed);
         }
         self.answers += seed.answers.values().sum::<u64>();
         for (fault, count) in &seed.faults {
             *self.faults.entry(*fault).or_default() += count;
         }
-        for trouble in &seed.plan.troubles {
+        for trouble in &seed.plan.faults {
             *self.kinds.entry(trouble.kind).or_default() += 1;
         }
-        self.pairs.extend(seed.plan.pairs());
+        self.pairs.extend(seed.plan.overlapping_kinds());
     }
     /// Whether every rule held in every seed.
-    pub fn holds(&self) -> bool {
+    pub fn all_passed(&self) -> bool {
         self.broken.is_empty()
     }
     /// Pairs of different kinds that never met, the lower one first.
-    pub fn pairs_never_met(&self) -> Vec<(Kind, Kind)> {
-        let pairs = Kind::ALL
+    pub fn pairs_never_overlapped(&self) -> Vec<(FaultKind, FaultKind)> {
+        let pairs = FaultKind::ALL
             .iter()
-            .flat_map(|a| Kind::ALL.iter().map(move |b| (*a, *b)));
+            .flat_map(|a| FaultKind::ALL.iter().map(move |b| (*a, *b)));
         pairs
             .filter(|(a, b)| a < b && !self.pairs.contains(&(*a, *b)))
             .collect()
     }
     /// The end of the report.
     pub fn text(&self) -> String {
-        let never = self.pairs_never_met();
-        let all = Kind::ALL.len() * (Kind::ALL.len() - 1) / 2;
+        let never = self.pairs_never_overlapped();
+        let all = FaultKind::ALL.len() * (FaultKind::ALL.len() - 1) / 2;
         let mut out = format!(
             "{} seeds, {} answers; broken: {:?}\ntroubles: {:?}\nfaults of system calls that took place: {:?}\n",
             self.seeds, self.answers, self.broken, self.kinds, self.faults
--- a/crates/ivyward-testbed/src/soak/stage.rs
+++ b/crates/ivyward-testbed/src/soak/stage.rs
@@ -2,7 +2,7 @@
 
 use crate::soak::link::Link;
 use crate::soak::node::{NodeFiles, NodeProcess};
-use crate::soak::plan::{Kind, Trouble};
+use crate::soak::plan::{FaultKind, ScheduledFault};
 use crate::soak::SoakError;
 use ivyward_fakes::platform::discovery::{Discovery, Entry};
 use ivyward_fakes::platform::engine::{Platform, PlatformEngine};
@@ -218,28 +218,31 @@
     }
 
     /// Plays one trouble from its beginning to its end.
-    pub(super) async fn trouble(self: Arc<Self>, trouble: Trouble) {
-        let span = trouble.for_ms * 1_000;
+    pub(super) async fn trouble(self: Arc<Self>, trouble: ScheduledFault) {
+        let span = trouble.duration_ms * 1_000;
         let (node, engine) = (
-            trouble.which % self.files.len(),
-            trouble.which % self.engines.len(),
+            trouble.target % self.files.len(),
+            trouble.target % self.engines.len(),
         );
         match trouble.kind {
-            Kind::NodeHeldUp | Kind::NodeRestart | Kind::NodeKilled | Kind::NodeReload => {
+            FaultKind::NodePaused
+            | FaultKind::NodeRestart
+            | FaultKind::NodeKilled
+            | FaultKind::NodeReload => {
                 self.node_trouble(trouble.kind, node, span).await;
             }
-            Kind::Interrupted => {
+            FaultKind::Interrupted => {
                 let calls = [
                     SystemFault::ReceiveInterrupted,
                     SystemFault::SendInterrupted,
                 ];
                 self.calls_fail(node, &calls, OFTEN, span).await;
             }
-            Kind::ShortCalls => {
+            FaultKind::ShortCalls => {
                 let calls = [SystemFault::ReceiveShort, SystemFault::SendShort];
                 self.calls_fail(node, &calls, OFTEN, span).await;
             }
-            Kind::AcceptFails => {
+            FaultKind::AcceptFails => {
                 let calls = [
                     SystemFault::AcceptAborted,
                     SystemFault::AcceptNoDescriptor,
@@ -247,7 +250,7 @@
                 ];
                 self.calls_fail(node, &calls, 5 * OFTEN, span).await;
             }
-            Kind::ConnectionsBreak => {
+            FaultKind::ConnectionsBreak => {
                 let calls = [SystemFault::ReceiveTimedOut, SystemFault::SendUnreachable];
                 let mark = |on| {
                     self.log.add(
@@ -259,28 +262,28 @@
                 self.calls_fail(node, &calls, SOMETIMES, span).await;
                 mark(false);
             }
-            Kind::ClockAhead => self.clock(node, HOUR, span).await,
-            Kind::ClockBehind => self.clock(node, -HOUR, span).await,
-            Kind::Burst => self.flag(&self.burst, span).await,
-            Kind::ClientsLeave => self.flag(&self.clients_leave, span).await,
-            Kind::HalfRequests => self.flag(&self.half_requests, span).await,
-            Kind::DiscoverySilent => {
+            FaultKind::ClockAhead => self.clock(node, HOUR, span).await,
+            FaultKind::ClockBehind => self.clock(node, -HOUR, span).await,
+            FaultKind::Burst => self.flag(&self.burst, span).await,
+            FaultKind::ClientsDisconnect => self.flag(&self.clients_leave, span).await,
+            FaultKind::HalfRequests => self.flag(&self.half_requests, span).await,
+            FaultKind::DiscoveryUnresponsive => {
                 self.discovery.set_silent(true);
                 self.runtime.sleep(span).await;
                 self.discovery.set_silent(false);
             }
-            Kind::WatchReset => self.discovery.reset_watches(),
+            FaultKind::WatchReset => self.discovery.reset_watches(),
             kind => self.engine_trouble(kind, engine, span).await,
         }
     }
 
-    async fn node_trouble(&self, kind: Kind, node: usize, span: Micros) {
+    async fn node_trouble(&self, kind: FaultKind, node: usize, span: Micros) {
         match kind {
-            Kind::NodeRestart => {
+            FaultKind::NodeRestart => {
                 self.stop_node(node).await;
                 self.start_again(node).await;
             }
-            Kind::NodeKilled => {
+            FaultKind::NodeKilled => {
                 let Some(process) = self.take_node(node) else {
                     return;
                 };
@@ -293,7 +296,7 @@
                 self.runtime.sleep(span).await;
                 self.start_again(node).await;
             }
-            Kind::NodeReload => {
+            FaultKind::NodeReload => {
                 for agent in [1, 0] {
                     let agent = self.agents[node][agent];
                     let text = configuration(node, self.files.len(), agent, &self.discovery.text());
@@ -357,7 +360,7 @@
         flag.store(false, Ordering::SeqCst);
     }
 
-    async fn engine_trouble(&self, kind: Kind, index: usize, span: Micros) {
+    async fn engine_trouble(&self, kind: FaultKind, index: usize, span: Micros) {
         let (engine, link) = (&self.engines[index], &self.links[index]);
         let cut = |cut| {
             link.set_cut(cut);
@@ -367,18 +370,18 @@
             );
         };
         match kind {
-            Kind::EngineCrash => engine.set(|t| t.down = true),
-            Kind::EngineHang => engine.set(|t| t.hangs = true),
-            Kind::EngineTurnsAway => engine.set(|t| t.turns_away = true),
-            Kind::EngineSlow => engine.set(|t| t.slower = SLOWER),
-            Kind::StreamsBreak => engine.set(|t| t.breaks_percent = BREAKS_PERCENT),
-            Kind::LinkCut => cut(true),
-            Kind::LinkReset => {
+            FaultKind::EngineCrash => engine.set(|t| t.down = true),
+            FaultKind::EngineHang => engine.set(|t| t.hangs = true),
+            FaultKind::EngineRejects => engine.set(|t| t.turns_away = true),
+            FaultKind::EngineSlow => engine.set(|t| t.slower = SLOWER),
+            FaultKind::StreamsReset => engine.set(|t| t.breaks_percent = BREAKS_PERCENT),
+            FaultKind::LinkCut => cut(true),
+            FaultKind::LinkReset => {
                 self.log
                     .add(self.runtime.now(), Observation::LinkReset { engine: index });
                 link.reset();
             }
-            Kind::EngineDrain => {
+            FaultKind::EngineDrain => {
                 self.log
                     .add(self.runtime.now(), Observation::Drains { engine: index });
                 self.discovery
@@ -388,22 +391,22 @@
         }
         self.runtime.sleep(span).await;
         match kind {
-            Kind::EngineCrash => {
+            FaultKind::EngineCrash => {
                 let started_ms = self.runtime.unix_micros() / 1_000;
                 self.discovery
                     .change(index, |entry| entry.started_ms = started_ms);
                 engine.set(|t| t.down = false);
             }
-            Kind::LinkCut => cut(false),
-            Kind::EngineDrain => {
+            FaultKind::LinkCut => cut(false),
+            FaultKind::EngineDrain => {
                 self.discovery.change(index, |entry| entry.state = "up");
                 self.log
                     .add(self.runtime.now(), Observation::DrainOver { engine: index });
             }
-            Kind::EngineHang => engine.set(|t| t.hangs = false),
-            Kind::EngineTurnsAway => engine.set(|t| t.turns_away = false),
-            Kind::EngineSlow => engine.set(|t| t.slower = 1.0),
-            Kind::StreamsBreak => engine.set(|t| t.breaks_percent = 0),
+            FaultKind::EngineHang => engine.set(|t| t.hangs = false),
+            FaultKind::EngineRejects => engine.set(|t| t.turns_away = false),
+            FaultKind::EngineSlow => engine.set(|t| t.slower = 1.0),
+            FaultKind::StreamsReset => engine.set(|t| t.breaks_percent = 0),
             _ => {}
         }
     }
