--- a/crates/ivyward-testbed/src/commands/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/commands/fault_scenario.rs
@@ -87,7 +87,7 @@
 fn read_plan(path: &PathBuf, drawn: &Plan) -> Result<Plan, Box<dyn std::error::Error>> {
     let text =
         std::fs::read_to_string(path).map_err(|error| file_error("--scenario", path, error))?;
-    let (plan, unknown) = Plan::from_day(&text, drawn.seed, drawn.length)
+    let (plan, unknown) = Plan::from_scenario_file(&text, drawn.seed, drawn.length)
         .map_err(|error| file_error("--scenario", path, error))?;
     for kind in unknown {
         eprintln!("ivyward-testbed: fault {kind:?} is not known here and is left out");
--- a/crates/ivyward-testbed/src/commands/simulate.rs
+++ b/crates/ivyward-testbed/src/commands/simulate.rs
@@ -1,7 +1,7 @@
 //! `simulate`: clusters in virtual time, by one seed or many.
 
 use super::{exit_code, file_error, threads, CommandResult};
-use ivyward_testbed::simulation::{self, Size, Tally};
+use ivyward_testbed::simulation::{self, Size, Summary};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -57,7 +57,7 @@
     let usual = Size::default();
     Size {
         faults,
-        rough,
+        intensity: rough,
         peers,
         nodes: if peers { NODES_WITH_PEERS } else { usual.nodes },
         ..usual
@@ -87,7 +87,7 @@
             plan.retain(|_| number.next().is_some_and(|number| kept.contains(&number)));
         }
         let mut outcome = simulation::run(seed, size, &plan);
-        if self.shrink && !outcome.wrong.is_empty() {
+        if self.shrink && !outcome.failures.is_empty() {
             plan = simulation::shrink(seed, size, &plan);
             outcome = simulation::run(seed, size, &plan);
         }
@@ -98,30 +98,30 @@
         for timed in &plan {
             println!("{}", serde_json::to_string(timed)?);
         }
-        println!("ends: {:?}", outcome.heard);
+        println!("ends: {:?}", outcome.client_outcomes);
         println!(
             "digest {:016x} over {} events in {} ms of virtual time",
             outcome.digest,
             outcome.events,
-            outcome.span / 1_000
+            outcome.duration / 1_000
         );
-        for line in &outcome.wrong {
+        for line in &outcome.failures {
             println!("{line}");
         }
-        Ok(exit_code(outcome.wrong.is_empty()))
+        Ok(exit_code(outcome.failures.is_empty()))
     }
 
     fn run_range(self, size: &Size) -> ExitCode {
         let count = self.count;
-        let progress = |tally: &Tally| {
-            if tally.played % PROGRESS == 0 {
-                let (played, wrong) = (tally.played, tally.wrong.len());
+        let progress = |tally: &Summary| {
+            if tally.runs % PROGRESS == 0 {
+                let (played, wrong) = (tally.runs, tally.failures.len());
                 eprintln!("{played} of {count} seeds, {wrong} with something wrong");
             }
         };
-        let tally = simulation::many(self.from, count, threads(self.jobs), size, &progress);
-        let (played, from, faults) = (tally.played, self.from, size.faults);
-        let rough = size.rough;
+        let tally = simulation::run_seeds(self.from, count, threads(self.jobs), size, &progress);
+        let (played, from, faults) = (tally.runs, self.from, size.faults);
+        let rough = size.intensity;
         println!("{played} seeds from {from} on, {faults} faults of roughness {rough} in each");
         print_tally(&tally);
         let missed = never_met(&tally);
@@ -131,13 +131,13 @@
             println!("never met: {}", missed.join("; "));
         }
         print_wrong(&tally);
-        exit_code(tally.wrong.is_empty() && !incomplete)
+        exit_code(tally.failures.is_empty() && !incomplete)
     }
 }
 
-fn print_tally(tally: &Tally) {
+fn print_tally(tally: &Summary) {
     let ends: Vec<String> = tally
-        .heard
+        .client_outcomes
         .iter()
         .map(|(end, count)| format!("{end} {count}"))
         .collect();
@@ -149,21 +149,21 @@
         .collect();
     println!("faults: {}", faults.join(", "));
     println!("met:");
-    for (situation, count) in &tally.met {
+    for (situation, count) in &tally.coincidences {
         println!("  {situation}: {count}");
     }
 }
 
-fn never_met(tally: &Tally) -> Vec<&'static str> {
-    simulation::CATALOGUE
+fn never_met(tally: &Summary) -> Vec<&'static str> {
+    simulation::COINCIDENCES
         .into_iter()
-        .filter(|situation| !tally.met.contains_key(situation))
+        .filter(|situation| !tally.coincidences.contains_key(situation))
         .collect()
 }
 
-fn print_wrong(tally: &Tally) {
-    println!("seeds with something wrong: {}", tally.wrong.len());
-    for (seed, lines) in tally.wrong.iter().take(MAX_PRINTED) {
+fn print_wrong(tally: &Summary) {
+    println!("seeds with something wrong: {}", tally.failures.len());
+    for (seed, lines) in tally.failures.iter().take(MAX_PRINTED) {
         println!("seed {seed}:");
         for line in lines.iter().take(MAX_LINES) {
             println!("  {line}");
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -140,7 +140,7 @@
         let plan = Arc::new(Plan {
             seed: 51,
             length: drains as u64 * 2 * span,
-            spells: vec![],
+            faults: vec![],
         });
         let (done, wait) = async_channel::bounded::<()>(1);
         let one = scene.clone();
--- a/crates/ivyward-testbed/src/fault_plan.rs
+++ b/crates/ivyward-testbed/src/fault_plan.rs
@@ -104,7 +104,8 @@
     /// How long requests arrive, in microseconds.
     pub length: Micros,
     /// Its troubles, in the order of their starts.
-    pub spells: Vec<ScheduledFault>,
+    #[serde(rename = "spells")]
+    pub faults: Vec<ScheduledFault>,
 }
 
 /// Why a day file cannot be played.
@@ -155,7 +156,7 @@
         Plan {
             seed,
             length,
-            spells,
+            faults: spells,
         }
     }
 
@@ -164,7 +165,7 @@
     ///
     /// # Errors
     /// [`ScenarioFileError`] when the text is no day.
-    pub fn from_day(
+    pub fn from_scenario_file(
         text: &str,
         seed: u64,
         length: Micros,
@@ -195,15 +196,15 @@
             Plan {
                 seed,
                 length,
-                spells,
+                faults: spells,
             },
             unknown,
         ))
     }
 
     /// Whether a kind of trouble is on at a time.
-    pub fn on(&self, kind: FaultKind, at: Micros) -> Option<&ScheduledFault> {
-        self.spells
+    pub fn active_fault(&self, kind: FaultKind, at: Micros) -> Option<&ScheduledFault> {
+        self.faults
             .iter()
             .find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&at))
     }
--- a/crates/ivyward-testbed/src/fault_plan/tests.rs
+++ b/crates/ivyward-testbed/src/fault_plan/tests.rs
@@ -7,8 +7,8 @@
     let text = r#"{"length": 40000000, "x": 1, "troubles": [
         {"kind": "hang", "at": 20000000, "len": 4000000, "size": 0.5, "steps": []},
         {"kind": "meteor", "at": 1, "len": 1}, {"kind": "crash", "at": 0, "len": 10}]}"#;
-    let (plan, unknown) = Plan::from_day(text, 1, 10_000_000).unwrap();
-    let kinds: Vec<FaultKind> = plan.spells.iter().map(|s| s.kind).collect();
+    let (plan, unknown) = Plan::from_scenario_file(text, 1, 10_000_000).unwrap();
+    let kinds: Vec<FaultKind> = plan.faults.iter().map(|s| s.kind).collect();
     assert_eq!(
         (kinds, unknown),
         (
@@ -17,12 +17,12 @@
         )
     );
     assert_eq!(
-        (plan.spells[1].at, plan.spells[1].len),
+        (plan.faults[1].at, plan.faults[1].len),
         (5_000_000, 1_000_000)
     );
-    assert!(Plan::from_day("{}", 1, 1).is_err());
+    assert!(Plan::from_scenario_file("{}", 1, 1).is_err());
     assert!(matches!(
-        Plan::from_day(r#"{"length": 0}"#, 1, 1),
+        Plan::from_scenario_file(r#"{"length": 0}"#, 1, 1),
         Err(ScenarioFileError::Empty)
     ));
 }
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -161,7 +161,7 @@
     let plan = Arc::new(day.plan.clone());
     let tries = scene.runtime.clone().block_on(async {
         let (done, wait) = async_channel::bounded::<()>(1);
-        for (i, spell) in plan.spells.iter().enumerate() {
+        for (i, spell) in plan.faults.iter().enumerate() {
             let (scene, plan, spell, done) =
                 (scene.clone(), plan.clone(), spell.clone(), done.clone());
             scene.runtime.clone().run(async move {
@@ -261,7 +261,7 @@
         return;
     }
     let late = plan
-        .on(FaultKind::DiscoveryStale, at)
+        .active_fault(FaultKind::DiscoveryStale, at)
         .map_or(0, |s| (LIST_LATE as f64 * s.size) as Micros);
     for node in 0..scene.nodes() {
         // Nodes hear of it one after the other.
@@ -597,7 +597,7 @@
             "{:<18}{:>9}{:>9}{:>9}{:>9}{:>10}",
             "during", "requests", "served", "refused", "failed", "given up"
         ));
-        for spell in &self.day.plan.spells {
+        for spell in &self.day.plan.faults {
             let during = self.ends(|t| (spell.at..spell.at + spell.len).contains(&t.at));
             line(row(&spell.kind.name(), during));
         }
@@ -605,7 +605,7 @@
             !self
                 .day
                 .plan
-                .spells
+                .faults
                 .iter()
                 .any(|s| (s.at..s.at + s.len).contains(&t.at))
         };
--- a/crates/ivyward-testbed/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -51,7 +51,7 @@
     let gap = Exp::new(load.rate / 2.0 / 1e6).ok();
     while asked < load.requests {
         let burst = plan
-            .on(FaultKind::Burst, at as Micros)
+            .active_fault(FaultKind::Burst, at as Micros)
             .map_or(1.0, |s| 1.0 + 3.0 * s.size);
         at += gap.map_or(0.0, |g| g.sample(&mut random)) / burst;
         let turns = random.random_range(1..=3).min(load.requests - asked);
@@ -113,7 +113,7 @@
     let mut random = SmallRng::seed_from_u64(session.seed);
     let now = || scene.log.now() - begun;
     let hot = plan
-        .on(FaultKind::HotKey, session.begins)
+        .active_fault(FaultKind::HotKey, session.begins)
         .is_some_and(|s| random.random_bool(0.5 * s.size));
     // Openings by popularity: the first of twelve is asked twelve times as often as the last.
     let opening: u32 = match hot {
@@ -131,7 +131,7 @@
             new *= 4;
         }
         if plan
-            .on(FaultKind::HeavyTail, now())
+            .active_fault(FaultKind::HeavyTail, now())
             .is_some_and(|s| random.random_bool(0.1 * s.size))
         {
             new *= 12;
@@ -173,7 +173,7 @@
     let operation = scene.call_id();
     let effect = call_idempotency(&class.settings);
     let abuse = plan
-        .on(FaultKind::RetryAbuse, scene.log.now() - begun)
+        .active_fault(FaultKind::RetryAbuse, scene.log.now() - begun)
         .is_some();
     let most_tries = if abuse { 8 } else { 3 };
     for attempt in 0..most_tries {
@@ -187,7 +187,7 @@
         habit.client_timeout =
             (habit.client_timeout as f64 * random.random_range(0.5..1.0)) as Micros;
         if plan
-            .on(FaultKind::GiveUp, at)
+            .active_fault(FaultKind::GiveUp, at)
             .is_some_and(|s| random.random_bool(0.6 * s.size))
         {
             habit.leave_after = Some(random.random_range(1_000..400_000));
--- a/crates/ivyward-testbed/src/simulation/coincidences.rs
+++ b/crates/ivyward-testbed/src/simulation/coincidences.rs
@@ -1,7 +1,7 @@
 //! Situations that seeds are to bring about.
 
 use super::fault::Fault;
-use super::plan::Timed;
+use super::plan::ScheduledFault;
 use super::{BEGIN, LEASE};
 use ivyward::core::interface::Micros;
 use ivyward_fakes::event_log::{ClientOutcome, LoggedEvent};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Coincidences that seeds are to bring about, each looked for in what was seen.
-pub const CATALOGUE: [&str; 9] = [
+pub const COINCIDENCES: [&str; 9] = [
     "a drain notice within a millisecond of a retry by the same node",
     "an engine listed again within 50 ms of its removal",
     "a late list, a cut way and an impatient client in one second",
@@ -24,7 +24,7 @@
 /// Which of [`CATALOGUE`] came about in a run, and how often.
 pub(super) fn coincidences(
     log: &[LoggedEvent],
-    plan: &[Timed],
+    plan: &[ScheduledFault],
     engines: &[u64],
 ) -> BTreeMap<&'static str, u64> {
     let near = |a: Micros, b: Micros, span: Micros| a.abs_diff(b) <= span;
@@ -96,7 +96,7 @@
     };
     counts[2] = lags.iter().filter(one_second).count() as u64;
     let (dies, compacts) = (
-        of(&|f| matches!(f, Fault::StoreDies)),
+        of(&|f| matches!(f, Fault::StoreCrash)),
         of(&|f| matches!(f, Fault::StoreCompacts)),
     );
     counts[6] = compacts
@@ -105,7 +105,7 @@
         .count() as u64;
     // An engine is told to be gone within its lease, or a little later, of a cut that outlasts it.
     for t in plan.iter().filter(|t| t.len > LEASE as Micros * 1_000_000) {
-        let Fault::Lone { engine } = t.fault else {
+        let Fault::StoreCut { engine } = t.fault else {
             continue;
         };
         let id = engines[engine];
@@ -116,7 +116,7 @@
         );
     }
     counts[7] = plan.windows(2).filter(|w| w[0].at == w[1].at).count() as u64;
-    CATALOGUE
+    COINCIDENCES
         .into_iter()
         .zip(counts)
         .filter(|(_, n)| *n > 0)
--- a/crates/ivyward-testbed/src/simulation/fault.rs
+++ b/crates/ivyward-testbed/src/simulation/fault.rs
@@ -8,11 +8,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     /// An engine's process dies, with or without resetting its connections, and restarts cold.
-    Die {
+    #[serde(rename = "die")]
+    Crash {
         /// The engine.
         engine: usize,
         /// Its connections are reset, so that peers notice.
-        word: bool,
+        #[serde(rename = "word")]
+        reset_connections: bool,
     },
     /// It drains by its record, and is ready again.
     Drain {
@@ -20,7 +22,8 @@
         engine: usize,
     },
     /// Its record is deleted, and written again.
-    Leave {
+    #[serde(rename = "leave")]
+    Deregister {
         /// The engine.
         engine: usize,
     },
@@ -37,20 +40,23 @@
         by: f64,
     },
     /// It resets, loses answers, turns away and refuses streams, each with this chance.
-    Ill {
+    #[serde(rename = "ill")]
+    FailCalls {
         /// The engine.
         engine: usize,
         /// The probability of each.
         share: f64,
     },
     /// It answers in a wrong way, takes calls that it never answers, and loses the states that it keeps.
-    Odd {
+    #[serde(rename = "odd")]
+    MalformedResponses {
         /// The engine.
         engine: usize,
         /// The probability of each.
         share: f64,
         /// Which of [`TWISTS`].
-        how: usize,
+        #[serde(rename = "how")]
+        response_fault: usize,
     },
     /// The way between an engine and a node is cut, in one direction.
     Cut {
@@ -59,10 +65,12 @@
         /// The node.
         node: usize,
         /// Cut from the engine to the node; otherwise the other way.
-        back: bool,
+        #[serde(rename = "back")]
+        engine_to_node: bool,
     },
     /// An engine that registered itself cannot reach the store, nor the store it: its lease may run out.
-    Lone {
+    #[serde(rename = "lone")]
+    StoreCut {
         /// The engine.
         engine: usize,
     },
@@ -72,11 +80,14 @@
         node: usize,
     },
     /// All bytes go in small pieces, and take longer.
-    Pieces,
+    #[serde(rename = "pieces")]
+    Fragmentation,
     /// Every link is narrow, and its buffers are small.
-    Narrow,
+    #[serde(rename = "narrow")]
+    LowBandwidth,
     /// The store dies and comes back.
-    StoreDies,
+    #[serde(rename = "store_dies")]
+    StoreCrash,
     /// Watches tell nothing while changes pass, and history is dropped.
     StoreCompacts,
     /// What watches tell is late, for one node more than for the others.
@@ -89,7 +100,8 @@
         to: usize,
     },
     /// Datagrams are lost, repeated and overtake one another.
-    PeersRough {
+    #[serde(rename = "peers_rough")]
+    PeerDatagramLoss {
         /// The share that is lost.
         lose: f64,
     },
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::SimulatedCluster;
 use super::fault::{Fault, TWISTS};
-use super::plan::Timed;
+use super::plan::ScheduledFault;
 use super::{lock, LAST_MOMENT};
 use ivyward::registration::State;
 use ivyward_fakes::{Engine, Faults, ObservedEvent};
@@ -13,12 +13,15 @@
 
 impl SimulatedCluster {
     /// One fault from its begin to its end.
-    pub(super) async fn play(self: Arc<Self>, timed: Timed, salt: u64) {
+    pub(super) async fn play(self: Arc<Self>, timed: ScheduledFault, salt: u64) {
         let (runtime, len) = (self.runtime.clone(), timed.len);
         let fault =
             |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
         match timed.fault {
-            Fault::Die { engine, word } => {
+            Fault::Crash {
+                engine,
+                reset_connections: word,
+            } => {
                 let id = self.engine(engine, |e| e.spec().id);
                 if !word {
                     self.log.add(ObservedEvent::Dark {
@@ -51,7 +54,7 @@
                 runtime.sleep(len).await;
                 self.put(engine, State::Ready, 0);
             }
-            Fault::Leave { engine } => {
+            Fault::Deregister { engine } => {
                 lock(&self.store).delete(&self.key(engine));
                 runtime.sleep(len).await;
                 self.put(engine, State::Ready, 0);
@@ -66,7 +69,7 @@
                 runtime.sleep(len).await;
                 fault(engine, &|f| f.slow = 1.0);
             }
-            Fault::Ill { engine, share } => {
+            Fault::FailCalls { engine, share } => {
                 fault(engine, &|f| {
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
                 });
@@ -75,7 +78,11 @@
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
                 });
             }
-            Fault::Odd { engine, share, how } => {
+            Fault::MalformedResponses {
+                engine,
+                share,
+                response_fault: how,
+            } => {
                 let how = TWISTS.get(how).copied();
                 fault(engine, &|f| {
                     (f.malformed, f.response_fault, f.stall, f.drop_states) =
@@ -86,7 +93,11 @@
                     (f.malformed, f.stall, f.drop_states) = (0.0, 0.0, false)
                 });
             }
-            Fault::Cut { engine, node, back } => {
+            Fault::Cut {
+                engine,
+                node,
+                engine_to_node: back,
+            } => {
                 let Some((node, _)) = self.node(node) else {
                     return;
                 };
@@ -96,7 +107,7 @@
                 runtime.sleep(len).await;
                 self.sim.cut(from, to, false);
             }
-            Fault::Lone { engine } => {
+            Fault::StoreCut { engine } => {
                 let ways = |on: bool, hosts: (HostId, HostId)| {
                     self.sim.cut(hosts.0, hosts.1, on);
                     self.sim.cut(hosts.1, hosts.0, on);
@@ -130,23 +141,23 @@
                 ways.iter()
                     .for_each(|(from, to)| self.sim.cut(*from, *to, false));
             }
-            Fault::PeersRough { lose } => {
+            Fault::PeerDatagramLoss { lose } => {
                 self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
                 runtime.sleep(len).await;
                 self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
             }
-            Fault::Pieces => {
+            Fault::Fragmentation => {
                 self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
                 runtime.sleep(len).await;
                 self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
             }
-            Fault::Narrow => {
+            Fault::LowBandwidth => {
                 self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
                 runtime.sleep(len).await;
                 self.sim
                     .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
             }
-            Fault::StoreDies => {
+            Fault::StoreCrash => {
                 lock(&self.store).crash();
                 // What it handed to its sockets in its last moment never left them: nobody was told.
                 let just = self.runtime.now().saturating_sub(LAST_MOMENT);
--- a/crates/ivyward-testbed/src/simulation/mod.rs
+++ b/crates/ivyward-testbed/src/simulation/mod.rs
@@ -16,13 +16,13 @@
 mod run;
 mod seeds;
 
-pub use coincidences::CATALOGUE;
+pub use coincidences::COINCIDENCES;
 pub use fault::Fault;
 pub use hosts::Hosts;
-pub use outcome::{Break, Outcome};
-pub use plan::{plan, Timed};
+pub use outcome::{Outcome, Violation};
+pub use plan::{plan, ScheduledFault};
 pub use run::run;
-pub use seeds::{first_wrong, many, shrink, Tally};
+pub use seeds::{first_failing_seed, run_seeds, shrink, Summary};
 
 use ivyward::core::interface::Micros;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -41,7 +41,7 @@
     /// Nodes know each other, and faults are between them as well.
     pub peers: bool,
     /// How rough they are: spans, shares and slowness grow with it. 1 as a scene is by itself.
-    pub rough: f64,
+    pub intensity: f64,
 }
 
 impl Default for Size {
@@ -52,7 +52,7 @@
             requests: 60,
             faults: 8,
             peers: false,
-            rough: 1.0,
+            intensity: 1.0,
         }
     }
 }
--- a/crates/ivyward-testbed/src/simulation/outcome.rs
+++ b/crates/ivyward-testbed/src/simulation/outcome.rs
@@ -15,24 +15,24 @@
     /// The number of polls, events and reads in the digest.
     pub events: u64,
     /// Violations, a line each; empty if all rules held and everything ended.
-    pub wrong: Vec<String>,
+    pub failures: Vec<String>,
     /// The outcomes of calls as clients saw them.
-    pub heard: BTreeMap<&'static str, u64>,
+    pub client_outcomes: BTreeMap<&'static str, u64>,
     /// Coincidences of [`CATALOGUE`](crate::simulation::CATALOGUE) that came about, and ends of attempts, as often as they did.
-    pub met: BTreeMap<&'static str, u64>,
+    pub coincidences: BTreeMap<&'static str, u64>,
     /// Virtual time from begin to end.
-    pub span: Micros,
+    pub duration: Micros,
     /// The event log of engines, clients and the script, in order.
-    pub seen: Vec<LoggedEvent>,
+    pub observed: Vec<LoggedEvent>,
     /// The recording of each run of a node, with the node's number: what its module was told and did.
-    pub records: Vec<(usize, Vec<u8>)>,
+    pub recordings: Vec<(usize, Vec<u8>)>,
     /// The first violation.
-    pub broke: Option<Break>,
+    pub first_violation: Option<Violation>,
 }
 
 /// The first thing that broke in a run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
+pub struct Violation {
     /// Polls, events and reads before it.
     pub step: u64,
     /// When, on the virtual clock.
@@ -48,13 +48,13 @@
     pub fn trace(&self) -> String {
         let ms = |at: Micros| at.saturating_sub(BEGIN) as f64 / 1e3;
         let mut lines = Vec::new();
-        for (i, LoggedEvent { at, what }) in self.seen.iter().enumerate() {
+        for (i, LoggedEvent { at, what }) in self.observed.iter().enumerate() {
             lines.push((*at, format!("seen    {what:?}")));
-            if let Some(broke) = self.broke.as_ref().filter(|b| b.seen == i + 1) {
+            if let Some(broke) = self.first_violation.as_ref().filter(|b| b.seen == i + 1) {
                 lines.push((*at, format!("BROKEN  {} (step {})", broke.rule, broke.step)));
             }
         }
-        for (node, bytes) in &self.records {
+        for (node, bytes) in &self.recordings {
             let Ok(mut reader) = RecordingReader::begin(&bytes[..]) else {
                 continue;
             };
@@ -81,7 +81,10 @@
 
     /// The last things seen up to what broke first.
     pub fn last_steps(&self, count: usize) -> Vec<String> {
-        let until = self.broke.as_ref().map_or(self.seen.len(), |b| b.seen);
+        let until = self
+            .first_violation
+            .as_ref()
+            .map_or(self.observed.len(), |b| b.seen);
         let from = until.saturating_sub(count);
         let line = |s: &LoggedEvent| {
             format!(
@@ -90,6 +93,6 @@
                 s.what
             )
         };
-        self.seen[from..until].iter().map(line).collect()
+        self.observed[from..until].iter().map(line).collect()
     }
 }
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -4,8 +4,8 @@
 use super::coincidences::coincidences;
 use super::fault::Fault;
 use super::hosts::Hosts;
-use super::outcome::{Break, Outcome};
-use super::plan::Timed;
+use super::outcome::{Outcome, Violation};
+use super::plan::ScheduledFault;
 use super::recordings::lists;
 use super::{lock, Size, BEGIN, SPAN, STREAM_BUFFER};
 use crate::local_cluster::{classes, fleet, limits, settings};
@@ -33,7 +33,7 @@
 pub(super) const AUDIT_EVERY: Micros = 250_000;
 
 /// Plays a seed under a plan.
-pub fn run(seed: u64, size: &Size, plan: &[Timed]) -> Outcome {
+pub fn run(seed: u64, size: &Size, plan: &[ScheduledFault]) -> Outcome {
     let sim = Sim::new(seed, Net::default());
     let script = sim.host(0);
     let played = {
@@ -86,13 +86,13 @@
     Outcome {
         digest,
         events,
-        wrong,
-        heard,
-        met,
-        span,
-        seen,
-        records,
-        broke,
+        failures: wrong,
+        client_outcomes: heard,
+        coincidences: met,
+        duration: span,
+        observed: seen,
+        recordings: records,
+        first_violation: broke,
     }
 }
 
@@ -104,7 +104,7 @@
     pub(super) met: BTreeMap<&'static str, u64>,
     pub(super) seen: Vec<LoggedEvent>,
     pub(super) records: Vec<(usize, Vec<u8>)>,
-    pub(super) broke: Option<Break>,
+    pub(super) broke: Option<Violation>,
 }
 
 /// Sets the cluster up, plays the plan and the requests, and checks the rules meanwhile and afterwards.
@@ -113,7 +113,7 @@
     runtime: RuntimeRef,
     seed: u64,
     size: Size,
-    plan: Vec<Timed>,
+    plan: Vec<ScheduledFault>,
 ) -> Result<Done, String> {
     let log = EventLog::new(&runtime);
     let hosts = Arc::new(Hosts::of(&sim));
@@ -212,7 +212,7 @@
     }
     drop(done);
     // After every step: whatever crossed the sockets is looked at as it does, and the first break ends the scene.
-    let cut = |t: &Timed| {
+    let cut = |t: &ScheduledFault| {
         if matches!(t.fault, Fault::Cut { .. }) {
             t.len
         } else {
@@ -226,13 +226,13 @@
         &fleet(size.racks),
     );
     limits.notice_flight = limits.flight;
-    let first: Arc<Mutex<Option<Break>>> = Arc::default();
+    let first: Arc<Mutex<Option<Violation>>> = Arc::default();
     let (broken, broke) = async_channel::bounded::<()>(1);
     let note = {
         let (first, cluster) = (first.clone(), Arc::downgrade(&cluster));
         move |at: Micros, seen: usize, rule: String| {
             let step = cluster.upgrade().map_or(0, |s| s.sim.digest().1);
-            lock(&first).get_or_insert(Break {
+            lock(&first).get_or_insert(Violation {
                 step,
                 at,
                 rule,
@@ -303,7 +303,7 @@
     }
     let broke = lock(&first).clone();
     let mut wrong = before;
-    if let Some(Break { step, at, rule, .. }) = &broke {
+    if let Some(Violation { step, at, rule, .. }) = &broke {
         wrong.push(format!("step {step}, {} ms: {rule}", (at - BEGIN) / 1_000));
     } else if left(&cluster) != (0, 0) {
         let (open, kept) = left(&cluster);
--- a/crates/ivyward-testbed/src/simulation/seeds.rs
+++ b/crates/ivyward-testbed/src/simulation/seeds.rs
@@ -1,7 +1,7 @@
 //! Many seeds, and shrinking the plan of one that fails.
 
 use super::fault::Fault;
-use super::plan::{plan, Timed};
+use super::plan::{plan, ScheduledFault};
 use super::run::run;
 use super::{lock, Size};
 use std::collections::BTreeMap;
@@ -10,15 +10,15 @@
 
 /// What came of many seeds.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Summary {
     /// Seeds played.
-    pub played: u64,
+    pub runs: u64,
     /// Those in which something was wrong, with what.
-    pub wrong: BTreeMap<u64, Vec<String>>,
+    pub failures: BTreeMap<u64, Vec<String>>,
     /// How calls ended, over all.
-    pub heard: BTreeMap<&'static str, u64>,
+    pub client_outcomes: BTreeMap<&'static str, u64>,
     /// Coincidences and ends of attempts, over all.
-    pub met: BTreeMap<&'static str, u64>,
+    pub coincidences: BTreeMap<&'static str, u64>,
     /// Faults that were played, by kind.
     pub faults: BTreeMap<String, u64>,
 }
@@ -32,14 +32,14 @@
 }
 
 /// Plays seeds on so many threads. Each has a world of its own, so that they do not touch each other.
-pub fn many(
+pub fn run_seeds(
     from: u64,
     count: u64,
     jobs: usize,
     size: &Size,
-    told: &(dyn Fn(&Tally) + Sync),
-) -> Tally {
-    let tally = Mutex::new(Tally::default());
+    told: &(dyn Fn(&Summary) + Sync),
+) -> Summary {
+    let tally = Mutex::new(Summary::default());
     let next = std::sync::atomic::AtomicU64::new(from);
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
@@ -51,22 +51,22 @@
                 let plan = plan(seed, size);
                 let outcome = run(seed, size, &plan);
                 let mut tally = lock(&tally);
-                tally.played += 1;
+                tally.runs += 1;
                 outcome
-                    .met
+                    .coincidences
                     .iter()
-                    .for_each(|(what, n)| *tally.met.entry(what).or_default() += n);
+                    .for_each(|(what, n)| *tally.coincidences.entry(what).or_default() += n);
                 outcome
-                    .heard
+                    .client_outcomes
                     .iter()
-                    .for_each(|(how, n)| *tally.heard.entry(how).or_default() += n);
+                    .for_each(|(how, n)| *tally.client_outcomes.entry(how).or_default() += n);
                 plan.iter()
                     .for_each(|t| *tally.faults.entry(name(&t.fault)).or_default() += 1);
-                if !outcome.wrong.is_empty() {
+                if !outcome.failures.is_empty() {
                     let last = outcome.last_steps(6);
-                    let mut lines = outcome.wrong;
+                    let mut lines = outcome.failures;
                     lines.extend(last.into_iter().map(|line| format!("  before it: {line}")));
-                    tally.wrong.insert(seed, lines);
+                    tally.failures.insert(seed, lines);
                 }
                 told(&tally);
             });
@@ -76,12 +76,17 @@
 }
 
 /// The first of so many seeds in which something is wrong, and what.
-pub fn first_wrong(from: u64, count: u64, jobs: usize, size: &Size) -> Option<(u64, String)> {
+pub fn first_failing_seed(
+    from: u64,
+    count: u64,
+    jobs: usize,
+    size: &Size,
+) -> Option<(u64, String)> {
     let (mut at, end) = (from, from.saturating_add(count));
     while at < end {
         let part = (jobs.max(1) as u64 * 4).min(end - at);
-        let found = many(at, part, jobs, size, &|_| {});
-        if let Some((seed, lines)) = found.wrong.into_iter().next() {
+        let found = run_seeds(at, part, jobs, size, &|_| {});
+        if let Some((seed, lines)) = found.failures.into_iter().next() {
             return Some((seed, lines.into_iter().next().unwrap_or_default()));
         }
         at += part;
@@ -90,13 +95,13 @@
 }
 
 /// Cuts a plan down: as few faults as can be, with something still wrong.
-pub fn shrink(seed: u64, size: &Size, plan: &[Timed]) -> Vec<Timed> {
+pub fn shrink(seed: u64, size: &Size, plan: &[ScheduledFault]) -> Vec<ScheduledFault> {
     let mut small = plan.to_vec();
     let mut i = 0;
     while i < small.len() {
         let mut less = small.clone();
         less.remove(i);
-        if run(seed, size, &less).wrong.is_empty() {
+        if run(seed, size, &less).failures.is_empty() {
             i += 1;
         } else {
             small = less;
--- a/crates/ivyward-testbed/tests/simulation.rs
+++ b/crates/ivyward-testbed/tests/simulation.rs
@@ -1,20 +1,20 @@
 //! Scenes in the virtual world: rules under faults from seeds, and the same run each time.
 
-use ivyward_testbed::simulation::{many, plan, run, shrink, Fault, Size, Timed};
+use ivyward_testbed::simulation::{plan, run, run_seeds, shrink, Fault, ScheduledFault, Size};
 
 #[test]
 fn seeds_keep_all_rules() {
     let size = Size::default();
-    let tally = many(1, 200, 4, &size, &|_| {});
-    assert_eq!(tally.wrong, Default::default());
-    assert_eq!(tally.played, 200);
+    let tally = run_seeds(1, 200, 4, &size, &|_| {});
+    assert_eq!(tally.failures, Default::default());
+    assert_eq!(tally.runs, 200);
     // Each kind of fault was played, and calls ended in each way.
     assert_eq!(tally.faults.len(), 15, "{:?}", tally.faults);
     for how in ["served", "refused", "failed", "left", "unreachable"] {
         assert!(
-            tally.heard.get(how).is_some_and(|n| *n > 0),
+            tally.client_outcomes.get(how).is_some_and(|n| *n > 0),
             "{how}: {:?}",
-            tally.heard
+            tally.client_outcomes
         );
     }
 }
@@ -27,8 +27,8 @@
         nodes: 4,
         ..Size::default()
     };
-    let tally = many(1, 200, 4, &size, &|_| {});
-    assert_eq!(tally.wrong, Default::default());
+    let tally = run_seeds(1, 200, 4, &size, &|_| {});
+    assert_eq!(tally.failures, Default::default());
     assert_eq!(tally.faults.len(), 17, "{:?}", tally.faults);
 }
 
@@ -87,9 +87,9 @@
 fn seeds_that_found_something() {
     let size = Size::default();
     for (seed, what, plan) in FOUND {
-        let plan: Vec<Timed> = serde_json::from_str(plan).unwrap();
+        let plan: Vec<ScheduledFault> = serde_json::from_str(plan).unwrap();
         assert_eq!(
-            run(*seed, &size, &plan).wrong,
+            run(*seed, &size, &plan).failures,
             Vec::<String>::new(),
             "seed {seed}: {what}"
         );
@@ -121,22 +121,22 @@
         faults: 0,
         ..Size::default()
     };
-    let fine = Timed {
+    let fine = ScheduledFault {
         at: 200_000,
         len: 50_000,
         fault: Fault::Drain { engine: 2 },
     };
-    let endless = Timed {
+    let endless = ScheduledFault {
         at: 300_000,
         len: 500_000_000,
-        fault: Fault::Pieces,
+        fault: Fault::Fragmentation,
     };
     let planted = [fine, endless, fine];
     let outcome = run(3, &size, &planted);
     assert!(
-        outcome.wrong[0].contains("it was not done by"),
+        outcome.failures[0].contains("it was not done by"),
         "{:?}",
-        outcome.wrong
+        outcome.failures
     );
     assert_eq!(shrink(3, &size, &planted), [endless]);
 }
