--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -60,10 +60,10 @@
     },
     /// The stand-ins fail.
     #[error(transparent)]
-    Scene(#[from] LocalClusterError),
+    LocalCluster(#[from] LocalClusterError),
     /// Something that had to come about did not.
     #[error("{0}")]
-    Never(String),
+    Timeout(String),
 }
 
 fn io(doing: &'static str) -> impl Fn(std::io::Error) -> ClusterError {
@@ -176,7 +176,7 @@
         };
         cluster.wire_up()?;
         for node in 0..cluster.size.nodes {
-            cluster.begin(node)?;
+            cluster.start_node(node)?;
         }
         Ok(cluster)
     }
@@ -196,8 +196,8 @@
             let real = socket.address();
             // Held until all are found: one that is free again is found twice.
             held.push(socket);
-            self.links.source(real, node);
-            runtime.run(links::datagrams(
+            self.links.set_source(real, node);
+            runtime.run(links::relay_datagrams(
                 runtime.clone(),
                 self.links.clone(),
                 door,
@@ -208,7 +208,7 @@
             for engine in &self.engines {
                 let id = engine.spec().id;
                 let through = self.relay(End::Node(node), End::Engine(id), engine.address())?;
-                let mut entry = crate::local_cluster::listed(
+                let mut entry = crate::local_cluster::list_entry(
                     engine,
                     ivyward::core::interface::EndpointState::Ready,
                     0,
@@ -262,7 +262,7 @@
         let runtime: RuntimeRef = self.runtime.clone();
         let door = runtime.listen(local()).map_err(io("opening a relay"))?;
         let through = door.address();
-        runtime.run(links::streams(
+        runtime.run(links::relay_streams(
             runtime.clone(),
             self.links.clone(),
             door,
@@ -293,7 +293,7 @@
         self.places.get(node)?.process.as_ref()
     }
     /// Where a node really takes datagrams, past its relay.
-    pub fn real(&self, node: usize) -> SocketAddr {
+    pub fn peer_address(&self, node: usize) -> SocketAddr {
         self.places[node].real
     }
     /// Nodes that run.
@@ -302,7 +302,7 @@
         (0..self.places.len()).filter(runs).collect()
     }
     /// Nodes whose processes are there, stopped or not: each may be sending.
-    pub fn there(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.places.iter().filter(|p| p.process.is_some()).count()
     }
 
@@ -310,7 +310,7 @@
     ///
     /// # Errors
     /// [`ClusterError`].
-    pub fn begin(&mut self, node: usize) -> Result<(), ClusterError> {
+    pub fn start_node(&mut self, node: usize) -> Result<(), ClusterError> {
         let place = &mut self.places[node];
         let mut tries = 0;
         let process = loop {
@@ -324,26 +324,29 @@
         Ok(())
     }
     /// Kills a node (SIGKILL).
-    pub fn kill(&mut self, node: usize) {
+    pub fn kill_node(&mut self, node: usize) {
         if let Some(process) = self.places[node].process.take() {
             self.log.add(ObservedEvent::NodeKilled {
                 node,
-                run: process.run,
+                run: process.incarnation,
             });
         }
     }
     /// Asks a node to end in order (SIGTERM) and waits for it; whether it ended well.
-    pub fn end(&mut self, node: usize) -> bool {
-        self.places[node].process.take().is_some_and(Process::end)
+    pub fn terminate_node(&mut self, node: usize) -> bool {
+        self.places[node]
+            .process
+            .take()
+            .is_some_and(Process::terminate)
     }
     /// Stops a node where it is, or lets it go on.
-    pub fn stop(&mut self, node: usize, on: bool) {
+    pub fn set_paused(&mut self, node: usize, on: bool) {
         let place = &mut self.places[node];
         if let Some(process) = &place.process {
             if on {
-                process.stop();
+                process.pause();
             } else {
-                process.go_on();
+                process.resume();
             }
             place.stopped = on;
         }
@@ -394,7 +397,7 @@
 
     /// What is wrong with the counts: none is to be lower than the number of processes that are there.
     pub fn miscounts(&self, views: &BTreeMap<usize, View>) -> Vec<String> {
-        let there = self.there() as u32;
+        let there = self.process_count() as u32;
         let low = views.iter().filter(|(_, view)| view.count < there);
         low.map(|(node, view)| format!("node {node} counts {} of {there}", view.count))
             .collect()
@@ -404,7 +407,7 @@
     ///
     /// # Errors
     /// [`ClusterError::Never`] with what was still wrong.
-    pub fn until(
+    pub fn wait_until(
         &self,
         most: Micros,
         what: impl Fn(&Cluster, &BTreeMap<usize, View>) -> Vec<String>,
@@ -418,24 +421,24 @@
             }
             if self.runtime.now() - began > most {
                 wrong.truncate(8);
-                return Err(ClusterError::Never(format!(
+                return Err(ClusterError::Timeout(format!(
                     "after {} s: {}",
                     most / 1_000_000,
                     wrong.join("; ")
                 )));
             }
-            self.rest(LOOK);
+            self.sleep(LOOK);
         }
     }
     /// Waits until all views agree.
     ///
     /// # Errors
     /// As for [`Cluster::until`].
-    pub fn until_agreed(&self, most: Micros) -> Result<Micros, ClusterError> {
-        self.until(most, |cluster, views| cluster.disagreements(views))
+    pub fn wait_until_agreed(&self, most: Micros) -> Result<Micros, ClusterError> {
+        self.wait_until(most, |cluster, views| cluster.disagreements(views))
     }
     /// Lets a span go by.
-    pub fn rest(&self, span: Micros) {
+    pub fn sleep(&self, span: Micros) {
         let runtime: RuntimeRef = self.runtime.clone();
         self.runtime.block_on(runtime.sleep(span));
     }
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -62,7 +62,7 @@
             load,
             nodes: 3,
             racks: 4,
-            runs: NodePlacement::Inside,
+            runs: NodePlacement::InProcess,
             flight: 250_000,
             etcd: false,
         }
@@ -135,10 +135,10 @@
             ..settings()
         },
         nodes: day.nodes,
-        runs: day.runs.clone(),
+        placement: day.runs.clone(),
         flight: day.flight,
-        follow,
-        record: Some(memory.clone()),
+        watcher: follow,
+        recording: Some(memory.clone()),
     };
     let scene = Arc::new(make.build()?);
     if let Some(store) = store {
@@ -161,7 +161,7 @@
     let plan = Arc::new(day.plan.clone());
     let tries = scene.runtime.clone().block_on(async {
         let (done, wait) = async_channel::bounded::<()>(1);
-        for (i, spell) in plan.spells.iter().enumerate() {
+        for (i, spell) in plan.faults.iter().enumerate() {
             let (scene, plan, spell, done) =
                 (scene.clone(), plan.clone(), spell.clone(), done.clone());
             scene.runtime.clone().run(async move {
@@ -174,7 +174,7 @@
         let tries = play(&scene, &plan, &day.load).await;
         // Troubles that outlast the load end by themselves.
         let _ = wait.recv().await;
-        scene.settle(5_000_000).await;
+        scene.wait_until_idle(5_000_000).await;
         if let Some(node) = scene.node(0) {
             node.flush_recording().await;
         }
@@ -256,12 +256,12 @@
     since: Option<Micros>,
     at: Micros,
 ) {
-    scene.list(engine, condition, since);
+    scene.set_listed_state(engine, condition, since);
     if write_record(scene, engine, condition, since) {
         return;
     }
     let late = plan
-        .on(FaultKind::DiscoveryStale, at)
+        .active_fault(FaultKind::DiscoveryStale, at)
         .map_or(0, |s| (LIST_LATE as f64 * s.size) as Micros);
     for node in 0..scene.nodes() {
         // Nodes hear of it one after the other.
@@ -269,7 +269,7 @@
             .runtime
             .sleep((LIST_BEHIND + late) / scene.nodes() as u64)
             .await;
-        scene.tell(node, engine).await;
+        scene.notify_node(node, engine).await;
     }
 }
 
@@ -600,7 +600,7 @@
             "{:<18}{:>9}{:>9}{:>9}{:>9}{:>10}",
             "during", "requests", "served", "refused", "failed", "given up"
         ));
-        for spell in &self.day.plan.spells {
+        for spell in &self.day.plan.faults {
             let during = self.ends(|t| (spell.at..spell.at + spell.len).contains(&t.at));
             line(row(&spell.kind.name(), during));
         }
@@ -608,7 +608,7 @@
             !self
                 .day
                 .plan
-                .spells
+                .faults
                 .iter()
                 .any(|s| (s.at..s.at + s.len).contains(&t.at))
         };
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -12,7 +12,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward_testbed::cluster::process::Process;
 use ivyward_testbed::local_cluster::{ivyward_flags, limits, settings};
-use ivyward_testbed::registration::keep;
+use ivyward_testbed::registration::keep_registered;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 }
 
 async fn engines(daemon: &Process, runtime: &RuntimeRef) -> u64 {
-    let text = daemon.ask(runtime, "/metrics").await.unwrap();
+    let text = daemon.admin_get(runtime, "/metrics").await.unwrap();
     let line = text
         .lines()
         .find_map(|l| l.strip_prefix("ivyward_engines "));
@@ -92,7 +92,7 @@
         let mut engine = Engine::start(&host, &log, spec.clone()).unwrap();
         engine.crash();
         if engine.restart(true).is_ok() {
-            keep(
+            keep_registered(
                 &engine,
                 vec![store.address()],
                 60,
@@ -118,7 +118,11 @@
             while engines(daemon, &runtime).await < 8 {
                 runtime.sleep(10_000).await;
             }
-            clients.push(Client::connect(&runtime, &log, daemon.door).await.unwrap());
+            clients.push(
+                Client::connect(&runtime, &log, daemon.client_address)
+                    .await
+                    .unwrap(),
+            );
         }
         // Every node's first call.
         for (node, client) in clients.iter().enumerate() {
@@ -153,7 +157,7 @@
         .collect();
     fleet
         .iter()
-        .for_each(|e| keep(e, vec![store.address()], 60, 0, |_| {}));
+        .for_each(|e| keep_registered(e, vec![store.address()], 60, 0, |_| {}));
     let mut settings = settings();
     for class in &mut settings.classes {
         class.settings.deadline = 20 * SECOND;
@@ -163,7 +167,9 @@
         while engines(&daemon, &runtime).await < 8 {
             runtime.sleep(10_000).await;
         }
-        let client = Client::connect(&runtime, &log, daemon.door).await.unwrap();
+        let client = Client::connect(&runtime, &log, daemon.client_address)
+            .await
+            .unwrap();
         let (told, ends) = std::sync::mpsc::sync_channel(60);
         for call in 1..=60u64 {
             let (client, told) = (client.clone(), told.clone());
