--- a/crates/ivyward-fakes/src/platform/engine.rs
+++ b/crates/ivyward-fakes/src/platform/engine.rs
@@ -4,7 +4,7 @@
 use crate::platform::observe::{Observation, ObservationLog};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_http1::Request;
+use ivyward_http1::RequestHead;
 use ivyward_runtime::{Conn, Micros, RuntimeExt, RuntimeRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -203,8 +203,8 @@
         say(conn, "HTTP/1.1 204 No Content\r\n\r\n").await
     }
 
-    async fn attempt(&self, conn: &mut Conn, request: &Request) -> bool {
-        let text = |name: &str| request.head.text(name).unwrap_or("").to_owned();
+    async fn attempt(&self, conn: &mut Conn, request: &RequestHead) -> bool {
+        let text = |name: &str| request.headers.text(name).unwrap_or("").to_owned();
         let (id, key) = (text("x-request-id"), text("idempotency-key"));
         let timeout = text("x-timeout-ms").parse::<u64>().unwrap_or(0) * 1_000;
         let attempt = self.platform.attempts.fetch_add(1, Ordering::SeqCst);
--- a/crates/ivyward-fakes/src/platform/exchange.rs
+++ b/crates/ivyward-fakes/src/platform/exchange.rs
@@ -1,15 +1,15 @@
 //! Whole requests and answers from a connection.
 
 use futures_lite::AsyncReadExt;
-use ivyward_http1::{Answer, Body, Limits, Request, Step};
+use ivyward_http1::{Body, Limits, RequestHead, ResponseHead, Step};
 use ivyward_runtime::{Conn, Micros, RuntimeRef};
 
 /// Bounds of what is read.
 pub const LIMITS: Limits = Limits {
-    head: 16 << 10,
-    headers: 64,
-    body: 1 << 20,
-    chunk: 1 << 20,
+    max_head_bytes: 16 << 10,
+    max_headers: 64,
+    max_body_bytes: 1 << 20,
+    max_chunk_bytes: 1 << 20,
 };
 const PIECE: usize = 4_096;
 
@@ -42,12 +42,12 @@
     loop {
         if body.is_none() {
             if let Some((answer, used)) =
-                Answer::read(&bytes, &LIMITS).expect("an answer that can be read")
+                ResponseHead::parse(&bytes, &LIMITS).expect("an answer that can be read")
             {
                 bytes.drain(..used);
                 out.status = answer.status;
-                out.closes = !answer.head.keeps();
-                out.retry_after = answer.head.text("retry-after").map(str::to_owned);
+                out.closes = !answer.headers.is_keep_alive();
+                out.retry_after = answer.headers.text("retry-after").map(str::to_owned);
                 body = Some(Body::new(answer.framing, &LIMITS));
             }
         }
@@ -84,11 +84,11 @@
 }
 
 /// A whole request from a connection with what is left of it in `bytes`, or `None` at the connection's end.
-pub async fn read_request(conn: &mut Conn, bytes: &mut Vec<u8>) -> Option<(Request, Vec<u8>)> {
-    let mut head: Option<(Request, Body, Vec<u8>)> = None;
+pub async fn read_request(conn: &mut Conn, bytes: &mut Vec<u8>) -> Option<(RequestHead, Vec<u8>)> {
+    let mut head: Option<(RequestHead, Body, Vec<u8>)> = None;
     loop {
         if head.is_none() {
-            if let Some((request, used)) = Request::read(bytes, &LIMITS).ok()? {
+            if let Some((request, used)) = RequestHead::parse(bytes, &LIMITS).ok()? {
                 bytes.drain(..used);
                 let body = Body::new(request.framing, &LIMITS);
                 head = Some((request, body, Vec::new()));
--- a/crates/ivyward-http1/src/body.rs
+++ b/crates/ivyward-http1/src/body.rs
@@ -77,7 +77,7 @@
         Body {
             state,
             chunked: framing == Framing::Chunked,
-            most_chunk: limits.chunk,
+            most_chunk: limits.max_chunk_bytes,
             trailers: 0,
         }
     }
--- a/crates/ivyward-http1/src/lib.rs
+++ b/crates/ivyward-http1/src/lib.rs
@@ -10,17 +10,17 @@
 pub mod head;
 
 pub use body::{Body, BodyError, Framing, Step};
-pub use head::{Answer, Fault, Head, Request};
+pub use head::{HeadError, Headers, RequestHead, ResponseHead};
 
 /// Bounds on what is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of a head, its first line among them.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Header lines.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Bytes of a body that comes by length.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// Bytes of one chunk.
-    pub chunk: u64,
+    pub max_chunk_bytes: u64,
 }
--- a/crates/ivyward-http1/tests/framing.rs
+++ b/crates/ivyward-http1/tests/framing.rs
@@ -1,18 +1,20 @@
 //! Heads and bodies, whole and in pieces, good and bad.
 
-use ivyward_http1::{body, Answer, Body, BodyError, Fault, Framing, Limits, Request, Step};
+use ivyward_http1::{
+    body, Body, BodyError, Framing, HeadError, Limits, RequestHead, ResponseHead, Step,
+};
 use proptest::prelude::*;
 
 const LIMITS: Limits = Limits {
-    head: 2_000,
-    headers: 16,
-    body: 1_000,
-    chunk: 1_000,
+    max_head_bytes: 2_000,
+    max_headers: 16,
+    max_body_bytes: 1_000,
+    max_chunk_bytes: 1_000,
 };
 
-fn head(lines: &str) -> Result<Framing, Fault> {
+fn head(lines: &str) -> Result<Framing, HeadError> {
     let text = format!("POST /a?b HTTP/1.1\r\n{lines}\r\n");
-    Request::read(text.as_bytes(), &LIMITS).map(|read| read.expect("whole").0.framing)
+    RequestHead::parse(text.as_bytes(), &LIMITS).map(|read| read.expect("whole").0.framing)
 }
 
 #[test]
@@ -26,28 +28,31 @@
     assert_eq!(head("Transfer-Encoding: Chunked\r\n"), Ok(Framing::Chunked));
     assert_eq!(
         head("Content-Length: 12\r\nContent-Length: 13\r\n"),
-        Err(Fault::Length)
+        Err(HeadError::InvalidLength)
     );
     assert_eq!(
         head("Content-Length: 12\r\nTransfer-Encoding: chunked\r\n"),
-        Err(Fault::Both)
+        Err(HeadError::LengthAndCoding)
+    );
+    assert_eq!(
+        head("Transfer-Encoding: gzip\r\n"),
+        Err(HeadError::UnsupportedCoding)
     );
-    assert_eq!(head("Transfer-Encoding: gzip\r\n"), Err(Fault::Coding));
     assert_eq!(
         head("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"),
-        Err(Fault::Coding)
+        Err(HeadError::UnsupportedCoding)
     );
     for bad in ["-1", "+1", "1 2", "0x10", "", "1,1"] {
         assert_eq!(
             head(&format!("Content-Length: {bad}\r\n")),
-            Err(Fault::Length),
+            Err(HeadError::InvalidLength),
             "{bad:?}"
         );
     }
     for large in ["1001", "99999999999999999999999"] {
         assert_eq!(
             head(&format!("Content-Length: {large}\r\n")),
-            Err(Fault::TooLarge),
+            Err(HeadError::BodyTooLarge),
             "{large}"
         );
     }
@@ -56,26 +61,40 @@
 #[test]
 fn heads_are_bounded() {
     let long = format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(2_000));
-    assert_eq!(Request::read(&long.as_bytes()[..1_999], &LIMITS), Ok(None));
-    assert_eq!(Request::read(long.as_bytes(), &LIMITS), Err(Fault::TooLong));
+    assert_eq!(
+        RequestHead::parse(&long.as_bytes()[..1_999], &LIMITS),
+        Ok(None)
+    );
+    assert_eq!(
+        RequestHead::parse(long.as_bytes(), &LIMITS),
+        Err(HeadError::TooLong)
+    );
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "X: y\r\n".repeat(17));
     assert_eq!(
-        Request::read(many.as_bytes(), &LIMITS),
-        Err(Fault::Unreadable)
+        RequestHead::parse(many.as_bytes(), &LIMITS),
+        Err(HeadError::Malformed)
+    );
+    assert_eq!(
+        ResponseHead::parse(b"\x00\x01", &LIMITS),
+        Err(HeadError::Malformed)
     );
-    assert_eq!(Answer::read(b"\x00\x01", &LIMITS), Err(Fault::Unreadable));
 }
 
 #[test]
 fn answers_without_a_body_and_connections_that_end() {
-    let read = |text: &str| Answer::read(text.as_bytes(), &LIMITS).unwrap().unwrap().0;
+    let read = |text: &str| {
+        ResponseHead::parse(text.as_bytes(), &LIMITS)
+            .unwrap()
+            .unwrap()
+            .0
+    };
     assert_eq!(read("HTTP/1.1 204 No\r\n\r\n").framing, Framing::Length(0));
     assert_eq!(read("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::UntilClose);
-    assert!(read("HTTP/1.1 200 OK\r\n\r\n").head.keeps());
+    assert!(read("HTTP/1.1 200 OK\r\n\r\n").headers.is_keep_alive());
     assert!(!read("HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n")
-        .head
-        .keeps());
-    assert!(!read("HTTP/1.0 200 OK\r\n\r\n").head.keeps());
+        .headers
+        .is_keep_alive());
+    assert!(!read("HTTP/1.0 200 OK\r\n\r\n").headers.is_keep_alive());
 }
 
 /// Feeds bytes in pieces; the body's bytes, whether it is whole, and how many bytes were used.
@@ -156,8 +175,8 @@
     /// Nothing makes it panic, and it never claims more than it was given.
     #[test]
     fn any_bytes_are_survived(bytes in prop::collection::vec(any::<u8>(), 0..3_000)) {
-        let _ = Request::read(&bytes, &LIMITS);
-        let _ = Answer::read(&bytes, &LIMITS);
+        let _ = RequestHead::parse(&bytes, &LIMITS);
+        let _ = ResponseHead::parse(&bytes, &LIMITS);
         if let Ok((out, _, used)) = feed(Framing::Chunked, &[&bytes]) {
             prop_assert!(out.len() <= used && used <= bytes.len());
         }
--- a/crates/ivyward-platform/src/buffered_connection.rs
+++ b/crates/ivyward-platform/src/buffered_connection.rs
@@ -4,7 +4,7 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{before, Conn, Peer, RuntimeRef};
-use ivyward_http1::{Answer, Body, BodyError, Limits, Step};
+use ivyward_http1::{Body, BodyError, Limits, ResponseHead, Step};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -193,7 +193,7 @@
     Io(#[from] io::Error),
     /// The received bytes are not a valid response head.
     #[error("{0}")]
-    Invalid(#[from] ivyward_http1::Fault),
+    Invalid(#[from] ivyward_http1::HeadError),
     /// More than `MAX_INTERIM_RESPONSES` (8) interim responses were received.
     #[error("more than {MAX_INTERIM_RESPONSES} interim responses")]
     TooManyInterimResponses,
@@ -203,10 +203,10 @@
 pub(crate) async fn read_response_head(
     connection: &mut BufferedConnection,
     limits: &Limits,
-) -> Result<Answer, ResponseHeadError> {
+) -> Result<ResponseHead, ResponseHeadError> {
     let mut interim_responses = 0;
     loop {
-        match Answer::read(connection.unread(), limits)? {
+        match ResponseHead::parse(connection.unread(), limits)? {
             Some((response, used)) => {
                 connection.consume(used);
                 match response.status {
@@ -230,7 +230,7 @@
 /// the limit.
 pub(crate) async fn read_response_body(
     connection: &mut BufferedConnection,
-    response: &Answer,
+    response: &ResponseHead,
     limits: &Limits,
 ) -> Option<Vec<u8>> {
     let mut body = Body::new(response.framing, limits);
@@ -238,7 +238,7 @@
     loop {
         match connection.read_body_step(&mut body, &mut bytes).ok()? {
             Step::Done => return Some(bytes),
-            _ if bytes.len() as u64 > limits.body => return None,
+            _ if bytes.len() as u64 > limits.max_body_bytes => return None,
             Step::More if connection.fill().await.ok()? == 0 => return None,
             _ => {}
         }
--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -7,7 +7,7 @@
 use ivyward::engines::Call;
 use ivyward::response::{FinalStatus, TokenBuffer};
 use ivyward::runtime::Peer;
-use ivyward_http1::Request;
+use ivyward_http1::RequestHead;
 use std::any::Any;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -50,7 +50,7 @@
 impl HttpCall {
     pub(crate) fn new(
         id: &str,
-        request: &Request,
+        request: &RequestHead,
         is_idempotent: bool,
         prompt: Prompt,
         client: Arc<dyn Peer>,
@@ -60,7 +60,7 @@
             id: id.into(),
             method: request.method.clone(),
             target: request.target.clone(),
-            idempotency_key: request.head.text(IDEMPOTENCY_KEY).map(str::to_owned),
+            idempotency_key: request.headers.text(IDEMPOTENCY_KEY).map(str::to_owned),
             is_idempotent,
             prompt: Mutex::new(Some(Arc::new(prompt))),
             progress: Mutex::new(None),
--- a/crates/ivyward-platform/src/call/tests.rs
+++ b/crates/ivyward-platform/src/call/tests.rs
@@ -19,12 +19,12 @@
         let (server_side, _) = listener.accept().await.unwrap();
         let text = b"POST / HTTP/1.1\r\n\r\n";
         let limits = ivyward_http1::Limits {
-            head: 1_000,
-            headers: 4,
-            body: 9,
-            chunk: 9,
+            max_head_bytes: 1_000,
+            max_headers: 4,
+            max_body_bytes: 9,
+            max_chunk_bytes: 9,
         };
-        let (request, _) = Request::read(text, &limits).unwrap().unwrap();
+        let (request, _) = RequestHead::parse(text, &limits).unwrap().unwrap();
         let prompt = Prompt {
             bytes: Vec::new(),
             _share: BudgetShare::new(&PromptBudget::new(1)),
--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -150,17 +150,17 @@
 
 /// Limits on clients' requests, and on engines' and discovery's responses.
 pub(crate) const LIMITS: Limits = Limits {
-    head: 16 << 10,
-    headers: 64,
-    body: MAX_BODY_BYTES as u64,
-    chunk: MAX_BODY_BYTES as u64,
+    max_head_bytes: 16 << 10,
+    max_headers: 64,
+    max_body_bytes: MAX_BODY_BYTES as u64,
+    max_chunk_bytes: MAX_BODY_BYTES as u64,
 };
 
 /// The same for lists of engines.
 pub(crate) fn list_limits(bounds: &Bounds) -> Limits {
     Limits {
-        body: bounds.list_bytes as u64,
-        chunk: bounds.list_bytes as u64,
+        max_body_bytes: bounds.list_bytes as u64,
+        max_chunk_bytes: bounds.list_bytes as u64,
         ..LIMITS
     }
 }
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -13,7 +13,7 @@
 use ivyward::core::interface::{LoadReport, Micros, Outcome};
 use ivyward::engines::{AttemptRequest, AttemptResult, WaitResult};
 use ivyward::runtime::{before, BoxFuture, RuntimeRef};
-use ivyward_http1::{head, Answer};
+use ivyward_http1::{head, ResponseHead};
 use std::future::Future;
 use std::io;
 use std::pin::pin;
@@ -250,7 +250,7 @@
         connection: &mut EngineConnection,
         timer: &mut BoxFuture<()>,
         check: Option<DeliveryCheck>,
-    ) -> Result<Answer, AttemptResult> {
+    ) -> Result<ResponseHead, AttemptResult> {
         let head = match check {
             Some(check) => {
                 let checked = self.read_head_checking_delivery(connection, check);
@@ -287,7 +287,7 @@
         &self,
         connection: &mut EngineConnection,
         check: DeliveryCheck,
-    ) -> Result<Answer, AwaitError> {
+    ) -> Result<ResponseHead, AwaitError> {
         let mut head = pin!(read_response_head(connection, &LIMITS));
         if let Some(head) = before(self.runtime(), check.connect_at, head.as_mut()).await {
             return Ok(head?);
@@ -331,10 +331,12 @@
     async fn handle_response(
         &self,
         mut connection: EngineConnection,
-        response: Answer,
+        response: ResponseHead,
         mut timer: BoxFuture<()>,
     ) -> AttemptResult {
-        let report = self.client.load_report(response.head.text("x-server-load"));
+        let report = self
+            .client
+            .load_report(response.headers.text("x-server-load"));
         match (response.status, self.request.prefill_only) {
             (200, false) => {
                 return self
@@ -352,7 +354,7 @@
         let body = read_response_body(&mut connection, &response, &LIMITS);
         if let Some(Some(_)) = before(self.runtime(), until, body).await {
             self.client
-                .return_connection(connection, response.head.keeps());
+                .return_connection(connection, response.headers.is_keep_alive());
         }
         AttemptResult {
             report,
@@ -364,7 +366,7 @@
     async fn read_prefill_result(
         &self,
         mut connection: EngineConnection,
-        response: &Answer,
+        response: &ResponseHead,
         report: LoadReport,
         timer: &mut BoxFuture<()>,
     ) -> AttemptResult {
@@ -372,7 +374,7 @@
         let (outcome, detail) = match self.request.wait(timer, reading).await {
             WaitResult::Completed(Some(body)) => {
                 self.client
-                    .return_connection(connection, response.head.keeps());
+                    .return_connection(connection, response.headers.is_keep_alive());
                 let result: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
                 return AttemptResult {
                     cached_tokens: cached_tokens(&result),
@@ -397,7 +399,7 @@
     async fn relay_stream(
         &self,
         mut connection: EngineConnection,
-        response: &Answer,
+        response: &ResponseHead,
         report: LoadReport,
         timer: &mut BoxFuture<()>,
     ) -> AttemptResult {
@@ -406,7 +408,7 @@
             StreamResult::Ended(result) => {
                 if result.outcome == Outcome::Served {
                     self.client
-                        .return_connection(connection, response.head.keeps());
+                        .return_connection(connection, response.headers.is_keep_alive());
                 }
                 result
             }
@@ -439,8 +441,8 @@
 }
 
 /// Returns the result of an attempt whose response is an error. `X-Not-Processed: 1` states that the engine ran nothing.
-fn error_result(response: &Answer) -> AttemptResult {
-    let never_ran = response.head.text("x-not-processed") == Some("1");
+fn error_result(response: &ResponseHead) -> AttemptResult {
+    let never_ran = response.headers.text("x-not-processed") == Some("1");
     match response.status {
         status @ (503 | 504) if never_ran => {
             AttemptResult::new(Outcome::Rejected, format!("rejected with status {status}"))
--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -172,11 +172,11 @@
             return Err(CallError::TimedOut(self.endpoint.address));
         };
         let (head, body) = exchange?;
-        let mut report = self.load_report(head.head.text("x-server-load"));
+        let mut report = self.load_report(head.headers.text("x-server-load"));
         if let Some(body) = body.as_deref().filter(|_| report.len == 0) {
             report = self.load_report(std::str::from_utf8(body).ok());
         }
-        self.return_connection(connection, body.is_some() && head.head.keeps());
+        self.return_connection(connection, body.is_some() && head.headers.is_keep_alive());
         Ok(CallResponse {
             status: head.status,
             report,
--- a/crates/ivyward-platform/src/engine/reservation.rs
+++ b/crates/ivyward-platform/src/engine/reservation.rs
@@ -79,7 +79,10 @@
         };
         client.record_response();
         let body = read_response_body(&mut connection, &response, &LIMITS).await;
-        client.return_connection(connection, body.is_some() && response.head.keeps());
+        client.return_connection(
+            connection,
+            body.is_some() && response.headers.is_keep_alive(),
+        );
         match response.status {
             200 => ReservationStatus::Granted,
             404 | 409 => ReservationStatus::Denied,
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -105,7 +105,7 @@
             Err(ReadError::Closed) => return Err(CloseReason::ClientDisconnected),
             Err(ReadError::Invalid(error)) => error,
             Ok((request, prompt)) => {
-                let keep_alive = request.head.keeps();
+                let keep_alive = request.headers.is_keep_alive();
                 match self.handle_request(connection, request, prompt).await {
                     Ok(delivery) => {
                         return self.after_response(connection, delivery, keep_alive).await
--- a/crates/ivyward-platform/src/server/request.rs
+++ b/crates/ivyward-platform/src/server/request.rs
@@ -8,7 +8,7 @@
 use crate::call::HttpCall;
 use crate::prompt_budget::Prompt;
 use ivyward::core::interface::{Idempotency, Request as RouterRequest};
-use ivyward_http1::Request;
+use ivyward_http1::RequestHead;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     pub(super) async fn handle_request(
         &self,
         connection: &mut BufferedConnection,
-        request: Request,
+        request: RequestHead,
         prompt: Prompt,
     ) -> Result<Delivery, RequestError> {
         let path = request.target.split('?').next().unwrap_or("");
--- a/crates/ivyward-platform/src/server/request_headers.rs
+++ b/crates/ivyward-platform/src/server/request_headers.rs
@@ -4,7 +4,7 @@
 use super::Server;
 use crate::call::IDEMPOTENCY_KEY;
 use ivyward::core::interface::{Micros, Request as RouterRequest};
-use ivyward_http1::Request;
+use ivyward_http1::RequestHead;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The maximum length of a request id, in bytes.
@@ -19,8 +19,8 @@
 }
 
 /// Returns the value of a required header, or an error if it is absent.
-fn required<'a>(request: &'a Request, name: &str) -> Result<&'a str, RequestError> {
-    let value = request.head.text(name);
+fn required<'a>(request: &'a RequestHead, name: &str) -> Result<&'a str, RequestError> {
+    let value = request.headers.text(name);
     value.ok_or_else(|| bad_request(format!("{name} is missing")))
 }
 
@@ -65,7 +65,7 @@
     /// the router expects it.
     pub(super) fn parse_headers(
         &self,
-        request: &Request,
+        request: &RequestHead,
         length: usize,
     ) -> Result<(String, RouterRequest), RequestError> {
         let id = parse_id(request)?;
@@ -76,17 +76,17 @@
         let client_timeout = self.parse_timeout(request, class)?;
         // A body holds no more tokens than bytes.
         let max_tokens = length as f64;
-        let attributes = Attributes(request.head.text("x-attrs").unwrap_or(""));
+        let attributes = Attributes(request.headers.text("x-attrs").unwrap_or(""));
         let prompt_tokens = attributes
             .number("prompt_len", max_tokens)?
             .unwrap_or(max_tokens / BYTES_PER_TOKEN);
         let prefix_tokens = attributes.number("prefix_len", max_tokens)?;
         let max_output = attributes.number("max_out", MAX_OUTPUT_TOKENS)?;
-        let retried = request.head.text("x-retried");
+        let retried = request.headers.text("x-retried");
         let router_request = RouterRequest {
             class,
             tenant,
-            session: hash_of(request.head.text("x-route-key")),
+            session: hash_of(request.headers.text("x-route-key")),
             prefix: hash_of(attributes.get("prefix")),
             client_timeout,
             prompt_tokens,
@@ -99,7 +99,7 @@
         Ok((id, router_request))
     }
 
-    fn parse_tenant(&self, request: &Request) -> Result<usize, RequestError> {
+    fn parse_tenant(&self, request: &RequestHead) -> Result<usize, RequestError> {
         if self.deployment.tenants.is_empty() {
             return Ok(0);
         }
@@ -108,7 +108,7 @@
     }
 
     /// Parses the client's timeout, and limits it to the deadline of the request's class.
-    fn parse_timeout(&self, request: &Request, class: usize) -> Result<Micros, RequestError> {
+    fn parse_timeout(&self, request: &RequestHead, class: usize) -> Result<Micros, RequestError> {
         let text = required(request, "x-timeout-ms")?;
         let timeout_ms = text
             .parse::<u64>()
@@ -120,7 +120,7 @@
     }
 }
 
-fn parse_id(request: &Request) -> Result<String, RequestError> {
+fn parse_id(request: &RequestHead) -> Result<String, RequestError> {
     let id = required(request, "x-request-id")?;
     let is_valid = !id.is_empty()
         && id.len() <= MAX_ID_LENGTH
@@ -136,9 +136,14 @@
 }
 
 /// Rejects an idempotency key that cannot be forwarded: without it engines would treat a retry as a new request.
-fn check_idempotency_key(request: &Request) -> Result<(), RequestError> {
-    let is_present = request.head.get(IDEMPOTENCY_KEY).is_some();
-    if is_present && request.head.text(IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+fn check_idempotency_key(request: &RequestHead) -> Result<(), RequestError> {
+    let is_present = request.headers.get(IDEMPOTENCY_KEY).is_some();
+    if is_present
+        && request
+            .headers
+            .text(IDEMPOTENCY_KEY)
+            .is_none_or(str::is_empty)
+    {
         let text = format!("{IDEMPOTENCY_KEY} must be visible letters");
         return Err(bad_request(text));
     }
--- a/crates/ivyward-platform/src/server/request_reader.rs
+++ b/crates/ivyward-platform/src/server/request_reader.rs
@@ -7,7 +7,7 @@
 use crate::prompt_budget::{BudgetShare, Prompt};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::before;
-use ivyward_http1::{Body, Fault, Request, Step};
+use ivyward_http1::{Body, HeadError, RequestHead, Step};
 
 /// Why no request was received.
 pub(super) enum ReadError {
@@ -29,7 +29,7 @@
         &self,
         connection: &mut BufferedConnection,
         until: Micros,
-    ) -> Result<(Request, Prompt), ReadError> {
+    ) -> Result<(RequestHead, Prompt), ReadError> {
         let request = before(&self.runtime, until, self.read_request(connection)).await;
         request.unwrap_or_else(|| {
             let text = "the request did not come whole in time";
@@ -40,10 +40,10 @@
     async fn read_request(
         &self,
         connection: &mut BufferedConnection,
-    ) -> Result<(Request, Prompt), ReadError> {
+    ) -> Result<(RequestHead, Prompt), ReadError> {
         let request = read_head(connection).await?;
         let expects_continue = request
-            .head
+            .headers
             .text("expect")
             .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
         if expects_continue {
@@ -59,7 +59,7 @@
     async fn read_body(
         &self,
         connection: &mut BufferedConnection,
-        request: &Request,
+        request: &RequestHead,
     ) -> Result<Prompt, ReadError> {
         let mut body = Body::new(request.framing, &LIMITS);
         let mut share = BudgetShare::new(&self.prompt_budget);
@@ -92,9 +92,9 @@
     }
 }
 
-async fn read_head(connection: &mut BufferedConnection) -> Result<Request, ReadError> {
+async fn read_head(connection: &mut BufferedConnection) -> Result<RequestHead, ReadError> {
     loop {
-        match Request::read(connection.unread(), &LIMITS) {
+        match RequestHead::parse(connection.unread(), &LIMITS) {
             Ok(Some((request, used))) => {
                 connection.consume(used);
                 return Ok(request);
@@ -102,8 +102,8 @@
             Ok(None) => fill(connection).await?,
             Err(fault) => {
                 let status = match fault {
-                    Fault::TooLarge => 413,
-                    Fault::TooLong => 431,
+                    HeadError::BodyTooLarge => 413,
+                    HeadError::TooLong => 431,
                     _ => 400,
                 };
                 return Err(RequestError::closing(status, fault.to_string()).into());
--- a/crates/ivyward-platform/tests/common/engine.rs
+++ b/crates/ivyward-platform/tests/common/engine.rs
@@ -169,7 +169,7 @@
     async fn serve(&self, mut conn: Conn) {
         let mut bytes = Vec::new();
         while let Some((request, body)) = read_request(&mut conn, &mut bytes).await {
-            let text = |name: &str| request.head.text(name).unwrap_or("").to_owned();
+            let text = |name: &str| request.headers.text(name).unwrap_or("").to_owned();
             let request = EngineRequest {
                 at: self.runtime.now(),
                 engine: self.engine,
