--- a/crates/ivyward-fakes/src/platform/exchange.rs
+++ b/crates/ivyward-fakes/src/platform/exchange.rs
@@ -1,7 +1,7 @@
 //! Whole requests and answers from a connection.
 
 use futures_lite::AsyncReadExt;
-use ivyward_http1::{Body, Limits, RequestHead, ResponseHead, Step};
+use ivyward_http1::{BodyDecoder, Decoded, Limits, RequestHead, ResponseHead};
 use ivyward_runtime::{Conn, Micros, RuntimeRef};
 
 /// Bounds of what is read.
@@ -37,7 +37,7 @@
 /// # Panics
 /// When what comes is no HTTP: no stand-in goes on from there.
 pub async fn read_answer(runtime: &RuntimeRef, conn: &mut Conn) -> Got {
-    let (mut bytes, mut out, mut body): (Vec<u8>, Got, Option<Body>) =
+    let (mut bytes, mut out, mut body): (Vec<u8>, Got, Option<BodyDecoder>) =
         (Vec::new(), Got::default(), None);
     loop {
         if body.is_none() {
@@ -48,26 +48,26 @@
                 out.status = answer.status;
                 out.closes = !answer.headers.is_keep_alive();
                 out.retry_after = answer.headers.text("retry-after").map(str::to_owned);
-                body = Some(Body::new(answer.framing, &LIMITS));
+                body = Some(BodyDecoder::new(answer.framing, &LIMITS));
             }
         }
         while let Some(body) = body.as_mut() {
-            let (step, used) = body.step(&bytes).expect("a body that can be read");
-            if let Step::Data(range) = &step {
+            let (step, used) = body.decode(&bytes).expect("a body that can be read");
+            if let Decoded::Data(range) = &step {
                 out.body.extend_from_slice(&bytes[range.clone()]);
                 out.last = runtime.now();
             }
             bytes.drain(..used);
             match step {
-                Step::Done => {
+                Decoded::Done => {
                     return Got {
                         whole: true,
                         at: runtime.now(),
                         ..out
                     }
                 }
-                Step::More => break,
-                Step::Data(_) => {}
+                Decoded::NeedMoreInput => break,
+                Decoded::Data(_) => {}
             }
         }
         let mut piece = [0; PIECE];
@@ -85,26 +85,26 @@
 
 /// A whole request from a connection with what is left of it in `bytes`, or `None` at the connection's end.
 pub async fn read_request(conn: &mut Conn, bytes: &mut Vec<u8>) -> Option<(RequestHead, Vec<u8>)> {
-    let mut head: Option<(RequestHead, Body, Vec<u8>)> = None;
+    let mut head: Option<(RequestHead, BodyDecoder, Vec<u8>)> = None;
     loop {
         if head.is_none() {
             if let Some((request, used)) = RequestHead::parse(bytes, &LIMITS).ok()? {
                 bytes.drain(..used);
-                let body = Body::new(request.framing, &LIMITS);
+                let body = BodyDecoder::new(request.framing, &LIMITS);
                 head = Some((request, body, Vec::new()));
             }
         }
         if let Some((_, body, text)) = head.as_mut() {
             loop {
-                let (step, used) = body.step(bytes).ok()?;
-                if let Step::Data(range) = &step {
+                let (step, used) = body.decode(bytes).ok()?;
+                if let Decoded::Data(range) = &step {
                     text.extend_from_slice(&bytes[range.clone()]);
                 }
                 bytes.drain(..used);
                 match step {
-                    Step::Done => return head.map(|(request, _, text)| (request, text)),
-                    Step::More => break,
-                    Step::Data(_) => {}
+                    Decoded::Done => return head.map(|(request, _, text)| (request, text)),
+                    Decoded::NeedMoreInput => break,
+                    Decoded::Data(_) => {}
                 }
             }
         }
--- a/crates/ivyward-http1/src/body.rs
+++ b/crates/ivyward-http1/src/body.rs
@@ -19,20 +19,20 @@
 pub enum BodyError {
     /// A chunk's size cannot be read.
     #[error("the size of a chunk cannot be read")]
-    Size,
+    InvalidChunkSize,
     /// A chunk of more bytes than are taken.
     #[error("a chunk is too long")]
-    TooLong,
+    ChunkTooLong,
     /// Something else stands where a chunk should end.
     #[error("a chunk does not end where its size says")]
-    End,
+    InvalidChunkEnd,
 }
 
 /// What the next bytes are.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Decoded {
     /// More bytes are needed.
-    More,
+    NeedMoreInput,
     /// These bytes of the input belong to the body.
     Data(Range<usize>),
     /// The body is whole.
@@ -58,23 +58,23 @@
 
 /// Follows one body through the bytes as they come.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
     chunked: bool,
     most_chunk: u64,
     trailers: u8,
 }
 
-impl Body {
+impl BodyDecoder {
     /// A body that begins with the next byte.
-    pub fn new(framing: Framing, limits: &Limits) -> Body {
+    pub fn new(framing: Framing, limits: &Limits) -> BodyDecoder {
         let state = match framing {
             Framing::Length(0) => State::Done,
             Framing::Length(n) => State::Left(n),
             Framing::Chunked => State::Size,
             Framing::UntilClose => State::Open,
         };
-        Body {
+        BodyDecoder {
             state,
             chunked: framing == Framing::Chunked,
             most_chunk: limits.max_chunk_bytes,
@@ -83,7 +83,7 @@
     }
 
     /// Whether it is whole.
-    pub fn done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
@@ -91,14 +91,14 @@
     ///
     /// # Errors
     /// When nothing more can be made of the bytes.
-    pub fn step(&mut self, input: &[u8]) -> Result<(Step, usize), BodyError> {
+    pub fn decode(&mut self, input: &[u8]) -> Result<(Decoded, usize), BodyError> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
             match self.state {
-                State::Done => return Ok((Step::Done, used)),
-                _ if rest.is_empty() => return Ok((Step::More, used)),
-                State::Open => return Ok((Step::Data(used..input.len()), input.len())),
+                State::Done => return Ok((Decoded::Done, used)),
+                _ if rest.is_empty() => return Ok((Decoded::NeedMoreInput, used)),
+                State::Open => return Ok((Decoded::Data(used..input.len()), input.len())),
                 State::Left(left) => {
                     let take = left.min(rest.len() as u64);
                     self.state = match (left - take, self.chunked) {
@@ -107,11 +107,11 @@
                         (left, _) => State::Left(left),
                     };
                     let end = used + take as usize;
-                    return Ok((Step::Data(used..end), end));
+                    return Ok((Decoded::Data(used..end), end));
                 }
                 State::Size => {
-                    let Some(line) = line(rest, BodyError::Size)? else {
-                        return Ok((Step::More, used));
+                    let Some(line) = line(rest, BodyError::InvalidChunkSize)? else {
+                        return Ok((Decoded::NeedMoreInput, used));
                     };
                     used += line.len() + 2;
                     let size = line
@@ -121,7 +121,7 @@
                         .trim_ascii();
                     self.state = match hex(size)? {
                         0 => State::Trailer,
-                        n if n > self.most_chunk => return Err(BodyError::TooLong),
+                        n if n > self.most_chunk => return Err(BodyError::ChunkTooLong),
                         n => State::Left(n),
                     };
                 }
@@ -130,19 +130,19 @@
                         used += 2;
                         self.state = State::Size;
                     }
-                    [b'\r'] => return Ok((Step::More, used)),
-                    _ => return Err(BodyError::End),
+                    [b'\r'] => return Ok((Decoded::NeedMoreInput, used)),
+                    _ => return Err(BodyError::InvalidChunkEnd),
                 },
                 State::Trailer => {
-                    let Some(line) = line(rest, BodyError::End)? else {
-                        return Ok((Step::More, used));
+                    let Some(line) = line(rest, BodyError::InvalidChunkEnd)? else {
+                        return Ok((Decoded::NeedMoreInput, used));
                     };
                     used += line.len() + 2;
                     self.trailers += 1;
                     if line.is_empty() {
                         self.state = State::Done;
                     } else if self.trailers > MOST_TRAILERS {
-                        return Err(BodyError::End);
+                        return Err(BodyError::InvalidChunkEnd);
                     }
                 }
             }
@@ -163,15 +163,15 @@
 
 fn hex(digits: &[u8]) -> Result<u64, BodyError> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_hexdigit) {
-        return Err(BodyError::Size);
+        return Err(BodyError::InvalidChunkSize);
     }
     // A size of more digits than fit is one that is too long, whatever it says.
-    let text = std::str::from_utf8(digits).map_err(|_| BodyError::Size)?;
-    u64::from_str_radix(text, 16).map_err(|_| BodyError::TooLong)
+    let text = std::str::from_utf8(digits).map_err(|_| BodyError::InvalidChunkSize)?;
+    u64::from_str_radix(text, 16).map_err(|_| BodyError::ChunkTooLong)
 }
 
 /// Writes one chunk. Nothing is written for no bytes, which would be the end.
-pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
+pub fn write_chunk(out: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
     }
@@ -181,4 +181,4 @@
 }
 
 /// The last chunk.
-pub const LAST: &[u8] = b"0\r\n\r\n";
+pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/ivyward-http1/src/lib.rs
+++ b/crates/ivyward-http1/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod body;
 pub mod head;
 
-pub use body::{Body, BodyError, Framing, Step};
+pub use body::{BodyDecoder, BodyError, Decoded, Framing};
 pub use head::{HeadError, Headers, RequestHead, ResponseHead};
 
 /// Bounds on what is read.
--- a/crates/ivyward-http1/tests/framing.rs
+++ b/crates/ivyward-http1/tests/framing.rs
@@ -1,7 +1,7 @@
 //! Heads and bodies, whole and in pieces, good and bad.
 
 use ivyward_http1::{
-    body, Body, BodyError, Framing, HeadError, Limits, RequestHead, ResponseHead, Step,
+    body, BodyDecoder, BodyError, Decoded, Framing, HeadError, Limits, RequestHead, ResponseHead,
 };
 use proptest::prelude::*;
 
@@ -99,37 +99,41 @@
 
 /// Feeds bytes in pieces; the body's bytes, whether it is whole, and how many bytes were used.
 fn feed(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, usize), BodyError> {
-    let (mut body, mut out, mut all, mut buf) =
-        (Body::new(framing, &LIMITS), Vec::new(), 0, Vec::new());
+    let (mut body, mut out, mut all, mut buf) = (
+        BodyDecoder::new(framing, &LIMITS),
+        Vec::new(),
+        0,
+        Vec::new(),
+    );
     for piece in pieces {
         buf.extend_from_slice(piece);
         loop {
-            let (step, used) = body.step(&buf)?;
-            if let Step::Data(range) = &step {
+            let (step, used) = body.decode(&buf)?;
+            if let Decoded::Data(range) = &step {
                 out.extend_from_slice(&buf[range.clone()]);
             }
             buf.drain(..used);
             all += used;
             match step {
-                Step::Done => return Ok((out, true, all)),
-                Step::More => break,
-                Step::Data(_) => {}
+                Decoded::Done => return Ok((out, true, all)),
+                Decoded::NeedMoreInput => break,
+                Decoded::Data(_) => {}
             }
         }
     }
-    Ok((out, body.done(), all))
+    Ok((out, body.is_done(), all))
 }
 
 #[test]
 fn chunks_that_cannot_be() {
     for (bytes, error) in [
-        ("zz\r\n", BodyError::Size),
-        ("\r\n", BodyError::Size),
-        ("-5\r\nhello\r\n", BodyError::Size),
-        ("5\nhello\r\n", BodyError::Size),
-        ("bb800000\r\n", BodyError::TooLong),
-        ("fffffffffffffffff\r\n", BodyError::TooLong),
-        ("5\r\nhelloX", BodyError::End),
+        ("zz\r\n", BodyError::InvalidChunkSize),
+        ("\r\n", BodyError::InvalidChunkSize),
+        ("-5\r\nhello\r\n", BodyError::InvalidChunkSize),
+        ("5\nhello\r\n", BodyError::InvalidChunkSize),
+        ("bb800000\r\n", BodyError::ChunkTooLong),
+        ("fffffffffffffffff\r\n", BodyError::ChunkTooLong),
+        ("5\r\nhelloX", BodyError::InvalidChunkEnd),
     ] {
         assert_eq!(
             feed(Framing::Chunked, &[bytes.as_bytes()]),
@@ -139,12 +143,12 @@
     }
     assert_eq!(
         feed(Framing::Chunked, &[&[b'1'; 2_000]]),
-        Err(BodyError::Size)
+        Err(BodyError::InvalidChunkSize)
     );
     let endless = format!("0\r\n{}", "a: b\r\n".repeat(100));
     assert_eq!(
         feed(Framing::Chunked, &[endless.as_bytes()]),
-        Err(BodyError::End)
+        Err(BodyError::InvalidChunkEnd)
     );
 }
 
@@ -156,8 +160,8 @@
         cuts in prop::collection::vec(0usize..2_000, 0..12),
     ) {
         let mut bytes = Vec::new();
-        chunks.iter().for_each(|c| body::chunk(&mut bytes, c));
-        bytes.extend_from_slice(body::LAST);
+        chunks.iter().for_each(|c| body::write_chunk(&mut bytes, c));
+        bytes.extend_from_slice(body::LAST_CHUNK);
         let length = bytes.len();
         bytes.extend_from_slice(b"GET / next");
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(bytes.len())).collect();
--- a/crates/ivyward-platform/src/buffered_connection.rs
+++ b/crates/ivyward-platform/src/buffered_connection.rs
@@ -4,7 +4,7 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{before, Conn, Peer, RuntimeRef};
-use ivyward_http1::{Body, BodyError, Limits, ResponseHead, Step};
+use ivyward_http1::{BodyDecoder, BodyError, Decoded, Limits, ResponseHead};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -117,11 +117,11 @@
     /// Parses the next part of a body from the unread bytes, and appends its data to `output`.
     pub(crate) fn read_body_step(
         &mut self,
-        body: &mut Body,
+        body: &mut BodyDecoder,
         output: &mut Vec<u8>,
-    ) -> Result<Step, BodyError> {
-        let (step, used) = body.step(self.unread())?;
-        if let Step::Data(range) = &step {
+    ) -> Result<Decoded, BodyError> {
+        let (step, used) = body.decode(self.unread())?;
+        if let Decoded::Data(range) = &step {
             output.extend_from_slice(&self.unread()[range.clone()]);
         }
         self.consume(used);
@@ -233,13 +233,13 @@
     response: &ResponseHead,
     limits: &Limits,
 ) -> Option<Vec<u8>> {
-    let mut body = Body::new(response.framing, limits);
+    let mut body = BodyDecoder::new(response.framing, limits);
     let mut bytes = Vec::new();
     loop {
         match connection.read_body_step(&mut body, &mut bytes).ok()? {
-            Step::Done => return Some(bytes),
+            Decoded::Done => return Some(bytes),
             _ if bytes.len() as u64 > limits.max_body_bytes => return None,
-            Step::More if connection.fill().await.ok()? == 0 => return None,
+            Decoded::NeedMoreInput if connection.fill().await.ok()? == 0 => return None,
             _ => {}
         }
     }
--- a/crates/ivyward-platform/src/engine/stream.rs
+++ b/crates/ivyward-platform/src/engine/stream.rs
@@ -8,7 +8,7 @@
 use ivyward::core::interface::{LoadReport, Outcome};
 use ivyward::engines::{AttemptRequest, AttemptResult, CancelReason, StallDetector, WaitResult};
 use ivyward::runtime::BoxFuture;
-use ivyward_http1::{Body, Framing, Step};
+use ivyward_http1::{BodyDecoder, Decoded, Framing};
 
 /// How a stream ended, and whether the engine may still be processing the request.
 pub(super) enum StreamResult {
@@ -41,7 +41,7 @@
     client: &'a HttpEngineClient,
     request: &'a AttemptRequest,
     call: &'a HttpCall,
-    body: Body,
+    body: BodyDecoder,
     events: EventParser,
     /// Set with the first event. From then on the stall timeout applies in place of the attempt's deadline.
     stall: Option<StallDetector>,
@@ -58,7 +58,7 @@
             client,
             request,
             call,
-            body: Body::new(framing, &LIMITS),
+            body: BodyDecoder::new(framing, &LIMITS),
             events: EventParser::default(),
             stall: None,
         }
@@ -78,9 +78,9 @@
                 Err(error) => return StreamResult::abandoned(Outcome::Error, error.to_string()),
             };
             let progress = match step {
-                Step::Data(_) => self.forward_events().await,
-                Step::Done => Err(self.finish(report)),
-                Step::More => self.receive(connection, timer).await,
+                Decoded::Data(_) => self.forward_events().await,
+                Decoded::Done => Err(self.finish(report)),
+                Decoded::NeedMoreInput => self.receive(connection, timer).await,
             };
             if let Err(result) = progress {
                 return result;
--- a/crates/ivyward-platform/src/server/request_reader.rs
+++ b/crates/ivyward-platform/src/server/request_reader.rs
@@ -7,7 +7,7 @@
 use crate::prompt_budget::{BudgetShare, Prompt};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::before;
-use ivyward_http1::{Body, HeadError, RequestHead, Step};
+use ivyward_http1::{BodyDecoder, Decoded, HeadError, RequestHead};
 
 /// Why no request was received.
 pub(super) enum ReadError {
@@ -61,7 +61,7 @@
         connection: &mut BufferedConnection,
         request: &RequestHead,
     ) -> Result<Prompt, ReadError> {
-        let mut body = Body::new(request.framing, &LIMITS);
+        let mut body = BodyDecoder::new(request.framing, &LIMITS);
         let mut share = BudgetShare::new(&self.prompt_budget);
         // Memory is allocated and counted for received bytes only, not for the length that the client states.
         let mut bytes = Vec::new();
@@ -76,7 +76,7 @@
                 return Err(RequestError::closing(503, text).into());
             }
             match step {
-                Step::Done => {
+                Decoded::Done => {
                     return Ok(Prompt {
                         bytes,
                         _share: share,
@@ -85,8 +85,8 @@
                 _ if bytes.len() > MAX_BODY_BYTES => {
                     return Err(RequestError::closing(413, "the body is too long").into());
                 }
-                Step::More => fill(connection).await?,
-                Step::Data(_) => {}
+                Decoded::NeedMoreInput => fill(connection).await?,
+                Decoded::Data(_) => {}
             }
         }
     }
--- a/crates/ivyward-platform/src/server/response.rs
+++ b/crates/ivyward-platform/src/server/response.rs
@@ -107,10 +107,10 @@
                     if !std::mem::replace(&mut has_begun, true) {
                         self.write_stream_head(&mut output);
                     }
-                    body::chunk(&mut output, &events);
+                    body::write_chunk(&mut output, &events);
                 }
                 Err(FinalStatus::Served) if has_begun => {
-                    return self.write(connection, body::LAST).await;
+                    return self.write(connection, body::LAST_CHUNK).await;
                 }
                 // The missing last chunk shows the client that the stream is incomplete.
                 Err(_) if has_begun => return Delivery::Broken,
