--- a/crates/ivyward-platform/src/discovery.rs
+++ b/crates/ivyward-platform/src/discovery.rs
@@ -53,7 +53,7 @@
     }
 
     /// Follows discovery at another address from now on.
-    pub(crate) fn move_to(&self, address: SocketAddr) {
+    pub(crate) fn set_address(&self, address: SocketAddr) {
         let before = std::mem::replace(&mut *lock(&self.address), address);
         if before != address {
             info!(%address, "discovery address updated");
--- a/crates/ivyward-platform/src/service.rs
+++ b/crates/ivyward-platform/src/service.rs
@@ -142,7 +142,7 @@
 
     /// Applies the discovery address of a new configuration. Changes of other values need a restart.
     pub fn reload(&self, config: &Config) {
-        self.discovery.move_to(config.discovery);
+        self.discovery.set_address(config.discovery);
     }
 
     /// Stops the node. It accepts connections for another 650 ms, finishes all accepted requests, and returns when no
