--- a/crates/ivyward-platform/src/config.rs
+++ b/crates/ivyward-platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, and the bounds that follow from its limits.
+//! The platform's configuration file, and the node's bounds, which are derived from the limits in the file.
 
 use crate::discovery::List;
 use ivyward::core::interface::{ClassSettings, Idempotency, Micros, Settings as RouterSettings};
@@ -10,82 +10,86 @@
 use std::path::Path;
 use tracing::warn;
 
-/// Most bytes of a configuration file.
+/// The maximum size of a configuration file: 4 MiB.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// Longest body, as the platform states it.
+/// The maximum length of a body that the platform specifies: 256 KiB.
 pub(crate) const MAX_BODY_BYTES: usize = 256 << 10;
-/// A client that takes no byte of its stream for this span is disconnected: the platform's 5 s, less the time to do so.
-const STREAM_STALL_TIMEOUT: Micros = 4_500_000;
-/// The final response is given so long before the client's time ends, or this part of the shortest deadline.
+/// How long a response stream that has begun may go without a byte from its engine before its client is disconnected: 4.5 s.
+/// The platform requires the disconnection within 5 s; the difference is the time that it takes.
+const STREAM_IDLE_TIMEOUT: Micros = 4_500_000;
+/// How long before the client's deadline the final response is sent: 20 ms, but at most the shortest deadline of all classes
+/// divided by `RESPONSE_MARGIN_DIVISOR`.
 const RESPONSE_MARGIN: Micros = 20_000;
 const RESPONSE_MARGIN_DIVISOR: Micros = 10;
-/// No configured span is taken for shorter.
-const MIN_SPAN: Micros = 1_000;
-/// No deadline is taken for shorter or longer.
-const MIN_DEADLINE: Micros = 3 * MIN_SPAN;
+/// Shorter configured durations are raised to this value: 1 ms, the minimum that [`NodeSettings::check`] accepts.
+const MIN_DURATION: Micros = 1_000;
+/// Deadlines outside this range are clamped to it: 3 ms to 1 h. A deadline must be more than twice the response margin,
+/// which is at least 1 ms.
+const MIN_DEADLINE: Micros = 3 * MIN_DURATION;
 const MAX_DEADLINE: Micros = 3_600_000_000;
-/// With fewer file descriptors a node cannot serve.
+/// The minimum of `limits.sockets`. With fewer file descriptors a node cannot serve requests.
 const MIN_SOCKETS: usize = 160;
-/// The range of `limits.memory_mb`.
+/// The range of `limits.memory_mb`, in units of 1,000,000 bytes.
 const MIN_MEMORY_MB: f64 = 16.0;
 const MAX_MEMORY_MB: f64 = 1e7;
-/// Descriptors for what is neither client nor engine: logs, listener, poller, discovery old and new, and connections
-/// that were told to close and have not yet.
+/// File descriptors reserved for everything except connections to clients and engines: logs, the listener, the poller, the
+/// connections to the old and the new discovery address, and connections that were requested to close but are still open.
 const RESERVED_DESCRIPTORS: usize = 28;
-/// Connections that only releases and health checks may open: a part of all descriptors, and at least so many.
+/// The connections that only releases and health checks may open: `limits.sockets` divided by
+/// `RELEASE_CONNECTIONS_DIVISOR`, and at least `MIN_RELEASE_CONNECTIONS`.
 const RELEASE_CONNECTIONS_DIVISOR: usize = 32;
 const MIN_RELEASE_CONNECTIONS: usize = 12;
-/// A list may take this part of the memory, and at least so many bytes: 1,024 entries with long names and indentation come
-/// to a third of that.
+/// The maximum length of a list of engines: the memory divided by `LIST_MEMORY_DIVISOR`, and at least `MIN_LIST_BYTES`.
+/// 1,024 entries with long names and indentation take a third of `MIN_LIST_BYTES`.
 const LIST_MEMORY_DIVISOR: usize = 32;
 const MIN_LIST_BYTES: usize = 1 << 20;
-/// Prompts and response buffers may take these parts of the memory.
+/// The memory is divided by these numbers to get the limits on all prompts and on all response buffers together.
 const PROMPT_MEMORY_DIVISOR: usize = 4;
 const RESPONSE_MEMORY_DIVISOR: usize = 8;
-/// Least bytes of a response that may wait for one client.
+/// The minimum size of a client's response buffer, in bytes.
 const MIN_RESPONSE_BUFFER: usize = 8 << 10;
-/// Most connections to one engine.
+/// The maximum number of connections to one engine that [`NodeSettings::check`] accepts.
 const MAX_CONNECTIONS_PER_ENGINE: usize = 1 << 12;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file does not exist or cannot be read.
     #[error("{path}: {error}")]
     File {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// Why the file cannot be read.
         error: std::io::Error,
     },
-    /// The file is longer than any configuration.
+    /// The file is longer than 4 MiB, the maximum size of a configuration.
     #[error("{path}: longer than {MAX_FILE_BYTES} bytes")]
     TooLong {
-        /// Its path.
+        /// The path of the file.
         path: String,
     },
-    /// The file is no JSON of this form.
+    /// The file is not valid JSON, or a field is missing or has the wrong type.
     #[error("{path}: {error}")]
     Form {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// Where it is malformed.
+        /// What is malformed, with line and column.
         error: serde_json::Error,
     },
-    /// The settings object is invalid.
+    /// The `settings` object is invalid.
     #[error("{0}")]
     Settings(#[from] ivyward_settings::ParseError),
-    /// A value is invalid.
+    /// The value of a field is invalid.
     #[error("{field} {value}: {reason}")]
     Value {
-        /// The field.
+        /// The path of the field in the file.
         field: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: String,
-        /// Why it is invalid, and which values are not.
+        /// Which values are valid.
         reason: &'static str,
     },
-    /// A setting of the node is invalid.
+    /// The node's settings, which are derived from the file, are invalid.
     #[error("settings: {0}")]
     Node(#[from] SettingsError),
 }
@@ -98,7 +102,8 @@
     #[serde(default)]
     seed: String,
     limits: FileLimits,
-    /// Parsed by itself, so that a malformed one keeps no node from starting.
+    /// The list of engines that the node received before its last restart. Parsed on its own, so that a malformed list does
+    /// not prevent the start.
     #[serde(default, rename = "known")]
     cached_list: serde_json::Value,
     settings: serde_json::Value,
@@ -110,45 +115,45 @@
     sockets: usize,
 }
 
-/// The bounds on what a node holds, derived from the platform's limits.
+/// The bounds on a node's connections and memory, derived from the limits in the configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Client connections. The usual clients hold a third of all descriptors at most.
+    /// The maximum number of client connections. The platform's regular clients use at most a third of all file descriptors.
     pub client_connections: usize,
-    /// Connections to engines.
+    /// The maximum number of connections to all engines together.
     pub engine_connections: usize,
-    /// Bytes of all prompts in memory.
+    /// The maximum number of bytes of all prompts in memory.
     pub prompt_bytes: usize,
-    /// Bytes of a response that wait for one client.
+    /// The size of the response buffer for one client, in bytes.
     pub response_buffer: usize,
-    /// Connections that only releases and health checks may open.
+    /// The number of connections that only releases and health checks may open, in addition to `engine_connections`.
     pub release_connections: usize,
-    /// Requests for which a release may be pending at once.
+    /// The maximum number of releases that are pending at once.
     pub pending_releases: usize,
-    /// Bytes of a list of engines: parsed, it takes several times as much.
+    /// The maximum length of a list of engines, in bytes. A parsed list takes several times as much memory.
     pub list_bytes: usize,
 }
 
 /// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The node's name.
+    /// The node's name, which is logged at the start.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The list of engines as this node last had it.
+    /// The list of engines that the node received before its last restart; `None` if the file has no valid one.
     pub cached_list: Option<List>,
-    /// The deployment's settings, with their names.
+    /// The deployment's settings, with the names of classes, tenants, zones and machine types.
     pub deployment: NamedSettings,
-    /// The bounds that follow from the limits.
+    /// The bounds on connections and memory.
     pub bounds: Bounds,
-    /// The node's settings.
+    /// The settings of the node, derived from `deployment` and `bounds`.
     pub node: NodeSettings,
 }
 
-/// Limits on clients' requests, and on engines' and discovery's responses.
+/// The limits on requests of clients and on responses of engines.
 pub(crate) const LIMITS: Limits = Limits {
     max_head_bytes: 16 << 10,
     max_headers: 64,
@@ -156,7 +161,7 @@
     max_chunk_bytes: MAX_BODY_BYTES as u64,
 };
 
-/// The same for lists of engines.
+/// Returns the limits on responses of discovery: [`LIMITS`] with the maximum length of a list of engines as the body limit.
 pub(crate) fn list_limits(bounds: &Bounds) -> Limits {
     Limits {
         max_body_bytes: bounds.list_bytes as u64,
@@ -179,14 +184,14 @@
             return Err(ConfigError::Value {
                 field: "limits.sockets",
                 value: self.sockets.to_string(),
-                reason: "at least 160 are needed",
+                reason: "must be at least 160",
             });
         }
         if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&self.memory_mb) {
             return Err(ConfigError::Value {
                 field: "limits.memory_mb",
                 value: self.memory_mb.to_string(),
-                reason: "at least 16 are needed",
+                reason: "must be from 16 to 10000000",
             });
         }
         Ok(())
@@ -201,7 +206,8 @@
         let release_connections =
             (sockets / RELEASE_CONNECTIONS_DIVISOR).max(MIN_RELEASE_CONNECTIONS);
         let connections = sockets - RESERVED_DESCRIPTORS - release_connections;
-        // The platform's figure of a third for clients is a bound on the usual ones; idle ones of others come on top.
+        // More than the third of the descriptors that the platform states for clients: that is the limit for its regular
+        // clients only, and idle connections of other clients come on top.
         let client_connections = connections / 2;
         let response_buffer = memory / RESPONSE_MEMORY_DIVISOR / client_connections;
         Ok(Bounds {
@@ -210,7 +216,7 @@
             release_connections,
             prompt_bytes: memory / PROMPT_MEMORY_DIVISOR,
             response_buffer: response_buffer.clamp(MIN_RESPONSE_BUFFER, MAX_BODY_BYTES),
-            // Pending releases belong to requests that were open; those of earlier requests come on top.
+            // Twice the open requests: releases of earlier requests may be pending in addition to those of the open ones.
             pending_releases: 2 * client_connections,
             list_bytes: (memory / LIST_MEMORY_DIVISOR).max(MIN_LIST_BYTES),
         })
@@ -218,10 +224,10 @@
 }
 
 impl Config {
-    /// Reads a file.
+    /// Reads a configuration file.
     ///
     /// # Errors
-    /// One line that names field, value and reason.
+    /// Returns the first error found. Its message is one line with the file or the field, the value and the reason.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let name = path.display().to_string();
         let file_error = |error| ConfigError::File {
@@ -236,10 +242,10 @@
         Config::parse(&name, &text)
     }
 
-    /// Parses the text of a file; errors show `path`.
+    /// Parses the text of a configuration file. `path` is only used in error messages.
     ///
     /// # Errors
-    /// As [`Config::read`].
+    /// Returns the same errors as [`Config::read`].
     pub fn parse(path: &str, text: &[u8]) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_slice(text).map_err(|error| ConfigError::Form {
             path: path.into(),
@@ -263,7 +269,7 @@
     }
 }
 
-/// The list as the node last had it. A malformed one is logged and ignored.
+/// Parses the list of engines from before the last restart. A malformed list is logged and ignored.
 fn parse_cached_list(value: serde_json::Value) -> Option<List> {
     if value.is_null() {
         return None;
@@ -273,35 +279,35 @@
         .ok()
 }
 
-/// Guards against a start that is refused for a class whose figures contradict each other: what its clients wait for and
-/// what its engines remember is theirs, and this node keeps to the stricter reading.
+/// Adjusts class settings that contradict each other or are out of range, which would otherwise fail the start. The node
+/// cannot change how long clients wait or how long engines drop repeats, so it follows the stricter interpretation.
 fn make_consistent(class: &mut ClassSettings) {
     class.deadline = class.deadline.clamp(MIN_DEADLINE, MAX_DEADLINE);
-    class.ttft_objective = class.ttft_objective.clamp(MIN_SPAN, class.deadline);
+    class.ttft_objective = class.ttft_objective.clamp(MIN_DURATION, class.deadline);
     class.deduplication_window = match class.idempotency {
-        // Without a window nothing is repeated.
+        // A window of 0 is invalid for such a class. With a window of 1 µs no attempt is repeated.
         Idempotency::WithKey => class.deduplication_window.max(1),
-        // The settings state a window for every class; it has a meaning for keyed ones alone.
+        // The settings have a window for every class, but only classes with idempotency keys use it.
         Idempotency::Idempotent | Idempotency::NonIdempotent => 0,
     };
 }
 
-/// The router's settings, as this node can keep them.
+/// Returns the router's settings, adjusted to what this node supports.
 fn router_settings(deployment: &NamedSettings) -> RouterSettings {
-    let mut rules = deployment.router.clone();
-    // This node has one attempt of a request in flight at a time, wherever more would be allowed.
-    rules.hedging = false;
-    rules.classes.iter_mut().for_each(make_consistent);
-    // Guards against a start that is refused for a deployment in which a span is not stated, or shorter than what the
-    // daemon's own flags allow: here the calls to engines keep to it by themselves.
-    rules.release_within = rules.release_within.max(2 * MIN_SPAN);
-    rules.drain_grace = rules.drain_grace.max(MIN_SPAN);
-    rules.overload_window = rules.overload_window.max(MIN_SPAN);
-    rules
+    let mut router = deployment.router.clone();
+    // This node has at most one attempt of a request in flight at a time, even if two are allowed.
+    router.hedging = false;
+    router.classes.iter_mut().for_each(make_consistent);
+    // Raises durations that the deployment does not state, or that are shorter than the minimum of the daemon's flags, which
+    // would otherwise fail the start. The calls to engines observe the configured durations themselves.
+    router.release_within = router.release_within.max(2 * MIN_DURATION);
+    router.drain_grace = router.drain_grace.max(MIN_DURATION);
+    router.overload_window = router.overload_window.max(MIN_DURATION);
+    router
 }
 
-fn named_classes(deployment: &NamedSettings, rules: &RouterSettings) -> Vec<Class> {
-    let classes = deployment.classes.iter().zip(&rules.classes);
+fn named_classes(deployment: &NamedSettings, router: &RouterSettings) -> Vec<Class> {
+    let classes = deployment.classes.iter().zip(&router.classes);
     classes
         .map(|(name, settings)| Class {
             name: name.clone(),
@@ -310,8 +316,8 @@
         .collect()
 }
 
-fn named_tenants(deployment: &NamedSettings, rules: &RouterSettings) -> Vec<Tenant> {
-    let tenants = deployment.tenants.iter().zip(&rules.tenants);
+fn named_tenants(deployment: &NamedSettings, router: &RouterSettings) -> Vec<Tenant> {
+    let tenants = deployment.tenants.iter().zip(&router.tenants);
     tenants
         .map(|(name, settings)| Tenant {
             name: name.clone(),
@@ -320,22 +326,22 @@
         .collect()
 }
 
-/// A seed in hexadecimal digits, or the hash of any other text.
+/// Parses a seed of hexadecimal digits. For any other text, returns its hash.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
 }
 
-/// How long before the client's deadline the final response is given.
-fn response_margin(rules: &RouterSettings) -> Micros {
-    let deadlines = rules.classes.iter().map(|class| class.deadline);
+/// Returns how long before the client's deadline the final response is sent.
+fn response_margin(router: &RouterSettings) -> Micros {
+    let deadlines = router.classes.iter().map(|class| class.deadline);
     let shortest = deadlines.min().unwrap_or(Micros::MAX);
     RESPONSE_MARGIN
         .min(shortest / RESPONSE_MARGIN_DIVISOR)
-        .max(MIN_SPAN)
+        .max(MIN_DURATION)
 }
 
 fn node_settings(deployment: &NamedSettings, bounds: &Bounds, seed: &str) -> NodeSettings {
-    let rules = router_settings(deployment);
+    let router = router_settings(deployment);
     let default = NodeSettings::default();
     let connect_timeout = match deployment.connect_timeout {
         0 => default.dial_timeout,
@@ -347,18 +353,18 @@
     };
     NodeSettings {
         seed: parse_seed(seed),
-        classes: named_classes(deployment, &rules),
-        tenants: named_tenants(deployment, &rules),
-        answer_margin: response_margin(&rules),
-        dial_timeout: connect_timeout.min(rules.drain_grace).max(MIN_SPAN),
-        reset_timeout: default.reset_timeout.min(rules.release_within / 2),
-        stream_idle_timeout: STREAM_STALL_TIMEOUT,
+        classes: named_classes(deployment, &router),
+        tenants: named_tenants(deployment, &router),
+        answer_margin: response_margin(&router),
+        dial_timeout: connect_timeout.min(router.drain_grace).max(MIN_DURATION),
+        reset_timeout: default.reset_timeout.min(router.release_within / 2),
+        stream_idle_timeout: STREAM_IDLE_TIMEOUT,
         max_open_requests: max_open,
         max_client_connections: bounds.client_connections,
         max_connections_per_engine: bounds.engine_connections.min(MAX_CONNECTIONS_PER_ENGINE),
         max_calls_per_connection: 1,
         max_pending_releases: bounds.pending_releases,
-        router: rules,
+        router,
         ..default
     }
 }
