--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -56,7 +56,7 @@
 }
 
 /// Longest datagram that is sent or taken, in bytes: it fits any path without being split.
-pub const MOST_DATAGRAM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// A socket for datagrams. Each may be lost, repeated or overtaken. Dropping it frees its port.
 pub trait Datagrams: Send {
--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -2,7 +2,9 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_runtime::{Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
+use ivyward_runtime::{
+    Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -135,7 +137,7 @@
     to: SocketAddr,
 ) {
     let mut waiting: BTreeMap<(Micros, u64), Vec<u8>> = BTreeMap::new();
-    let (mut bytes, mut count) = ([0u8; MOST_DATAGRAM + 1], 0);
+    let (mut bytes, mut count) = ([0u8; MAX_DATAGRAM_BYTES + 1], 0);
     let me = End::Node(node);
     loop {
         let due = waiting
--- a/crates/ivyward-testbed/src/peer_scenario.rs
+++ b/crates/ivyward-testbed/src/peer_scenario.rs
@@ -3,7 +3,7 @@
 
 use ivyward::core::peers::PeerState;
 use ivyward::{Node, PeerOptions, PeersHandle};
-use ivyward_runtime::{Datagrams, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
+use ivyward_runtime::{Datagrams, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -62,7 +62,7 @@
     to: SocketAddr,
     astray: &AtomicU64,
 ) {
-    let mut bytes = [0u8; MOST_DATAGRAM + 1];
+    let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         match door.receive(&mut bytes).await {
             Ok((_, from)) if from == to => drop(astray.fetch_add(1, Ordering::SeqCst)),
--- a/crates/ivyward/src/peers/codec/tests.rs
+++ b/crates/ivyward/src/peers/codec/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the datagram format: lengths, authentication and validation.
 
 use super::*;
-use ivyward_runtime::MOST_DATAGRAM;
+use ivyward_runtime::MAX_DATAGRAM_BYTES;
 
 fn node(address: &str) -> NodeInfo {
     NodeInfo {
@@ -72,7 +72,11 @@
             updates: vec![update(LONG_ADDRESS); updates],
         };
         let bytes = codec.encode(&message);
-        assert!(bytes.len() <= MOST_DATAGRAM, "{}: {message:?}", bytes.len());
+        assert!(
+            bytes.len() <= MAX_DATAGRAM_BYTES,
+            "{}: {message:?}",
+            bytes.len()
+        );
         assert_eq!(codec.decode(&bytes, message.from.address), Ok(message));
     }
 }
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -8,7 +8,7 @@
 use ivyward_core::interface::Micros;
 use ivyward_core::mutations::{self, Mutation};
 use ivyward_core::peers::{Message, NodeInfo, PeerAction, PeerState, Peers};
-use ivyward_runtime::{Datagrams, RuntimeExt, MOST_DATAGRAM};
+use ivyward_runtime::{Datagrams, RuntimeExt, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tracing::{error, info, warn};
@@ -39,7 +39,7 @@
 impl Gossip {
     pub(super) async fn run(mut self) {
         let runtime = self.host.context.runtime.clone();
-        let mut bytes = [0u8; MOST_DATAGRAM + 1];
+        let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
         let (mut tick_at, interval) = (runtime.now(), lock(&self.view).tick_interval());
         let mut last_failure = 0;
         loop {
