--- a/crates/ivyward-platform/src/call.rs
+++ b/crates/ivyward-platform/src/call.rs
@@ -80,7 +80,7 @@
     /// Returns whether the client has disconnected. Also checks the state of the client's socket, because on a busy node the
     /// end of the stream may not have been read yet, or the driver's message about it may still be queued.
     pub(crate) fn is_disconnected(&self) -> bool {
-        if !self.disconnected.load(Ordering::SeqCst) && self.client.left() {
+        if !self.disconnected.load(Ordering::SeqCst) && self.client.is_disconnected() {
             self.set_disconnected();
         }
         self.disconnected.load(Ordering::SeqCst)
--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -44,7 +44,7 @@
 pub trait Peer: Send + Sync {
     /// Whether it has closed the connection or ended its sending, or this side has closed it. What it sent before and was
     /// not read yet hides that.
-    fn left(&self) -> bool;
+    fn is_disconnected(&self) -> bool;
 }
 
 /// Accepts connections at one address. Dropping it stops listening.
--- a/crates/ivyward-runtime/src/smol.rs
+++ b/crates/ivyward-runtime/src/smol.rs
@@ -291,7 +291,7 @@
 struct TcpPeer(Weak<async_io::Async<std::net::TcpStream>>);
 
 impl Peer for TcpPeer {
-    fn left(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         let Some(socket) = self.0.upgrade() else {
             return true;
         };
--- a/crates/ivyward-runtime/tests/peer.rs
+++ b/crates/ivyward-runtime/tests/peer.rs
@@ -14,8 +14,8 @@
 }
 
 /// A loopback close is there at once or soon: waits for it, for as long as the test runner lets it.
-async fn until_left(runtime: &RuntimeRef, peer: &dyn ivyward_runtime::Peer) {
-    while !peer.left() {
+async fn until_disconnected(runtime: &RuntimeRef, peer: &dyn ivyward_runtime::Peer) {
+    while !peer.is_disconnected() {
         runtime.sleep(1_000).await;
     }
 }
@@ -28,7 +28,7 @@
         for how in 0..4 {
             let (ours, mut theirs) = pair(&runtime).await;
             let peer = ours.peer();
-            assert!(!peer.left());
+            assert!(!peer.is_disconnected());
             match how {
                 0 => drop(theirs),
                 1 => {
@@ -39,7 +39,7 @@
                 _ => {
                     // Looked at by many, it is still closed by its one holder.
                     drop(ours);
-                    assert!(peer.left());
+                    assert!(peer.is_disconnected());
                     let mut byte = [0];
                     assert_eq!(
                         futures_lite::AsyncReadExt::read(&mut theirs, &mut byte)
@@ -50,7 +50,7 @@
                     continue;
                 }
             }
-            until_left(&runtime, &*peer).await;
+            until_disconnected(&runtime, &*peer).await;
         }
     });
     smol.stop();
@@ -66,13 +66,13 @@
         theirs.write_all(b"ab").await.unwrap();
         drop(theirs);
         let peer = ours.peer();
-        assert!(!peer.left());
+        assert!(!peer.is_disconnected());
         let mut bytes = Vec::new();
         futures_lite::AsyncReadExt::read_to_end(&mut ours, &mut bytes)
             .await
             .unwrap();
         assert_eq!(bytes, b"ab");
-        until_left(&runtime, &*peer).await;
+        until_disconnected(&runtime, &*peer).await;
     });
     smol.stop();
 }
--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -476,7 +476,7 @@
 }
 
 impl Peer for OtherSide {
-    fn left(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         let Some(inner) = self.inner.upgrade() else {
             return true;
         };
