--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -5,7 +5,8 @@
 use common::{request, ClusterSetup, EngineBehavior, EngineRequest};
 use futures_lite::AsyncWriteExt;
 use ivyward::runtime::{
-    BorrowedFuture, BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeExt, RuntimeRef,
+    BorrowedFuture, BoxFuture, Conn, DatagramSocket, Listener, Micros, Runtime, RuntimeExt,
+    RuntimeRef,
 };
 use ivyward_platform::Service;
 use std::io;
@@ -64,8 +65,8 @@
             has_failed: false,
         }))
     }
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        self.runtime.datagrams(at)
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn DatagramSocket>> {
+        self.runtime.bind_datagram(at)
     }
     fn random(&self) -> u64 {
         self.runtime.random()
--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -59,7 +59,7 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// A socket for datagrams. Each may be lost, repeated or overtaken. Dropping it frees its port.
-pub trait Datagrams: Send {
+pub trait DatagramSocket: Send {
     /// Sends one; where there is no room for it now it is lost, as it may be anywhere on its way.
     ///
     /// # Errors
@@ -92,7 +92,7 @@
     /// Listens at an address; port 0 takes a free one.
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>>;
     /// A socket for datagrams at an address; port 0 takes a free one.
-    fn datagrams(&self, at: SocketAddr) -> std::io::Result<Box<dyn Datagrams>>;
+    fn bind_datagram(&self, at: SocketAddr) -> std::io::Result<Box<dyn DatagramSocket>>;
     /// A random number.
     fn random(&self) -> u64;
 }
--- a/crates/ivyward-runtime/src/metered.rs
+++ b/crates/ivyward-runtime/src/metered.rs
@@ -1,7 +1,7 @@
 //! A world that counts what goes through it: bytes, reads and writes of its connections, and the time its tasks run.
 
 use crate::{
-    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, Runtime,
+    BorrowedFuture, BoxFuture, Conn, Connection, DatagramSocket, Listener, Micros, Peer, Runtime,
     RuntimeRef,
 };
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -122,9 +122,9 @@
             meter: self.meter.clone(),
         }))
     }
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        Ok(Box::new(MeteredDatagrams {
-            socket: self.runtime.datagrams(at)?,
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn DatagramSocket>> {
+        Ok(Box::new(MeteredDatagramSocket {
+            socket: self.runtime.bind_datagram(at)?,
             meter: self.meter.clone(),
         }))
     }
@@ -240,12 +240,12 @@
     }
 }
 
-struct MeteredDatagrams {
-    socket: Box<dyn Datagrams>,
+struct MeteredDatagramSocket {
+    socket: Box<dyn DatagramSocket>,
     meter: Arc<Meter>,
 }
 
-impl Datagrams for MeteredDatagrams {
+impl DatagramSocket for MeteredDatagramSocket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         self.meter.went(bytes.len());
         self.socket.send(bytes, to)
--- a/crates/ivyward-runtime/src/smol.rs
+++ b/crates/ivyward-runtime/src/smol.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::disallowed_methods, clippy::disallowed_types)] // The one place that may ask the system.
 
 use crate::{
-    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, Runtime,
+    BorrowedFuture, BoxFuture, Conn, Connection, DatagramSocket, Listener, Micros, Peer, Runtime,
 };
 use async_executor::Executor;
 use async_net::{TcpListener, TcpStream};
@@ -205,7 +205,7 @@
         let socket = TcpListener::from(async_io::Async::new(socket)?);
         Ok(Box::new(TcpDoor { socket, address }))
     }
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn DatagramSocket>> {
         let socket = async_io::Async::<std::net::UdpSocket>::bind(at)?;
         let address = socket.get_ref().local_addr()?;
         Ok(Box::new(Udp { socket, address }))
@@ -237,7 +237,7 @@
     address: SocketAddr,
 }
 
-impl Datagrams for Udp {
+impl DatagramSocket for Udp {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         loop {
             match self.socket.get_ref().send_to(bytes, to) {
--- a/crates/ivyward-runtime/tests/metered.rs
+++ b/crates/ivyward-runtime/tests/metered.rs
@@ -60,8 +60,8 @@
     let runtime = metered(&plain, &meter);
     smol.block_on(async {
         let (one, mut other) = (
-            runtime.datagrams(any()).unwrap(),
-            runtime.datagrams(any()).unwrap(),
+            runtime.bind_datagram(any()).unwrap(),
+            runtime.bind_datagram(any()).unwrap(),
         );
         one.send(b"four", other.address()).unwrap();
         let mut into = [0; 16];
--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -13,7 +13,7 @@
 pub use net::Net;
 pub use tasks::Stuck;
 
-use ivyward_runtime::{BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeRef};
+use ivyward_runtime::{BoxFuture, Conn, DatagramSocket, Listener, Micros, Runtime, RuntimeRef};
 use net::Network;
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -300,7 +300,7 @@
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
         net::listen(self.inner.clone(), self.id, at)
     }
-    fn datagrams(&self, at: SocketAddr) -> std::io::Result<Box<dyn Datagrams>> {
+    fn bind_datagram(&self, at: SocketAddr) -> std::io::Result<Box<dyn DatagramSocket>> {
         net::datagrams(self.inner.clone(), self.id, at)
     }
     fn random(&self) -> u64 {
--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -3,7 +3,7 @@
 use crate::{HostId, Inner, State};
 use futures_lite::{AsyncRead, AsyncWrite};
 use ivyward_runtime::{
-    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer,
+    BorrowedFuture, BoxFuture, Conn, Connection, DatagramSocket, Listener, Micros, Peer,
 };
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -332,7 +332,7 @@
     inner: Arc<Inner>,
     host: HostId,
     at: SocketAddr,
-) -> Result<Box<dyn Datagrams>> {
+) -> Result<Box<dyn DatagramSocket>> {
     let mut state = inner.lock();
     let address = state.net.free(at)?;
     if state.net.posts.contains_key(&address) {
@@ -360,7 +360,7 @@
     address: SocketAddr,
 }
 
-impl Datagrams for Mail {
+impl DatagramSocket for Mail {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> Result<()> {
         let mut state = self.inner.lock();
         let (now, ways) = (state.now, state.net.ways);
--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -3,7 +3,7 @@
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_runtime::{
-    Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES,
+    Conn, DatagramSocket, Listener, Micros, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -132,7 +132,7 @@
 pub async fn datagrams(
     runtime: RuntimeRef,
     links: Links,
-    mut door: Box<dyn Datagrams>,
+    mut door: Box<dyn DatagramSocket>,
     node: usize,
     to: SocketAddr,
 ) {
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -185,13 +185,19 @@
         let runtime: RuntimeRef = self.runtime.clone();
         let mut doors = Vec::new();
         for _ in 0..self.size.nodes {
-            doors.push(runtime.datagrams(local()).map_err(io("opening a relay"))?);
+            doors.push(
+                runtime
+                    .bind_datagram(local())
+                    .map_err(io("opening a relay"))?,
+            );
         }
         let announced: Vec<SocketAddr> = doors.iter().map(|d| d.address()).collect();
         let mut held = Vec::new();
         for (node, door) in doors.into_iter().enumerate() {
             // A port that was free a moment ago; the node takes it.
-            let socket = runtime.datagrams(local()).map_err(io("finding a port"))?;
+            let socket = runtime
+                .bind_datagram(local())
+                .map_err(io("finding a port"))?;
             let real = socket.address();
             // Held until all are found: one that is free again is found twice.
             held.push(socket);
--- a/crates/ivyward-testbed/src/peer_scenario.rs
+++ b/crates/ivyward-testbed/src/peer_scenario.rs
@@ -3,7 +3,7 @@
 
 use ivyward::core::peers::PeerState;
 use ivyward::{Node, PeerOptions, PeersHandle};
-use ivyward_runtime::{Datagrams, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES};
+use ivyward_runtime::{DatagramSocket, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     pub fn open(runtime: &RuntimeRef, nodes: usize) -> std::io::Result<Addresses> {
         let mut addresses = Addresses::default();
         for node in 0..nodes {
-            let door = runtime.datagrams(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+            let door = runtime.bind_datagram(SocketAddr::from(([127, 0, 0, 1], 0)))?;
             let real = SocketAddr::from(([127, 0, 0, 1], 10_000 + node as u16));
             addresses.announced.push(door.address());
             addresses.real.push(real);
@@ -58,7 +58,7 @@
 
 async fn forward(
     runtime: &RuntimeRef,
-    mut door: Box<dyn Datagrams>,
+    mut door: Box<dyn DatagramSocket>,
     to: SocketAddr,
     astray: &AtomicU64,
 ) {
--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -8,7 +8,7 @@
 use ivyward_core::interface::Micros;
 use ivyward_core::mutations::{self, Mutation};
 use ivyward_core::peers::{Message, NodeInfo, PeerAction, PeerState, Peers};
-use ivyward_runtime::{Datagrams, RuntimeExt, MAX_DATAGRAM_BYTES};
+use ivyward_runtime::{DatagramSocket, RuntimeExt, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tracing::{error, info, warn};
@@ -21,7 +21,7 @@
 pub(super) struct Gossip {
     pub(super) host: PeerHost,
     pub(super) view: Arc<Mutex<Peers>>,
-    pub(super) socket: Box<dyn Datagrams>,
+    pub(super) socket: Box<dyn DatagramSocket>,
     pub(super) datagram_codec: DatagramCodec,
     pub(super) commands: async_channel::Receiver<PeerCommand>,
     /// The replica count last reported to the router.
--- a/crates/ivyward/src/peers/mod.rs
+++ b/crates/ivyward/src/peers/mod.rs
@@ -64,7 +64,7 @@
     let runtime = metered(&context.runtime, &context.metrics.peer_traffic);
     let listen = options.listen;
     let socket = runtime
-        .datagrams(listen)
+        .bind_datagram(listen)
         .map_err(|error| PeerError::Listen {
             address: listen,
             error,
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -330,7 +330,9 @@
         .unwrap()
         .to_owned();
     assert!(line.ends_with(" 0"), "{line}");
-    let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
+    let socket = runtime
+        .bind_datagram("127.0.0.1:0".parse().unwrap())
+        .unwrap();
     let real = cluster.real(0);
     let other = ivyward::peers::DatagramCodec::new(Some("a key of somebody else"));
     let from = ivyward::core::peers::NodeInfo {
