--- a/crates/ivyward-etcd/src/client.rs
+++ b/crates/ivyward-etcd/src/client.rs
@@ -4,7 +4,7 @@
 use crate::rpc;
 use http::{HeaderMap, HeaderValue};
 use ivyward_grpc::{encode, Channel, Options};
-use ivyward_runtime::{before, Micros, RuntimeRef};
+use ivyward_runtime::{timeout_at, Micros, RuntimeRef};
 use prost::Message;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -143,7 +143,7 @@
                 .map_err(|e| unreachable(e.to_string()))
         };
         let deadline = self.runtime.now().saturating_add(self.options.dial_timeout);
-        before(&self.runtime, deadline, dial)
+        timeout_at(&self.runtime, deadline, dial)
             .await
             .unwrap_or_else(|| Err(unreachable("the connection was not open in time".into())))
     }
@@ -200,7 +200,7 @@
                 .await?
                 .ok_or_else(|| EtcdError::invalid("a unary call without a response message"))
         };
-        before(&self.runtime, deadline, response)
+        timeout_at(&self.runtime, deadline, response)
             .await
             .unwrap_or(Err(EtcdError::Timeout))
     }
--- a/crates/ivyward-fakes/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderValue};
 use ivyward_grpc::{encode, encode_timeout, Cause, Channel, Options, TIMEOUT_HEADER};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_runtime::{before, Micros, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, Micros, RuntimeExt, RuntimeRef};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -172,7 +172,7 @@
         let how = or(
             async {
                 Some(
-                    before(&self.runtime, until, followed)
+                    timeout_at(&self.runtime, until, followed)
                         .await
                         .unwrap_or(ClientOutcome::TimedOut),
                 )
--- a/crates/ivyward-fakes/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -14,7 +14,7 @@
 use ivyward_grpc::{encode, parse_timeout, Channel, Decoder, Options, TIMEOUT_HEADER};
 use ivyward_proto::engine as pb;
 use ivyward_runtime::io::Io;
-use ivyward_runtime::{before, Conn, Micros, RuntimeExt, RuntimeRef, SmolRuntime};
+use ivyward_runtime::{timeout_at, Conn, Micros, RuntimeExt, RuntimeRef, SmolRuntime};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -905,7 +905,7 @@
             channel.close();
             reply.found.then_some(u64::from(reply.tokens))
         };
-        before(&self.runtime, until, fetch).await?
+        timeout_at(&self.runtime, until, fetch).await?
     }
 
     /// Prompt tokens that it knows already, and remembers the prompt.
--- a/crates/ivyward-grpc/src/call.rs
+++ b/crates/ivyward-grpc/src/call.rs
@@ -9,7 +9,7 @@
 use h2::client::ResponseFuture;
 use h2::{Reason, RecvStream, SendStream};
 use http::{HeaderMap, Response, StatusCode};
-use ivyward_runtime::{before, Micros};
+use ivyward_runtime::{timeout_at, Micros};
 use prost::Message;
 use std::future::Future;
 use std::pin::Pin;
@@ -261,7 +261,7 @@
         self.upload.send_reset(Reason::CANCEL);
         let runtime = self.channel.runtime.clone();
         let deadline = runtime.now().saturating_add(timeout);
-        let wait = before(&runtime, deadline, written.recv()).await;
+        let wait = timeout_at(&runtime, deadline, written.recv()).await;
         // h2 sends no reset either for a call whose HEADERS were never sent, or for one that ended just as it was reset.
         if wait.is_none()
             && self.headers_sent()
--- a/crates/ivyward-grpc/src/channel.rs
+++ b/crates/ivyward-grpc/src/channel.rs
@@ -7,7 +7,7 @@
 use crate::options::Options;
 use bytes::Bytes;
 use h2::client::SendRequest;
-use ivyward_runtime::{before, Micros, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, Micros, RuntimeExt, RuntimeRef};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
@@ -78,7 +78,7 @@
         let received = self.observer.received_bytes();
         self.activity.request_check();
         let deadline = self.runtime.now().saturating_add(timeout);
-        if before(&self.runtime, deadline, self.received_more_than(received))
+        if timeout_at(&self.runtime, deadline, self.received_more_than(received))
             .await
             .is_none()
         {
--- a/crates/ivyward-grpc/src/keepalive.rs
+++ b/crates/ivyward-grpc/src/keepalive.rs
@@ -5,7 +5,7 @@
 use crate::frame_observer::FrameObserver;
 use crate::options::Options;
 use futures_lite::future::or;
-use ivyward_runtime::{before, Micros, RuntimeRef};
+use ivyward_runtime::{timeout_at, Micros, RuntimeRef};
 use std::sync::Arc;
 
 /// Decides when idle connections are checked. One instance may serve all connections of an owner, to limit the rate of checks.
@@ -74,7 +74,7 @@
     async fn ping(&self, pings: &mut h2::PingPong) -> bool {
         let deadline = self.runtime.now().saturating_add(self.options.ping_timeout);
         matches!(
-            before(&self.runtime, deadline, pings.ping(h2::Ping::opaque())).await,
+            timeout_at(&self.runtime, deadline, pings.ping(h2::Ping::opaque())).await,
             Some(Ok(_))
         )
     }
@@ -113,7 +113,9 @@
                 changed.await;
             }
         };
-        before(&self.runtime, deadline, requested).await.is_some()
+        timeout_at(&self.runtime, deadline, requested)
+            .await
+            .is_some()
     }
 
     /// Waits until an idle connection is used by a call, or until its check is allowed or requested.
--- a/crates/ivyward-platform/src/buffered_connection.rs
+++ b/crates/ivyward-platform/src/buffered_connection.rs
@@ -3,7 +3,7 @@
 use futures_lite::future::poll_fn;
 use futures_lite::{AsyncRead, AsyncWrite};
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, Conn, Peer, RuntimeRef};
+use ivyward::runtime::{timeout_at, Conn, Peer, RuntimeRef};
 use ivyward_http1::{Answer, Body, BodyError, Limits, Step};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -155,7 +155,7 @@
     ) -> io::Result<()> {
         while !bytes.is_empty() {
             let until = runtime.now().saturating_add(stall);
-            let result = before(runtime, until, self.write_some(bytes, &[])).await;
+            let result = timeout_at(runtime, until, self.write_some(bytes, &[])).await;
             let written = result.unwrap_or(Err(io::ErrorKind::TimedOut.into()))?;
             bytes = &bytes[written..];
         }
--- a/crates/ivyward-platform/src/discovery/list_call.rs
+++ b/crates/ivyward-platform/src/discovery/list_call.rs
@@ -5,7 +5,7 @@
 use crate::buffered_connection::{read_response_body, read_response_head, BufferedConnection};
 use ivyward::core::interface::Micros;
 use ivyward::core::long_poll::LongPoll;
-use ivyward::runtime::{before, RuntimeRef};
+use ivyward::runtime::{timeout_at, RuntimeRef};
 use ivyward_http1::{head, Limits};
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -69,7 +69,7 @@
     async fn connect(&self) -> Result<BufferedConnection, ListCallError> {
         let timeout = self.schedule.connect_timeout();
         let until = self.runtime.now().saturating_add(timeout);
-        match before(&self.runtime, until, self.runtime.connect(self.address)).await {
+        match timeout_at(&self.runtime, until, self.runtime.connect(self.address)).await {
             Some(Ok(conn)) => Ok(BufferedConnection::new(conn)),
             Some(Err(error)) => Err(ListCallError::Connect(error)),
             None => Err(ListCallError::Silent),
@@ -87,7 +87,7 @@
         let mut progress = Progress::new(self);
         loop {
             let check_at = progress.next_check(self.runtime.now());
-            if let Some(list) = before(&self.runtime, check_at, exchange.as_mut()).await {
+            if let Some(list) = timeout_at(&self.runtime, check_at, exchange.as_mut()).await {
                 return list;
             }
             progress.check(self)?;
--- a/crates/ivyward-platform/src/discovery/list_watch.rs
+++ b/crates/ivyward-platform/src/discovery/list_watch.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::poll_fn;
 use ivyward::core::interface::Micros;
 use ivyward::core::long_poll::{CallFailure, LongPoll};
-use ivyward::runtime::{before, BoxFuture, RuntimeRef};
+use ivyward::runtime::{timeout_at, BoxFuture, RuntimeRef};
 use ivyward_http1::Limits;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -77,7 +77,7 @@
         let mut next_call_at = self.begin_long_poll();
         let mut was_rejected = false;
         loop {
-            let received = before(&runtime, next_call_at, self.next_response()).await;
+            let received = timeout_at(&runtime, next_call_at, self.next_response()).await;
             let now = runtime.now();
             match received.map(|result| result.and_then(|r| self.check_version(r))) {
                 Some(Ok(received)) => return self.accept(received),
--- a/crates/ivyward-platform/src/engine/attempt.rs
+++ b/crates/ivyward-platform/src/engine/attempt.rs
@@ -12,7 +12,7 @@
 use ivyward::core::connection_reuse::{self, AttemptTraits, DeliveryCheck};
 use ivyward::core::interface::{LoadReport, Micros, Outcome};
 use ivyward::engines::{AttemptRequest, AttemptResult, WaitResult};
-use ivyward::runtime::{before, BoxFuture, RuntimeRef};
+use ivyward::runtime::{timeout_at, BoxFuture, RuntimeRef};
 use ivyward_http1::{head, Answer};
 use std::future::Future;
 use std::io;
@@ -197,7 +197,7 @@
             .runtime()
             .now()
             .saturating_add(2 * connection.round_trip);
-        match before(self.runtime(), until, connection.fill()).await {
+        match timeout_at(self.runtime(), until, connection.fill()).await {
             // An engine that accepts the request sends nothing before it has the last byte.
             None => connection.write(last_byte, &[]).await,
             Some(Ok(received)) if received > 0 => connection.write(last_byte, &[]).await,
@@ -289,7 +289,7 @@
         check: DeliveryCheck,
     ) -> Result<Answer, AwaitError> {
         let mut head = pin!(read_response_head(connection, &LIMITS));
-        if let Some(head) = before(self.runtime(), check.connect_at, head.as_mut()).await {
+        if let Some(head) = timeout_at(self.runtime(), check.connect_at, head.as_mut()).await {
             return Ok(head?);
         }
         let received = async { Ok(head.as_mut().await?) };
@@ -350,7 +350,7 @@
         }
         let until = self.runtime().now().saturating_add(ABANDON_TIMEOUT);
         let body = read_response_body(&mut connection, &response, &LIMITS);
-        if let Some(Some(_)) = before(self.runtime(), until, body).await {
+        if let Some(Some(_)) = timeout_at(self.runtime(), until, body).await {
             self.client
                 .return_connection(connection, response.head.keeps());
         }
--- a/crates/ivyward-platform/src/engine/connection.rs
+++ b/crates/ivyward-platform/src/engine/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::buffered_connection::BufferedConnection;
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, Conn, RuntimeRef};
+use ivyward::runtime::{timeout_at, Conn, RuntimeRef};
 use std::ops::{Deref, DerefMut};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -94,7 +94,7 @@
                 self.connection.consume(received);
             }
         };
-        before(runtime, until, closed).await;
+        timeout_at(runtime, until, closed).await;
     }
 }
 
--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -8,7 +8,7 @@
 use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::{LoadReport, Micros};
 use ivyward::engines::connect::{connect, ConnectFailure, Connected};
-use ivyward::runtime::before;
+use ivyward::runtime::timeout_at;
 use ivyward::Engine;
 use ivyward_http1::head;
 use std::net::SocketAddr;
@@ -167,7 +167,7 @@
             let body = read_response_body(&mut connection, &head, &LIMITS).await;
             Ok((head, body))
         };
-        let Some(exchange) = before(&self.pool.runtime, until, exchange).await else {
+        let Some(exchange) = timeout_at(&self.pool.runtime, until, exchange).await else {
             self.record_failure();
             return Err(CallError::TimedOut(self.endpoint.address));
         };
--- a/crates/ivyward-platform/src/engine/reservation.rs
+++ b/crates/ivyward-platform/src/engine/reservation.rs
@@ -8,7 +8,7 @@
 use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::Micros;
 use ivyward::engines::{ReservationStatus, ReserveRequest};
-use ivyward::runtime::before;
+use ivyward::runtime::timeout_at;
 
 /// Returns the path of a request's reservation: POST reserves a decode slot, DELETE releases what is reserved.
 pub(super) fn reservation_path(request_id: &str) -> String {
@@ -41,7 +41,7 @@
         // The status if the call is abandoned: nothing can be reserved before the request is sent.
         let mut status_if_abandoned = ReservationStatus::Denied;
         let reserving = self.send(until, &mut status_if_abandoned);
-        let status = or(before(runtime, until, reserving), async {
+        let status = or(timeout_at(runtime, until, reserving), async {
             self.request.until_finished().await;
             None
         });
--- a/crates/ivyward-platform/src/server/connection.rs
+++ b/crates/ivyward-platform/src/server/connection.rs
@@ -6,7 +6,7 @@
 use crate::buffered_connection::BufferedConnection;
 use futures_lite::future::or;
 use ivyward::core::interface::Micros;
-use ivyward::runtime::before;
+use ivyward::runtime::timeout_at;
 use ivyward::CloseReason;
 
 /// The timeout for receiving a request: 2 s, both for its first byte on a new connection and from there to its last byte.
@@ -90,7 +90,7 @@
             let _ = close_requested.recv().await;
             None
         };
-        let received = before(&self.runtime, until, or(received, close)).await;
+        let received = timeout_at(&self.runtime, until, or(received, close)).await;
         match received.flatten() {
             Some(Ok(count)) if count > 0 => Ok(()),
             Some(_) => Err(CloseReason::ClientDisconnected),
@@ -183,6 +183,6 @@
                 }
             }
         };
-        before(&self.runtime, until, discard).await;
+        timeout_at(&self.runtime, until, discard).await;
     }
 }
--- a/crates/ivyward-platform/src/server/request_reader.rs
+++ b/crates/ivyward-platform/src/server/request_reader.rs
@@ -6,7 +6,7 @@
 use crate::config::{LIMITS, MAX_BODY_BYTES};
 use crate::prompt_budget::{BudgetShare, Prompt};
 use ivyward::core::interface::Micros;
-use ivyward::runtime::before;
+use ivyward::runtime::timeout_at;
 use ivyward_http1::{Body, Fault, Request, Step};
 
 /// Why no request was received.
@@ -30,7 +30,7 @@
         connection: &mut BufferedConnection,
         until: Micros,
     ) -> Result<(Request, Prompt), ReadError> {
-        let request = before(&self.runtime, until, self.read_request(connection)).await;
+        let request = timeout_at(&self.runtime, until, self.read_request(connection)).await;
         request.unwrap_or_else(|| {
             let text = "the request did not come whole in time";
             Err(RequestError::closing(408, text).into())
--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -4,7 +4,7 @@
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, Conn, RuntimeExt};
+use ivyward::runtime::{timeout_at, Conn, RuntimeExt};
 
 const MS: Micros = 1_000;
 const MAX_DELAY: Micros = 100 * MS;
@@ -195,7 +195,7 @@
                     // If the node reads slowly, the client disconnects after 200 ms with a part of the bytes unsent.
                     let by = cluster.client.now() + 200 * MS;
                     let bytes = vec![b'x'; pipelined];
-                    let sent = before(&cluster.client, by, conn.write_all(&bytes)).await;
+                    let sent = timeout_at(&cluster.client, by, conn.write_all(&bytes)).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
                     wait_until(&cluster.runtime, "a prefill", || {
                         cluster.attempts("one").iter().any(is_prefill)
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward::runtime::{before, Conn, RuntimeExt};
+use ivyward::runtime::{timeout_at, Conn, RuntimeExt};
 
 /// Returns a valid request in which `from` is replaced by `to`.
 fn modified_request(from: &str, to: &str) -> Vec<u8> {
@@ -214,7 +214,7 @@
         let mut open = 0;
         for conn in &mut silent {
             let mut byte = [0];
-            let ended = before(
+            let ended = timeout_at(
                 &cluster.client,
                 cluster.client.now() + 1,
                 conn.read(&mut byte),
@@ -230,7 +230,7 @@
         cluster.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
-            assert!(before(
+            assert!(timeout_at(
                 &cluster.client,
                 cluster.client.now() + 1,
                 conn.read(&mut byte)
--- a/crates/ivyward-platform/tests/common/mod.rs
+++ b/crates/ivyward-platform/tests/common/mod.rs
@@ -14,14 +14,14 @@
     is_decode, is_prefill, respond_with, EngineBehavior, EngineRequest, REJECTED_UNPROCESSED,
     SERVED_EVENTS,
 };
-use ivyward::runtime::{before, RuntimeExt, RuntimeRef};
+use ivyward::runtime::{timeout_at, RuntimeExt, RuntimeRef};
 use ivyward_fakes::platform::exchange::read_request;
 pub use ivyward_fakes::platform::exchange::{read_answer as read_response, Got as Response};
 pub use request_log::RequestLog;
 
 /// Waits until `condition` is true; panics with `name` after one minute of virtual time.
 pub async fn wait_until(runtime: &RuntimeRef, name: &str, condition: impl Fn() -> bool) {
-    let waited = before(runtime, runtime.now() + 60_000_000, async {
+    let waited = timeout_at(runtime, runtime.now() + 60_000_000, async {
         while !condition() {
             runtime.sleep(1_000).await;
         }
--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -5,7 +5,7 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, RuntimeExt, RuntimeRef};
+use ivyward::runtime::{timeout_at, RuntimeExt, RuntimeRef};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -91,7 +91,7 @@
         .await
         .unwrap();
     let response = match disconnects {
-        true => before(&client, sent + 150_000, read_response(&client, &mut conn)).await,
+        true => timeout_at(&client, sent + 150_000, read_response(&client, &mut conn)).await,
         false => Some(read_response(&client, &mut conn).await),
     };
     drop(conn);
--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -123,7 +123,7 @@
 }
 
 /// The result of a future, or `None` if the clock shows `at` first.
-pub async fn before<T>(
+pub async fn timeout_at<T>(
     runtime: &RuntimeRef,
     at: Micros,
     future: impl Future<Output = T>,
--- a/crates/ivyward-testbed/src/cluster/process.rs
+++ b/crates/ivyward-testbed/src/cluster/process.rs
@@ -3,7 +3,7 @@
 use crate::child_process::end_with_parent;
 use crate::cluster::ClusterError;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_runtime::{before, RuntimeRef};
+use ivyward_runtime::{timeout_at, RuntimeRef};
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader};
@@ -233,7 +233,7 @@
                 .unwrap_or_default())
         };
         let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-        before(runtime, runtime.now() + ASKING, asking)
+        timeout_at(runtime, runtime.now() + ASKING, asking)
             .await
             .unwrap_or_else(|| Err(late()))
     }
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -175,7 +175,7 @@
         };
         let dial = Client::connect_with(&self.runtime, &self.log, address, CLIENT_WINDOW);
         let until = self.runtime.now() + 500_000;
-        let client = ivyward_runtime::before(&self.runtime, until, dial)
+        let client = ivyward_runtime::timeout_at(&self.runtime, until, dial)
             .await?
             .ok()?;
         lock(&self.places[i]).client = Some(client.clone());
--- a/crates/ivyward-testbed/src/soak/clients.rs
+++ b/crates/ivyward-testbed/src/soak/clients.rs
@@ -4,7 +4,7 @@
 use futures_lite::AsyncWriteExt;
 use ivyward_fakes::platform::exchange::{read_answer, Got};
 use ivyward_fakes::platform::observe::{Effect, Observation};
-use ivyward_runtime::{before, Conn, Micros, RuntimeExt};
+use ivyward_runtime::{timeout_at, Conn, Micros, RuntimeExt};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -67,7 +67,7 @@
         .lock()
         .map_or(None, |addresses| addresses[node])?;
     let until = stage.runtime.now() + LATE;
-    before(&stage.runtime, until, stage.runtime.connect(address))
+    timeout_at(&stage.runtime, until, stage.runtime.connect(address))
         .await?
         .ok()
 }
@@ -140,7 +140,7 @@
         client_timeout + LATE
     };
     let until = runtime.now() + waits;
-    let got = before(runtime, until, read_answer(runtime, &mut conn)).await;
+    let got = timeout_at(runtime, until, read_answer(runtime, &mut conn)).await;
     let Some(Got {
         status,
         whole,
--- a/crates/ivyward-testbed/src/soak/link.rs
+++ b/crates/ivyward-testbed/src/soak/link.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::{or, poll_once, zip};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use ivyward_runtime::{before, Conn, Micros, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, Conn, Micros, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -66,7 +66,7 @@
         // The system has let the connection come up, which no cut would: it is reset at once.
         let connected = match self.is_cut() {
             true => None,
-            false => before(runtime, runtime.now() + CONNECT, runtime.connect(target)).await,
+            false => timeout_at(runtime, runtime.now() + CONNECT, runtime.connect(target)).await,
         };
         let Some(Ok(mut far)) = connected else {
             near.reset_on_close();
@@ -108,7 +108,7 @@
             was_cut |= self.is_cut();
             self.passable(runtime).await;
             let looked = runtime.now() + 10 * LOOK;
-            let got = match before(runtime, looked, read.read(&mut piece)).await {
+            let got = match timeout_at(runtime, looked, read.read(&mut piece)).await {
                 None => continue,
                 Some(Ok(0)) => break,
                 Some(Ok(got)) => got,
--- a/crates/ivyward/src/admin.rs
+++ b/crates/ivyward/src/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_runtime::{before, Conn, Listener, RuntimeExt};
+use ivyward_runtime::{timeout_at, Conn, Listener, RuntimeExt};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
             let (node, open, until) = (self.clone(), open.clone(), runtime.now() + REQUEST_TIMEOUT);
             runtime.run(async move {
                 // An error affects only this client.
-                let _ = before(&node.context.runtime, until, serve_one(&node, conn)).await;
+                let _ = timeout_at(&node.context.runtime, until, serve_one(&node, conn)).await;
                 open.fetch_sub(1, Ordering::SeqCst);
             });
         }
--- a/crates/ivyward/src/engines/connect.rs
+++ b/crates/ivyward/src/engines/connect.rs
@@ -2,7 +2,7 @@
 
 use ivyward_core::connect_backoff;
 use ivyward_core::interface::Micros;
-use ivyward_runtime::{before, Conn, ErrorOrigin, RuntimeRef};
+use ivyward_runtime::{timeout_at, Conn, ErrorOrigin, RuntimeRef};
 use std::io;
 use std::net::SocketAddr;
 
@@ -42,7 +42,7 @@
 ) -> Result<Connected, ConnectFailure> {
     loop {
         let began = runtime.now();
-        let error = match before(runtime, until, runtime.connect(address)).await {
+        let error = match timeout_at(runtime, until, runtime.connect(address)).await {
             Some(Ok(conn)) => {
                 return Ok(Connected {
                     conn,
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -8,7 +8,7 @@
 use ivyward_core::keepalive::BeforeUse;
 use ivyward_core::mutations::{self, Mutation};
 use ivyward_grpc::{Channel, IdleChecks, Options};
-use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -162,7 +162,10 @@
                 Available::NoCapacity => {
                     self.connect_if_needed(connect_by, &mut ended_before)?;
                     let _waiting = Waiting::new(self);
-                    if before(&self.runtime, connect_by, changed).await.is_none() {
+                    if timeout_at(&self.runtime, connect_by, changed)
+                        .await
+                        .is_none()
+                    {
                         return Err(ChannelError::TimedOut(self.address));
                     }
                 }
@@ -267,7 +270,7 @@
             self.runtime.sleep_until(at).await;
         }
         let until = self.runtime.now() + self.connect_timeout;
-        let opened = before(&self.runtime, until, self.handshake()).await;
+        let opened = timeout_at(&self.runtime, until, self.handshake()).await;
         let opened = opened.unwrap_or_else(|| Err("no answer in time".into()));
         self.record_end(opened);
         self.changed.notify(usize::MAX);
--- a/crates/ivyward/src/membership/watcher/watch.rs
+++ b/crates/ivyward/src/membership/watcher/watch.rs
@@ -6,7 +6,7 @@
 use ivyward_core::membership::WatchEvent;
 use ivyward_core::mutations::{self, Mutation};
 use ivyward_etcd::{mvccpb, EtcdError, Notification, Watcher};
-use ivyward_runtime::before;
+use ivyward_runtime::timeout_at;
 
 /// Maximum number of events in a batch. A batch that reaches it is delivered at once.
 const MAX_BATCH: usize = 4_096;
@@ -112,7 +112,7 @@
             .into_iter()
             .flatten()
             .fold(silent_until, Micros::min);
-        match before(&self.runtime, wake_at, watch.stream.next()).await {
+        match timeout_at(&self.runtime, wake_at, watch.stream.next()).await {
             Some(Ok(notification)) => self.on_notification(watch, notification).await,
             Some(Err(error)) => {
                 self.client.fail_over();
--- a/crates/ivyward/src/node.rs
+++ b/crates/ivyward/src/node.rs
@@ -15,7 +15,7 @@
 use futures_lite::future::poll_fn;
 use ivyward_core::interface::{ListKind, Micros, Request, RequestId};
 use ivyward_proto::front::GenerateRequest;
-use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, RuntimeExt, RuntimeRef};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
 use std::task::{Context, Poll};
@@ -225,7 +225,7 @@
     async fn flush_responses(&self, stop_deadline: Micros) {
         let runtime = &self.context.runtime;
         let deadline = stop_deadline.max(runtime.now().saturating_add(MIN_FLUSH_TIME));
-        before(runtime, deadline, self.clients.all_closed()).await;
+        timeout_at(runtime, deadline, self.clients.all_closed()).await;
     }
 
     /// Starts the exchange with other nodes (peers). Until the node has a complete view of its peers, the replica count of the
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -8,7 +8,7 @@
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{NodeInfo, PeerId};
 use ivyward_etcd::{mvccpb, Client, EtcdError, LeaseEvent, Notification};
-use ivyward_runtime::{before, metered, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{metered, timeout_at, RuntimeExt, RuntimeRef};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::convert::Infallible;
@@ -245,7 +245,7 @@
         let mut progress_requested = false;
         loop {
             let until = self.runtime.now().saturating_add(SILENCE_TIMEOUT);
-            let Some(notification) = before(&self.runtime, until, watch.next()).await else {
+            let Some(notification) = timeout_at(&self.runtime, until, watch.next()).await else {
                 if progress_requested {
                     return Err(WatchEnd::Silent);
                 }
--- a/crates/ivyward/src/request/grpc.rs
+++ b/crates/ivyward/src/request/grpc.rs
@@ -15,7 +15,7 @@
 use ivyward_core::mutations::{self, Mutation};
 use ivyward_grpc::encode;
 use ivyward_proto::engine as pb;
-use ivyward_runtime::{before, metered, BoxFuture, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{metered, timeout_at, BoxFuture, RuntimeExt, RuntimeRef};
 use std::any::Any;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -289,7 +289,7 @@
         return ReservationStatus::Denied;
     };
     let reply = or(
-        async { before(runtime, until, call.next::<pb::HoldReply>()).await },
+        async { timeout_at(runtime, until, call.next::<pb::HoldReply>()).await },
         async {
             request.until_finished().await;
             None
@@ -326,7 +326,7 @@
         .call_with_deadline(path, body, Some(until))
         .await
         .ok()?;
-    let reply = before(runtime, until, call.next::<M>()).await;
+    let reply = timeout_at(runtime, until, call.next::<M>()).await;
     drop(call);
     engine.call_ended();
     reply?.ok()?
