--- a/crates/ivyward-etcd/src/lease.rs
+++ b/crates/ivyward-etcd/src/lease.rs
@@ -122,7 +122,7 @@
                 }
             }
             // With jitter, so that registrations that started together are not refreshed at the same moment.
-            let jitter = 0.9 + 0.2 * runtime.unit();
+            let jitter = 0.9 + 0.2 * runtime.random_f64();
             runtime.sleep((pause as f64 * jitter) as Micros).await;
         }
     }
--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -107,7 +107,7 @@
     /// Spawns a task given as a plain future.
     fn run(&self, task: impl Future<Output = ()> + Send + 'static);
     /// A number in [0, 1).
-    fn unit(&self) -> f64;
+    fn random_f64(&self) -> f64;
 }
 
 impl<W: Runtime + ?Sized> RuntimeExt for W {
@@ -117,7 +117,7 @@
     fn run(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.spawn(Box::pin(task));
     }
-    fn unit(&self) -> f64 {
+    fn random_f64(&self) -> f64 {
         (self.random() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -165,7 +165,7 @@
                     }
                 };
                 let fault = links.fault(from, me);
-                let lot = |share: f64| runtime.unit() < share;
+                let lot = |share: f64| runtime.random_f64() < share;
                 let lost = fault.cut || lot(fault.lose) || waiting.len() >= MOST_WAITING;
                 {
                     let mut state = links.lock();
@@ -175,13 +175,13 @@
                 if lost {
                     continue;
                 }
-                let jitter = (runtime.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
+                let jitter = (runtime.random_f64() * fault.jitter_ms as f64 * 1e3) as Micros;
                 let at = runtime.now() + fault.delay_ms * 1_000 + jitter;
                 count += 1;
                 waiting.insert((at, count), bytes[..got].to_vec());
                 if lot(fault.repeat) {
                     count += 1;
-                    let again = at + (runtime.unit() * 1e6) as Micros;
+                    let again = at + (runtime.random_f64() * 1e6) as Micros;
                     waiting.insert((again, count), bytes[..got].to_vec());
                 }
             }
--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -112,7 +112,7 @@
             runtime.clone().run(async move {
                 // Not all in one moment.
                 runtime
-                    .sleep((runtime.unit() * 20.0 * pause as f64) as Micros)
+                    .sleep((runtime.random_f64() * 20.0 * pause as f64) as Micros)
                     .await;
                 let mut client: Option<Client> = None;
                 while !over.load(Ordering::SeqCst) {
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -305,7 +305,7 @@
             .min(self.max_backoff);
         pool.attempts_since_use += 1;
         // The jitter scales the backoff to between half and all of it, so that many nodes do not reconnect at the same time.
-        let jitter = 0.5 + 0.5 * self.runtime.unit();
+        let jitter = 0.5 + 0.5 * self.runtime.random_f64();
         pool.next_attempt_at = self.runtime.now() + (backoff as f64 * jitter) as Micros;
     }
 
--- a/crates/ivyward/src/engines/keepalive.rs
+++ b/crates/ivyward/src/engines/keepalive.rs
@@ -45,11 +45,11 @@
         self.decider().connection_active();
     }
     fn next_check(&self, now: Micros) -> Option<Micros> {
-        let jitter = self.runtime.unit();
+        let jitter = self.runtime.random_f64();
         self.decider().next_check(now, jitter)
     }
     fn retry_check_at(&self, now: Micros) -> Option<Micros> {
-        let jitter = self.runtime.unit();
+        let jitter = self.runtime.random_f64();
         match self.decider().request_check(now, jitter) {
             CheckDecision::Check => None,
             CheckDecision::RetryAt(at) => Some(at),
--- a/crates/ivyward/src/membership/watcher.rs
+++ b/crates/ivyward/src/membership/watcher.rs
@@ -228,7 +228,7 @@
     /// Waits after a failure, for a random time between half the pause and the whole pause. The pause doubles with each
     /// failure, up to the maximum.
     async fn back_off(&mut self) {
-        let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
+        let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.random_f64())) as Micros;
         self.pause = (self.pause * 2).min(self.options.backoff.1);
         self.runtime.sleep(pause).await;
     }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -230,7 +230,7 @@
             };
             info!(why = %reason, "node records watch interrupted, listing again");
             self.client.fail_over();
-            let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.unit())) as Micros;
+            let pause = (self.pause as f64 * (0.5 + 0.5 * self.runtime.random_f64())) as Micros;
             self.pause = (self.pause * 2).min(BACKOFF.1);
             self.runtime.sleep(pause).await;
         }
