--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -23,7 +23,7 @@
 use hyper_util::service::TowerToHyperService;
 use ivyward_proto::etcd::etcdserverpb as pb;
 use ivyward_proto::etcd::mvccpb::{Event, KeyValue};
-use ivyward_runtime::io::{Io, Tasks};
+use ivyward_runtime::io::{HyperExecutor, Io};
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef};
 use leases::GrantedLease;
 use server::StoreService;
@@ -169,7 +169,7 @@
                         runtime: serving.clone(),
                         endpoint: index,
                     };
-                    let tasks = Tasks(serving.clone());
+                    let tasks = HyperExecutor(serving.clone());
                     let conn = FaultyConnection::over(conn, &shared, &serving);
                     serving.run(async move {
                         let service = TowerToHyperService::new(service);
--- a/crates/ivyward-runtime/src/io.rs
+++ b/crates/ivyward-runtime/src/io.rs
@@ -104,9 +104,9 @@
 
 /// Runs hyper's tasks in a world.
 #[derive(Clone)]
-pub struct Tasks(pub RuntimeRef);
+pub struct HyperExecutor(pub RuntimeRef);
 
-impl<F: Future + Send + 'static> hyper::rt::Executor<F> for Tasks
+impl<F: Future + Send + 'static> hyper::rt::Executor<F> for HyperExecutor
 where
     F::Output: Send,
 {
--- a/crates/ivyward/src/request/grpc_server.rs
+++ b/crates/ivyward/src/request/grpc_server.rs
@@ -10,7 +10,7 @@
 use ivyward_grpc::{parse_timeout, TIMEOUT_HEADER};
 use ivyward_proto::front::front_server::{Front, FrontServer};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_runtime::io::{Io, Tasks};
+use ivyward_runtime::io::{HyperExecutor, Io};
 use ivyward_runtime::{metered, Conn, ErrorOrigin, Listener, RuntimeExt};
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -206,7 +206,7 @@
                 continue;
             };
             let (service, node) = (service.clone(), self.clone());
-            let tasks = Tasks(runtime.clone());
+            let tasks = HyperExecutor(runtime.clone());
             runtime.run(async move {
                 serve_connection(node, tasks, service, conn, admitted).await;
             });
@@ -217,7 +217,7 @@
 /// Serves one connection until it closes, or until the node has stopped and the connection's calls have ended.
 async fn serve_connection(
     node: Node,
-    tasks: Tasks,
+    tasks: HyperExecutor,
     service: FrontServer<Service>,
     conn: Conn,
     admitted: ClientConnection,
