--- a/crates/ivyward-runtime/src/metered.rs
+++ b/crates/ivyward-runtime/src/metered.rs
@@ -72,7 +72,7 @@
         }
     }
     /// Counts what crosses a connection.
-    pub fn watch(self: &Arc<Self>, conn: Conn) -> Conn {
+    pub fn wrap(self: &Arc<Self>, conn: Conn) -> Conn {
         self.opened.fetch_add(1, Ordering::Relaxed);
         Box::new(MeteredConn {
             conn,
@@ -114,7 +114,7 @@
     }
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Conn>> {
         let (connecting, meter) = (self.runtime.connect(to), self.meter.clone());
-        Box::pin(async move { Ok(meter.watch(connecting.await?)) })
+        Box::pin(async move { Ok(meter.wrap(connecting.await?)) })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         Ok(Box::new(MeteredListener {
@@ -229,11 +229,7 @@
     fn accept(&mut self) -> BorrowedFuture<'_, io::Result<(Conn, SocketAddr)>> {
         let meter = self.meter.clone();
         let accepting = self.listener.accept();
-        Box::pin(async move {
-            accepting
-                .await
-                .map(|(conn, peer)| (meter.watch(conn), peer))
-        })
+        Box::pin(async move { accepting.await.map(|(conn, peer)| (meter.wrap(conn), peer)) })
     }
     fn address(&self) -> SocketAddr {
         self.listener.address()
--- a/crates/ivyward/src/request/grpc_server.rs
+++ b/crates/ivyward/src/request/grpc_server.rs
@@ -190,7 +190,7 @@
             });
             let conn = match accepted.await {
                 None => return,
-                Some(Ok((conn, _))) => traffic.watch(conn),
+                Some(Ok((conn, _))) => traffic.wrap(conn),
                 Some(Err(error)) => {
                     debug!(%error, "accept failed");
                     // The pause gives this machine time to free the resource that it lacks. A connection that failed by
