--- a/crates/ivyward-platform/src/call/tests.rs
+++ b/crates/ivyward-platform/src/call/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::prompt_budget::{BudgetShare, PromptBudget};
 use ivyward::runtime::RuntimeExt;
-use ivyward_sim::{Net, Sim};
+use ivyward_sim::{NetworkConfig, Sim};
 use std::net::SocketAddr;
 
 /// `is_disconnected` checks the socket itself, so that it detects a closed connection before any task has read from it.
 #[test]
 fn a_closed_connection_counts_as_disconnected_before_it_is_read() {
-    let sim = Sim::new(1, Net::default());
+    let sim = Sim::new(1, NetworkConfig::default());
     let (node, client) = (sim.host(1), sim.host(2));
     let (runtime, client_runtime) = (node.runtime(), client.runtime());
     let address = SocketAddr::from(([127, 0, 0, 9], 80));
--- a/crates/ivyward-platform/src/discovery/list_reader/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader/tests.rs
@@ -1,12 +1,12 @@
 //! Parsing of lists.
 
 use super::*;
-use ivyward_sim::{Net, Sim};
+use ivyward_sim::{NetworkConfig, Sim};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
 fn reader() -> (ListReader, RuntimeRef) {
-    let runtime = Sim::new(1, Net::default()).host(1).runtime();
+    let runtime = Sim::new(1, NetworkConfig::default()).host(1).runtime();
     let (zones, kinds) = (vec!["a".to_owned()], vec!["m1".to_owned(), "m2".to_owned()]);
     (
         ListReader::new(
--- a/crates/ivyward-platform/src/engine/pool/tests.rs
+++ b/crates/ivyward-platform/src/engine/pool/tests.rs
@@ -1,11 +1,11 @@
 //! Limits on connections.
 
 use super::*;
-use ivyward_sim::{Net, Sim};
+use ivyward_sim::{NetworkConfig, Sim};
 
 #[test]
 fn releases_may_open_reserved_connections_at_the_limit() {
-    let runtime = Sim::new(1, Net::default()).host(1).runtime();
+    let runtime = Sim::new(1, NetworkConfig::default()).host(1).runtime();
     const RESERVE: usize = 12;
     let settings = EnginePoolSettings {
         connect_timeout: 1,
--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -142,11 +142,11 @@
     for how in DISCONNECTS {
         for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
             // The body of 200 kB takes 2 s at 100 kB/s.
-            setup
-                .sim
-                .net(|net| (net.rate, net.buffer) = (100_000, 8 << 10));
+            setup.sim.update_network(|net| {
+                (net.bytes_per_second, net.buffer_bytes) = (100_000, 8 << 10)
+            });
             setup.run(move |cluster| async move {
-                cluster.sim.net(|net| net.rate = 0);
+                cluster.sim.update_network(|net| net.bytes_per_second = 0);
                 let filler = "x".repeat(200_000);
                 let body = format!(r#"{{"messages":[{{"role":"user","content":"{filler}"}}]}}"#);
                 let text = String::from_utf8(request("long", "draft", 7_000)).unwrap();
@@ -159,7 +159,9 @@
                 conn.write_all(format!("{head}\r\n\r\n{body}").as_bytes())
                     .await
                     .unwrap();
-                cluster.sim.net(|net| net.rate = 100_000);
+                cluster
+                    .sim
+                    .update_network(|net| net.bytes_per_second = 100_000);
                 cluster.runtime.sleep(300 * MS).await;
                 let disconnected_at = cluster.runtime.now();
                 let _open = disconnect(conn, how).await;
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -417,7 +417,7 @@
             true => EngineBehavior::RespondAfterFirstEvent(rest.clone().into_bytes()),
             false => EngineBehavior::Normal,
         });
-        setup.sim.net(|net| net.buffer = 2 << 10);
+        setup.sim.update_network(|net| net.buffer_bytes = 2 << 10);
         setup.run(move |cluster| async move {
             let mut conn = cluster.connect().await;
             conn.write_all(&request("slow", "send", 4_800))
@@ -467,7 +467,7 @@
             }
         });
         let bound = setup.config().bounds.client_connections;
-        setup.sim.net(|net| net.jitter = 0);
+        setup.sim.update_network(|net| net.jitter = 0);
         let (sim, node) = (setup.sim.clone(), setup.node.id());
         setup.run(move |cluster| async move {
             let mut first = cluster.connect().await;
--- a/crates/ivyward-platform/tests/common/cluster.rs
+++ b/crates/ivyward-platform/tests/common/cluster.rs
@@ -9,7 +9,7 @@
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{Conn, RuntimeExt, RuntimeRef};
 use ivyward_platform::{Config, Service};
-use ivyward_sim::{Host, HostId, Net, Sim};
+use ivyward_sim::{Host, HostId, NetworkConfig, Sim};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -45,10 +45,10 @@
         sockets: usize,
         script: impl Fn(&EngineRequest) -> EngineBehavior + Send + Sync + 'static,
     ) -> ClusterSetup {
-        let net = Net {
+        let net = NetworkConfig {
             latency: 200,
             jitter: 50,
-            ..Net::default()
+            ..NetworkConfig::default()
         };
         let sim = Sim::new(7, net);
         let (node, client, discovery_host) = (sim.host(1), sim.host(2), sim.host(3));
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -76,7 +76,7 @@
     for sent_at in (1_998_500..2_001_000).step_by(50) {
         let (outcome, outcomes) = std::sync::mpsc::channel();
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
-        setup.sim.net(|net| net.jitter = 0);
+        setup.sim.update_network(|net| net.jitter = 0);
         setup.run(move |cluster| async move {
             let mut conn = cluster.connect().await;
             cluster.client.sleep(sent_at).await;
--- a/crates/ivyward-platform/tests/service.rs
+++ b/crates/ivyward-platform/tests/service.rs
@@ -280,7 +280,7 @@
     for sent_at in 649_780..649_820 {
         let (outcome, outcomes) = std::sync::mpsc::channel();
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
-        setup.sim.net(|net| net.jitter = 0);
+        setup.sim.update_network(|net| net.jitter = 0);
         setup.run(move |mut cluster| async move {
             let client = cluster.client.clone();
             let mut idle = cluster.connect().await;
--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -10,7 +10,7 @@
 mod net;
 mod tasks;
 
-pub use net::Net;
+pub use net::NetworkConfig;
 pub use tasks::Stuck;
 
 use ivyward_runtime::{BoxFuture, Conn, DatagramSocket, Listener, Micros, Runtime, RuntimeRef};
@@ -98,7 +98,7 @@
 
 impl Sim {
     /// A world from a seed, with a network that behaves so.
-    pub fn new(seed: u64, net: Net) -> Sim {
+    pub fn new(seed: u64, net: NetworkConfig) -> Sim {
         let state = State {
             now: BEGIN,
             random: SmallRng::seed_from_u64(seed),
@@ -208,7 +208,7 @@
         (state.digest, state.events)
     }
     /// Changes what the network does from now on.
-    pub fn net(&self, change: impl FnOnce(&mut Net)) {
+    pub fn update_network(&self, change: impl FnOnce(&mut NetworkConfig)) {
         change(&mut self.0.lock().net.ways);
     }
     /// Streams take so much longer from one host to the other, and back.
--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -16,33 +16,33 @@
 
 /// What the network does. Times are microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct NetworkConfig {
     /// From one host to another.
     pub latency: Micros,
     /// Up to so much more, drawn anew for each piece; pieces of one stream keep their order.
     pub jitter: Micros,
     /// Bytes a second of each stream; 0 for as many as there are.
-    pub rate: u64,
+    pub bytes_per_second: u64,
     /// Bytes of a stream that may be under way or wait for their reader; a writer waits at it.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
     /// The part of reads and writes that take only some of the bytes, down to one.
-    pub pieces: f64,
+    pub partial_io: f64,
     /// The part of datagrams that are lost.
-    pub lose: f64,
+    pub datagram_loss: f64,
     /// The part of them that come twice.
-    pub repeat: f64,
+    pub datagram_duplication: f64,
 }
 
-impl Default for Net {
-    fn default() -> Net {
-        Net {
+impl Default for NetworkConfig {
+    fn default() -> NetworkConfig {
+        NetworkConfig {
             latency: 200,
             jitter: 100,
-            rate: 0,
-            buffer: 64 << 10,
-            pieces: 0.0,
-            lose: 0.0,
-            repeat: 0.0,
+            bytes_per_second: 0,
+            buffer_bytes: 64 << 10,
+            partial_io: 0.0,
+            datagram_loss: 0.0,
+            datagram_duplication: 0.0,
         }
     }
 }
@@ -99,7 +99,7 @@
 }
 
 pub(crate) struct Network {
-    pub(crate) ways: Net,
+    pub(crate) ways: NetworkConfig,
     posts: BTreeMap<SocketAddr, Post>,
     next_datagram: u64,
     doors: BTreeMap<SocketAddr, Door>,
@@ -114,7 +114,7 @@
 }
 
 impl Network {
-    pub(crate) fn new(ways: Net) -> Network {
+    pub(crate) fn new(ways: NetworkConfig) -> Network {
         Network {
             ways,
             posts: BTreeMap::new(),
@@ -368,11 +368,15 @@
             return Ok(());
         };
         if state.net.cuts.contains(&(self.host, host))
-            || state.random.random_bool(ways.lose.clamp(0.0, 1.0))
+            || state.random.random_bool(ways.datagram_loss.clamp(0.0, 1.0))
         {
             return Ok(());
         }
-        let copies = 1 + usize::from(state.random.random_bool(ways.repeat.clamp(0.0, 1.0)));
+        let copies = 1 + usize::from(
+            state
+                .random
+                .random_bool(ways.datagram_duplication.clamp(0.0, 1.0)),
+        );
         for _ in 0..copies {
             let jitter = if ways.jitter > 0 {
                 state.random.random_range(0..=ways.jitter)
@@ -502,7 +506,7 @@
 
 /// How many of `most` bytes are taken at once.
 fn piece(state: &mut State, most: usize) -> usize {
-    let pieces = state.net.ways.pieces;
+    let pieces = state.net.ways.partial_io;
     if most > 1 && pieces > 0.0 && state.random.random_bool(pieces.min(1.0)) {
         return state.random.random_range(1..=most);
     }
@@ -602,13 +606,15 @@
             reader.into_iter().for_each(Waker::wake);
             return Poll::Ready(Ok(buf.len()));
         }
-        let room = ways.buffer.saturating_sub(way.waiting);
+        let room = ways.buffer_bytes.saturating_sub(way.waiting);
         if room == 0 {
             way.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let put = most.min(room);
-        let carry = (put as u64 * 1_000_000).checked_div(ways.rate).unwrap_or(0);
+        let carry = (put as u64 * 1_000_000)
+            .checked_div(ways.bytes_per_second)
+            .unwrap_or(0);
         let at = (now + latency + jitter).max(way.last) + carry;
         way.last = at;
         way.waiting += put;
--- a/crates/ivyward-sim/tests/virtual_runtime.rs
+++ b/crates/ivyward-sim/tests/virtual_runtime.rs
@@ -3,14 +3,14 @@
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_runtime::{Conn, Runtime, RuntimeExt, RuntimeRef};
-use ivyward_sim::{Host, Net, Sim, Stuck};
+use ivyward_sim::{Host, NetworkConfig, Sim, Stuck};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 const DAY: u64 = 86_400_000_000;
 
-fn two(net: Net) -> (Sim, Arc<Host>, Arc<Host>) {
+fn two(net: NetworkConfig) -> (Sim, Arc<Host>, Arc<Host>) {
     let sim = Sim::new(7, net);
     let (a, b) = (sim.host(1), sim.host(2));
     (sim, a, b)
@@ -51,11 +51,11 @@
 
 #[test]
 fn time_jumps_and_bytes_take_theirs() {
-    let (sim, a, b) = two(Net {
+    let (sim, a, b) = two(NetworkConfig {
         latency: 1_000,
         jitter: 0,
-        rate: 1_000_000,
-        ..Net::default()
+        bytes_per_second: 1_000_000,
+        ..NetworkConfig::default()
     });
     let address = echo(&b, 0);
     let runtime = a.runtime();
@@ -78,10 +78,10 @@
     let play = |seed: u64| {
         let sim = Sim::new(
             seed,
-            Net {
-                pieces: 0.7,
+            NetworkConfig {
+                partial_io: 0.7,
                 jitter: 5_000,
-                ..Net::default()
+                ..NetworkConfig::default()
             },
         );
         let (a, b) = (sim.host(1), sim.host(2));
@@ -116,7 +116,7 @@
 
 #[test]
 fn what_waits_for_nothing_is_told() {
-    let (sim, a, _) = two(Net::default());
+    let (sim, a, _) = two(NetworkConfig::default());
     let stuck = sim.run(&a, DAY, std::future::pending::<()>());
     assert!(
         matches!(stuck, Err(Stuck::Nothing { waiting, .. }) if waiting.get(&a.id()) == Some(&1))
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_task_that_spins_is_told() {
-    let (sim, a, _) = two(Net::default());
+    let (sim, a, _) = two(NetworkConfig::default());
     let spin = async {
         loop {
             futures_lite::future::yield_now().await;
@@ -142,7 +142,7 @@
 
 #[test]
 fn nobody_listens_and_ports_are_free_again() {
-    let (sim, a, b) = two(Net::default());
+    let (sim, a, b) = two(NetworkConfig::default());
     let address = echo(&b, 0);
     assert_eq!(
         b.listen(address).err().map(|e| e.kind()),
@@ -163,7 +163,7 @@
 #[test]
 fn deaths_with_a_word_and_without() {
     for word in [true, false] {
-        let (sim, a, b) = two(Net::default());
+        let (sim, a, b) = two(NetworkConfig::default());
         let address = echo(&b, 0);
         let (runtime, all, dead) = (a.runtime(), sim.clone(), b.id());
         let heard = sim.run(&a, DAY, async move {
@@ -188,7 +188,7 @@
 /// A machine that is there again answers with a reset what is said on a connection from before.
 #[test]
 fn a_machine_that_is_back_knows_no_old_connection() {
-    let (sim, a, b) = two(Net::default());
+    let (sim, a, b) = two(NetworkConfig::default());
     let address = echo(&b, 0);
     let (runtime, all, dead) = (a.runtime(), sim.clone(), b.id());
     let heard = sim.run(&a, DAY, async move {
@@ -206,9 +206,9 @@
 /// A way that is cut in one direction: what was said before waits, and arrives when it is mended, once and in order.
 #[test]
 fn a_cut_way_holds_what_is_under_way() {
-    let (sim, a, b) = two(Net {
+    let (sim, a, b) = two(NetworkConfig {
         jitter: 0,
-        ..Net::default()
+        ..NetworkConfig::default()
     });
     let address = echo(&b, 0);
     let (runtime, all, ids) = (a.runtime(), sim.clone(), (a.id(), b.id()));
@@ -247,9 +247,9 @@
 /// A frozen process takes bytes until its buffers are full, answers none, and goes on where it was.
 #[test]
 fn a_frozen_process_and_full_buffers() {
-    let (sim, a, b) = two(Net {
-        buffer: 100,
-        ..Net::default()
+    let (sim, a, b) = two(NetworkConfig {
+        buffer_bytes: 100,
+        ..NetworkConfig::default()
     });
     let address = echo(&b, 0);
     let (runtime, all, frozen) = (a.runtime(), sim.clone(), b.id());
@@ -275,7 +275,7 @@
 #[test]
 fn an_orderly_end_comes_after_the_bytes_and_a_hard_one_instead() {
     for hard in [false, true] {
-        let (sim, a, b) = two(Net::default());
+        let (sim, a, b) = two(NetworkConfig::default());
         let (server, runtime) = (b.runtime(), a.runtime());
         let mut listener = server
             .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -307,7 +307,7 @@
 /// A clock that is wrong shows another date and the same spans; killed tasks are over at once.
 #[test]
 fn clocks_and_kills() {
-    let (sim, a, b) = two(Net::default());
+    let (sim, a, b) = two(NetworkConfig::default());
     sim.skew(b.id(), -3_600_000_000);
     assert_eq!(a.unix_micros() - b.unix_micros(), 3_600_000_000);
     assert_eq!(a.now(), b.now());
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -7,7 +7,7 @@
 use ivyward::registration::State;
 use ivyward_fakes::{Engine, Faults, ObservedEvent};
 use ivyward_runtime::RuntimeExt;
-use ivyward_sim::{HostId, Net};
+use ivyward_sim::{HostId, NetworkConfig};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -131,20 +131,28 @@
                     .for_each(|(from, to)| self.sim.cut(*from, *to, false));
             }
             Fault::PeersRough { lose } => {
-                self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
+                self.sim.update_network(|n| {
+                    (n.datagram_loss, n.datagram_duplication) = (lose, lose / 2.0)
+                });
                 runtime.sleep(len).await;
-                self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
+                self.sim
+                    .update_network(|n| (n.datagram_loss, n.datagram_duplication) = (0.0, 0.0));
             }
             Fault::Pieces => {
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.5, 4_000));
                 runtime.sleep(len).await;
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.0, 100));
             }
             Fault::Narrow => {
-                self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
-                runtime.sleep(len).await;
                 self.sim
-                    .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
+                    .update_network(|n| (n.bytes_per_second, n.buffer_bytes) = (400_000, 3_000));
+                runtime.sleep(len).await;
+                self.sim.update_network(|n| {
+                    (n.bytes_per_second, n.buffer_bytes) =
+                        (0, NetworkConfig::default().buffer_bytes)
+                });
             }
             Fault::StoreDies => {
                 lock(&self.store).crash();
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -19,7 +19,7 @@
 use ivyward_fakes::event_log::LoggedEvent;
 use ivyward_fakes::{check, check_so_far, Engine, EngineSpec, EventLog, Host, RuleChecker};
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
-use ivyward_sim::{Net, Sim, Stuck};
+use ivyward_sim::{NetworkConfig, Sim, Stuck};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
 
 /// Plays a seed under a plan.
 pub fn run(seed: u64, size: &Size, plan: &[Timed]) -> Outcome {
-    let sim = Sim::new(seed, Net::default());
+    let sim = Sim::new(seed, NetworkConfig::default());
     let script = sim.host(0);
     let played = {
         let (sim, size, plan, runtime) = (sim.clone(), *size, plan.to_vec(), script.runtime());
--- a/crates/ivyward-testbed/tests/cold_engines.rs
+++ b/crates/ivyward-testbed/tests/cold_engines.rs
@@ -12,7 +12,7 @@
 };
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
-use ivyward_sim::{Net, Sim};
+use ivyward_sim::{NetworkConfig, Sim};
 use ivyward_testbed::local_cluster::{limits, settings};
 use ivyward_testbed::registration::keep;
 use ivyward_testbed::simulation::Hosts;
@@ -34,7 +34,7 @@
 /// Engines whose clocks are an hour off, and cold: none is pushed over, whatever their records say.
 #[test]
 fn clocks_that_differ_push_no_cold_engine_over() {
-    let sim = Sim::new(44, Net::default());
+    let sim = Sim::new(44, NetworkConfig::default());
     let (script, hosts) = (sim.host(0), Arc::new(Hosts::of(&sim)));
     let (runtime, host): (_, Arc<dyn Host>) = (script.runtime(), hosts);
     let log = EventLog::new(&runtime);
--- a/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
+++ b/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
@@ -179,13 +179,13 @@
     let stage = virtual_cluster();
     let cast = cast(&stage, may_cancel);
     let sim = stage.sim.clone();
-    sim.net(|net| net.buffer = 8 << 10);
+    sim.update_network(|net| net.buffer_bytes = 8 << 10);
     let played = stage.sim.run(&stage.script, HOUR, async move {
         let clock = cast.runtime.clone();
         let moment = async move {
             // The client's own part of the way is quick.
             clock.sleep(5 * MS).await;
-            sim.net(|net| net.rate = 100_000);
+            sim.update_network(|net| net.bytes_per_second = 100_000);
             clock.sleep(leave_after).await;
         };
         leaves(&cast, &ask(1, 60_000, 6_000 * MS), how, moment).await
--- a/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
+++ b/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
@@ -7,7 +7,7 @@
 use ivyward_fakes::{Engine, EngineSpec, EventLog, Host as Processes, Role};
 use ivyward_proto::front::GenerateRequest;
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
-use ivyward_sim::{Host, HostId, Net, Sim};
+use ivyward_sim::{Host, HostId, NetworkConfig, Sim};
 use ivyward_testbed::local_cluster::{listed, settings, RecordingBuffer};
 use ivyward_testbed::simulation::Hosts;
 use std::net::SocketAddr;
@@ -38,9 +38,9 @@
 pub fn virtual_cluster_of(readers: u64, writers: u64) -> VirtualCluster {
     let sim = Sim::new(
         11,
-        Net {
+        NetworkConfig {
             jitter: 0,
-            ..Net::default()
+            ..NetworkConfig::default()
         },
     );
     let script = sim.host(0);
