--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -11,7 +11,7 @@
 mod tasks;
 
 pub use net::NetworkConfig;
-pub use tasks::Stuck;
+pub use tasks::RunError;
 
 use ivyward_runtime::{BoxFuture, Conn, DatagramSocket, Listener, Micros, Runtime, RuntimeRef};
 use net::Network;
@@ -136,13 +136,13 @@
     /// Plays the world until a future, run as a task of the host, is done.
     ///
     /// # Errors
-    /// [`Stuck`] when nothing is left that could happen, when a task spins, or at the latest time.
+    /// [`RunError`] when nothing is left that could happen, when a task spins, or at the latest time.
     pub fn run<T: Send + 'static>(
         &self,
         host: &Arc<Host>,
         until: Micros,
         future: impl Future<Output = T> + Send + 'static,
-    ) -> Result<T, Stuck> {
+    ) -> Result<T, RunError> {
         let result: Arc<Mutex<Option<T>>> = Arc::default();
         let put = result.clone();
         host.spawn(Box::pin(async move {
@@ -159,7 +159,7 @@
     }
 
     /// Polls ready tasks until none is.
-    fn settle(&self) -> Result<(), Stuck> {
+    fn settle(&self) -> Result<(), RunError> {
         let mut polls = 0u64;
         loop {
             let frozen = |host: HostId| self.0.lock().hosts[host].frozen;
@@ -169,7 +169,7 @@
             polls += 1;
             if polls > tasks::MOST_POLLS {
                 let (at, host) = (self.now(), task.host);
-                return Err(Stuck::Spins { at, host });
+                return Err(RunError::Livelock { at, host });
             }
             self.0.lock().note(1, task.id, &[]);
             self.0.tasks.poll(&task);
@@ -177,17 +177,17 @@
     }
 
     /// Lets the next thing that is due happen.
-    fn jump(&self, until: Micros) -> Result<(), Stuck> {
+    fn jump(&self, until: Micros) -> Result<(), RunError> {
         let due = {
             let mut state = self.0.lock();
             let Some(((at, _, id), due)) = state.queue.pop_first() else {
-                return Err(Stuck::Nothing {
+                return Err(RunError::Deadlock {
                     at: state.now,
                     waiting: self.0.tasks.waiting(),
                 });
             };
             if at > until {
-                return Err(Stuck::Late { at: until });
+                return Err(RunError::TimedOut { at: until });
             }
             state.now = state.now.max(at);
             state.note(2, id, &[]);
--- a/crates/ivyward-sim/src/tasks.rs
+++ b/crates/ivyward-sim/src/tasks.rs
@@ -15,10 +15,10 @@
 
 /// Why a world cannot go on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Stuck {
+pub enum RunError {
     /// Tasks wait, and nothing will ever wake them.
     #[error("at {at} us nothing is left to happen; tasks that wait, by host: {waiting:?}")]
-    Nothing {
+    Deadlock {
         /// When.
         at: Micros,
         /// How many tasks of each host wait.
@@ -26,7 +26,7 @@
     },
     /// Tasks wake each other without time passing.
     #[error("at {at} us tasks spin, the last one at host {host}")]
-    Spins {
+    Livelock {
         /// When.
         at: Micros,
         /// Where.
@@ -34,7 +34,7 @@
     },
     /// The latest time came.
     #[error("it was not done by {at} us")]
-    Late {
+    TimedOut {
         /// That time.
         at: Micros,
     },
--- a/crates/ivyward-sim/tests/virtual_runtime.rs
+++ b/crates/ivyward-sim/tests/virtual_runtime.rs
@@ -3,7 +3,7 @@
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_runtime::{Conn, Runtime, RuntimeExt, RuntimeRef};
-use ivyward_sim::{Host, NetworkConfig, Sim, Stuck};
+use ivyward_sim::{Host, NetworkConfig, RunError, Sim};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -119,12 +119,12 @@
     let (sim, a, _) = two(NetworkConfig::default());
     let stuck = sim.run(&a, DAY, std::future::pending::<()>());
     assert!(
-        matches!(stuck, Err(Stuck::Nothing { waiting, .. }) if waiting.get(&a.id()) == Some(&1))
+        matches!(stuck, Err(RunError::Deadlock { waiting, .. }) if waiting.get(&a.id()) == Some(&1))
     );
     let runtime = a.runtime();
     assert_eq!(
         sim.run(&a, 5_000_000, async move { runtime.sleep(DAY).await }),
-        Err(Stuck::Late { at: 5_000_000 })
+        Err(RunError::TimedOut { at: 5_000_000 })
     );
 }
 
@@ -136,8 +136,8 @@
             futures_lite::future::yield_now().await;
         }
     };
-    let stuck: Result<(), Stuck> = sim.run(&a, DAY, spin);
-    assert!(matches!(stuck, Err(Stuck::Spins { host, .. }) if host == a.id()));
+    let stuck: Result<(), RunError> = sim.run(&a, DAY, spin);
+    assert!(matches!(stuck, Err(RunError::Livelock { host, .. }) if host == a.id()));
 }
 
 #[test]
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -19,7 +19,7 @@
 use ivyward_fakes::event_log::LoggedEvent;
 use ivyward_fakes::{check, check_so_far, Engine, EngineSpec, EventLog, Host, RuleChecker};
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
-use ivyward_sim::{NetworkConfig, Sim, Stuck};
+use ivyward_sim::{NetworkConfig, RunError, Sim};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +50,7 @@
             wrong: vec![format!("the scene cannot be set up: {line}")],
             ..Done::default()
         },
-        Err(stuck @ Stuck::Nothing { .. }) => Done {
+        Err(stuck @ RunError::Deadlock { .. }) => Done {
             wrong: vec![format!("deadlock: {stuck}")],
             ..Done::default()
         },
