--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -72,7 +72,9 @@
         for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
             // Connecting takes 220 ms; the connect timeout is 250 ms.
             for engine in &setup.engines {
-                setup.sim.lag(setup.node.id(), engine.id(), 110 * MS);
+                setup
+                    .sim
+                    .set_extra_latency(setup.node.id(), engine.id(), 110 * MS);
             }
             setup.run(move |cluster| async move {
                 let mut conn = cluster.connect().await;
@@ -277,7 +279,7 @@
                 for _ in &ids {
                     conns.push(cluster.connect().await);
                 }
-                sim.freeze(node, true);
+                sim.set_paused(node, true);
                 let client = cluster.client.clone();
                 let (done, wait) = async_channel::bounded(1);
                 let (sent_ids, sim) = (ids.clone(), sim.clone());
@@ -294,7 +296,7 @@
                         half_closed.extend(disconnect(conn, how).await);
                     }
                     client.sleep(300 * MS).await;
-                    sim.freeze(node, false);
+                    sim.set_paused(node, false);
                     client.sleep(3_000 * MS).await;
                     done.send((disconnected_at, half_closed)).await.unwrap();
                 });
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -478,7 +478,7 @@
             let (client, address) = (cluster.client.clone(), cluster.address);
             let (done, connected) = async_channel::bounded(1);
             // The node is paused, so that it finds the request and the new connection at the same time.
-            sim.freeze(node, true);
+            sim.set_paused(node, true);
             let (sender, resumer) = (cluster.client.clone(), cluster.client.clone());
             cluster.client.run(async move {
                 sender.sleep(offset).await;
@@ -497,7 +497,7 @@
             });
             cluster.client.run(async move {
                 resumer.sleep(2_000).await;
-                sim.freeze(node, false);
+                sim.set_paused(node, false);
             });
             let _connection = connected.recv().await.unwrap();
             let begun = cluster.client.now();
--- a/crates/ivyward-platform/tests/common/cluster.rs
+++ b/crates/ivyward-platform/tests/common/cluster.rs
@@ -139,8 +139,10 @@
     pub fn partition(&self, engines: &[usize], is_partitioned: bool) {
         for engine in engines {
             let host = self.engine_hosts[*engine];
-            self.sim.cut(self.node_host, host, is_partitioned);
-            self.sim.cut(host, self.node_host, is_partitioned);
+            self.sim
+                .set_partitioned(self.node_host, host, is_partitioned);
+            self.sim
+                .set_partitioned(host, self.node_host, is_partitioned);
         }
     }
 
--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -30,7 +30,9 @@
             }
         });
         for engine in &setup.engines {
-            setup.sim.lag(setup.node.id(), engine.id(), lag);
+            setup
+                .sim
+                .set_extra_latency(setup.node.id(), engine.id(), lag);
         }
         setup.run(move |cluster| async move {
             let (mut attempt_count, mut retry_count) = (0, 0);
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -122,8 +122,8 @@
         }
         let other = 5 - received.engine;
         let (sim, node, engines) = script_network.get().unwrap();
-        sim.cut(*node, engines[other], true);
-        sim.cut(engines[other], *node, true);
+        sim.set_partitioned(*node, engines[other], true);
+        sim.set_partitioned(engines[other], *node, true);
         partitioned_engine.set(other).unwrap();
         EngineBehavior::RespondAndClose(Vec::new())
     });
@@ -418,7 +418,9 @@
             false => EngineBehavior::Normal,
         }
     });
-    setup.sim.lag(setup.node.id(), setup.engines[0].id(), 1_500);
+    setup
+        .sim
+        .set_extra_latency(setup.node.id(), setup.engines[0].id(), 1_500);
     setup.run(|cluster| async move {
         let mut abandoned = 0;
         for n in 0..40 {
@@ -457,7 +459,7 @@
         for decode_engine in 2..4 {
             setup
                 .sim
-                .cut(setup.node.id(), setup.engines[decode_engine].id(), true);
+                .set_partitioned(setup.node.id(), setup.engines[decode_engine].id(), true);
         }
         setup.run(move |cluster| async move {
             let response = cluster.send_request("one", class).await;
--- a/crates/ivyward-platform/tests/reservations.rs
+++ b/crates/ivyward-platform/tests/reservations.rs
@@ -242,7 +242,7 @@
         for decode_engine in 2..4 {
             setup
                 .sim
-                .cut(setup.node.id(), setup.engines[decode_engine].id(), true);
+                .set_partitioned(setup.node.id(), setup.engines[decode_engine].id(), true);
         }
         setup.run(move |cluster| async move {
             let ids: Vec<String> = (0..10).map(|n| format!("s{n}")).collect();
--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`Sim`]: the whole of it; [`Sim::run`] plays it until a future is done, and says so when it cannot go on.
 //! - [`Host`]: a process in it, which implements [`ivyward_runtime::Runtime`]; it can die, freeze and have a wrong clock.
-//! - [`Net`]: what the network does between hosts, and [`Sim::cut`] for partitions.
+//! - [`Net`]: what the network does between hosts, and [`Sim::set_partitioned`] for partitions.
 //!
 //! One thread polls one task at a time. Which of several ready tasks is next, and which of several events at one instant,
 //! is drawn from the seed. Nothing here asks the system for time or randomness.
@@ -212,24 +212,24 @@
         change(&mut self.0.lock().net.ways);
     }
     /// Streams take so much longer from one host to the other, and back.
-    pub fn lag(&self, one: HostId, other: HostId, longer: Micros) {
+    pub fn set_extra_latency(&self, one: HostId, other: HostId, longer: Micros) {
         let mut state = self.0.lock();
         state.net.lag(one, other, longer);
         state.net.lag(other, one, longer);
     }
     /// Cuts or mends the way from one host to another, in that direction alone. What is under way then waits, as it
     /// would for TCP's next try.
-    pub fn cut(&self, from: HostId, to: HostId, on: bool) {
+    pub fn set_partitioned(&self, from: HostId, to: HostId, on: bool) {
         self.wake(|state| state.net.cut(from, to, on));
     }
     /// Freezes a process: its sockets stay, it does nothing. Or lets it go on.
-    pub fn freeze(&self, host: HostId, on: bool) {
+    pub fn set_paused(&self, host: HostId, on: bool) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
             host.frozen = on;
         }
     }
     /// Sets a host's clock so far off, in microseconds.
-    pub fn skew(&self, host: HostId, skew: i64) {
+    pub fn set_clock_skew(&self, host: HostId, skew: i64) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
             host.skew = skew;
         }
--- a/crates/ivyward-sim/tests/virtual_runtime.rs
+++ b/crates/ivyward-sim/tests/virtual_runtime.rs
@@ -215,7 +215,7 @@
     let done = sim.run(&a, DAY, async move {
         let mut conn = runtime.connect(address).await.unwrap();
         // The answer's way, not the question's.
-        all.cut(ids.1, ids.0, true);
+        all.set_partitioned(ids.1, ids.0, true);
         conn.write_all(b"one").await.unwrap();
         let mut buf = [0; 3];
         let early = or(async { Some(conn.read_exact(&mut buf).await) }, async {
@@ -224,12 +224,12 @@
         });
         assert!(early.await.is_none());
         conn.write_all(b"two").await.unwrap();
-        all.cut(ids.1, ids.0, false);
+        all.set_partitioned(ids.1, ids.0, false);
         let mut both = [0; 6];
         conn.read_exact(&mut both).await.unwrap();
         assert_eq!(&both, b"onetwo");
         // Nobody is dialled over a cut either.
-        all.cut(ids.0, ids.1, true);
+        all.set_partitioned(ids.0, ids.1, true);
         let dial = or(
             async { Some(runtime.connect(address).await.is_ok()) },
             async {
@@ -238,7 +238,7 @@
             },
         );
         assert_eq!(dial.await, None);
-        all.cut(ids.0, ids.1, false);
+        all.set_partitioned(ids.0, ids.1, false);
         assert!(runtime.connect(address).await.is_ok());
     });
     assert_eq!(done, Ok(()));
@@ -256,7 +256,7 @@
     let done = sim.run(&a, DAY, async move {
         let mut conn = runtime.connect(address).await.unwrap();
         say(&mut conn, b"x").await.unwrap();
-        all.freeze(frozen, true);
+        all.set_paused(frozen, true);
         let mut wrote = 0;
         let fill = async {
             loop {
@@ -265,7 +265,7 @@
         };
         or(fill, runtime.sleep(1_000_000)).await;
         assert_eq!(wrote, 100);
-        all.freeze(frozen, false);
+        all.set_paused(frozen, false);
         let mut back = [0; 100];
         conn.read_exact(&mut back).await.unwrap();
     });
@@ -308,7 +308,7 @@
 #[test]
 fn clocks_and_kills() {
     let (sim, a, b) = two(NetworkConfig::default());
-    sim.skew(b.id(), -3_600_000_000);
+    sim.set_clock_skew(b.id(), -3_600_000_000);
     assert_eq!(a.unix_micros() - b.unix_micros(), 3_600_000_000);
     assert_eq!(a.now(), b.now());
     let (tell, told) = async_channel::bounded::<()>(1);
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -92,14 +92,14 @@
                 };
                 let engine = lock(&self.engines[engine]).1;
                 let (from, to) = if back { (engine, node) } else { (node, engine) };
-                self.sim.cut(from, to, true);
+                self.sim.set_partitioned(from, to, true);
                 runtime.sleep(len).await;
-                self.sim.cut(from, to, false);
+                self.sim.set_partitioned(from, to, false);
             }
             Fault::Lone { engine } => {
                 let ways = |on: bool, hosts: (HostId, HostId)| {
-                    self.sim.cut(hosts.0, hosts.1, on);
-                    self.sim.cut(hosts.1, hosts.0, on);
+                    self.sim.set_partitioned(hosts.0, hosts.1, on);
+                    self.sim.set_partitioned(hosts.1, hosts.0, on);
                 };
                 let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
                 ways(true, hosts);
@@ -125,10 +125,10 @@
                     vec![(a, *host), (*host, b)]
                 };
                 ways.iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, true));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, true));
                 runtime.sleep(len).await;
                 ways.iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, false));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, false));
             }
             Fault::PeersRough { lose } => {
                 self.sim.update_network(|n| {
--- a/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
+++ b/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
@@ -132,7 +132,9 @@
         let cast = cast(&stage, may_cancel);
         // A dial takes 220 ms, of 250 that it may take.
         for engine in &stage.engine_hosts {
-            stage.sim.lag(cast.node_host, *engine, 110 * MS);
+            stage
+                .sim
+                .set_extra_latency(cast.node_host, *engine, 110 * MS);
         }
         let played = stage.sim.run(&stage.script, HOUR, async move {
             let clock = cast.runtime.clone();
@@ -227,7 +229,7 @@
         let mut stage = virtual_cluster();
         let cast = cast(&stage, true);
         for engine in &stage.engine_hosts {
-            stage.sim.lag(cast.node_host, *engine, lag);
+            stage.sim.set_extra_latency(cast.node_host, *engine, lag);
         }
         // Some of what engines do is reset at its end: further attempts follow late.
         for engine in &stage.engines {
@@ -339,7 +341,7 @@
                 clock.sleep(MS).await;
             }
             for host in hosts {
-                cuts.cut(node, host, true);
+                cuts.set_partitioned(node, host, true);
             }
         });
         let client_timeout = 2_000 * MS;
--- a/crates/ivyward-testbed/tests/keepalive.rs
+++ b/crates/ivyward-testbed/tests/keepalive.rs
@@ -236,9 +236,9 @@
 fn a_node_that_slept() -> Wrong {
     play((30, 30), |scene| async move {
         scene.runtime.sleep(5 * SECOND).await;
-        scene.sim.freeze(scene.node_host, true);
+        scene.sim.set_paused(scene.node_host, true);
         scene.runtime.sleep(90 * SECOND).await;
-        scene.sim.freeze(scene.node_host, false);
+        scene.sim.set_paused(scene.node_host, false);
         let pings = scene.pings(100 * SECOND).await;
         let (most, all) = (most_in_a_second(&pings), pings.iter().sum::<u64>());
         if most > u64::from(BUDGET) + 1 || all < u64::from(BUDGET) * 40 {
@@ -266,9 +266,9 @@
             scene.runtime.run(async move {
                 // The check has left by then, and its answer has not come.
                 clock.sleep(450).await;
-                sim.freeze(host, true);
+                sim.set_paused(host, true);
                 clock.sleep(100 * MS).await;
-                sim.freeze(host, false);
+                sim.set_paused(host, false);
             });
             let end = client.send(&ask(call, UNSAFE_CLASS)).await;
             if end.outcome != ClientOutcome::Served {
@@ -330,10 +330,10 @@
         let cut = |on| {
             for host in [scene.engine_hosts[0], scene.engine_hosts[2]] {
                 if to_engine {
-                    scene.sim.cut(scene.node_host, host, on);
+                    scene.sim.set_partitioned(scene.node_host, host, on);
                 }
                 if to_node {
-                    scene.sim.cut(host, scene.node_host, on);
+                    scene.sim.set_partitioned(host, scene.node_host, on);
                 }
             }
         };
