--- a/crates/ivyward-fault-injection-preload/src/lib.rs
+++ b/crates/ivyward-fault-injection-preload/src/lib.rs
@@ -5,7 +5,7 @@
 #![cfg(target_os = "linux")]
 
 use ivyward_fault_injection::{
-    meets, SystemFault, CLOCK_SLOT, FILE_BYTES, MAGIC, PATH_VARIABLE, SEED_SLOT,
+    is_injected, SystemFault, CLOCK_SLOT, FILE_BYTES, MAGIC, PATH_VARIABLE, SEED_SLOT,
 };
 use libc::{c_char, c_int, c_void, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
@@ -62,7 +62,7 @@
         let call = self
             .slot(fault.calls_slot())
             .fetch_add(1, Ordering::Relaxed);
-        let met = meets(
+        let met = is_injected(
             self.slot(SEED_SLOT).load(Ordering::Relaxed),
             fault,
             call,
--- a/crates/ivyward-fault-injection/src/lib.rs
+++ b/crates/ivyward-fault-injection/src/lib.rs
@@ -91,7 +91,7 @@
 }
 
 /// Whether the `call`-th call that could meet a fault meets it. The same seed gives the same calls.
-pub fn meets(seed: u64, fault: SystemFault, call: u64, rate: u64) -> bool {
+pub fn is_injected(seed: u64, fault: SystemFault, call: u64, rate: u64) -> bool {
     // SplitMix64, Steele, Lea and Flood 2014.
     let mut mixed = seed ^ (fault as u64 + 1).wrapping_mul(0xd1b5_4a32_d192_ed03) ^ call;
     mixed = mixed.wrapping_add(0x9e37_79b9_7f4a_7c15);
