--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -1,12 +1,12 @@
 //! Clock, timers, tasks, sockets and randomness behind one small trait.
 //!
-//! - [`Runtime`]: what a node, an engine stand-in or a client may ask of its surroundings.
-//! - [`SmolRuntime`]: the real surroundings, on async-io and async-executor.
-//! - [`metered()`]: the same runtime, with what goes through a handle counted.
-//! - [`io`]: the same connections under the I/O traits of hyper and h2.
+//! - [`Runtime`]: the system services that a node, a fake engine or a client uses.
+//! - [`SmolRuntime`]: the implementation on the operating system, with async-io and async-executor.
+//! - [`metered()`]: a handle to a runtime that counts bytes, reads, writes, connections and the time that tasks run.
+//! - [`io`]: adapters that give connections the I/O traits of hyper and h2.
 //!
-//! Nothing above this package names a socket, a timer or a clock of the system, so that a virtual clock and a
-//! virtual network can drive the very same code.
+//! Packages that depend on this one use the system's sockets, timers and clocks only through [`Runtime`], so that the
+//! same code also runs on a virtual clock and a virtual network.
 
 pub mod io;
 mod metered;
@@ -23,96 +23,100 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-/// Microseconds: a point in time on the world's clock, or a span.
+/// Microseconds: a point in time on the clock of a [`Runtime`], or a duration.
 pub type Micros = u64;
 
-/// A future that may be moved between threads.
+/// A boxed future that may be moved between threads.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// The same, borrowing from who gives it.
+/// A [`BoxFuture`] that borrows from the value that returned it.
 pub type BorrowedFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A byte stream to a peer. Dropping it closes it.
+/// A byte stream to a peer. Dropping it closes the connection.
 pub trait Connection: AsyncRead + AsyncWrite + Send + Unpin {
-    /// Makes the coming close a reset instead of an orderly end: what a process that dies leaves behind.
+    /// Makes the connection close with a reset instead of an orderly end, as if the process had died.
     fn reset_on_close(&mut self);
-    /// The other side, to be looked at by whoever does not hold the connection.
+    /// Returns a handle that tells whether the peer has disconnected, for code that does not own the connection.
     fn peer(&self) -> Arc<dyn Peer>;
 }
 
-/// The other side of a connection. Holding it holds no connection open.
+/// A handle to the peer of a connection. It does not keep the connection open.
 pub trait Peer: Send + Sync {
-    /// Whether it has closed the connection or ended its sending, or this side has closed it. What it sent before and was
-    /// not read yet hides that.
+    /// Whether the peer has closed the connection or its sending direction, or this side has closed the connection.
+    /// Returns `false` as long as there are received bytes that have not been read.
     fn is_disconnected(&self) -> bool;
 }
 
 /// Accepts connections at one address. Dropping it stops listening.
 pub trait Listener: Send {
-    /// The next connection and the peer's address. Errors concern one connection; call again.
+    /// Waits for the next connection; returns it with the peer's address. An error concerns one connection only: the
+    /// listener stays usable, and the caller calls again.
     fn accept(&mut self) -> BorrowedFuture<'_, std::io::Result<(Conn, SocketAddr)>>;
-    /// The address it listens at, with the port that was really taken.
+    /// The address that the listener is bound to, with the actual port if port 0 was asked for.
     fn address(&self) -> SocketAddr;
 }
 
-/// Longest datagram that is sent or taken, in bytes: it fits any path without being split.
+/// Largest datagram that is sent or accepted, in bytes. It fits any path without IP fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// A socket for datagrams. Each may be lost, repeated or overtaken. Dropping it frees its port.
+/// A UDP socket. Datagrams may be lost, duplicated or reordered. Dropping the socket frees its port.
 pub trait DatagramSocket: Send {
-    /// Sends one; where there is no room for it now it is lost, as it may be anywhere on its way.
+    /// Sends a datagram. A datagram for which the send buffer has no capacity is dropped without an error, as it may be
+    /// anywhere in the network.
     ///
     /// # Errors
-    /// What the system says against it.
+    /// The error of the system call, other than an interrupted call or a full send buffer.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> std::io::Result<()>;
-    /// The next one: its length, and where it seems to come from. What is longer than `into` is cut off.
+    /// Waits for the next datagram; returns its length and its source address, which the sender may have forged. A
+    /// datagram longer than `into` is truncated.
     fn receive<'a>(
         &'a mut self,
         into: &'a mut [u8],
     ) -> BorrowedFuture<'a, std::io::Result<(usize, SocketAddr)>>;
-    /// The address it is bound to, with the port that was really taken.
+    /// The address that the socket is bound to, with the actual port if port 0 was asked for.
     fn address(&self) -> SocketAddr;
 }
 
-/// A connection as the rest of the program holds it.
+/// A boxed [`Connection`].
 pub type Conn = Box<dyn Connection>;
 
-/// The surroundings of one process: a node, an engine stand-in, a client.
+/// Clock, timers, tasks, sockets and random numbers of one process: a node, a fake engine or a client.
 pub trait Runtime: Send + Sync + 'static {
-    /// Microseconds since some fixed moment before this process began. Never goes back.
+    /// Microseconds on a monotonic clock, which counts from a fixed moment before the process started.
     fn now(&self) -> Micros;
-    /// Microseconds since the Unix epoch, by a clock that may jump. Only for times that are shown or exchanged.
+    /// Microseconds since the Unix epoch on the wall clock, which may jump. Used only for times that are displayed or
+    /// exchanged with other processes.
     fn unix_micros(&self) -> Micros;
-    /// Waits until the clock shows `at` or more. Dropping the future forgets the timer.
+    /// Waits until [`Runtime::now`] is at least `at`. Dropping the future cancels the timer.
     fn sleep_until(&self, at: Micros) -> BoxFuture<()>;
-    /// Runs a task to its end, unless the world ends first. A panic in it ends the task only.
+    /// Runs a task in the background until it completes or the runtime stops. A panic ends only this task.
     fn spawn(&self, task: BoxFuture<()>);
-    /// Opens a connection. Waits as long as the network does: race it against a timer.
+    /// Opens a connection. There is no time limit other than the network's own: callers set one with [`timeout_at`].
     fn connect(&self, to: SocketAddr) -> BoxFuture<std::io::Result<Conn>>;
-    /// Listens at an address; port 0 takes a free one.
+    /// Listens at an address; port 0 selects a free port.
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>>;
-    /// A socket for datagrams at an address; port 0 takes a free one.
+    /// Binds a UDP socket to an address; port 0 selects a free port.
     fn bind_datagram(&self, at: SocketAddr) -> std::io::Result<Box<dyn DatagramSocket>>;
-    /// A random number.
+    /// Returns a random number, uniform over all values. Not suitable for secrets.
     fn random(&self) -> u64;
 }
 
-/// A world as it is handed around.
+/// A shared handle to a [`Runtime`].
 pub type RuntimeRef = Arc<dyn Runtime>;
 
-/// What most code asks for in one word; for every world.
+/// Shorthands that every [`Runtime`] has.
 pub trait RuntimeExt {
-    /// Waits for a span of microseconds.
-    fn sleep(&self, span: Micros) -> BoxFuture<()>;
-    /// Spawns a task given as a plain future.
+    /// Waits for a duration in microseconds.
+    fn sleep(&self, duration: Micros) -> BoxFuture<()>;
+    /// Boxes a future and runs it in the background with [`Runtime::spawn`].
     fn run(&self, task: impl Future<Output = ()> + Send + 'static);
-    /// A number in [0, 1).
+    /// Returns a random number in [0, 1).
     fn random_f64(&self) -> f64;
 }
 
-impl<W: Runtime + ?Sized> RuntimeExt for W {
-    fn sleep(&self, span: Micros) -> BoxFuture<()> {
-        self.sleep_until(self.now().saturating_add(span))
+impl<R: Runtime + ?Sized> RuntimeExt for R {
+    fn sleep(&self, duration: Micros) -> BoxFuture<()> {
+        self.sleep_until(self.now().saturating_add(duration))
     }
     fn run(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.spawn(Box::pin(task));
@@ -122,7 +126,8 @@
     }
 }
 
-/// The result of a future, or `None` if the clock shows `at` first.
+/// Awaits a future until the clock reaches `at`. Returns `None`, and drops the future, if the deadline comes first. A
+/// future that is ready at the first poll wins even if the deadline has passed.
 pub async fn timeout_at<T>(
     runtime: &RuntimeRef,
     at: Micros,
