--- a/crates/ivyward-platform/tests/client_disconnect.rs
+++ b/crates/ivyward-platform/tests/client_disconnect.rs
@@ -4,7 +4,7 @@
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, Conn, RuntimeExt};
+use ivyward::runtime::{timeout_at, Conn, RuntimeExt};
 
 const MS: Micros = 1_000;
 const MAX_DELAY: Micros = 100 * MS;
@@ -72,7 +72,9 @@
         for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
             // Connecting takes 220 ms; the connect timeout is 250 ms.
             for engine in &setup.engines {
-                setup.sim.lag(setup.node.id(), engine.id(), 110 * MS);
+                setup
+                    .sim
+                    .set_extra_latency(setup.node.id(), engine.id(), 110 * MS);
             }
             setup.run(move |cluster| async move {
                 let mut conn = cluster.connect().await;
@@ -142,11 +144,11 @@
     for how in DISCONNECTS {
         for (may_cancel, setup) in setups(|_| EngineBehavior::Normal) {
             // The body of 200 kB takes 2 s at 100 kB/s.
-            setup
-                .sim
-                .net(|net| (net.rate, net.buffer) = (100_000, 8 << 10));
+            setup.sim.update_network(|net| {
+                (net.bytes_per_second, net.buffer_bytes) = (100_000, 8 << 10)
+            });
             setup.run(move |cluster| async move {
-                cluster.sim.net(|net| net.rate = 0);
+                cluster.sim.update_network(|net| net.bytes_per_second = 0);
                 let filler = "x".repeat(200_000);
                 let body = format!(r#"{{"messages":[{{"role":"user","content":"{filler}"}}]}}"#);
                 let text = String::from_utf8(request("long", "draft", 7_000)).unwrap();
@@ -159,7 +161,9 @@
                 conn.write_all(format!("{head}\r\n\r\n{body}").as_bytes())
                     .await
                     .unwrap();
-                cluster.sim.net(|net| net.rate = 100_000);
+                cluster
+                    .sim
+                    .update_network(|net| net.bytes_per_second = 100_000);
                 cluster.runtime.sleep(300 * MS).await;
                 let disconnected_at = cluster.runtime.now();
                 let _open = disconnect(conn, how).await;
@@ -195,7 +199,7 @@
                     // If the node reads slowly, the client disconnects after 200 ms with a part of the bytes unsent.
                     let by = cluster.client.now() + 200 * MS;
                     let bytes = vec![b'x'; pipelined];
-                    let sent = before(&cluster.client, by, conn.write_all(&bytes)).await;
+                    let sent = timeout_at(&cluster.client, by, conn.write_all(&bytes)).await;
                     assert!(sent.is_none_or(|s| s.is_ok()));
                     wait_until(&cluster.runtime, "a prefill", || {
                         cluster.attempts("one").iter().any(is_prefill)
@@ -275,7 +279,7 @@
                 for _ in &ids {
                     conns.push(cluster.connect().await);
                 }
-                sim.freeze(node, true);
+                sim.set_paused(node, true);
                 let client = cluster.client.clone();
                 let (done, wait) = async_channel::bounded(1);
                 let (sent_ids, sim) = (ids.clone(), sim.clone());
@@ -292,7 +296,7 @@
                         half_closed.extend(disconnect(conn, how).await);
                     }
                     client.sleep(300 * MS).await;
-                    sim.freeze(node, false);
+                    sim.set_paused(node, false);
                     client.sleep(3_000 * MS).await;
                     done.send((disconnected_at, half_closed)).await.unwrap();
                 });
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -7,7 +7,7 @@
 use ivyward::registration::State;
 use ivyward_fakes::{Engine, Faults, ObservedEvent};
 use ivyward_runtime::RuntimeExt;
-use ivyward_sim::{HostId, Net};
+use ivyward_sim::{HostId, NetworkConfig};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -104,14 +104,14 @@
                 };
                 let engine = lock(&self.engines[engine]).1;
                 let (from, to) = if back { (engine, node) } else { (node, engine) };
-                self.sim.cut(from, to, true);
+                self.sim.set_partitioned(from, to, true);
                 runtime.sleep(len).await;
-                self.sim.cut(from, to, false);
+                self.sim.set_partitioned(from, to, false);
             }
             Fault::StoreCut { engine } => {
                 let ways = |on: bool, hosts: (HostId, HostId)| {
-                    self.sim.cut(hosts.0, hosts.1, on);
-                    self.sim.cut(hosts.1, hosts.0, on);
+                    self.sim.set_partitioned(hosts.0, hosts.1, on);
+                    self.sim.set_partitioned(hosts.1, hosts.0, on);
                 };
                 let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
                 ways(true, hosts);
@@ -137,26 +137,34 @@
                     vec![(a, *host), (*host, b)]
                 };
                 ways.iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, true));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, true));
                 runtime.sleep(len).await;
                 ways.iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, false));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, false));
             }
             Fault::PeerDatagramLoss { lose } => {
-                self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
+                self.sim.update_network(|n| {
+                    (n.datagram_loss, n.datagram_duplication) = (lose, lose / 2.0)
+                });
                 runtime.sleep(len).await;
-                self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
+                self.sim
+                    .update_network(|n| (n.datagram_loss, n.datagram_duplication) = (0.0, 0.0));
             }
             Fault::Fragmentation => {
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.5, 4_000));
                 runtime.sleep(len).await;
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.0, 100));
             }
             Fault::LowBandwidth => {
-                self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
-                runtime.sleep(len).await;
                 self.sim
-                    .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
+                    .update_network(|n| (n.bytes_per_second, n.buffer_bytes) = (400_000, 3_000));
+                runtime.sleep(len).await;
+                self.sim.update_network(|n| {
+                    (n.bytes_per_second, n.buffer_bytes) =
+                        (0, NetworkConfig::default().buffer_bytes)
+                });
             }
             Fault::StoreCrash => {
                 lock(&self.store).crash();
--- a/crates/ivyward/src/engines/connection_pool.rs
+++ b/crates/ivyward/src/engines/connection_pool.rs
@@ -8,7 +8,7 @@
 use ivyward_core::keepalive::BeforeUse;
 use ivyward_core::mutations::{self, Mutation};
 use ivyward_grpc::{Channel, IdleChecks, Options};
-use ivyward_runtime::{before, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -162,7 +162,10 @@
                 Available::NoCapacity => {
                     self.connect_if_needed(connect_by, &mut ended_before)?;
                     let _waiting = Waiting::new(self);
-                    if before(&self.runtime, connect_by, changed).await.is_none() {
+                    if timeout_at(&self.runtime, connect_by, changed)
+                        .await
+                        .is_none()
+                    {
                         return Err(ChannelError::TimedOut(self.address));
                     }
                 }
@@ -267,7 +270,7 @@
             self.runtime.sleep_until(at).await;
         }
         let until = self.runtime.now() + self.connect_timeout;
-        let opened = before(&self.runtime, until, self.handshake()).await;
+        let opened = timeout_at(&self.runtime, until, self.handshake()).await;
         let opened = opened.unwrap_or_else(|| Err("no answer in time".into()));
         self.record_end(opened);
         self.changed.notify(usize::MAX);
@@ -302,7 +305,7 @@
             .min(self.max_backoff);
         pool.attempts_since_use += 1;
         // The jitter scales the backoff to between half and all of it, so that many nodes do not reconnect at the same time.
-        let jitter = 0.5 + 0.5 * self.runtime.unit();
+        let jitter = 0.5 + 0.5 * self.runtime.random_f64();
         pool.next_attempt_at = self.runtime.now() + (backoff as f64 * jitter) as Micros;
     }
 
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -369,7 +369,9 @@
         .unwrap()
         .to_owned();
     assert!(line.ends_with(" 0"), "{line}");
-    let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
+    let socket = runtime
+        .bind_datagram("127.0.0.1:0".parse().unwrap())
+        .unwrap();
     let real = cluster.peer_address(0);
     let other = ivyward::peers::DatagramCodec::new(Some("a key of another cluster"));
     let from = ivyward::core::peers::NodeInfo {
