--- a/crates/ivyward-fakes/src/platform/exchange.rs
+++ b/crates/ivyward-fakes/src/platform/exchange.rs
@@ -1,15 +1,15 @@
 //! Reads complete HTTP/1.1 requests and responses from a connection.
 
 use futures_lite::AsyncReadExt;
-use ivyward_http1::{Answer, Body, Limits, Request, Step};
+use ivyward_http1::{BodyDecoder, Decoded, Limits, RequestHead, ResponseHead};
 use ivyward_runtime::{Conn, Micros, RuntimeRef};
 
 /// Size limits, in bytes, of the heads and bodies that are read, and the maximum number of headers.
 pub const LIMITS: Limits = Limits {
-    head: 16 << 10,
-    headers: 64,
-    body: 1 << 20,
-    chunk: 1 << 20,
+    max_head_bytes: 16 << 10,
+    max_headers: 64,
+    max_body_bytes: 1 << 20,
+    max_chunk_bytes: 1 << 20,
 };
 const READ_SIZE: usize = 4_096;
 
@@ -37,37 +37,37 @@
 /// # Panics
 /// Panics if the received bytes are not valid HTTP, because no fake can continue after that.
 pub async fn read_response(runtime: &RuntimeRef, conn: &mut Conn) -> ReceivedResponse {
-    let (mut bytes, mut out, mut body): (Vec<u8>, ReceivedResponse, Option<Body>) =
+    let (mut bytes, mut out, mut body): (Vec<u8>, ReceivedResponse, Option<BodyDecoder>) =
         (Vec::new(), ReceivedResponse::default(), None);
     loop {
         if body.is_none() {
             if let Some((answer, used)) =
-                Answer::read(&bytes, &LIMITS).expect("a valid HTTP response head")
+                ResponseHead::parse(&bytes, &LIMITS).expect("a valid HTTP response head")
             {
                 bytes.drain(..used);
                 out.status = answer.status;
-                out.closes_connection = !answer.head.keeps();
-                out.retry_after = answer.head.text("retry-after").map(str::to_owned);
-                body = Some(Body::new(answer.framing, &LIMITS));
+                out.closes_connection = !answer.headers.is_keep_alive();
+                out.retry_after = answer.headers.text("retry-after").map(str::to_owned);
+                body = Some(BodyDecoder::new(answer.framing, &LIMITS));
             }
         }
         while let Some(body) = body.as_mut() {
-            let (step, used) = body.step(&bytes).expect("a valid HTTP response body");
-            if let Step::Data(range) = &step {
+            let (step, used) = body.decode(&bytes).expect("a valid HTTP response body");
+            if let Decoded::Data(range) = &step {
                 out.body.extend_from_slice(&bytes[range.clone()]);
                 out.last_data_at = runtime.now();
             }
             bytes.drain(..used);
             match step {
-                Step::Done => {
+                Decoded::Done => {
                     return ReceivedResponse {
                         complete: true,
                         ended_at: runtime.now(),
                         ..out
                     }
                 }
-                Step::More => break,
-                Step::Data(_) => {}
+                Decoded::NeedMoreInput => break,
+                Decoded::Data(_) => {}
             }
         }
         let mut buffer = [0; READ_SIZE];
@@ -85,27 +85,27 @@
 
 /// Reads a request and its body. Bytes received after the request stay in `bytes` for the next call. Returns `None` when the
 /// connection ends or the request is malformed.
-pub async fn read_request(conn: &mut Conn, bytes: &mut Vec<u8>) -> Option<(Request, Vec<u8>)> {
-    let mut head: Option<(Request, Body, Vec<u8>)> = None;
+pub async fn read_request(conn: &mut Conn, bytes: &mut Vec<u8>) -> Option<(RequestHead, Vec<u8>)> {
+    let mut head: Option<(RequestHead, BodyDecoder, Vec<u8>)> = None;
     loop {
         if head.is_none() {
-            if let Some((request, used)) = Request::read(bytes, &LIMITS).ok()? {
+            if let Some((request, used)) = RequestHead::parse(bytes, &LIMITS).ok()? {
                 bytes.drain(..used);
-                let body = Body::new(request.framing, &LIMITS);
+                let body = BodyDecoder::new(request.framing, &LIMITS);
                 head = Some((request, body, Vec::new()));
             }
         }
         if let Some((_, body, text)) = head.as_mut() {
             loop {
-                let (step, used) = body.step(bytes).ok()?;
-                if let Step::Data(range) = &step {
+                let (step, used) = body.decode(bytes).ok()?;
+                if let Decoded::Data(range) = &step {
                     text.extend_from_slice(&bytes[range.clone()]);
                 }
                 bytes.drain(..used);
                 match step {
-                    Step::Done => return head.map(|(request, _, text)| (request, text)),
-                    Step::More => break,
-                    Step::Data(_) => {}
+                    Decoded::Done => return head.map(|(request, _, text)| (request, text)),
+                    Decoded::NeedMoreInput => break,
+                    Decoded::Data(_) => {}
                 }
             }
         }
--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -2,7 +2,9 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_runtime::{Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
+use ivyward_runtime::{
+    Conn, DatagramSocket, Listener, Micros, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,7 +32,7 @@
 /// What a directed link does to what crosses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Fault {
+pub struct LinkFault {
     /// Nothing comes through. Bytes of a stream wait, as they would for TCP's next try.
     pub cut: bool,
     /// The part of datagrams that are lost.
@@ -45,8 +47,8 @@
 
 #[derive(Default)]
 struct State {
-    faults: BTreeMap<(End, End), Fault>,
-    everywhere: Fault,
+    faults: BTreeMap<(End, End), LinkFault>,
+    everywhere: LinkFault,
     /// Datagrams and bytes that came to relays.
     came: (u64, u64),
     /// Connections of a link are broken at each new number.
@@ -67,44 +69,44 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// Sets what a link does from now on.
-    pub fn set(&self, from: End, to: End, fault: Fault) {
+    pub fn set(&self, from: End, to: End, fault: LinkFault) {
         self.lock().faults.insert((from, to), fault);
     }
     /// Sets what all links between nodes do that have no fault of their own.
-    pub fn everywhere(&self, fault: Fault) {
+    pub fn set_between_all_nodes(&self, fault: LinkFault) {
         self.lock().everywhere = fault;
     }
     /// Cuts or mends both directions between two sets of nodes.
-    pub fn part(&self, some: &[usize], others: &[usize]) {
+    pub fn set_partition(&self, some: &[usize], others: &[usize]) {
         for (a, b) in some
             .iter()
             .flat_map(|a| others.iter().map(move |b| (*a, *b)))
         {
-            let cut = Fault {
+            let cut = LinkFault {
                 cut: true,
-                ..Fault::default()
+                ..LinkFault::default()
             };
             self.set(End::Node(a), End::Node(b), cut);
             self.set(End::Node(b), End::Node(a), cut);
         }
     }
     /// All links are as they should be again.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         let mut state = self.lock();
         state.faults.clear();
-        state.everywhere = Fault::default();
+        state.everywhere = LinkFault::default();
     }
     /// Breaks the connections that go over a link, in whichever direction they were opened.
     pub fn break_streams(&self, from: End, to: End) {
         *self.lock().breaks.entry((from, to)).or_default() += 1;
     }
-    fn fault(&self, from: End, to: End) -> Fault {
+    fn fault(&self, from: End, to: End) -> LinkFault {
         let state = self.lock();
         let between_nodes = matches!((from, to), (End::Node(_), End::Node(_)));
         let usual = if between_nodes {
             state.everywhere
         } else {
-            Fault::default()
+            LinkFault::default()
         };
         state.faults.get(&(from, to)).copied().unwrap_or(usual)
     }
@@ -112,30 +114,30 @@
         self.lock().breaks.get(&(from, to)).copied().unwrap_or(0)
     }
     /// From where a node's datagrams come.
-    pub fn source(&self, at: SocketAddr, node: usize) {
+    pub fn set_source(&self, at: SocketAddr, node: usize) {
         self.lock().sources.insert(at, node);
     }
     /// Datagrams and bytes that all nodes sent each other.
-    pub fn total(&self) -> (u64, u64) {
+    pub fn total_traffic(&self) -> (u64, u64) {
         self.lock().came
     }
     /// Datagrams that nobody of the rig sent, and those that a node sent to where they came from.
-    pub fn astray(&self) -> (u64, u64) {
+    pub fn misdirected_datagrams(&self) -> (u64, u64) {
         let state = self.lock();
         (state.foreign, state.to_self)
     }
 }
 
 /// Passes on the datagrams for one node that come to its announced address, until the world ends.
-pub async fn datagrams(
+pub async fn relay_datagrams(
     runtime: RuntimeRef,
     links: Links,
-    mut door: Box<dyn Datagrams>,
+    mut door: Box<dyn DatagramSocket>,
     node: usize,
     to: SocketAddr,
 ) {
     let mut waiting: BTreeMap<(Micros, u64), Vec<u8>> = BTreeMap::new();
-    let (mut bytes, mut count) = ([0u8; MOST_DATAGRAM + 1], 0);
+    let (mut bytes, mut count) = ([0u8; MAX_DATAGRAM_BYTES + 1], 0);
     let me = End::Node(node);
     loop {
         let due = waiting
@@ -163,7 +165,7 @@
                     }
                 };
                 let fault = links.fault(from, me);
-                let lot = |share: f64| runtime.unit() < share;
+                let lot = |share: f64| runtime.random_f64() < share;
                 let lost = fault.cut || lot(fault.lose) || waiting.len() >= MOST_WAITING;
                 {
                     let mut state = links.lock();
@@ -173,13 +175,13 @@
                 if lost {
                     continue;
                 }
-                let jitter = (runtime.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
+                let jitter = (runtime.random_f64() * fault.jitter_ms as f64 * 1e3) as Micros;
                 let at = runtime.now() + fault.delay_ms * 1_000 + jitter;
                 count += 1;
                 waiting.insert((at, count), bytes[..got].to_vec());
                 if lot(fault.repeat) {
                     count += 1;
-                    let again = at + (runtime.unit() * 1e6) as Micros;
+                    let again = at + (runtime.random_f64() * 1e6) as Micros;
                     waiting.insert((again, count), bytes[..got].to_vec());
                 }
             }
@@ -193,7 +195,7 @@
 }
 
 /// Passes on the connections that one end opens to another, until the world ends.
-pub async fn streams(
+pub async fn relay_streams(
     runtime: RuntimeRef,
     links: Links,
     mut door: Box<dyn Listener>,
--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -4,9 +4,9 @@
 //! second or two, while a node is declared dead only after more than ten seconds of silence.
 
 use ivyward_runtime::RuntimeRef;
-use ivyward_testbed::cluster::links::{End, Fault};
-use ivyward_testbed::cluster::plan::{Episode, Plan, Trouble};
-use ivyward_testbed::cluster::play::play;
+use ivyward_testbed::cluster::links::{End, LinkFault};
+use ivyward_testbed::cluster::plan::{ClusterFault, Episode, Plan};
+use ivyward_testbed::cluster::play::run_plan;
 use ivyward_testbed::cluster::process::View;
 use ivyward_testbed::cluster::{id, Cluster, Size};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
 /// Starts a cluster with two engines, since a daemon does not start without any, and waits until all nodes agree.
 fn start_cluster(size: Size) -> Cluster {
     let cluster = Cluster::start(Size { engines: 2, ..size }).unwrap();
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     cluster
 }
 
@@ -41,7 +41,7 @@
     cluster
         .process(at)
         .unwrap()
-        .said(&["peer state changed", &name, "\"is\":\"dead\""])
+        .count_log_lines(&["peer state changed", &name, "\"is\":\"dead\""])
 }
 
 /// Returns how many deaths all nodes have logged.
@@ -72,20 +72,22 @@
 fn killed_node_is_detected_and_has_a_later_incarnation_after_restart() {
     let mut cluster = start_cluster(size(5));
     // All nodes have the same seed, but engines must be able to tell them apart.
-    let runs: BTreeSet<u64> = (0..5).map(|n| cluster.process(n).unwrap().run).collect();
+    let runs: BTreeSet<u64> = (0..5)
+        .map(|n| cluster.process(n).unwrap().incarnation)
+        .collect();
     assert_eq!(runs.len(), 5);
     cluster
-        .until(WAIT_LIMIT, |_, views| wrong_counts(views, 5))
+        .wait_until(WAIT_LIMIT, |_, views| wrong_counts(views, 5))
         .unwrap();
     let before = cluster.views()[&0].peers[&id(3)].start;
-    cluster.kill(3);
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.kill_node(3);
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     // Silence does not prove that the killed node sends nothing, so it is still counted.
     assert_eq!(wrong_counts(&cluster.views(), 5), Vec::<String>::new());
-    cluster.begin(3).unwrap();
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.start_node(3).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     cluster
-        .until(WAIT_LIMIT, |_, views| wrong_counts(views, 5))
+        .wait_until(WAIT_LIMIT, |_, views| wrong_counts(views, 5))
         .unwrap();
     let after = cluster.views()[&0].peers[&id(3)].start;
     assert!(after > before, "{after} after {before}");
@@ -95,13 +97,13 @@
 fn paused_nodes_do_not_declare_the_others_dead_after_resuming() {
     let mut cluster = start_cluster(size(6));
     let (paused, running) = ([0, 1, 2], [3, 4, 5]);
-    paused.iter().for_each(|n| cluster.stop(*n, true));
+    paused.iter().for_each(|n| cluster.set_paused(*n, true));
     // Waits until the running nodes have declared the paused ones dead.
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     assert_eq!(wrong_counts(&cluster.views(), 6), Vec::<String>::new());
-    cluster.rest(2 * SECOND);
-    paused.iter().for_each(|n| cluster.stop(*n, false));
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.sleep(2 * SECOND);
+    paused.iter().for_each(|n| cluster.set_paused(*n, false));
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     for (at, of) in paused
         .iter()
         .flat_map(|at| running.iter().map(move |of| (*at, *of)))
@@ -120,18 +122,18 @@
         death_after: 12 * SECOND,
         ..size(5)
     });
-    let sent = |cluster: &Cluster| cluster.links().total().0;
-    let moderate_fault = Fault {
+    let sent = |cluster: &Cluster| cluster.links().total_traffic().0;
+    let moderate_fault = LinkFault {
         lose: 0.2,
         repeat: 0.3,
         jitter_ms: 50,
-        ..Fault::default()
+        ..LinkFault::default()
     };
-    cluster.links().everywhere(moderate_fault);
+    cluster.links().set_between_all_nodes(moderate_fault);
     for other in 0..4 {
-        let severe_fault = Fault {
+        let severe_fault = LinkFault {
             lose: 0.6,
-            ..Fault::default()
+            ..LinkFault::default()
         };
         cluster
             .links()
@@ -140,16 +142,16 @@
             .links()
             .set(End::Node(other), End::Node(4), severe_fault);
     }
-    cluster.stop(1, true);
-    cluster.rest(2 * SECOND);
-    cluster.stop(1, false);
+    cluster.set_paused(1, true);
+    cluster.sleep(2 * SECOND);
+    cluster.set_paused(1, false);
     let before = sent(&cluster);
     while sent(&cluster) < before + 2_000 {
-        cluster.rest(50_000);
+        cluster.sleep(50_000);
     }
     assert_eq!(total_death_count(&cluster, 5), 0);
-    cluster.links().mend();
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.links().clear_faults();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
 }
 
 #[test]
@@ -158,9 +160,9 @@
         death_after: 12 * SECOND,
         ..size(4)
     });
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     cluster.links().set(End::Node(1), End::Node(2), cut);
     let not_yet_unheard = |views: &BTreeMap<usize, View>| match state(views, 2, 1).as_str() {
@@ -168,16 +170,16 @@
         other => vec![format!("to node 2, node 1 is {other}")],
     };
     cluster
-        .until(WAIT_LIMIT, |_, views| not_yet_unheard(views))
+        .wait_until(WAIT_LIMIT, |_, views| not_yet_unheard(views))
         .unwrap();
     assert_eq!(state(&cluster.views(), 3, 1), "alive");
-    cluster.links().mend();
+    cluster.links().clear_faults();
     let not_yet_alive = |views: &BTreeMap<usize, View>| match state(views, 2, 1).as_str() {
         "alive" => vec![],
         other => vec![format!("to node 2, node 1 is {other}")],
     };
     cluster
-        .until(WAIT_LIMIT, |_, views| not_yet_alive(views))
+        .wait_until(WAIT_LIMIT, |_, views| not_yet_alive(views))
         .unwrap();
     assert_eq!(total_death_count(&cluster, 4), 0);
 }
@@ -192,7 +194,7 @@
         for (i, some) in parts.iter().enumerate() {
             parts[i + 1..]
                 .iter()
-                .for_each(|others| cluster.links().part(some, others));
+                .for_each(|others| cluster.links().set_partition(some, others));
         }
         let not_yet_dead = |_: &Cluster, views: &BTreeMap<usize, View>| {
             let pairs = parts.iter().flat_map(|some| {
@@ -206,12 +208,12 @@
                 .map(|(at, of)| format!("{of} is not yet dead to {at}"))
                 .collect::<Vec<String>>()
         };
-        cluster.until(WAIT_LIMIT, not_yet_dead).unwrap();
+        cluster.wait_until(WAIT_LIMIT, not_yet_dead).unwrap();
         assert_eq!(wrong_counts(&cluster.views(), 6), Vec::<String>::new());
-        cluster.links().mend();
-        cluster.until_agreed(WAIT_LIMIT).unwrap();
+        cluster.links().clear_faults();
+        cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     }
-    assert_eq!(cluster.links().astray(), (0, 0));
+    assert_eq!(cluster.links().misdirected_datagrams(), (0, 0));
 }
 
 /// Datagrams from two nodes reach none of the others, while datagrams to the two nodes arrive. The others declare the two
@@ -220,9 +222,9 @@
 fn nodes_cut_off_in_one_direction_rejoin() {
     let cluster = start_cluster(size(5));
     let (cut_off, others) = ([0, 1], [2, 3, 4]);
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     for (from, to) in cut_off
         .iter()
@@ -239,39 +241,42 @@
             .map(|(at, of)| format!("{of} is not yet dead to {at}"))
             .collect::<Vec<String>>()
     };
-    cluster.until(WAIT_LIMIT, not_yet_dead).unwrap();
+    cluster.wait_until(WAIT_LIMIT, not_yet_dead).unwrap();
     let views = cluster.views();
     assert_eq!(wrong_counts(&views, 5), Vec::<String>::new());
     assert_eq!(
         (state(&views, 0, 1).as_str(), state(&views, 1, 0).as_str()),
         ("alive", "alive")
     );
-    cluster.links().mend();
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.links().clear_faults();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
 }
 
 #[test]
 fn most_nodes_killed_at_once_then_rolling_restart() {
     let mut cluster = start_cluster(size(7));
-    (0..5).for_each(|n| cluster.kill(n));
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    (0..5).for_each(|n| cluster.kill_node(n));
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     assert_eq!(wrong_counts(&cluster.views(), 7), Vec::<String>::new());
     for n in 0..5 {
-        cluster.begin(n).unwrap();
+        cluster.start_node(n).unwrap();
     }
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     for n in 0..7 {
-        assert!(cluster.end(n), "node {n} did not exit successfully");
+        assert!(
+            cluster.terminate_node(n),
+            "node {n} did not exit successfully"
+        );
         // The node announced that it leaves, so the others stop counting it without waiting for its silence.
         cluster
-            .until(WAIT_LIMIT, |_, views| wrong_counts(views, 6))
+            .wait_until(WAIT_LIMIT, |_, views| wrong_counts(views, 6))
             .unwrap();
-        cluster.begin(n).unwrap();
+        cluster.start_node(n).unwrap();
         cluster
-            .until(WAIT_LIMIT, |_, views| wrong_counts(views, 7))
+            .wait_until(WAIT_LIMIT, |_, views| wrong_counts(views, 7))
             .unwrap();
     }
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
 }
 
 /// Nodes find each other by their records in etcd alone. A killed node is no longer counted once its lease and the grace
@@ -284,20 +289,20 @@
         ..size(4)
     });
     cluster
-        .until(WAIT_LIMIT, |_, views| wrong_counts(views, 4))
+        .wait_until(WAIT_LIMIT, |_, views| wrong_counts(views, 4))
         .unwrap();
     // Node 1 is cut off from etcd only: its lease ends, while the other nodes still receive its datagrams.
-    let cut = Fault {
+    let cut = LinkFault {
         cut: true,
-        ..Fault::default()
+        ..LinkFault::default()
     };
     cluster.links().set(End::Node(1), End::Store, cut);
     cluster.links().set(End::Store, End::Node(1), cut);
     let key = format!("ivyward/nodes/{:016x}", id(1));
     while cluster.store().unwrap().value(&key).is_some() {
-        cluster.rest(50_000);
+        cluster.sleep(50_000);
     }
-    cluster.kill(2);
+    cluster.kill_node(2);
     let wrong_counts_after_kill = |views: &BTreeMap<usize, View>| {
         let wrong = views
             .iter()
@@ -314,7 +319,7 @@
             .collect()
     };
     cluster
-        .until(WAIT_LIMIT, |_, views| {
+        .wait_until(WAIT_LIMIT, |_, views| {
             wrong_counts_after_kill(&without_node_1(views))
         })
         .unwrap();
@@ -324,12 +329,12 @@
         views[&1].count, 4,
         "node 1 is not notified that the lease has ended and must not assume it"
     );
-    cluster.links().mend();
+    cluster.links().clear_faults();
     cluster
-        .until(WAIT_LIMIT, |_, views| wrong_counts_after_kill(views))
+        .wait_until(WAIT_LIMIT, |_, views| wrong_counts_after_kill(views))
         .unwrap();
     while cluster.store().unwrap().value(&key).is_none() {
-        cluster.rest(50_000);
+        cluster.sleep(50_000);
     }
 }
 
@@ -341,14 +346,14 @@
         ..size(4)
     })
     .unwrap();
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     cluster.store().unwrap().crash();
-    cluster.kill(3);
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
-    cluster.begin(3).unwrap();
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.kill_node(3);
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
+    cluster.start_node(3).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
     cluster
-        .until(WAIT_LIMIT, |_, views| wrong_counts(views, 4))
+        .wait_until(WAIT_LIMIT, |_, views| wrong_counts(views, 4))
         .unwrap();
 }
 
@@ -364,8 +369,10 @@
         .unwrap()
         .to_owned();
     assert!(line.ends_with(" 0"), "{line}");
-    let socket = runtime.datagrams("127.0.0.1:0".parse().unwrap()).unwrap();
-    let real = cluster.real(0);
+    let socket = runtime
+        .bind_datagram("127.0.0.1:0".parse().unwrap())
+        .unwrap();
+    let real = cluster.peer_address(0);
     let other = ivyward::peers::DatagramCodec::new(Some("a key of another cluster"));
     let from = ivyward::core::peers::NodeInfo {
         id: ivyward::core::peers::PeerId(id(1)),
@@ -392,9 +399,9 @@
         {
             break;
         }
-        cluster.rest(20_000);
+        cluster.sleep(20_000);
     }
-    cluster.until_agreed(WAIT_LIMIT).unwrap();
+    cluster.wait_until_agreed(WAIT_LIMIT).unwrap();
 }
 
 /// Sends a GET request to the admin server of node 0 and returns the response.
@@ -402,7 +409,7 @@
     let runtime: RuntimeRef = cluster.runtime().clone();
     cluster
         .runtime()
-        .block_on(cluster.process(0).unwrap().ask(&runtime, path))
+        .block_on(cluster.process(0).unwrap().admin_get(&runtime, path))
         .unwrap()
 }
 
@@ -416,10 +423,10 @@
     .unwrap();
     let episode = |fault, lasts_ms| Episode { fault, lasts_ms };
     let episodes = vec![
-        episode(Trouble::Kill(vec![3]), 500),
-        episode(Trouble::Split(vec![vec![0, 3], vec![1, 2]]), 4_000),
-        episode(Trouble::Mute(vec![0]), 4_000),
-        episode(Trouble::Flap(0, 1, 300), 3_000),
+        episode(ClusterFault::Kill(vec![3]), 500),
+        episode(ClusterFault::Partition(vec![vec![0, 3], vec![1, 2]]), 4_000),
+        episode(ClusterFault::OutboundCut(vec![0]), 4_000),
+        episode(ClusterFault::LinkFlap(0, 1, 300), 3_000),
     ];
     let plan = Plan {
         seed: 5,
@@ -427,8 +434,8 @@
         episodes,
     };
     plan.check().unwrap();
-    let report = play(&mut cluster, &plan, |_| {}).unwrap();
-    assert_eq!(report.wrong(), Vec::<String>::new());
-    assert_eq!((report.rules_kept, report.came.len()), (5, 4));
+    let report = run_plan(&mut cluster, &plan, |_| {}).unwrap();
+    assert_eq!(report.failures(), Vec::<String>::new());
+    assert_eq!((report.rules_satisfied, report.episodes.len()), (5, 4));
     assert!(report.calls.1 > 0, "{:?}", report.calls);
 }
--- a/crates/ivywardd/tests/daemon.rs
+++ b/crates/ivywardd/tests/daemon.rs
@@ -38,7 +38,7 @@
             .collect();
         let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
             .env_clear()
-            .args(ivyward_flags(&cluster.make().settings, &listed))
+            .args(ivyward_flags(&cluster.builder().settings, &listed))
             .args(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"])
             .args(extra_args)
             .stdout(Stdio::piped())
@@ -89,8 +89,8 @@
 fn library_and_daemon_make_the_same_decisions() {
     let recording = RecordingBuffer::default();
     let mut builder = ClusterBuilder::new(21, engines());
-    builder.patient();
-    builder.record = Some(recording.clone());
+    builder.use_long_deadlines();
+    builder.recording = Some(recording.clone());
     let cluster = builder.clone().build().unwrap();
     let node = cluster.node(0).unwrap();
     let mut from_library = Vec::new();
@@ -99,7 +99,7 @@
     }
     block_on(node.flush_recording());
     // The daemon runs with new engines of the same specification and with the seed of the library's node.
-    builder.record = None;
+    builder.recording = None;
     builder.settings.seed = node.settings().seed;
     let fresh = builder.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-record-{}", std::process::id()));
@@ -111,7 +111,7 @@
             .await
             .unwrap();
         for i in 0..16 {
-            let mut client_request = fresh.ask(0, 0, request(i).prompt, 6);
+            let mut client_request = fresh.new_request(0, 0, request(i).prompt, 6);
             client_request.request = request(i);
             client_request.behavior.client_timeout = 30_000_000;
             let response = client.send(&client_request).await;
@@ -194,7 +194,7 @@
     let decode_engines = (5..=6).map(|i| EngineSpec::steady(i, Role::Decode));
     let mut builder =
         ClusterBuilder::new(23, engines().into_iter().chain(decode_engines).collect());
-    builder.patient();
+    builder.use_long_deadlines();
     let cluster = builder.build().unwrap();
     let path = std::env::temp_dir().join(format!("ivywardd-engines-{}", std::process::id()));
     let listed: Vec<_> = (0..6)
@@ -202,7 +202,7 @@
         .collect();
     let servers = |of: &[usize]| {
         let flags = ivyward_flags(
-            &cluster.make().settings,
+            &cluster.builder().settings,
             &of.iter().map(|e| listed[*e]).collect::<Vec<_>>(),
         );
         flags
@@ -214,7 +214,7 @@
     std::fs::write(&path, servers(&[0, 3])).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_ivywardd"))
         .env_clear()
-        .args(ivyward_flags(&cluster.make().settings, &[]))
+        .args(ivyward_flags(&cluster.builder().settings, &[]))
         .args([
             "--listen=127.0.0.1:0".to_string(),
             format!("@{}", path.display()),
@@ -256,7 +256,7 @@
         cluster.engine(3).crash();
         let mut served = Vec::new();
         for i in 0..10_000 {
-            let mut client_request = cluster.ask(0, 0, request(i).prompt, 6);
+            let mut client_request = cluster.new_request(0, 0, request(i).prompt, 6);
             client_request.behavior.client_timeout = 10_000_000;
             served.push(
                 client.send(&client_request).await.outcome
--- a/crates/ivywardd/tests/new_fleet.rs
+++ b/crates/ivywardd/tests/new_fleet.rs
@@ -12,7 +12,7 @@
 use ivyward_runtime::{RuntimeExt, RuntimeRef, SmolRuntime};
 use ivyward_testbed::cluster::process::Process;
 use ivyward_testbed::local_cluster::{ivyward_flags, limits, settings};
-use ivyward_testbed::registration::keep;
+use ivyward_testbed::registration::keep_registered;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 }
 
 async fn engine_count(daemon: &Process, runtime: &RuntimeRef) -> u64 {
-    let text = daemon.ask(runtime, "/metrics").await.unwrap();
+    let text = daemon.admin_get(runtime, "/metrics").await.unwrap();
     let line = text
         .lines()
         .find_map(|l| l.strip_prefix("ivyward_engines "));
@@ -94,7 +94,7 @@
         let mut engine = Engine::start(&host, &log, spec.clone()).unwrap();
         engine.crash();
         if engine.restart(true).is_ok() {
-            keep(
+            keep_registered(
                 &engine,
                 vec![store.address()],
                 60,
@@ -120,7 +120,11 @@
             while engine_count(daemon, &runtime).await < 8 {
                 runtime.sleep(10_000).await;
             }
-            clients.push(Client::connect(&runtime, &log, daemon.door).await.unwrap());
+            clients.push(
+                Client::connect(&runtime, &log, daemon.client_address)
+                    .await
+                    .unwrap(),
+            );
         }
         // The first call through each node is served.
         for (node, client) in clients.iter().enumerate() {
@@ -163,7 +167,7 @@
         .collect();
     fleet
         .iter()
-        .for_each(|e| keep(e, vec![store.address()], 60, 0, |_| {}));
+        .for_each(|e| keep_registered(e, vec![store.address()], 60, 0, |_| {}));
     let mut settings = settings();
     for class in &mut settings.classes {
         class.settings.deadline = 20 * SECOND;
@@ -173,7 +177,9 @@
         while engine_count(&daemon, &runtime).await < 8 {
             runtime.sleep(10_000).await;
         }
-        let client = Client::connect(&runtime, &log, daemon.door).await.unwrap();
+        let client = Client::connect(&runtime, &log, daemon.client_address)
+            .await
+            .unwrap();
         let (outcome_sender, outcomes) = std::sync::mpsc::sync_channel(60);
         for call in 1..=60u64 {
             let (client, outcome_sender) = (client.clone(), outcome_sender.clone());
--- a/crates/ivywardd/tests/system_calls.rs
+++ b/crates/ivywardd/tests/system_calls.rs
@@ -83,7 +83,7 @@
         let listed: Vec<_> = (0..cluster.engines())
             .map(|e| cluster.entry(e, EndpointState::Ready, 0))
             .collect();
-        let mut flags = ivyward_flags(&cluster.make().settings, &listed);
+        let mut flags = ivyward_flags(&cluster.builder().settings, &listed);
         flags
             .extend(["--listen=127.0.0.1:0", "--threads=1", "--log-format=json"].map(String::from));
         Daemon::start(control, &flags, &[])
@@ -193,7 +193,7 @@
         EngineSpec::steady(2, Role::Decode),
     ];
     let mut builder = ClusterBuilder::new(23, engines);
-    builder.patient();
+    builder.use_long_deadlines();
     let cluster = builder.build().unwrap();
     let control = create_control_file("grpc");
     let mut daemon = Daemon::start_grpc(&control, &cluster);
@@ -211,7 +211,7 @@
             .unwrap();
         for n in 0..CALLS {
             let prompt = (0..60).map(|token| token ^ n as u32).collect();
-            let mut client_request = cluster.ask(0, 0, prompt, 6);
+            let mut client_request = cluster.new_request(0, 0, prompt, 6);
             client_request.behavior.client_timeout = 30_000_000;
             let response = client.send(&client_request).await;
             assert_eq!(
