--- a/crates/ivywardd/tests/cluster.rs
+++ b/crates/ivywardd/tests/cluster.rs
@@ -372,8 +372,8 @@
     let socket = runtime
         .bind_datagram("127.0.0.1:0".parse().unwrap())
         .unwrap();
-    let real = cluster.peer_address(0);
-    let other = ivyward::peers::DatagramCodec::new(Some("a key of another cluster"));
+    let target = cluster.peer_address(0);
+    let wrong_key_codec = ivyward::peers::DatagramCodec::new(Some("a key of another cluster"));
     let from = ivyward::core::peers::NodeInfo {
         id: ivyward::core::peers::PeerId(id(1)),
         incarnation: u64::MAX,
@@ -388,8 +388,8 @@
         body,
         updates: vec![],
     };
-    for bytes in [other.encode(&forged), vec![], vec![1; 1_300]] {
-        socket.send(&bytes, real).unwrap();
+    for bytes in [wrong_key_codec.encode(&forged), vec![], vec![1; 1_300]] {
+        socket.send(&bytes, target).unwrap();
     }
     loop {
         let text = admin_get("/metrics");
