--- a/crates/ivywardd/src/grpc_node.rs
+++ b/crates/ivywardd/src/grpc_node.rs
@@ -172,10 +172,7 @@
             node.update_endpoints(ListKind::Full, engines).await;
         }
         Err(FlagsError::Page(_)) => {
-            warn!(
-                reason = "the flags ask for help or the version",
-                "no configuration changes"
-            );
+            warn!("no configuration changes: the flags ask for help or the version");
         }
         Err(error) => error!(%error, "configuration reload failed, keeping the current one"),
     }
