--- a/crates/ivyward-http1/src/head.rs
+++ b/crates/ivyward-http1/src/head.rs
@@ -1,75 +1,80 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses: start line, header lines and the framing of the body.
 
 use crate::body::Framing;
 use crate::Limits;
 
-/// Why a head cannot be used. What follows it on the connection means nothing any more.
+/// Why a head is rejected. The rest of the connection cannot be interpreted then, because the end of the message is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// More bytes than allowed without an end.
+    /// The head has no end within [`Limits::max_head_bytes`].
     #[error("the head is too long")]
     TooLong,
-    /// No HTTP/1 head.
+    /// The bytes are not an HTTP/1 head, or there are more header lines than [`Limits::max_headers`].
     #[error("the head cannot be read")]
     Malformed,
-    /// A length that is no number, or lengths that differ.
+    /// `Content-Length` is not a number, or is present with different values.
     #[error("the length of the body cannot be read")]
     InvalidLength,
-    /// A body of more bytes than are taken.
+    /// `Content-Length` is over [`Limits::max_body_bytes`].
     #[error("the body is too long")]
     BodyTooLarge,
-    /// Both a length and a transfer coding: one of them hides something.
+    /// Both `Content-Length` and `Transfer-Encoding` are present. Peers that disagree on which one applies also disagree on
+    /// where the next message begins, which allows request smuggling.
     #[error("a body has either a length or a transfer coding")]
     LengthAndCoding,
-    /// A transfer coding other than chunks.
+    /// A transfer coding other than a single `chunked`, or `chunked` in an HTTP/1.0 message.
     #[error("a transfer coding that is not known")]
     UnsupportedCoding,
 }
 
-/// Header lines, with names in small letters.
+/// The header lines of a message, with names in lowercase.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     lines: Vec<(String, Vec<u8>)>,
-    minor: u8,
+    /// The minor version of HTTP/1: 0 or 1.
+    minor_version: u8,
 }
 
 impl Headers {
-    /// The first value of a header, by its name in small letters.
+    /// Returns the first value of a header. `name` must be in lowercase.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.lines
             .iter()
             .find(|(n, _)| n == name)
             .map(|(_, v)| v.as_slice())
     }
-    /// The same, as text.
+    /// Returns the first value of a header without surrounding whitespace, or `None` if the header is absent or its value
+    /// is not UTF-8. `name` must be in lowercase.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name)
             .and_then(|v| std::str::from_utf8(v).ok())
             .map(str::trim)
     }
-    /// All values of a header.
+    /// Returns all values of a header.
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.lines
             .iter()
             .filter(move |(n, _)| n == name)
             .map(|(_, v)| v.as_slice())
     }
-    /// Whether a list header holds a word.
-    fn lists(&self, name: &str, word: &str) -> bool {
-        let words = self.all(name).flat_map(|v| v.split(|b| *b == b','));
-        words
+    /// Returns whether a header with a comma-separated list contains a token, in any case.
+    fn has_token(&self, name: &str, token: &str) -> bool {
+        let tokens = self.all(name).flat_map(|v| v.split(|b| *b == b','));
+        tokens
             .into_iter()
-            .any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            .any(|t| t.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
-    /// Whether the connection serves further messages after this one.
+    /// Returns whether the connection stays open after this message. The default is true for HTTP/1.1 and false for HTTP/1.0;
+    /// the `Connection` header changes it.
     pub fn is_keep_alive(&self) -> bool {
-        match self.minor {
-            0 => self.lists("connection", "keep-alive"),
-            _ => !self.lists("connection", "close"),
+        match self.minor_version {
+            0 => self.has_token("connection", "keep-alive"),
+            _ => !self.has_token("connection", "close"),
         }
     }
 
-    fn framing(&self, limits: &Limits, absent: Framing) -> Result<Framing, HeadError> {
+    /// Determines the framing of the body; `default` if neither `Content-Length` nor `Transfer-Encoding` is present.
+    fn framing(&self, limits: &Limits, default: Framing) -> Result<Framing, HeadError> {
         let mut lengths = self.all("content-length");
         let length = lengths.next();
         if lengths.any(|other| Some(other) != length) {
@@ -79,18 +84,18 @@
         match (codings.next(), length) {
             (Some(_), Some(_)) => Err(HeadError::LengthAndCoding),
             (Some(coding), None) if coding.trim_ascii().eq_ignore_ascii_case(b"chunked") => {
-                if codings.next().is_some() || self.minor == 0 {
+                if codings.next().is_some() || self.minor_version == 0 {
                     return Err(HeadError::UnsupportedCoding);
                 }
                 Ok(Framing::Chunked)
             }
             (Some(_), None) => Err(HeadError::UnsupportedCoding),
-            (None, None) => Ok(absent),
+            (None, None) => Ok(default),
             (None, Some(length)) => {
                 let text = std::str::from_utf8(length)
                     .map_err(|_| HeadError::InvalidLength)?
                     .trim();
-                // Digits alone: the standard parser would take a sign.
+                // Only digits are valid; `parse` would also accept a plus sign.
                 if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
                     return Err(HeadError::InvalidLength);
                 }
@@ -103,42 +108,43 @@
     }
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Its method.
+    /// The method, as received.
     pub method: String,
-    /// Path and query, as they came.
+    /// The request target (path and query), as received.
     pub target: String,
-    /// Its header lines.
+    /// The header lines.
     pub headers: Headers,
-    /// Where its body ends.
+    /// How the end of the body is determined. Without `Content-Length` and `Transfer-Encoding`, a request has no body.
     pub framing: Framing,
 }
 
-/// An answer's head.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its header lines.
+    /// The header lines.
     pub headers: Headers,
-    /// Where its body ends.
+    /// How the end of the body is determined. Responses with status 1xx, 204 and 304 have no body.
     pub framing: Framing,
 }
 
-fn lines(headers: &[httparse::Header<'_>], minor: Option<u8>) -> Headers {
+fn to_headers(headers: &[httparse::Header<'_>], minor_version: Option<u8>) -> Headers {
     let lines = headers
         .iter()
         .map(|h| (h.name.to_ascii_lowercase(), h.value.to_vec()))
         .collect();
     Headers {
         lines,
-        minor: minor.unwrap_or(1),
+        minor_version: minor_version.unwrap_or(1),
     }
 }
 
-fn unfinished(bytes: &[u8], limits: &Limits) -> Result<(), HeadError> {
+/// Returns an error if an incomplete head has reached the maximum length.
+fn check_incomplete(bytes: &[u8], limits: &Limits) -> Result<(), HeadError> {
     if bytes.len() >= limits.max_head_bytes {
         Err(HeadError::TooLong)
     } else {
@@ -147,18 +153,19 @@
 }
 
 impl RequestHead {
-    /// A request's head and its length in bytes, or `None` while it is not whole.
+    /// Parses the head of a request at the beginning of `bytes`. Returns the head and its length in bytes, or `None` if it
+    /// is incomplete.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// Returns an error if the head is malformed or over a limit, or if the framing of its body is invalid.
     pub fn parse(bytes: &[u8], limits: &Limits) -> Result<Option<(RequestHead, usize)>, HeadError> {
         let mut space = vec![httparse::EMPTY_HEADER; limits.max_headers];
         let mut parsed = httparse::Request::new(&mut space);
         let seen = &bytes[..bytes.len().min(limits.max_head_bytes)];
         match parsed.parse(seen).map_err(|_| HeadError::Malformed)? {
-            httparse::Status::Partial => unfinished(bytes, limits).map(|()| None),
+            httparse::Status::Partial => check_incomplete(bytes, limits).map(|()| None),
             httparse::Status::Complete(used) => {
-                let headers = lines(parsed.headers, parsed.version);
+                let headers = to_headers(parsed.headers, parsed.version);
                 let framing = headers.framing(limits, Framing::Length(0))?;
                 let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
                 let request = RequestHead {
@@ -174,10 +181,11 @@
 }
 
 impl ResponseHead {
-    /// An answer's head and its length in bytes, or `None` while it is not whole.
+    /// Parses the head of a response at the beginning of `bytes`. Returns the head and its length in bytes, or `None` if it
+    /// is incomplete.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// Returns an error if the head is malformed or over a limit, or if the framing of its body is invalid.
     pub fn parse(
         bytes: &[u8],
         limits: &Limits,
@@ -186,10 +194,10 @@
         let mut parsed = httparse::Response::new(&mut space);
         let seen = &bytes[..bytes.len().min(limits.max_head_bytes)];
         match parsed.parse(seen).map_err(|_| HeadError::Malformed)? {
-            httparse::Status::Partial => unfinished(bytes, limits).map(|()| None),
+            httparse::Status::Partial => check_incomplete(bytes, limits).map(|()| None),
             httparse::Status::Complete(used) => {
                 let (headers, status) = (
-                    lines(parsed.headers, parsed.version),
+                    to_headers(parsed.headers, parsed.version),
                     parsed.code.unwrap_or(0),
                 );
                 let framing = match status {
@@ -209,9 +217,10 @@
     }
 }
 
-/// Writes a head: its first line without the line's end, and header lines. Values must hold no line ends.
-pub fn write(out: &mut Vec<u8>, first: &str, headers: &[(&str, &str)]) {
-    out.extend_from_slice(first.as_bytes());
+/// Appends a head to `out`: the start line, which is passed without CRLF, and the header lines. Nothing is escaped, so
+/// neither the start line nor the headers may contain line breaks.
+pub fn write(out: &mut Vec<u8>, start_line: &str, headers: &[(&str, &str)]) {
+    out.extend_from_slice(start_line.as_bytes());
     out.extend_from_slice(b"\r\n");
     for (name, value) in headers {
         for part in [name.as_bytes(), b": ", value.as_bytes(), b"\r\n"] {
--- a/crates/ivyward-http1/src/lib.rs
+++ b/crates/ivyward-http1/src/lib.rs
@@ -1,10 +1,10 @@
 //! HTTP/1.1 framing without I/O.
 //!
-//! - [`head`]: heads of requests and answers, read and written.
-//! - [`body`]: where a body ends, by length, in chunks, or with the connection.
+//! - [`head`]: parses and writes the heads of requests and responses.
+//! - [`body`]: decodes bodies that are delimited by a length, by chunks or by the end of the connection, and writes chunks.
 //!
-//! Whoever holds the socket hands over bytes as they come and is told what they mean and how many were used. Nothing is
-//! kept beyond the bounds of [`Limits`].
+//! The caller owns the socket. It passes the received bytes in, and gets back what they contain and how many of them were
+//! consumed. The caller keeps the bytes that were not consumed; [`Limits`] bounds the length of everything that is parsed.
 
 pub mod body;
 pub mod head;
@@ -12,15 +12,15 @@
 pub use body::{BodyDecoder, BodyError, Decoded, Framing};
 pub use head::{HeadError, Headers, RequestHead, ResponseHead};
 
-/// Bounds on what is read.
+/// Limits on the size of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a head, its first line among them.
+    /// The maximum length of a head in bytes, including its start line.
     pub max_head_bytes: usize,
-    /// Header lines.
+    /// The maximum number of header lines.
     pub max_headers: usize,
-    /// Bytes of a body that comes by length.
+    /// The maximum value of `Content-Length`. Bodies with another framing are not limited in total.
     pub max_body_bytes: u64,
-    /// Bytes of one chunk.
+    /// The maximum size of one chunk in bytes.
     pub max_chunk_bytes: u64,
 }
--- a/crates/ivyward-http1/tests/framing.rs
+++ b/crates/ivyward-http1/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies, whole and in pieces, good and bad.
+//! Parsing of heads and decoding of bodies: valid and invalid input, complete and in pieces.
 
 use ivyward_http1::{
     body, BodyDecoder, BodyError, Decoded, Framing, HeadError, Limits, RequestHead, ResponseHead,
@@ -12,46 +12,51 @@
     max_chunk_bytes: 1_000,
 };
 
-fn head(lines: &str) -> Result<Framing, HeadError> {
+/// Parses a request head with these header lines and returns the framing of its body.
+fn framing(lines: &str) -> Result<Framing, HeadError> {
     let text = format!("POST /a?b HTTP/1.1\r\n{lines}\r\n");
-    RequestHead::parse(text.as_bytes(), &LIMITS).map(|read| read.expect("whole").0.framing)
+    RequestHead::parse(text.as_bytes(), &LIMITS)
+        .map(|parsed| parsed.expect("a complete head").0.framing)
 }
 
 #[test]
-fn a_bodys_end_is_told_once_or_not_at_all() {
-    assert_eq!(head(""), Ok(Framing::Length(0)));
-    assert_eq!(head("Content-Length: 12\r\n"), Ok(Framing::Length(12)));
+fn contradictory_or_invalid_lengths_and_codings_are_rejected() {
+    assert_eq!(framing(""), Ok(Framing::Length(0)));
+    assert_eq!(framing("Content-Length: 12\r\n"), Ok(Framing::Length(12)));
     assert_eq!(
-        head("Content-Length: 12\r\nContent-Length: 12\r\n"),
+        framing("Content-Length: 12\r\nContent-Length: 12\r\n"),
         Ok(Framing::Length(12))
     );
-    assert_eq!(head("Transfer-Encoding: Chunked\r\n"), Ok(Framing::Chunked));
     assert_eq!(
-        head("Content-Length: 12\r\nContent-Length: 13\r\n"),
+        framing("Transfer-Encoding: Chunked\r\n"),
+        Ok(Framing::Chunked)
+    );
+    assert_eq!(
+        framing("Content-Length: 12\r\nContent-Length: 13\r\n"),
         Err(HeadError::InvalidLength)
     );
     assert_eq!(
-        head("Content-Length: 12\r\nTransfer-Encoding: chunked\r\n"),
+        framing("Content-Length: 12\r\nTransfer-Encoding: chunked\r\n"),
         Err(HeadError::LengthAndCoding)
     );
     assert_eq!(
-        head("Transfer-Encoding: gzip\r\n"),
+        framing("Transfer-Encoding: gzip\r\n"),
         Err(HeadError::UnsupportedCoding)
     );
     assert_eq!(
-        head("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"),
+        framing("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"),
         Err(HeadError::UnsupportedCoding)
     );
     for bad in ["-1", "+1", "1 2", "0x10", "", "1,1"] {
         assert_eq!(
-            head(&format!("Content-Length: {bad}\r\n")),
+            framing(&format!("Content-Length: {bad}\r\n")),
             Err(HeadError::InvalidLength),
             "{bad:?}"
         );
     }
     for large in ["1001", "99999999999999999999999"] {
         assert_eq!(
-            head(&format!("Content-Length: {large}\r\n")),
+            framing(&format!("Content-Length: {large}\r\n")),
             Err(HeadError::BodyTooLarge),
             "{large}"
         );
@@ -59,7 +64,7 @@
 }
 
 #[test]
-fn heads_are_bounded() {
+fn heads_over_a_limit_are_rejected() {
     let long = format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(2_000));
     assert_eq!(
         RequestHead::parse(&long.as_bytes()[..1_999], &LIMITS),
@@ -81,51 +86,55 @@
 }
 
 #[test]
-fn answers_without_a_body_and_connections_that_end() {
-    let read = |text: &str| {
+fn responses_without_a_body_and_responses_that_end_the_connection() {
+    let parse = |text: &str| {
         ResponseHead::parse(text.as_bytes(), &LIMITS)
             .unwrap()
             .unwrap()
             .0
     };
-    assert_eq!(read("HTTP/1.1 204 No\r\n\r\n").framing, Framing::Length(0));
-    assert_eq!(read("HTTP/1.1 200 OK\r\n\r\n").framing, Framing::UntilClose);
-    assert!(read("HTTP/1.1 200 OK\r\n\r\n").headers.is_keep_alive());
-    assert!(!read("HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n")
+    assert_eq!(parse("HTTP/1.1 204 No\r\n\r\n").framing, Framing::Length(0));
+    assert_eq!(
+        parse("HTTP/1.1 200 OK\r\n\r\n").framing,
+        Framing::UntilClose
+    );
+    assert!(parse("HTTP/1.1 200 OK\r\n\r\n").headers.is_keep_alive());
+    assert!(!parse("HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n")
         .headers
         .is_keep_alive());
-    assert!(!read("HTTP/1.0 200 OK\r\n\r\n").headers.is_keep_alive());
+    assert!(!parse("HTTP/1.0 200 OK\r\n\r\n").headers.is_keep_alive());
 }
 
-/// Feeds bytes in pieces; the body's bytes, whether it is whole, and how many bytes were used.
-fn feed(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, usize), BodyError> {
-    let (mut body, mut out, mut all, mut buf) = (
+/// Decodes a body whose bytes arrive in pieces. Returns the bytes of the body, whether it is complete, and the number of
+/// consumed bytes.
+fn decode(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, usize), BodyError> {
+    let (mut decoder, mut body, mut consumed, mut buffer) = (
         BodyDecoder::new(framing, &LIMITS),
         Vec::new(),
         0,
         Vec::new(),
     );
     for piece in pieces {
-        buf.extend_from_slice(piece);
+        buffer.extend_from_slice(piece);
         loop {
-            let (step, used) = body.decode(&buf)?;
-            if let Decoded::Data(range) = &step {
-                out.extend_from_slice(&buf[range.clone()]);
+            let (decoded, used) = decoder.decode(&buffer)?;
+            if let Decoded::Data(range) = &decoded {
+                body.extend_from_slice(&buffer[range.clone()]);
             }
-            buf.drain(..used);
-            all += used;
-            match step {
-                Decoded::Done => return Ok((out, true, all)),
+            buffer.drain(..used);
+            consumed += used;
+            match decoded {
+                Decoded::Done => return Ok((body, true, consumed)),
                 Decoded::NeedMoreInput => break,
                 Decoded::Data(_) => {}
             }
         }
     }
-    Ok((out, body.is_done(), all))
+    Ok((body, decoder.is_done(), consumed))
 }
 
 #[test]
-fn chunks_that_cannot_be() {
+fn malformed_chunks_are_rejected() {
     for (bytes, error) in [
         ("zz\r\n", BodyError::InvalidChunkSize),
         ("\r\n", BodyError::InvalidChunkSize),
@@ -136,26 +145,26 @@
         ("5\r\nhelloX", BodyError::InvalidChunkEnd),
     ] {
         assert_eq!(
-            feed(Framing::Chunked, &[bytes.as_bytes()]),
+            decode(Framing::Chunked, &[bytes.as_bytes()]),
             Err(error),
             "{bytes:?}"
         );
     }
     assert_eq!(
-        feed(Framing::Chunked, &[&[b'1'; 2_000]]),
+        decode(Framing::Chunked, &[&[b'1'; 2_000]]),
         Err(BodyError::InvalidChunkSize)
     );
     let endless = format!("0\r\n{}", "a: b\r\n".repeat(100));
     assert_eq!(
-        feed(Framing::Chunked, &[endless.as_bytes()]),
+        decode(Framing::Chunked, &[endless.as_bytes()]),
         Err(BodyError::InvalidChunkEnd)
     );
 }
 
 proptest! {
-    /// However the bytes are cut, the body is the same, and what follows it is not touched.
+    /// The decoded body does not depend on how its bytes are split into pieces, and the bytes after it are not consumed.
     #[test]
-    fn pieces_change_nothing(
+    fn a_body_in_pieces_is_decoded_like_a_complete_one(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..200), 0..6),
         cuts in prop::collection::vec(0usize..2_000, 0..12),
     ) {
@@ -173,16 +182,16 @@
             pieces.push(&bytes[from..cut]);
             from = cut;
         }
-        prop_assert_eq!(feed(Framing::Chunked, &pieces), Ok((chunks.concat(), true, length)));
+        prop_assert_eq!(decode(Framing::Chunked, &pieces), Ok((chunks.concat(), true, length)));
     }
 
-    /// Nothing makes it panic, and it never claims more than it was given.
+    /// Arbitrary bytes cause no panic, and the decoder never reports more bytes than it was given.
     #[test]
-    fn any_bytes_are_survived(bytes in prop::collection::vec(any::<u8>(), 0..3_000)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..3_000)) {
         let _ = RequestHead::parse(&bytes, &LIMITS);
         let _ = ResponseHead::parse(&bytes, &LIMITS);
-        if let Ok((out, _, used)) = feed(Framing::Chunked, &[&bytes]) {
-            prop_assert!(out.len() <= used && used <= bytes.len());
+        if let Ok((body, _, consumed)) = decode(Framing::Chunked, &[&bytes]) {
+            prop_assert!(body.len() <= consumed && consumed <= bytes.len());
         }
     }
 }
