--- a/crates/ivyward-settings/src/error.rs
+++ b/crates/ivyward-settings/src/error.rs
@@ -1,28 +1,28 @@
-//! Errors of the settings object.
+//! Errors in the settings object.
 
-/// Why the settings cannot be used.
+/// Why the settings object is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// A key without which there is nothing to decide.
+    /// A required key is missing.
     #[error("settings: {key} is missing")]
     Missing {
-        /// The key's path.
+        /// The path of the key.
         key: String,
     },
-    /// A value of the wrong type or out of range.
-    #[error("settings: impossible value {value} of {key}")]
+    /// The value of a key has the wrong type or is out of range.
+    #[error("settings: invalid value {value} of {key}")]
     Invalid {
-        /// The key's path.
+        /// The path of the key.
         key: String,
-        /// The value, as it is shown to people.
+        /// The value as displayed in the message: text in quotes, numbers without.
         value: String,
     },
-    /// An item of a list of the wrong type or out of range.
-    #[error("settings: impossible value {value} in {key}")]
+    /// An item of a list has the wrong type or is out of range.
+    #[error("settings: invalid value {value} in {key}")]
     InvalidItem {
-        /// The list's path.
+        /// The path of the list.
         key: String,
-        /// The item, as it is shown to people.
+        /// The item as displayed in the message, in quotes.
         value: String,
     },
 }
@@ -37,7 +37,7 @@
             value: value.to_string(),
         }
     }
-    /// For a value that is shown in quotes.
+    /// Creates a [`ParseError::Invalid`] whose value is displayed in quotes.
     pub(crate) fn invalid_text(key: &str, text: &str) -> ParseError {
         ParseError::invalid(key, format!("{text:?}"))
     }
--- a/crates/ivyward-settings/src/json.rs
+++ b/crates/ivyward-settings/src/json.rs
@@ -1,39 +1,41 @@
-//! Nested JSON as the paths and values of the text form.
+//! Conversion of nested JSON to the paths and values of the text form.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The paths of an object with their values as text.
-pub(crate) fn paths(object: &Value) -> BTreeMap<String, String> {
+/// Returns the values of a nested object as text, by their paths. A path consists of the names and list indexes from the
+/// outermost object to the value, joined by dots. Null values are left out. A list that contains objects has its length at
+/// the path `count` below its own; any other list is one value whose items are joined by commas.
+pub(crate) fn flatten(object: &Value) -> BTreeMap<String, String> {
     let mut paths = BTreeMap::new();
-    flatten(String::new(), object, &mut paths);
+    collect_paths(String::new(), object, &mut paths);
     paths
 }
 
-fn flatten(path: String, value: &Value, paths: &mut BTreeMap<String, String>) {
+fn collect_paths(path: String, value: &Value, paths: &mut BTreeMap<String, String>) {
     match value {
         Value::Null => {}
         Value::Object(object) => {
             for (name, value) in object {
-                flatten(join(&path, name), value, paths);
+                collect_paths(join(&path, name), value, paths);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
             paths.insert(join(&path, "count"), items.len().to_string());
             for (index, value) in items.iter().enumerate() {
-                flatten(join(&path, &index.to_string()), value, paths);
+                collect_paths(join(&path, &index.to_string()), value, paths);
             }
         }
         Value::Array(items) => {
-            // A comma separates items, so the text form replaces it within a name.
+            // The text form separates items by commas, so it contains `_` in place of a comma within an item.
             let items: Vec<String> = items
                 .iter()
-                .map(|item| plain(item).replace(',', "_"))
+                .map(|item| to_text(item).replace(',', "_"))
                 .collect();
             paths.insert(path, items.join(","));
         }
         other => {
-            paths.insert(path, plain(other));
+            paths.insert(path, to_text(other));
         }
     }
 }
@@ -46,7 +48,7 @@
     }
 }
 
-fn plain(value: &Value) -> String {
+fn to_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/crates/ivyward-settings/src/lib.rs
+++ b/crates/ivyward-settings/src/lib.rs
@@ -1,12 +1,12 @@
-//! The settings object that the simulator's adapter and the platform's configuration share: one parser for both.
+//! Parser of the settings object, which the simulator's adapter and the platform's configuration share.
 //!
-//! [`parse`] reads the adapter's text of `path=value` lines, [`from_json`] the same object as nested JSON. Durations are
-//! in microseconds. Unknown keys are ignored, so that an older program accepts a newer object.
+//! [`parse`] reads the adapter's text form, one `path=value` line for each value; [`from_json`] reads the same object as
+//! nested JSON. Durations are in microseconds. Unknown keys are ignored, so that an older program accepts a newer object.
 //!
-//! - [`error`]: what can be wrong with a value.
-//! - `keys`: typed look-ups by path.
-//! - `json`: nested JSON to paths.
-//! - `router`: the router's settings out of the paths.
+//! - [`error`]: errors in the object.
+//! - `keys`: typed lookups of values by their paths.
+//! - `json`: converts nested JSON to paths and values.
+//! - `router`: reads the router's settings from the values.
 
 pub mod error;
 mod json;
@@ -19,50 +19,51 @@
 use keys::Keys;
 use serde_json::Value;
 
-/// The router's settings, with the names and I/O limits that the object holds beside them.
+/// The router's settings, with the names and the I/O limits that the settings object contains in addition.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NamedSettings {
     /// The router's settings.
     pub router: Settings,
-    /// Names of the request classes, in the order of [`Settings::classes`].
+    /// The names of the request classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Names of the tenants, in the order of [`Settings::tenants`].
+    /// The names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones; a zone's number is its index.
+    /// The names of the zones, by the zones' indexes.
     pub zones: Vec<String>,
-    /// Names of the machine types, in the order of [`Settings::roles`].
+    /// The names of the machine types, in the order of [`Settings::roles`].
     pub machine_types: Vec<String>,
-    /// Names of the values of a load report, in the order of [`Settings::report_fields`].
+    /// The names of the values in a load report, in the order of [`Settings::report_fields`].
     pub report_fields: Vec<String>,
-    /// Idle time in microseconds after which an engine closes a connection; 0 where it is not stated.
+    /// The time after which an engine closes an idle connection, in microseconds; 0 if not specified.
     pub keepalive: Micros,
-    /// Time in microseconds after which a connection attempt counts as failed; 0 where it is not stated.
+    /// The timeout for opening a connection, in microseconds; 0 if not specified.
     pub connect_timeout: Micros,
-    /// Requests that a node may have open at once; 0 where it is not stated.
+    /// The maximum number of requests that a node may have open at once; 0 if not specified.
     pub max_open_requests: usize,
 }
 
-/// The index of a name among the object's names, in which spaces and commas may have been replaced by `_`.
+/// Returns the index of a name in a list of names from the settings object. The list may contain the name with its spaces
+/// and commas replaced by `_`.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names
         .iter()
         .position(|candidate| candidate == name || *candidate == name.replace([' ', ','], "_"))
 }
 
-/// Reads the router's settings from a text of `path=value` lines.
+/// Parses the router's settings from the text form: lines of `path=value`.
 ///
 /// # Errors
-/// [`ParseError`] names the key and its missing or invalid value.
+/// Returns an error if a required key is missing or a value is invalid.
 pub fn parse(text: &str) -> Result<Settings, ParseError> {
     router::read(&Keys::from_lines(text))
 }
 
-/// Reads the settings from nested JSON. Its paths are those of the text; lists of plain values are joined by commas.
+/// Parses the settings from nested JSON. The names in nested objects form the same paths as in the text form.
 ///
 /// # Errors
-/// [`ParseError`] names the key and its missing or invalid value.
+/// Returns an error if a required key is missing or a value is invalid.
 pub fn from_json(object: &Value) -> Result<NamedSettings, ParseError> {
-    let keys = Keys::from_paths(json::paths(object));
+    let keys = Keys::from_paths(json::flatten(object));
     let router = router::read(&keys)?;
     let report_fields = if router.report_fields.is_empty() {
         Vec::new()
--- a/crates/ivyward-settings/src/router.rs
+++ b/crates/ivyward-settings/src/router.rs
@@ -1,4 +1,4 @@
-//! The router's settings out of the object's paths.
+//! Reads the router's settings from the values of the settings object.
 
 use crate::error::ParseError;
 use crate::keys::Keys;
@@ -7,7 +7,7 @@
     TenantSettings,
 };
 
-/// Most classes, and most tenants, that are read.
+/// The maximum number of classes, and of tenants, that are read. Further ones are ignored.
 const MAX_ITEMS: usize = 1 << 16;
 
 const IDEMPOTENCY: [(&str, Idempotency); 3] = [
@@ -22,9 +22,10 @@
     ("cell", DeduplicationScope::Rack),
 ];
 
-/// Whether the list of endpoints has to be subscribed to.
+/// The values of `discovery`: whether the router must subscribe to the list of endpoints.
 const DISCOVERY: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
 
+/// Reads all settings of the router.
 pub(crate) fn read(keys: &Keys) -> Result<Settings, ParseError> {
     let roles = roles(keys)?;
     let replica_count: u32 = keys.require("balancers")?;
@@ -46,14 +47,14 @@
         transfer_price: keys.number_or_zero("family_info.transfer_price")?,
         cross_zone_price: keys.number_or_zero("charges.cross_zone")?,
         release_within: keys.duration("family_info.let_go_by_us")?,
-        // The simulator counts an attempt as in flight from its send.
+        // The simulator counts an attempt as in flight from `Action::Send`.
         in_flight_after_last_byte: false,
         drain_grace: keys.duration("guarantees.drain_grace_us")?,
         overload_multiple: keys.number_or_zero("guarantees.fall_multiple")?,
         overload_window: keys.duration("guarantees.fall_us")?,
         initial_capacity: keys.number_or_zero("guarantees.start_capacity")?,
         warm_up_duration: keys.duration("guarantees.warm_after_us")?,
-        must_subscribe: keys.word("discovery", &DISCOVERY, Some(false))?,
+        must_subscribe: keys.one_of("discovery", &DISCOVERY, Some(false))?,
         max_attempts: keys.get("limits.try_limit")?.unwrap_or(1),
         may_cancel: keys.flag("limits.may_cancel")?,
         health_checks: keys.flag("limits.probes")?,
@@ -63,6 +64,7 @@
     })
 }
 
+/// Returns the maximum `Retry-After` of a rejection; 0 if rejections do not carry one.
 fn max_retry_after(keys: &Keys) -> Result<Micros, ParseError> {
     match keys.flag("limits.retry_after")? {
         true => keys.duration("limits.max_retry_after_us"),
@@ -70,6 +72,7 @@
     }
 }
 
+/// Returns the role of each machine type. At least one is required.
 fn roles(keys: &Keys) -> Result<Vec<Role>, ParseError> {
     const KEY: &str = "family_info.kind_role";
     let role = |name: &str| match name {
@@ -109,8 +112,8 @@
         deadline: keys.require_duration(&key("deadline_us"))?,
         priority_weight: keys.number(&key("importance"))?.unwrap_or(1.0),
         late_weight: keys.number_or_zero(&key("late_share"))?,
-        idempotency: keys.word(&key("semantics"), &IDEMPOTENCY, None)?,
-        deduplication_scope: keys.word(
+        idempotency: keys.one_of(&key("semantics"), &IDEMPOTENCY, None)?,
+        deduplication_scope: keys.one_of(
             &key("group"),
             &DEDUPLICATION_SCOPES,
             Some(DeduplicationScope::All),
@@ -128,6 +131,7 @@
     (0..count.min(MAX_ITEMS)).map(tenant).collect()
 }
 
+/// Returns the meanings of the values in a load report; none if engines send no reports.
 fn report_fields(keys: &Keys) -> Vec<ReportField> {
     match keys.text("report.source") {
         None | Some("none") => Vec::new(),
