--- a/crates/ivyward-proto/build.rs
+++ b/crates/ivyward-proto/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the .proto files without protoc.
+//! Generates Rust code from the .proto files. `protox` parses them, so `protoc` need not be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = [
