--- a/crates/ivyward-platform/tests/deadline.rs
+++ b/crates/ivyward-platform/tests/deadline.rs
@@ -30,7 +30,9 @@
             }
         });
         for engine in &setup.engines {
-            setup.sim.lag(setup.node.id(), engine.id(), lag);
+            setup
+                .sim
+                .set_extra_latency(setup.node.id(), engine.id(), lag);
         }
         setup.run(move |cluster| async move {
             let (mut attempt_count, mut retry_count) = (0, 0);
@@ -76,7 +78,7 @@
     for sent_at in (1_998_500..2_001_000).step_by(50) {
         let (outcome, outcomes) = std::sync::mpsc::channel();
         let setup = ClusterSetup::new(|_| EngineBehavior::Normal);
-        setup.sim.net(|net| net.jitter = 0);
+        setup.sim.update_network(|net| net.jitter = 0);
         setup.run(move |cluster| async move {
             let mut conn = cluster.connect().await;
             cluster.client.sleep(sent_at).await;
@@ -90,7 +92,7 @@
                 "{sent_at}: {response:?}"
             );
             assert!(
-                response.status == 0 || response.status == 200 && response.whole,
+                response.status == 0 || response.status == 200 && response.complete,
                 "{sent_at}: {response:?}"
             );
             outcome.send(response.status).unwrap();
--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`Sim`]: the whole of it; [`Sim::run`] plays it until a future is done, and says so when it cannot go on.
 //! - [`Host`]: a process in it, which implements [`ivyward_runtime::Runtime`]; it can die, freeze and have a wrong clock.
-//! - [`Net`]: what the network does between hosts, and [`Sim::cut`] for partitions.
+//! - [`Net`]: what the network does between hosts, and [`Sim::set_partitioned`] for partitions.
 //!
 //! One thread polls one task at a time. Which of several ready tasks is next, and which of several events at one instant,
 //! is drawn from the seed. Nothing here asks the system for time or randomness.
@@ -10,10 +10,10 @@
 mod net;
 mod tasks;
 
-pub use net::Net;
-pub use tasks::Stuck;
+pub use net::NetworkConfig;
+pub use tasks::RunError;
 
-use ivyward_runtime::{BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeRef};
+use ivyward_runtime::{BoxFuture, Conn, DatagramSocket, Listener, Micros, Runtime, RuntimeRef};
 use net::Network;
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -98,7 +98,7 @@
 
 impl Sim {
     /// A world from a seed, with a network that behaves so.
-    pub fn new(seed: u64, net: Net) -> Sim {
+    pub fn new(seed: u64, net: NetworkConfig) -> Sim {
         let state = State {
             now: BEGIN,
             random: SmallRng::seed_from_u64(seed),
@@ -136,13 +136,13 @@
     /// Plays the world until a future, run as a task of the host, is done.
     ///
     /// # Errors
-    /// [`Stuck`] when nothing is left that could happen, when a task spins, or at the latest time.
+    /// [`RunError`] when nothing is left that could happen, when a task spins, or at the latest time.
     pub fn run<T: Send + 'static>(
         &self,
         host: &Arc<Host>,
         until: Micros,
         future: impl Future<Output = T> + Send + 'static,
-    ) -> Result<T, Stuck> {
+    ) -> Result<T, RunError> {
         let result: Arc<Mutex<Option<T>>> = Arc::default();
         let put = result.clone();
         host.spawn(Box::pin(async move {
@@ -159,7 +159,7 @@
     }
 
     /// Polls ready tasks until none is.
-    fn settle(&self) -> Result<(), Stuck> {
+    fn settle(&self) -> Result<(), RunError> {
         let mut polls = 0u64;
         loop {
             let frozen = |host: HostId| self.0.lock().hosts[host].frozen;
@@ -169,7 +169,7 @@
             polls += 1;
             if polls > tasks::MOST_POLLS {
                 let (at, host) = (self.now(), task.host);
-                return Err(Stuck::Spins { at, host });
+                return Err(RunError::Livelock { at, host });
             }
             self.0.lock().note(1, task.id, &[]);
             self.0.tasks.poll(&task);
@@ -177,17 +177,17 @@
     }
 
     /// Lets the next thing that is due happen.
-    fn jump(&self, until: Micros) -> Result<(), Stuck> {
+    fn jump(&self, until: Micros) -> Result<(), RunError> {
         let due = {
             let mut state = self.0.lock();
             let Some(((at, _, id), due)) = state.queue.pop_first() else {
-                return Err(Stuck::Nothing {
+                return Err(RunError::Deadlock {
                     at: state.now,
                     waiting: self.0.tasks.waiting(),
                 });
             };
             if at > until {
-                return Err(Stuck::Late { at: until });
+                return Err(RunError::TimedOut { at: until });
             }
             state.now = state.now.max(at);
             state.note(2, id, &[]);
@@ -208,28 +208,28 @@
         (state.digest, state.events)
     }
     /// Changes what the network does from now on.
-    pub fn net(&self, change: impl FnOnce(&mut Net)) {
+    pub fn update_network(&self, change: impl FnOnce(&mut NetworkConfig)) {
         change(&mut self.0.lock().net.ways);
     }
     /// Streams take so much longer from one host to the other, and back.
-    pub fn lag(&self, one: HostId, other: HostId, longer: Micros) {
+    pub fn set_extra_latency(&self, one: HostId, other: HostId, longer: Micros) {
         let mut state = self.0.lock();
         state.net.lag(one, other, longer);
         state.net.lag(other, one, longer);
     }
     /// Cuts or mends the way from one host to another, in that direction alone. What is under way then waits, as it
     /// would for TCP's next try.
-    pub fn cut(&self, from: HostId, to: HostId, on: bool) {
+    pub fn set_partitioned(&self, from: HostId, to: HostId, on: bool) {
         self.wake(|state| state.net.cut(from, to, on));
     }
     /// Freezes a process: its sockets stay, it does nothing. Or lets it go on.
-    pub fn freeze(&self, host: HostId, on: bool) {
+    pub fn set_paused(&self, host: HostId, on: bool) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
             host.frozen = on;
         }
     }
     /// Sets a host's clock so far off, in microseconds.
-    pub fn skew(&self, host: HostId, skew: i64) {
+    pub fn set_clock_skew(&self, host: HostId, skew: i64) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
             host.skew = skew;
         }
@@ -300,7 +300,7 @@
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
         net::listen(self.inner.clone(), self.id, at)
     }
-    fn datagrams(&self, at: SocketAddr) -> std::io::Result<Box<dyn Datagrams>> {
+    fn bind_datagram(&self, at: SocketAddr) -> std::io::Result<Box<dyn DatagramSocket>> {
         net::datagrams(self.inner.clone(), self.id, at)
     }
     fn random(&self) -> u64 {
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -63,7 +63,7 @@
     pub(super) fn enlist(&self, engine: usize, started: Micros) {
         let endpoints = lock(&self.store).endpoints()[self.places.len()..].to_vec();
         self.engine(engine, |e| {
-            registration::keep(e, endpoints, LEASE, started / 1_000, |_| {})
+            registration::keep_registered(e, endpoints, LEASE, started / 1_000, |_| {})
         });
     }
 
@@ -115,9 +115,9 @@
                 None => return,
             }
         };
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         self.sim.kill(host, true);
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         lock(&self.shown)[i].clear();
     }
 
@@ -155,7 +155,7 @@
                     lately.retain(|n| n.0 + LAST_MOMENT >= now);
                     lately.push((now, node, engine));
                 }
-                cluster.log.add(ObservedEvent::Told {
+                cluster.log.add(ObservedEvent::NodeNotified {
                     node,
                     engine,
                     ready,
@@ -167,7 +167,7 @@
     pub(super) async fn client(&self, i: usize) -> Option<Client> {
         let address = {
             let place = lock(&self.places[i]);
-            if let Some(client) = place.client.clone().filter(Client::usable) {
+            if let Some(client) = place.client.clone().filter(Client::is_usable) {
                 return Some(client);
             }
             place.node.as_ref()?;
@@ -175,7 +175,7 @@
         };
         let dial = Client::connect_with(&self.runtime, &self.log, address, CLIENT_WINDOW);
         let until = self.runtime.now() + 500_000;
-        let client = ivyward_runtime::before(&self.runtime, until, dial)
+        let client = ivyward_runtime::timeout_at(&self.runtime, until, dial)
             .await?
             .ok()?;
         lock(&self.places[i]).client = Some(client.clone());
--- a/crates/ivyward-testbed/src/simulation/coincidences.rs
+++ b/crates/ivyward-testbed/src/simulation/coincidences.rs
@@ -1,7 +1,7 @@
 //! Situations that seeds are to bring about.
 
 use super::fault::Fault;
-use super::plan::Timed;
+use super::plan::ScheduledFault;
 use super::{BEGIN, LEASE};
 use ivyward::core::interface::Micros;
 use ivyward_fakes::event_log::{ClientOutcome, LoggedEvent};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Coincidences that seeds are to bring about, each looked for in what was seen.
-pub const CATALOGUE: [&str; 9] = [
+pub const COINCIDENCES: [&str; 9] = [
     "a drain notice within a millisecond of a retry by the same node",
     "an engine listed again within 50 ms of its removal",
     "a late list, a cut way and an impatient client in one second",
@@ -24,7 +24,7 @@
 /// Which of [`CATALOGUE`] came about in a run, and how often.
 pub(super) fn coincidences(
     log: &[LoggedEvent],
-    plan: &[Timed],
+    plan: &[ScheduledFault],
     engines: &[u64],
 ) -> BTreeMap<&'static str, u64> {
     let near = |a: Micros, b: Micros, span: Micros| a.abs_diff(b) <= span;
@@ -32,9 +32,9 @@
     let (mut began, mut left) = (BTreeMap::new(), Vec::new());
     let (mut kept, mut dead, mut draining) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     let mut counts = [0u64; 9];
-    for LoggedEvent { at, what } in log {
+    for LoggedEvent { at, event: what } in log {
         match *what {
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
@@ -42,7 +42,7 @@
                 told.push((*at, node, engine));
                 draining.insert(engine);
             }
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
@@ -50,25 +50,27 @@
                 back.push((*at, node, engine));
                 draining.remove(&engine);
             }
-            ObservedEvent::Arrived { key, .. } if key.attempt >= 2 => retries.push((*at, key.node)),
+            ObservedEvent::AttemptArrived { key, .. } if key.attempt >= 2 => {
+                retries.push((*at, key.node))
+            }
             ObservedEvent::Retained { key, .. } => drop(kept.insert(key)),
             ObservedEvent::Released { key, .. } => drop(kept.remove(&key)),
-            ObservedEvent::Killed { run, .. } => {
+            ObservedEvent::NodeKilled { run, .. } => {
                 counts[3] += u64::from(kept.iter().any(|k| k.node == run))
             }
-            ObservedEvent::Began { call } => drop(began.insert(call, *at)),
-            ObservedEvent::ClientOutcome {
+            ObservedEvent::FirstTokenReceived { call } => drop(began.insert(call, *at)),
+            ObservedEvent::CallEnded {
                 call,
-                how: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
+                outcome: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
             } => {
                 left.push(*at);
                 counts[4] += u64::from(began.get(&call).is_some_and(|b| near(*b, *at, 5_000)));
             }
-            ObservedEvent::Down { engine, .. } => {
+            ObservedEvent::EngineStopped { engine, .. } => {
                 dead.insert(engine);
                 counts[5] += u64::from(draining.contains(&engine));
             }
-            ObservedEvent::Up { engine, .. } => drop(dead.remove(&engine)),
+            ObservedEvent::EngineStarted { engine, .. } => drop(dead.remove(&engine)),
             _ => {}
         }
     }
@@ -96,7 +98,7 @@
     };
     counts[2] = lags.iter().filter(one_second).count() as u64;
     let (dies, compacts) = (
-        of(&|f| matches!(f, Fault::StoreDies)),
+        of(&|f| matches!(f, Fault::StoreCrash)),
         of(&|f| matches!(f, Fault::StoreCompacts)),
     );
     counts[6] = compacts
@@ -105,7 +107,7 @@
         .count() as u64;
     // An engine is told to be gone within its lease, or a little later, of a cut that outlasts it.
     for t in plan.iter().filter(|t| t.len > LEASE as Micros * 1_000_000) {
-        let Fault::Lone { engine } = t.fault else {
+        let Fault::StoreCut { engine } = t.fault else {
             continue;
         };
         let id = engines[engine];
@@ -116,7 +118,7 @@
         );
     }
     counts[7] = plan.windows(2).filter(|w| w[0].at == w[1].at).count() as u64;
-    CATALOGUE
+    COINCIDENCES
         .into_iter()
         .zip(counts)
         .filter(|(_, n)| *n > 0)
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -2,28 +2,31 @@
 
 use super::cluster::SimulatedCluster;
 use super::fault::{Fault, TWISTS};
-use super::plan::Timed;
+use super::plan::ScheduledFault;
 use super::{lock, LAST_MOMENT};
 use ivyward::registration::State;
 use ivyward_fakes::{Engine, Faults, ObservedEvent};
 use ivyward_runtime::RuntimeExt;
-use ivyward_sim::{HostId, Net};
+use ivyward_sim::{HostId, NetworkConfig};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
 impl SimulatedCluster {
     /// One fault from its begin to its end.
-    pub(super) async fn play(self: Arc<Self>, timed: Timed, salt: u64) {
+    pub(super) async fn play(self: Arc<Self>, timed: ScheduledFault, salt: u64) {
         let (runtime, len) = (self.runtime.clone(), timed.len);
         let fault =
             |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
         match timed.fault {
-            Fault::Die { engine, word } => {
+            Fault::Crash {
+                engine,
+                reset_connections: word,
+            } => {
                 let id = self.engine(engine, |e| e.spec().id);
                 if !word {
-                    self.log.add(ObservedEvent::Dark {
+                    self.log.add(ObservedEvent::EngineUnreachable {
                         engine: id,
-                        on: true,
+                        unreachable: true,
                     });
                 }
                 self.hosts.silent.store(!word, Ordering::SeqCst);
@@ -35,13 +38,13 @@
                 runtime.sleep(len).await;
                 let up = self.engine(engine, |e| e.restart(true));
                 if !word {
-                    self.log.add(ObservedEvent::Dark {
+                    self.log.add(ObservedEvent::EngineUnreachable {
                         engine: id,
-                        on: false,
+                        unreachable: false,
                     });
                 }
                 if up.is_ok() {
-                    let host = self.hosts.last();
+                    let host = self.hosts.last_started();
                     lock(&self.engines[engine]).1 = host;
                     self.register(engine, self.runtime.unix_micros());
                 }
@@ -51,7 +54,7 @@
                 runtime.sleep(len).await;
                 self.put(engine, State::Ready, 0);
             }
-            Fault::Leave { engine } => {
+            Fault::Deregister { engine } => {
                 lock(&self.store).delete(&self.key(engine));
                 runtime.sleep(len).await;
                 self.put(engine, State::Ready, 0);
@@ -62,20 +65,25 @@
                 fault(engine, &|f| f.hang = false);
             }
             Fault::Slow { engine, by } => {
-                fault(engine, &|f| f.slow = by);
+                fault(engine, &|f| f.slowdown = by);
                 runtime.sleep(len).await;
-                fault(engine, &|f| f.slow = 1.0);
+                fault(engine, &|f| f.slowdown = 1.0);
             }
-            Fault::Ill { engine, share } => {
+            Fault::FailCalls { engine, share } => {
                 fault(engine, &|f| {
-                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
+                    (f.reset, f.lose_answer, f.reject, f.refuse_stream) =
+                        (share, share, share, share)
                 });
                 runtime.sleep(len).await;
                 fault(engine, &|f| {
-                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
+                    (f.reset, f.lose_answer, f.reject, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
                 });
             }
-            Fault::Odd { engine, share, how } => {
+            Fault::MalformedResponses {
+                engine,
+                share,
+                response_fault: how,
+            } => {
                 let how = TWISTS.get(how).copied();
                 fault(engine, &|f| {
                     (f.malformed, f.response_fault, f.stall, f.drop_states) =
@@ -86,20 +94,24 @@
                     (f.malformed, f.stall, f.drop_states) = (0.0, 0.0, false)
                 });
             }
-            Fault::Cut { engine, node, back } => {
+            Fault::Cut {
+                engine,
+                node,
+                engine_to_node: back,
+            } => {
                 let Some((node, _)) = self.node(node) else {
                     return;
                 };
                 let engine = lock(&self.engines[engine]).1;
                 let (from, to) = if back { (engine, node) } else { (node, engine) };
-                self.sim.cut(from, to, true);
+                self.sim.set_partitioned(from, to, true);
                 runtime.sleep(len).await;
-                self.sim.cut(from, to, false);
+                self.sim.set_partitioned(from, to, false);
             }
-            Fault::Lone { engine } => {
+            Fault::StoreCut { engine } => {
                 let ways = |on: bool, hosts: (HostId, HostId)| {
-                    self.sim.cut(hosts.0, hosts.1, on);
-                    self.sim.cut(hosts.1, hosts.0, on);
+                    self.sim.set_partitioned(hosts.0, hosts.1, on);
+                    self.sim.set_partitioned(hosts.1, hosts.0, on);
                 };
                 let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
                 ways(true, hosts);
@@ -125,34 +137,42 @@
                     vec![(a, *host), (*host, b)]
                 };
                 ways.iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, true));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, true));
                 runtime.sleep(len).await;
                 ways.iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, false));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, false));
             }
-            Fault::PeersRough { lose } => {
-                self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
+            Fault::PeerDatagramLoss { lose } => {
+                self.sim.update_network(|n| {
+                    (n.datagram_loss, n.datagram_duplication) = (lose, lose / 2.0)
+                });
                 runtime.sleep(len).await;
-                self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
+                self.sim
+                    .update_network(|n| (n.datagram_loss, n.datagram_duplication) = (0.0, 0.0));
             }
-            Fault::Pieces => {
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
+            Fault::Fragmentation => {
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.5, 4_000));
                 runtime.sleep(len).await;
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.0, 100));
             }
-            Fault::Narrow => {
-                self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
-                runtime.sleep(len).await;
+            Fault::LowBandwidth => {
                 self.sim
-                    .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
+                    .update_network(|n| (n.bytes_per_second, n.buffer_bytes) = (400_000, 3_000));
+                runtime.sleep(len).await;
+                self.sim.update_network(|n| {
+                    (n.bytes_per_second, n.buffer_bytes) =
+                        (0, NetworkConfig::default().buffer_bytes)
+                });
             }
-            Fault::StoreDies => {
+            Fault::StoreCrash => {
                 lock(&self.store).crash();
                 // What it handed to its sockets in its last moment never left them: nobody was told.
                 let just = self.runtime.now().saturating_sub(LAST_MOMENT);
                 for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
                     if at >= just {
-                        self.log.add(ObservedEvent::Told {
+                        self.log.add(ObservedEvent::NodeNotified {
                             node,
                             engine,
                             ready: true,
@@ -163,20 +183,20 @@
                 // Another fault may have brought it back.
                 let up = lock(&self.store).restart();
                 if up.is_ok() {
-                    *lock(&self.store_host) = self.hosts.last();
+                    *lock(&self.store_host) = self.hosts.last_started();
                 }
             }
             Fault::StoreCompacts => {
-                lock(&self.store).fault(|f| f.mute_watches = true);
+                lock(&self.store).fault(|f| f.suppress_watch_events = true);
                 runtime.sleep(len).await;
                 let store = lock(&self.store);
                 store.compact();
-                store.fault(|f| f.mute_watches = false);
+                store.fault(|f| f.suppress_watch_events = false);
             }
             Fault::StoreLags => {
-                lock(&self.store).fault(|f| f.lag = vec![100_000, 20_000]);
+                lock(&self.store).fault(|f| f.watch_delays = vec![100_000, 20_000]);
                 runtime.sleep(len).await;
-                lock(&self.store).fault(|f| f.lag = vec![]);
+                lock(&self.store).fault(|f| f.watch_delays = vec![]);
             }
         }
     }
--- a/crates/ivyward-testbed/src/simulation/requests.rs
+++ b/crates/ivyward-testbed/src/simulation/requests.rs
@@ -1,7 +1,7 @@
 //! Client requests with their retries.
 
 use super::cluster::SimulatedCluster;
-use crate::local_cluster::seen_effect;
+use crate::local_cluster::call_idempotency;
 use ivyward::core::interface::Micros;
 use ivyward_fakes::event_log::ClientOutcome;
 use ivyward_fakes::{ClientBehavior, ClientRequest};
@@ -32,8 +32,8 @@
                 12,
             );
             match random.random_range(0..10) {
-                0 => habit.leave_after = Some(random.random_range(1_000..300_000)),
-                1 => habit.leave_at_token = Some(random.random_range(1..5)),
+                0 => habit.disconnect_after = Some(random.random_range(1_000..300_000)),
+                1 => habit.disconnect_at_token = Some(random.random_range(1..5)),
                 // A long answer, taken slowly.
                 2 => {
                     (max_output_tokens, habit.read_pause) = (200, random.random_range(3_500..4_500))
@@ -58,7 +58,7 @@
             let ask = ClientRequest {
                 request,
                 operation: no,
-                idempotency: seen_effect(&class.settings),
+                idempotency: call_idempotency(&class.settings),
                 node,
                 behavior: habit,
             };
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -17,7 +17,7 @@
     block_on(async {
         for i in 0..10 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served);
@@ -25,7 +25,7 @@
         scene.engine(0).fault(|f| f.stall = 1.0);
         for i in 0..10 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(i + 50, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(i + 50, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -43,7 +43,7 @@
             scene.engine(hung).fault(|f| f.hang = true);
             for i in 0..10 {
                 let end = scene
-                    .send(&scene.ask(0, QUICK, prompt(i, 50), 5))
+                    .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
                     .await
                     .unwrap();
                 assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -66,10 +66,13 @@
             ResponseFault::OutOfOrder,
             "token 1 came where token 0 was due",
         ),
-        (ResponseFault::Twice, "token 0 came where token 1 was due"),
-        (ResponseFault::CutShort, "the server reset the stream"),
-        (ResponseFault::Stuck, "no token for too long"),
-        (ResponseFault::NoLastWord, "without its last word"),
+        (
+            ResponseFault::DuplicateToken,
+            "token 0 came where token 1 was due",
+        ),
+        (ResponseFault::StreamReset, "the server reset the stream"),
+        (ResponseFault::StreamStalled, "no token for too long"),
+        (ResponseFault::MissingFinalMessage, "without its last word"),
     ];
     for (twist, text) in wrong {
         let mut make = ClusterBuilder::new(5, pools(1, 1));
@@ -77,7 +80,7 @@
         make.settings.stream_idle_timeout = 1_000_000;
         let scene = build(make);
         block_on(async {
-            let long = scene.ask(0, QUICK, prompt(1_000, 50), 400);
+            let long = scene.new_request(0, QUICK, prompt(1_000, 50), 400);
             let (tell, wait) = async_channel::bounded(1);
             let (one, call) = (scene.clone(), long.request.call_id);
             scene.runtime.run(async move {
@@ -85,14 +88,14 @@
             });
             seen(
                 &scene,
-                |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+                |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
             )
             .await;
             scene
                 .engine(1)
                 .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(twist)));
             let end = scene
-                .send(&scene.ask(0, ORDER, prompt(1, 50), 10))
+                .send(&scene.new_request(0, ORDER, prompt(1, 50), 10))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Failed, "{twist:?}: {end:?}");
@@ -114,11 +117,11 @@
 fn tokens_after_the_end_go_nowhere() {
     let scene = build(ClusterBuilder::new(5, pools(1, 1)));
     block_on(async {
-        scene
-            .engine(1)
-            .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::AfterEnd)));
+        scene.engine(1).fault(|f| {
+            (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::TokensAfterEnd))
+        });
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(1, 50), 10))
+            .send(&scene.new_request(0, QUICK, prompt(1, 50), 10))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -134,7 +137,7 @@
         for round in 0..5 {
             for i in 0..5 {
                 let end = scene
-                    .send(&scene.ask(0, QUICK, prompt(round * 10 + i, 50), 5))
+                    .send(&scene.new_request(0, QUICK, prompt(round * 10 + i, 50), 5))
                     .await
                     .unwrap();
                 assert!(
@@ -145,18 +148,18 @@
             for e in 0..3 {
                 scene.engine(e).restart(false).unwrap();
                 scene
-                    .tell_all(e, EndpointState::Ready, Some(scene.log.now()))
+                    .notify_all_nodes(e, EndpointState::Ready, Some(scene.log.now()))
                     .await;
             }
         }
         // Cold ones get little at first; once told otherwise they get all.
         for e in 0..3 {
-            scene.tell_all(e, EndpointState::Ready, None).await;
+            scene.notify_all_nodes(e, EndpointState::Ready, None).await;
         }
         let mut served = 0;
         for i in 0..40 {
             let end = scene
-                .send(&scene.ask(0, QUICK, prompt(900 + i, 50), 5))
+                .send(&scene.new_request(0, QUICK, prompt(900 + i, 50), 5))
                 .await
                 .unwrap();
             served += usize::from(end.outcome == ClientOutcome::Served);
@@ -172,7 +175,7 @@
 fn a_node_dies_and_engines_let_go_by_themselves() {
     let mut specs = pools(1, 1);
     // The read is done soon; the fetch takes a second.
-    specs[1].fetch_rate = 50.0;
+    specs[1].kv_fetch_rate = 50.0;
     (specs[0].retention, specs[1].retention) = (1_000_000, 1_000_000);
     specs[1].slots = 1;
     let mut make = ClusterBuilder::new(5, specs);
@@ -183,7 +186,7 @@
     block_on(async {
         // The second request waits for the only slot while its state is kept at the reader.
         let asks: Vec<_> = (0..2)
-            .map(|i| scene.ask(0, QUICK, prompt(i, 50), 5))
+            .map(|i| scene.new_request(0, QUICK, prompt(i, 50), 5))
             .collect();
         let (tell, wait) = async_channel::bounded(2);
         for ask in asks {
@@ -192,7 +195,7 @@
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
-        let second = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { kind: CallKind::Decode, key, .. } if key.request == 2);
+        let second = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { kind: CallKind::Decode, key, .. } if key.request == 2);
         seen(&scene, second).await;
         scene.kill_node(0);
         for _ in 0..2 {
@@ -213,14 +216,14 @@
         .await;
         // The other node shares nothing with the dead one and goes on.
         let end = scene
-            .send(&scene.ask(1, QUICK, prompt(7, 10), 5))
+            .send(&scene.new_request(1, QUICK, prompt(7, 10), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         clean(&scene).await;
         scene.start_node(0).unwrap();
         let end = scene
-            .send(&scene.ask(0, QUICK, prompt(8, 10), 5))
+            .send(&scene.new_request(0, QUICK, prompt(8, 10), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -240,7 +243,7 @@
     block_on(async {
         // The writer takes the request and does not fetch.
         scene.engine(1).fault(|f| f.stall = 1.0);
-        let ask = scene.ask(0, QUICK, prompt(1, 50), 5);
+        let ask = scene.new_request(0, QUICK, prompt(1, 50), 5);
         let call = ask.request.call_id;
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
@@ -251,7 +254,7 @@
             };
             let _ = tell.send(one.send_until(&ask, leave).await.unwrap()).await;
         });
-        let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Decode, .. } if *c == call);
+        let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
         seen(&scene, came).await;
         // The reader's connections break and break again while the release is due.
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -285,11 +288,11 @@
 #[test]
 fn a_node_stops_in_order() {
     let mut specs = pools(1, 1);
-    specs[1].token_gap = 10_000;
+    specs[1].token_interval = 10_000;
     let scene = build(ClusterBuilder::new(5, specs));
     block_on(async {
-        let short = scene.ask(0, QUICK, prompt(1, 50), 10);
-        let mut long = scene.ask(0, QUICK, prompt(2, 50), 5_000);
+        let short = scene.new_request(0, QUICK, prompt(1, 50), 10);
+        let mut long = scene.new_request(0, QUICK, prompt(2, 50), 5_000);
         long.behavior.client_timeout = 30_000_000;
         let calls = [short.request.call_id, long.request.call_id];
         let (tell, wait) = async_channel::bounded(2);
@@ -302,7 +305,7 @@
         for call in calls {
             seen(
                 &scene,
-                |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+                |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
             )
             .await;
         }
@@ -332,7 +335,7 @@
         day.flight = 500_000;
         let report = fault_scenario::run(day).unwrap();
         assert_eq!(
-            (report.audit.kept(), report.audit.broken()),
+            (report.audit.rules_passed(), report.audit.violations()),
             (5, vec![]),
             "{}",
             report.text()
--- a/crates/ivyward-testbed/tests/retry_safety.rs
+++ b/crates/ivyward-testbed/tests/retry_safety.rs
@@ -26,7 +26,7 @@
     [1, 2]
         .into_iter()
         .for_each(|e| trouble(&mut scene.engine(e)));
-    let mut ask = scene.ask(0, ORDER, prompt(1, 50), 10);
+    let mut ask = scene.new_request(0, ORDER, prompt(1, 50), 10);
     ask.behavior.client_timeout = client_timeout;
     let call = ask.request.call_id;
     let end = scene.send(&ask).await.unwrap();
@@ -73,10 +73,10 @@
 fn proof_the_engines_own_full_answer() {
     let scene = scene();
     block_on(async {
-        let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.full = 1.0)).await;
+        let (how, came, ran) = unsafe_at(&scene, 1_000_000, fault(|f| f.reject = 1.0)).await;
         assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 2, "{came} attempts: turned away is sent on");
-        let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.drain(true)).await;
+        let (how, came, ran) = unsafe_at(&scene, 1_000_000, |e| e.set_draining(true)).await;
         assert_eq!((how, ran), (ClientOutcome::Rejected, 0));
         assert!(came >= 1);
     });
@@ -127,16 +127,16 @@
 fn no_proof_an_engine_that_dies_at_work() {
     let scene = scene();
     block_on(async {
-        scene.engine(1).fault(|f| f.slow = 1_000.0);
-        scene.engine(2).fault(|f| f.slow = 1_000.0);
-        let ask = scene.ask(0, ORDER, prompt(1, 50), 10);
+        scene.engine(1).fault(|f| f.slowdown = 1_000.0);
+        scene.engine(2).fault(|f| f.slowdown = 1_000.0);
+        let ask = scene.new_request(0, ORDER, prompt(1, 50), 10);
         let call = ask.request.call_id;
         let (tell, wait) = async_channel::bounded(1);
         let one = scene.clone();
         scene.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await).await;
         });
-        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::Arrived { call: c, kind: CallKind::Decode, .. } if *c == call);
+        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
         seen(&scene, came).await;
         [1, 2].into_iter().for_each(|e| scene.engine(e).crash());
         let end = wait.recv().await.unwrap().unwrap();
@@ -156,7 +156,7 @@
     block_on(async {
         for round in 0..10 {
             let asks: Vec<_> = (0..12)
-                .map(|i| scene.ask(0, ORDER, prompt(round * 100 + i, 50), 10))
+                .map(|i| scene.new_request(0, ORDER, prompt(round * 100 + i, 50), 10))
                 .collect();
             let calls: Vec<u64> = asks.iter().map(|a| a.request.call_id).collect();
             let (one, first) = (scene.clone(), calls[0]);
@@ -164,10 +164,10 @@
             scene.runtime.run(async move {
                 seen(
                     &one,
-                    |s| matches!(s, ObservedEvent::Arrived { call, .. } if *call == first),
+                    |s| matches!(s, ObservedEvent::AttemptArrived { call, .. } if *call == first),
                 )
                 .await;
-                (0..3).for_each(|e| one.engine(e).go_away());
+                (0..3).for_each(|e| one.engine(e).send_goaway());
                 drop(told);
             });
             let ends = all(&scene, asks).await;
@@ -198,7 +198,7 @@
             scene.engine(1).fault(|f| f.reset = 0.0);
             for i in 0..6 {
                 let end = scene
-                    .send(&scene.ask(0, class, prompt(seed * 100 + i, 50), 5))
+                    .send(&scene.new_request(0, class, prompt(seed * 100 + i, 50), 5))
                     .await
                     .unwrap();
                 assert_eq!(end.outcome, ClientOutcome::Served, "class {class}: {end:?}");
@@ -217,7 +217,7 @@
             scene.engine(e).fault(|f| f.reset = 0.5);
         }
         for i in 0..10 {
-            let ask = scene.ask(0, NOTE, prompt(i, 50), 5);
+            let ask = scene.new_request(0, NOTE, prompt(i, 50), 5);
             let end = scene.send(&ask).await.unwrap();
             assert!(
                 matches!(end.outcome, ClientOutcome::Served | ClientOutcome::Rejected),
@@ -236,9 +236,9 @@
         let scene = build(make);
         block_on(async {
             for i in 0..scene.engines() {
-                scene.engine(i).fault(|f| f.full = 1.0);
+                scene.engine(i).fault(|f| f.reject = 1.0);
             }
-            let ask = scene.ask(0, QUICK, prompt(1, 50), 5);
+            let ask = scene.new_request(0, QUICK, prompt(1, 50), 5);
             let end = scene.send(&ask).await.unwrap();
             assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
             let call = ask.request.call_id;
--- a/crates/ivyward-testbed/tests/watch_latency.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -6,7 +6,7 @@
 use futures_lite::future::block_on;
 use ivyward::registration::State;
 use ivyward::watcher::WatcherOptions;
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::event_log::{ClientOutcome, ObservedEvent};
 use ivyward_fakes::Host;
@@ -17,7 +17,7 @@
 /// These tests are about notices: what the machine needs for everything else is not held against the node here. Sends
 /// after a notice are judged as strictly as anywhere.
 fn quiet_about_time(make: &mut ClusterBuilder) {
-    make.patient();
+    make.use_long_deadlines();
     make.flight = 2_000_000;
 }
 
@@ -43,7 +43,7 @@
     doors: usize,
     change: impl FnOnce(&mut WatcherOptions),
 ) -> Rig {
-    let host: Arc<dyn Host> = Arc::new(OwnThreads);
+    let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     let mut store = Store::start(&host, 1).unwrap();
     store.open_endpoints(doors).unwrap();
     let mut make = ClusterBuilder::new(seed, pools(4, 8));
@@ -53,7 +53,7 @@
         ..WatcherOptions::default()
     };
     change(&mut follow);
-    (make.nodes, make.follow) = (nodes, Some(follow));
+    (make.nodes, make.watcher) = (nodes, Some(follow));
     quiet_about_time(&mut make);
     Rig {
         scene: build(make),
@@ -78,7 +78,7 @@
         let id = self.scene.engine(engine).spec().id;
         for node in 0..self.scene.nodes() {
             let node = self.scene.node(node).unwrap().incarnation();
-            self.scene.log.add(ObservedEvent::Told {
+            self.scene.log.add(ObservedEvent::NodeNotified {
                 node,
                 engine: id,
                 ready,
@@ -129,7 +129,7 @@
             self.scene.runtime.run(async move {
                 let mut i = client * 100_000;
                 while !stopped.is_closed() {
-                    let ask = scene.ask(client as usize % 2, QUICK, prompt(i, 40), 4);
+                    let ask = scene.new_request(client as usize % 2, QUICK, prompt(i, 40), 4);
                     scene.send(&ask).await;
                     i += 1;
                     scene.runtime.sleep(2_000).await;
@@ -143,7 +143,7 @@
         for node in 0..2 {
             let end = self
                 .scene
-                .send(&self.scene.ask(node, QUICK, prompt(i, 40), 4))
+                .send(&self.scene.new_request(node, QUICK, prompt(i, 40), 4))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -185,16 +185,17 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.fault(|f| f.mute_watches = true);
+        rig.store.fault(|f| f.suppress_watch_events = true);
         let (stop, done) = rig.load();
         for engine in 4..8 {
             rig.put(engine, State::Draining);
             rig.told(engine, false);
         }
-        rig.until(|rig| rig.scene.audit().rules[2].count > 0).await;
+        rig.until(|rig| rig.scene.audit().rules[2].violation_count > 0)
+            .await;
         drop(stop);
         let _ = done.recv().await;
-        rig.scene.settle(5_000_000).await;
+        rig.scene.wait_until_idle(5_000_000).await;
     });
 }
 
@@ -206,13 +207,13 @@
     block_on(async {
         rig.all_known(12).await;
         // Nothing comes while changes pass, and the history of them is dropped.
-        rig.store.fault(|f| f.mute_watches = true);
+        rig.store.fault(|f| f.suppress_watch_events = true);
         rig.delete(4);
         rig.put(5, State::Draining);
         rig.delete(6);
         rig.put(6, State::Ready);
         rig.store.compact();
-        rig.store.fault(|f| f.mute_watches = false);
+        rig.store.fault(|f| f.suppress_watch_events = false);
         rig.all_known(11).await;
         let gaps = rig.scene.node(0).unwrap().metrics().list_gaps.get();
         assert!(gaps >= 1);
@@ -256,7 +257,7 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.forget();
+        rig.store.reset_empty();
         rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_gaps.get() >= 1))
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
@@ -265,11 +266,11 @@
         rig.all_known(6).await;
         rig.served(2).await;
         // Empty for good: believed in the end, and refused honestly.
-        rig.store.forget();
+        rig.store.reset_empty();
         rig.all_known(0).await;
         let end = rig
             .scene
-            .send(&rig.scene.ask(0, QUICK, prompt(3, 40), 4))
+            .send(&rig.scene.new_request(0, QUICK, prompt(3, 40), 4))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
@@ -294,7 +295,7 @@
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         // A long answer runs while all writers are told to be elsewhere, and come back.
-        let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 400);
+        let ask = rig.scene.new_request(0, QUICK, prompt(1, 40), 400);
         let (one, call) = (rig.scene.clone(), ask.request.call_id);
         let (tell, wait) = async_channel::bounded(1);
         rig.scene.runtime.run(async move {
@@ -302,7 +303,7 @@
         });
         seen(
             &rig.scene,
-            |s| matches!(s, ObservedEvent::Began { call: c } if *c == call),
+            |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
         )
         .await;
         for engine in 4..12 {
@@ -323,7 +324,7 @@
 fn a_kept_list_serves_while_the_store_is_down() {
     let mut rig = rig(200_000);
     let path = std::env::temp_dir().join(format!("ivyward-kept-{}", std::process::id()));
-    let follow = rig.scene.make().follow.clone().unwrap();
+    let follow = rig.scene.builder().watcher.clone().unwrap();
     rig.put_all();
     block_on(async {
         let keeping = WatcherOptions {
@@ -334,7 +335,7 @@
             let runtime = ivyward_runtime::SmolRuntime::start(1, seed);
             let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
             let node =
-                ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
+                ivyward::Node::start(as_ref, rig.scene.builder().settings.clone(), None).unwrap();
             let following = node.clone();
             runtime.run(async move { following.watch_endpoints(follow).await });
             (runtime, node)
@@ -346,7 +347,7 @@
         rig.store.crash();
         let (_second, node) = start(2, keeping);
         rig.until(|_| node.metrics().engines.get() == 12).await;
-        let ask = rig.scene.ask(0, QUICK, prompt(1, 40), 4).request;
+        let ask = rig.scene.new_request(0, QUICK, prompt(1, 40), 4).request;
         assert_eq!(
             node.generate(ask.clone(), Some(2_000_000))
                 .collect()
@@ -372,12 +373,13 @@
     let rig = rig(200_000);
     let folder = std::env::temp_dir().join(format!("ivyward-kept-later-{}", std::process::id()));
     let path = folder.join("engines");
-    let follow = rig.scene.make().follow.clone().unwrap();
+    let follow = rig.scene.builder().watcher.clone().unwrap();
     rig.put_all();
     block_on(async {
         let runtime = ivyward_runtime::SmolRuntime::start(1, 1);
         let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
-        let node = ivyward::Node::start(as_ref, rig.scene.make().settings.clone(), None).unwrap();
+        let node =
+            ivyward::Node::start(as_ref, rig.scene.builder().settings.clone(), None).unwrap();
         let (following, keeping) = (
             node.clone(),
             WatcherOptions {
@@ -456,8 +458,8 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store.fault(|f| f.lag = vec![0, 700_000]);
-        rig.store.set_observer(rig.scene.witness());
+        rig.store.fault(|f| f.watch_delays = vec![0, 700_000]);
+        rig.store.set_observer(rig.scene.store_observer());
         let (stop, done) = rig.load();
         for engine in 4..8 {
             rig.put(engine, State::Draining);
@@ -468,8 +470,8 @@
         clean(&rig.scene).await;
         let all = rig.scene.log.all();
         let told = |engine: u64| -> Vec<u64> {
-            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::Told { engine: e, ready: false, .. } if *e == engine);
-            all.iter().filter(|s| of(&s.what)).map(|s| s.at).collect()
+            let of = |s: &ObservedEvent| matches!(s, ObservedEvent::NodeNotified { engine: e, ready: false, .. } if *e == engine);
+            all.iter().filter(|s| of(&s.event)).map(|s| s.at).collect()
         };
         for engine in 5..9 {
             // Both were told, the second no sooner than its lag after the first.
@@ -501,7 +503,7 @@
         for door in [0, 1] {
             let mut behind = vec![0, 0];
             behind[door] = old;
-            rig.store.fault(|f| f.behind = behind);
+            rig.store.fault(|f| f.stale_revisions = behind);
             for _ in 0..4 {
                 let gaps = rig.scene.node(0).unwrap().metrics().list_gaps.get();
                 // Again and again, for one before the watch stands is missed.
@@ -517,7 +519,7 @@
         }
         let end = rig
             .scene
-            .send(&rig.scene.ask(0, QUICK, prompt(1, 40), 4))
+            .send(&rig.scene.new_request(0, QUICK, prompt(1, 40), 4))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -534,8 +536,8 @@
         let mut rig = rig_of_doors(200_000, 500_000);
         rig.put_all();
         rig.delete(11);
-        rig.store.copy().save(&path).unwrap();
-        let copy = ivyward_fakes::etcd::StoreCopy::load(&path).unwrap();
+        rig.store.snapshot().save(&path).unwrap();
+        let copy = ivyward_fakes::etcd::StoreSnapshot::load(&path).unwrap();
         block_on(async {
             rig.all_known(11).await;
             rig.put(11, State::Ready);
@@ -594,8 +596,9 @@
     rig.put_all();
     block_on(async {
         rig.all_known(12).await;
-        rig.store
-            .fault(|f| (f.rate, f.batch, f.lag) = (200_000, 30_000, vec![20_000]));
+        rig.store.fault(|f| {
+            (f.bytes_per_second, f.batch_interval, f.watch_delays) = (200_000, 30_000, vec![20_000])
+        });
         let (stop, done) = rig.load();
         for round in 0..3 {
             for id in 0..300 {
@@ -653,7 +656,7 @@
     let rig = rig_of(2_000_000, 60_000_000);
     let endpoints = [rig.store.address()];
     for engine in 0..12 {
-        rig.scene.enlist(engine, &endpoints, 3, 0);
+        rig.scene.keep_engine_registered(engine, &endpoints, 3, 0);
     }
     block_on(async {
         rig.all_known(12).await;
@@ -662,12 +665,12 @@
         // Drained by hand, under the lease that it has.
         let key = rig.scene.registration(4, State::Ready, 0).0;
         let value = rig.store.value(&key).unwrap().replace("ready", "draining");
-        rig.store.put_leased(&key, &value);
+        rig.store.put_keeping_lease(&key, &value);
         // The keeper sees the change with its next renewal, of which there are three in a lease's time; then the store
         // loses everything.
         let renewed = rig.store.renewals();
         rig.until(|rig| rig.store.renewals() >= renewed + 40).await;
-        rig.store.forget();
+        rig.store.reset_empty();
         let back = |rig: &Rig| rig.store.keys().len() == 11;
         rig.until(back).await;
         assert!(rig.store.value(&key).unwrap().contains("draining"));
