--- a/crates/ivyward-fakes/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine on a loopback socket: simple service times, slots, a queue and memory, over real HTTP/2.
+//! A fake engine on a loopback socket: a simple model of service times, slots, a queue and KV memory, over real HTTP/2.
 
 use crate::event_log::{AttemptKey, CallKind, EventLog, ObservedEvent, RetentionEnd};
 use crate::faults::{Faults, ResponseFault};
@@ -23,53 +23,56 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{ready, Context, Poll};
 
-/// What an engine does.
+/// Which requests an engine processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Reads prompts.
+    /// Prefill: reads prompts.
     Prefill,
-    /// Writes answers.
+    /// Decode: generates answers.
     Decode,
-    /// Both.
+    /// Prefill and decode.
     Mixed,
 }
 
-/// An engine's make. Times are microseconds.
+/// Configuration of a fake engine. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Its id.
+    /// Engine id.
     pub id: u64,
-    /// What it does.
+    /// Which requests the engine processes.
     pub role: Role,
-    /// Its rack.
+    /// Rack number.
     pub rack: u16,
-    /// Calls at work at once.
+    /// Maximum number of calls processed at the same time.
     pub slots: usize,
-    /// Calls that may wait.
+    /// Maximum number of calls that wait for a slot. Further calls are rejected as full.
     pub queue_limit: usize,
-    /// Prompt tokens a second that it reads, when warm and well.
+    /// Prompt tokens per second that prefill reads on a warm engine without faults.
     pub prefill_rate: f64,
-    /// State tokens a second that it fetches from its own rack; from another a third of it.
+    /// Tokens of KV state per second that the engine fetches from another engine, regardless of racks.
     pub kv_fetch_rate: f64,
-    /// Time from one token to the next.
+    /// Time between two tokens of an answer.
     pub token_interval: Micros,
-    /// Tokens of kept states; past it the oldest are lost.
+    /// Maximum number of tokens in reserved KV states and decode slots. Above it the oldest reservations are lost. Also the
+    /// limit above which the cached prefixes are cleared.
     pub kv_capacity: u64,
-    /// A state or place that nobody fetches or releases is let go after this.
+    /// How long a KV state or decode slot stays reserved if nobody fetches or releases it.
     pub retention: Micros,
-    /// The part of its capacity with which it starts, and the time to warm.
+    /// Share of the capacity with which a cold engine starts, and the time until it is warm.
     pub warm_up: (f64, Micros),
-    /// Pushed over when sent more than this multiple of its present capacity within this span; 0 for never.
+    /// A cold engine crashes if it is sent more than this multiple of its current capacity within this window; a multiple of 0
+    /// disables this.
     pub overload: (f64, Micros),
-    /// Calls a second that it does when warm: the measure for falling over.
+    /// Calls per second that a warm engine completes; the basis for detecting that a cold engine is overloaded.
     pub capacity: f64,
-    /// HTTP/2 streams that it takes at once on a connection.
+    /// Maximum number of concurrent HTTP/2 streams on a connection.
     pub max_streams: u32,
 }
 
 impl EngineSpec {
-    /// One whose times are long beside the pauses of a busy machine, and far enough apart, so that what is learned from
-    /// them leads to the same choices in each run: a prompt of 60 tokens takes 150 ms to be read, and 200 ms to be fetched.
+    /// Returns an engine with service times that are long compared with the scheduling delays of a busy machine, and that
+    /// differ clearly from each other. What a node learns from them then leads to the same choices in each run: a prompt of
+    /// 60 tokens takes 150 ms to read and 200 ms to fetch.
     pub fn steady(id: u64, role: Role) -> EngineSpec {
         EngineSpec {
             prefill_rate: 400.0,
@@ -79,7 +82,7 @@
         }
     }
 
-    /// A small engine with quick answers.
+    /// Returns a small engine with short service times.
     pub fn small(id: u64, role: Role) -> EngineSpec {
         EngineSpec {
             id,
@@ -100,29 +103,30 @@
     }
 }
 
-struct Held {
+struct Reservation {
     tokens: u64,
     at: Micros,
-    place: bool,
+    is_decode_slot: bool,
 }
 
 #[derive(Default)]
 struct State {
     faults: Faults,
     random: u64,
-    held: BTreeMap<(AttemptKey, bool), Held>,
-    /// Openings and sessions that were read here; forgotten all together when memory is full.
-    known: BTreeMap<u64, u64>,
-    /// Keys of idempotent requests that ran here, with their times.
-    ran: BTreeMap<String, Micros>,
+    reservations: BTreeMap<(AttemptKey, bool), Reservation>,
+    /// Tokens of the prompt openings and sessions that are cached here, by key. Cleared as a whole when the limit is exceeded.
+    cached_prefixes: BTreeMap<u64, u64>,
+    /// Idempotency keys of the requests that ran here in the last 60 s, with the times at which they ran.
+    executed_keys: BTreeMap<String, Micros>,
     arrivals: std::collections::VecDeque<Micros>,
     tokens: u64,
     draining: bool,
-    goaways: u64,
-    fallen: bool,
+    goaway_count: u64,
+    /// The process crashed from overload.
+    is_down: bool,
 }
 
-/// An engine's inside, for as long as its process lives.
+/// State of an engine's process. A restart creates a new one.
 struct Inner {
     spec: EngineSpec,
     runtime: RuntimeRef,
@@ -132,27 +136,27 @@
     state: Mutex<State>,
     changed: Event,
     slots: Semaphore,
-    /// Calls at work or waiting.
-    inside: AtomicUsize,
+    /// Number of calls that are processed or wait for a slot.
+    in_flight: AtomicUsize,
     close_all: Event,
 }
 
-/// One call's place among those inside.
-struct Inside<'a>(&'a AtomicUsize);
+/// Counts a call as in flight until dropped.
+struct InFlightGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Inside<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Tells the log that a call ended, however that came.
-struct Open<'a> {
+/// Logs the end of an attempt when dropped, whatever ended it.
+struct AttemptGuard<'a> {
     inner: &'a Inner,
     key: AttemptKey,
 }
 
-impl Drop for Open<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         self.inner.log.add(ObservedEvent::AttemptEnded {
             engine: self.inner.spec.id,
@@ -161,16 +165,16 @@
     }
 }
 
-/// Kills a process.
+/// A function that kills a process.
 pub type Kill = Box<dyn FnOnce() + Send>;
 
-/// The processes of engines: who gives an engine its world and takes it away.
+/// Creates the processes of fakes. Each process has a runtime and can be killed.
 pub trait Host: Send + Sync {
-    /// A new process's world, and what kills it.
+    /// Returns the runtime of a new process, and the function that kills the process.
     fn process(&self, seed: u64) -> (RuntimeRef, Kill);
 }
 
-/// Each process has a thread of its own here.
+/// A host that runs each process on a thread of its own.
 pub struct ThreadPerProcess;
 
 impl Host for ThreadPerProcess {
@@ -180,7 +184,7 @@
     }
 }
 
-/// All processes share one world and cannot be killed: for large fleets that are only to be there.
+/// A host whose processes share one runtime and cannot be killed. Meant for large fleets in which no process fails.
 pub struct SharedRuntime(pub RuntimeRef);
 
 impl Host for SharedRuntime {
@@ -189,7 +193,7 @@
     }
 }
 
-/// An engine that a script holds: it can die and come back under its id and address.
+/// An engine controlled by a script: it can crash, and restart with its id and address.
 pub struct Engine {
     spec: EngineSpec,
     log: EventLog,
@@ -203,7 +207,7 @@
     /// Starts an engine, warm, on a free port of 127.0.0.1.
     ///
     /// # Errors
-    /// When no port can be taken.
+    /// Returns the operating system's error if no port can be bound.
     pub fn start(
         host: &Arc<dyn Host>,
         log: &EventLog,
@@ -214,7 +218,7 @@
     /// Starts an engine, warm, at an address; port 0 for a free one.
     ///
     /// # Errors
-    /// When the port cannot be taken.
+    /// Returns the operating system's error if the port cannot be bound.
     pub fn start_at(
         host: &Arc<dyn Host>,
         log: &EventLog,
@@ -232,21 +236,21 @@
         engine.restart(false)?;
         Ok(engine)
     }
-    /// Its make.
+    /// Returns the engine's configuration.
     pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
-    /// Where it listens.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
-    /// Whether its process runs. One that was pushed over does not, whatever its sockets do.
+    /// Whether the process runs. An engine that crashed from overload does not run, even if its listener is still open.
     pub fn is_running(&self) -> bool {
         self.running
             .as_ref()
-            .is_some_and(|(inner, _)| !inner.lock().fallen)
+            .is_some_and(|(inner, _)| !inner.lock().is_down)
     }
-    /// Kills its process: sockets are reset, everything kept is lost.
+    /// Kills the process: connections are reset and all reservations are lost.
     pub fn crash(&mut self) {
         if let Some((inner, kill)) = self.running.take() {
             kill();
@@ -257,10 +261,10 @@
             });
         }
     }
-    /// Starts its process again, cold or warm, at the old address.
+    /// Restarts the process at the same address, cold or warm.
     ///
     /// # Errors
-    /// When the port cannot be taken.
+    /// Returns the operating system's error if the port cannot be bound.
     pub fn restart(&mut self, cold: bool) -> std::io::Result<()> {
         self.crash();
         self.starts += 1;
@@ -281,7 +285,7 @@
                 ..State::default()
             }),
             changed: Event::new(),
-            inside: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             close_all: Event::new(),
         });
         self.log.add(ObservedEvent::EngineStarted {
@@ -296,7 +300,7 @@
         self.running = Some((inner, kill));
         Ok(())
     }
-    /// Changes what is wrong with it.
+    /// Changes the engine's faults. Does nothing if the engine does not run.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
         let Some((inner, _)) = &self.running else {
             return;
@@ -315,7 +319,7 @@
         }
         inner.changed.notify(usize::MAX);
     }
-    /// Runs a task in its process, which ends with it: a registration, for one.
+    /// Runs a task, such as the engine's registration, in the engine's process. The task ends with the process.
     pub fn spawn_in_process(
         &self,
         task: impl FnOnce(RuntimeRef) -> ivyward_runtime::BoxFuture<()>,
@@ -324,36 +328,36 @@
             inner.runtime.spawn(task(inner.runtime.clone()));
         }
     }
-    /// It takes nothing new from now on, or takes work again.
+    /// Sets whether the engine drains. A draining engine rejects new attempts and reservations.
     pub fn set_draining(&self, on: bool) {
         if let Some((inner, _)) = &self.running {
             inner.lock().draining = on;
         }
     }
-    /// Resets all its connections.
+    /// Resets all connections of the engine.
     pub fn drop_connections(&self) {
         if let Some((inner, _)) = &self.running {
             inner.close_all.notify(usize::MAX);
         }
     }
-    /// Answer tokens that left it since its last start.
+    /// Returns the number of answer tokens sent since the last start.
     pub fn tokens_sent(&self) -> u64 {
         self.running
             .as_ref()
             .map_or(0, |(inner, _)| inner.lock().tokens)
     }
-    /// Tells all callers by GOAWAY that it takes no more streams on their connections.
+    /// Sends GOAWAY on all open connections, after which they accept no new streams.
     pub fn send_goaway(&self) {
         if let Some((inner, _)) = &self.running {
-            inner.lock().goaways += 1;
+            inner.lock().goaway_count += 1;
             inner.changed.notify(usize::MAX);
         }
     }
-    /// States and places that it keeps for requests.
+    /// Returns the number of KV states and decode slots that are reserved for requests.
     pub fn retained_count(&self) -> usize {
         self.running
             .as_ref()
-            .map_or(0, |(inner, _)| inner.lock().held.len())
+            .map_or(0, |(inner, _)| inner.lock().reservations.len())
     }
 }
 
@@ -363,10 +367,10 @@
     }
 }
 
-/// gRPC's status of a call whose time was over.
+/// The gRPC status code of a call whose deadline has passed.
 const DEADLINE_EXCEEDED: u32 = 4;
 
-/// How long a call's caller waits, as its headers say; one that cannot be read says nothing.
+/// Returns how long the caller waits, as stated in the call's headers, or `None` if the header is missing or malformed.
 fn stated_timeout(headers: &HeaderMap) -> Option<Micros> {
     let text = headers.get(TIMEOUT_HEADER)?.to_str().ok()?;
     parse_timeout(text).ok()
@@ -379,42 +383,44 @@
     trailers
 }
 
-fn away(reason: pb::turned_away::Reason) -> pb::TurnedAway {
+fn turned_away(reason: pb::turned_away::Reason) -> pb::TurnedAway {
     pb::TurnedAway {
         reason: reason.into(),
     }
 }
 
-/// A call's answer on its way out. Shared with the one who looks whether its caller left.
+/// The response body of a call. Shared with the task that waits for the caller to reset the stream.
 #[derive(Clone)]
-struct Out(Arc<Mutex<SendStream<Bytes>>>);
+struct ResponseBody(Arc<Mutex<SendStream<Bytes>>>);
 
-impl Out {
+impl ResponseBody {
     fn lock(&self) -> MutexGuard<'_, SendStream<Bytes>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
     async fn send(&self, mut bytes: Bytes) -> Result<(), h2::Error> {
         while !bytes.is_empty() {
-            let room = poll_fn(|cx| {
+            let capacity = poll_fn(|cx| {
                 let mut stream = self.lock();
                 stream.reserve_capacity(bytes.len());
                 match stream.capacity() {
                     0 => stream.poll_capacity(cx),
-                    room => Poll::Ready(Some(Ok(room))),
+                    capacity => Poll::Ready(Some(Ok(capacity))),
                 }
             });
-            let room = room.await.unwrap_or_else(|| Err(Reason::CANCEL.into()))?;
-            let part = bytes.split_to(room.min(bytes.len()));
-            self.lock().send_data(part, false)?;
+            let capacity = capacity
+                .await
+                .unwrap_or_else(|| Err(Reason::CANCEL.into()))?;
+            let chunk = bytes.split_to(capacity.min(bytes.len()));
+            self.lock().send_data(chunk, false)?;
         }
         Ok(())
     }
-    /// Returns when the caller left.
-    async fn left(&self) {
+    /// Returns once the caller has reset the stream.
+    async fn wait_for_reset(&self) {
         let _ = poll_fn(|cx| self.lock().poll_reset(cx)).await;
     }
     fn end(&self, trailers: HeaderMap) {
-        // The caller may have left.
+        // Fails if the caller has reset the stream.
         let _ = self.lock().send_trailers(trailers);
     }
 }
@@ -423,31 +429,32 @@
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    fn chance(&self, share: f64) -> bool {
+    fn draw(&self, probability: f64) -> bool {
         let mut state = self.lock();
         state.random = state
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        ((state.random >> 33) as f64 / (1u64 << 31) as f64) < share
+        ((state.random >> 33) as f64 / (1u64 << 31) as f64) < probability
     }
     fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
     fn lose_all(&self) {
-        let lost: Vec<(AttemptKey, bool)> =
-            std::mem::take(&mut self.lock().held).into_keys().collect();
-        for (key, place) in lost {
+        let lost: Vec<(AttemptKey, bool)> = std::mem::take(&mut self.lock().reservations)
+            .into_keys()
+            .collect();
+        for (key, is_decode_slot) in lost {
             self.log.add(ObservedEvent::Released {
                 engine: self.spec.id,
                 key,
-                is_decode_slot: place,
+                is_decode_slot,
                 how: RetentionEnd::Lost,
             });
         }
     }
-    /// The part of its capacity that it has now.
-    fn share(&self) -> f64 {
+    /// Returns the share of the capacity that the engine has now. It rises linearly during warm-up.
+    fn capacity_share(&self) -> f64 {
         let (start, warm) = self.spec.warm_up;
         let age = self.runtime.now().saturating_sub(self.started);
         if !self.cold || age >= warm {
@@ -455,15 +462,15 @@
         }
         start + (1.0 - start) * age as f64 / warm.max(1) as f64
     }
-    async fn work(&self, span: f64) {
-        let span = span * self.faults().slowness() / self.share();
-        if span >= 1.0 {
-            self.runtime.sleep(span as Micros).await;
+    async fn process(&self, duration: f64) {
+        let duration = duration * self.faults().slowness() / self.capacity_share();
+        if duration >= 1.0 {
+            self.runtime.sleep(duration as Micros).await;
         }
-        self.going().await;
+        self.wait_while_hung().await;
     }
-    /// Waits while it hangs.
-    async fn going(&self) {
+    /// Waits while the engine hangs.
+    async fn wait_while_hung(&self) {
         loop {
             let listener = self.changed.listen();
             if !self.lock().faults.hang {
@@ -474,42 +481,43 @@
     }
 
     async fn accept(self: Arc<Self>, mut listener: Box<dyn ivyward_runtime::Listener>) {
-        // Also while it hangs: the system accepts for a process that does not.
+        // Accepts connections also while the engine hangs, because the operating system accepts them for a hung process.
         loop {
             let Ok((conn, _)) = listener.accept().await else {
                 continue;
             };
-            if self.lock().fallen {
+            if self.lock().is_down {
                 continue;
             }
-            let me = self.clone();
-            self.runtime.run(async move { me.connection(conn).await });
+            let inner = self.clone();
+            self.runtime
+                .run(async move { inner.connection(conn).await });
         }
     }
 
     async fn connection(self: Arc<Self>, mut conn: Conn) {
-        // What dies here dies as a process does.
+        // A crashed process resets its connections.
         conn.reset_on_close();
         let mut builder = h2::server::Builder::new();
         builder
             .max_concurrent_streams(self.spec.max_streams)
             .initial_connection_window_size(4 << 20);
-        let muted = Muted {
+        let conn = StallableConnection {
             conn,
             inner: self.clone(),
-            waiting: BytesMut::new(),
+            pending_output: BytesMut::new(),
         };
-        let Ok(mut h2) = builder.handshake::<_, Bytes>(Io(muted)).await else {
+        let Ok(mut h2) = builder.handshake::<_, Bytes>(Io(conn)).await else {
             return;
         };
-        let mut goaways = self.lock().goaways;
-        // One listener for the whole life, so that no close is missed.
+        let mut goaway_count = self.lock().goaway_count;
+        // Created once for the whole connection, so that no notification is missed between two iterations.
         let mut closing = self.close_all.listen();
         loop {
             let changed = self.changed.listen();
-            if self.lock().goaways != goaways {
-                // Only those that were open then.
-                goaways = self.lock().goaways;
+            if self.lock().goaway_count != goaway_count {
+                // Only connections that were open at the time of the call send GOAWAY.
+                goaway_count = self.lock().goaway_count;
                 h2.graceful_shutdown();
             }
             let next = async { Some(h2.accept().await) };
@@ -517,17 +525,17 @@
                 (&mut closing).await;
                 Some(None)
             };
-            let again = async {
+            let recheck = async {
                 changed.await;
                 None
             };
-            match or(next, or(close, again)).await {
-                // What waited while it hung goes out with the next poll.
+            match or(next, or(close, recheck)).await {
+                // The next poll sends the output that was pending while the engine hung.
                 None => {}
                 Some(Some(Ok((request, respond)))) => {
-                    let me = self.clone();
+                    let inner = self.clone();
                     self.runtime
-                        .run(async move { me.call(request, respond).await });
+                        .run(async move { inner.call(request, respond).await });
                 }
                 Some(Some(Err(_)) | None) => return,
             }
@@ -549,11 +557,11 @@
         }
         let method = path.rsplit('/').next();
         if matches!(method, Some("Fetch" | "Probe")) {
-            self.going().await;
+            self.wait_while_hung().await;
         }
         match method {
             Some("Read") => {
-                self.taken(
+                self.handle_attempt(
                     decoder.pop::<pb::ReadRequest>().ok().flatten(),
                     timeout,
                     respond,
@@ -561,7 +569,7 @@
                 .await
             }
             Some("Write") => {
-                self.taken(
+                self.handle_attempt(
                     decoder.pop::<pb::WriteRequest>().ok().flatten(),
                     timeout,
                     respond,
@@ -569,11 +577,11 @@
                 .await
             }
             Some("Hold") => {
-                self.hold(decoder.pop().ok().flatten(), timeout, respond)
+                self.handle_reserve(decoder.pop().ok().flatten(), timeout, respond)
                     .await
             }
-            Some("Release") => self.release(decoder.pop().ok().flatten(), respond),
-            Some("Fetch") => self.fetched(decoder.pop().ok().flatten(), respond),
+            Some("Release") => self.handle_release(decoder.pop().ok().flatten(), respond),
+            Some("Fetch") => self.handle_fetch(decoder.pop().ok().flatten(), respond),
             Some("Probe") => {
                 let load = Some(self.load());
                 answer(
@@ -584,38 +592,39 @@
                     },
                 );
             }
-            _ => refuse(respond, status(12, "no such method")),
+            _ => respond_status(respond, status(12, "no such method")),
         }
     }
 
-    /// Waits while the engine hangs; `false` when the call was reset meanwhile.
-    async fn going_on(&self, respond: &mut SendResponse<Bytes>) -> bool {
-        let going = async {
-            self.going().await;
+    /// Waits while the engine hangs. Returns `false` if the call was reset meanwhile.
+    async fn wait_while_hung_or_reset(&self, respond: &mut SendResponse<Bytes>) -> bool {
+        let resumed = async {
+            self.wait_while_hung().await;
             true
         };
-        let left = async {
+        let reset = async {
             let _ = poll_fn(|cx| respond.poll_reset(cx)).await;
             false
         };
-        or(going, left).await
+        or(resumed, reset).await
     }
 
-    /// A read or a write, with what may go wrong before it is begun.
-    async fn taken<A: Work>(
+    /// Handles a prefill or decode attempt: applies the faults and checks that precede it, then runs it.
+    async fn handle_attempt<A: AttemptRequest>(
         &self,
-        ask: Option<A>,
+        request: Option<A>,
         timeout: Option<Micros>,
         mut respond: SendResponse<Bytes>,
     ) {
-        let Some((ask, header)) = ask.and_then(|a| a.header().cloned().map(|h| (a, h))) else {
-            return refuse(respond, status(3, "the request is malformed"));
+        let Some((request, header)) = request.and_then(|a| a.header().cloned().map(|h| (a, h)))
+        else {
+            return respond_status(respond, status(3, "the request is malformed"));
         };
         let Some(key) = key(header.key) else {
-            return refuse(respond, status(3, "no attempt key"));
+            return respond_status(respond, status(3, "no attempt key"));
         };
         if header.engine != self.spec.id {
-            return refuse(respond, status(9, "another engine is meant"));
+            return respond_status(respond, status(9, "another engine is meant"));
         }
         let (engine, call) = (self.spec.id, header.call_id);
         self.log.add(ObservedEvent::AttemptArrived {
@@ -625,48 +634,50 @@
             kind: A::KIND,
             timeout,
         });
-        // What its caller no longer waits for is dropped, wherever it stands.
-        let due = timeout.map_or(Micros::MAX, |span| self.runtime.now().saturating_add(span));
-        let _open = Open { inner: self, key };
-        if self.pushed() {
+        // An attempt is dropped at its deadline, whether it is waiting or running.
+        let deadline = timeout.map_or(Micros::MAX, |timeout| {
+            self.runtime.now().saturating_add(timeout)
+        });
+        let _guard = AttemptGuard { inner: self, key };
+        if self.is_overloaded() {
             return;
         }
-        if !self.going_on(&mut respond).await {
+        if !self.wait_while_hung_or_reset(&mut respond).await {
             return;
         }
-        if self.runtime.now() >= due {
-            return refuse(
+        if self.runtime.now() >= deadline {
+            return respond_status(
                 respond,
                 status(DEADLINE_EXCEEDED, "its time was over before it was begun"),
             );
         }
         let faults = self.faults();
-        if self.chance(faults.refuse_stream) {
+        if self.draw(faults.refuse_stream) {
             return respond.send_reset(Reason::REFUSED_STREAM);
         }
-        if self.chance(faults.stall) {
-            // Until the caller gives up.
+        if self.draw(faults.stall) {
+            // Waits until the caller resets the stream.
             let _ = poll_fn(|cx| respond.poll_reset(cx)).await;
             return;
         }
-        let room =
-            self.inside.fetch_add(1, Ordering::SeqCst) < self.spec.slots + self.spec.queue_limit;
-        let _inside = Inside(&self.inside);
+        let has_capacity =
+            self.in_flight.fetch_add(1, Ordering::SeqCst) < self.spec.slots + self.spec.queue_limit;
+        let _in_flight = InFlightGuard(&self.in_flight);
         if self.lock().draining {
-            return self.turn_away::<A>(respond, pb::turned_away::Reason::Draining);
+            return self.reject_attempt::<A>(respond, pb::turned_away::Reason::Draining);
         }
-        if !room || self.chance(faults.reject) {
-            return self.turn_away::<A>(respond, pb::turned_away::Reason::Full);
+        if !has_capacity || self.draw(faults.reject) {
+            return self.reject_attempt::<A>(respond, pb::turned_away::Reason::Full);
         }
-        let twist = faults
+        let response_fault = faults
             .response_fault
-            .filter(|_| self.chance(faults.malformed));
-        let fate = Fate {
-            lose: self.chance(faults.lose_answer),
-            reset: self.chance(faults.reset),
-            twist,
+            .filter(|_| self.draw(faults.malformed));
+        let faults = AttemptFaults {
+            lose_response: self.draw(faults.lose_answer),
+            reset: self.draw(faults.reset),
+            response_fault,
         };
-        // The work ends when its caller leaves.
+        // The attempt ends when its caller resets the stream.
         let response = Response::builder()
             .header("content-type", "application/grpc")
             .body(());
@@ -674,31 +685,32 @@
         let Ok(stream) = respond.send_response(response, false) else {
             return;
         };
-        let out = Out(Arc::new(Mutex::new(stream)));
-        let work = async { Some(ask.run(self, key, &header, &fate, &out).await) };
-        let left = async {
-            out.left().await;
+        let out = ResponseBody(Arc::new(Mutex::new(stream)));
+        let work = async { Some(request.run(self, key, &header, &faults, &out).await) };
+        let reset = async {
+            out.wait_for_reset().await;
             None
         };
-        let over = async {
-            self.runtime.sleep_until(due).await;
+        let timed_out = async {
+            self.runtime.sleep_until(deadline).await;
             Some(Ok(status(DEADLINE_EXCEEDED, "its time is over")))
         };
-        let done = or(work, or(left, over)).await;
-        match done {
+        let end = or(work, or(reset, timed_out)).await;
+        match end {
             None => {}
             Some(Ok(trailers)) => out.end(trailers),
-            Some(Err(Stopped::Reset)) => out.lock().send_reset(Reason::INTERNAL_ERROR),
-            Some(Err(Stopped::Lost)) => out.left().await,
+            Some(Err(Abort::Reset)) => out.lock().send_reset(Reason::INTERNAL_ERROR),
+            Some(Err(Abort::NoResponse)) => out.wait_for_reset().await,
         }
     }
 
-    /// Counts a call against what a cold engine stands; too many and it falls over.
-    fn pushed(&self) -> bool {
+    /// Counts an arrival and returns whether the engine is down from overload. A cold engine crashes if more calls arrive
+    /// within the window than its current capacity allows.
+    fn is_overloaded(&self) -> bool {
         let (multiple, window) = self.spec.overload;
         let now = self.runtime.now();
         let mut state = self.lock();
-        if state.fallen {
+        if state.is_down {
             return true;
         }
         if multiple <= 0.0 || !self.cold || now.saturating_sub(self.started) > self.spec.warm_up.1 {
@@ -712,12 +724,12 @@
         {
             state.arrivals.pop_front();
         }
-        let most = multiple * self.share() * self.spec.capacity * window as f64 / 1e6;
-        // A little slack for chance, as the rule allows.
-        if (state.arrivals.len() as f64) <= most + 2.0 {
+        let limit = multiple * self.capacity_share() * self.spec.capacity * window as f64 / 1e6;
+        // Two calls of slack for chance, as the rule allows.
+        if (state.arrivals.len() as f64) <= limit + 2.0 {
             return false;
         }
-        state.fallen = true;
+        state.is_down = true;
         drop(state);
         self.log.add(ObservedEvent::EngineStopped {
             engine: self.spec.id,
@@ -727,103 +739,120 @@
         true
     }
 
-    fn turn_away<A: Work>(&self, respond: SendResponse<Bytes>, reason: pb::turned_away::Reason) {
-        answer_bytes(respond, A::away(self.spec.id, away(reason)));
+    fn reject_attempt<A: AttemptRequest>(
+        &self,
+        respond: SendResponse<Bytes>,
+        reason: pb::turned_away::Reason,
+    ) {
+        answer_bytes(respond, A::rejection(self.spec.id, turned_away(reason)));
     }
 
     fn load(&self) -> pb::Load {
-        let inside = self.inside.load(Ordering::SeqCst) as f32;
-        let (slots, held) = (
+        let in_flight = self.in_flight.load(Ordering::SeqCst) as f32;
+        let (slots, reserved_tokens) = (
             self.spec.slots as f32,
-            self.lock().held.values().map(|h| h.tokens).sum::<u64>(),
+            self.lock()
+                .reservations
+                .values()
+                .map(|h| h.tokens)
+                .sum::<u64>(),
         );
         pb::Load {
-            outstanding: Some(inside),
-            backlog: Some((inside - slots).max(0.0)),
-            utilization: Some((inside / slots).min(1.0)),
+            outstanding: Some(in_flight),
+            backlog: Some((in_flight - slots).max(0.0)),
+            utilization: Some((in_flight / slots).min(1.0)),
             recent_ms: Some(0.0),
-            memory_share: Some((held as f32 / self.spec.kv_capacity as f32).min(1.0)),
+            memory_share: Some((reserved_tokens as f32 / self.spec.kv_capacity as f32).min(1.0)),
             waiting_ktokens: Some(0.0),
         }
     }
 
-    fn keep(&self, key: AttemptKey, tokens: u64, place: bool) {
+    fn reserve(&self, key: AttemptKey, tokens: u64, is_decode_slot: bool) {
         let mut lost = Vec::new();
         {
             let mut state = self.lock();
-            while state.held.values().map(|h| h.tokens).sum::<u64>() + tokens
+            while state.reservations.values().map(|h| h.tokens).sum::<u64>() + tokens
                 > self.spec.kv_capacity
             {
-                let oldest = state.held.iter().min_by_key(|(_, h)| h.at).map(|(k, _)| *k);
+                let oldest = state
+                    .reservations
+                    .iter()
+                    .min_by_key(|(_, h)| h.at)
+                    .map(|(k, _)| *k);
                 let Some(oldest) = oldest else { break };
-                state.held.remove(&oldest);
+                state.reservations.remove(&oldest);
                 lost.push(oldest);
             }
-            state.held.insert(
-                (key, place),
-                Held {
+            state.reservations.insert(
+                (key, is_decode_slot),
+                Reservation {
                     tokens,
                     at: self.runtime.now(),
-                    place,
+                    is_decode_slot,
                 },
             );
         }
-        for (key, place) in lost {
+        for (key, is_decode_slot) in lost {
             self.log.add(ObservedEvent::Released {
                 engine: self.spec.id,
                 key,
-                is_decode_slot: place,
+                is_decode_slot,
                 how: RetentionEnd::Lost,
             });
         }
         self.log.add(ObservedEvent::Retained {
             engine: self.spec.id,
             key,
-            is_decode_slot: place,
+            is_decode_slot,
         });
     }
 
-    fn let_go(&self, key: AttemptKey, place: bool, how: RetentionEnd) -> Option<u64> {
-        let held = self.lock().held.remove(&(key, place))?;
+    fn release_reservation(
+        &self,
+        key: AttemptKey,
+        is_decode_slot: bool,
+        how: RetentionEnd,
+    ) -> Option<u64> {
+        let reservation = self.lock().reservations.remove(&(key, is_decode_slot))?;
         self.log.add(ObservedEvent::Released {
             engine: self.spec.id,
             key,
-            is_decode_slot: place,
+            is_decode_slot,
             how,
         });
-        Some(held.tokens)
+        Some(reservation.tokens)
     }
 
     async fn expire(self: Arc<Self>) {
         loop {
             self.runtime.sleep(self.spec.retention / 8 + 1).await;
             let now = self.runtime.now();
-            let old = |h: &Held| now.saturating_sub(h.at) >= self.spec.retention;
-            let gone: Vec<(AttemptKey, bool)> = self
+            let old = |h: &Reservation| now.saturating_sub(h.at) >= self.spec.retention;
+            let expired: Vec<(AttemptKey, bool)> = self
                 .lock()
-                .held
+                .reservations
                 .iter()
                 .filter(|(_, h)| old(h))
-                .map(|((k, _), h)| (*k, h.place))
+                .map(|((k, _), h)| (*k, h.is_decode_slot))
                 .collect();
-            for (key, place) in gone {
-                self.let_go(key, place, RetentionEnd::Expired);
+            for (key, is_decode_slot) in expired {
+                self.release_reservation(key, is_decode_slot, RetentionEnd::Expired);
             }
         }
     }
 
-    async fn hold(
+    async fn handle_reserve(
         &self,
-        ask: Option<pb::HoldRequest>,
+        request: Option<pb::HoldRequest>,
         timeout: Option<Micros>,
         mut respond: SendResponse<Bytes>,
     ) {
-        let header = ask.as_ref().and_then(|a| a.header.clone());
-        let (Some(ask), Some(header)) = (ask, header) else {
-            return refuse(respond, status(3, "malformed"));
+        let header = request.as_ref().and_then(|a| a.header.clone());
+        let (Some(request), Some(header)) = (request, header) else {
+            return respond_status(respond, status(3, "malformed"));
         };
         let Some(key) = key(header.key) else {
-            return refuse(respond, status(3, "no attempt key"));
+            return respond_status(respond, status(3, "no attempt key"));
         };
         let (engine, call) = (self.spec.id, header.call_id);
         self.log.add(ObservedEvent::AttemptArrived {
@@ -833,16 +862,16 @@
             kind: CallKind::Reserve,
             timeout,
         });
-        // It crossed the socket; while the engine hangs nothing is done for it, nor after a reset.
-        if !self.going_on(&mut respond).await {
+        // The call is logged because it crossed the socket. It is not processed while the engine hangs, nor after a reset.
+        if !self.wait_while_hung_or_reset(&mut respond).await {
             return self.log.add(ObservedEvent::AttemptEnded {
                 engine: self.spec.id,
                 key,
             });
         }
-        let held = !self.lock().draining && self.inside.load(Ordering::SeqCst) < self.spec.slots;
+        let held = !self.lock().draining && self.in_flight.load(Ordering::SeqCst) < self.spec.slots;
         if held {
-            self.keep(key, u64::from(ask.prompt_tokens), true);
+            self.reserve(key, u64::from(request.prompt_tokens), true);
         }
         self.log.add(ObservedEvent::AttemptEnded {
             engine: self.spec.id,
@@ -857,28 +886,31 @@
         );
     }
 
-    /// Acts at once also while it hangs: what counts for the rule is that the release crossed the socket.
-    fn release(&self, ask: Option<pb::ReleaseRequest>, respond: SendResponse<Bytes>) {
-        let key = ask.and_then(|a| key(a.key));
+    /// Releases at once, also while the engine hangs: the rule counts a release once it has crossed the socket.
+    fn handle_release(&self, request: Option<pb::ReleaseRequest>, respond: SendResponse<Bytes>) {
+        let key = request.and_then(|a| key(a.key));
         let released = key.is_some_and(|key| {
-            let gone = [true, false].map(|place| self.let_go(key, place, RetentionEnd::Released));
-            gone.iter().any(Option::is_some)
+            let removed = [true, false].map(|is_decode_slot| {
+                self.release_reservation(key, is_decode_slot, RetentionEnd::Released)
+            });
+            removed.iter().any(Option::is_some)
         });
         answer(respond, &pb::ReleaseReply { released });
     }
 
-    fn fetched(&self, ask: Option<pb::FetchRequest>, respond: SendResponse<Bytes>) {
-        let lose = self.lock().faults.drop_states;
-        let how = if lose {
+    fn handle_fetch(&self, request: Option<pb::FetchRequest>, respond: SendResponse<Bytes>) {
+        let lose_state = self.lock().faults.drop_states;
+        let how = if lose_state {
             RetentionEnd::Lost
         } else {
             RetentionEnd::Used
         };
-        let tokens = ask
+        let tokens = request
             .and_then(|a| key(a.key))
-            .and_then(|key| self.let_go(key, false, how));
-        let found = tokens.filter(|_| !lose);
-        // A slow link shows at the one who fetches: it is told how long by the tokens.
+            .and_then(|key| self.release_reservation(key, false, how));
+        let found = tokens.filter(|_| !lose_state);
+        // The fetching engine computes the transfer time from the number of tokens, so a slow link is simulated by a higher
+        // number.
         let tokens = found.map_or(0, |t| (t as f64 * self.faults().link_slowness()) as u32);
         answer(
             respond,
@@ -889,8 +921,9 @@
         );
     }
 
-    /// Fetches a state from another engine over a connection of its own.
-    async fn fetch(&self, state: &pb::StateRef) -> Option<u64> {
+    /// Fetches a KV state from another engine over a new connection. Returns its size in tokens, or `None` on failure or after
+    /// 1 s.
+    async fn fetch_state(&self, state: &pb::StateRef) -> Option<u64> {
         let address: SocketAddr = state.address.parse().ok()?;
         let until = self.runtime.now() + 1_000_000;
         let body = encode(&pb::FetchRequest {
@@ -914,83 +947,85 @@
         before(&self.runtime, until, fetch).await?
     }
 
-    /// Prompt tokens that it knows already, and remembers the prompt.
-    fn known(&self, opening: (u64, u32), session: u64, prompt: usize) -> u32 {
+    /// Returns the number of prompt tokens that are already cached, and caches the prompt.
+    fn record_prompt(&self, opening: (u64, u32), session: u64, prompt: usize) -> u32 {
         let mut state = self.lock();
-        if state.known.values().sum::<u64>() > self.spec.kv_capacity {
-            state.known.clear();
+        if state.cached_prefixes.values().sum::<u64>() > self.spec.kv_capacity {
+            state.cached_prefixes.clear();
         }
-        let of = |state: &State, key: u64| state.known.get(&key).copied().unwrap_or(0);
-        let kept = of(&state, session)
+        let length_of =
+            |state: &State, key: u64| state.cached_prefixes.get(&key).copied().unwrap_or(0);
+        let cached = length_of(&state, session)
             .min(prompt as u64)
-            .max(of(&state, opening.0).min(u64::from(opening.1)));
+            .max(length_of(&state, opening.0).min(u64::from(opening.1)));
         for (key, tokens) in [(opening.0, u64::from(opening.1)), (session, prompt as u64)] {
             if key != 0 {
-                state.known.insert(key, tokens);
+                state.cached_prefixes.insert(key, tokens);
             }
         }
-        kept as u32
+        cached as u32
     }
 }
 
-/// A connection of an engine that may hang: it still reads, so that what crosses the socket is seen, but nothing goes
-/// out until the engine goes on. At most [`MOST_MUTED`] bytes wait.
-struct Muted {
+/// A connection of an engine that may hang. While the engine hangs the connection still reads, so that what crosses the
+/// socket is observed, but its output stays pending. Up to [`MAX_PENDING_OUTPUT`] bytes are buffered.
+struct StallableConnection {
     conn: Conn,
     inner: Arc<Inner>,
-    waiting: BytesMut,
+    pending_output: BytesMut,
 }
 
-const MOST_MUTED: usize = 1 << 20;
+/// Pending output, in bytes, above which a connection of a hung engine accepts no more writes.
+const MAX_PENDING_OUTPUT: usize = 1 << 20;
 
-impl Muted {
-    fn hangs(&self) -> bool {
+impl StallableConnection {
+    fn is_hung(&self) -> bool {
         self.inner.lock().faults.hang
     }
-    /// Writes what waits.
-    fn poll_out(&mut self, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        while !self.waiting.is_empty() && !self.hangs() {
-            let put = ready!(Pin::new(&mut self.conn).poll_write(cx, &self.waiting))?;
-            self.waiting.advance(put);
+    /// Writes the pending output, unless the engine hangs.
+    fn poll_pending_output(&mut self, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        while !self.pending_output.is_empty() && !self.is_hung() {
+            let written = ready!(Pin::new(&mut self.conn).poll_write(cx, &self.pending_output))?;
+            self.pending_output.advance(written);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncRead for Muted {
+impl AsyncRead for StallableConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<std::io::Result<usize>> {
-        // An error shows when h2 writes next.
-        let _ = self.poll_out(cx);
+        // A write error is returned again when h2 writes next.
+        let _ = self.poll_pending_output(cx);
         Pin::new(&mut self.conn).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Muted {
+impl AsyncWrite for StallableConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        if self.hangs() || !self.waiting.is_empty() {
-            if self.waiting.len() < MOST_MUTED {
-                self.waiting.extend_from_slice(buf);
-                let _ = self.poll_out(cx);
+        if self.is_hung() || !self.pending_output.is_empty() {
+            if self.pending_output.len() < MAX_PENDING_OUTPUT {
+                self.pending_output.extend_from_slice(buf);
+                let _ = self.poll_pending_output(cx);
                 return Poll::Ready(Ok(buf.len()));
             }
-            ready!(self.poll_out(cx))?;
+            ready!(self.poll_pending_output(cx))?;
             return Poll::Pending;
         }
         Pin::new(&mut self.conn).poll_write(cx, buf)
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        if self.hangs() {
+        if self.is_hung() {
             return Poll::Ready(Ok(()));
         }
-        ready!(self.poll_out(cx))?;
+        ready!(self.poll_pending_output(cx))?;
         Pin::new(&mut self.conn).poll_flush(cx)
     }
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
@@ -998,22 +1033,23 @@
     }
 }
 
-/// What becomes of a call that was begun.
-struct Fate {
-    lose: bool,
+/// Faults that apply to one attempt, drawn before the attempt starts.
+struct AttemptFaults {
+    lose_response: bool,
     reset: bool,
-    twist: Option<ResponseFault>,
+    response_fault: Option<ResponseFault>,
 }
 
-enum Stopped {
+/// How an attempt ends without a complete response.
+enum Abort {
     Reset,
-    Lost,
+    NoResponse,
 }
 
-impl From<h2::Error> for Stopped {
-    fn from(_: h2::Error) -> Stopped {
-        // The caller left; there is nobody to tell.
-        Stopped::Lost
+impl From<h2::Error> for Abort {
+    fn from(_: h2::Error) -> Abort {
+        // The caller has reset the stream, so no response can be sent.
+        Abort::NoResponse
     }
 }
 
@@ -1025,7 +1061,7 @@
     })
 }
 
-/// Answers a call with one message.
+/// Responds with one message and status OK.
 fn answer(respond: SendResponse<Bytes>, message: &impl Message) {
     answer_bytes(respond, encode(message));
 }
@@ -1036,14 +1072,14 @@
         .body(());
     let Ok(response) = response else { return };
     if let Ok(mut stream) = respond.send_response(response, false) {
-        // The caller may have left. Small enough for h2 to hold.
+        // Sending fails if the caller has reset the stream. The message is small enough for h2 to buffer it whole.
         let _ = stream.send_data(bytes, false);
         let _ = stream.send_trailers(status(0, ""));
     }
 }
 
-/// Answers a call with a status alone.
-fn refuse(mut respond: SendResponse<Bytes>, trailers: HeaderMap) {
+/// Responds with a status and no message.
+fn respond_status(mut respond: SendResponse<Bytes>, trailers: HeaderMap) {
     let mut response = Response::new(());
     *response.headers_mut() = trailers;
     response
@@ -1052,31 +1088,31 @@
     let _ = respond.send_response(response, true);
 }
 
-/// A call that takes time: a read or a write.
-trait Work: Sized + Send {
+/// A call that takes a slot: a prefill or a decode.
+trait AttemptRequest: Sized + Send {
     const KIND: CallKind;
     fn header(&self) -> Option<&pb::Header>;
-    fn away(engine: u64, away: pb::TurnedAway) -> Bytes;
+    fn rejection(engine: u64, reason: pb::TurnedAway) -> Bytes;
     fn run(
         self,
         engine: &Inner,
         key: AttemptKey,
         header: &pb::Header,
-        fate: &Fate,
-        out: &Out,
-    ) -> impl std::future::Future<Output = Result<HeaderMap, Stopped>> + Send;
+        faults: &AttemptFaults,
+        out: &ResponseBody,
+    ) -> impl std::future::Future<Output = Result<HeaderMap, Abort>> + Send;
 }
 
-impl Work for pb::ReadRequest {
+impl AttemptRequest for pb::ReadRequest {
     const KIND: CallKind = CallKind::Prefill;
     fn header(&self) -> Option<&pb::Header> {
         self.header.as_ref()
     }
-    fn away(engine: u64, away: pb::TurnedAway) -> Bytes {
+    fn rejection(engine: u64, reason: pb::TurnedAway) -> Bytes {
         encode(&pb::ReadReply {
             engine,
             load: None,
-            result: Some(pb::read_reply::Result::TurnedAway(away)),
+            result: Some(pb::read_reply::Result::TurnedAway(reason)),
         })
     }
     async fn run(
@@ -1084,23 +1120,23 @@
         engine: &Inner,
         key: AttemptKey,
         _: &pb::Header,
-        fate: &Fate,
-        out: &Out,
-    ) -> Result<HeaderMap, Stopped> {
+        faults: &AttemptFaults,
+        out: &ResponseBody,
+    ) -> Result<HeaderMap, Abort> {
         let _slot = engine.slots.acquire().await;
-        let kept_tokens = engine.known(
+        let kept_tokens = engine.record_prompt(
             (self.opening, self.opening_tokens),
             self.session,
             self.prompt.len(),
         );
         let new = self.prompt.len() as f64 - f64::from(kept_tokens);
-        engine.work(new * 1e6 / engine.spec.prefill_rate).await;
-        engine.keep(key, self.prompt.len() as u64, false);
-        if fate.reset {
-            return Err(Stopped::Reset);
+        engine.process(new * 1e6 / engine.spec.prefill_rate).await;
+        engine.reserve(key, self.prompt.len() as u64, false);
+        if faults.reset {
+            return Err(Abort::Reset);
         }
-        if fate.lose {
-            return Err(Stopped::Lost);
+        if faults.lose_response {
+            return Err(Abort::NoResponse);
         }
         let done = pb::read_reply::Result::Done(pb::ReadDone { kept_tokens });
         let mut reply = pb::ReadReply {
@@ -1108,7 +1144,7 @@
             load: Some(engine.load()),
             result: Some(done),
         };
-        match fate.twist {
+        match faults.response_fault {
             Some(ResponseFault::WrongId) => reply.engine ^= 1,
             Some(ResponseFault::Malformed) => {
                 out.send(Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]))
@@ -1128,15 +1164,15 @@
     }
 }
 
-impl Work for pb::WriteRequest {
+impl AttemptRequest for pb::WriteRequest {
     const KIND: CallKind = CallKind::Decode;
     fn header(&self) -> Option<&pb::Header> {
         self.header.as_ref()
     }
-    fn away(engine: u64, away: pb::TurnedAway) -> Bytes {
+    fn rejection(engine: u64, reason: pb::TurnedAway) -> Bytes {
         encode(&pb::WriteEvent {
             engine,
-            event: Some(pb::write_event::Event::TurnedAway(away)),
+            event: Some(pb::write_event::Event::TurnedAway(reason)),
         })
     }
     async fn run(
@@ -1144,60 +1180,63 @@
         engine: &Inner,
         key: AttemptKey,
         header: &pb::Header,
-        fate: &Fate,
-        out: &Out,
-    ) -> Result<HeaderMap, Stopped> {
+        faults: &AttemptFaults,
+        out: &ResponseBody,
+    ) -> Result<HeaderMap, Abort> {
         use pb::write_event::Event;
         let id = engine.spec.id;
-        let say = |event| {
+        let encode_event = |event| {
             encode(&pb::WriteEvent {
                 engine: id,
                 event: Some(event),
             })
         };
         if let Some(state) = self.state.as_ref().and_then(|s| s.key) {
-            let place = AttemptKey {
+            let slot_key = AttemptKey {
                 node: state.node,
                 request: state.request,
                 attempt: state.attempt,
             };
-            engine.let_go(place, true, RetentionEnd::Used);
+            engine.release_reservation(slot_key, true, RetentionEnd::Used);
         }
         let _slot = engine.slots.acquire().await;
         let mut kept_tokens = 0;
         if let Some(state) = &self.state {
-            let Some(tokens) = engine.fetch(state).await else {
-                out.send(Self::away(id, away(pb::turned_away::Reason::StateLost)))
-                    .await?;
+            let Some(tokens) = engine.fetch_state(state).await else {
+                out.send(Self::rejection(
+                    id,
+                    turned_away(pb::turned_away::Reason::StateLost),
+                ))
+                .await?;
                 return Ok(status(0, ""));
             };
             engine
-                .work(tokens as f64 * 1e6 / engine.spec.kv_fetch_rate)
+                .process(tokens as f64 * 1e6 / engine.spec.kv_fetch_rate)
                 .await;
-            engine.known(
+            engine.record_prompt(
                 (self.opening, self.opening_tokens),
                 self.session,
                 self.prompt.len(),
             );
         } else {
-            kept_tokens = engine.known(
+            kept_tokens = engine.record_prompt(
                 (self.opening, self.opening_tokens),
                 self.session,
                 self.prompt.len(),
             );
             let new = self.prompt.len() as f64 - f64::from(kept_tokens);
-            // Read between the steps of its answers: slower than a reader.
+            // A decode engine reads the prompt between the decode steps of other requests, at half the prefill rate.
             engine
-                .work(2.0 * new * 1e6 / engine.spec.prefill_rate)
+                .process(2.0 * new * 1e6 / engine.spec.prefill_rate)
                 .await;
         }
         let repeat = !header.idempotency_key.is_empty() && {
             let (mut state, now) = (engine.lock(), engine.runtime.now());
             state
-                .ran
+                .executed_keys
                 .retain(|_, at| now.saturating_sub(*at) < 60_000_000);
             state
-                .ran
+                .executed_keys
                 .insert(header.idempotency_key.clone(), now)
                 .is_some()
         };
@@ -1208,11 +1247,11 @@
                 call: header.call_id,
             });
         }
-        if fate.lose {
-            return Err(Stopped::Lost);
+        if faults.lose_response {
+            return Err(Abort::NoResponse);
         }
-        if fate.reset {
-            return Err(Stopped::Reset);
+        if faults.reset {
+            return Err(Abort::Reset);
         }
         let digest = text::digest(&self.prompt);
         let length = text::length(digest, self.max_output_tokens);
@@ -1226,9 +1265,9 @@
             let span = engine.spec.token_interval as f64 * engine.faults().slowness();
             if span >= 1.0 {
                 engine.runtime.sleep(span as Micros).await;
-                engine.going().await;
+                engine.wait_while_hung().await;
             }
-            match (fate.twist, index) {
+            match (faults.response_fault, index) {
                 (Some(ResponseFault::WrongId), 0) => {
                     out.send(encode(&pb::WriteEvent {
                         engine: id ^ 1,
@@ -1244,15 +1283,17 @@
                     out.send(Bytes::from_static(&[0, 0x7f, 0xff, 0xff, 0xff]))
                         .await?
                 }
-                (Some(ResponseFault::OutOfOrder), 0) => out.send(say(run(1, 1))).await?,
-                (Some(ResponseFault::DuplicateToken), 1) => out.send(say(run(0, 0))).await?,
-                (Some(ResponseFault::StreamReset), 2) => return Err(Stopped::Reset),
-                (Some(ResponseFault::StreamStalled), 2) => return Err(Stopped::Lost),
+                (Some(ResponseFault::OutOfOrder), 0) => out.send(encode_event(run(1, 1))).await?,
+                (Some(ResponseFault::DuplicateToken), 1) => {
+                    out.send(encode_event(run(0, 0))).await?
+                }
+                (Some(ResponseFault::StreamReset), 2) => return Err(Abort::Reset),
+                (Some(ResponseFault::StreamStalled), 2) => return Err(Abort::NoResponse),
                 (Some(ResponseFault::StatusExhausted), 0) => return Ok(status(8, "slow down")),
                 (Some(ResponseFault::MissingFinalMessage), 2) => return Ok(status(0, "")),
                 _ => {}
             }
-            out.send(say(run(index, index))).await?;
+            out.send(encode_event(run(index, index))).await?;
             engine.lock().tokens += 1;
         }
         let done = pb::WriteDone {
@@ -1260,9 +1301,9 @@
             kept_tokens,
             load: Some(engine.load()),
         };
-        out.send(say(Event::Done(done))).await?;
-        if fate.twist == Some(ResponseFault::TokensAfterEnd) {
-            out.send(say(run(length, 0))).await?;
+        out.send(encode_event(Event::Done(done))).await?;
+        if faults.response_fault == Some(ResponseFault::TokensAfterEnd) {
+            out.send(encode_event(run(length, 0))).await?;
         }
         Ok(status(0, ""))
     }
