--- a/crates/ivyward-fakes/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -60,8 +60,8 @@
     pub retention: Micros,
     /// Share of the capacity with which a cold engine starts, and the time until it is warm.
     pub warm_up: (f64, Micros),
-    /// A cold engine crashes if it is sent more than this multiple of its current capacity within this window; a multiple of 0
-    /// disables this.
+    /// A cold engine crashes if it is sent more than this multiple of its current capacity within this window; a multiple of
+    /// 0 disables this.
     pub overload: (f64, Micros),
     /// Calls per second that a warm engine completes; the basis for detecting that a cold engine is overloaded.
     pub capacity: f64,
@@ -114,7 +114,8 @@
     faults: Faults,
     random: u64,
     reservations: BTreeMap<(AttemptKey, bool), Reservation>,
-    /// Tokens of the prompt openings and sessions that are cached here, by key. Cleared as a whole when the limit is exceeded.
+    /// Tokens of the prompt openings and sessions that are cached here, by key. Cleared as a whole when the limit is
+    /// exceeded.
     cached_prefixes: BTreeMap<u64, u64>,
     /// Idempotency keys of the requests that ran here in the last 60 s, with the times at which they ran.
     executed_keys: BTreeMap<String, Micros>,
@@ -921,8 +922,8 @@
         );
     }
 
-    /// Fetches a KV state from another engine over a new connection. Returns its size in tokens, or `None` on failure or after
-    /// 1 s.
+    /// Fetches a KV state from another engine over a new connection. Returns its size in tokens, or `None` on failure or
+    /// after 1 s.
     async fn fetch_state(&self, state: &pb::StateRef) -> Option<u64> {
         let address: SocketAddr = state.address.parse().ok()?;
         let until = self.runtime.now() + 1_000_000;
--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -285,7 +285,8 @@
         })
     }
 
-    /// Writes an existing key without changing its lease. Writes nothing if the key does not exist. Returns the new revision.
+    /// Writes an existing key without changing its lease. Writes nothing if the key does not exist. Returns the new
+    /// revision.
     pub fn put_keeping_lease(&self, key: &str, value: &str) -> i64 {
         self.shared.change(|state| {
             state.revision += 1;
--- a/crates/ivyward-fakes/src/event_log.rs
+++ b/crates/ivyward-fakes/src/event_log.rs
@@ -1,288 +1,290 @@
-//! What engines, clients and the script saw, in one log with one clock.
+//! A log of what engines, clients and the test script observed, timed by one clock.
 
 use ivyward_runtime::{Micros, RuntimeRef};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 
-/// An attempt, as nodes name it to engines.
+/// Identifies an attempt, as nodes state it to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
-    /// The node's run.
+    /// The run of the node's process, unique among all runs of all nodes.
     pub node: u64,
-    /// Its request.
+    /// The request, unique within the run.
     pub request: u64,
-    /// The attempt.
+    /// The attempt, unique within the request.
     pub attempt: u32,
 }
 
-/// What a call to an engine asks.
+/// The operation that a call to an engine requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// To read a prompt.
+    /// Read a prompt.
     Prefill,
-    /// To write an answer.
+    /// Generate an answer.
     Decode,
-    /// To hold a place.
+    /// Reserve a decode slot.
     Reserve,
 }
 
-/// How far a class may be repeated, as the auditor must know it.
+/// How requests of a class may be repeated, as far as the rule checker needs to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallIdempotency {
-    /// Freely.
+    /// Any number of times.
     Idempotent,
-    /// Engines drop repeats of its key for so long, each in its group: all engines, a zone or a cell.
+    /// Engines in the scope drop repeats of the request's idempotency key for this duration, in microseconds.
     WithKey(Micros, KeyScope),
-    /// Never twice.
+    /// The request must not run more than once.
     NonIdempotent,
 }
 
-/// Which engines drop repeats of a keyed request together.
+/// The engines among which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All.
+    /// All engines.
     All,
-    /// Those of a zone.
+    /// Engines in the same zone.
     Zone,
-    /// Those of a cell.
+    /// Engines in the same rack.
     Rack,
 }
 
-/// How a kept state or held place ended.
+/// How the reservation of a KV state or decode slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetentionEnd {
-    /// Fetched by a writer, or used by the request that held it.
+    /// Fetched by a decode engine, or used by the request that reserved it.
     Used,
-    /// Let go by the node.
+    /// Released by the node.
     Released,
-    /// Let go by the engine's own limit.
+    /// Released by the engine after its retention time.
     Expired,
-    /// Lost: the engine died or dropped it.
+    /// Lost because the engine crashed or dropped it.
     Lost,
 }
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// Served, and all tokens right.
+    /// The complete answer arrived, with the expected tokens.
     Served,
-    /// Refused.
+    /// The node rejected the request.
     Rejected,
-    /// Failed.
+    /// The node reported that the request failed.
     Failed,
     /// The connection to the node broke.
     Unreachable,
-    /// The client left by its own script.
+    /// The client disconnected, as its script says.
     Disconnected,
-    /// The client's patience ended without an answer.
+    /// The client's timeout ended before the answer was complete.
     TimedOut,
-    /// The stream was wrong: a token missing, twice or not as expected, or something after the end.
+    /// The stream was wrong: a token was missing, duplicated or not the expected one, or data followed the end.
     Wrong,
 }
 
-/// One thing seen.
+/// An observed event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ObservedEvent {
-    /// A call came in whole at an engine.
+    /// A complete call arrived at an engine.
     AttemptArrived {
-        /// Where.
+        /// Engine id.
         engine: u64,
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// The client's call.
+        /// Id of the client's call.
         call: u64,
-        /// What it asks.
+        /// The requested operation.
         kind: CallKind,
-        /// How long its answer is waited for, as the call says; counted from here.
+        /// How long the node waits for the response from now on, in microseconds, as stated in the call.
         timeout: Option<Micros>,
     },
-    /// An engine began to do what has an effect.
+    /// An engine started the part of an attempt that has an effect.
     AttemptRan {
-        /// Where.
+        /// Engine id.
         engine: u64,
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// The client's call.
+        /// Id of the client's call.
         call: u64,
     },
-    /// A call ended at an engine, by either side.
+    /// A call ended at an engine, whichever side ended it.
     AttemptEnded {
-        /// Where.
+        /// Engine id.
         engine: u64,
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
     },
-    /// An engine keeps a state, or holds a place, for a request.
+    /// An engine reserved a KV state or a decode slot for a request.
     Retained {
-        /// Where.
+        /// Engine id.
         engine: u64,
-        /// Under whose key.
+        /// The attempt that the reservation belongs to.
         key: AttemptKey,
-        /// A place, not a state.
+        /// Whether a decode slot is reserved; otherwise it is a KV state.
         is_decode_slot: bool,
     },
-    /// It does no longer.
+    /// The reservation of a KV state or decode slot ended.
     Released {
-        /// Where.
+        /// Engine id.
         engine: u64,
-        /// Under whose key.
+        /// The attempt that the reservation belongs to.
         key: AttemptKey,
-        /// A place, not a state.
+        /// Whether a decode slot is reserved; otherwise it is a KV state.
         is_decode_slot: bool,
-        /// How.
+        /// How the reservation ended.
         how: RetentionEnd,
     },
-    /// An engine came up.
+    /// An engine's process started.
     EngineStarted {
-        /// Which.
+        /// Engine id.
         engine: u64,
-        /// It is cold.
+        /// Whether the engine is cold.
         cold: bool,
-        /// Calls a second that it does when warm.
+        /// Calls per second that the engine completes when warm.
         capacity: f64,
     },
-    /// An engine went down.
+    /// An engine's process ended.
     EngineStopped {
-        /// Which.
+        /// Engine id.
         engine: u64,
-        /// Because it was pushed over.
+        /// Whether the process crashed because the engine was cold and overloaded.
         overloaded: bool,
     },
-    /// An engine stands still, or goes on: it neither reads nor answers.
+    /// An engine's process hung, so that it neither processes calls nor responds, or resumed.
     EnginePaused {
-        /// Which.
+        /// Engine id.
         engine: u64,
-        /// It stands.
+        /// Whether the process hangs from now on.
         paused: bool,
     },
-    /// An engine's machine is gone without a word, or there again: what is sent to it meanwhile is out, and nobody sees
-    /// it arrive.
+    /// An engine's machine became unreachable without resetting its connections, or became reachable again. Attempts sent to
+    /// it meanwhile count as pending although no engine observes their arrival.
     EngineUnreachable {
-        /// Which.
+        /// Engine id.
         engine: u64,
-        /// It is gone.
+        /// Whether the machine is unreachable from now on.
         unreachable: bool,
     },
-    /// A client called.
+    /// A client sent a request.
     CallStarted {
-        /// The call.
+        /// Id of the client's call.
         call: u64,
-        /// The same for all tries of one request.
+        /// Id of the request, the same for all of the client's retries.
         operation: u64,
-        /// Which node, as the script counts them.
+        /// Index of the node in the script.
         node: usize,
-        /// How far it may be repeated.
+        /// How the request may be repeated.
         idempotency: CallIdempotency,
-        /// Until when the client waits for its first token; afterwards for the end.
+        /// Until when the client waits: first for the first token, then for the end of the response.
         until: Micros,
     },
-    /// A call's first token came to its client.
+    /// The first token of a call arrived at its client.
     FirstTokenReceived {
-        /// The call.
+        /// Id of the client's call.
         call: u64,
     },
     /// A call ended for its client.
     CallEnded {
-        /// The call.
+        /// Id of the client's call.
         call: u64,
-        /// How.
+        /// How the call ended.
         outcome: ClientOutcome,
     },
-    /// The script told a node that an engine drains, is gone, or is ready again, and the node took it in.
+    /// The script notified a node that an engine drains, was removed, or is ready again, and the node received the
+    /// notification.
     NodeNotified {
-        /// The node's run.
+        /// The run of the node's process.
         node: u64,
-        /// The engine.
+        /// Engine id.
         engine: u64,
-        /// It may be sent new work.
+        /// Whether the engine may be sent new attempts.
         ready: bool,
     },
     /// The script killed a node.
     NodeKilled {
-        /// Which node, as the script counts them.
+        /// Index of the node in the script.
         node: usize,
-        /// Its run.
+        /// The run of the node's process.
         run: u64,
     },
 }
 
-/// One thing seen and when.
+/// An observed event and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoggedEvent {
-    /// Microseconds on the log's clock.
+    /// Time in microseconds on the log's clock.
     pub at: Micros,
-    /// What.
+    /// The event.
     pub event: ObservedEvent,
 }
 
-type Beside = Box<dyn Fn(&LoggedEvent) + Send + Sync>;
+/// Called with each event that is added to a log.
+type Observer = Box<dyn Fn(&LoggedEvent) + Send + Sync>;
 
-/// The log. Clones are handles to the same one. It holds at most [`EventLog::MOST`] entries: a run that would need more
-/// is cut short by [`EventLog::full`].
+/// A log of events. Clones share one log. The log stores at most [`EventLog::MAX_ENTRIES`] events; a run that needs more
+/// ends early, because [`EventLog::is_full`] returns `true`.
 #[derive(Clone)]
 pub struct EventLog {
     runtime: RuntimeRef,
-    seen: Arc<Mutex<Vec<LoggedEvent>>>,
-    beside: Arc<OnceLock<Beside>>,
-    most: usize,
+    events: Arc<Mutex<Vec<LoggedEvent>>>,
+    observer: Arc<OnceLock<Observer>>,
+    max_entries: usize,
 }
 
 impl EventLog {
-    /// Most entries.
-    pub const MOST: usize = 4 << 20;
+    /// Maximum number of stored events.
+    pub const MAX_ENTRIES: usize = 4 << 20;
 
-    /// An empty log with a clock.
+    /// Creates an empty log that reads the time from the runtime's clock.
     pub fn new(runtime: &RuntimeRef) -> EventLog {
         EventLog {
             runtime: runtime.clone(),
-            seen: Arc::default(),
-            beside: Arc::default(),
-            most: EventLog::MOST,
+            events: Arc::default(),
+            observer: Arc::default(),
+            max_entries: EventLog::MAX_ENTRIES,
         }
     }
-    /// A log that keeps nothing, for measurements in which memory counts.
+    /// Creates a log that stores no events, for measurements in which memory matters.
     pub fn without_entries(runtime: &RuntimeRef) -> EventLog {
         EventLog {
-            most: 0,
+            max_entries: 0,
             ..EventLog::new(runtime)
         }
     }
-    /// Adds what is seen now.
-    pub fn add(&self, what: ObservedEvent) {
-        // The clock is read inside the lock, so that entries stand in the order of their times.
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        let one = LoggedEvent {
+    /// Adds an event at the current time.
+    pub fn add(&self, event: ObservedEvent) {
+        // The clock is read inside the lock, so that events are stored in the order of their times.
+        let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
+        let entry = LoggedEvent {
             at: self.runtime.now(),
-            event: what,
+            event,
         };
-        if seen.len() < self.most {
-            seen.push(one);
+        if events.len() < self.max_entries {
+            events.push(entry);
         }
-        drop(seen);
-        if let Some(beside) = self.beside.get() {
-            beside(&one);
+        drop(events);
+        if let Some(observer) = self.observer.get() {
+            observer(&entry);
         }
     }
-    /// Shows everything that is added from now on to one more, as it comes. Meant for worlds of one thread; the first
-    /// one counts.
-    pub fn set_observer(&self, to: impl Fn(&LoggedEvent) + Send + Sync + 'static) {
-        // An error hands back one that came second.
-        let _ = self.beside.set(Box::new(to));
+    /// Calls an observer with each event that is added from now on. Meant for runtimes with one thread. Only the first
+    /// observer is used.
+    pub fn set_observer(&self, observer: impl Fn(&LoggedEvent) + Send + Sync + 'static) {
+        // Fails if an observer is set already.
+        let _ = self.observer.set(Box::new(observer));
     }
-    /// Whether it took all that it takes.
+    /// Whether the log stores its maximum number of events. Later events are not stored.
     pub fn is_full(&self) -> bool {
-        self.seen
+        self.events
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .len()
-            >= self.most
+            >= self.max_entries
     }
-    /// The log's clock.
+    /// Returns the time in microseconds on the log's clock.
     pub fn now(&self) -> Micros {
         self.runtime.now()
     }
-    /// All that was seen so far, in order.
+    /// Returns all stored events in the order of their times.
     pub fn all(&self) -> Vec<LoggedEvent> {
-        self.seen
+        self.events
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
