--- a/crates/ivyward-fakes/src/rule_checker.rs
+++ b/crates/ivyward-fakes/src/rule_checker.rs
@@ -1,4 +1,5 @@
-//! The five rules, checked from what engines, clients and the script saw. A node's own word counts for nothing.
+//! Checks the five rules from the events that engines, clients and the test script observed. What a node itself reports is
+//! not used as evidence.
 
 use crate::event_log::{
     AttemptKey, CallIdempotency, CallKind, ClientOutcome, KeyScope, LoggedEvent, ObservedEvent,
@@ -7,77 +8,80 @@
 use ivyward_runtime::Micros;
 use std::collections::BTreeMap;
 
-/// The rules' figures, and what the auditor allows for things in flight. Times are microseconds.
+/// The limits that the rules state, and the tolerances of the checker. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct RuleLimits {
-    /// What may still be on its way on this machine: between a node's act and the engine's sight of it.
+    /// Longest time on this machine between an action of a node and its observation by an engine.
     pub delivery_allowance: Micros,
-    /// The same for rule 3 alone: between what a node heard and the engine's sight of what it does since.
+    /// For rule 3 only: longest time between a notification of a node and the observation by an engine of what the node does
+    /// after it.
     pub notification_allowance: Micros,
-    /// Rule 3.
+    /// Rule 3: how long after the notification of a drain a node may still send calls to the engine.
     pub drain_grace: Micros,
-    /// Rule 4: multiple and window; the cold engine's start share and time to warm.
+    /// Rule 4: a cold engine may be sent at most this multiple of its current capacity within the window. 0 disables the
+    /// check.
     pub overload_multiple: f64,
-    /// Rule 4's window.
+    /// Rule 4: the window over which calls are counted.
     pub overload_window: Micros,
-    /// The share with which an engine starts.
+    /// Rule 4: share of the capacity with which a cold engine starts.
     pub initial_capacity: f64,
-    /// The time to warm.
+    /// Rule 4: time until a cold engine is warm.
     pub warm_up_duration: Micros,
-    /// Rule 5.
+    /// Rule 5: longest time for which an engine may reserve a KV state or decode slot of a request without a running
+    /// attempt.
     pub release_within: Micros,
-    /// Cell and zone of each engine, for keyed groups.
+    /// Rack and zone of each engine, for requests whose key has the scope of a rack or zone.
     pub locations: BTreeMap<u64, (u16, u8)>,
 }
 
-/// What was found for one rule.
+/// The result of checking one rule.
 #[derive(Clone, Debug, Default)]
 pub struct RuleResult {
-    /// How often it was checked.
+    /// Number of checks.
     pub checked: u64,
-    /// What broke it, the first few in words.
+    /// Descriptions of the first 20 violations.
     pub violations: Vec<String>,
-    /// How often it was broken.
+    /// Number of violations.
     pub violation_count: u64,
 }
 
-/// What was sent to a machine that is gone without a word may be out for so long after it is there again.
-const UNSEEN: Micros = 1_000_000;
-/// How far the time told to an engine may lie past its client's end.
+/// How long an attempt that was sent to an unreachable machine may stay pending after the machine is reachable again.
+const UNREACHABLE_TOLERANCE: Micros = 1_000_000;
+/// How far the deadline stated to an engine may exceed the client's deadline.
 const DEADLINE_SLACK: Micros = 150_000;
-/// Most breaks that are kept in words for each rule.
-const WORDS: usize = 20;
+/// Maximum number of violations that are described for each rule. Further ones are only counted.
+const MAX_DESCRIPTIONS: usize = 20;
 
 impl RuleResult {
-    fn check(&mut self, holds: bool, text: impl FnOnce() -> String) {
+    fn check(&mut self, passed: bool, text: impl FnOnce() -> String) {
         self.checked += 1;
-        if !holds {
+        if !passed {
             self.violation_count += 1;
-            if self.violations.len() < WORDS {
+            if self.violations.len() < MAX_DESCRIPTIONS {
                 self.violations.push(text());
             }
         }
     }
 }
 
-/// What the auditor found.
+/// The results of all checks.
 #[derive(Clone, Debug, Default)]
 pub struct RuleReport {
-    /// The five rules, in their order.
+    /// Results of the five rules, in the order of [`RULES`].
     pub rules: [RuleResult; 5],
-    /// No two attempts out at once.
+    /// Result of the check that no two attempts of a call run at the same time.
     pub overlap: RuleResult,
-    /// No engine is told a deadline past its client's.
+    /// Result of the check that no deadline stated to an engine exceeds its client's.
     pub deadlines: RuleResult,
-    /// The longest overlap seen, in microseconds.
+    /// Longest observed overlap of two attempts of a call, in microseconds.
     pub longest_overlap: Micros,
-    /// Ends of calls as clients heard them.
+    /// Number of calls by outcome, as clients observed it.
     pub outcomes: BTreeMap<&'static str, u64>,
-    /// States let go by engines' own limit.
+    /// Number of reservations that engines released after their retention time.
     pub expired: u64,
 }
 
-/// Names of the rules.
+/// Names of the rules, as printed in reports.
 pub const RULES: [&str; 5] = [
     "no request lost",
     "no effect twice",
@@ -87,10 +91,10 @@
 ];
 
 impl RuleReport {
-    /// Rules that were kept; deadlines past the client's count against the first, attempts side by side against the
-    /// second.
+    /// Returns the number of rules without violations. Exceeded deadlines count against the first rule, overlapping attempts
+    /// against the second.
     pub fn rules_passed(&self) -> usize {
-        let beside = [
+        let related = [
             self.deadlines.violation_count,
             self.overlap.violation_count,
             0,
@@ -99,11 +103,11 @@
         ];
         self.rules
             .iter()
-            .zip(beside)
-            .filter(|(rule, beside)| rule.violation_count + beside == 0)
+            .zip(related)
+            .filter(|(rule, related)| rule.violation_count + related == 0)
             .count()
     }
-    /// All that was found broken, in words.
+    /// Returns descriptions of the violations found, at most 20 for each check.
     pub fn violations(&self) -> Vec<String> {
         let rules = self
             .rules
@@ -128,7 +132,7 @@
     }
 }
 
-struct Try {
+struct AttemptRecord {
     engine: u64,
     kind: CallKind,
     arrived: Micros,
@@ -136,22 +140,22 @@
     call: u64,
 }
 
-struct Call {
+struct CallRecord {
     at: Micros,
     until: Micros,
     operation: u64,
     node: usize,
-    effect: CallIdempotency,
-    heard: Option<(Micros, ClientOutcome)>,
+    idempotency: CallIdempotency,
+    outcome: Option<(Micros, ClientOutcome)>,
 }
 
-/// Checks a whole run. `end` is when the run was over and all that was under way had its time to end.
+/// Checks a completed run. `end` is the time by which all pending calls and attempts had the time to end.
 pub fn check(log: &[LoggedEvent], limits: &RuleLimits, end: Micros) -> RuleReport {
     check_log(log, limits, end, None)
 }
 
-/// Checks a run that goes on: what may still come out right, a call whose client still waits or an attempt that has not
-/// ended, is no break yet.
+/// Checks a run that is still in progress. What can still be completed correctly, such as a call whose client is waiting or
+/// an attempt that has not ended, is not a violation yet.
 pub fn check_so_far(log: &[LoggedEvent], limits: &RuleLimits, now: Micros) -> RuleReport {
     check_log(log, limits, now, Some(now))
 }
@@ -160,91 +164,91 @@
     log: &[LoggedEvent],
     limits: &RuleLimits,
     end: Micros,
-    goes_on: Option<Micros>,
+    now: Option<Micros>,
 ) -> RuleReport {
-    let (mut facts, mut out) = (
-        Facts {
-            goes_on,
-            ..Facts::default()
+    let (mut recorded, mut out) = (
+        RecordedEvents {
+            now,
+            ..RecordedEvents::default()
         },
         RuleReport::default(),
     );
-    for seen in log {
-        facts.take(seen);
-        facts.drains(seen, limits, &mut out);
-        facts.cold(seen, limits, &mut out);
-        facts.deadline(seen, limits, &mut out);
+    for logged in log {
+        recorded.record(logged);
+        recorded.check_drains(logged, limits, &mut out);
+        recorded.check_cold_engine(logged, limits, &mut out);
+        recorded.check_deadline(logged, limits, &mut out);
     }
-    facts
+    recorded
         .calls
         .keys()
-        .for_each(|call| facts.lost(*call, limits, &mut out));
-    facts
+        .for_each(|call| recorded.check_answered(*call, limits, &mut out));
+    recorded
         .operations
         .keys()
-        .for_each(|operation| facts.twice(*operation, limits, &mut out));
-    facts
-        .kept
+        .for_each(|operation| recorded.check_repeats(*operation, limits, &mut out));
+    recorded
+        .reservations
         .iter()
-        .for_each(|kept| facts.pinned(kept, limits, end, &mut out));
-    facts
+        .for_each(|reservation| recorded.check_reservation(reservation, limits, end, &mut out));
+    recorded
         .by_call
         .values()
-        .for_each(|keys| facts.overlaps(keys, limits, &mut out));
+        .for_each(|keys| recorded.check_overlaps(keys, limits, &mut out));
     out
 }
 
-/// The auditor beside a run: after each thing seen it checks what that may have broken. What breaks by time alone (a call
-/// that nobody answers, a state that nobody lets go) is for [`check_so_far`].
+/// Checks the rules during a run: after each event it checks what the event may have violated. Violations that arise from
+/// the passage of time alone (an unanswered call, a reservation that is not released) are found by [`check_so_far`].
 pub struct RuleChecker {
-    facts: Facts,
+    recorded: RecordedEvents,
     limits: RuleLimits,
 }
 
 impl RuleChecker {
-    /// An auditor that has seen nothing.
+    /// Creates a checker that has recorded no events.
     pub fn new(limits: RuleLimits) -> RuleChecker {
         RuleChecker {
-            facts: Facts::default(),
+            recorded: RecordedEvents::default(),
             limits,
         }
     }
-    /// Takes in one more thing seen. What it broke, in words.
-    pub fn step(&mut self, seen: &LoggedEvent) -> Option<String> {
+    /// Records an event. Returns a description of the first violation that it caused, if any.
+    pub fn step(&mut self, logged: &LoggedEvent) -> Option<String> {
         let (limits, mut out) = (&self.limits, RuleReport::default());
-        self.facts.goes_on = Some(seen.at);
-        self.facts.take(seen);
-        let facts = &self.facts;
-        facts.drains(seen, limits, &mut out);
-        facts.cold(seen, limits, &mut out);
-        facts.deadline(seen, limits, &mut out);
-        let mut of_call = |call: u64| {
-            if let Some(known) = facts.calls.get(&call) {
-                facts.lost(call, limits, &mut out);
-                facts.twice(known.operation, limits, &mut out);
+        self.recorded.now = Some(logged.at);
+        self.recorded.record(logged);
+        let recorded = &self.recorded;
+        recorded.check_drains(logged, limits, &mut out);
+        recorded.check_cold_engine(logged, limits, &mut out);
+        recorded.check_deadline(logged, limits, &mut out);
+        let mut check_call = |call: u64| {
+            if let Some(known) = recorded.calls.get(&call) {
+                recorded.check_answered(call, limits, &mut out);
+                recorded.check_repeats(known.operation, limits, &mut out);
             }
-            if let Some(keys) = facts.by_call.get(&call) {
-                facts.overlaps(keys, limits, &mut out);
+            if let Some(keys) = recorded.by_call.get(&call) {
+                recorded.check_overlaps(keys, limits, &mut out);
             }
         };
-        match seen.event {
+        match logged.event {
             ObservedEvent::AttemptArrived { call, .. }
             | ObservedEvent::AttemptRan { call, .. }
-            | ObservedEvent::CallEnded { call, .. } => of_call(call),
-            ObservedEvent::AttemptEnded { key, .. } => facts
-                .tries
+            | ObservedEvent::CallEnded { call, .. } => check_call(call),
+            ObservedEvent::AttemptEnded { key, .. } => recorded
+                .attempts
                 .get(&key)
                 .into_iter()
-                .for_each(|t| of_call(t.call)),
+                .for_each(|t| check_call(t.call)),
             ObservedEvent::Released {
                 engine,
                 key,
-                is_decode_slot: place,
+                is_decode_slot,
                 ..
             } => {
-                let this = |k: &&KeptThing| (k.0, k.1, k.2) == (engine, key, place);
-                if let Some(kept) = facts.kept.iter().rev().find(this) {
-                    facts.pinned(kept, limits, seen.at, &mut out);
+                let this = |k: &&Reservation| (k.0, k.1, k.2) == (engine, key, is_decode_slot);
+                if let Some(reservation) = recorded.reservations.iter().rev().find(this) {
+                    recorded.check_reservation(reservation, limits, logged.at, &mut out);
                 }
             }
             _ => {}
@@ -253,8 +257,8 @@
     }
 }
 
-/// Engine, key, whether a place, since when, and when and how it ended.
-type KeptThing = (
+/// A reservation: engine, attempt, whether it is a decode slot, when it began, and when and how it ended.
+type Reservation = (
     u64,
     AttemptKey,
     bool,
@@ -263,39 +267,41 @@
 );
 
 #[derive(Default)]
-struct Facts {
-    calls: BTreeMap<u64, Call>,
-    tries: BTreeMap<AttemptKey, Try>,
+struct RecordedEvents {
+    calls: BTreeMap<u64, CallRecord>,
+    attempts: BTreeMap<AttemptKey, AttemptRecord>,
     by_call: BTreeMap<u64, Vec<AttemptKey>>,
-    /// Effects by call.
+    /// Attempts that had an effect, by call: time, engine and attempt.
     ran: BTreeMap<u64, Vec<(Micros, u64, AttemptKey)>>,
-    /// Holds by call.
-    holds: BTreeMap<u64, Vec<(Micros, u64)>>,
-    /// Calls by operation.
+    /// Calls to reserve a decode slot, by client call: time and engine.
+    reserve_calls: BTreeMap<u64, Vec<(Micros, u64)>>,
+    /// Client calls by operation.
     operations: BTreeMap<u64, Vec<u64>>,
-    /// Times at which an engine was down, and since when it is.
+    /// Completed periods in which an engine was down.
     down: BTreeMap<u64, Vec<(Micros, Micros)>>,
+    /// Since when an engine is down.
     open_down: BTreeMap<u64, Micros>,
-    /// When an engine last came up, whether cold, and its capacity.
+    /// When an engine last started, whether it was cold, and its capacity when warm.
     up: BTreeMap<u64, (Micros, bool, f64)>,
     arrivals: BTreeMap<u64, Vec<Micros>>,
-    /// Since when a node knows that an engine takes nothing new.
-    told: BTreeMap<(u64, u64), Micros>,
+    /// When a node was notified that an engine takes no new attempts, by node run and engine.
+    drain_notified_at: BTreeMap<(u64, u64), Micros>,
     killed_nodes: Vec<(usize, u64, Micros)>,
-    /// Now, where the run goes on.
-    goes_on: Option<Micros>,
-    /// Spans in which attempts may be out that no engine saw.
-    dark: Vec<(Micros, Micros)>,
-    open_dark: BTreeMap<u64, Micros>,
-    /// Kept things: from, to and how; and which of them are.
-    kept: Vec<KeptThing>,
-    holding: BTreeMap<(u64, AttemptKey, bool), usize>,
+    /// The current time if the run is in progress; `None` if it is complete.
+    now: Option<Micros>,
+    /// Periods in which a machine was unreachable. Attempts sent then may be pending although no engine observed them.
+    unreachable: Vec<(Micros, Micros)>,
+    open_unreachable: BTreeMap<u64, Micros>,
+    /// All reservations, completed and open.
+    reservations: Vec<Reservation>,
+    /// Indexes of the open reservations in the list above.
+    open_reservations: BTreeMap<(u64, AttemptKey, bool), usize>,
 }
 
-impl Facts {
-    fn take(&mut self, seen: &LoggedEvent) {
-        let LoggedEvent { at, event: what } = *seen;
-        match what {
+impl RecordedEvents {
+    fn record(&mut self, logged: &LoggedEvent) {
+        let LoggedEvent { at, event } = *logged;
+        match event {
             ObservedEvent::AttemptArrived {
                 engine,
                 key,
@@ -305,11 +311,14 @@
             } => {
                 self.arrivals.entry(engine).or_default().push(at);
                 if kind == CallKind::Reserve {
-                    self.holds.entry(call).or_default().push((at, engine));
+                    self.reserve_calls
+                        .entry(call)
+                        .or_default()
+                        .push((at, engine));
                 } else {
-                    self.tries.insert(
+                    self.attempts.insert(
                         key,
-                        Try {
+                        AttemptRecord {
                             engine,
                             kind,
                             arrived: at,
@@ -321,7 +330,7 @@
                 }
             }
             ObservedEvent::AttemptEnded { engine, key } => {
-                if let Some(t) = self.tries.get_mut(&key).filter(|t| t.engine == engine) {
+                if let Some(t) = self.attempts.get_mut(&key).filter(|t| t.engine == engine) {
                     t.ended.get_or_insert(at);
                 }
             }
@@ -331,19 +340,24 @@
             ObservedEvent::Retained {
                 engine,
                 key,
-                is_decode_slot: place,
+                is_decode_slot,
             } => {
-                self.holding.insert((engine, key, place), self.kept.len());
-                self.kept.push((engine, key, place, at, None));
+                self.open_reservations
+                    .insert((engine, key, is_decode_slot), self.reservations.len());
+                self.reservations
+                    .push((engine, key, is_decode_slot, at, None));
             }
             ObservedEvent::Released {
                 engine,
                 key,
-                is_decode_slot: place,
+                is_decode_slot,
                 how,
             } => {
-                if let Some(i) = self.holding.remove(&(engine, key, place)) {
-                    self.kept[i].4 = Some((at, how));
+                if let Some(i) = self
+                    .open_reservations
+                    .remove(&(engine, key, is_decode_slot))
+                {
+                    self.reservations[i].4 = Some((at, how));
                 }
             }
             ObservedEvent::EngineStarted {
@@ -358,7 +372,7 @@
             }
             ObservedEvent::EngineStopped { engine, .. } => {
                 self.open_down.entry(engine).or_insert(at);
-                for t in self.tries.values_mut().filter(|t| t.engine == engine) {
+                for t in self.attempts.values_mut().filter(|t| t.engine == engine) {
                     t.ended.get_or_insert(at);
                 }
             }
@@ -366,66 +380,73 @@
                 call,
                 operation,
                 node,
-                idempotency: effect,
+                idempotency,
                 until,
             } => {
                 self.calls.insert(
                     call,
-                    Call {
+                    CallRecord {
                         at,
                         until,
                         operation,
                         node,
-                        effect,
-                        heard: None,
+                        idempotency,
+                        outcome: None,
                     },
                 );
                 self.operations.entry(operation).or_default().push(call);
             }
-            ObservedEvent::CallEnded { call, outcome: how } => {
+            ObservedEvent::CallEnded { call, outcome } => {
                 if let Some(c) = self.calls.get_mut(&call) {
-                    c.heard = Some((at, how));
+                    c.outcome = Some((at, outcome));
                 }
             }
-            // A machine that goes dark once more while it is has been so all the time.
+            // If a machine is reported unreachable twice in a row, the first report counts.
             ObservedEvent::EngineUnreachable {
                 engine,
                 unreachable: true,
             } => {
-                self.open_dark.entry(engine).or_insert(at);
+                self.open_unreachable.entry(engine).or_insert(at);
             }
             ObservedEvent::EngineUnreachable {
                 engine,
                 unreachable: false,
             } => {
-                self.dark
-                    .extend(self.open_dark.remove(&engine).map(|from| (from, at)));
+                self.unreachable
+                    .extend(self.open_unreachable.remove(&engine).map(|from| (from, at)));
             }
             ObservedEvent::NodeKilled { node, run } => self.killed_nodes.push((node, run, at)),
-            // A notice that says the same again does not begin its time anew.
+            // A repeated notification does not restart the drain grace period.
             ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
             } => {
-                self.told.entry((node, engine)).or_insert(at);
+                self.drain_notified_at.entry((node, engine)).or_insert(at);
             }
             ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
-            } => drop(self.told.remove(&(node, engine))),
+            } => drop(self.drain_notified_at.remove(&(node, engine))),
             ObservedEvent::FirstTokenReceived { .. } | ObservedEvent::EnginePaused { .. } => {}
         }
     }
 
-    /// Whether an engine was down, and saw nothing, between two times.
-    fn blind(&self, engine: u64, from: Micros, to: Micros, flight: Micros) -> bool {
+    /// Returns whether an engine was down at some time between `from` and `to`, so that it may have missed events. A period
+    /// without observations lasts for `delivery_allowance` after the engine's restart.
+    fn may_have_missed(
+        &self,
+        engine: u64,
+        from: Micros,
+        to: Micros,
+        delivery_allowance: Micros,
+    ) -> bool {
         self.down
             .get(&engine)
             .into_iter()
             .flatten()
-            .any(|(a, b)| *a <= to && b.saturating_add(flight) >= from)
+            .any(|(a, b)| *a <= to && b.saturating_add(delivery_allowance) >= from)
             || self.open_down.get(&engine).is_some_and(|a| *a <= to)
     }
 
@@ -435,9 +456,9 @@
             .any(|(n, _, at)| *n == node && *at >= from && *at <= to)
     }
 
-    fn lost(&self, id: u64, limits: &RuleLimits, out: &mut RuleReport) {
+    fn check_answered(&self, id: u64, limits: &RuleLimits, out: &mut RuleReport) {
         let call = &self.calls[&id];
-        let name = match call.heard.map(|h| h.1) {
+        let name = match call.outcome.map(|h| h.1) {
             None => "nothing",
             Some(ClientOutcome::Served) => "served",
             Some(ClientOutcome::Rejected) => "refused",
@@ -448,18 +469,18 @@
             Some(ClientOutcome::Wrong) => "wrong",
         };
         *out.outcomes.entry(name).or_default() += 1;
-        let Some((at, how)) = call.heard else {
+        let Some((at, how)) = call.outcome else {
             if self
-                .goes_on
+                .now
                 .is_some_and(|now| now <= call.until.saturating_add(limits.delivery_allowance))
             {
                 return;
             }
-            out.rules[0].check(false, || format!("call {id:x} was never heard of again"));
+            out.rules[0].check(false, || format!("call {id:x} received no response"));
             return;
         };
-        // What a killed node held is the client's to try again.
-        // It may be that the client did not know of it yet when it called.
+        // The client has to retry calls that were pending on a killed node. The client may have sent its call before it
+        // noticed that the node was killed.
         let since = call.at.saturating_sub(limits.delivery_allowance);
         let killed = self.node_killed(
             call.node,
@@ -477,31 +498,31 @@
         out.rules[0].check(answered, || {
             let wait = (call.until - call.at) / 1000;
             format!(
-                "call {id:x} ended as {name} after {} ms of {wait}",
+                "call {id:x} ended as {name} after {} ms of its {wait} ms",
                 (at - call.at) / 1000
             )
         });
-        // Nothing is sent for it afterwards, a hold neither.
-        for (came, engine) in self.holds.get(&id).into_iter().flatten() {
-            let late = *came > at.saturating_add(limits.delivery_allowance);
+        // After the call has ended, no attempt is sent for it and no decode slot is reserved.
+        for (arrived, engine) in self.reserve_calls.get(&id).into_iter().flatten() {
+            let late = *arrived > at.saturating_add(limits.delivery_allowance);
             out.rules[0].check(
-                !late || self.blind(*engine, at, *came, limits.delivery_allowance),
+                !late || self.may_have_missed(*engine, at, *arrived, limits.delivery_allowance),
                 || {
                     format!(
-                        "a hold for call {id:x} came {} ms after its end",
-                        (came - at) / 1000
+                        "a reservation for call {id:x} arrived {} ms after the call ended",
+                        (arrived - at) / 1000
                     )
                 },
             );
         }
         for key in self.by_call.get(&id).into_iter().flatten() {
-            let t = &self.tries[key];
+            let t = &self.attempts[key];
             let late = t.arrived > at.saturating_add(limits.delivery_allowance);
             out.rules[0].check(
-                !late || self.blind(t.engine, at, t.arrived, limits.delivery_allowance),
+                !late || self.may_have_missed(t.engine, at, t.arrived, limits.delivery_allowance),
                 || {
                     format!(
-                        "attempt {} of call {id:x} came {} ms after its end",
+                        "attempt {} of call {id:x} arrived {} ms after the call ended",
                         key.attempt,
                         (t.arrived - at) / 1000
                     )
@@ -510,97 +531,105 @@
         }
     }
 
-    fn twice(&self, operation: u64, limits: &RuleLimits, out: &mut RuleReport) {
+    fn check_repeats(&self, operation: u64, limits: &RuleLimits, out: &mut RuleReport) {
         let calls = &self.operations[&operation];
-        let effect = self.calls[&calls[0]].effect;
+        let idempotency = self.calls[&calls[0]].idempotency;
         let mut ran: Vec<(Micros, u64, AttemptKey)> = calls
             .iter()
             .flat_map(|c| self.ran.get(c).into_iter().flatten())
             .copied()
             .collect();
         ran.sort();
-        let refused = calls
+        let rejected_calls = calls
             .iter()
-            .filter(|c| matches!(self.calls[c].heard, Some((_, ClientOutcome::Rejected))));
-        match effect {
+            .filter(|c| matches!(self.calls[c].outcome, Some((_, ClientOutcome::Rejected))));
+        match idempotency {
             CallIdempotency::Idempotent => out.rules[1].check(true, String::new),
             CallIdempotency::NonIdempotent => {
                 out.rules[1].check(ran.len() <= 1, || {
-                    format!("unsafe request {operation:x} ran {} times", ran.len())
+                    format!(
+                        "non-idempotent request {operation:x} ran {} times",
+                        ran.len()
+                    )
                 });
-                // A refusal says that nothing was done.
-                for call in refused {
-                    let did = self.ran.contains_key(call);
-                    out.rules[1]
-                        .check(!did, || format!("unsafe call {call:x} ran and was refused"));
+                // A rejection promises that the request had no effect.
+                for call in rejected_calls {
+                    let had_effect = self.ran.contains_key(call);
+                    out.rules[1].check(!had_effect, || {
+                        format!("non-idempotent call {call:x} ran although it was rejected")
+                    });
                 }
             }
-            CallIdempotency::WithKey(window, group) => {
-                let place = |e: u64| limits.locations.get(&e).copied().unwrap_or_default();
-                let same = |a: u64, b: u64| match group {
+            CallIdempotency::WithKey(window, scope) => {
+                let location = |e: u64| limits.locations.get(&e).copied().unwrap_or_default();
+                let same = |a: u64, b: u64| match scope {
                     KeyScope::All => true,
-                    KeyScope::Zone => place(a).1 == place(b).1,
-                    KeyScope::Rack => place(a).0 == place(b).0,
+                    KeyScope::Zone => location(a).1 == location(b).1,
+                    KeyScope::Rack => location(a).0 == location(b).0,
                 };
-                // Attempts of one call after one that may have run stay in its group and window.
+                // Once an attempt of a call may have run, later attempts stay in its scope and deduplication window.
                 for call in calls {
                     let Some(first) = self.ran.get(call).and_then(|r| r.first()) else {
                         continue;
                     };
                     let keys = self.by_call.get(call).into_iter().flatten();
                     for key in keys.filter(|k| k.attempt > first.2.attempt) {
-                        let t = &self.tries[key];
+                        let t = &self.attempts[key];
                         if t.kind == CallKind::Decode {
-                            let sent = self.tries.get(&first.2).map_or(first.0, |t| t.arrived);
-                            let inside = same(t.engine, first.1)
+                            let sent = self.attempts.get(&first.2).map_or(first.0, |t| t.arrived);
+                            let in_scope_and_window = same(t.engine, first.1)
                                 && t.arrived.saturating_sub(sent)
                                     <= window.saturating_add(limits.delivery_allowance);
-                            out.rules[1].check(inside, || {
-                                format!("keyed call {call:x} left its group or window")
+                            out.rules[1].check(in_scope_and_window, || {
+                                format!("keyed call {call:x} was repeated outside its key's scope or window")
                             });
                         }
                     }
-                    let said_no =
-                        matches!(self.calls[call].heard, Some((_, ClientOutcome::Rejected)));
-                    out.rules[1].check(!said_no || group == KeyScope::All, || {
-                        format!("keyed call {call:x} ran and was refused, which its group does not allow")
+                    let rejected =
+                        matches!(self.calls[call].outcome, Some((_, ClientOutcome::Rejected)));
+                    out.rules[1].check(!rejected || scope == KeyScope::All, || {
+                        format!("keyed call {call:x} ran although it was rejected, which its key's scope does not allow")
                     });
                 }
             }
         }
     }
 
-    fn drains(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
-        match seen.event {
-            // A notice after which nothing came is a rule kept, too.
+    fn check_drains(&self, logged: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
+        match logged.event {
+            // Counts a check even if no call follows the notification.
             ObservedEvent::NodeNotified { ready: false, .. } => {
                 out.rules[2].check(true, String::new)
             }
             ObservedEvent::AttemptArrived { engine, key, .. } => {
-                let Some(since) = self.told.get(&(key.node, engine)) else {
+                let Some(since) = self.drain_notified_at.get(&(key.node, engine)) else {
                     return;
                 };
                 let by = since
                     .saturating_add(limits.drain_grace)
                     .saturating_add(limits.notification_allowance);
-                let blind = self.blind(engine, *since, seen.at, limits.delivery_allowance);
-                out.rules[2].check(seen.at <= by || blind, || {
-                    let late = (seen.at - since) / 1000;
-                    format!("engine {engine:x} got work {late} ms after its node was told")
+                let may_have_missed =
+                    self.may_have_missed(engine, *since, logged.at, limits.delivery_allowance);
+                out.rules[2].check(logged.at <= by || may_have_missed, || {
+                    let late = (logged.at - since) / 1000;
+                    format!("engine {engine:x} received a call {late} ms after the node was notified of the drain")
                 });
             }
             _ => {}
         }
     }
 
-    fn cold(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
-        let at = seen.at;
-        match seen.event {
+    fn check_cold_engine(&self, logged: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
+        let at = logged.at;
+        match logged.event {
             ObservedEvent::EngineStopped {
                 engine,
                 overloaded: true,
             } => out.rules[3].check(false, || {
-                format!("engine {engine:x} was pushed over at {} ms", at / 1000)
+                format!(
+                    "engine {engine:x} crashed from overload at {} ms",
+                    at / 1000
+                )
             }),
             ObservedEvent::AttemptArrived { engine, .. } => {
                 let Some((up, true, capacity)) = self.up.get(&engine) else {
@@ -611,58 +640,65 @@
                 }
                 let from = (*up).max(at.saturating_sub(limits.overload_window));
                 let here = self.arrivals.get(&engine).into_iter().flatten();
-                let got = here.rev().take_while(|t| **t >= from).count();
+                let received = here.rev().take_while(|t| **t >= from).count();
                 let age = (at - up) as f64 / limits.warm_up_duration.max(1) as f64;
                 let share = limits.initial_capacity + (1.0 - limits.initial_capacity) * age;
-                let most =
+                let limit =
                     limits.overload_multiple * share * capacity * limits.overload_window as f64
                         / 1e6
                         + 2.0;
                 out.rules[3].check(
-                    limits.overload_multiple <= 0.0 || got as f64 <= most,
-                    || format!("cold engine {engine:x} got {got} calls in a window of {most:.0}"),
+                    limits.overload_multiple <= 0.0 || received as f64 <= limit,
+                    || format!("cold engine {engine:x} received {received} calls in a window that allows {limit:.0}"),
                 );
             }
             _ => {}
         }
     }
 
-    /// The time that a call tells its engine ends with the client's, give or take what is allowed.
-    fn deadline(&self, seen: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
+    /// Checks that the timeout stated to an engine does not exceed the client's remaining time by more than the tolerance.
+    fn check_deadline(&self, logged: &LoggedEvent, limits: &RuleLimits, out: &mut RuleReport) {
         let ObservedEvent::AttemptArrived {
             call,
             timeout: Some(timeout),
             engine,
             key,
             ..
-        } = seen.event
+        } = logged.event
         else {
             return;
         };
         let Some(known) = self.calls.get(&call) else {
             return;
         };
-        let left = known.until.saturating_sub(seen.at);
-        // On a busy machine a call may be on its way for longer, and its time was told when it left.
+        let remaining = known.until.saturating_sub(logged.at);
+        // On a busy machine a call may take longer to arrive, and the timeout was stated when it was sent.
         let slack = DEADLINE_SLACK.max(limits.delivery_allowance);
-        out.deadlines.check(timeout <= left.saturating_add(slack), || {
+        out.deadlines.check(timeout <= remaining.saturating_add(slack), || {
             let attempt = key.attempt;
-            format!("engine {engine:x} was told {timeout} us by attempt {attempt} of call {call:x}, {left} us are left")
+            format!("attempt {attempt} of call {call:x} stated a timeout of {timeout} us to engine {engine:x}, but {remaining} us remain")
         });
     }
 
-    fn pinned(&self, kept: &KeptThing, limits: &RuleLimits, end: Micros, out: &mut RuleReport) {
-        let (engine, key, place, from, to) = kept;
+    fn check_reservation(
+        &self,
+        reservation: &Reservation,
+        limits: &RuleLimits,
+        end: Micros,
+        out: &mut RuleReport,
+    ) {
+        let (engine, key, is_decode_slot, from, to) = reservation;
         let how = to.map(|t| t.1);
         if how == Some(RetentionEnd::Expired) {
             out.expired += 1;
         }
-        // A dead node lets go of nothing; engines' own limit does.
+        // A killed node releases nothing; the engine releases the reservation after its retention time.
         if self.killed_nodes.iter().any(|k| k.1 == key.node) {
             return;
         }
         let to = to.map_or(end, |t| t.0);
-        // The request's spans with an attempt out, and the longest time in which it was kept while none was.
+        // The periods in which an attempt of the request was running, and the longest time for which the reservation existed
+        // while none was.
         let (first, last) = (
             AttemptKey { attempt: 0, ..*key },
             AttemptKey {
@@ -670,8 +706,8 @@
                 ..*key
             },
         );
-        let tries = self.tries.range(first..=last);
-        let mut busy: Vec<_> = tries
+        let attempts = self.attempts.range(first..=last);
+        let mut busy: Vec<_> = attempts
             .map(|(_, t)| (t.arrived, t.ended.unwrap_or(end)))
             .collect();
         busy.sort_unstable();
@@ -680,7 +716,7 @@
             longest = longest.max(a.min(to).saturating_sub(free));
             free = free.max(b);
         }
-        let blind = self.blind(
+        let may_have_missed = self.may_have_missed(
             *engine,
             *from,
             to,
@@ -689,31 +725,31 @@
         let allowed = limits
             .release_within
             .saturating_add(limits.delivery_allowance);
-        // An attempt at a machine that is gone without a word is out until its time is over, and no engine saw it.
+        // An attempt sent to an unreachable machine is pending until its timeout ends, and no engine observes it.
         let unseen = self
-            .dark
+            .unreachable
             .iter()
-            .any(|(a, b)| *a <= to && b.saturating_add(UNSEEN) >= *from)
-            || self.open_dark.values().any(|a| *a <= to);
-        out.rules[4].check(longest <= allowed || blind || unseen, || {
-            let what = if *place { "a place" } else { "a state" };
+            .any(|(a, b)| *a <= to && b.saturating_add(UNREACHABLE_TOLERANCE) >= *from)
+            || self.open_unreachable.values().any(|a| *a <= to);
+        out.rules[4].check(longest <= allowed || may_have_missed || unseen, || {
+            let what = if *is_decode_slot { "a decode slot" } else { "a KV state" };
             format!(
-                "engine {engine:x} kept {what} for request {} for {} ms with no attempt out ({how:?}): {}",
+                "engine {engine:x} reserved {what} for request {} for {} ms without a running attempt ({how:?}): {}",
                 key.request,
                 longest / 1000,
-                self.story(key, *from)
+                self.attempt_timeline(key, *from)
             )
         });
     }
 
-    /// What the engines saw of a request's attempts, in milliseconds from a moment.
-    fn story(&self, key: &AttemptKey, zero: Micros) -> String {
+    /// Describes a request's attempts as engines observed them. Times are in milliseconds after `zero`.
+    fn attempt_timeline(&self, key: &AttemptKey, zero: Micros) -> String {
         let ms = |at: Micros| (at as f64 - zero as f64) / 1e3;
-        let of = self
-            .tries
+        let attempts = self
+            .attempts
             .iter()
             .filter(|(k, _)| (k.node, k.request) == (key.node, key.request));
-        let one = |(k, t): (&AttemptKey, &Try)| {
+        let describe = |(k, t): (&AttemptKey, &AttemptRecord)| {
             let ended = t.ended.map_or("open".into(), |at| format!("{:.1}", ms(at)));
             format!(
                 "#{} {:?} at {:x} from {:.1} to {ended}",
@@ -723,33 +759,35 @@
                 ms(t.arrived)
             )
         };
-        of.map(one).collect::<Vec<_>>().join(", ")
+        attempts.map(describe).collect::<Vec<_>>().join(", ")
     }
 
-    fn overlaps(&self, keys: &[AttemptKey], limits: &RuleLimits, out: &mut RuleReport) {
-        let mut tries: Vec<(&AttemptKey, &Try)> =
-            keys.iter().map(|k| (k, &self.tries[k])).collect();
-        tries.sort_by_key(|(k, _)| k.attempt);
-        for pair in tries.windows(2) {
+    fn check_overlaps(&self, keys: &[AttemptKey], limits: &RuleLimits, out: &mut RuleReport) {
+        let mut attempts: Vec<(&AttemptKey, &AttemptRecord)> =
+            keys.iter().map(|k| (k, &self.attempts[k])).collect();
+        attempts.sort_by_key(|(k, _)| k.attempt);
+        for pair in attempts.windows(2) {
             let ((_, a), (_, b)) = (pair[0], pair[1]);
-            let ended = a.ended.or(self.goes_on).unwrap_or(Micros::MAX);
-            let over = ended.saturating_sub(b.arrived);
-            let blind = self.blind(
+            let ended = a.ended.or(self.now).unwrap_or(Micros::MAX);
+            let overlap = ended.saturating_sub(b.arrived);
+            let may_have_missed = self.may_have_missed(
                 a.engine,
                 a.arrived,
                 b.arrived.saturating_add(limits.delivery_allowance),
                 limits.delivery_allowance,
             );
-            if !blind && ended != Micros::MAX {
-                out.longest_overlap = out.longest_overlap.max(over);
+            if !may_have_missed && ended != Micros::MAX {
+                out.longest_overlap = out.longest_overlap.max(overlap);
             }
-            out.overlap
-                .check(over <= limits.delivery_allowance || blind, || {
+            out.overlap.check(
+                overlap <= limits.delivery_allowance || may_have_missed,
+                || {
                     format!(
-                        "call {:x} was at engine {:x} and {:x} at once",
+                        "call {:x} had attempts at engines {:x} and {:x} at the same time",
                         a.call, a.engine, b.engine
                     )
-                });
+                },
+            );
         }
     }
 }
