--- a/crates/ivyward-fakes/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! A scripted client of a node's door: patience, retries, cancels and impatience.
+//! A scripted client of a node's client interface: timeouts, retries, cancellations and disconnects.
 
 use crate::event_log::{CallIdempotency, ClientOutcome, EventLog, ObservedEvent};
 use crate::text;
@@ -11,56 +11,56 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How a client behaves. Times are microseconds.
+/// How a client behaves. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehavior {
-    /// How long it waits for the whole answer.
+    /// How long the client waits for the complete answer.
     pub client_timeout: Micros,
-    /// Leaves without a word after this time.
+    /// The client abandons its call after this time. The call's stream is then reset.
     pub disconnect_after: Option<Micros>,
-    /// Leaves after so many tokens.
+    /// The client abandons its call once it has received this many tokens.
     pub disconnect_at_token: Option<u32>,
-    /// Waits so long before it takes the next message.
+    /// The client waits this long before it reads the next message.
     pub read_pause: Micros,
-    /// Sends no deadline with its call, and waits as long all the same.
+    /// The client does not state its timeout in the call, but applies it all the same.
     pub omit_deadline: bool,
 }
 
-/// A request as a client makes it.
+/// A request as a client sends it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// What is sent; `call_id` names this try.
+    /// The message that is sent. Its `call_id` identifies this call.
     pub request: GenerateRequest,
-    /// The same for all tries of one request.
+    /// Id of the request, the same for all of the client's retries.
     pub operation: u64,
-    /// How far its class may be repeated.
+    /// How requests of the class may be repeated.
     pub idempotency: CallIdempotency,
-    /// Which node, as the script counts them.
+    /// Index of the node in the script.
     pub node: usize,
-    /// The client's ways.
+    /// How the client behaves.
     pub behavior: ClientBehavior,
 }
 
-/// How a try ended, with what a script wants to know.
+/// How a call ended, with the details that scripts check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientResult {
-    /// How.
+    /// How the call ended for the client.
     pub outcome: ClientOutcome,
-    /// gRPC's status code; 0 where none came.
+    /// gRPC status code; 0 if the response ended without a status or with OK.
     pub code: u32,
-    /// What the status said.
+    /// The status message, or a description of the error.
     pub message: String,
-    /// When the refusal says to come back.
+    /// The delay after which the rejection allows a retry, in microseconds.
     pub pushback: Option<Micros>,
-    /// From the call to the first token.
+    /// Time from the start of the call to the first token, in microseconds.
     pub first_token_after: Option<Micros>,
-    /// From the call to the end.
+    /// Time from the start to the end of the call, in microseconds.
     pub duration: Micros,
-    /// Tokens that came.
+    /// Number of tokens received.
     pub tokens: u32,
 }
 
-/// A connection to a node's door.
+/// A connection to a node's client interface.
 #[derive(Clone)]
 pub struct Client {
     runtime: RuntimeRef,
@@ -68,10 +68,10 @@
     channel: Arc<Channel>,
 }
 
-/// The door's one method.
+/// Path of the only method of the client interface.
 pub const GENERATE: &str = "/ivyward.front.v1.Front/Generate";
 
-/// A call's headers that tell the door how long its client waits.
+/// Returns the headers that state a client's timeout to the node.
 pub fn deadline(client_timeout: Micros) -> HeaderMap {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(&encode_timeout(client_timeout)) {
@@ -80,7 +80,7 @@
     headers
 }
 
-/// What a final answer says beside its status: its outcome, and when to come back, in milliseconds.
+/// Returns the metadata of a final status: the name of the outcome, and the delay before a retry in milliseconds.
 pub fn final_metadata(metadata: &HeaderMap) -> (Option<&str>, Option<i64>) {
     let text = |name: &str| metadata.get(name).and_then(|v| v.to_str().ok());
     (
@@ -90,28 +90,28 @@
 }
 
 impl Client {
-    /// Connects to a door.
+    /// Connects to a node.
     ///
     /// # Errors
-    /// What the network says.
+    /// Returns the error of the connection attempt.
     pub async fn connect(
         runtime: &RuntimeRef,
         log: &EventLog,
-        door: SocketAddr,
+        address: SocketAddr,
     ) -> std::io::Result<Client> {
-        Client::connect_with(runtime, log, door, Options::default().stream_window).await
+        Client::connect_with(runtime, log, address, Options::default().stream_window).await
     }
-    /// The same, with so many bytes of each answer that may come before they are read.
+    /// Connects to a node with a limit on the number of bytes of each response that may arrive before they are read.
     ///
     /// # Errors
-    /// What the network says.
+    /// Returns the error of the connection attempt.
     pub async fn connect_with(
         runtime: &RuntimeRef,
         log: &EventLog,
-        door: SocketAddr,
+        address: SocketAddr,
         stream_window: u32,
     ) -> std::io::Result<Client> {
-        let conn = runtime.connect(door).await?;
+        let conn = runtime.connect(address).await?;
         let options = Options {
             streams: 4_096,
             stream_window,
@@ -126,36 +126,40 @@
             channel: Arc::new(channel),
         })
     }
-    /// Whether it may still be used.
+    /// Whether the connection can still be used for new calls.
     pub fn is_usable(&self) -> bool {
         self.channel.is_usable()
     }
-    /// Closes the connection; its calls break.
+    /// Closes the connection. Calls in progress fail.
     pub fn close(&self) {
         self.channel.close();
     }
 
-    /// Makes one try and follows it to its end.
-    pub async fn send(&self, ask: &ClientRequest) -> ClientResult {
-        self.send_until(ask, std::future::pending()).await
+    /// Sends a request and reads its response to the end.
+    pub async fn send(&self, request: &ClientRequest) -> ClientResult {
+        self.send_until(request, std::future::pending()).await
     }
 
-    /// The same; the client leaves without a word as soon as `leave` is over: at an event instead of a time.
+    /// Like [`Client::send`], but the client also abandons its call as soon as `disconnect` completes: at an event instead
+    /// of a time.
     pub async fn send_until(
         &self,
-        ask: &ClientRequest,
-        leave: impl Future<Output = ()>,
+        request: &ClientRequest,
+        disconnect: impl Future<Output = ()>,
     ) -> ClientResult {
-        let (call, began) = (ask.request.call_id, self.runtime.now());
-        let until = began.saturating_add(ask.behavior.client_timeout);
+        let (call, started) = (request.request.call_id, self.runtime.now());
+        let until = started.saturating_add(request.behavior.client_timeout);
         self.log.add(ObservedEvent::CallStarted {
             call,
-            operation: ask.operation,
-            node: ask.node,
-            idempotency: ask.idempotency,
-            until: self.log.now().saturating_add(ask.behavior.client_timeout),
+            operation: request.operation,
+            node: request.node,
+            idempotency: request.idempotency,
+            until: self
+                .log
+                .now()
+                .saturating_add(request.behavior.client_timeout),
         });
-        let mut end = ClientResult {
+        let mut result = ClientResult {
             outcome: ClientOutcome::TimedOut,
             code: 0,
             message: String::new(),
@@ -164,105 +168,111 @@
             duration: 0,
             tokens: 0,
         };
-        let leave_at = ask
+        let disconnect_at = request
             .behavior
             .disconnect_after
-            .map_or(Micros::MAX, |span| began.saturating_add(span));
-        let followed = self.follow(ask, began, &mut end);
-        let how = or(
+            .map_or(Micros::MAX, |span| started.saturating_add(span));
+        let reading = self.read_response(request, started, &mut result);
+        let outcome = or(
             async {
                 Some(
-                    before(&self.runtime, until, followed)
+                    before(&self.runtime, until, reading)
                         .await
                         .unwrap_or(ClientOutcome::TimedOut),
                 )
             },
             async {
-                or(leave, self.runtime.sleep_until(leave_at)).await;
+                or(disconnect, self.runtime.sleep_until(disconnect_at)).await;
                 None
             },
         )
         .await
         .unwrap_or(ClientOutcome::Disconnected);
-        end.outcome = how;
-        end.duration = self.runtime.now() - began;
-        self.log
-            .add(ObservedEvent::CallEnded { call, outcome: how });
-        end
+        result.outcome = outcome;
+        result.duration = self.runtime.now() - started;
+        self.log.add(ObservedEvent::CallEnded { call, outcome });
+        result
     }
 
-    async fn follow(
+    async fn read_response(
         &self,
-        ask: &ClientRequest,
-        began: Micros,
-        end: &mut ClientResult,
+        request: &ClientRequest,
+        started: Micros,
+        result: &mut ClientResult,
     ) -> ClientOutcome {
-        let headers = match ask.behavior.omit_deadline {
+        let headers = match request.behavior.omit_deadline {
             true => HeaderMap::new(),
-            false => deadline(ask.behavior.client_timeout),
+            false => deadline(request.behavior.client_timeout),
         };
         let mut call = match self
             .channel
-            .call(GENERATE, encode(&ask.request), headers)
+            .call(GENERATE, encode(&request.request), headers)
             .await
         {
             Ok(call) => call,
             Err(e) => {
-                end.message = e.to_string();
+                result.message = e.to_string();
                 return ClientOutcome::Unreachable;
             }
         };
-        let digest = text::digest(&ask.request.prompt);
-        let length = text::length(digest, ask.request.max_output_tokens);
+        let digest = text::digest(&request.request.prompt);
+        let length = text::length(digest, request.request.max_output_tokens);
         loop {
             match call.next::<Tokens>().await {
                 Ok(Some(run)) => {
-                    if end.first_token_after.is_none() {
-                        end.first_token_after = Some(self.runtime.now() - began);
+                    if result.first_token_after.is_none() {
+                        result.first_token_after = Some(self.runtime.now() - started);
                         self.log.add(ObservedEvent::FirstTokenReceived {
-                            call: ask.request.call_id,
+                            call: request.request.call_id,
                         });
                     }
-                    let right = run.first_index == end.tokens
+                    let matches_expected = run.first_index == result.tokens
                         && run
                             .ids
                             .iter()
-                            .zip(end.tokens..)
+                            .zip(result.tokens..)
                             .all(|(id, i)| *id == text::token(digest, i));
-                    end.tokens += run.ids.len() as u32;
-                    if !right || end.tokens > length {
-                        end.message = format!("a run from token {} on is wrong", run.first_index);
+                    result.tokens += run.ids.len() as u32;
+                    if !matches_expected || result.tokens > length {
+                        result.message = format!(
+                            "unexpected tokens in the message that starts at token {}",
+                            run.first_index
+                        );
                         return ClientOutcome::Wrong;
                     }
-                    if ask
+                    if request
                         .behavior
                         .disconnect_at_token
-                        .is_some_and(|at| end.tokens >= at)
+                        .is_some_and(|at| result.tokens >= at)
                     {
                         return ClientOutcome::Disconnected;
                     }
-                    if ask.behavior.read_pause > 0 {
-                        self.runtime.sleep(ask.behavior.read_pause).await;
+                    if request.behavior.read_pause > 0 {
+                        self.runtime.sleep(request.behavior.read_pause).await;
                     }
                 }
-                Ok(None) if end.tokens == length => return ClientOutcome::Served,
+                Ok(None) if result.tokens == length => return ClientOutcome::Served,
                 Ok(None) => {
-                    end.message = format!("{} tokens came of {length}", end.tokens);
+                    result.message = format!(
+                        "the response ended after {} of {length} tokens",
+                        result.tokens
+                    );
                     return ClientOutcome::Wrong;
                 }
                 Err(e) => {
-                    end.message = e.to_string();
+                    result.message = e.to_string();
                     let Cause::Status(status) = e.cause else {
                         return ClientOutcome::Unreachable;
                     };
-                    end.code = status.code;
-                    let (said, pushback) = final_metadata(&status.metadata);
+                    result.code = status.code;
+                    let (outcome_name, pushback) = final_metadata(&status.metadata);
                     let detail = status.metadata.contains_key("grpc-status-details-bin");
-                    // Told by code and pushback alone, as any client would; the outcome's name must agree.
-                    let refused =
+                    // The kind of outcome is derived from the status code, pushback and details, as an independent client
+                    // would do. The name of the outcome must agree.
+                    let rejected =
                         matches!(status.code, 8 | 14) && pushback.is_some_and(|p| p >= 0) && detail;
-                    end.pushback = pushback.filter(|_| refused).map(|ms| ms as u64 * 1_000);
-                    return match (refused, said) {
+                    result.pushback = pushback.filter(|_| rejected).map(|ms| ms as u64 * 1_000);
+                    return match (rejected, outcome_name) {
                         (true, Some("refused")) => ClientOutcome::Rejected,
                         (false, Some("failed")) => ClientOutcome::Failed,
                         _ => ClientOutcome::Wrong,
--- a/crates/ivyward-fakes/src/engine.rs
+++ b/crates/ivyward-fakes/src/engine.rs
@@ -464,7 +464,7 @@
         start + (1.0 - start) * age as f64 / warm.max(1) as f64
     }
     async fn process(&self, duration: f64) {
-        let duration = duration * self.faults().slowness() / self.capacity_share();
+        let duration = duration * self.faults().slowdown_factor() / self.capacity_share();
         if duration >= 1.0 {
             self.runtime.sleep(duration as Micros).await;
         }
@@ -912,7 +912,9 @@
         let found = tokens.filter(|_| !lose_state);
         // The fetching engine computes the transfer time from the number of tokens, so a slow link is simulated by a higher
         // number.
-        let tokens = found.map_or(0, |t| (t as f64 * self.faults().link_slowness()) as u32);
+        let tokens = found.map_or(0, |t| {
+            (t as f64 * self.faults().fetch_slowdown_factor()) as u32
+        });
         answer(
             respond,
             &pb::FetchReply {
@@ -1263,7 +1265,7 @@
             })
         };
         for index in 0..length {
-            let span = engine.spec.token_interval as f64 * engine.faults().slowness();
+            let span = engine.spec.token_interval as f64 * engine.faults().slowdown_factor();
             if span >= 1.0 {
                 engine.runtime.sleep(span as Micros).await;
                 engine.wait_while_hung().await;
--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! A small store that speaks etcd's v3 API, written from its public description: revisions, ranges, transactions,
+//! A small store that implements etcd's v3 API, written from the API's public description: revisions, ranges, transactions,
 //! watches with progress and fragments, leases, compaction; and scripted faults.
 //!
 //! - `state`: keys, revisions and history; `transactions` and `leases` build on it.
--- a/crates/ivyward-fakes/src/faults.rs
+++ b/crates/ivyward-fakes/src/faults.rs
@@ -1,66 +1,67 @@
-//! What may be wrong with an engine. A script sets it while the engine runs.
+//! Faults of a fake engine. A test script sets them while the engine runs.
 
-/// An answer that is not what was agreed on.
+/// A response that violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
-    /// Another engine's id.
+    /// The response states another engine's id.
     WrongId,
-    /// Bytes that are no message.
+    /// The response is not a valid message.
     Malformed,
-    /// A message over any limit.
+    /// The response announces a message that exceeds every size limit.
     Oversized,
-    /// The second token before the first.
+    /// The second token is sent before the first.
     OutOfOrder,
-    /// The first token twice.
+    /// The first token is sent twice.
     DuplicateToken,
-    /// Tokens after the last word.
+    /// Tokens are sent after the final message.
     TokensAfterEnd,
     /// The stream is reset after its second token.
     StreamReset,
-    /// The stream stands still after its second token.
+    /// The stream stalls after its second token.
     StreamStalled,
-    /// A status instead of an answer: gRPC's RESOURCE_EXHAUSTED, which proves nothing.
+    /// The response is the gRPC status RESOURCE_EXHAUSTED, which does not prove that the attempt had no effect.
     StatusExhausted,
-    /// The answer ends with OK and without a last word.
+    /// The response ends with status OK but without a final message.
     MissingFinalMessage,
 }
 
-/// What is wrong. Shares are parts of calls, drawn one by one from a seed.
+/// Faults of an engine; none by default. Fields that are shares give the probability, from 0 to 1, that a call is affected.
+/// Each call is drawn from a seeded generator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Accepts connections, and neither reads nor answers.
+    /// The engine accepts connections but neither processes calls nor responds.
     pub hang: bool,
-    /// Calls that are taken and never answered; nothing is run.
+    /// Share of calls that are accepted but neither run nor answered.
     pub stall: f64,
-    /// Calls that are run and whose answer is lost: nothing comes.
+    /// Share of calls that run but are never answered.
     pub lose_answer: f64,
-    /// Calls reset after they came in; they may have run.
+    /// Share of calls whose stream is reset after the attempt may have run.
     pub reset: f64,
-    /// Calls refused by REFUSED_STREAM.
+    /// Share of calls whose stream is reset with REFUSED_STREAM before the attempt runs.
     pub refuse_stream: f64,
-    /// Calls turned away as full.
+    /// Share of calls that are rejected as if the engine were full.
     pub reject: f64,
-    /// Calls answered in a wrong way.
+    /// Share of calls that are answered with `response_fault`.
     pub malformed: f64,
-    /// Which way.
+    /// How the responses of these calls violate the protocol; `None` for no violation.
     pub response_fault: Option<ResponseFault>,
-    /// All work takes this many times as long; 0 stands for 1.
+    /// Factor by which all processing takes longer; 0 means 1.
     pub slowdown: f64,
-    /// Fetches from this engine take this many times as long; 0 stands for 1.
+    /// Factor by which fetches of KV states from this engine take longer; 0 means 1.
     pub fetch_slowdown: f64,
-    /// Every state is lost when it would be fetched.
+    /// Every KV state is lost when another engine tries to fetch it.
     pub drop_states: bool,
 }
 
 impl Faults {
-    pub(crate) fn slowness(&self) -> f64 {
+    pub(crate) fn slowdown_factor(&self) -> f64 {
         if self.slowdown > 0.0 {
             self.slowdown
         } else {
             1.0
         }
     }
-    pub(crate) fn link_slowness(&self) -> f64 {
+    pub(crate) fn fetch_slowdown_factor(&self) -> f64 {
         if self.fetch_slowdown > 0.0 {
             self.fetch_slowdown
         } else {
--- a/crates/ivyward-fakes/src/lib.rs
+++ b/crates/ivyward-fakes/src/lib.rs
@@ -1,12 +1,12 @@
-//! Fakes of engines, stores and clients, and the checker of the five rules.
+//! Fakes of engines, stores and clients for tests, and a checker of the five rules.
 //!
-//! - [`text`]: answers as a function of the prompt.
-//! - [`event_log`]: what engines, clients and the script observed, in one log.
-//! - [`engine`]: an engine on a loopback socket; [`faults`]: what may be wrong with it.
-//! - [`etcd`]: a small store that speaks etcd's API.
-//! - [`client`]: a scripted client of a node's door.
-//! - [`platform`]: engines and discovery of a platform that speaks HTTP/1.1.
-//! - [`rule_checker`]: the five rules, checked from the log.
+//! - [`text`]: computes answers as a function of the prompt.
+//! - [`event_log`]: a log of what engines, clients and the test script observed.
+//! - [`engine`]: an engine on a loopback socket; [`faults`]: the faults that can be injected into it.
+//! - [`etcd`]: a small store that implements etcd's API.
+//! - [`client`]: a scripted client of a node.
+//! - [`platform`]: the engines and discovery service of a platform that uses HTTP/1.1.
+//! - [`rule_checker`]: checks the five rules from the log.
 
 pub mod client;
 pub mod engine;
