--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! A small store that speaks etcd's v3 API, written from its public description: revisions, ranges, transactions,
+//! A small store that implements etcd's v3 API, written from the API's public description: revisions, ranges, transactions,
 //! watches with progress and fragments, leases, compaction; and scripted faults.
 //!
 //! - `state`: keys, revisions and history; `transactions` and `leases` build on it.
@@ -285,7 +285,8 @@
         })
     }
 
-    /// Writes an existing key without changing its lease. Writes nothing if the key does not exist. Returns the new revision.
+    /// Writes an existing key without changing its lease. Writes nothing if the key does not exist. Returns the new
+    /// revision.
     pub fn put_keeping_lease(&self, key: &str, value: &str) -> i64 {
         self.shared.change(|state| {
             state.revision += 1;
