--- a/crates/ivyward-testbed/src/capacity/chart.rs
+++ b/crates/ivyward-testbed/src/capacity/chart.rs
@@ -1,6 +1,6 @@
 //! Cost over size for each role, as SVG.
 
-use crate::capacity::kept::Kept;
+use crate::capacity::measurements::Measurements;
 use crate::capacity::model::fit;
 use crate::capacity::target::{budget, Target};
 use crate::capacity::CapacityError;
@@ -93,14 +93,14 @@
 ///
 /// # Errors
 /// When a figure was not kept, or the picture cannot be drawn.
-pub fn svg(kept: &Kept, target: &Target) -> Result<String, CapacityError> {
+pub fn svg(measurements: &Measurements, target: &Target) -> Result<String, CapacityError> {
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
         area.fill(&WHITE)
             .map_err(|e| CapacityError::Chart(e.to_string()))?;
         for (panel, part) in panels(target).iter().zip(area.split_evenly((2, 3))) {
-            draw(kept, panel, &part)?;
+            draw(measurements, panel, &part)?;
         }
         area.present()
             .map_err(|e| CapacityError::Chart(e.to_string()))?;
@@ -110,9 +110,9 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn draw(kept: &Kept, panel: &Panel, area: &Area<'_>) -> Result<(), CapacityError> {
+fn draw(measurements: &Measurements, panel: &Panel, area: &Area<'_>) -> Result<(), CapacityError> {
     let error = |e: &dyn std::fmt::Display| CapacityError::Chart(e.to_string());
-    let (sweep, line) = fit(kept, panel.quantity, panel.role, panel.figure)?;
+    let (sweep, line) = fit(measurements, panel.quantity, panel.role, panel.figure)?;
     let mut points = Vec::new();
     for point in &sweep.points {
         let figures = point
--- a/crates/ivyward-testbed/src/capacity/command.rs
+++ b/crates/ivyward-testbed/src/capacity/command.rs
@@ -1,6 +1,6 @@
 //! The `capacity` subcommand.
 
-use crate::capacity::kept::Kept;
+use crate::capacity::measurements::Measurements;
 use crate::capacity::rows::{rows, Row};
 use crate::capacity::target::Target;
 use crate::capacity::{chart, table, CapacityError};
@@ -45,11 +45,11 @@
     /// # Errors
     /// When what was kept cannot be read or lacks a figure, or the size cannot be.
     pub fn answer(&self) -> Result<String, CapacityError> {
-        let kept = Kept::load(&self.slopes)?;
-        let rows = rows(&kept, &self.target)?;
+        let measurements = Measurements::load(&self.slopes)?;
+        let rows = rows(&measurements, &self.target)?;
         if let Some(path) = &self.chart {
-            let text = chart::svg(&kept, &self.target)?;
-            std::fs::write(path, text).map_err(|e| CapacityError::Kept {
+            let text = chart::svg(&measurements, &self.target)?;
+            std::fs::write(path, text).map_err(|e| CapacityError::MeasurementFile {
                 path: path.display().to_string(),
                 reason: e.to_string(),
             })?;
--- a/crates/ivyward-testbed/src/capacity/kept.rs
+++ b/crates/ivyward-testbed/src/capacity/measurements.rs
@@ -12,7 +12,7 @@
 
 /// What scale runs kept in a folder.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct Measurements {
     /// By quantity.
     pub sweeps: BTreeMap<Quantity, Sweep>,
     /// The whole run.
@@ -20,7 +20,7 @@
 }
 
 fn read<T: DeserializeOwned>(path: &Path) -> Result<T, CapacityError> {
-    let bad = |reason: String| CapacityError::Kept {
+    let bad = |reason: String| CapacityError::MeasurementFile {
         path: path.display().to_string(),
         reason,
     };
@@ -28,12 +28,12 @@
     serde_json::from_str(&text).map_err(|e| bad(e.to_string()))
 }
 
-impl Kept {
+impl Measurements {
     /// Reads a folder.
     ///
     /// # Errors
     /// When a file is missing or malformed.
-    pub fn load(folder: &Path) -> Result<Kept, CapacityError> {
+    pub fn load(folder: &Path) -> Result<Measurements, CapacityError> {
         let mut sweeps = BTreeMap::new();
         for quantity in Quantity::ALL {
             sweeps.insert(
@@ -41,7 +41,7 @@
                 read(&folder.join(format!("{}.json", quantity.name())))?,
             );
         }
-        Ok(Kept {
+        Ok(Measurements {
             sweeps,
             run: read(&folder.join(RUN))?,
         })
@@ -52,7 +52,7 @@
     /// # Errors
     /// When there is none of that name.
     pub fn part(&self, name: &str) -> Result<&Part, CapacityError> {
-        let missing = || CapacityError::Kept {
+        let missing = || CapacityError::MeasurementFile {
             path: RUN.into(),
             reason: format!("there is no part {name:?}"),
         };
--- a/crates/ivyward-testbed/src/capacity/mod.rs
+++ b/crates/ivyward-testbed/src/capacity/mod.rs
@@ -2,7 +2,7 @@
 //! it reads what scale runs kept.
 //!
 //! - [`target`]: the size that is asked about, and the budgets.
-//! - [`kept`]: what scale runs kept.
+//! - [`measurements`]: what scale runs kept.
 //! - [`model`]: a figure at a size, from a base and slopes.
 //! - [`rows`]: the figures of each role, against budgets.
 //! - [`table`]: the rows as Markdown.
@@ -11,7 +11,8 @@
 
 pub mod chart;
 pub mod command;
-pub mod kept;
+
+pub mod measurements;
 pub mod model;
 pub mod rows;
 pub mod table;
@@ -22,7 +23,7 @@
 pub enum CapacityError {
     /// What was kept cannot be read.
     #[error("{path}: {reason}")]
-    Kept {
+    MeasurementFile {
         /// The file.
         path: String,
         /// What is wrong with it.
--- a/crates/ivyward-testbed/src/capacity/model.rs
+++ b/crates/ivyward-testbed/src/capacity/model.rs
@@ -4,13 +4,13 @@
 //! what the points lie off their line. Everything else is held to be flat, and so is what falls: a cost is not taken to fall
 //! beyond the sizes at which it was seen to.
 
-use crate::capacity::kept::Kept;
+use crate::capacity::measurements::Measurements;
 use crate::capacity::CapacityError;
 use crate::scale::fit::Fit;
 use crate::scale::sweep::{Quantity, Sweep};
 
 /// So many times the residual is what a figure has to grow by for its slope to count.
-const OUT_OF_THE_NOISE: f64 = 2.0;
+const MIN_GROWTH_OVER_RESIDUAL: f64 = 2.0;
 
 /// How much of a quantity a size has.
 pub type Amount = (Quantity, f64);
@@ -20,7 +20,7 @@
 /// # Errors
 /// When the sweep has no such figure.
 pub fn fit<'a>(
-    kept: &'a Kept,
+    measurements: &'a Measurements,
     quantity: Quantity,
     role: &str,
     figure: &str,
@@ -30,7 +30,7 @@
         role: role.to_owned(),
         figure: figure.to_owned(),
     };
-    let sweep = kept.sweeps.get(&quantity).ok_or_else(missing)?;
+    let sweep = measurements.sweeps.get(&quantity).ok_or_else(missing)?;
     let fit = sweep
         .fits
         .get(role)
@@ -44,12 +44,12 @@
 /// # Errors
 /// When the sweep has no such figure.
 pub fn slope(
-    kept: &Kept,
+    measurements: &Measurements,
     quantity: Quantity,
     role: &str,
     figure: &str,
 ) -> Result<f64, CapacityError> {
-    let (sweep, fit) = fit(kept, quantity, role, figure)?;
+    let (sweep, fit) = fit(measurements, quantity, role, figure)?;
     let sizes = || {
         sweep
             .points
@@ -59,7 +59,7 @@
     };
     let range = sizes().fold(f64::MIN, f64::max) - sizes().fold(f64::MAX, f64::min);
     let grows = fit.slope * range;
-    Ok(if grows > OUT_OF_THE_NOISE * fit.residual {
+    Ok(if grows > MIN_GROWTH_OVER_RESIDUAL * fit.residual {
         fit.slope
     } else {
         0.0
@@ -71,17 +71,18 @@
 /// # Errors
 /// When a sweep has no such figure.
 pub fn figure(
-    kept: &Kept,
+    measurements: &Measurements,
     from: Quantity,
     role: &str,
     figure: &str,
     amounts: &[Amount],
 ) -> Result<f64, CapacityError> {
-    let (sweep, fit) = fit(kept, from, role, figure)?;
+    let (sweep, fit) = fit(measurements, from, role, figure)?;
     let base = &sweep.base;
     let mut value = fit.at(amount_of(from, base));
     for (quantity, amount) in amounts {
-        value += slope(kept, *quantity, role, figure)? * (amount - amount_of(*quantity, base));
+        value +=
+            slope(measurements, *quantity, role, figure)? * (amount - amount_of(*quantity, base));
     }
     Ok(value.max(0.0))
 }
--- a/crates/ivyward-testbed/src/capacity/model/tests.rs
+++ b/crates/ivyward-testbed/src/capacity/model/tests.rs
@@ -18,7 +18,7 @@
         };
         points.push(Point {
             value,
-            play: 1,
+            repetition: 1,
             left_out: false,
             roles: Roles::from([("node".into(), rates)]),
         });
@@ -32,7 +32,7 @@
     }
 }
 
-fn kept() -> Kept {
+fn measurements() -> Measurements {
     let sweeps = BTreeMap::from([
         (
             Quantity::Connections,
@@ -43,7 +43,7 @@
             sweep(Quantity::Nodes, |n| 2_450.0 + 12.5 * n as f64),
         ),
     ]);
-    Kept {
+    Measurements {
         sweeps,
         run: Report {
             size: Quantity::Nodes.size(4, 1),
@@ -54,9 +54,16 @@
 
 #[test]
 fn slopes_of_several_quantities_add_up_from_the_base() {
-    let kept = kept();
+    let measurements = measurements();
     let amounts = [(Quantity::Nodes, 104.0), (Quantity::Connections, 1_050.0)];
-    let memory = figure(&kept, Quantity::Nodes, "node", "resident_kib", &amounts).unwrap();
+    let memory = figure(
+        &measurements,
+        Quantity::Nodes,
+        "node",
+        "resident_kib",
+        &amounts,
+    )
+    .unwrap();
     // 2,500 at the base of 4 nodes and 50 connections, 100 nodes and 1,000 connections more.
     assert!(
         (memory - (2_500.0 + 1_250.0 + 30_000.0)).abs() < 1e-6,
@@ -66,13 +73,13 @@
 
 #[test]
 fn a_slope_that_does_not_stand_out_of_the_noise_counts_for_nothing() {
-    let kept = kept();
+    let measurements = measurements();
     assert_eq!(
-        slope(&kept, Quantity::Nodes, "node", "core_percent").unwrap(),
+        slope(&measurements, Quantity::Nodes, "node", "core_percent").unwrap(),
         0.0
     );
     let core = figure(
-        &kept,
+        &measurements,
         Quantity::Nodes,
         "node",
         "core_percent",
@@ -85,12 +92,12 @@
 #[test]
 fn a_figure_that_falls_is_not_taken_to_fall_further() {
     let falling = sweep(Quantity::Nodes, |n| 5_000.0 - 10.0 * n as f64);
-    let kept = Kept {
+    let measurements = Measurements {
         sweeps: BTreeMap::from([(Quantity::Nodes, falling)]),
-        ..kept()
+        ..measurements()
     };
     let memory = figure(
-        &kept,
+        &measurements,
         Quantity::Nodes,
         "node",
         "resident_kib",
@@ -102,12 +109,12 @@
 
 #[test]
 fn what_was_not_kept_is_named() {
-    let error = figure(&kept(), Quantity::Nodes, "node", "temperature", &[]).unwrap_err();
+    let error = figure(&measurements(), Quantity::Nodes, "node", "temperature", &[]).unwrap_err();
     assert_eq!(
         error.to_string(),
         "no temperature of node was kept in the sweep of nodes"
     );
-    let error = slope(&kept(), Quantity::Tenants, "node", "resident_kib").unwrap_err();
+    let error = slope(&measurements(), Quantity::Tenants, "node", "resident_kib").unwrap_err();
     assert_eq!(
         error.to_string(),
         "no resident_kib of node was kept in the sweep of tenants"
--- a/crates/ivyward-testbed/src/capacity/rows.rs
+++ b/crates/ivyward-testbed/src/capacity/rows.rs
@@ -1,6 +1,6 @@
 //! The figures of each role at a size, against the budgets.
 
-use crate::capacity::kept::Kept;
+use crate::capacity::measurements::Measurements;
 use crate::capacity::model::{figure, slope, Amount};
 use crate::capacity::target::{budget, Target};
 use crate::capacity::CapacityError;
@@ -26,9 +26,11 @@
     /// Worked out from slopes that were measured.
     Extrapolated,
     /// Reckoned from other figures and from what is stated.
-    Reckoned,
+    #[serde(rename = "reckoned")]
+    Calculated,
     /// There is no mechanism; the figure is what it takes without one.
-    Missing,
+    #[serde(rename = "missing")]
+    NoMechanism,
 }
 
 /// A figure of a role.
@@ -57,7 +59,7 @@
 
 /// Works figures out at one size.
 struct Worker<'a> {
-    kept: &'a Kept,
+    measurements: &'a Measurements,
     target: &'a Target,
 }
 
@@ -65,9 +67,12 @@
 ///
 /// # Errors
 /// When the size cannot be, or a figure was not kept.
-pub fn rows(kept: &Kept, target: &Target) -> Result<Vec<Row>, CapacityError> {
+pub fn rows(measurements: &Measurements, target: &Target) -> Result<Vec<Row>, CapacityError> {
     target.check()?;
-    let worker = Worker { kept, target };
+    let worker = Worker {
+        measurements,
+        target,
+    };
     let mut rows = worker.node_control()?;
     rows.extend(worker.node_requests()?);
     rows.extend(worker.engine()?);
@@ -138,13 +143,13 @@
             (Quantity::Engines, target.engines),
             (Quantity::Tenants, target.tenants),
             (Quantity::Classes, target.classes),
-            (Quantity::Changes, target.changes_of_an_hour()),
+            (Quantity::Changes, target.changes_per_hour()),
         ]
     }
 
     fn node(&self, name: &str) -> Result<f64, CapacityError> {
         figure(
-            self.kept,
+            self.measurements,
             Quantity::Nodes,
             "node",
             name,
@@ -177,7 +182,8 @@
         let core = self.node("core_percent")?;
         let of_connections = |name| {
             Ok::<f64, CapacityError>(
-                slope(self.kept, Quantity::Connections, "node", name)? * self.target.engines,
+                slope(self.measurements, Quantity::Connections, "node", name)?
+                    * self.target.engines,
             )
         };
         let memory = self.node("resident_kib")? / 1_024.0;
@@ -223,7 +229,7 @@
                 role,
                 "bytes without headers",
                 (kib(engines + list + peers), "kB/s"),
-                Some(budget::KILOBYTES),
+                Some(budget::KILOBYTES_PER_SECOND),
                 part,
             ),
             row(
@@ -239,8 +245,8 @@
                 role,
                 "bytes with headers",
                 (kib(engines_wire + list_wire + peers_wire), "kB/s"),
-                Some(budget::KILOBYTES),
-                Basis::Reckoned,
+                Some(budget::KILOBYTES_PER_SECOND),
+                Basis::Calculated,
             ),
             row(
                 role,
@@ -260,10 +266,12 @@
     /// What requests take beside control: the growth by requests alone.
     fn node_requests(&self) -> Result<Vec<Row>, CapacityError> {
         let role = "node, requests";
-        let rate = self.target.rate_of_a_node();
+        let rate = self.target.rate_per_node();
         let part = Basis::Extrapolated;
         let of = |name: &str| {
-            Ok::<f64, CapacityError>(slope(self.kept, Quantity::Requests, "real", name)? * rate)
+            Ok::<f64, CapacityError>(
+                slope(self.measurements, Quantity::Requests, "real", name)? * rate,
+            )
         };
         let clients = of("clients.bytes_in")? + of("clients.bytes_out")?;
         let engines = of("engines.bytes_in")? + of("engines.bytes_out")?;
@@ -332,8 +340,8 @@
         let role = "engine, control";
         let nodes = self.target.nodes;
         let of = |name: &str| {
-            let each_connection = slope(self.kept, Quantity::Connections, "engines", name)?;
-            let registration = slope(self.kept, Quantity::Engines, "engines", name)?;
+            let each_connection = slope(self.measurements, Quantity::Connections, "engines", name)?;
+            let registration = slope(self.measurements, Quantity::Engines, "engines", name)?;
             Ok::<f64, CapacityError>(each_connection * nodes + registration)
         };
         usage(role, of)
@@ -348,11 +356,11 @@
             (Quantity::Engines, target.engines),
         ];
         let of = |name: &str| {
-            let at_rest = figure(self.kept, Quantity::Nodes, "store", name, &amounts)?;
+            let at_rest = figure(self.measurements, Quantity::Nodes, "store", name, &amounts)?;
             let each_change =
-                slope(self.kept, Quantity::Changes, "store", name)? / WATCHERS_OF_CHANGES;
+                slope(self.measurements, Quantity::Changes, "store", name)? / WATCHERS_OF_CHANGES;
             Ok::<f64, CapacityError>(
-                at_rest + each_change * target.nodes * target.changes_of_an_hour(),
+                at_rest + each_change * target.nodes * target.changes_per_hour(),
             )
         };
         let mut rows = usage(role, of)?;
@@ -361,7 +369,7 @@
             "members of the store",
             (STORE_MEMBERS, ""),
             Some(budget::CONTROL_MACHINES),
-            Basis::Reckoned,
+            Basis::Calculated,
         ));
         Ok(rows)
     }
@@ -374,7 +382,7 @@
                 role: part.to_owned(),
                 figure: what.to_owned(),
             };
-            let part = self.kept.part(part)?;
+            let part = self.measurements.part(part)?;
             part.took_ms
                 .get(what)
                 .map(|ms| ms / 1e3)
@@ -382,7 +390,7 @@
         };
         let seconds = budget::CHANGE_SECONDS;
         let first_token = self
-            .kept
+            .measurements
             .part("requests")?
             .clients
             .as_ref()
@@ -417,7 +425,7 @@
                 "other settings in force, by restarting a tenth of the nodes at a time",
                 (restart * rounds, "s"),
                 Some(seconds),
-                Basis::Missing,
+                Basis::NoMechanism,
             ),
             row(
                 "times",
@@ -429,9 +437,9 @@
             row(
                 "times",
                 "between two requests of a node to an engine",
-                (self.target.pause_of_a_pair(), "s"),
+                (self.target.request_interval_per_pair(), "s"),
                 None,
-                Basis::Reckoned,
+                Basis::Calculated,
             ),
         ])
     }
--- a/crates/ivyward-testbed/src/capacity/table.rs
+++ b/crates/ivyward-testbed/src/capacity/table.rs
@@ -15,8 +15,8 @@
     match basis {
         Basis::Measured => "measured",
         Basis::Extrapolated => "from slopes",
-        Basis::Reckoned => "reckoned",
-        Basis::Missing => "no mechanism",
+        Basis::Calculated => "reckoned",
+        Basis::NoMechanism => "no mechanism",
     }
 }
 
--- a/crates/ivyward-testbed/src/capacity/target.rs
+++ b/crates/ivyward-testbed/src/capacity/target.rs
@@ -80,19 +80,19 @@
     }
 
     /// Requests a second at a node.
-    pub fn rate_of_a_node(&self) -> f64 {
+    pub fn rate_per_node(&self) -> f64 {
         self.rate / self.nodes
     }
     /// Requests a second at an engine.
-    pub fn rate_of_an_engine(&self) -> f64 {
+    pub fn rate_per_engine(&self) -> f64 {
         self.rate / self.engines
     }
     /// Changes of the list an hour: of configuration, and of engines that go and come.
-    pub fn changes_of_an_hour(&self) -> f64 {
+    pub fn changes_per_hour(&self) -> f64 {
         (self.changes + 2.0 * self.replaced) / 24.0
     }
     /// Seconds between two requests from one node to one engine, if all are used alike.
-    pub fn pause_of_a_pair(&self) -> f64 {
+    pub fn request_interval_per_pair(&self) -> f64 {
         self.nodes * self.engines / self.rate
     }
 }
@@ -104,7 +104,7 @@
     /// Mebibytes of memory.
     pub const MEMORY_MIB: f64 = 256.0;
     /// Kilobytes a second, both ways together.
-    pub const KILOBYTES: f64 = 16.0;
+    pub const KILOBYTES_PER_SECOND: f64 = 16.0;
     /// Seconds until a change of configuration is in force everywhere.
     pub const CHANGE_SECONDS: f64 = 15.0;
     /// Milliseconds to the first token, for 95 in 100.
--- a/crates/ivyward-testbed/src/commands/mod.rs
+++ b/crates/ivyward-testbed/src/commands/mod.rs
@@ -68,7 +68,7 @@
     #[command(alias = "handover")]
     KvTransfer(ivyward_testbed::kv_transfer::KvTransferFlags),
     /// A process of a scale run, which starts it.
-    #[command(name = ivyward_testbed::scale::child::SUBCOMMAND, hide = true)]
+    #[command(name = ivyward_testbed::scale::stub_process::SUBCOMMAND, hide = true)]
     Hollow(Hollow),
     /// Plays clusters in virtual time under faults drawn from a seed, and checks the rules: one seed, or many.
     #[command(aliases = ["seed", "seeds"])]
@@ -108,7 +108,7 @@
             Command::Peers(command) => command.run(),
             Command::Cluster(command) => command.run(),
             Command::Scale(flags) => {
-                flags.play()?;
+                flags.run()?;
                 Ok(ExitCode::SUCCESS)
             }
             Command::Capacity(flags) => {
@@ -147,7 +147,7 @@
     fn run(self) -> CommandResult {
         let role = serde_json::from_str(&self.role)
             .map_err(|error| format!("{:?}: {error}", self.role))?;
-        ivyward_testbed::scale::hollow::run(role)?;
+        ivyward_testbed::scale::stub::run(role)?;
         Ok(ExitCode::SUCCESS)
     }
 }
--- a/crates/ivyward-testbed/src/scale/stage.rs
+++ b/crates/ivyward-testbed/src/scale/cluster.rs
@@ -2,10 +2,10 @@
 
 use crate::cluster::process::Process;
 use crate::local_cluster::ivyward_flags;
-use crate::scale::child::Hollow;
-use crate::scale::hollow::{request_classes, tenants, LEASE};
-use crate::scale::message::{Order, Role};
+use crate::scale::message::{Role, StubCommand};
 use crate::scale::size::Size;
+use crate::scale::stub::{request_classes, tenants, LEASE};
+use crate::scale::stub_process::StubProcess;
 use crate::scale::usage::{counters, Proc, Reading};
 use crate::scale::ScaleError;
 use ivyward::NodeSettings;
@@ -17,21 +17,21 @@
 /// One engine of so many stands in the zone that is lost.
 const ZONES: u64 = 16;
 /// How long nodes may take to hear of all engines, in microseconds.
-const KNOWN_WITHIN: Micros = 60_000_000;
+const CONVERGENCE_TIMEOUT: Micros = 60_000_000;
 /// How often they are asked.
-const LOOK: Micros = 20_000;
+const POLL_INTERVAL: Micros = 20_000;
 
 /// The programs that a run starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// `ivyward-testbed`, for hollow processes.
-    pub lab: PathBuf,
+    pub testbed: PathBuf,
     /// `ivywardd`.
     pub daemon: PathBuf,
 }
 
 /// The processes of a run. All end with it.
-pub struct Stage {
+pub struct Cluster {
     pub(crate) runtime: Arc<SmolRuntime>,
     size: Size,
     programs: Programs,
@@ -39,17 +39,17 @@
     /// Daemons that take requests.
     pub real: Vec<Process>,
     /// A process with one hollow node, which is measured where there is no daemon.
-    pub measured: Hollow,
+    pub measured: StubProcess,
     /// The other hollow nodes.
-    pub others: Option<Hollow>,
+    pub others: Option<StubProcess>,
     /// Engines of the zone that may be lost.
-    zone: Option<Hollow>,
+    zone: Option<StubProcess>,
     /// All other engines.
-    pub engines: Hollow,
+    pub engines: StubProcess,
     /// The store.
-    pub store: Hollow,
+    pub store: StubProcess,
     /// How long it took until every node knew all engines, once their processes ran.
-    pub joined_after: Micros,
+    pub join_duration: Micros,
 }
 
 /// What each role has used so far.
@@ -67,23 +67,23 @@
     pub store: Reading,
 }
 
-impl Stage {
+impl Cluster {
     /// Starts all processes, and waits until every node knows all engines.
     ///
     /// # Errors
     /// When the size is out of bounds, or a process does not come up.
-    pub fn start(size: Size, programs: Programs) -> Result<Stage, ScaleError> {
+    pub fn start(size: Size, programs: Programs) -> Result<Cluster, ScaleError> {
         size.check()?;
         let runtime = SmolRuntime::start(1, size.seed);
-        let store = Hollow::start(&programs.lab, &Role::Store)?;
+        let store = StubProcess::start(&programs.testbed, &Role::Store)?;
         let store_address = store
             .address
             .ok_or_else(|| ScaleError::Process("the store says no address".into()))?;
-        let lab = &programs.lab;
+        let testbed = &programs.testbed;
         let zone_count = size.engines / ZONES;
         let rest = size.engines - zone_count;
-        let engines = Hollow::start(
-            lab,
+        let engines = StubProcess::start(
+            testbed,
             &Role::Engines {
                 first: 1,
                 count: rest,
@@ -97,12 +97,12 @@
             tenants: size.tenants,
             classes: size.classes,
         };
-        let measured = Hollow::start(lab, &nodes(1, 1))?;
+        let measured = StubProcess::start(testbed, &nodes(1, 1))?;
         let others = match size.nodes {
             1 => None,
-            more => Some(Hollow::start(lab, &nodes(2, more - 1))?),
+            more => Some(StubProcess::start(testbed, &nodes(2, more - 1))?),
         };
-        let mut stage = Stage {
+        let mut cluster = Cluster {
             runtime,
             size,
             programs,
@@ -113,18 +113,18 @@
             zone: None,
             engines,
             store,
-            joined_after: 0,
+            join_duration: 0,
         };
-        stage.bring_zone_back()?;
-        for number in 0..stage.size.real_nodes {
-            let real = stage.daemon(number)?;
-            stage.real.push(real);
+        cluster.start_zone()?;
+        for number in 0..cluster.size.real_nodes {
+            let real = cluster.daemon(number)?;
+            cluster.real.push(real);
         }
-        stage.joined_after = stage.await_engines(stage.size.engines)?;
-        stage
+        cluster.join_duration = cluster.await_engines(cluster.size.engines)?;
+        cluster
             .measured
-            .each(&Order::Connect(stage.size.connections))?;
-        Ok(stage)
+            .query_nodes(&StubCommand::Connect(cluster.size.connections))?;
+        Ok(cluster)
     }
 
     fn daemon(&self, number: u64) -> Result<Process, ScaleError> {
@@ -172,12 +172,12 @@
     }
 
     /// How many engines stand in the zone that may be lost.
-    pub fn zone_count(&self) -> u64 {
+    pub fn zone_engines(&self) -> u64 {
         self.size.engines / ZONES
     }
 
     /// The zone's machines are gone.
-    pub fn lose_zone(&mut self) {
+    pub fn stop_zone(&mut self) {
         self.zone = None;
     }
 
@@ -185,8 +185,8 @@
     ///
     /// # Errors
     /// When their process does not come up.
-    pub fn bring_zone_back(&mut self) -> Result<(), ScaleError> {
-        let count = self.zone_count();
+    pub fn start_zone(&mut self) -> Result<(), ScaleError> {
+        let count = self.zone_engines();
         if count > 0 {
             let first = self.size.engines - count + 1;
             let role = Role::Engines {
@@ -194,7 +194,7 @@
                 count,
                 store: self.store_address,
             };
-            self.zone = Some(Hollow::start(&self.programs.lab, &role)?);
+            self.zone = Some(StubProcess::start(&self.programs.testbed, &role)?);
         }
         Ok(())
     }
@@ -204,7 +204,9 @@
     /// # Errors
     /// When it does not come about.
     pub fn await_engines(&mut self, engines: u64) -> Result<Micros, ScaleError> {
-        self.await_each(&Order::Known, "ivyward_engines ", |known| known == engines)
+        self.await_all_nodes(&StubCommand::KnownEngines, "ivyward_engines ", |known| {
+            known == engines
+        })
     }
 
     /// Changes so many engines' records, and waits until every node knows the last change; how long that took.
@@ -212,47 +214,49 @@
     /// # Errors
     /// When it does not come about.
     pub fn change(&mut self, count: u64) -> Result<Micros, ScaleError> {
-        self.store.tell(&Order::Change(count))?;
+        self.store.send(&StubCommand::ChangeRecords(count))?;
         let revision = self
             .store
-            .each(&Order::Revision)?
+            .query_nodes(&StubCommand::ListRevision)?
             .first()
             .copied()
             .unwrap_or(0);
-        self.await_each(&Order::Revision, "ivyward_list_revision ", |known| {
-            known >= revision
-        })
+        self.await_all_nodes(
+            &StubCommand::ListRevision,
+            "ivyward_list_revision ",
+            |known| known >= revision,
+        )
     }
 
-    fn await_each(
+    fn await_all_nodes(
         &mut self,
-        order: &Order,
+        command: &StubCommand,
         metric: &str,
-        holds: impl Fn(u64) -> bool,
+        is_reached: impl Fn(u64) -> bool,
     ) -> Result<Micros, ScaleError> {
         let began = self.runtime.now();
         loop {
-            let each = self.each_node(order, metric)?;
+            let each = self.node_values(command, metric)?;
             let took = self.runtime.now() - began;
-            if each.iter().all(|value| holds(*value)) {
+            if each.iter().all(|value| is_reached(*value)) {
                 return Ok(took);
             }
-            if took > KNOWN_WITHIN {
+            if took > CONVERGENCE_TIMEOUT {
                 let text = format!(
-                    "after {} s nodes answer {each:?} to {order:?}",
+                    "after {} s nodes answer {each:?} to {command:?}",
                     took / 1_000_000
                 );
                 return Err(ScaleError::Process(text));
             }
-            self.rest(LOOK);
+            self.sleep(POLL_INTERVAL);
         }
     }
 
     /// What each node says: hollow ones to an order, daemons by a metric.
-    fn each_node(&mut self, order: &Order, metric: &str) -> Result<Vec<u64>, ScaleError> {
-        let mut each = self.measured.each(order)?;
+    fn node_values(&mut self, command: &StubCommand, metric: &str) -> Result<Vec<u64>, ScaleError> {
+        let mut each = self.measured.query_nodes(command)?;
         if let Some(others) = &mut self.others {
-            each.extend(others.each(order)?);
+            each.extend(others.query_nodes(command)?);
         }
         for real in &self.real {
             let text = self.metrics(real)?;
@@ -277,8 +281,8 @@
     }
 
     /// Lets a span go by.
-    pub fn rest(&self, span: Micros) {
-        self.runtime.block_on(self.runtime.sleep(span));
+    pub fn sleep(&self, duration: Micros) {
+        self.runtime.block_on(self.runtime.sleep(duration));
     }
 
     /// What each role has used so far.
--- a/crates/ivyward-testbed/src/scale/command.rs
+++ b/crates/ivyward-testbed/src/scale/command.rs
@@ -1,8 +1,8 @@
 //! The `scale` subcommand: its flags, and its report as text.
 
+use crate::scale::cluster::Programs;
 use crate::scale::run::{run, Part, Report};
 use crate::scale::size::Size;
-use crate::scale::stage::Programs;
 use crate::scale::sweep::{sweep, Quantity, Sweep};
 use crate::scale::ScaleError;
 use serde::Serialize;
@@ -45,8 +45,8 @@
     #[arg(long)]
     vary: Option<Quantity>,
     /// Plays of each size, with --vary.
-    #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=20))]
-    plays: u64,
+    #[arg(long = "plays", id = "plays", value_name = "PLAYS", default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=20))]
+    repetitions: u64,
     /// Keeps the report in this file, as JSON.
     #[arg(long, value_name = "FILE")]
     keep: Option<PathBuf>,
@@ -73,23 +73,23 @@
     }
 
     fn programs(&self) -> Result<Programs, ScaleError> {
-        let lab = std::env::current_exe().map_err(ScaleError::io("finding this program"))?;
+        let testbed = std::env::current_exe().map_err(ScaleError::io("finding this program"))?;
         let daemon = self
             .daemon
             .clone()
-            .unwrap_or_else(|| lab.with_file_name("ivywardd"));
-        Ok(Programs { lab, daemon })
+            .unwrap_or_else(|| testbed.with_file_name("ivywardd"));
+        Ok(Programs { testbed, daemon })
     }
 
     /// Plays it, prints what came of it, and keeps it where that was asked for.
     ///
     /// # Errors
     /// When the size is out of bounds, or something did not come about.
-    pub fn play(&self) -> Result<(), ScaleError> {
+    pub fn run(&self) -> Result<(), ScaleError> {
         let programs = self.programs()?;
         if let Some(quantity) = self.vary {
             let told = |value, play| eprintln!("{} {value}, play {play}", quantity.name());
-            let swept = sweep(quantity, self.plays, &programs, told)?;
+            let swept = sweep(quantity, self.repetitions, &programs, told)?;
             print!("{}", sweep_text(&swept));
             return self.keep(&swept);
         }
@@ -137,7 +137,7 @@
     if let Some(seen) = &part.clients {
         text += &format!(
             "  clients: {} requests ended, {} served, {} refused, {} failed, {} tokens, first token {:.0} ms, 95 in 100 {:.0} ms\n",
-            seen.requests, seen.served, seen.refused, seen.failed, seen.tokens, seen.first_token_ms[0], seen.first_token_ms[1]
+            seen.requests, seen.served, seen.rejected, seen.failed, seen.tokens, seen.first_token_ms[0], seen.first_token_ms[1]
         );
     }
     text
--- a/crates/ivyward-testbed/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -1,6 +1,6 @@
 //! Requests at a steady rate, through the daemons of a run, and what their clients saw.
 
-use crate::scale::stage::Stage;
+use crate::scale::cluster::Cluster;
 use crate::scale::ScaleError;
 use hdrhistogram::Histogram;
 use ivyward_fakes::event_log::{CallIdempotency, ClientOutcome};
@@ -15,17 +15,18 @@
 /// Prompt tokens of a request.
 const PROMPT_TOKENS: u64 = 200;
 /// How long clients wait for the whole answer.
-const PATIENCE: Micros = 60_000_000;
+const CLIENT_TIMEOUT: Micros = 60_000_000;
 
 /// What clients saw.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ClientTotals {
     /// Requests that ended.
     pub requests: u64,
     /// Those that were served.
     pub served: u64,
     /// Those that were refused.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Those that failed, or had no answer.
     pub failed: u64,
     /// Output tokens that came.
@@ -35,7 +36,7 @@
 }
 
 struct Tally {
-    seen: Seen,
+    seen: ClientTotals,
     first: Histogram<u64>,
 }
 
@@ -50,7 +51,7 @@
 }
 
 fn histogram() -> Result<Histogram<u64>, ScaleError> {
-    Histogram::new_with_max(PATIENCE, 3).map_err(|e| ScaleError::Process(e.to_string()))
+    Histogram::new_with_max(CLIENT_TIMEOUT, 3).map_err(|e| ScaleError::Process(e.to_string()))
 }
 
 impl Load {
@@ -58,17 +59,17 @@
     ///
     /// # Errors
     /// When a daemon cannot be reached.
-    pub fn start(stage: &Stage, rate: f64, sessions: u64) -> Result<Load, ScaleError> {
-        let runtime: RuntimeRef = stage.runtime.clone();
+    pub fn start(cluster: &Cluster, rate: f64, sessions: u64) -> Result<Load, ScaleError> {
+        let runtime: RuntimeRef = cluster.runtime.clone();
         let tally = Arc::new(Mutex::new(Tally {
-            seen: Seen::default(),
+            seen: ClientTotals::default(),
             first: histogram()?,
         }));
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        for (number, real) in stage.real.iter().enumerate() {
+        for (number, real) in cluster.real.iter().enumerate() {
             let log = EventLog::without_entries(&runtime);
             let client =
-                stage
+                cluster
                     .runtime
                     .block_on(Client::connect(&runtime, &log, real.client_address));
             let client = client.map_err(ScaleError::io("connecting to a daemon"))?;
@@ -95,14 +96,14 @@
     ///
     /// # Errors
     /// When there is no memory for the next figures.
-    pub fn take(&self) -> Result<Seen, ScaleError> {
+    pub fn take(&self) -> Result<ClientTotals, ScaleError> {
         let fresh = Tally {
-            seen: Seen::default(),
+            seen: ClientTotals::default(),
             first: histogram()?,
         };
         let tally = std::mem::replace(&mut *lock(&self.tally), fresh);
         let at = |quantile| tally.first.value_at_quantile(quantile) as f64 / 1e3;
-        Ok(Seen {
+        Ok(ClientTotals {
             first_token_ms: [at(0.5), at(0.95)],
             ..tally.seen
         })
@@ -123,13 +124,13 @@
         let pause = (1e6 / self.rate) as Micros;
         let mut at = self.runtime.now();
         for number in 0.. {
-            let (client, tally, ask) = (
+            let (client, tally, request) = (
                 self.client.clone(),
                 self.tally.clone(),
-                self.ask(node, number),
+                self.request(node, number),
             );
             self.runtime.run(async move {
-                let end = client.send(&ask).await;
+                let end = client.send(&request).await;
                 count(&tally, &end);
             });
             at += pause;
@@ -137,7 +138,7 @@
         }
     }
 
-    fn ask(&self, node: u64, number: u64) -> ClientRequest {
+    fn request(&self, node: u64, number: u64) -> ClientRequest {
         let call = node << 32 | number;
         let session = number % self.sessions;
         // A session's prompts have the same beginning.
@@ -150,8 +151,8 @@
             call_id: call,
             ..GenerateRequest::default()
         };
-        let habit = ClientBehavior {
-            client_timeout: PATIENCE,
+        let behavior = ClientBehavior {
+            client_timeout: CLIENT_TIMEOUT,
             ..ClientBehavior::default()
         };
         ClientRequest {
@@ -159,7 +160,7 @@
             operation: call,
             idempotency: CallIdempotency::Idempotent,
             node: node as usize,
-            behavior: habit,
+            behavior: behavior,
         }
     }
 }
@@ -170,7 +171,7 @@
     tally.seen.tokens += u64::from(end.tokens);
     match end.outcome {
         ClientOutcome::Served => tally.seen.served += 1,
-        ClientOutcome::Rejected => tally.seen.refused += 1,
+        ClientOutcome::Rejected => tally.seen.rejected += 1,
         _ => tally.seen.failed += 1,
     }
     if let Some(first) = end.first_token_after {
--- a/crates/ivyward-testbed/src/scale/message.rs
+++ b/crates/ivyward-testbed/src/scale/message.rs
@@ -35,17 +35,21 @@
 
 /// What a hollow process is told.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Order {
+pub enum StubCommand {
     /// What have you counted?
-    Count,
+    #[serde(rename = "Count")]
+    ReadCounters,
     /// Nodes: open so many connections to engines each.
     Connect(u64),
     /// Nodes: how many engines does each know?
-    Known,
+    #[serde(rename = "Known")]
+    KnownEngines,
     /// Nodes, up to which revision does each know the list? The store, at which is it?
-    Revision,
+    #[serde(rename = "Revision")]
+    ListRevision,
     /// The store: write engines' records anew, so many of them.
-    Change(u64),
+    #[serde(rename = "Change")]
+    ChangeRecords(u64),
     /// The store: die and come back with all that was held.
     Restart,
 }
@@ -60,7 +64,8 @@
     /// What it counted.
     Counted(Counters),
     /// Of each node, connections that were opened or engines that are known.
-    Each(Vec<u64>),
+    #[serde(rename = "Each")]
+    PerNode(Vec<u64>),
     /// It could not do that.
     Failed(String),
 }
--- a/crates/ivyward-testbed/src/scale/mod.rs
+++ b/crates/ivyward-testbed/src/scale/mod.rs
@@ -4,24 +4,24 @@
 //! - [`size`]: how large a run is, and the bounds that it is held to.
 //! - [`usage`]: what a process uses, by /proc and by its own counters.
 //! - [`message`]: what a run says to its hollow processes.
-//! - [`hollow`]: the hollow processes themselves.
-//! - [`child`]: a hollow process, as the run holds it.
-//! - [`stage`]: all processes of a run.
+//! - [`stub`]: the hollow processes themselves.
+//! - [`stub_process`]: a hollow process, as the run holds it.
+//! - [`cluster`]: all processes of a run.
 //! - [`load`]: requests at a steady rate.
 //! - [`run`]: the parts of a run and what came of them.
 //! - [`sweep`]: one quantity varied alone.
 //! - [`command`]: flags and reports.
 //! - [`fit`]: slopes by least squares, and how well they predict.
 
-pub mod child;
+pub mod cluster;
 pub mod command;
 pub mod fit;
-pub mod hollow;
 pub mod load;
 pub mod message;
 pub mod run;
 pub mod size;
-pub mod stage;
+pub mod stub;
+pub mod stub_process;
 pub mod sweep;
 pub mod usage;
 
--- a/crates/ivyward-testbed/src/scale/run.rs
+++ b/crates/ivyward-testbed/src/scale/run.rs
@@ -1,9 +1,9 @@
 //! The parts of a run, one after the other, and what came of them.
 
-use crate::scale::load::{Load, Seen};
-use crate::scale::message::Order;
+use crate::scale::cluster::{Cluster, Programs, Readings};
+use crate::scale::load::{ClientTotals, Load};
+use crate::scale::message::StubCommand;
 use crate::scale::size::Size;
-use crate::scale::stage::{Programs, Readings, Stage};
 use crate::scale::usage::{Rates, Reading};
 use crate::scale::ScaleError;
 use ivyward_runtime::Micros;
@@ -11,11 +11,11 @@
 use std::collections::BTreeMap;
 
 /// Changes of configuration on an ordinary day, as the operators plan for.
-const CHANGES_OF_A_DAY: u64 = 620;
+const CHANGES_PER_DAY: u64 = 620;
 /// Seconds in which requests reach their steady state: longer than an answer of 408 tokens takes.
 const WARM_UP_SECONDS: u64 = 14;
 /// Time that connections take to come to rest after they were opened.
-const SETTLE: Micros = 1_500_000;
+const SETTLE_TIME: Micros = 1_500_000;
 
 /// What each role used, a second. Roles are `node` (the measured hollow one), `real` (the mean of the daemons), `engines`
 /// (their process) and `store`.
@@ -29,7 +29,7 @@
     /// What each role used.
     pub roles: Roles,
     /// What clients saw, if there were any.
-    pub clients: Option<Seen>,
+    pub clients: Option<ClientTotals>,
     /// How long things took, in milliseconds; most of them until every node knew of something.
     pub took_ms: BTreeMap<String, f64>,
 }
@@ -71,21 +71,21 @@
 /// # Errors
 /// When the size is out of bounds, or a process does something else than asked.
 pub fn run(size: Size, programs: Programs) -> Result<Report, ScaleError> {
-    let mut stage = Stage::start(size, programs)?;
-    let joined = stage.joined_after;
+    let mut cluster = Cluster::start(size, programs)?;
+    let joined = cluster.join_duration;
     let mut runner = Runner {
-        stage: &mut stage,
+        cluster: &mut cluster,
         size,
         load: None,
         parts: Vec::new(),
     };
-    runner.play("join", [("all engines".to_owned(), joined)].into(), |_| {
+    runner.run_part("join", [("all engines".to_owned(), joined)].into(), |_| {
         Ok(())
     })?;
-    runner.stage.rest(SETTLE);
-    runner.play("quiet", BTreeMap::new(), Runner::wait)?;
+    runner.cluster.sleep(SETTLE_TIME);
+    runner.run_part("quiet", BTreeMap::new(), Runner::wait)?;
     runner.begin_load()?;
-    runner.play("requests", BTreeMap::new(), Runner::wait)?;
+    runner.run_part("requests", BTreeMap::new(), Runner::wait)?;
     runner.zone()?;
     runner.store()?;
     runner.day()?;
@@ -97,7 +97,7 @@
 }
 
 struct Runner<'a> {
-    stage: &'a mut Stage,
+    cluster: &'a mut Cluster,
     size: Size,
     load: Option<Load>,
     parts: Vec<Part>,
@@ -107,42 +107,46 @@
 
 impl Runner<'_> {
     fn wait(&mut self) -> Result<(), ScaleError> {
-        self.stage.rest(self.size.seconds * 1_000_000);
+        self.cluster.sleep(self.size.seconds * 1_000_000);
         Ok(())
     }
 
     fn begin_load(&mut self) -> Result<(), ScaleError> {
         if self.size.rate > 0.0 && self.size.real_nodes > 0 {
-            self.load = Some(Load::start(self.stage, self.size.rate, self.size.sessions)?);
+            self.load = Some(Load::start(
+                self.cluster,
+                self.size.rate,
+                self.size.sessions,
+            )?);
             let warm_up = WARM_UP_SECONDS.min(3 * self.size.seconds);
-            self.stage.rest(warm_up * 1_000_000);
+            self.cluster.sleep(warm_up * 1_000_000);
             self.clients()?;
         }
         Ok(())
     }
 
-    fn clients(&self) -> Result<Option<Seen>, ScaleError> {
+    fn clients(&self) -> Result<Option<ClientTotals>, ScaleError> {
         self.load.as_ref().map(Load::take).transpose()
     }
 
     /// Plays a part and measures it. `known` may grow while it is played.
-    fn play(
+    fn run_part(
         &mut self,
         name: &str,
         known: Known,
         part: impl FnOnce(&mut Self) -> Result<(), ScaleError>,
     ) -> Result<(), ScaleError> {
-        self.play_known(name, |runner| part(runner).map(|()| known))
+        self.measure_part(name, |runner| part(runner).map(|()| known))
     }
 
-    fn play_known(
+    fn measure_part(
         &mut self,
         name: &str,
         part: impl FnOnce(&mut Self) -> Result<Known, ScaleError>,
     ) -> Result<(), ScaleError> {
-        let before = self.stage.readings()?;
+        let before = self.cluster.readings()?;
         let known = part(self)?;
-        let roles = self.stage.readings()?.since(&before);
+        let roles = self.cluster.readings()?.since(&before);
         let clients = self.clients()?;
         let took_ms = known
             .into_iter()
@@ -159,16 +163,16 @@
 
     /// A zone's machines are gone, and are back.
     fn zone(&mut self) -> Result<(), ScaleError> {
-        self.play_known("zone lost", |runner| {
-            let left = runner.size.engines - runner.stage.zone_count();
-            runner.stage.lose_zone();
-            let took = runner.stage.await_engines(left)?;
+        self.measure_part("zone lost", |runner| {
+            let left = runner.size.engines - runner.cluster.zone_engines();
+            runner.cluster.stop_zone();
+            let took = runner.cluster.await_engines(left)?;
             runner.wait()?;
             Ok([("departures".to_owned(), took)].into())
         })?;
-        self.play_known("zone back", |runner| {
-            runner.stage.bring_zone_back()?;
-            let took = runner.stage.await_engines(runner.size.engines)?;
+        self.measure_part("zone back", |runner| {
+            runner.cluster.start_zone()?;
+            let took = runner.cluster.await_engines(runner.size.engines)?;
             runner.wait()?;
             Ok([("arrivals".to_owned(), took)].into())
         })
@@ -176,9 +180,9 @@
 
     /// The store dies, and is back half a second later.
     fn store(&mut self) -> Result<(), ScaleError> {
-        self.play_known("store restarted", |runner| {
-            runner.stage.store.tell(&Order::Restart)?;
-            let took = runner.stage.change(1)?;
+        self.measure_part("store restarted", |runner| {
+            runner.cluster.store.send(&StubCommand::Restart)?;
+            let took = runner.cluster.change(1)?;
             runner.wait()?;
             Ok([("a change behind it".to_owned(), took)].into())
         })
@@ -186,16 +190,16 @@
 
     /// An ordinary day's changes and restarts, within the part's seconds.
     fn day(&mut self) -> Result<(), ScaleError> {
-        self.play_known("a day", |runner| {
+        self.measure_part("a day", |runner| {
             let (seconds, mut slowest) = (runner.size.seconds, 0);
-            runner.stage.lose_zone();
-            runner.stage.bring_zone_back()?;
-            let arrivals = runner.stage.await_engines(runner.size.engines)?;
+            runner.cluster.stop_zone();
+            runner.cluster.start_zone()?;
+            let arrivals = runner.cluster.await_engines(runner.size.engines)?;
             for second in 0..seconds {
                 let due =
-                    CHANGES_OF_A_DAY * (second + 1) / seconds - CHANGES_OF_A_DAY * second / seconds;
-                slowest = slowest.max(runner.stage.change(due)?);
-                runner.stage.rest(500_000);
+                    CHANGES_PER_DAY * (second + 1) / seconds - CHANGES_PER_DAY * second / seconds;
+                slowest = slowest.max(runner.cluster.change(due)?);
+                runner.cluster.sleep(500_000);
             }
             Ok([
                 ("restarts".to_owned(), arrivals),
@@ -207,11 +211,11 @@
 
     /// A daemon ends in order while requests run through it, and is started again: what a change of its settings takes.
     fn restart(&mut self) -> Result<(), ScaleError> {
-        if self.stage.real.is_empty() {
+        if self.cluster.real.is_empty() {
             return Ok(());
         }
-        self.play_known("daemon restarted", |runner| {
-            let (ended, started) = runner.stage.restart_daemon()?;
+        self.measure_part("daemon restarted", |runner| {
+            let (ended, started) = runner.cluster.restart_daemon()?;
             Ok([
                 ("its end".to_owned(), ended),
                 ("its start".to_owned(), started),
--- a/crates/ivyward-testbed/src/scale/size.rs
+++ b/crates/ivyward-testbed/src/scale/size.rs
@@ -4,15 +4,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Most processes of a run, itself among them.
-pub const MOST_PROCESSES: u64 = 300;
+pub const MAX_PROCESSES: u64 = 300;
 /// Most descriptors of one process.
-pub const MOST_DESCRIPTORS: u64 = 20_000;
+pub const MAX_DESCRIPTORS: u64 = 20_000;
 /// Most memory of all processes together, in MiB: half of the machine's.
-pub const MOST_MEMORY_MIB: u64 = 12_000;
+pub const MAX_MEMORY_MIB: u64 = 12_000;
 /// Longest part of a run, in seconds.
-pub const MOST_SECONDS: u64 = 300;
+pub const MAX_SECONDS: u64 = 300;
 /// Hollow nodes and engines share processes, so many of each kind.
-pub const HOLLOW_PROCESSES: u64 = 2;
+pub const STUB_PROCESSES: u64 = 2;
 /// Descriptors that a process has beside its connections.
 const OWN_DESCRIPTORS: u64 = 64;
 /// Memory of a connection with both of its ends, and of a process, as measured roughly; for the check before a run alone.
@@ -101,14 +101,14 @@
             });
         }
         let bounds = [
-            ("processes", self.processes(), MOST_PROCESSES),
+            ("processes", self.processes(), MAX_PROCESSES),
             (
                 "descriptors of a process",
                 self.descriptors(),
-                MOST_DESCRIPTORS,
+                MAX_DESCRIPTORS,
             ),
-            ("MiB of memory", self.memory_mib(), MOST_MEMORY_MIB),
-            ("seconds of a part", self.seconds, MOST_SECONDS),
+            ("MiB of memory", self.memory_mib(), MAX_MEMORY_MIB),
+            ("seconds of a part", self.seconds, MAX_SECONDS),
         ];
         match bounds.into_iter().find(|(_, wanted, most)| wanted > most) {
             Some((bound, wanted, most)) => Err(ScaleError::Bound {
@@ -122,7 +122,7 @@
 
     /// This one, the store, the measured node, hollow nodes and engines, and the daemons.
     fn processes(&self) -> u64 {
-        3 + 2 * HOLLOW_PROCESSES + self.real_nodes
+        3 + 2 * STUB_PROCESSES + self.real_nodes
     }
 
     /// Connections between nodes and engines, once real nodes have found all of them.
@@ -132,8 +132,8 @@
 
     /// Of the process that has most.
     fn descriptors(&self) -> u64 {
-        let engines = self.engines / HOLLOW_PROCESSES + 1;
-        let engine_process = engines * 2 + self.connections_in_all() / HOLLOW_PROCESSES;
+        let engines = self.engines / STUB_PROCESSES + 1;
+        let engine_process = engines * 2 + self.connections_in_all() / STUB_PROCESSES;
         let store = self.engines + 4 * (self.nodes + self.real_nodes + 1);
         engine_process.max(store).max(self.engines) + OWN_DESCRIPTORS
     }
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/stub.rs
@@ -2,8 +2,8 @@
 
 use crate::local_cluster::classes;
 use crate::registration;
-use crate::scale::message::{Order, Reply, Role};
-use crate::scale::usage::{Counted, Counters};
+use crate::scale::message::{Reply, Role, StubCommand};
+use crate::scale::usage::{Counters, PartCounters};
 use crate::scale::ScaleError;
 use ivyward::watcher::{EtcdOptions, WatcherOptions};
 use ivyward::{Class, Node, NodeSettings, PeerOptions, PeerStore, Tenant};
@@ -22,7 +22,7 @@
 /// Of so many engines in a hundred, prompts are read at: the share that the operators plan for.
 const PREFILL_PERCENT: u64 = 35;
 /// Tokens that engines hold back between two, in microseconds: the target's 26 ms.
-const TOKEN_GAP: u64 = 26_000;
+const TOKEN_INTERVAL_US: u64 = 26_000;
 
 /// Processes with a thread of their own each, counted together, so that the store can die and come back.
 struct MeteredThreads(Arc<Meter>);
@@ -50,7 +50,7 @@
     EngineSpec {
         prefill_rate: 40_000.0,
         kv_fetch_rate: 400_000.0,
-        token_interval: TOKEN_GAP,
+        token_interval: TOKEN_INTERVAL_US,
         ..EngineSpec::small(id, role)
     }
 }
@@ -78,9 +78,9 @@
 }
 
 /// What the process holds.
-enum Held {
+enum Workload {
     Store(Box<Store>),
-    /// Held so that they run.
+    /// Workload so that they run.
     Engines(#[allow(dead_code)] Vec<Engine>),
     Nodes(Vec<Node>),
 }
@@ -93,22 +93,22 @@
     let smol = SmolRuntime::start(THREADS, u64::from(std::process::id()));
     let (plain, meter): (RuntimeRef, Arc<Meter>) = (smol.clone(), Arc::default());
     let runtime = metered(&plain, &meter);
-    let mut held = hold(role, &runtime, &meter)?;
-    say(&Reply::Ready(match &held {
-        Held::Store(store) => Some(store.address()),
+    let mut workload = start_workload(role, &runtime, &meter)?;
+    write_reply(&Reply::Ready(match &workload {
+        Workload::Store(store) => Some(store.address()),
         _ => None,
     }));
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-        let reply = match serde_json::from_str::<Order>(&line) {
-            Ok(order) => smol.block_on(obey(&mut held, order, &meter, &runtime)),
+        let reply = match serde_json::from_str::<StubCommand>(&line) {
+            Ok(command) => smol.block_on(execute(&mut workload, command, &meter, &runtime)),
             Err(e) => Reply::Failed(format!("{line:?}: {e}")),
         };
-        say(&reply);
+        write_reply(&reply);
     }
     Ok(())
 }
 
-fn say(reply: &Reply) {
+fn write_reply(reply: &Reply) {
     let mut out = std::io::stdout().lock();
     // The run that asked may be gone, and this process ends with its input.
     let _ = serde_json::to_writer(&mut out, reply);
@@ -116,12 +116,16 @@
     let _ = out.flush();
 }
 
-fn hold(role: Role, runtime: &RuntimeRef, meter: &Arc<Meter>) -> Result<Held, ScaleError> {
+fn start_workload(
+    role: Role,
+    runtime: &RuntimeRef,
+    meter: &Arc<Meter>,
+) -> Result<Workload, ScaleError> {
     match role {
         Role::Store => {
             let host: Arc<dyn Host> = Arc::new(MeteredThreads(meter.clone()));
             let store = Store::start(&host, 1).map_err(ScaleError::io("starting the store"))?;
-            Ok(Held::Store(Box::new(store)))
+            Ok(Workload::Store(Box::new(store)))
         }
         Role::Engines {
             first,
@@ -137,7 +141,7 @@
                 registration::keep_registered(&engine, vec![store], LEASE, 0, |_| {});
                 engines.push(engine);
             }
-            Ok(Held::Engines(engines))
+            Ok(Workload::Engines(engines))
         }
         Role::Nodes {
             first,
@@ -147,7 +151,7 @@
             classes,
         } => {
             let start = |number| node(runtime, number, store, (tenants, classes));
-            Ok(Held::Nodes(
+            Ok(Workload::Nodes(
                 (first..first + count)
                     .map(start)
                     .collect::<Result<_, _>>()?,
@@ -193,32 +197,41 @@
     Ok(node)
 }
 
-async fn obey(held: &mut Held, order: Order, meter: &Meter, runtime: &RuntimeRef) -> Reply {
-    match (order, held) {
-        (Order::Count, Held::Nodes(nodes)) => Reply::Counted(node_counters(nodes)),
-        (Order::Count, _) => Reply::Counted([("all".to_owned(), meter.usage().into())].into()),
-        (Order::Connect(most), Held::Nodes(nodes)) => {
+async fn execute(
+    workload: &mut Workload,
+    command: StubCommand,
+    meter: &Meter,
+    runtime: &RuntimeRef,
+) -> Reply {
+    match (command, workload) {
+        (StubCommand::ReadCounters, Workload::Nodes(nodes)) => Reply::Counted(node_counters(nodes)),
+        (StubCommand::ReadCounters, _) => {
+            Reply::Counted([("all".to_owned(), meter.usage().into())].into())
+        }
+        (StubCommand::Connect(most), Workload::Nodes(nodes)) => {
             let mut each = Vec::new();
             for node in nodes {
                 each.push(node.open_connections(most as usize).await as u64);
             }
-            Reply::Each(each)
+            Reply::PerNode(each)
         }
-        (Order::Known, Held::Nodes(nodes)) => Reply::Each(
+        (StubCommand::KnownEngines, Workload::Nodes(nodes)) => Reply::PerNode(
             nodes
                 .iter()
                 .map(|node| node.metrics().engines.get())
                 .collect(),
         ),
-        (Order::Revision, Held::Nodes(nodes)) => Reply::Each(
+        (StubCommand::ListRevision, Workload::Nodes(nodes)) => Reply::PerNode(
             nodes
                 .iter()
                 .map(|node| node.metrics().list_revision.get())
                 .collect(),
         ),
-        (Order::Revision, Held::Store(store)) => Reply::Each(vec![store.revision().unsigned_abs()]),
-        (Order::Change(count), Held::Store(store)) => change(store, count),
-        (Order::Restart, Held::Store(store)) => {
+        (StubCommand::ListRevision, Workload::Store(store)) => {
+            Reply::PerNode(vec![store.revision().unsigned_abs()])
+        }
+        (StubCommand::ChangeRecords(count), Workload::Store(store)) => change(store, count),
+        (StubCommand::Restart, Workload::Store(store)) => {
             store.crash();
             runtime.sleep(500_000).await;
             match store.restart() {
@@ -226,7 +239,7 @@
                 Err(e) => Reply::Failed(e.to_string()),
             }
         }
-        (order, _) => Reply::Failed(format!("{order:?} is not for this process")),
+        (command, _) => Reply::Failed(format!("{command:?} is not for this process")),
     }
 }
 
@@ -266,7 +279,7 @@
         for (part, counted) in
             crate::scale::usage::counters(&node.metrics().text(node.open_requests()))
         {
-            let sum: &mut Counted = all.entry(part).or_default();
+            let sum: &mut PartCounters = all.entry(part).or_default();
             sum.bytes_in += counted.bytes_in;
             sum.bytes_out += counted.bytes_out;
             sum.messages_in += counted.messages_in;
--- a/crates/ivyward-testbed/src/scale/child.rs
+++ b/crates/ivyward-testbed/src/scale/stub_process.rs
@@ -1,7 +1,7 @@
 //! A hollow process, as the run holds it: started, told, asked, and ended with the run.
 
 use crate::child_process::end_with_parent;
-use crate::scale::message::{Order, Reply, Role};
+use crate::scale::message::{Reply, Role, StubCommand};
 use crate::scale::usage::{Counters, Proc, Reading};
 use crate::scale::ScaleError;
 use std::io::{BufRead, BufReader, Write};
@@ -13,7 +13,7 @@
 pub const SUBCOMMAND: &str = "hollow";
 
 /// A hollow process, killed when this is dropped.
-pub struct Hollow {
+pub struct StubProcess {
     child: Child,
     orders: ChildStdin,
     replies: BufReader<ChildStdout>,
@@ -21,12 +21,12 @@
     pub address: Option<SocketAddr>,
 }
 
-impl Hollow {
+impl StubProcess {
     /// Starts one and waits until it runs. `program` is `ivyward-testbed` itself.
     ///
     /// # Errors
     /// When it does not come up.
-    pub fn start(program: &Path, role: &Role) -> Result<Hollow, ScaleError> {
+    pub fn start(program: &Path, role: &Role) -> Result<StubProcess, ScaleError> {
         let text = serde_json::to_string(role).map_err(|e| ScaleError::Process(e.to_string()))?;
         let mut child = end_with_parent(&mut Command::new(program))
             .args([SUBCOMMAND, &text])
@@ -37,17 +37,17 @@
         let (Some(orders), Some(replies)) = (child.stdin.take(), child.stdout.take()) else {
             return Err(ScaleError::Process("a hollow process has no pipes".into()));
         };
-        let mut hollow = Hollow {
+        let mut stub = StubProcess {
             child,
             orders,
             replies: BufReader::new(replies),
             address: None,
         };
-        match hollow.reply()? {
-            Reply::Ready(address) => hollow.address = address,
+        match stub.reply()? {
+            Reply::Ready(address) => stub.address = address,
             other => return Err(unexpected(&other)),
         }
-        Ok(hollow)
+        Ok(stub)
     }
 
     fn reply(&mut self) -> Result<Reply, ScaleError> {
@@ -69,9 +69,9 @@
     ///
     /// # Errors
     /// When it ended or could not do that.
-    pub fn tell(&mut self, order: &Order) -> Result<Reply, ScaleError> {
+    pub fn send(&mut self, command: &StubCommand) -> Result<Reply, ScaleError> {
         let mut text =
-            serde_json::to_string(order).map_err(|e| ScaleError::Process(e.to_string()))?;
+            serde_json::to_string(command).map_err(|e| ScaleError::Process(e.to_string()))?;
         text.push('\n');
         self.orders
             .write_all(text.as_bytes())
@@ -82,16 +82,16 @@
     /// What each of its nodes says to an order that asks for a number.
     ///
     /// # Errors
-    /// As for [`Hollow::tell`].
-    pub fn each(&mut self, order: &Order) -> Result<Vec<u64>, ScaleError> {
-        match self.tell(order)? {
-            Reply::Each(each) => Ok(each),
+    /// As for [`StubProcess::send`].
+    pub fn query_nodes(&mut self, command: &StubCommand) -> Result<Vec<u64>, ScaleError> {
+        match self.send(command)? {
+            Reply::PerNode(values) => Ok(values),
             other => Err(unexpected(&other)),
         }
     }
 
     fn counters(&mut self) -> Result<Counters, ScaleError> {
-        match self.tell(&Order::Count)? {
+        match self.send(&StubCommand::ReadCounters)? {
             Reply::Counted(counters) => Ok(counters),
             other => Err(unexpected(&other)),
         }
@@ -113,7 +113,7 @@
     ScaleError::Process(format!("a hollow process answered {reply:?}"))
 }
 
-impl Drop for Hollow {
+impl Drop for StubProcess {
     fn drop(&mut self) {
         // Our own child: an error means that it has ended already.
         let _ = self.child.kill();
--- a/crates/ivyward-testbed/src/scale/sweep.rs
+++ b/crates/ivyward-testbed/src/scale/sweep.rs
@@ -1,17 +1,17 @@
 //! One quantity varied alone, and the lines through what each role used.
 
+use crate::scale::cluster::{Cluster, Programs};
 use crate::scale::fit::{line, Fit};
 use crate::scale::load::Load;
 use crate::scale::run::Roles;
 use crate::scale::size::Size;
-use crate::scale::stage::{Programs, Stage};
 use crate::scale::ScaleError;
 use ivyward_runtime::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Time that a stage takes to come to rest.
-const SETTLE: Micros = 2_500_000;
+/// Time that a cluster takes to come to rest.
+const SETTLE_TIME: Micros = 2_500_000;
 /// Time that requests take to reach their steady state.
 const WARM_UP: Micros = 12_000_000;
 /// Seconds that requests are measured.
@@ -152,7 +152,8 @@
     /// How much of the quantity.
     pub value: u64,
     /// Which play of this size, from 1 on.
-    pub play: u64,
+    #[serde(rename = "play")]
+    pub repetition: u64,
     /// It was left out of the lines.
     pub left_out: bool,
     /// What each role used.
@@ -177,27 +178,27 @@
 /// # Errors
 /// When it is out of bounds, or a process does something else than asked.
 pub fn measure(size: Size, programs: Programs) -> Result<Roles, ScaleError> {
-    let mut stage = Stage::start(size, programs)?;
-    stage.rest(SETTLE);
+    let mut cluster = Cluster::start(size, programs)?;
+    cluster.sleep(SETTLE_TIME);
     let load = match size.rate > 0.0 {
-        true => Some(Load::start(&stage, size.rate, size.sessions)?),
+        true => Some(Load::start(&cluster, size.rate, size.sessions)?),
         false => None,
     };
     if load.is_some() {
-        stage.rest(WARM_UP);
+        cluster.sleep(WARM_UP);
     }
-    let before = stage.readings()?;
+    let before = cluster.readings()?;
     let mut changed = 0;
     for second in 0..size.seconds {
         let due = size.changes * (second + 1) / 3_600;
         if due > changed {
-            stage.change(due - changed)?;
+            cluster.change(due - changed)?;
             changed = due;
         }
         let next = before.at + (second + 1) * 1_000_000;
-        stage.rest(next.saturating_sub(stage.now()));
+        cluster.sleep(next.saturating_sub(cluster.now()));
     }
-    Ok(stage.readings()?.since(&before))
+    Ok(cluster.readings()?.since(&before))
 }
 
 /// Measures all sizes of a quantity, `plays` times each, and draws the lines. `told` hears of each size before it begins.
@@ -206,22 +207,22 @@
 /// As for [`measure`].
 pub fn sweep(
     quantity: Quantity,
-    plays: u64,
+    repetitions: u64,
     programs: &Programs,
-    mut told: impl FnMut(u64, u64),
+    mut before_size: impl FnMut(u64, u64),
 ) -> Result<Sweep, ScaleError> {
     let mut points = Vec::new();
-    for play in 1..=plays {
+    for repetition in 1..=repetitions {
         for (left_out, values) in [
             (false, &quantity.fitted()[..]),
             (true, &quantity.left_out()[..]),
         ] {
             for &value in values {
-                told(value, play);
-                let roles = measure(quantity.size(value, play), programs.clone())?;
+                before_size(value, repetition);
+                let roles = measure(quantity.size(value, repetition), programs.clone())?;
                 points.push(Point {
                     value,
-                    play,
+                    repetition,
                     left_out,
                     roles,
                 });
--- a/crates/ivyward-testbed/src/scale/usage.rs
+++ b/crates/ivyward-testbed/src/scale/usage.rs
@@ -63,7 +63,7 @@
 
 /// A part of a program, by what it does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counted {
+pub struct PartCounters {
     /// Bytes that came in.
     pub bytes_in: u64,
     /// Bytes that went out.
@@ -76,9 +76,9 @@
     pub busy_us: u64,
 }
 
-impl From<Traffic> for Counted {
-    fn from(traffic: Traffic) -> Counted {
-        Counted {
+impl From<Traffic> for PartCounters {
+    fn from(traffic: Traffic) -> PartCounters {
+        PartCounters {
             bytes_in: traffic.bytes_in,
             bytes_out: traffic.bytes_out,
             messages_in: traffic.reads,
@@ -89,7 +89,7 @@
 }
 
 /// Counters of a process, by the parts of its program.
-pub type Counters = BTreeMap<String, Counted>;
+pub type Counters = BTreeMap<String, PartCounters>;
 
 /// Reads the counters that a node tells on its admin port.
 pub fn counters(metrics: &str) -> Counters {
@@ -183,7 +183,7 @@
 impl Reading {
     /// What was used from an earlier reading to this one, `seconds` later.
     pub fn since(&self, before: &Reading, seconds: f64) -> Rates {
-        let part = |(name, now): (&String, &Counted)| {
+        let part = |(name, now): (&String, &PartCounters)| {
             let before = before.counters.get(name).copied().unwrap_or_default();
             let rate = |now: u64, before: u64| now.saturating_sub(before) as f64 / seconds;
             let rates = PartRates {
--- a/crates/ivyward-testbed/tests/capacity.rs
+++ b/crates/ivyward-testbed/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! The capacity page says what the tool works out from the kept slopes.
 
 use ivyward_testbed::capacity::command::markdown;
-use ivyward_testbed::capacity::kept::Kept;
+use ivyward_testbed::capacity::measurements::Measurements;
 use ivyward_testbed::capacity::rows::{rows, Basis};
 use ivyward_testbed::capacity::target::Target;
 use ivyward_testbed::capacity::{chart, CapacityError};
@@ -11,20 +11,20 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
 
-fn kept() -> Kept {
-    Kept::load(&docs().join("capacity")).unwrap()
+fn measurements() -> Measurements {
+    Measurements::load(&docs().join("capacity")).unwrap()
 }
 
 #[test]
 fn the_page_has_the_tools_table_and_its_chart() {
-    let (kept, target) = (kept(), Target::default());
+    let (measurements, target) = (measurements(), Target::default());
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
-    let table = markdown(&rows(&kept, &target).unwrap());
+    let table = markdown(&rows(&measurements, &target).unwrap());
     assert!(
         page.contains(&table),
         "docs/CAPACITY.md lacks what `ivyward-testbed capacity` prints:\n{table}"
     );
-    let drawn = chart::svg(&kept, &target).unwrap();
+    let drawn = chart::svg(&measurements, &target).unwrap();
     assert_eq!(
         std::fs::read_to_string(docs().join("capacity/cost.svg")).unwrap(),
         drawn
@@ -33,9 +33,9 @@
 
 #[test]
 fn costs_grow_with_the_size_and_not_against_it() {
-    let kept = kept();
+    let measurements = measurements();
     let at = |target: Target, role: &str, what: &str| {
-        let rows = rows(&kept, &target).unwrap();
+        let rows = rows(&measurements, &target).unwrap();
         rows.iter()
             .find(|row| row.role == role && row.what == what)
             .unwrap()
@@ -76,10 +76,10 @@
 
 #[test]
 fn what_has_no_mechanism_is_said_to_have_none() {
-    let rows = rows(&kept(), &Target::default()).unwrap();
+    let rows = rows(&measurements(), &Target::default()).unwrap();
     let missing: Vec<&str> = rows
         .iter()
-        .filter(|row| row.basis == Basis::Missing)
+        .filter(|row| row.basis == Basis::NoMechanism)
         .map(|row| row.what)
         .collect();
     assert_eq!(missing.len(), 1);
@@ -111,9 +111,12 @@
             "--engines 1000000000000:",
         ),
     ] {
-        let error = rows(&kept(), &target).unwrap_err();
+        let error = rows(&measurements(), &target).unwrap_err();
         assert!(error.to_string().starts_with(text), "{error}");
     }
-    let error = Kept::load(Path::new("/nowhere")).unwrap_err();
-    assert!(matches!(error, CapacityError::Kept { .. }), "{error}");
+    let error = Measurements::load(Path::new("/nowhere")).unwrap_err();
+    assert!(
+        matches!(error, CapacityError::MeasurementFile { .. }),
+        "{error}"
+    );
 }
--- a/crates/ivyward-testbed/tests/scale.rs
+++ b/crates/ivyward-testbed/tests/scale.rs
@@ -1,15 +1,15 @@
 //! A small scale run on processes: it comes to its end, and what it counts is there. Times are not looked at.
 
+use ivyward_testbed::scale::cluster::Programs;
 use ivyward_testbed::scale::run::{run, Part, Report};
 use ivyward_testbed::scale::size::Size;
-use ivyward_testbed::scale::stage::Programs;
 use std::path::PathBuf;
 use std::process::Command;
 
 /// The daemon beside this package's program. A run of all packages' tests has built it; a run of this one alone builds it.
 fn programs() -> Programs {
-    let lab = PathBuf::from(env!("CARGO_BIN_EXE_ivyward-testbed"));
-    let daemon = lab.with_file_name("ivywardd");
+    let testbed = PathBuf::from(env!("CARGO_BIN_EXE_ivyward-testbed"));
+    let daemon = testbed.with_file_name("ivywardd");
     if !daemon.exists() {
         let built = Command::new(env!("CARGO"))
             .args(["build", "-p", "ivywardd"])
@@ -19,7 +19,7 @@
             "the daemon cannot be built"
         );
     }
-    Programs { lab, daemon }
+    Programs { testbed, daemon }
 }
 
 fn part<'a>(report: &'a Report, name: &str) -> &'a Part {
@@ -95,7 +95,7 @@
 #[test]
 fn a_run_beyond_a_bound_is_refused_before_anything_starts() {
     let programs = Programs {
-        lab: PathBuf::from("/nowhere"),
+        testbed: PathBuf::from("/nowhere"),
         daemon: PathBuf::from("/nowhere"),
     };
     let error = run(
