--- a/crates/ivyward-http1/tests/framing.rs
+++ b/crates/ivyward-http1/tests/framing.rs
@@ -15,8 +15,7 @@
 /// Parses a request head with these header lines and returns the framing of its body.
 fn framing(lines: &str) -> Result<Framing, HeadError> {
     let text = format!("POST /a?b HTTP/1.1\r\n{lines}\r\n");
-    RequestHead::parse(text.as_bytes(), &LIMITS)
-        .map(|parsed| parsed.expect("a complete head").0.framing)
+    RequestHead::parse(text.as_bytes(), &LIMITS).map(|parsed| parsed.expect("whole").0.framing)
 }
 
 #[test]
