--- a/crates/ivyward-fakes/src/etcd/mod.rs
+++ b/crates/ivyward-fakes/src/etcd/mod.rs
@@ -55,7 +55,7 @@
 }
 
 /// Data that a store sends through one of its endpoints.
-pub enum Shown<'a> {
+pub enum StoreOutput<'a> {
     /// The key-value pairs in the response to a range request: a complete list, or one page of it.
     List(&'a [KeyValue]),
     /// Events sent by a watch.
@@ -64,7 +64,7 @@
 
 /// Called with the endpoint's index and all key-value data that the store sends, before the data is written to the socket.
 /// The calls are evidence that does not depend on what a node reports.
-pub type Observer = Arc<dyn Fn(usize, Shown<'_>) + Send + Sync>;
+pub type Observer = Arc<dyn Fn(usize, StoreOutput<'_>) + Send + Sync>;
 
 /// A store controlled by a script: it can crash, and restart with its contents or empty.
 pub struct Store {
--- a/crates/ivyward-fakes/src/etcd/server.rs
+++ b/crates/ivyward-fakes/src/etcd/server.rs
@@ -1,7 +1,7 @@
 //! Dispatch of calls by service, authentication, and the key-value service.
 
 use super::state::{SharedState, StoreState};
-use super::Shown;
+use super::StoreOutput;
 use futures_lite::Stream;
 use hyper::body::Incoming;
 use ivyward_proto::etcd::etcdserverpb as pb;
@@ -68,7 +68,7 @@
 
 impl StoreService {
     /// Calls the observer with what is about to be sent.
-    pub(super) fn report(&self, shown: Shown<'_>) {
+    pub(super) fn report(&self, output: StoreOutput<'_>) {
         if self.shared.lock().faults.half_open {
             // A half-open connection delivers nothing to the client.
             return;
@@ -80,7 +80,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         if let Some(observer) = observer {
-            observer(self.endpoint, shown);
+            observer(self.endpoint, output);
         }
     }
 
@@ -148,7 +148,7 @@
                 _ => state.range(request.get_ref())?,
             }
         };
-        self.report(Shown::List(&response.kvs));
+        self.report(StoreOutput::List(&response.kvs));
         Ok(Response::new(response))
     }
 
--- a/crates/ivyward-fakes/src/etcd/watch.rs
+++ b/crates/ivyward-fakes/src/etcd/watch.rs
@@ -2,7 +2,7 @@
 
 use super::server::{ResponseStream, StoreService};
 use super::state::StoreState;
-use super::Shown;
+use super::StoreOutput;
 use futures_lite::StreamExt;
 use ivyward_proto::etcd::etcdserverpb as pb;
 use ivyward_proto::etcd::mvccpb::{event::EventType, Event};
@@ -236,7 +236,7 @@
         for (index, part) in events.chunks(fragment_size).enumerate() {
             let fragment = (index + 1).saturating_mul(fragment_size) < events.len();
             // Reported before the response is sent, so that no client sees an event earlier than the observer.
-            self.service.report(Shown::Events(part));
+            self.service.report(StoreOutput::Events(part));
             let response = pb::WatchResponse {
                 header,
                 fragment,
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -11,7 +11,7 @@
 use ivyward::registration::{Record, State, DEFAULT_ENGINE_PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
 use ivyward_fakes::engine::ThreadPerProcess;
-use ivyward_fakes::etcd::{Observer, Shown, Store};
+use ivyward_fakes::etcd::{Observer, Store, StoreOutput};
 use ivyward_fakes::event_log::{CallIdempotency, KeyScope};
 use ivyward_fakes::{
     check, Client, ClientBehavior, ClientRequest, ClientResult, Engine, EngineSpec, EventLog, Host,
@@ -697,7 +697,7 @@
 }
 
 /// What a store's showing tells of engines, and whether each may be sent new work; `known` are those it showed before.
-pub(crate) fn notices(shown: &Shown<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
+pub(crate) fn notices(shown: &StoreOutput<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
     let id = |key: &[u8]| {
         ivyward::registration::key_id(DEFAULT_ENGINE_PREFIX.as_bytes(), key).map(|id| id.0)
     };
@@ -705,7 +705,7 @@
         serde_json::from_slice::<Record>(value).is_ok_and(|r| r.state == State::Ready)
     };
     match shown {
-        Shown::List(kvs) => {
+        StoreOutput::List(kvs) => {
             let listed: BTreeMap<u64, bool> = kvs
                 .iter()
                 .filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value))))
@@ -720,7 +720,7 @@
             *known = listed.into_keys().collect();
             told
         }
-        Shown::Events(events) => {
+        StoreOutput::Events(events) => {
             let kvs = events.iter().filter_map(|e| e.kv.as_ref());
             // A deletion's record is empty, and so not ready.
             let told: Vec<_> = kvs
