--- a/crates/ivyward-fakes/src/client.rs
+++ b/crates/ivyward-fakes/src/client.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, HeaderValue};
 use ivyward_grpc::{encode, encode_timeout, Cause, Channel, Options, TIMEOUT_HEADER};
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_runtime::{before, Micros, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, Micros, RuntimeExt, RuntimeRef};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -176,7 +176,7 @@
         let outcome = or(
             async {
                 Some(
-                    before(&self.runtime, until, reading)
+                    timeout_at(&self.runtime, until, reading)
                         .await
                         .unwrap_or(ClientOutcome::TimedOut),
                 )
--- a/crates/ivyward-platform/src/discovery/list_reader/tests.rs
+++ b/crates/ivyward-platform/src/discovery/list_reader/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of the conversion of lists to engines.
 
 use super::*;
-use ivyward_sim::{Net, Sim};
+use ivyward_sim::{NetworkConfig, Sim};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
 fn reader() -> (ListReader, RuntimeRef) {
-    let runtime = Sim::new(1, Net::default()).host(1).runtime();
+    let runtime = Sim::new(1, NetworkConfig::default()).host(1).runtime();
     let (zones, machine_types) = (vec!["a".to_owned()], vec!["m1".to_owned(), "m2".to_owned()]);
     (
         ListReader::new(
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward::runtime::{before, Conn, RuntimeExt};
+use ivyward::runtime::{timeout_at, Conn, RuntimeExt};
 
 /// Returns a valid request in which `from` is replaced by `to`.
 fn modified_request(from: &str, to: &str) -> Vec<u8> {
@@ -214,7 +214,7 @@
         let mut open = 0;
         for conn in &mut silent {
             let mut byte = [0];
-            let ended = before(
+            let ended = timeout_at(
                 &cluster.client,
                 cluster.client.now() + 1,
                 conn.read(&mut byte),
@@ -230,7 +230,7 @@
         cluster.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
-            assert!(before(
+            assert!(timeout_at(
                 &cluster.client,
                 cluster.client.now() + 1,
                 conn.read(&mut byte)
@@ -417,7 +417,7 @@
             true => EngineBehavior::RespondAfterFirstEvent(rest.clone().into_bytes()),
             false => EngineBehavior::Normal,
         });
-        setup.sim.net(|net| net.buffer = 2 << 10);
+        setup.sim.update_network(|net| net.buffer_bytes = 2 << 10);
         setup.run(move |cluster| async move {
             let mut conn = cluster.connect().await;
             conn.write_all(&request("slow", "send", 4_800))
@@ -467,7 +467,7 @@
             }
         });
         let bound = setup.config().bounds.client_connections;
-        setup.sim.net(|net| net.jitter = 0);
+        setup.sim.update_network(|net| net.jitter = 0);
         let (sim, node) = (setup.sim.clone(), setup.node.id());
         setup.run(move |cluster| async move {
             let mut first = cluster.connect().await;
@@ -478,7 +478,7 @@
             let (client, address) = (cluster.client.clone(), cluster.address);
             let (done, connected) = async_channel::bounded(1);
             // The node is paused, so that it finds the request and the new connection at the same time.
-            sim.freeze(node, true);
+            sim.set_paused(node, true);
             let (sender, resumer) = (cluster.client.clone(), cluster.client.clone());
             cluster.client.run(async move {
                 sender.sleep(offset).await;
@@ -497,7 +497,7 @@
             });
             cluster.client.run(async move {
                 resumer.sleep(2_000).await;
-                sim.freeze(node, false);
+                sim.set_paused(node, false);
             });
             let _connection = connected.recv().await.unwrap();
             let begun = cluster.client.now();
--- a/crates/ivyward-runtime/src/metered.rs
+++ b/crates/ivyward-runtime/src/metered.rs
@@ -1,7 +1,7 @@
 //! A world that counts what goes through it: bytes, reads and writes of its connections, and the time its tasks run.
 
 use crate::{
-    BorrowedFuture, BoxFuture, Conn, Connection, Datagrams, Listener, Micros, Peer, Runtime,
+    BorrowedFuture, BoxFuture, Conn, Connection, DatagramSocket, Listener, Micros, Peer, Runtime,
     RuntimeRef,
 };
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -72,7 +72,7 @@
         }
     }
     /// Counts what crosses a connection.
-    pub fn watch(self: &Arc<Self>, conn: Conn) -> Conn {
+    pub fn wrap(self: &Arc<Self>, conn: Conn) -> Conn {
         self.opened.fetch_add(1, Ordering::Relaxed);
         Box::new(MeteredConn {
             conn,
@@ -114,7 +114,7 @@
     }
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Conn>> {
         let (connecting, meter) = (self.runtime.connect(to), self.meter.clone());
-        Box::pin(async move { Ok(meter.watch(connecting.await?)) })
+        Box::pin(async move { Ok(meter.wrap(connecting.await?)) })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         Ok(Box::new(MeteredListener {
@@ -122,9 +122,9 @@
             meter: self.meter.clone(),
         }))
     }
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        Ok(Box::new(MeteredDatagrams {
-            socket: self.runtime.datagrams(at)?,
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn DatagramSocket>> {
+        Ok(Box::new(MeteredDatagramSocket {
+            socket: self.runtime.bind_datagram(at)?,
             meter: self.meter.clone(),
         }))
     }
@@ -229,23 +229,19 @@
     fn accept(&mut self) -> BorrowedFuture<'_, io::Result<(Conn, SocketAddr)>> {
         let meter = self.meter.clone();
         let accepting = self.listener.accept();
-        Box::pin(async move {
-            accepting
-                .await
-                .map(|(conn, peer)| (meter.watch(conn), peer))
-        })
+        Box::pin(async move { accepting.await.map(|(conn, peer)| (meter.wrap(conn), peer)) })
     }
     fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 }
 
-struct MeteredDatagrams {
-    socket: Box<dyn Datagrams>,
+struct MeteredDatagramSocket {
+    socket: Box<dyn DatagramSocket>,
     meter: Arc<Meter>,
 }
 
-impl Datagrams for MeteredDatagrams {
+impl DatagramSocket for MeteredDatagramSocket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         self.meter.went(bytes.len());
         self.socket.send(bytes, to)
--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -2,7 +2,9 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_runtime::{Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
+use ivyward_runtime::{
+    Conn, DatagramSocket, Listener, Micros, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -130,12 +132,12 @@
 pub async fn relay_datagrams(
     runtime: RuntimeRef,
     links: Links,
-    mut door: Box<dyn Datagrams>,
+    mut door: Box<dyn DatagramSocket>,
     node: usize,
     to: SocketAddr,
 ) {
     let mut waiting: BTreeMap<(Micros, u64), Vec<u8>> = BTreeMap::new();
-    let (mut bytes, mut count) = ([0u8; MOST_DATAGRAM + 1], 0);
+    let (mut bytes, mut count) = ([0u8; MAX_DATAGRAM_BYTES + 1], 0);
     let me = End::Node(node);
     loop {
         let due = waiting
@@ -163,7 +165,7 @@
                     }
                 };
                 let fault = links.fault(from, me);
-                let lot = |share: f64| runtime.unit() < share;
+                let lot = |share: f64| runtime.random_f64() < share;
                 let lost = fault.cut || lot(fault.lose) || waiting.len() >= MOST_WAITING;
                 {
                     let mut state = links.lock();
@@ -173,13 +175,13 @@
                 if lost {
                     continue;
                 }
-                let jitter = (runtime.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
+                let jitter = (runtime.random_f64() * fault.jitter_ms as f64 * 1e3) as Micros;
                 let at = runtime.now() + fault.delay_ms * 1_000 + jitter;
                 count += 1;
                 waiting.insert((at, count), bytes[..got].to_vec());
                 if lot(fault.repeat) {
                     count += 1;
-                    let again = at + (runtime.unit() * 1e6) as Micros;
+                    let again = at + (runtime.random_f64() * 1e6) as Micros;
                     waiting.insert((again, count), bytes[..got].to_vec());
                 }
             }
