--- a/crates/ivyward-fakes/src/platform/discovery.rs
+++ b/crates/ivyward-fakes/src/platform/discovery.rs
@@ -17,13 +17,16 @@
     /// Engine id.
     pub id: String,
     /// Address as `IP:PORT`.
-    pub addr: String,
+    #[serde(rename = "addr")]
+    pub address: String,
     /// Zone name.
     pub zone: String,
     /// Name of the machine type.
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     /// Rack number.
-    pub cell: u16,
+    #[serde(rename = "cell")]
+    pub rack: u16,
     /// `up` or `draining`.
     pub state: &'static str,
     /// Routing weight, over 0.
--- a/crates/ivyward-testbed/src/soak/stage.rs
+++ b/crates/ivyward-testbed/src/soak/stage.rs
@@ -423,10 +423,10 @@
 fn entry(index: usize, reads: bool, near: SocketAddr) -> Entry {
     Entry {
         id: format!("s-{index}"),
-        addr: near.to_string(),
+        address: near.to_string(),
         zone: "a".into(),
-        kind: if reads { "prefill" } else { "decode" }.into(),
-        cell: (index / 4) as u16,
+        machine_type: if reads { "prefill" } else { "decode" }.into(),
+        rack: (index / 4) as u16,
         state: "up",
         weight: 1.0,
         started_ms: 0,
