--- a/crates/ivyward-testbed/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -160,7 +160,7 @@
             operation: call,
             idempotency: CallIdempotency::Idempotent,
             node: node as usize,
-            behavior: behavior,
+            behavior,
         }
     }
 }
