--- a/crates/ivyward-testbed/src/scale/mod.rs
+++ b/crates/ivyward-testbed/src/scale/mod.rs
@@ -1,17 +1,17 @@
-//! A scale run: hollow nodes and engines, which speak all control traffic of real ones without requests, beside real
-//! daemons with requests through them; and what each role uses meanwhile.
+//! Scale runs: measure what each role of a deployment uses. Stub nodes and engines exchange all the control traffic of
+//! real ones but serve no requests; real daemons beside them serve requests.
 //!
-//! - [`size`]: how large a run is, and the bounds that it is held to.
-//! - [`usage`]: what a process uses, by /proc and by its own counters.
-//! - [`message`]: what a run says to its hollow processes.
-//! - [`stub`]: the hollow processes themselves.
-//! - [`stub_process`]: a hollow process, as the run holds it.
-//! - [`cluster`]: all processes of a run.
-//! - [`load`]: requests at a steady rate.
-//! - [`run`]: the parts of a run and what came of them.
-//! - [`sweep`]: one quantity varied alone.
-//! - [`command`]: flags and reports.
-//! - [`fit`]: slopes by least squares, and how well they predict.
+//! - [`size`]: the size of a run and its upper limits.
+//! - [`usage`]: resource use of a process, from /proc and from its own counters.
+//! - [`message`]: messages between a run and its stub processes.
+//! - [`stub`]: the program that runs in a stub process.
+//! - [`stub_process`]: the run's handle of a stub process.
+//! - [`cluster`]: starts and controls all processes of a run.
+//! - [`load`]: sends requests at a constant rate.
+//! - [`run`]: the parts of a run and their results.
+//! - [`sweep`]: varies one quantity and measures at several sizes.
+//! - [`command`]: flags and text reports of the `scale` subcommand.
+//! - [`fit`]: least-squares lines and their prediction errors.
 
 pub mod cluster;
 pub mod command;
@@ -25,38 +25,38 @@
 pub mod sweep;
 pub mod usage;
 
-/// Why a run does not come about.
+/// Why a scale run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// It would be larger than a run may be.
-    #[error("{bound}: this run would take {wanted}, at most {most} are allowed")]
+    /// The run would exceed one of its upper limits.
+    #[error("{bound}: this run would need {wanted}; at most {max} are allowed")]
     Bound {
-        /// The bound's name.
+        /// Name of the limit.
         bound: &'static str,
-        /// What the run would take.
+        /// How much the run would need.
         wanted: u64,
-        /// What it may.
-        most: u64,
+        /// The limit.
+        max: u64,
     },
-    /// A value that cannot be.
+    /// The value of a flag is invalid.
     #[error("--{flag} {value}: {reason}")]
     Flag {
-        /// Which.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: u64,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         reason: &'static str,
     },
-    /// The system said no.
+    /// An operation of the operating system failed.
     #[error("{doing}: {error}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         doing: String,
-        /// What it said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// A hollow process or a daemon did something else than was asked of it.
+    /// A stub process or a daemon ended, failed or gave an unexpected reply.
     #[error("{0}")]
     Process(String),
 }
--- a/crates/ivyward-testbed/src/scale/size.rs
+++ b/crates/ivyward-testbed/src/scale/size.rs
@@ -1,48 +1,49 @@
-//! How large a run is, and the bounds that it is held to.
+//! The size of a scale run and its upper limits.
 
 use crate::scale::ScaleError;
 use serde::{Deserialize, Serialize};
 
-/// Most processes of a run, itself among them.
+/// Maximum number of processes of a run, including the run itself.
 pub const MAX_PROCESSES: u64 = 300;
-/// Most descriptors of one process.
+/// Maximum number of open file descriptors of one process.
 pub const MAX_DESCRIPTORS: u64 = 20_000;
-/// Most memory of all processes together, in MiB: half of the machine's.
+/// Maximum memory of all processes together, in MiB: half of the machine's memory.
 pub const MAX_MEMORY_MIB: u64 = 12_000;
-/// Longest part of a run, in seconds.
+/// Maximum duration of a part of a run, in seconds.
 pub const MAX_SECONDS: u64 = 300;
-/// Hollow nodes and engines share processes, so many of each kind.
+/// Number of processes that the stub nodes share, and also the number that the stub engines share.
 pub const STUB_PROCESSES: u64 = 2;
-/// Descriptors that a process has beside its connections.
+/// File descriptors that a process has in addition to its connections.
 const OWN_DESCRIPTORS: u64 = 64;
-/// Memory of a connection with both of its ends, and of a process, as measured roughly; for the check before a run alone.
+/// Memory of a connection (both ends together) and of a process. Rough measurements, used only to estimate a run's memory
+/// before it starts.
 const CONNECTION_KIB: u64 = 128;
 const PROCESS_KIB: u64 = 40 << 10;
 
-/// How large a run is.
+/// The size of a scale run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Size {
-    /// Hollow nodes.
+    /// Stub nodes, including the measured one.
     pub nodes: u64,
-    /// Hollow engines.
+    /// Stub engines.
     pub engines: u64,
-    /// Daemons that take requests.
+    /// Daemons that serve requests.
     pub real_nodes: u64,
-    /// Connections to engines that the measured hollow node opens and keeps.
+    /// Connections to engines that the measured stub node opens and keeps open.
     pub connections: u64,
-    /// Tenants that nodes are told of.
+    /// Tenants in the nodes' settings.
     pub tenants: u64,
-    /// Request classes that nodes are told of.
+    /// Request classes in the nodes' settings.
     pub classes: u64,
-    /// Sessions that requests belong to, at each real node.
+    /// Sessions over which the requests at each daemon are spread.
     pub sessions: u64,
-    /// Requests a second at each real node.
+    /// Requests per second at each daemon; 0 for none.
     pub rate: f64,
-    /// Changes of engines' records an hour.
+    /// Changes of engine records per hour.
     pub changes: u64,
-    /// Seconds that each part is measured.
+    /// Duration of the measurement of each part, in seconds.
     pub seconds: u64,
-    /// Feeds all choices.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
@@ -65,27 +66,27 @@
 }
 
 impl Size {
-    /// Looks for what cannot be, or would be larger than a run may be.
+    /// Checks that all values are valid and that the run stays within its limits.
     ///
     /// # Errors
-    /// The first one found, by the name of its flag or bound.
+    /// Names the flag of the first invalid value, or the first limit that the run would exceed.
     pub fn check(&self) -> Result<(), ScaleError> {
-        let least = [
+        let at_least_one = [
             ("nodes", self.nodes),
             ("engines", self.engines),
             ("classes", self.classes),
             ("sessions", self.sessions),
             ("seconds", self.seconds),
         ];
-        if let Some((flag, value)) = least.into_iter().find(|(_, value)| *value == 0) {
+        if let Some((flag, value)) = at_least_one.into_iter().find(|(_, value)| *value == 0) {
             return Err(ScaleError::Flag {
                 flag,
                 value,
-                reason: "at least one is needed",
+                reason: "must be at least 1",
             });
         }
         if self.connections > self.engines {
-            let reason = "there are not so many engines";
+            let reason = "must not be greater than the number of engines";
             return Err(ScaleError::Flag {
                 flag: "connections",
                 value: self.connections,
@@ -93,7 +94,7 @@
             });
         }
         if !(0.0..=1_000.0).contains(&self.rate) {
-            let reason = "from 0 to 1000 requests a second are possible";
+            let reason = "must be from 0 to 1000 requests per second";
             return Err(ScaleError::Flag {
                 flag: "rate",
                 value: self.rate.max(0.0) as u64,
@@ -110,37 +111,33 @@
             ("MiB of memory", self.memory_mib(), MAX_MEMORY_MIB),
             ("seconds of a part", self.seconds, MAX_SECONDS),
         ];
-        match bounds.into_iter().find(|(_, wanted, most)| wanted > most) {
-            Some((bound, wanted, most)) => Err(ScaleError::Bound {
-                bound,
-                wanted,
-                most,
-            }),
+        match bounds.into_iter().find(|(_, wanted, max)| wanted > max) {
+            Some((bound, wanted, max)) => Err(ScaleError::Bound { bound, wanted, max }),
             None => Ok(()),
         }
     }
 
-    /// This one, the store, the measured node, hollow nodes and engines, and the daemons.
+    /// Processes of the run: the run itself, the store, the measured node, the stub nodes and engines, and the daemons.
     fn processes(&self) -> u64 {
         3 + 2 * STUB_PROCESSES + self.real_nodes
     }
 
-    /// Connections between nodes and engines, once real nodes have found all of them.
-    fn connections_in_all(&self) -> u64 {
+    /// Connections between nodes and engines once each daemon is connected to all engines.
+    fn total_connections(&self) -> u64 {
         (self.real_nodes * self.engines).saturating_add(self.connections)
     }
 
-    /// Of the process that has most.
+    /// File descriptors of the process that has the most.
     fn descriptors(&self) -> u64 {
         let engines = self.engines / STUB_PROCESSES + 1;
-        let engine_process = engines * 2 + self.connections_in_all() / STUB_PROCESSES;
+        let engine_process = engines * 2 + self.total_connections() / STUB_PROCESSES;
         let store = self.engines + 4 * (self.nodes + self.real_nodes + 1);
         engine_process.max(store).max(self.engines) + OWN_DESCRIPTORS
     }
 
     fn memory_mib(&self) -> u64 {
         let connections =
-            self.connections_in_all() + self.engines + 4 * (self.nodes + self.real_nodes);
+            self.total_connections() + self.engines + 4 * (self.nodes + self.real_nodes);
         (connections * CONNECTION_KIB + self.processes() * PROCESS_KIB) >> 10
     }
 }
