--- a/crates/ivyward-testbed/src/scale/message.rs
+++ b/crates/ivyward-testbed/src/scale/message.rs
@@ -1,71 +1,73 @@
-//! What a run says to its hollow processes, a line of JSON each, and what they answer.
+//! Messages between a scale run and its stub processes: one line of JSON each, commands on standard input and replies on
+//! standard output.
 
 use crate::scale::usage::Counters;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a hollow process is.
+/// What a stub process runs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Role {
     /// A store that speaks etcd's API.
     Store,
-    /// Engines that register themselves.
+    /// Engines that register themselves in the store.
     Engines {
-        /// The first one's id.
+        /// Id of the first engine; the others have the ids that follow.
         first: u64,
-        /// How many.
+        /// Number of engines.
         count: u64,
-        /// Where they register.
+        /// Address of the store where the engines register.
         store: SocketAddr,
     },
-    /// Nodes that follow the store and know each other.
+    /// Nodes that watch the store and exchange state with each other as peers.
     Nodes {
-        /// The first one's number, of which its name is made.
+        /// Number of the first node; a node's name is made from its number.
         first: u64,
-        /// How many.
+        /// Number of nodes.
         count: u64,
-        /// The store.
+        /// Address of the store that the nodes watch.
         store: SocketAddr,
-        /// Tenants that each is told of.
+        /// Number of tenants in each node's settings.
         tenants: u64,
-        /// Request classes that each is told of.
+        /// Number of request classes in each node's settings.
         classes: u64,
     },
 }
 
-/// What a hollow process is told.
+/// A command to a stub process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StubCommand {
-    /// What have you counted?
+    /// Asks for the traffic and time counters of the process.
     #[serde(rename = "Count")]
     ReadCounters,
-    /// Nodes: open so many connections to engines each.
+    /// To nodes: each node opens this many connections to engines.
     Connect(u64),
-    /// Nodes: how many engines does each know?
+    /// To nodes: asks how many engines each node knows.
     #[serde(rename = "Known")]
     KnownEngines,
-    /// Nodes, up to which revision does each know the list? The store, at which is it?
+    /// Asks for revisions of the engine list: nodes answer the revision that each has applied, the store its current one.
     #[serde(rename = "Revision")]
     ListRevision,
-    /// The store: write engines' records anew, so many of them.
+    /// To the store: changes this many engine records.
     #[serde(rename = "Change")]
     ChangeRecords(u64),
-    /// The store: die and come back with all that was held.
+    /// To the store: crashes and restarts with its data intact.
     Restart,
 }
 
-/// What it answers.
+/// A reply of a stub process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// It runs. A store says where.
+    /// The process has started; a store gives the address where it listens.
     Ready(Option<SocketAddr>),
-    /// It is done.
+    /// The command was carried out.
     Done,
-    /// What it counted.
+    /// The counters of the process.
     Counted(Counters),
-    /// Of each node, connections that were opened or engines that are known.
+    /// One value for each node: connections opened, engines known, or the list revision. A store gives one value, its
+    /// revision.
     #[serde(rename = "Each")]
     PerNode(Vec<u64>),
-    /// It could not do that.
+    /// The command failed, with the reason.
     Failed(String),
 }
