--- a/crates/ivyward-testbed/src/scale/stub_process.rs
+++ b/crates/ivyward-testbed/src/scale/stub_process.rs
@@ -1,4 +1,4 @@
-//! A hollow process, as the run holds it: started, told, asked, and ended with the run.
+//! The scale run's handle of a stub process: starts it, sends commands, reads its replies, and kills it at the end.
 
 use crate::child_process::end_with_parent;
 use crate::scale::message::{Reply, Role, StubCommand};
@@ -9,23 +9,23 @@
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// The subcommand that a hollow process is started with; its role follows as JSON.
+/// The subcommand that starts a stub process; the process's role follows as a JSON argument.
 pub const SUBCOMMAND: &str = "hollow";
 
-/// A hollow process, killed when this is dropped.
+/// A running stub process, which is killed when this handle is dropped.
 pub struct StubProcess {
     child: Child,
     orders: ChildStdin,
     replies: BufReader<ChildStdout>,
-    /// Where it listens, if it says so.
+    /// The address where the process listens; only a store reports one.
     pub address: Option<SocketAddr>,
 }
 
 impl StubProcess {
-    /// Starts one and waits until it runs. `program` is `ivyward-testbed` itself.
+    /// Starts a stub process and waits until it is ready. `program` is `ivyward-testbed` itself.
     ///
     /// # Errors
-    /// When it does not come up.
+    /// When the process cannot be started, or ends or fails before it is ready.
     pub fn start(program: &Path, role: &Role) -> Result<StubProcess, ScaleError> {
         let text = serde_json::to_string(role).map_err(|e| ScaleError::Process(e.to_string()))?;
         let mut child = end_with_parent(&mut Command::new(program))
@@ -35,7 +35,9 @@
             .spawn()
             .map_err(ScaleError::io(program.display().to_string()))?;
         let (Some(orders), Some(replies)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(ScaleError::Process("a hollow process has no pipes".into()));
+            return Err(ScaleError::Process(
+                "a stub process was started without pipes for its standard input and output".into(),
+            ));
         };
         let mut stub = StubProcess {
             child,
@@ -54,32 +56,34 @@
         let mut line = String::new();
         self.replies
             .read_line(&mut line)
-            .map_err(ScaleError::io("hearing a hollow process"))?;
+            .map_err(ScaleError::io("reading the reply of a stub process"))?;
         if line.is_empty() {
-            return Err(ScaleError::Process("a hollow process ended".into()));
+            return Err(ScaleError::Process(
+                "a stub process closed its standard output before it replied".into(),
+            ));
         }
         let reply = serde_json::from_str(&line);
-        match reply.map_err(|e| ScaleError::Process(format!("{line:?}: {e}")))? {
+        match reply.map_err(|e| ScaleError::Process(format!("malformed reply {line:?}: {e}")))? {
             Reply::Failed(text) => Err(ScaleError::Process(text)),
             reply => Ok(reply),
         }
     }
 
-    /// Tells it something and waits for its answer.
+    /// Sends a command and waits for the reply.
     ///
     /// # Errors
-    /// When it ended or could not do that.
+    /// When the process has ended or the command failed.
     pub fn send(&mut self, command: &StubCommand) -> Result<Reply, ScaleError> {
         let mut text =
             serde_json::to_string(command).map_err(|e| ScaleError::Process(e.to_string()))?;
         text.push('\n');
         self.orders
             .write_all(text.as_bytes())
-            .map_err(ScaleError::io("telling a hollow process"))?;
+            .map_err(ScaleError::io("sending a command to a stub process"))?;
         self.reply()
     }
 
-    /// What each of its nodes says to an order that asks for a number.
+    /// Sends a command that asks for a number and returns one value for each node of the process.
     ///
     /// # Errors
     /// As for [`StubProcess::send`].
@@ -97,10 +101,10 @@
         }
     }
 
-    /// What it has used so far.
+    /// Resources that the process has used since it started.
     ///
     /// # Errors
-    /// When it ended.
+    /// When the process has ended.
     pub fn reading(&mut self) -> Result<Reading, ScaleError> {
         Ok(Reading {
             proc: Proc::read(self.child.id())?,
@@ -110,12 +114,12 @@
 }
 
 fn unexpected(reply: &Reply) -> ScaleError {
-    ScaleError::Process(format!("a hollow process answered {reply:?}"))
+    ScaleError::Process(format!("unexpected reply of a stub process: {reply:?}"))
 }
 
 impl Drop for StubProcess {
     fn drop(&mut self) {
-        // Our own child: an error means that it has ended already.
+        // An error means that the child process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
