--- a/crates/ivyward-testbed/src/scale/stub.rs
+++ b/crates/ivyward-testbed/src/scale/stub.rs
@@ -1,4 +1,5 @@
-//! A hollow process: nodes, engines or a store, which do what a run says on standard input until that ends.
+//! The program of a stub process: runs nodes, engines or a store, and carries out the commands that it reads from standard
+//! input until end of file.
 
 use crate::local_cluster::classes;
 use crate::registration;
@@ -15,16 +16,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Threads of a hollow process.
+/// Number of threads of a stub process.
 const THREADS: usize = 2;
-/// Seconds that records of engines and nodes outlive them.
+/// Lease of the records of engines and nodes, in seconds: how long a record remains after its owner has ended.
 pub const LEASE: i64 = 10;
-/// Of so many engines in a hundred, prompts are read at: the share that the operators plan for.
+/// Percentage of engines that are prefill engines: the share that the operators plan for.
 const PREFILL_PERCENT: u64 = 35;
-/// Tokens that engines hold back between two, in microseconds: the target's 26 ms.
+/// Time between two output tokens of an engine, in microseconds: the 26 ms of the planned deployment.
 const TOKEN_INTERVAL_US: u64 = 26_000;
 
-/// Processes with a thread of their own each, counted together, so that the store can die and come back.
+/// Starts each simulated process on a runtime of its own, so that the store can crash and restart. One meter counts the
+/// traffic of all of them.
 struct MeteredThreads(Arc<Meter>);
 
 impl Host for MeteredThreads {
@@ -39,10 +41,10 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The make of a hollow engine.
+/// Specification of a stub engine: its role and speeds.
 pub fn spec(id: u64) -> EngineSpec {
-    let reads = id * PREFILL_PERCENT / 100 != (id + 1) * PREFILL_PERCENT / 100;
-    let role = if reads {
+    let is_prefill = id * PREFILL_PERCENT / 100 != (id + 1) * PREFILL_PERCENT / 100;
+    let role = if is_prefill {
         EngineRole::Prefill
     } else {
         EngineRole::Decode
@@ -55,7 +57,7 @@
     }
 }
 
-/// So many tenants without quotas.
+/// Returns `count` tenants without quotas.
 pub fn tenants(count: u64) -> Vec<Tenant> {
     let tenant = |i| Tenant {
         name: format!("tenant-{i}"),
@@ -64,31 +66,31 @@
     (0..count).map(tenant).collect()
 }
 
-/// So many request classes, all like the first one of the scenes.
+/// Returns `count` request classes with the settings of the first class of the simulation runs.
 pub fn request_classes(count: u64) -> Vec<Class> {
-    let Some(usual) = classes().into_iter().next() else {
+    let Some(template) = classes().into_iter().next() else {
         return Vec::new();
     };
     (0..count)
         .map(|i| Class {
             name: format!("class-{i}"),
-            settings: usual.settings.clone(),
+            settings: template.settings.clone(),
         })
         .collect()
 }
 
-/// What the process holds.
+/// What the process runs.
 enum Workload {
     Store(Box<Store>),
-    /// Workload so that they run.
+    /// Never read: the engines stop when they are dropped.
     Engines(#[allow(dead_code)] Vec<Engine>),
     Nodes(Vec<Node>),
 }
 
-/// Runs a hollow process until its standard input ends.
+/// Runs a stub process until its standard input ends.
 ///
 /// # Errors
-/// When what it is to hold does not come up.
+/// When the store, an engine or a node cannot be started.
 pub fn run(role: Role) -> Result<(), ScaleError> {
     let smol = SmolRuntime::start(THREADS, u64::from(std::process::id()));
     let (plain, meter): (RuntimeRef, Arc<Meter>) = (smol.clone(), Arc::default());
@@ -101,7 +103,7 @@
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let reply = match serde_json::from_str::<StubCommand>(&line) {
             Ok(command) => smol.block_on(execute(&mut workload, command, &meter, &runtime)),
-            Err(e) => Reply::Failed(format!("{line:?}: {e}")),
+            Err(e) => Reply::Failed(format!("malformed command {line:?}: {e}")),
         };
         write_reply(&reply);
     }
@@ -110,7 +112,7 @@
 
 fn write_reply(reply: &Reply) {
     let mut out = std::io::stdout().lock();
-    // The run that asked may be gone, and this process ends with its input.
+    // Write errors are ignored: the run may have ended already, and then this process ends at the end of its input.
     let _ = serde_json::to_writer(&mut out, reply);
     let _ = writeln!(out);
     let _ = out.flush();
@@ -160,14 +162,15 @@
     }
 }
 
-/// A node that takes no requests.
+/// Starts a node that serves no requests.
 fn node(
     runtime: &RuntimeRef,
     number: u64,
     store: SocketAddr,
     (tenant_count, class_count): (u64, u64),
 ) -> Result<Node, ScaleError> {
-    let failed = |e: &dyn std::fmt::Display| ScaleError::Process(format!("node {number}: {e}"));
+    let failed =
+        |e: &dyn std::fmt::Display| ScaleError::Process(format!("starting node {number}: {e}"));
     let settings = NodeSettings {
         seed: number,
         classes: request_classes(class_count),
@@ -175,12 +178,12 @@
         ..NodeSettings::default()
     };
     let node = Node::start(runtime.clone(), settings, None).map_err(|e| failed(&e))?;
-    let follow = WatcherOptions {
+    let watcher_options = WatcherOptions {
         endpoints: vec![store],
         ..WatcherOptions::default()
     };
-    let following = node.clone();
-    runtime.run(async move { following.watch_endpoints(follow).await });
+    let watching_node = node.clone();
+    runtime.run(async move { watching_node.watch_endpoints(watcher_options).await });
     let peer_store = PeerStore {
         endpoints: vec![store],
         prefix: ivyward::peers::DEFAULT_NODE_PREFIX.into(),
@@ -239,11 +242,13 @@
                 Err(e) => Reply::Failed(e.to_string()),
             }
         }
-        (command, _) => Reply::Failed(format!("{command:?} is not for this process")),
+        (command, _) => Reply::Failed(format!(
+            "a process of this role cannot carry out {command:?}"
+        )),
     }
 }
 
-/// Writes engines' records anew with another weight, which is a change that every node hears of.
+/// Changes the weight in `count` engine records, so that every node that watches the list is notified.
 fn change(store: &Store, count: u64) -> Reply {
     let keys: Vec<String> = store
         .keys()
@@ -272,7 +277,7 @@
     Reply::Done
 }
 
-/// The counters of all nodes of a process together.
+/// Sums the counters of all nodes of the process.
 fn node_counters(nodes: &[Node]) -> Counters {
     let mut all = Counters::new();
     for node in nodes {
