--- a/crates/ivyward-testbed/src/scale/cluster.rs
+++ b/crates/ivyward-testbed/src/scale/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of a run: the store, hollow engines and nodes, the measured node, and daemons that take requests.
+//! All processes of a scale run: the store, stub engines and nodes, the measured node, and daemons that serve requests.
 
 use crate::cluster::process::Process;
 use crate::local_cluster::ivyward_flags;
@@ -14,56 +14,56 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// One engine of so many stands in the zone that is lost.
+/// One in this many engines is in the zone that the run stops and restarts.
 const ZONES: u64 = 16;
-/// How long nodes may take to hear of all engines, in microseconds.
+/// How long all nodes may take to reach an awaited state, such as knowing all engines, in microseconds.
 const CONVERGENCE_TIMEOUT: Micros = 60_000_000;
-/// How often they are asked.
+/// Interval at which the nodes are polled meanwhile, in microseconds.
 const POLL_INTERVAL: Micros = 20_000;
 
-/// The programs that a run starts.
+/// Paths of the programs that a run starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `ivyward-testbed`, for hollow processes.
+    /// `ivyward-testbed`, which runs the stub processes.
     pub testbed: PathBuf,
-    /// `ivywardd`.
+    /// `ivywardd`, the daemon.
     pub daemon: PathBuf,
 }
 
-/// The processes of a run. All end with it.
+/// The processes of a run. All of them are ended when the cluster is dropped.
 pub struct Cluster {
     pub(crate) runtime: Arc<SmolRuntime>,
     size: Size,
     programs: Programs,
     store_address: SocketAddr,
-    /// Daemons that take requests.
+    /// Daemons that serve requests.
     pub real: Vec<Process>,
-    /// A process with one hollow node, which is measured where there is no daemon.
+    /// A process with a single stub node, whose resource use is reported as the role `node`.
     pub measured: StubProcess,
-    /// The other hollow nodes.
+    /// The process with the other stub nodes; `None` if there are none.
     pub others: Option<StubProcess>,
-    /// Engines of the zone that may be lost.
+    /// The engines of the zone that can be stopped; `None` while it is stopped.
     zone: Option<StubProcess>,
-    /// All other engines.
+    /// All engines outside that zone.
     pub engines: StubProcess,
-    /// The store.
+    /// The store that holds the engine list and the peers' records.
     pub store: StubProcess,
-    /// How long it took until every node knew all engines, once their processes ran.
+    /// Time from the start of the last process until every node knew all engines.
     pub join_duration: Micros,
 }
 
-/// What each role has used so far.
+/// Resources that each role has used since it started.
 #[derive(Clone, Debug, Default)]
 pub struct Readings {
-    /// When.
+    /// Time of the readings.
     pub at: Micros,
-    /// The measured hollow node.
+    /// The measured stub node.
     pub node: Reading,
-    /// The daemons, each.
+    /// One reading for each daemon.
     pub real: Vec<Reading>,
-    /// Hollow engines outside the zone.
+    /// The process of the stub engines outside the zone that can be stopped.
     pub engines: Reading,
-    /// The store.
+    /// The process of the store.
     pub store: Reading,
 }
 
@@ -71,14 +71,14 @@
     /// Starts all processes, and waits until every node knows all engines.
     ///
     /// # Errors
-    /// When the size is out of bounds, or a process does not come up.
+    /// When the size is invalid or exceeds a limit, or a process does not start.
     pub fn start(size: Size, programs: Programs) -> Result<Cluster, ScaleError> {
         size.check()?;
         let runtime = SmolRuntime::start(1, size.seed);
         let store = StubProcess::start(&programs.testbed, &Role::Store)?;
         let store_address = store
             .address
-            .ok_or_else(|| ScaleError::Process("the store says no address".into()))?;
+            .ok_or_else(|| ScaleError::Process("the store reported no address".into()))?;
         let testbed = &programs.testbed;
         let zone_count = size.engines / ZONES;
         let rest = size.engines - zone_count;
@@ -146,23 +146,25 @@
         flags.push(format!("--peer-lease={LEASE}"));
         flags.push("--peer-listen=127.0.0.1:0".into());
         flags.push(format!("--peer-name=real-{number}"));
-        // Hollow nodes speak to peers without a key, so daemons do as well.
+        // Stub nodes exchange peer messages without a key, so the daemons must do the same.
         Process::start_without_key(&self.programs.daemon, &flags)
             .map_err(|e| ScaleError::Process(e.to_string()))
     }
 
-    /// Ends the last daemon in order and starts it again; how long its end took, and how long its start until it knew all
-    /// engines.
+    /// Terminates the last daemon gracefully and starts it again. Returns the duration of the termination, and the time from
+    /// the start until every node, the new daemon included, knew all engines; zeros without a daemon.
     ///
     /// # Errors
-    /// When it does not come up again.
+    /// When the daemon does not terminate cleanly or does not start again.
     pub fn restart_daemon(&mut self) -> Result<(Micros, Micros), ScaleError> {
         let Some(process) = self.real.pop() else {
             return Ok((0, 0));
         };
         let began = self.runtime.now();
         if !process.terminate() {
-            return Err(ScaleError::Process("a daemon did not end well".into()));
+            return Err(ScaleError::Process(
+                "a daemon did not terminate cleanly".into(),
+            ));
         }
         let ended = self.runtime.now();
         let again = self.daemon(self.real.len() as u64)?;
@@ -171,20 +173,20 @@
         Ok((ended - began, self.runtime.now() - ended))
     }
 
-    /// How many engines stand in the zone that may be lost.
+    /// Number of engines in the zone that can be stopped.
     pub fn zone_engines(&self) -> u64 {
         self.size.engines / ZONES
     }
 
-    /// The zone's machines are gone.
+    /// Kills the process of the zone's engines, as if the zone's machines were lost.
     pub fn stop_zone(&mut self) {
         self.zone = None;
     }
 
-    /// The zone's machines are back, under their ids, at other ports.
+    /// Starts the zone's engines again, with the same ids and at other ports.
     ///
     /// # Errors
-    /// When their process does not come up.
+    /// When the engines' process does not start.
     pub fn start_zone(&mut self) -> Result<(), ScaleError> {
         let count = self.zone_engines();
         if count > 0 {
@@ -199,20 +201,20 @@
         Ok(())
     }
 
-    /// Waits until every node knows so many engines; how long that took.
+    /// Waits until every node knows exactly this many engines, and returns how long that took.
     ///
     /// # Errors
-    /// When it does not come about.
+    /// When a node does not get there within a minute, or a process has ended.
     pub fn await_engines(&mut self, engines: u64) -> Result<Micros, ScaleError> {
         self.await_all_nodes(&StubCommand::KnownEngines, "ivyward_engines ", |known| {
             known == engines
         })
     }
 
-    /// Changes so many engines' records, and waits until every node knows the last change; how long that took.
+    /// Changes this many engine records, waits until every node has applied the last change, and returns how long that took.
     ///
     /// # Errors
-    /// When it does not come about.
+    /// When a node does not get there within a minute, or a process has ended.
     pub fn change(&mut self, count: u64) -> Result<Micros, ScaleError> {
         self.store.send(&StubCommand::ChangeRecords(count))?;
         let revision = self
@@ -243,7 +245,7 @@
             }
             if took > CONVERGENCE_TIMEOUT {
                 let text = format!(
-                    "after {} s nodes answer {each:?} to {command:?}",
+                    "nodes did not converge within {} s: they answer {each:?} to {command:?}",
                     took / 1_000_000
                 );
                 return Err(ScaleError::Process(text));
@@ -252,7 +254,7 @@
         }
     }
 
-    /// What each node says: hollow ones to an order, daemons by a metric.
+    /// Returns one value for each node: from a stub node by a command, from a daemon by a metric.
     fn node_values(&mut self, command: &StubCommand, metric: &str) -> Result<Vec<u64>, ScaleError> {
         let mut each = self.measured.query_nodes(command)?;
         if let Some(others) = &mut self.others {
@@ -266,29 +268,29 @@
         Ok(each)
     }
 
-    /// What a daemon tells of itself.
+    /// Metrics page of a daemon.
     fn metrics(&self, daemon: &Process) -> Result<String, ScaleError> {
         let runtime: RuntimeRef = self.runtime.clone();
         let text = self
             .runtime
             .block_on(daemon.admin_get(&runtime, "/metrics"));
-        text.map_err(ScaleError::io("asking a daemon"))
+        text.map_err(ScaleError::io("reading the metrics of a daemon"))
     }
 
-    /// The run's clock.
+    /// Current time on the run's clock, in microseconds.
     pub fn now(&self) -> Micros {
         self.runtime.now()
     }
 
-    /// Lets a span go by.
+    /// Blocks the calling thread for a duration in microseconds.
     pub fn sleep(&self, duration: Micros) {
         self.runtime.block_on(self.runtime.sleep(duration));
     }
 
-    /// What each role has used so far.
+    /// Reads the resources that each role has used since it started.
     ///
     /// # Errors
-    /// When a process ended.
+    /// When a process has ended.
     pub fn readings(&mut self) -> Result<Readings, ScaleError> {
         let mut real = Vec::new();
         for process in &self.real {
