--- a/crates/ivyward/src/peers/gossip.rs
+++ b/crates/ivyward/src/peers/gossip.rs
@@ -77,7 +77,7 @@
                 Wakeup::Closed => return,
             }
             if lock(&self.view).superseded() {
-                error!("another process uses this node's name, gossip stopped; stop one of the two processes");
+                error!("another process has taken this node's name, gossip stopped: stop one of the two");
                 return;
             }
         }
--- a/crates/ivyward/src/peers/records.rs
+++ b/crates/ivyward/src/peers/records.rs
@@ -182,10 +182,7 @@
                 key,
                 "node record deleted by someone else, not written again"
             ),
-            LeaseEvent::Taken(_) => warn!(
-                key,
-                "node record taken over by another process of the same name"
-            ),
+            LeaseEvent::Taken(_) => warn!(key, "node record held by another process of this name"),
         };
         let registration = client.keep_registered(&task_runtime, key.as_bytes(), value, lease, log);
         or(registration, host.context.stopped()).await;
--- a/crates/ivywardd/src/signals.rs
+++ b/crates/ivywardd/src/signals.rs
@@ -80,7 +80,7 @@
             .await;
             if let Some(Err(error)) = woken {
                 if error.kind() != io::ErrorKind::Interrupted {
-                    warn!(%error, "waiting for a signal failed, will retry");
+                    warn!(%error, "signal wait failed, will retry");
                     runtime.sleep(RETRY_DELAY).await;
                 }
             } else if woken.is_none() {
