--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -1,7 +1,7 @@
-//! The running cluster: nodes, engines and the store in virtual time.
+//! A running cluster of nodes, engines and a store in virtual time.
 
 use super::hosts::Hosts;
-use super::{lock, CLIENT_WINDOW, LAST_MOMENT, LEASE};
+use super::{lock, CLIENT_WINDOW, LEASE_SECONDS, MAX_TRANSIT};
 use crate::local_cluster::{notices, RecordingBuffer};
 use crate::peer_scenario::Addresses;
 use crate::registration;
@@ -17,8 +17,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// A node, its address and the connection of its clients.
-pub(super) struct Place {
+/// A node with its address and the connection that its clients share. Stays when the node's process ends.
+pub(super) struct NodeSlot {
     pub(super) node: Option<(HostId, Node)>,
     pub(super) address: SocketAddr,
     pub(super) client: Option<Client>,
@@ -26,7 +26,7 @@
 
 /// Nodes, engines and a store in virtual time.
 pub(super) struct SimulatedCluster {
-    /// If nodes know each other: where, and the forwarders' process.
+    /// The nodes' peer addresses and the host of the datagram forwarders, if nodes exchange peer messages.
     pub(super) addresses: Option<(Addresses, HostId)>,
     pub(super) sim: Sim,
     pub(super) hosts: Arc<Hosts>,
@@ -34,16 +34,16 @@
     pub(super) runtime: RuntimeRef,
     pub(super) settings: NodeSettings,
     pub(super) engines: Vec<Mutex<(Engine, HostId)>>,
-    pub(super) places: Vec<Mutex<Place>>,
+    pub(super) node_slots: Vec<Mutex<NodeSlot>>,
     pub(super) store: Mutex<Store>,
-    /// The process that the store is now.
+    /// The host of the store's current process.
     pub(super) store_host: Mutex<HostId>,
-    /// What the store showed to each node.
-    pub(super) shown: Mutex<Vec<BTreeSet<u64>>>,
-    /// Notices that were shown lately: when, to which run of a node, of which engine.
-    pub(super) notices: Mutex<Vec<(Micros, u64, u64)>>,
-    /// What each run of a node was told and did.
-    pub(super) records: Mutex<Vec<(usize, RecordingBuffer)>>,
+    /// For each node, the ids of the engines that the store's watch has shown to it.
+    pub(super) shown_engines: Mutex<Vec<BTreeSet<u64>>>,
+    /// Recent notifications that an engine is no longer ready: the time, the node's incarnation and the engine's id.
+    pub(super) recent_notices: Mutex<Vec<(Micros, u64, u64)>>,
+    /// The recording of each incarnation of a node, with the node's number.
+    pub(super) recordings: Mutex<Vec<(usize, RecordingBuffer)>>,
 }
 
 impl SimulatedCluster {
@@ -59,17 +59,17 @@
         lock(&self.store).put(&key, &text);
     }
 
-    /// The engine registers itself.
-    pub(super) fn enlist(&self, engine: usize, started: Micros) {
-        let endpoints = lock(&self.store).endpoints()[self.places.len()..].to_vec();
+    /// Has an engine register itself under a lease that its process keeps alive.
+    pub(super) fn keep_registered(&self, engine: usize, started: Micros) {
+        let endpoints = lock(&self.store).endpoints()[self.node_slots.len()..].to_vec();
         self.engine(engine, |e| {
-            registration::keep_registered(e, endpoints, LEASE, started / 1_000, |_| {})
+            registration::keep_registered(e, endpoints, LEASE_SECONDS, started / 1_000, |_| {})
         });
     }
 
     pub(super) fn register(&self, engine: usize, started: Micros) {
         match engine % 2 {
-            0 => self.enlist(engine, started),
+            0 => self.keep_registered(engine, started),
             _ => self.put(engine, State::Ready, started),
         }
     }
@@ -81,36 +81,36 @@
             seed: salt,
             ..self.settings.clone()
         };
-        let record = RecordingBuffer::default();
-        let node = Node::start(runtime.clone(), settings, Some(Box::new(record.clone())));
+        let recording = RecordingBuffer::default();
+        let node = Node::start(runtime.clone(), settings, Some(Box::new(recording.clone())));
         let node = node.map_err(|e| e.to_string())?;
         if let Some((addresses, _)) = &self.addresses {
             addresses.begin(&node, i)?;
         }
-        let mut place = lock(&self.places[i]);
-        let listener = runtime.listen(place.address).map_err(|e| e.to_string())?;
-        place.address = listener.address();
-        let (serving, following) = (node.clone(), node.clone());
+        let mut slot = lock(&self.node_slots[i]);
+        let listener = runtime.listen(slot.address).map_err(|e| e.to_string())?;
+        slot.address = listener.address();
+        let (serving, watching) = (node.clone(), node.clone());
         runtime.run(async move { serving.serve(listener).await });
-        let follow = WatcherOptions {
+        let watcher = WatcherOptions {
             endpoints: lock(&self.store).endpoints()[i..=i].to_vec(),
             silence_timeout: 400_000,
             empty_grace: 3_000_000,
             backoff: (10_000, 200_000),
             ..WatcherOptions::default()
         };
-        runtime.run(async move { following.watch_endpoints(follow).await });
-        lock(&self.records).push((i, record));
-        place.node = Some((host.id(), node));
-        place.client = None;
+        runtime.run(async move { watching.watch_endpoints(watcher).await });
+        lock(&self.recordings).push((i, recording));
+        slot.node = Some((host.id(), node));
+        slot.client = None;
         Ok(())
     }
 
     pub(super) fn kill_node(&self, i: usize) {
         let (host, run) = {
-            let mut place = lock(&self.places[i]);
-            place.client = None;
-            match place.node.take() {
+            let mut slot = lock(&self.node_slots[i]);
+            slot.client = None;
+            match slot.node.take() {
                 Some((host, node)) => (host, node.incarnation()),
                 None => return,
             }
@@ -118,42 +118,42 @@
         self.log.add(ObservedEvent::Killed { node: i, run });
         self.sim.kill(host, true);
         self.log.add(ObservedEvent::Killed { node: i, run });
-        lock(&self.shown)[i].clear();
+        lock(&self.shown_engines)[i].clear();
     }
 
     pub(super) fn nodes(&self) -> Vec<Option<Node>> {
-        (0..self.places.len())
+        (0..self.node_slots.len())
             .map(|i| self.node(i).map(|n| n.1))
             .collect()
     }
 
     pub(super) fn node(&self, i: usize) -> Option<(HostId, Node)> {
-        lock(&self.places[i]).node.clone()
+        lock(&self.node_slots[i]).node.clone()
     }
 
     pub(super) fn engine<T>(&self, i: usize, act: impl FnOnce(&mut Engine) -> T) -> T {
         act(&mut lock(&self.engines[i]).0)
     }
 
-    /// The store's own sight of what it handed to each node's socket is when that node was told.
-    pub(super) fn witness(self: &Arc<Self>) {
+    /// Logs a notification when the store writes it to a node's socket.
+    pub(super) fn observe_store(self: &Arc<Self>) {
         let cluster = Arc::downgrade(self);
-        lock(&self.store).set_observer(Arc::new(move |door, shown| {
+        lock(&self.store).set_observer(Arc::new(move |endpoint, shown| {
             let Some(cluster) = cluster.upgrade() else {
                 return;
             };
-            let Some((_, node)) = (door < cluster.places.len())
-                .then(|| cluster.node(door))
+            let Some((_, node)) = (endpoint < cluster.node_slots.len())
+                .then(|| cluster.node(endpoint))
                 .flatten()
             else {
                 return;
             };
             let (node, now) = (node.incarnation(), cluster.runtime.now());
-            for (engine, ready) in notices(&shown, &mut lock(&cluster.shown)[door]) {
+            for (engine, ready) in notices(&shown, &mut lock(&cluster.shown_engines)[endpoint]) {
                 if !ready {
-                    let mut lately = lock(&cluster.notices);
-                    lately.retain(|n| n.0 + LAST_MOMENT >= now);
-                    lately.push((now, node, engine));
+                    let mut recent = lock(&cluster.recent_notices);
+                    recent.retain(|n| n.0 + MAX_TRANSIT >= now);
+                    recent.push((now, node, engine));
                 }
                 cluster.log.add(ObservedEvent::Told {
                     node,
@@ -166,19 +166,19 @@
 
     pub(super) async fn client(&self, i: usize) -> Option<Client> {
         let address = {
-            let place = lock(&self.places[i]);
-            if let Some(client) = place.client.clone().filter(Client::usable) {
+            let slot = lock(&self.node_slots[i]);
+            if let Some(client) = slot.client.clone().filter(Client::usable) {
                 return Some(client);
             }
-            place.node.as_ref()?;
-            place.address
+            slot.node.as_ref()?;
+            slot.address
         };
-        let dial = Client::connect_with(&self.runtime, &self.log, address, CLIENT_WINDOW);
+        let connecting = Client::connect_with(&self.runtime, &self.log, address, CLIENT_WINDOW);
         let until = self.runtime.now() + 500_000;
-        let client = ivyward_runtime::before(&self.runtime, until, dial)
+        let client = ivyward_runtime::before(&self.runtime, until, connecting)
             .await?
             .ok()?;
-        lock(&self.places[i]).client = Some(client.clone());
+        lock(&self.node_slots[i]).client = Some(client.clone());
         Some(client)
     }
 }
--- a/crates/ivyward-testbed/src/simulation/coincidences.rs
+++ b/crates/ivyward-testbed/src/simulation/coincidences.rs
@@ -1,36 +1,37 @@
-//! Situations that seeds are to bring about.
+//! Rare combinations of events that the simulated seeds should cover.
 
 use super::fault::Fault;
 use super::plan::ScheduledFault;
-use super::{BEGIN, LEASE};
+use super::{LEASE_SECONDS, START};
 use ivyward::core::interface::Micros;
 use ivyward_fakes::event_log::{ClientOutcome, LoggedEvent};
 use ivyward_fakes::ObservedEvent;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Coincidences that seeds are to bring about, each looked for in what was seen.
+/// The combinations of events that the seeds should cover. Each is searched for in the event log and the plan.
 pub const COINCIDENCES: [&str; 9] = [
     "a drain notice within a millisecond of a retry by the same node",
     "an engine listed again within 50 ms of its removal",
-    "a late list, a cut way and an impatient client in one second",
-    "a node killed while a state is kept for it",
-    "a first token within 5 ms of the client's leaving",
-    "an engine dead while its record says that it drains",
-    "history compacted while the store's watches begin anew",
-    "two faults in one instant",
-    "a lease that ends while its engine cannot reach the store",
+    "a late list, a cut link and a disconnecting client within one second",
+    "a node killed while an engine has a reservation for it",
+    "a first token within 5 ms of the client's disconnect",
+    "an engine that crashes while its record says that it drains",
+    "history compacted while the store's watches are opened again",
+    "two faults at the same time",
+    "a lease that expires while its engine cannot reach the store",
 ];
 
-/// Which of [`CATALOGUE`] came about in a run, and how often.
+/// Returns how often each of [`COINCIDENCES`] occurred in a run; those that did not occur are disconnects out.
 pub(super) fn coincidences(
     log: &[LoggedEvent],
     plan: &[ScheduledFault],
     engines: &[u64],
 ) -> BTreeMap<&'static str, u64> {
-    let near = |a: Micros, b: Micros, span: Micros| a.abs_diff(b) <= span;
-    let (mut told, mut retries, mut back) = (Vec::new(), Vec::new(), Vec::new());
-    let (mut began, mut left) = (BTreeMap::new(), Vec::new());
-    let (mut kept, mut dead, mut draining) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+    let near = |a: Micros, b: Micros, distance: Micros| a.abs_diff(b) <= distance;
+    let (mut notices, mut retries, mut returns) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut first_tokens, mut disconnects) = (BTreeMap::new(), Vec::new());
+    let (mut reserved, mut dead, mut draining) =
+        (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     let mut counts = [0u64; 9];
     for LoggedEvent { at, what } in log {
         match *what {
@@ -39,7 +40,7 @@
                 engine,
                 ready: false,
             } => {
-                told.push((*at, node, engine));
+                notices.push((*at, node, engine));
                 draining.insert(engine);
             }
             ObservedEvent::Told {
@@ -47,22 +48,26 @@
                 engine,
                 ready: true,
             } => {
-                back.push((*at, node, engine));
+                returns.push((*at, node, engine));
                 draining.remove(&engine);
             }
             ObservedEvent::Arrived { key, .. } if key.attempt >= 2 => retries.push((*at, key.node)),
-            ObservedEvent::Retained { key, .. } => drop(kept.insert(key)),
-            ObservedEvent::Released { key, .. } => drop(kept.remove(&key)),
+            ObservedEvent::Retained { key, .. } => drop(reserved.insert(key)),
+            ObservedEvent::Released { key, .. } => drop(reserved.remove(&key)),
             ObservedEvent::Killed { run, .. } => {
-                counts[3] += u64::from(kept.iter().any(|k| k.node == run))
+                counts[3] += u64::from(reserved.iter().any(|k| k.node == run))
             }
-            ObservedEvent::Began { call } => drop(began.insert(call, *at)),
+            ObservedEvent::Began { call } => drop(first_tokens.insert(call, *at)),
             ObservedEvent::ClientOutcome {
                 call,
                 how: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
             } => {
-                left.push(*at);
-                counts[4] += u64::from(began.get(&call).is_some_and(|b| near(*b, *at, 5_000)));
+                disconnects.push(*at);
+                counts[4] += u64::from(
+                    first_tokens
+                        .get(&call)
+                        .is_some_and(|b| near(*b, *at, 5_000)),
+                );
             }
             ObservedEvent::Down { engine, .. } => {
                 dead.insert(engine);
@@ -72,15 +77,16 @@
             _ => {}
         }
     }
-    counts[0] = told
+    counts[0] = notices
         .iter()
         .filter(|t| retries.iter().any(|r| r.1 == t.1 && near(r.0, t.0, 1_000)))
         .count() as u64;
-    let soon = |t: &&(Micros, u64, u64)| {
-        back.iter()
+    let listed_again = |t: &&(Micros, u64, u64)| {
+        returns
+            .iter()
             .any(|b| (b.1, b.2) == (t.1, t.2) && b.0 > t.0 && near(b.0, t.0, 50_000))
     };
-    counts[1] = told.iter().filter(soon).count() as u64;
+    counts[1] = notices.iter().filter(listed_again).count() as u64;
     let of = |f: &dyn Fn(&Fault) -> bool| {
         plan.iter()
             .filter(|t| f(&t.fault))
@@ -89,10 +95,10 @@
     };
     let lags = of(&|f| matches!(f, Fault::StoreLags));
     let cuts = of(&|f| matches!(f, Fault::Cut { .. }));
-    // Plans count from the scene's begin, which is the clock's first second.
+    // Plans count from the start of the run, at which the virtual clock shows 1 s.
     let one_second = |l: &&Micros| {
         cuts.iter().any(|c| near(**l, *c, 1_000_000))
-            && left.iter().any(|x| near(**l + BEGIN, *x, 1_000_000))
+            && disconnects.iter().any(|x| near(**l + START, *x, 1_000_000))
     };
     counts[2] = lags.iter().filter(one_second).count() as u64;
     let (dies, compacts) = (
@@ -103,16 +109,21 @@
         .iter()
         .filter(|c| dies.iter().any(|d| near(**c, *d, 600_000)))
         .count() as u64;
-    // An engine is told to be gone within its lease, or a little later, of a cut that outlasts it.
-    for t in plan.iter().filter(|t| t.len > LEASE as Micros * 1_000_000) {
+    // A cut that lasts longer than the lease makes nodes receive the engine's removal from half a second after the cut's
+    // start to shortly after its end.
+    for t in plan
+        .iter()
+        .filter(|t| t.len > LEASE_SECONDS as Micros * 1_000_000)
+    {
         let Fault::StoreCut { engine } = t.fault else {
             continue;
         };
         let id = engines[engine];
-        let ends = t.at + BEGIN + 500_000..t.at + BEGIN + t.len + 100_000;
+        let ends = t.at + START + 500_000..t.at + START + t.len + 100_000;
         counts[8] += u64::from(
-            told.iter()
-                .any(|told| told.2 == id && ends.contains(&told.0)),
+            notices
+                .iter()
+                .any(|notice| notice.2 == id && ends.contains(&notice.0)),
         );
     }
     counts[7] = plan.windows(2).filter(|w| w[0].at == w[1].at).count() as u64;
--- a/crates/ivyward-testbed/src/simulation/fault.rs
+++ b/crates/ivyward-testbed/src/simulation/fault.rs
@@ -1,4 +1,4 @@
-//! The faults that a simulated cluster is put through.
+//! The faults that are injected into a simulated cluster.
 
 use ivyward_fakes::ResponseFault;
 use serde::{Deserialize, Serialize};
@@ -7,108 +7,110 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// An engine's process dies, with or without resetting its connections, and restarts cold.
+    /// An engine's process crashes, with or without resetting its connections, and restarts with an empty cache.
     #[serde(rename = "die")]
     Crash {
         /// The engine.
         engine: usize,
-        /// Its connections are reset, so that peers notice.
+        /// Whether the connections are reset, so that peers notice the crash.
         #[serde(rename = "word")]
         reset_connections: bool,
     },
-    /// It drains by its record, and is ready again.
+    /// An engine's registration record changes to draining, and back to ready at the end.
     Drain {
         /// The engine.
         engine: usize,
     },
-    /// Its record is deleted, and written again.
+    /// An engine's registration record is deleted, and written again at the end.
     #[serde(rename = "leave")]
     Deregister {
         /// The engine.
         engine: usize,
     },
-    /// Its process hangs.
+    /// An engine's process hangs.
     Hang {
         /// The engine.
         engine: usize,
     },
-    /// It works so many times as slowly.
+    /// An engine works more slowly by a factor.
     Slow {
         /// The engine.
         engine: usize,
-        /// The factor.
+        /// The factor by which each operation takes longer.
         by: f64,
     },
-    /// It resets, loses answers, turns away and refuses streams, each with this chance.
+    /// An engine resets calls, loses answers, rejects calls as full and refuses streams, each with the same probability.
     #[serde(rename = "ill")]
     FailCalls {
         /// The engine.
         engine: usize,
-        /// The probability of each.
+        /// The probability of each of these failures.
         share: f64,
     },
-    /// It answers in a wrong way, takes calls that it never answers, and loses the states that it keeps.
+    /// An engine sends malformed answers, accepts calls that it never answers (with a quarter of the probability), and, above
+    /// a probability of 0.4, drops its KV state.
     #[serde(rename = "odd")]
     MalformedResponses {
         /// The engine.
         engine: usize,
-        /// The probability of each.
+        /// The probability.
         share: f64,
-        /// Which of [`TWISTS`].
+        /// The index of the malformed answer in [`RESPONSE_FAULTS`].
         #[serde(rename = "how")]
         response_fault: usize,
     },
-    /// The way between an engine and a node is cut, in one direction.
+    /// The link between an engine and a node is cut in one direction.
     Cut {
         /// The engine.
         engine: usize,
         /// The node.
         node: usize,
-        /// Cut from the engine to the node; otherwise the other way.
+        /// Whether the direction from the engine to the node is cut; otherwise the direction from the node to the engine.
         #[serde(rename = "back")]
         engine_to_node: bool,
     },
-    /// An engine that registered itself cannot reach the store, nor the store it: its lease may run out.
+    /// The link between the store and an engine that registered itself is cut in both directions. The engine's lease may
+    /// expire.
     #[serde(rename = "lone")]
     StoreCut {
         /// The engine.
         engine: usize,
     },
-    /// A node is killed and comes back.
+    /// A node is killed, and started again at the end.
     NodeKill {
         /// The node.
         node: usize,
     },
-    /// All bytes go in small pieces, and take longer.
+    /// Streams are delivered in small pieces and with more jitter.
     #[serde(rename = "pieces")]
     Fragmentation,
-    /// Every link is narrow, and its buffers are small.
+    /// Every link has a low bandwidth and small buffers.
     #[serde(rename = "narrow")]
     LowBandwidth,
-    /// The store dies and comes back.
+    /// The store crashes, and restarts at the end.
     #[serde(rename = "store_dies")]
     StoreCrash,
-    /// Watches tell nothing while changes pass, and history is dropped.
+    /// The store's watches deliver no events, and the history is compacted at the end, so the watches miss changes.
     StoreCompacts,
-    /// What watches tell is late, for one node more than for the others.
+    /// The store's watch events are delayed, for the first node longer than for the second.
     StoreLags,
-    /// The way from one node to another's datagrams is cut, or to all of them and back.
+    /// The datagrams from one node to another are cut, or between one node and all others in both directions.
     PeerCut {
         /// The sending node.
         from: usize,
-        /// The receiving node; every node if it is the same.
+        /// The receiving node. If it equals `from`, the node is cut off from every other node.
         to: usize,
     },
-    /// Datagrams are lost, repeated and overtake one another.
+    /// Datagrams between nodes are lost, half as many are repeated, and they may overtake one another.
     #[serde(rename = "peers_rough")]
     PeerDatagramLoss {
-        /// The share that is lost.
+        /// The probability that a datagram is lost.
         lose: f64,
     },
 }
 
-/// Wrong answers that plans draw from.
-pub(super) const TWISTS: [ResponseFault; 10] = [
+/// The malformed answers that plans choose from.
+pub(super) const RESPONSE_FAULTS: [ResponseFault; 10] = [
     ResponseFault::WrongId,
     ResponseFault::Malformed,
     ResponseFault::Oversized,
--- a/crates/ivyward-testbed/src/simulation/hosts.rs
+++ b/crates/ivyward-testbed/src/simulation/hosts.rs
@@ -1,4 +1,4 @@
-//! Processes of the virtual world.
+//! Starts the engines' and the store's processes on hosts of the simulation.
 
 use super::lock;
 use ivyward_fakes::engine::Kill;
@@ -8,7 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Processes in the virtual world. The next ones to be killed die with a word or without.
+/// Starts processes on simulated hosts. While `silent` is set, a process that is killed does not reset its connections, so
+/// its peers are not notified.
 pub struct Hosts {
     sim: Sim,
     pub(super) silent: Arc<AtomicBool>,
@@ -16,7 +17,7 @@
 }
 
 impl Hosts {
-    /// Processes of a world.
+    /// Starts processes in `sim`.
     pub fn of(sim: &Sim) -> Hosts {
         Hosts {
             sim: sim.clone(),
@@ -24,7 +25,7 @@
             last: Mutex::new(0),
         }
     }
-    /// The process that was started last.
+    /// Returns the host of the process that was started last.
     pub fn last_started(&self) -> HostId {
         *lock(&self.last)
     }
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -1,9 +1,9 @@
 //! Injects one fault into the simulated cluster and ends it after its duration.
 
 use super::cluster::SimulatedCluster;
-use super::fault::{Fault, TWISTS};
+use super::fault::{Fault, RESPONSE_FAULTS};
 use super::plan::ScheduledFault;
-use super::{lock, LAST_MOMENT};
+use super::{lock, MAX_TRANSIT};
 use ivyward::registration::State;
 use ivyward_fakes::{Engine, Faults, ObservedEvent};
 use ivyward_runtime::RuntimeExt;
@@ -12,38 +12,40 @@
 use std::sync::Arc;
 
 impl SimulatedCluster {
-    /// One fault from its begin to its end.
-    pub(super) async fn play(self: Arc<Self>, timed: ScheduledFault, salt: u64) {
-        let (runtime, len) = (self.runtime.clone(), timed.len);
+    /// Injects a fault, waits for its duration and ends it. `salt` seeds a node that is started again.
+    pub(super) async fn inject(self: Arc<Self>, scheduled: ScheduledFault, salt: u64) {
+        let (runtime, duration) = (self.runtime.clone(), scheduled.len);
         let fault =
             |engine: usize, change: &dyn Fn(&mut Faults)| self.engine(engine, |e| e.fault(change));
-        match timed.fault {
+        match scheduled.fault {
             Fault::Crash {
                 engine,
-                reset_connections: word,
+                reset_connections,
             } => {
                 let id = self.engine(engine, |e| e.spec().id);
-                if !word {
+                if !reset_connections {
                     self.log.add(ObservedEvent::Dark {
                         engine: id,
                         on: true,
                     });
                 }
-                self.hosts.silent.store(!word, Ordering::SeqCst);
+                self.hosts
+                    .silent
+                    .store(!reset_connections, Ordering::SeqCst);
                 self.engine(engine, Engine::crash);
                 self.hosts.silent.store(false, Ordering::SeqCst);
-                runtime.sleep(len / 4).await;
-                // The list learns of it late, or not before it is back.
+                runtime.sleep(duration / 4).await;
+                // The record is deleted late, so the nodes' lists are stale for a quarter of the fault's duration.
                 lock(&self.store).delete(&self.key(engine));
-                runtime.sleep(len).await;
-                let up = self.engine(engine, |e| e.restart(true));
-                if !word {
+                runtime.sleep(duration).await;
+                let restarted = self.engine(engine, |e| e.restart(true));
+                if !reset_connections {
                     self.log.add(ObservedEvent::Dark {
                         engine: id,
                         on: false,
                     });
                 }
-                if up.is_ok() {
+                if restarted.is_ok() {
                     let host = self.hosts.last_started();
                     lock(&self.engines[engine]).1 = host;
                     self.register(engine, self.runtime.unix_micros());
@@ -51,29 +53,29 @@
             }
             Fault::Drain { engine } => {
                 self.put(engine, State::Draining, 0);
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 self.put(engine, State::Ready, 0);
             }
             Fault::Deregister { engine } => {
                 lock(&self.store).delete(&self.key(engine));
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 self.put(engine, State::Ready, 0);
             }
             Fault::Hang { engine } => {
                 fault(engine, &|f| f.hang = true);
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 fault(engine, &|f| f.hang = false);
             }
             Fault::Slow { engine, by } => {
                 fault(engine, &|f| f.slow = by);
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 fault(engine, &|f| f.slow = 1.0);
             }
             Fault::FailCalls { engine, share } => {
                 fault(engine, &|f| {
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
                 });
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 fault(engine, &|f| {
                     (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
                 });
@@ -83,12 +85,12 @@
                 share,
                 response_fault: how,
             } => {
-                let how = TWISTS.get(how).copied();
+                let how = RESPONSE_FAULTS.get(how).copied();
                 fault(engine, &|f| {
                     (f.malformed, f.response_fault, f.stall, f.drop_states) =
                         (share, how, share / 4.0, share > 0.4);
                 });
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 fault(engine, &|f| {
                     (f.malformed, f.stall, f.drop_states) = (0.0, 0.0, false)
                 });
@@ -96,31 +98,35 @@
             Fault::Cut {
                 engine,
                 node,
-                engine_to_node: back,
+                engine_to_node,
             } => {
                 let Some((node, _)) = self.node(node) else {
                     return;
                 };
                 let engine = lock(&self.engines[engine]).1;
-                let (from, to) = if back { (engine, node) } else { (node, engine) };
+                let (from, to) = if engine_to_node {
+                    (engine, node)
+                } else {
+                    (node, engine)
+                };
                 self.sim.cut(from, to, true);
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 self.sim.cut(from, to, false);
             }
             Fault::StoreCut { engine } => {
-                let ways = |on: bool, hosts: (HostId, HostId)| {
+                let links = |on: bool, hosts: (HostId, HostId)| {
                     self.sim.cut(hosts.0, hosts.1, on);
                     self.sim.cut(hosts.1, hosts.0, on);
                 };
                 let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
-                ways(true, hosts);
-                runtime.sleep(len).await;
-                ways(false, hosts);
+                links(true, hosts);
+                runtime.sleep(duration).await;
+                links(false, hosts);
             }
             Fault::NodeKill { node } => {
                 self.kill_node(node);
-                runtime.sleep(len).await;
-                // It cannot fail but for a port that another fault's node has taken again.
+                runtime.sleep(duration).await;
+                // Fails only if another fault has already started this node again on its port.
                 let _ = self.start_node(node, salt);
             }
             Fault::PeerCut { from, to } => {
@@ -129,40 +135,43 @@
                 else {
                     return;
                 };
-                // Its datagrams leave towards the forwarders, and come from them.
-                let ways = if from == to {
+                // The datagrams of a node go to the forwarders' host and come from it.
+                let links = if from == to {
                     vec![(a, *host), (*host, a)]
                 } else {
                     vec![(a, *host), (*host, b)]
                 };
-                ways.iter()
+                links
+                    .iter()
                     .for_each(|(from, to)| self.sim.cut(*from, *to, true));
-                runtime.sleep(len).await;
-                ways.iter()
+                runtime.sleep(duration).await;
+                links
+                    .iter()
                     .for_each(|(from, to)| self.sim.cut(*from, *to, false));
             }
             Fault::PeerDatagramLoss { lose } => {
                 self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
             }
             Fault::Fragmentation => {
                 self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
             }
             Fault::LowBandwidth => {
                 self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 self.sim
                     .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
             }
             Fault::StoreCrash => {
                 lock(&self.store).crash();
-                // What it handed to its sockets in its last moment never left them: nobody was told.
-                let just = self.runtime.now().saturating_sub(LAST_MOMENT);
-                for (at, node, engine) in std::mem::take(&mut *lock(&self.notices)) {
-                    if at >= just {
+                // Notifications that were written to the store's sockets just before the crash were not delivered: the log takes
+                // them back.
+                let lost_since = self.runtime.now().saturating_sub(MAX_TRANSIT);
+                for (at, node, engine) in std::mem::take(&mut *lock(&self.recent_notices)) {
+                    if at >= lost_since {
                         self.log.add(ObservedEvent::Told {
                             node,
                             engine,
@@ -170,23 +179,23 @@
                         });
                     }
                 }
-                runtime.sleep(len).await;
-                // Another fault may have brought it back.
-                let up = lock(&self.store).restart();
-                if up.is_ok() {
+                runtime.sleep(duration).await;
+                // Another fault may have restarted the store already.
+                let restarted = lock(&self.store).restart();
+                if restarted.is_ok() {
                     *lock(&self.store_host) = self.hosts.last_started();
                 }
             }
             Fault::StoreCompacts => {
                 lock(&self.store).fault(|f| f.mute_watches = true);
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 let store = lock(&self.store);
                 store.compact();
                 store.fault(|f| f.mute_watches = false);
             }
             Fault::StoreLags => {
                 lock(&self.store).fault(|f| f.lag = vec![100_000, 20_000]);
-                runtime.sleep(len).await;
+                runtime.sleep(duration).await;
                 lock(&self.store).fault(|f| f.lag = vec![]);
             }
         }
--- a/crates/ivyward-testbed/src/simulation/mod.rs
+++ b/crates/ivyward-testbed/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Whole clusters in the virtual world: nodes, engines, a store and clients, played from one seed under a plan of faults,
-//! with the rules checked on what crosses the virtual sockets.
+//! Whole clusters in virtual time: nodes, engines, a store and clients run from one seed under a plan of faults, and the
+//! rules are checked on the traffic of the virtual sockets.
 //!
 //! The nodes and the fake engines run the same code as on real sockets; only their runtime differs.
 
@@ -27,20 +27,20 @@
 use ivyward::core::interface::Micros;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The size of a scene.
+/// The size of a simulation run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Racks of one reader, one mixed engine and two writers.
+    /// Racks, each of one prefill engine, one mixed engine and two decode engines.
     pub racks: u16,
-    /// Nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// First tries.
+    /// The number of client requests, not counting the clients' retries.
     pub requests: usize,
-    /// Faults.
+    /// The number of faults in a plan.
     pub faults: usize,
-    /// Nodes know each other, and faults are between them as well.
+    /// Whether nodes exchange peer messages and faults also affect the links between nodes.
     pub peers: bool,
-    /// How rough they are: spans, shares and slowness grow with it. 1 as a scene is by itself.
+    /// The strength of the faults: their durations, probabilities and slow-down factors grow with it. The default is 1.
     pub intensity: f64,
 }
 
@@ -57,18 +57,20 @@
     }
 }
 
-/// Requests come within this span, and faults begin in it.
-const SPAN: Micros = 2_000_000;
-/// What the virtual clock shows when a scene begins.
-const BEGIN: Micros = 1_000_000;
-/// Bytes need so long for a way at most; the store's notices of that span die with it.
-const LAST_MOMENT: Micros = 10_000;
-/// Tokens that wait for a slow client.
+/// The interval, from the start of a run, within which requests are sent and faults begin.
+const ARRIVAL_WINDOW: Micros = 2_000_000;
+/// The time on the virtual clock when a run begins.
+const START: Micros = 1_000_000;
+/// The longest time that bytes need from one host to another. Notifications that the store sent within this time before
+/// it crashes are lost with it.
+const MAX_TRANSIT: Micros = 10_000;
+/// The nodes' limit on tokens that are buffered for a slow client.
 const STREAM_BUFFER: usize = 16;
-/// Bytes of an answer that may be under way to a client: a few tokens, so that a slow one holds its node up.
+/// The clients' flow-control window, in bytes: room for a few tokens, so that a slow client applies backpressure to its
+/// node.
 const CLIENT_WINDOW: u32 = 32;
-/// Leases of engines that register themselves, in seconds.
-const LEASE: i64 = 1;
+/// The lease of an engine that registers itself, in seconds.
+const LEASE_SECONDS: i64 = 1;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/ivyward-testbed/src/simulation/outcome.rs
+++ b/crates/ivyward-testbed/src/simulation/outcome.rs
@@ -1,13 +1,13 @@
-//! The result of one run, and its trace.
+//! The result of one simulation run, and its trace.
 
-use super::BEGIN;
+use super::START;
 use ivyward::core::interface::{Action, Micros};
 use ivyward::recording::RecordingReader;
 use ivyward_fakes::event_log::LoggedEvent;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The result of one run.
+/// The result of one simulation run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// The digest over every byte, poll and event.
@@ -18,35 +18,38 @@
     pub failures: Vec<String>,
     /// The outcomes of calls as clients saw them.
     pub client_outcomes: BTreeMap<&'static str, u64>,
-    /// Coincidences of [`CATALOGUE`](crate::simulation::CATALOGUE) that came about, and ends of attempts, as often as they did.
+    /// How often each of [`COINCIDENCES`](crate::simulation::COINCIDENCES) occurred, how often attempts ended in each outcome,
+    /// and how often nodes received each kind of endpoint list.
     pub coincidences: BTreeMap<&'static str, u64>,
-    /// Virtual time from begin to end.
+    /// The virtual time at the end of the run.
     pub duration: Micros,
     /// The event log of engines, clients and the script, in order.
     pub observed: Vec<LoggedEvent>,
-    /// The recording of each run of a node, with the node's number: what its module was told and did.
+    /// The recording of each incarnation of a node, with the node's number: the events that its router core received, and its
+    /// actions.
     pub recordings: Vec<(usize, Vec<u8>)>,
     /// The first violation.
     pub first_violation: Option<Violation>,
 }
 
-/// The first thing that broke in a run.
+/// The first violation of a rule in a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Polls, events and reads before it.
+    /// The number of polls, events and reads before the violation.
     pub step: u64,
-    /// When, on the virtual clock.
+    /// The time of the violation on the virtual clock.
     pub at: Micros,
-    /// The rule, and how.
+    /// The rule and how it was violated.
     pub rule: String,
-    /// How many things had been seen.
+    /// The number of events in the event log at the time of the violation.
     pub seen: usize,
 }
 
 impl Outcome {
-    /// What was seen, and what each node's module was told and did, a line each, in milliseconds from the scene's begin.
+    /// Returns a line for each event of the event log and for each event and action of the nodes' router cores, with the time
+    /// in milliseconds from the start of the run. Timers that a core sets are left out.
     pub fn trace(&self) -> String {
-        let ms = |at: Micros| at.saturating_sub(BEGIN) as f64 / 1e3;
+        let ms = |at: Micros| at.saturating_sub(START) as f64 / 1e3;
         let mut lines = Vec::new();
         for (i, LoggedEvent { at, what }) in self.observed.iter().enumerate() {
             lines.push((*at, format!("seen    {what:?}")));
@@ -58,7 +61,7 @@
             let Ok(mut reader) = RecordingReader::begin(&bytes[..]) else {
                 continue;
             };
-            // What is malformed is told by the replay.
+            // The replay of the recording reports a malformed step.
             while let Ok(Some(step)) = reader.step() {
                 lines.push((step.at, format!("node {node}  told {:?}", step.event)));
                 for action in step
@@ -79,7 +82,7 @@
         out
     }
 
-    /// The last things seen up to what broke first.
+    /// Returns the last `count` events of the event log, up to the first violation.
     pub fn last_steps(&self, count: usize) -> Vec<String> {
         let until = self
             .first_violation
@@ -89,7 +92,7 @@
         let line = |s: &LoggedEvent| {
             format!(
                 "{:.3} ms {:?}",
-                s.at.saturating_sub(BEGIN) as f64 / 1e3,
+                s.at.saturating_sub(START) as f64 / 1e3,
                 s.what
             )
         };
--- a/crates/ivyward-testbed/src/simulation/recordings.rs
+++ b/crates/ivyward-testbed/src/simulation/recordings.rs
@@ -3,7 +3,8 @@
 use ivyward::core::interface::{Endpoint, Event, ListKind};
 use ivyward::recording::RecordingReader;
 
-/// The lists that a node's module was told, in their order. What is malformed is told by the replay.
+/// Returns the endpoint lists that a node's router core received, in order. Stops at the first malformed step, which the
+/// replay of the recording reports.
 pub(super) fn lists(record: &[u8]) -> Vec<(ListKind, Vec<Endpoint>)> {
     let mut out = Vec::new();
     let Ok(mut reader) = RecordingReader::begin(record) else {
--- a/crates/ivyward-testbed/src/simulation/recovery.rs
+++ b/crates/ivyward-testbed/src/simulation/recovery.rs
@@ -13,45 +13,47 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
 
-/// Requests to each node then.
-pub(super) const LAST_ASKS: u64 = 6;
-/// How long one of them is refused at most.
-pub(super) const LAST_PATIENCE: Micros = 5_000_000;
-/// When all is over and everything had this time, what each node tries it reaches.
-pub(super) const QUIET: Micros = 3_000_000;
-/// And so much longer views may take to agree.
-pub(super) const PEERS_AGREE: Micros = 10_000_000;
+/// The number of requests that are sent to each node after the faults.
+pub(super) const FINAL_REQUESTS: u64 = 6;
+/// The longest time for which such a request may be rejected before it counts as not served.
+pub(super) const MAX_REJECTION_TIME: Micros = 5_000_000;
+/// The time after the last fault and request within which connections recover. After it, every attempt must reach its
+/// engine.
+pub(super) const RECOVERY_TIME: Micros = 3_000_000;
+/// The additional time within which the nodes' views of their peers must agree.
+pub(super) const PEER_AGREEMENT_TIME: Micros = 10_000_000;
 
 impl SimulatedCluster {
-    /// When all is over, connections come back: a request is served at its first try, and no attempt finds nobody.
-    pub(super) async fn come_back(&self) -> Vec<String> {
-        self.runtime.sleep(QUIET).await;
-        let mut wrong = Vec::new();
+    /// Checks that the cluster has recovered, and returns what is failures_found: nodes' peer views agree, every node has all engines
+    /// as ready, requests are served once they are no longer rejected, and no attempt fails to connect.
+    pub(super) async fn check_recovery(&self) -> Vec<String> {
+        self.runtime.sleep(RECOVERY_TIME).await;
+        let mut failures_found = Vec::new();
         if let Some((addresses, _)) = &self.addresses {
-            let until = self.runtime.now() + PEERS_AGREE;
+            let until = self.runtime.now() + PEER_AGREEMENT_TIME;
             while !disagreements(&self.nodes()).is_empty() && self.runtime.now() < until {
                 self.runtime.sleep(50_000).await;
             }
-            wrong.extend(disagreements(&self.nodes()));
-            let astray = addresses.astray.load(Ordering::SeqCst);
-            if astray > 0 {
-                wrong.push(format!(
-                    "{astray} datagrams were answers to where one seemed to come from"
+            failures_found.extend(disagreements(&self.nodes()));
+            let misdirected = addresses.astray.load(Ordering::SeqCst);
+            if misdirected > 0 {
+                failures_found.push(format!(
+                    "{misdirected} datagrams were answers to their apparent source address"
                 ));
             }
         }
-        // Every fault ends with its engine ready again: what a node's module was told last must say so.
+        // Every fault ends with its engine ready again, so the last lists that a node's router core received must say so.
         let all: BTreeSet<u64> = self.engines.iter().map(|e| lock(e).0.spec().id).collect();
-        for i in 0..self.places.len() {
-            let record = lock(&self.records)
+        for i in 0..self.node_slots.len() {
+            let recording = lock(&self.recordings)
                 .iter()
                 .rev()
                 .find(|r| r.0 == i)
                 .map(|r| r.1.bytes());
-            let ready = ready_at_last(&record.unwrap_or_default());
+            let ready = ready_engines(&recording.unwrap_or_default());
             if ready != all {
-                wrong.push(format!(
-                    "node {i} takes {ready:?} for ready after everything ended, not {all:?}"
+                failures_found.push(format!(
+                    "node {i} has engines {ready:?} as ready after the last fault and request, not {all:?}"
                 ));
             }
         }
@@ -59,17 +61,17 @@
             .iter()
             .position(|o| o.1 == "connect_failed")
             .unwrap_or(0);
-        for i in 0..self.places.len() {
+        for i in 0..self.node_slots.len() {
             let (Some((_, node)), Some(client)) = (self.node(i), self.client(i).await) else {
-                wrong.push(format!(
-                    "node {i} is not there, {} s after everything ended",
-                    QUIET / 1_000_000
+                failures_found.push(format!(
+                    "node {i} is not running {} s after the last fault and request",
+                    RECOVERY_TIME / 1_000_000
                 ));
                 continue;
             };
             let before = node.metrics().outcomes[failed].get();
-            for no in 0..LAST_ASKS {
-                let call = (1 << 32) + (i as u64) * LAST_ASKS + no;
+            for no in 0..FINAL_REQUESTS {
+                let call = (1 << 32) + (i as u64) * FINAL_REQUESTS + no;
                 let request = GenerateRequest {
                     prompt: (0..100).map(|t| t ^ (call as u32)).collect(),
                     max_output_tokens: 4,
@@ -77,46 +79,46 @@
                     call_id: call,
                     ..GenerateRequest::default()
                 };
-                let habit = ClientBehavior {
+                let behavior = ClientBehavior {
                     client_timeout: 2_500_000,
                     ..ClientBehavior::default()
                 };
-                let effect = ivyward_fakes::event_log::CallIdempotency::Idempotent;
-                let ask = ClientRequest {
+                let idempotency = ivyward_fakes::event_log::CallIdempotency::Idempotent;
+                let call_request = ClientRequest {
                     request,
                     operation: call,
-                    idempotency: effect,
+                    idempotency,
                     node: i,
-                    behavior: habit,
+                    behavior,
                 };
-                let mut end = client.send(&ask).await;
-                // What was refused a share of work while it went badly forgets that by and by.
-                let until = self.runtime.now() + LAST_PATIENCE;
-                while end.outcome == ClientOutcome::Rejected && self.runtime.now() < until {
-                    self.runtime.sleep(end.pushback.unwrap_or(50_000)).await;
-                    end = client.send(&ask).await;
+                let mut result = client.send(&call_request).await;
+                // A node that limited its load during the faults raises that limit again only gradually.
+                let until = self.runtime.now() + MAX_REJECTION_TIME;
+                while result.outcome == ClientOutcome::Rejected && self.runtime.now() < until {
+                    self.runtime.sleep(result.pushback.unwrap_or(50_000)).await;
+                    result = client.send(&call_request).await;
                 }
-                if end.outcome != ClientOutcome::Served {
-                    wrong.push(format!(
-                        "a request after everything ended was not served: {end:?}"
+                if result.outcome != ClientOutcome::Served {
+                    failures_found.push(format!(
+                        "a request after the last fault and request was not served: {result:?}"
                     ));
                 }
             }
             let failures = node.metrics().outcomes[failed].get() - before;
             if failures > 0 {
-                wrong.push(format!(
-                    "{failures} attempts of node {i} found nobody after everything ended"
+                failures_found.push(format!(
+                    "{failures} attempts of node {i} failed to connect after the last fault and request"
                 ));
             }
         }
-        wrong
+        failures_found
     }
 }
 
-/// The engines that a module was told last to be ready.
-pub(super) fn ready_at_last(record: &[u8]) -> BTreeSet<u64> {
+/// Returns the engines that are ready according to the lists in a recording.
+pub(super) fn ready_engines(recording: &[u8]) -> BTreeSet<u64> {
     let mut ready = BTreeSet::new();
-    for (kind, entries) in lists(record) {
+    for (kind, entries) in lists(recording) {
         if kind != ListKind::Changes {
             ready.clear();
         }
--- a/crates/ivyward-testbed/src/simulation/requests.rs
+++ b/crates/ivyward-testbed/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Client requests with their retries.
+//! Client requests and the clients' retries.
 
 use super::cluster::SimulatedCluster;
 use crate::local_cluster::call_idempotency;
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 
 impl SimulatedCluster {
-    /// One request with its tries.
-    pub(super) async fn ask(self: Arc<Self>, no: u64, mut random: SmallRng) {
+    /// Sends request `no`, and up to two retries to the next nodes when it is rejected or may be repeated.
+    pub(super) async fn send_request(self: Arc<Self>, no: u64, mut random: SmallRng) {
         let class_no = random.random_range(0..self.settings.classes.len());
         let class = &self.settings.classes[class_no];
-        let opening = random.random_range(0..4u32);
-        let mut prompt: Vec<u32> = (0..60).map(|i| opening ^ (i * 31)).collect();
+        let prefix_seed = random.random_range(0..4u32);
+        let mut prompt: Vec<u32> = (0..60).map(|i| prefix_seed ^ (i * 31)).collect();
         prompt.extend((0..random.random_range(1..200)).map(|i| i ^ no as u32));
-        let first_node = random.random_range(0..self.places.len());
+        let first_node = random.random_range(0..self.node_slots.len());
         for attempt in 0..3 {
-            let node = (first_node + attempt) % self.places.len();
+            let node = (first_node + attempt) % self.node_slots.len();
             let share = random.random_range(0.3..1.0);
             let client_timeout = (class.settings.deadline as f64 * share) as Micros;
-            let (mut habit, mut max_output_tokens) = (
+            let (mut behavior, mut max_output_tokens) = (
                 ClientBehavior {
                     client_timeout,
                     ..ClientBehavior::default()
@@ -32,11 +32,12 @@
                 12,
             );
             match random.random_range(0..10) {
-                0 => habit.leave_after = Some(random.random_range(1_000..300_000)),
-                1 => habit.leave_at_token = Some(random.random_range(1..5)),
-                // A long answer, taken slowly.
+                0 => behavior.leave_after = Some(random.random_range(1_000..300_000)),
+                1 => behavior.leave_at_token = Some(random.random_range(1..5)),
+                // A long answer to a client that reads slowly.
                 2 => {
-                    (max_output_tokens, habit.read_pause) = (200, random.random_range(3_500..4_500))
+                    (max_output_tokens, behavior.read_pause) =
+                        (200, random.random_range(3_500..4_500))
                 }
                 _ => {}
             }
@@ -55,15 +56,15 @@
                 self.runtime.sleep(30_000).await;
                 continue;
             };
-            let ask = ClientRequest {
+            let call = ClientRequest {
                 request,
                 operation: no,
                 idempotency: call_idempotency(&class.settings),
                 node,
-                behavior: habit,
+                behavior,
             };
-            let end = client.send(&ask).await;
-            let again = match end.outcome {
+            let result = client.send(&call).await;
+            let retry = match result.outcome {
                 ClientOutcome::Rejected => true,
                 ClientOutcome::Failed | ClientOutcome::Unreachable => {
                     class.settings.idempotency
@@ -71,10 +72,10 @@
                 }
                 _ => false,
             };
-            if !again {
+            if !retry {
                 return;
             }
-            self.runtime.sleep(end.pushback.unwrap_or(50_000)).await;
+            self.runtime.sleep(result.pushback.unwrap_or(50_000)).await;
         }
     }
 }
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -1,13 +1,13 @@
-//! Runs one seed under a plan and checks the rules while it goes on.
+//! Runs one seed under a plan and checks the rules during the run and at its end.
 
-use super::cluster::{Place, SimulatedCluster};
+use super::cluster::{NodeSlot, SimulatedCluster};
 use super::coincidences::coincidences;
 use super::fault::Fault;
 use super::hosts::Hosts;
 use super::outcome::{Outcome, Violation};
 use super::plan::ScheduledFault;
 use super::recordings::lists;
-use super::{lock, Size, BEGIN, SPAN, STREAM_BUFFER};
+use super::{lock, Size, ARRIVAL_WINDOW, START, STREAM_BUFFER};
 use crate::local_cluster::{classes, fleet, limits, settings};
 use crate::peer_scenario::{miscounts, Addresses};
 use futures_lite::future::or;
@@ -27,47 +27,49 @@
 use std::sync::{Arc, Mutex};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What may be under way in the virtual network, for the auditor, beside what a cut holds up.
-pub(super) const FLIGHT: Micros = 50_000;
-/// The rules are checked so often while a scene goes on.
-pub(super) const AUDIT_EVERY: Micros = 250_000;
+/// The longest time that data may be in flight in the virtual network, for the rule checker, in addition to the longest
+/// cut.
+pub(super) const MAX_FLIGHT: Micros = 50_000;
+/// The interval at which the time-based rules are checked during a run.
+pub(super) const CHECK_INTERVAL: Micros = 250_000;
 
-/// Plays a seed under a plan.
+/// Runs a seed under a plan. A run that takes more than 120 s of virtual time fails.
 pub fn run(seed: u64, size: &Size, plan: &[ScheduledFault]) -> Outcome {
     let sim = Sim::new(seed, Net::default());
     let script = sim.host(0);
-    let played = {
+    let result = {
         let (sim, size, plan, runtime) = (sim.clone(), *size, plan.to_vec(), script.runtime());
         sim.clone().run(&script, 120_000_000, async move {
-            play_plan(sim, runtime, seed, size, plan).await
+            run_plan(sim, runtime, seed, size, plan).await
         })
     };
     let (digest, events) = sim.digest();
     let span = sim.now();
-    let done = match played {
-        Ok(Ok(done)) => done,
-        Ok(Err(line)) => Done {
-            wrong: vec![format!("the scene cannot be set up: {line}")],
-            ..Done::default()
+    let findings = match result {
+        Ok(Ok(findings)) => findings,
+        Ok(Err(line)) => RunFindings {
+            wrong: vec![format!("the simulation run cannot be set up: {line}")],
+            ..RunFindings::default()
         },
-        Err(stuck @ Stuck::Nothing { .. }) => Done {
+        Err(stuck @ Stuck::Nothing { .. }) => RunFindings {
             wrong: vec![format!("deadlock: {stuck}")],
-            ..Done::default()
+            ..RunFindings::default()
         },
-        Err(stuck) => Done {
+        Err(stuck) => RunFindings {
             wrong: vec![stuck.to_string()],
-            ..Done::default()
+            ..RunFindings::default()
         },
     };
-    let Done {
+    let RunFindings {
         mut wrong,
         heard,
         mut met,
         seen,
         records,
         broke,
-    } = done;
-    // The module's own replay agrees with what it did in the scene, and its events and actions are in the digest.
+    } = findings;
+    // A replay of each recording must agree with the router core's actions in the run, and the digest includes the
+    // recordings.
     let mut digest = digest;
     for (node, bytes) in &records {
         digest = xxh3_64_with_seed(bytes, digest);
@@ -80,7 +82,7 @@
             *met.entry(name).or_default() += 1;
         }
         if let Err(e) = replay(&bytes[..]) {
-            wrong.push(format!("node {node}'s record does not play again: {e}"));
+            wrong.push(format!("node {node}'s recording cannot be replayed: {e}"));
         }
     }
     Outcome {
@@ -97,8 +99,8 @@
 }
 
 #[derive(Default)]
-/// What [`play_plan`] found.
-struct Done {
+/// The findings of [`run_plan`].
+struct RunFindings {
     pub(super) wrong: Vec<String>,
     pub(super) heard: BTreeMap<&'static str, u64>,
     pub(super) met: BTreeMap<&'static str, u64>,
@@ -107,14 +109,14 @@
     pub(super) broke: Option<Violation>,
 }
 
-/// Sets the cluster up, plays the plan and the requests, and checks the rules meanwhile and afterwards.
-async fn play_plan(
+/// Sets up the cluster, injects the plan's faults, sends the requests, and checks the rules during the run and at its end.
+async fn run_plan(
     sim: Sim,
     runtime: RuntimeRef,
     seed: u64,
     size: Size,
     plan: Vec<ScheduledFault>,
-) -> Result<Done, String> {
+) -> Result<RunFindings, String> {
     let log = EventLog::new(&runtime);
     let hosts = Arc::new(Hosts::of(&sim));
     let host: Arc<dyn Host> = hosts.clone();
@@ -131,7 +133,7 @@
         engines.push(Mutex::new((engine, id)));
     }
     let mut store = Store::start(&host, 1).map_err(|e| e.to_string())?;
-    // One for each node, and one for the engines, so that what was shown to whom is told apart.
+    // An endpoint for each node and one for the engines, so that the store's observer knows which node it notified.
     store
         .open_endpoints(size.nodes + 1)
         .map_err(|e| e.to_string())?;
@@ -139,10 +141,10 @@
     let base = settings();
     let settings = NodeSettings {
         classes: classes(),
-        // The virtual machine is never late with an answer; a slow client reads what came before it first.
+        // A node's final answer is never late in virtual time, but a slow client first reads the tokens that precede it.
         answer_margin: 50_000,
         max_buffered_tokens: STREAM_BUFFER,
-        // Every other deployment holds places ahead.
+        // Every second seed runs with reserved decode slots.
         router: ivyward::core::interface::Settings {
             replica_count: size.nodes as u32,
             reserve_decode_slot: seed % 2 == 1,
@@ -159,8 +161,8 @@
         }
     };
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let place = |_| {
-        Mutex::new(Place {
+    let slot = |_| {
+        Mutex::new(NodeSlot {
             node: None,
             address: free,
             client: None,
@@ -174,14 +176,14 @@
         runtime: runtime.clone(),
         settings,
         engines,
-        places: (0..size.nodes).map(place).collect(),
+        node_slots: (0..size.nodes).map(slot).collect(),
         store: Mutex::new(store),
         store_host,
-        shown: Mutex::new(vec![BTreeSet::new(); size.nodes]),
-        notices: Mutex::default(),
-        records: Mutex::default(),
+        shown_engines: Mutex::new(vec![BTreeSet::new(); size.nodes]),
+        recent_notices: Mutex::default(),
+        recordings: Mutex::default(),
     });
-    cluster.witness();
+    cluster.observe_store();
     (0..cluster.engines.len()).for_each(|e| cluster.register(e, 0));
     for i in 0..size.nodes {
         cluster.start_node(i, seed.wrapping_mul(16).wrapping_add(i as u64))?;
@@ -194,24 +196,24 @@
         let salt = seed.wrapping_mul(16).wrapping_add(8 + i as u64);
         runtime.clone().run(async move {
             runtime.sleep(timed.at).await;
-            cluster.play(timed, salt).await;
+            cluster.inject(timed, salt).await;
             drop(done);
         });
     }
     for no in 1..=size.requests as u64 {
         let (cluster, runtime, done) = (cluster.clone(), runtime.clone(), done.clone());
         let (at, own) = (
-            random.random_range(20_000..SPAN),
+            random.random_range(20_000..ARRIVAL_WINDOW),
             SmallRng::seed_from_u64(random.random()),
         );
         runtime.clone().run(async move {
             runtime.sleep(at).await;
-            cluster.ask(no, own).await;
+            cluster.send_request(no, own).await;
             drop(done);
         });
     }
     drop(done);
-    // After every step: whatever crossed the sockets is looked at as it does, and the first break ends the scene.
+    // Checks each event as it is logged. The first violation ends the run.
     let cut = |t: &ScheduledFault| {
         if matches!(t.fault, Fault::Cut { .. }) {
             t.len
@@ -219,16 +221,16 @@
             0
         }
     };
-    let held_up = played.iter().map(cut).max().unwrap_or(0);
+    let longest_cut = played.iter().map(cut).max().unwrap_or(0);
     let mut limits = limits(
         &cluster.settings.router,
-        FLIGHT + held_up,
+        MAX_FLIGHT + longest_cut,
         &fleet(size.racks),
     );
     limits.notice_flight = limits.flight;
     let first: Arc<Mutex<Option<Violation>>> = Arc::default();
     let (broken, broke) = async_channel::bounded::<()>(1);
-    let note = {
+    let report = {
         let (first, cluster) = (first.clone(), Arc::downgrade(&cluster));
         move |at: Micros, seen: usize, rule: String| {
             let step = cluster.upgrade().map_or(0, |s| s.sim.digest().1);
@@ -238,81 +240,81 @@
                 rule,
                 seen,
             });
-            // Full means that it was told already.
+            // A full channel means that a violation was already reported.
             let _ = broken.try_send(());
         }
     };
-    let live = Mutex::new((RuleChecker::new(limits.clone()), 0));
-    // What was seen while the scene was set up.
-    let mut before = Vec::new();
+    let checker = Mutex::new((RuleChecker::new(limits.clone()), 0));
+    // Checks the events that were logged during the set-up.
+    let mut setup_violations = Vec::new();
     for seen in log.all() {
-        let (live, count) = &mut *lock(&live);
+        let (rules, count) = &mut *lock(&checker);
         *count += 1;
-        before.extend(live.step(&seen));
+        setup_violations.extend(rules.step(&seen));
     }
-    let beside = note.clone();
+    let report_violation = report.clone();
     log.show(move |seen| {
         let (rule, count) = {
-            let (live, count) = &mut *lock(&live);
+            let (rules, count) = &mut *lock(&checker);
             *count += 1;
-            (live.step(seen), *count)
+            (rules.step(seen), *count)
         };
         if let Some(rule) = rule {
-            beside(seen.at, count, rule);
+            report_violation(seen.at, count, rule);
         }
     });
-    // And what breaks by time alone.
+    // Checks the rules that are violated by the passing of time alone.
     {
         let (log, limits, clock) = (log.clone(), limits.clone(), runtime.clone());
         let cluster = Arc::downgrade(&cluster);
         runtime.run(async move {
             loop {
-                clock.sleep(AUDIT_EVERY).await;
+                clock.sleep(CHECK_INTERVAL).await;
                 let seen = log.all();
                 let low = cluster
                     .upgrade()
                     .filter(|s| s.addresses.is_some())
                     .and_then(|s| miscounts(&s.nodes()));
                 if let Some(low) = low {
-                    return note(log.now(), seen.len(), low);
+                    return report(log.now(), seen.len(), low);
                 }
                 let found = check_so_far(&seen, &limits, log.now()).broken();
                 if let Some(rule) = found.into_iter().next() {
-                    return note(log.now(), seen.len(), rule);
+                    return report(log.now(), seen.len(), rule);
                 }
             }
         });
     }
-    // Ends with an error when the last fault and the last request are over.
-    let over = wait.recv();
-    let _ = or(over, broke.recv()).await;
-    // Liveness: what is in hand and what is kept falls to nothing.
-    let left = |cluster: &SimulatedCluster| {
+    // Returns an error, and so ends, when the last fault and the last request have dropped their senders.
+    let all_ended = wait.recv();
+    let _ = or(all_ended, broke.recv()).await;
+    // Liveness: open requests and the engines' reservations must fall to zero.
+    let outstanding = |cluster: &SimulatedCluster| {
         let open: usize = (0..size.nodes)
             .filter_map(|n| cluster.node(n))
             .map(|n| n.1.open_requests())
             .sum();
-        let kept: usize = (0..cluster.engines.len())
+        let reserved: usize = (0..cluster.engines.len())
             .map(|e| cluster.engine(e, |e| e.retained()))
             .sum();
-        (open, kept)
+        (open, reserved)
     };
-    let until = runtime.now() + 15_000_000;
-    while left(&cluster) != (0, 0) && runtime.now() < until && lock(&first).is_none() {
+    let deadline = runtime.now() + 15_000_000;
+    while outstanding(&cluster) != (0, 0) && runtime.now() < deadline && lock(&first).is_none() {
         runtime.sleep(20_000).await;
     }
     let broke = lock(&first).clone();
-    let mut wrong = before;
+    let mut wrong = setup_violations;
     if let Some(Violation { step, at, rule, .. }) = &broke {
-        wrong.push(format!("step {step}, {} ms: {rule}", (at - BEGIN) / 1_000));
-    } else if left(&cluster) != (0, 0) {
-        let (open, kept) = left(&cluster);
+        wrong.push(format!("step {step}, {} ms: {rule}", (at - START) / 1_000));
+    } else if outstanding(&cluster) != (0, 0) {
+        let (open, reserved) = outstanding(&cluster);
         wrong.push(format!(
-            "{open} requests in hand and {kept} states kept 15 s after everything ended"
+            "{open} requests open and {reserved} reservations 15 s after the last fault and request"
         ));
     }
     if wrong.is_empty() {
-        wrong.extend(cluster.come_back().await);
+        wrong.extend(cluster.check_recovery().await);
     }
     let buffered = |node: Node| node.metrics().max_buffered_tokens.get();
     let nodes = (0..size.nodes).filter_map(|n| cluster.node(n));
@@ -322,10 +324,10 @@
         .filter(|most| *most > 2 * STREAM_BUFFER as u64)
     {
         wrong.push(format!(
-            "{most} tokens waited for one client where {STREAM_BUFFER} are the bound"
+            "{most} tokens were buffered for one client, more than twice the limit of {STREAM_BUFFER}"
         ));
     }
-    // Where it broke off, much is still under way.
+    // Requests are still in progress if a violation ended the run early.
     let audit = match broke {
         Some(_) => check_so_far(&log.all(), &limits, log.now()),
         None => check(&log.all(), &limits, log.now()),
@@ -339,7 +341,7 @@
         for (counter, (_, name)) in node.metrics().violations.iter().zip(Rule::ALL) {
             if counter.get() > 0 {
                 wrong.push(format!(
-                    "invariant {name} did not hold {} times",
+                    "invariant {name} was violated {} times",
                     counter.get()
                 ));
             }
@@ -353,12 +355,12 @@
             *met.entry(name).or_default() += counter.get();
         }
     }
-    let records = std::mem::take(&mut *lock(&cluster.records));
+    let records = std::mem::take(&mut *lock(&cluster.recordings));
     let records = records
         .into_iter()
         .map(|(node, memory)| (node, memory.bytes()))
         .collect();
-    Ok(Done {
+    Ok(RunFindings {
         wrong,
         heard: audit.outcomes,
         met,
--- a/crates/ivyward-testbed/src/simulation/seeds.rs
+++ b/crates/ivyward-testbed/src/simulation/seeds.rs
@@ -1,4 +1,4 @@
-//! Many seeds, and shrinking the plan of one that fails.
+//! Runs many seeds, and shrinks the plan of a seed that fails.
 
 use super::fault::Fault;
 use super::plan::{plan, ScheduledFault};
@@ -8,18 +8,18 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Mutex, PoisonError};
 
-/// What came of many seeds.
+/// The combined results of many seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// Seeds played.
+    /// The number of seeds that were run.
     pub runs: u64,
-    /// Those in which something was wrong, with what.
+    /// The seeds that failed, each with its failures and the last events before the first of them.
     pub failures: BTreeMap<u64, Vec<String>>,
-    /// How calls ended, over all.
+    /// The outcomes of calls as clients saw them, summed over all seeds.
     pub client_outcomes: BTreeMap<&'static str, u64>,
-    /// Coincidences and ends of attempts, over all.
+    /// Coincidences, outcomes of attempts and kinds of endpoint lists, summed over all seeds.
     pub coincidences: BTreeMap<&'static str, u64>,
-    /// Faults that were played, by kind.
+    /// The number of injected faults by kind.
     pub faults: BTreeMap<String, u64>,
 }
 
@@ -31,15 +31,16 @@
     }
 }
 
-/// Plays seeds on so many threads. Each has a world of its own, so that they do not touch each other.
+/// Runs `count` seeds on `jobs` threads, and calls `progress` after each of them. Each seed has its own simulation, so the
+/// runs do not affect each other.
 pub fn run_seeds(
     from: u64,
     count: u64,
     jobs: usize,
     size: &Size,
-    told: &(dyn Fn(&Summary) + Sync),
+    progress: &(dyn Fn(&Summary) + Sync),
 ) -> Summary {
-    let tally = Mutex::new(Summary::default());
+    let summary = Mutex::new(Summary::default());
     let next = std::sync::atomic::AtomicU64::new(from);
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
@@ -50,32 +51,35 @@
                 }
                 let plan = plan(seed, size);
                 let outcome = run(seed, size, &plan);
-                let mut tally = lock(&tally);
-                tally.runs += 1;
+                let mut summary = lock(&summary);
+                summary.runs += 1;
                 outcome
                     .coincidences
                     .iter()
-                    .for_each(|(what, n)| *tally.coincidences.entry(what).or_default() += n);
+                    .for_each(|(what, n)| *summary.coincidences.entry(what).or_default() += n);
                 outcome
                     .client_outcomes
                     .iter()
-                    .for_each(|(how, n)| *tally.client_outcomes.entry(how).or_default() += n);
+                    .for_each(|(how, n)| *summary.client_outcomes.entry(how).or_default() += n);
                 plan.iter()
-                    .for_each(|t| *tally.faults.entry(name(&t.fault)).or_default() += 1);
+                    .for_each(|t| *summary.faults.entry(name(&t.fault)).or_default() += 1);
                 if !outcome.failures.is_empty() {
                     let last = outcome.last_steps(6);
                     let mut lines = outcome.failures;
-                    lines.extend(last.into_iter().map(|line| format!("  before it: {line}")));
-                    tally.failures.insert(seed, lines);
+                    lines.extend(
+                        last.into_iter()
+                            .map(|line| format!("  preceding event: {line}")),
+                    );
+                    summary.failures.insert(seed, lines);
                 }
-                told(&tally);
+                progress(&summary);
             });
         }
     });
-    tally.into_inner().unwrap_or_else(PoisonError::into_inner)
+    summary.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The first of so many seeds in which something is wrong, and what.
+/// Returns the first of `count` seeds that fails, with its first failure.
 pub fn first_failing_seed(
     from: u64,
     count: u64,
@@ -84,17 +88,17 @@
 ) -> Option<(u64, String)> {
     let (mut at, end) = (from, from.saturating_add(count));
     while at < end {
-        let part = (jobs.max(1) as u64 * 4).min(end - at);
-        let found = run_seeds(at, part, jobs, size, &|_| {});
+        let batch = (jobs.max(1) as u64 * 4).min(end - at);
+        let found = run_seeds(at, batch, jobs, size, &|_| {});
         if let Some((seed, lines)) = found.failures.into_iter().next() {
             return Some((seed, lines.into_iter().next().unwrap_or_default()));
         }
-        at += part;
+        at += batch;
     }
     None
 }
 
-/// Cuts a plan down: as few faults as can be, with something still wrong.
+/// Removes each fault from a plan without which the run still fails.
 pub fn shrink(seed: u64, size: &Size, plan: &[ScheduledFault]) -> Vec<ScheduledFault> {
     let mut small = plan.to_vec();
     let mut i = 0;
