--- a/crates/ivyward-testbed/src/soak/clients.rs
+++ b/crates/ivyward-testbed/src/soak/clients.rs
@@ -1,6 +1,7 @@
-//! Clients of a soak run: sessions on kept and new connections, some of which leave early or send half a request.
+//! The clients of a soak run. Their sessions reuse connections or open new ones; some clients disconnect early or send
+//! half a request.
 
-use crate::soak::stage::Stage;
+use crate::soak::cluster::SoakCluster;
 use futures_lite::AsyncWriteExt;
 use ivyward_fakes::platform::exchange::{read_answer, Got};
 use ivyward_fakes::platform::observe::{Effect, Observation};
@@ -8,105 +9,110 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// The classes of the run's configuration and what their clients may repeat.
+/// The classes of the run's configuration, each with the idempotency of its requests.
 const CLASSES: [(&str, Effect); 3] = [
     ("draft", Effect::Safe),
     ("once", Effect::Keyed),
     ("send", Effect::Unsafe),
 ];
-/// Patience by class, in milliseconds.
-const PATIENCE_MS: u64 = 2_500;
-/// A client waits so much longer for an answer that is late, so that the oracle sees it.
-const LATE: Micros = 1_500_000;
-const PAUSE: (Micros, Micros) = (30_000, 160_000);
-/// One request in so many uses a new connection.
-const NEW_CONNECTION: u64 = 4;
-/// A client that leaves early does so within this span.
-const LEAVES_WITHIN: Micros = 60_000;
+/// The time limit that clients send with a request, in milliseconds.
+const TIMEOUT_MS: u64 = 2_500;
+/// The additional time for which a client waits for a late answer, so that the oracle observes it.
+const LATE_ANSWER_TIME: Micros = 1_500_000;
+const PAUSE_RANGE: (Micros, Micros) = (30_000, 160_000);
+/// One request in this many uses a new connection.
+const NEW_CONNECTION_INTERVAL: u64 = 4;
+/// The longest time after which a client that disconnects early does so.
+const MAX_DISCONNECT_DELAY: Micros = 60_000;
 const BODY: &str = r#"{"model":"chat","stream":true,"messages":[{"role":"user","content":"xxxxxxxxxxxxxxxxxxxxxxxx"}]}"#;
 
-/// One client of one node, until the stage is over.
-pub(super) async fn session(stage: Arc<Stage>, node: usize, number: u64) {
-    let runtime = stage.runtime.clone();
-    let (mut kept, mut n) = (None, 0);
-    while !stage.over.load(Ordering::SeqCst) {
+/// Runs one client of one node until the run's clients are stopped.
+pub(super) async fn session(cluster: Arc<SoakCluster>, node: usize, number: u64) {
+    let runtime = cluster.runtime.clone();
+    let (mut idle, mut n) = (None, 0);
+    while !cluster.clients_stop.load(Ordering::SeqCst) {
         n += 1;
         let id = format!("{node}-{number}-{n}");
-        let busy = stage.burst.load(Ordering::SeqCst);
-        let span = PAUSE.0 + runtime.random() % (PAUSE.1 - PAUSE.0);
+        let busy = cluster.burst.load(Ordering::SeqCst);
+        let span = PAUSE_RANGE.0 + runtime.random() % (PAUSE_RANGE.1 - PAUSE_RANGE.0);
         runtime.sleep(if busy { span / 3 } else { span }).await;
-        if stage.half_requests.load(Ordering::SeqCst) && runtime.random() % 4 == 0 {
-            half_request(&stage, node).await;
+        if cluster.half_requests.load(Ordering::SeqCst) && runtime.random() % 4 == 0 {
+            half_request(&cluster, node).await;
         }
-        if runtime.random() % NEW_CONNECTION == 0 {
-            kept = None;
+        if runtime.random() % NEW_CONNECTION_INTERVAL == 0 {
+            idle = None;
         }
-        kept = ask(&stage, node, &id, kept).await;
+        idle = send_request(&cluster, node, &id, idle).await;
     }
 }
 
-/// A client that stops in the middle of a request and stays for a while.
-async fn half_request(stage: &Stage, node: usize) {
-    let Some(mut conn) = connect(stage, node).await else {
+/// Sends half a request and disconnects the connection open for a while.
+async fn half_request(cluster: &SoakCluster, node: usize) {
+    let Some(mut conn) = connect(cluster, node).await else {
         return;
     };
-    // The node may close it.
+    // The node may have closed the connection.
     let _ = conn
         .write_all(b"POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: half\r\n")
         .await;
-    let runtime = stage.runtime.clone();
-    stage.runtime.run(async move {
-        runtime.sleep(LATE).await;
+    let runtime = cluster.runtime.clone();
+    cluster.runtime.run(async move {
+        runtime.sleep(LATE_ANSWER_TIME).await;
         drop(conn);
     });
 }
 
-async fn connect(stage: &Stage, node: usize) -> Option<Conn> {
-    let address = stage
+async fn connect(cluster: &SoakCluster, node: usize) -> Option<Conn> {
+    let address = cluster
         .addresses
         .lock()
         .map_or(None, |addresses| addresses[node])?;
-    let until = stage.runtime.now() + LATE;
-    before(&stage.runtime, until, stage.runtime.connect(address))
+    let until = cluster.runtime.now() + LATE_ANSWER_TIME;
+    before(&cluster.runtime, until, cluster.runtime.connect(address))
         .await?
         .ok()
 }
 
-/// One request; the connection, if it may be kept. A request that crossed the end of a kept connection is sent once more on
-/// a new one.
-async fn ask(stage: &Stage, node: usize, id: &str, kept: Option<Conn>) -> Option<Conn> {
-    let class = CLASSES[(stage.runtime.random() % CLASSES.len() as u64) as usize];
-    if let Some(conn) = kept {
-        match exchange(stage, (node, false), id, class, conn).await {
-            Exchange::Kept(conn) => return Some(conn),
-            Exchange::Over => return None,
-            Exchange::Crossed => {}
+/// Sends one request, and returns the connection if it can be used again. If a reused connection closes without an answer,
+/// the request is sent once more on a new connection.
+async fn send_request(
+    cluster: &SoakCluster,
+    node: usize,
+    id: &str,
+    idle: Option<Conn>,
+) -> Option<Conn> {
+    let class = CLASSES[(cluster.runtime.random() % CLASSES.len() as u64) as usize];
+    if let Some(conn) = idle {
+        match exchange(cluster, (node, false), id, class, conn).await {
+            Exchange::Reusable(conn) => return Some(conn),
+            Exchange::Closed => return None,
+            Exchange::ClosedUnanswered => {}
         }
     }
-    let conn = connect(stage, node).await?;
-    match exchange(stage, (node, true), id, class, conn).await {
-        Exchange::Kept(conn) => Some(conn),
-        Exchange::Over | Exchange::Crossed => None,
+    let conn = connect(cluster, node).await?;
+    match exchange(cluster, (node, true), id, class, conn).await {
+        Exchange::Reusable(conn) => Some(conn),
+        Exchange::Closed | Exchange::ClosedUnanswered => None,
     }
 }
 
 enum Exchange {
-    /// The connection may carry another request.
-    Kept(Conn),
-    /// It may not.
-    Over,
-    /// A kept connection ended without an answer: the request may be sent again.
-    Crossed,
+    /// The connection can be used for another request.
+    Reusable(Conn),
+    /// The connection cannot be used again.
+    Closed,
+    /// A reused connection closed without an answer, so the request may be sent again.
+    ClosedUnanswered,
 }
 
 async fn exchange(
-    stage: &Stage,
+    cluster: &SoakCluster,
     (node, new_connection): (usize, bool),
     id: &str,
     (class, effect): (&str, Effect),
     mut conn: Conn,
 ) -> Exchange {
-    let runtime = &stage.runtime;
+    let runtime = &cluster.runtime;
     let key = if effect == Effect::Keyed {
         format!("Idempotency-Key: {id}\r\n")
     } else {
@@ -114,17 +120,17 @@
     };
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n{key}\
-         X-Route-Key: k{id}\r\nX-Timeout-Ms: {PATIENCE_MS}\r\nContent-Length: {}\r\n\r\n{BODY}",
+         X-Route-Key: k{id}\r\nX-Timeout-Ms: {TIMEOUT_MS}\r\nContent-Length: {}\r\n\r\n{BODY}",
         BODY.len()
     );
     if conn.write_all(head.as_bytes()).await.is_err() {
         return if new_connection {
-            Exchange::Over
+            Exchange::Closed
         } else {
-            Exchange::Crossed
+            Exchange::ClosedUnanswered
         };
     }
-    let client_timeout = PATIENCE_MS * 1_000;
+    let client_timeout = TIMEOUT_MS * 1_000;
     let sent = Observation::Sent {
         id: id.into(),
         effect,
@@ -132,14 +138,15 @@
         client_timeout,
         new_connection,
     };
-    stage.log.add(runtime.now(), sent);
-    let leaves = stage.clients_leave.load(Ordering::SeqCst) && runtime.random() % 2 == 0;
-    let waits = if leaves {
-        runtime.random() % LEAVES_WITHIN
+    cluster.log.add(runtime.now(), sent);
+    let disconnects =
+        cluster.clients_disconnect.load(Ordering::SeqCst) && runtime.random() % 2 == 0;
+    let wait = if disconnects {
+        runtime.random() % MAX_DISCONNECT_DELAY
     } else {
-        client_timeout + LATE
+        client_timeout + LATE_ANSWER_TIME
     };
-    let until = runtime.now() + waits;
+    let until = runtime.now() + wait;
     let got = before(runtime, until, read_answer(runtime, &mut conn)).await;
     let Some(Got {
         status,
@@ -148,14 +155,14 @@
         ..
     }) = got
     else {
-        if leaves {
-            stage
+        if disconnects {
+            cluster
                 .log
                 .add(runtime.now(), Observation::Left { id: id.into() });
         }
-        return Exchange::Over;
+        return Exchange::Closed;
     };
-    stage.log.add(
+    cluster.log.add(
         runtime.now(),
         Observation::Answered {
             id: id.into(),
@@ -164,11 +171,11 @@
         },
     );
     if status == 0 && !new_connection {
-        return Exchange::Crossed;
+        return Exchange::ClosedUnanswered;
     }
-    stage.count(status, whole);
+    cluster.count_answer(status, whole);
     match whole && !closes {
-        true => Exchange::Kept(conn),
-        false => Exchange::Over,
+        true => Exchange::Reusable(conn),
+        false => Exchange::Closed,
     }
 }
--- a/crates/ivyward-testbed/src/soak/stage.rs
+++ b/crates/ivyward-testbed/src/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! The parties of one soak run, and how troubles begin and end at them.
+//! The cluster of one soak run (engines, links, discovery and nodes), and the injection of faults into it.
 
 use crate::soak::link::Link;
 use crate::soak::node::{NodeFiles, NodeProcess};
@@ -16,42 +16,43 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How long a read takes, and an answer to its first event.
-const READ: Micros = 25_000;
-const WRITE: Micros = 35_000;
-/// Calls in a million that meet a fault.
-const OFTEN: u64 = 20_000;
-const SOMETIMES: u64 = 2_000;
+/// The time that a prefill engine needs for a prompt, and a decode engine to its first event.
+const PREFILL_TIME: Micros = 25_000;
+const DECODE_TIME: Micros = 35_000;
+/// Rates of system call faults, per million calls.
+const HIGH_FAULT_RATE: u64 = 20_000;
+const LOW_FAULT_RATE: u64 = 2_000;
 const HOUR: i64 = 3_600_000_000;
-/// A node stands still for so long at a time.
-const HELD_UP: (Micros, Micros) = (10_000, 140_000);
-const SLOWER: f64 = 5.0;
+/// The range of the time for which a paused node stops at a time.
+const PAUSE_RANGE: (Micros, Micros) = (10_000, 140_000);
+const SLOW_FACTOR: f64 = 5.0;
 const BREAKS_PERCENT: u64 = 60;
-/// After the word to end a node has its clients' patience and this, in microseconds, before it is killed.
+/// A node that has not ended this long after SIGTERM is killed.
 const STOP_LIMIT: Micros = 4_000_000;
-/// Clients go on connecting to a node for so long after it was told to end.
-const FRONT_LEARNS: Micros = 300_000;
-const LOOK: Micros = 5_000;
+/// Clients still open connections to a node for this time after SIGTERM, as they do behind a load balancer that removes
+/// the node late.
+const LATE_CONNECTIONS: Micros = 300_000;
+const POLL_INTERVAL: Micros = 5_000;
 
-/// Everything of one run.
-pub(super) struct Stage {
+/// The cluster of one run.
+pub(super) struct SoakCluster {
     pub(super) runtime: RuntimeRef,
     pub(super) log: ObservationLog,
     engines: Vec<PlatformEngine>,
     links: Vec<Link>,
     discovery: Discovery,
-    /// Two addresses of discovery for each node: a new configuration names the other one.
-    agents: Vec<[SocketAddr; 2]>,
+    /// Two discovery addresses for each node. Each reload of its configuration switches to the other one.
+    discovery_addresses: Vec<[SocketAddr; 2]>,
     files: Vec<NodeFiles>,
     nodes: Mutex<Vec<Option<NodeProcess>>>,
     pub(super) addresses: Mutex<Vec<Option<SocketAddr>>>,
     seed: u64,
-    pub(super) over: AtomicBool,
+    pub(super) clients_stop: AtomicBool,
     pub(super) burst: AtomicBool,
-    pub(super) clients_leave: AtomicBool,
+    pub(super) clients_disconnect: AtomicBool,
     pub(super) half_requests: AtomicBool,
     pub(super) answers: Mutex<BTreeMap<(u16, bool), u64>>,
-    /// Invariants that did not hold at nodes that have ended, and how often each fault took place there.
+    /// Invariant violations in the logs of nodes that have ended, and how often each system call fault occurred there.
     violations: AtomicU64,
     hits: Mutex<BTreeMap<SystemFault, u64>>,
 }
@@ -60,80 +61,80 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Stage {
+impl SoakCluster {
     /// Starts engines, links, discovery and nodes.
     pub(super) fn start(
         runtime: &RuntimeRef,
-        (daemon, folder): (&Path, &Path),
+        (daemon, dir): (&Path, &Path),
         nodes: usize,
         seed: u64,
-    ) -> Result<Arc<Stage>, SoakError> {
+    ) -> Result<Arc<SoakCluster>, SoakError> {
         let log = ObservationLog::default();
         let platform = Arc::new(Platform::default());
         let count = (nodes * 2).max(6);
         let (mut engines, mut links, mut entries) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..count {
             let reads = index % 2 == 0;
-            let work = if reads { READ } else { WRITE };
+            let work = if reads { PREFILL_TIME } else { DECODE_TIME };
             let started = PlatformEngine::start(runtime, &log, &platform, (index, reads, work));
-            let (engine, address) = started.map_err(SoakError::io("an engine"))?;
+            let (engine, address) = started.map_err(SoakError::io("start an engine"))?;
             let link = Link::default();
             let near = link
                 .serve(runtime, address)
-                .map_err(SoakError::io("a link"))?;
+                .map_err(SoakError::io("start a link's relay"))?;
             entries.push(entry(index, reads, near));
             engines.push(engine);
             links.push(link);
         }
         let discovery = Discovery::new(entries);
-        let (mut agents, mut files) = (Vec::new(), Vec::new());
+        let (mut discovery_addresses, mut files) = (Vec::new(), Vec::new());
         for index in 0..nodes {
-            let agent = || {
+            let serve = || {
                 discovery
                     .serve(runtime, &log, index)
-                    .map_err(SoakError::io("discovery"))
+                    .map_err(SoakError::io("start discovery"))
             };
-            agents.push([agent()?, agent()?]);
+            discovery_addresses.push([serve()?, serve()?]);
             files.push(NodeFiles {
                 daemon: daemon.to_owned(),
-                folder: folder.to_owned(),
+                dir: dir.to_owned(),
                 index,
             });
         }
-        let stage = Arc::new(Stage {
+        let cluster = Arc::new(SoakCluster {
             runtime: runtime.clone(),
             log,
             engines,
             links,
             discovery,
-            agents,
+            discovery_addresses,
             files,
             nodes: Mutex::new((0..nodes).map(|_| None).collect()),
             addresses: Mutex::new(vec![None; nodes]),
             seed,
-            over: AtomicBool::new(false),
+            clients_stop: AtomicBool::new(false),
             burst: AtomicBool::new(false),
-            clients_leave: AtomicBool::new(false),
+            clients_disconnect: AtomicBool::new(false),
             half_requests: AtomicBool::new(false),
             answers: Mutex::default(),
             violations: AtomicU64::new(0),
             hits: Mutex::default(),
         });
         for node in 0..nodes {
-            stage.start_node(node, 0)?;
+            cluster.start_node(node, 0)?;
         }
-        Ok(stage)
+        Ok(cluster)
     }
 
-    pub(super) fn count(&self, status: u16, whole: bool) {
+    pub(super) fn count_answer(&self, status: u16, whole: bool) {
         *lock(&self.answers).entry((status, whole)).or_default() += 1;
     }
 
-    fn start_node(&self, node: usize, agent: usize) -> Result<(), SoakError> {
+    fn start_node(&self, node: usize, address_index: usize) -> Result<(), SoakError> {
         let text = configuration(
             node,
             self.files.len(),
-            self.agents[node][agent],
+            self.discovery_addresses[node][address_index],
             &self.discovery.text(),
         );
         self.files[node].configure(&text)?;
@@ -143,13 +144,13 @@
         Ok(())
     }
 
-    /// Takes a node's process out, with what it counted. Nobody connects to it from now on.
+    /// Removes a node's process and its address, so that clients no longer connect to it.
     fn take_node(&self, node: usize) -> Option<NodeProcess> {
         lock(&self.addresses)[node] = None;
         lock(&self.nodes)[node].take()
     }
 
-    fn keep_counts(&self, process: &NodeProcess) {
+    fn add_counts(&self, process: &NodeProcess) {
         self.violations
             .fetch_add(process.violations(), Ordering::SeqCst);
         let mut hits = lock(&self.hits);
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Finds nodes that ended by themselves.
-    pub(super) fn look_for_crashes(&self) {
+    /// Records nodes whose processes ended without a signal from the harness.
+    pub(super) fn detect_crashes(&self) {
         let mut nodes = lock(&self.nodes);
         for (node, process) in nodes.iter_mut().enumerate() {
             if process.as_mut().is_some_and(|p| p.ended().is_some()) {
@@ -176,18 +177,19 @@
         }
     }
 
-    /// Ends all nodes by SIGTERM, at once; what they counted: violations, and how often each fault took place.
-    pub(super) async fn end(self: &Arc<Self>) -> (u64, BTreeMap<SystemFault, u64>) {
+    /// Terminates all nodes at the same time (SIGTERM). Returns the number of invariant violations and how often each system
+    /// call fault occurred.
+    pub(super) async fn stop_all_nodes(self: &Arc<Self>) -> (u64, BTreeMap<SystemFault, u64>) {
         let ends = (0..self.files.len()).map(|node| {
-            let (stage, (done, ended)) = (self.clone(), async_channel::bounded::<()>(1));
+            let (cluster, (done, ended)) = (self.clone(), async_channel::bounded::<()>(1));
             self.runtime.run(async move {
-                stage.stop_node(node).await;
+                cluster.stop_node(node).await;
                 drop(done);
             });
             ended
         });
         for ended in ends.collect::<Vec<_>>() {
-            // Ends when the sender is dropped.
+            // Returns an error, and so ends, when the sender is dropped.
             let _ = ended.recv().await;
         }
         (
@@ -196,7 +198,7 @@
         )
     }
 
-    /// SIGTERM, and SIGKILL where that is not heeded in time. Clients go on with the connections that they have.
+    /// Sends SIGTERM, and SIGKILL if the node does not end in time. Clients continue to use their open connections.
     async fn stop_node(&self, node: usize) {
         let taken = lock(&self.nodes)[node].take();
         let Some(mut process) = taken else { return };
@@ -204,43 +206,45 @@
         self.log
             .add(self.runtime.now(), Observation::NodeStops { node });
         let until = self.runtime.now() + STOP_LIMIT;
-        // The front learns of it late: new connections come for a while.
-        self.runtime.sleep(FRONT_LEARNS).await;
+        // New connections still arrive for a while, as from a load balancer that removes the node late.
+        self.runtime.sleep(LATE_CONNECTIONS).await;
         lock(&self.addresses)[node] = None;
         while process.ended().is_none() && self.runtime.now() < until {
-            self.runtime.sleep(LOOK).await;
+            self.runtime.sleep(POLL_INTERVAL).await;
         }
         let killed = process.ended().is_none();
-        self.keep_counts(&process);
+        self.add_counts(&process);
         drop(process);
         self.log
             .add(self.runtime.now(), Observation::NodeEnded { node, killed });
     }
 
-    /// Plays one trouble from its beginning to its end.
-    pub(super) async fn trouble(self: Arc<Self>, trouble: ScheduledFault) {
-        let span = trouble.duration_ms * 1_000;
+    /// Injects a fault, waits for its duration and ends it.
+    pub(super) async fn inject(self: Arc<Self>, fault: ScheduledFault) {
+        let duration = fault.duration_ms * 1_000;
         let (node, engine) = (
-            trouble.target % self.files.len(),
-            trouble.target % self.engines.len(),
+            fault.target % self.files.len(),
+            fault.target % self.engines.len(),
         );
-        match trouble.kind {
+        match fault.kind {
             FaultKind::NodePaused
             | FaultKind::NodeRestart
             | FaultKind::NodeKilled
             | FaultKind::NodeReload => {
-                self.node_trouble(trouble.kind, node, span).await;
+                self.inject_node_fault(fault.kind, node, duration).await;
             }
             FaultKind::Interrupted => {
                 let calls = [
                     SystemFault::ReceiveInterrupted,
                     SystemFault::SendInterrupted,
                 ];
-                self.calls_fail(node, &calls, OFTEN, span).await;
+                self.fail_system_calls(node, &calls, HIGH_FAULT_RATE, duration)
+                    .await;
             }
             FaultKind::ShortCalls => {
                 let calls = [SystemFault::ReceiveShort, SystemFault::SendShort];
-                self.calls_fail(node, &calls, OFTEN, span).await;
+                self.fail_system_calls(node, &calls, HIGH_FAULT_RATE, duration)
+                    .await;
             }
             FaultKind::AcceptFails => {
                 let calls = [
@@ -248,7 +252,8 @@
                     SystemFault::AcceptNoDescriptor,
                     SystemFault::AcceptNoBuffers,
                 ];
-                self.calls_fail(node, &calls, 5 * OFTEN, span).await;
+                self.fail_system_calls(node, &calls, 5 * HIGH_FAULT_RATE, duration)
+                    .await;
             }
             FaultKind::ConnectionsBreak => {
                 let calls = [SystemFault::ReceiveTimedOut, SystemFault::SendUnreachable];
@@ -259,68 +264,73 @@
                     )
                 };
                 mark(true);
-                self.calls_fail(node, &calls, SOMETIMES, span).await;
+                self.fail_system_calls(node, &calls, LOW_FAULT_RATE, duration)
+                    .await;
                 mark(false);
             }
-            FaultKind::ClockAhead => self.clock(node, HOUR, span).await,
-            FaultKind::ClockBehind => self.clock(node, -HOUR, span).await,
-            FaultKind::Burst => self.flag(&self.burst, span).await,
-            FaultKind::ClientsDisconnect => self.flag(&self.clients_leave, span).await,
-            FaultKind::HalfRequests => self.flag(&self.half_requests, span).await,
+            FaultKind::ClockAhead => self.offset_clock(node, HOUR, duration).await,
+            FaultKind::ClockBehind => self.offset_clock(node, -HOUR, duration).await,
+            FaultKind::Burst => self.set_flag_for(&self.burst, duration).await,
+            FaultKind::ClientsDisconnect => {
+                self.set_flag_for(&self.clients_disconnect, duration).await
+            }
+            FaultKind::HalfRequests => self.set_flag_for(&self.half_requests, duration).await,
             FaultKind::DiscoveryUnresponsive => {
                 self.discovery.set_silent(true);
-                self.runtime.sleep(span).await;
+                self.runtime.sleep(duration).await;
                 self.discovery.set_silent(false);
             }
             FaultKind::WatchReset => self.discovery.reset_watches(),
-            kind => self.engine_trouble(kind, engine, span).await,
+            kind => self.inject_engine_fault(kind, engine, duration).await,
         }
     }
 
-    async fn node_trouble(&self, kind: FaultKind, node: usize, span: Micros) {
+    async fn inject_node_fault(&self, kind: FaultKind, node: usize, duration: Micros) {
         match kind {
             FaultKind::NodeRestart => {
                 self.stop_node(node).await;
-                self.start_again(node).await;
+                self.restart_node(node).await;
             }
             FaultKind::NodeKilled => {
                 let Some(process) = self.take_node(node) else {
                     return;
                 };
-                self.keep_counts(&process);
+                self.add_counts(&process);
                 self.log.add(
                     self.runtime.now(),
                     Observation::NodeEnded { node, killed: true },
                 );
                 drop(process);
-                self.runtime.sleep(span).await;
-                self.start_again(node).await;
+                self.runtime.sleep(duration).await;
+                self.restart_node(node).await;
             }
             FaultKind::NodeReload => {
-                for agent in [1, 0] {
-                    let agent = self.agents[node][agent];
-                    let text = configuration(node, self.files.len(), agent, &self.discovery.text());
+                for address_index in [1, 0] {
+                    let address = self.discovery_addresses[node][address_index];
+                    let text =
+                        configuration(node, self.files.len(), address, &self.discovery.text());
                     if self.files[node].configure(&text).is_ok() {
                         self.with_node(node, |process| process.signal(Signal::HUP));
                     }
-                    self.runtime.sleep(LOOK).await;
+                    self.runtime.sleep(POLL_INTERVAL).await;
                 }
             }
             _ => {
-                let until = self.runtime.now() + span;
+                let until = self.runtime.now() + duration;
                 while self.runtime.now() < until {
-                    let still = HELD_UP.0 + self.runtime.random() % (HELD_UP.1 - HELD_UP.0);
+                    let pause =
+                        PAUSE_RANGE.0 + self.runtime.random() % (PAUSE_RANGE.1 - PAUSE_RANGE.0);
                     self.with_node(node, |process| process.signal(Signal::STOP));
-                    self.runtime.sleep(still).await;
+                    self.runtime.sleep(pause).await;
                     self.with_node(node, |process| process.signal(Signal::CONT));
-                    self.runtime.sleep(2 * still).await;
+                    self.runtime.sleep(2 * pause).await;
                 }
             }
         }
     }
 
-    async fn start_again(&self, node: usize) {
-        if self.over.load(Ordering::SeqCst) || lock(&self.nodes)[node].is_some() {
+    async fn restart_node(&self, node: usize) {
+        if self.clients_stop.load(Ordering::SeqCst) || lock(&self.nodes)[node].is_some() {
             return;
         }
         if self.start_node(node, 0).is_err() {
@@ -329,38 +339,44 @@
         }
     }
 
-    async fn calls_fail(&self, node: usize, calls: &[SystemFault], rate: u64, span: Micros) {
+    async fn fail_system_calls(
+        &self,
+        node: usize,
+        calls: &[SystemFault],
+        rate: u64,
+        duration: Micros,
+    ) {
         for rate in [rate, 0] {
             self.with_node(node, |process| {
                 for fault in calls {
-                    // The file is the run's own and small; an error leaves the fault out.
+                    // The control file belongs to this run; on an error the fault is left out.
                     let _ = process.control.set_rate(*fault, rate);
                 }
             });
             if rate > 0 {
-                self.runtime.sleep(span).await;
+                self.runtime.sleep(duration).await;
             }
         }
     }
 
-    async fn clock(&self, node: usize, offset: i64, span: Micros) {
+    async fn offset_clock(&self, node: usize, offset: i64, duration: Micros) {
         for offset in [offset, 0] {
             self.with_node(node, |process| {
                 let _ = process.control.set_wall_clock_offset(offset);
             });
             if offset != 0 {
-                self.runtime.sleep(span).await;
+                self.runtime.sleep(duration).await;
             }
         }
     }
 
-    async fn flag(&self, flag: &AtomicBool, span: Micros) {
+    async fn set_flag_for(&self, flag: &AtomicBool, duration: Micros) {
         flag.store(true, Ordering::SeqCst);
-        self.runtime.sleep(span).await;
+        self.runtime.sleep(duration).await;
         flag.store(false, Ordering::SeqCst);
     }
 
-    async fn engine_trouble(&self, kind: FaultKind, index: usize, span: Micros) {
+    async fn inject_engine_fault(&self, kind: FaultKind, index: usize, duration: Micros) {
         let (engine, link) = (&self.engines[index], &self.links[index]);
         let cut = |cut| {
             link.set_cut(cut);
@@ -373,7 +389,7 @@
             FaultKind::EngineCrash => engine.set(|t| t.down = true),
             FaultKind::EngineHang => engine.set(|t| t.hangs = true),
             FaultKind::EngineRejects => engine.set(|t| t.turns_away = true),
-            FaultKind::EngineSlow => engine.set(|t| t.slower = SLOWER),
+            FaultKind::EngineSlow => engine.set(|t| t.slower = SLOW_FACTOR),
             FaultKind::StreamsReset => engine.set(|t| t.breaks_percent = BREAKS_PERCENT),
             FaultKind::LinkCut => cut(true),
             FaultKind::LinkReset => {
@@ -389,7 +405,7 @@
             }
             _ => {}
         }
-        self.runtime.sleep(span).await;
+        self.runtime.sleep(duration).await;
         match kind {
             FaultKind::EngineCrash => {
                 let started_ms = self.runtime.unix_micros() / 1_000;
@@ -425,14 +441,14 @@
     }
 }
 
-/// What is held is let go of within this span, a drain has this grace, and repeats are dropped for this window.
+/// The limits in the nodes' configuration that the oracle checks.
 pub(super) const LIMITS: super::oracle::Limits = super::oracle::Limits {
     release_within: 300_000,
     drain_grace: 1_000_000,
     deduplication_window: 1_500_000,
 };
 
-fn configuration(node: usize, nodes: usize, discovery: SocketAddr, known: &str) -> String {
+fn configuration(node: usize, nodes: usize, discovery: SocketAddr, known_engines: &str) -> String {
     let class = |name: &str, semantics: &str| {
         format!(
             r#"{{"name":"{name}","semantics":"{semantics}","target_us":800000,"deadline_us":2500000,"importance":2.0,
@@ -448,7 +464,7 @@
     .join(",");
     format!(
         r#"{{"name":"n{node}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{node:x}",
-        "limits":{{"memory_mb":64,"sockets":512}},"known":{known},
+        "limits":{{"memory_mb":64,"sockets":512}},"known":{known_engines},
         "settings":{{"balancers":{nodes},"zone":0,"failure_domains":["a"],"host_types":["prefill","decode"],
         "family_info":{{"kind_role":["read","write"],"local_read":false,"early_pairing":true,"let_go_by_us":{},
           "memory_tokens":[250000,150000]}},
--- a/crates/ivyward-testbed/src/soak/link.rs
+++ b/crates/ivyward-testbed/src/soak/link.rs
@@ -1,4 +1,4 @@
-//! The way between the nodes and one engine: a relay whose bytes can stop, and whose connections can be reset.
+//! The link between the nodes and one engine: a relay that can stop forwarding bytes and reset its connections.
 
 use futures_lite::future::{or, poll_once, zip};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-const LOOK: Micros = 2_000;
-const PIECE: usize = 16 << 10;
-/// An engine that does not accept is given up after this span.
-const CONNECT: Micros = 10_000_000;
+const POLL_INTERVAL: Micros = 2_000;
+const CHUNK: usize = 16 << 10;
+/// The timeout for connecting to the engine.
+const CONNECT_TIMEOUT: Micros = 10_000_000;
 
-/// What happens to a link. Clones are handles to the same one.
+/// Controls a link. Clones are handles to the same link.
 #[derive(Clone, Default)]
 pub struct Link {
     cut: Arc<AtomicBool>,
@@ -20,11 +20,11 @@
 }
 
 impl Link {
-    /// Nothing passes, or all does again.
+    /// Stops forwarding bytes, or forwards them again.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
     }
-    /// Resets all connections.
+    /// Resets all connections of the link.
     pub fn reset(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
     }
@@ -32,10 +32,10 @@
         self.cut.load(Ordering::SeqCst)
     }
 
-    /// Relays connections to `target`, until the world ends; the address to connect to.
+    /// Relays connections to `target` until the runtime stops. Returns the address to connect to.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// Fails if the relay cannot listen.
     pub fn serve(&self, runtime: &RuntimeRef, target: SocketAddr) -> std::io::Result<SocketAddr> {
         let mut listener = runtime.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.address();
@@ -48,90 +48,97 @@
                         let (link, of) = (link.clone(), runtime.clone());
                         runtime.run(async move { link.relay(&of, conn, target).await });
                     }
-                    Err(_) => runtime.sleep(LOOK).await,
+                    Err(_) => runtime.sleep(POLL_INTERVAL).await,
                 }
             }
         });
         Ok(address)
     }
 
-    async fn passable(&self, runtime: &RuntimeRef) {
+    async fn wait_until_not_cut(&self, runtime: &RuntimeRef) {
         while self.is_cut() {
-            runtime.sleep(LOOK).await;
+            runtime.sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn relay(&self, runtime: &RuntimeRef, mut near: Conn, target: SocketAddr) {
+    async fn relay(&self, runtime: &RuntimeRef, mut node_conn: Conn, target: SocketAddr) {
         let resets = self.resets.load(Ordering::SeqCst);
-        // The system has let the connection come up, which no cut would: it is reset at once.
+        // The system has already accepted the connection, which a real cut would have prevented, so it is reset at once.
         let connected = match self.is_cut() {
             true => None,
-            false => before(runtime, runtime.now() + CONNECT, runtime.connect(target)).await,
+            false => {
+                before(
+                    runtime,
+                    runtime.now() + CONNECT_TIMEOUT,
+                    runtime.connect(target),
+                )
+                .await
+            }
         };
-        let Some(Ok(mut far)) = connected else {
-            near.reset_on_close();
+        let Some(Ok(mut engine_conn)) = connected else {
+            node_conn.reset_on_close();
             return;
         };
         let broke = AtomicBool::new(false);
         let reset = async {
             while self.resets.load(Ordering::SeqCst) == resets && !broke.load(Ordering::SeqCst) {
-                runtime.sleep(LOOK).await;
+                runtime.sleep(POLL_INTERVAL).await;
             }
             true
         };
         let broken = {
-            let (read_near, write_near) = futures_lite::io::split(&mut near);
-            let (read_far, write_far) = futures_lite::io::split(&mut far);
-            let there = self.one_way(runtime, (read_near, write_far), &broke);
-            let back = self.one_way(runtime, (read_far, write_near), &broke);
+            let (read_node, write_node) = futures_lite::io::split(&mut node_conn);
+            let (read_engine, write_engine) = futures_lite::io::split(&mut engine_conn);
+            let forward = self.one_way(runtime, (read_node, write_engine), &broke);
+            let back = self.one_way(runtime, (read_engine, write_node), &broke);
             let both = async {
-                zip(there, back).await;
+                zip(forward, back).await;
                 broke.load(Ordering::SeqCst)
             };
             or(both, reset).await
         };
         if broken {
-            near.reset_on_close();
-            far.reset_on_close();
+            node_conn.reset_on_close();
+            engine_conn.reset_on_close();
         }
     }
 
-    /// Passes on one direction to its end, and says where it broke.
+    /// Forwards one direction until it ends, and sets `broke` if it ended with an error.
     async fn one_way(
         &self,
         runtime: &RuntimeRef,
         (mut read, mut write): (impl AsyncRead + Unpin, impl AsyncWrite + Unpin),
         broke: &AtomicBool,
     ) {
-        let (mut piece, mut was_cut) = (vec![0; PIECE], false);
+        let (mut chunk, mut was_cut) = (vec![0; CHUNK], false);
         loop {
             was_cut |= self.is_cut();
-            self.passable(runtime).await;
-            let looked = runtime.now() + 10 * LOOK;
-            let got = match before(runtime, looked, read.read(&mut piece)).await {
+            self.wait_until_not_cut(runtime).await;
+            let until = runtime.now() + 10 * POLL_INTERVAL;
+            let got = match before(runtime, until, read.read(&mut chunk)).await {
                 None => continue,
                 Some(Ok(0)) => break,
                 Some(Ok(got)) => got,
                 Some(Err(_)) => return broke.store(true, Ordering::SeqCst),
             };
             was_cut |= self.is_cut();
-            self.passable(runtime).await;
-            // What was sent into a cut is sent again by the sender's system when the cut ends, unless the sender ended the
-            // connection meanwhile: that took it back.
-            let (mut all, mut given_up) = (piece[..got].to_vec(), false);
-            while was_cut && !given_up {
-                match poll_once(read.read(&mut piece)).await {
+            self.wait_until_not_cut(runtime).await;
+            // TCP retransmits bytes sent during a cut when the cut ends. If the sender closed the connection during the
+            // cut, they are dropped and the connection is reset.
+            let (mut all, mut sender_closed) = (chunk[..got].to_vec(), false);
+            while was_cut && !sender_closed {
+                match poll_once(read.read(&mut chunk)).await {
                     None => break,
-                    Some(Ok(more)) if more > 0 => all.extend_from_slice(&piece[..more]),
-                    Some(_) => given_up = true,
+                    Some(Ok(more)) if more > 0 => all.extend_from_slice(&chunk[..more]),
+                    Some(_) => sender_closed = true,
                 }
             }
-            if given_up || write.write_all(&all).await.is_err() {
+            if sender_closed || write.write_all(&all).await.is_err() {
                 return broke.store(true, Ordering::SeqCst);
             }
             was_cut = false;
         }
-        // The other side may have gone.
+        // The other side may have closed the connection.
         let _ = write.close().await;
     }
 }
--- a/crates/ivyward-testbed/src/soak/mod.rs
+++ b/crates/ivyward-testbed/src/soak/mod.rs
@@ -1,50 +1,50 @@
-//! Random faults against node processes on loopback, many seeds, two or three troubles at a time.
+//! Runs node processes on loopback under random faults, two or three at a time, for many seeds.
 //!
-//! - [`plan`]: which troubles when, from a seed; as JSON it can be kept, cut down and played again.
-//! - `stage`: engines, links, discovery and nodes of a run; `node`: a node's process with its preloaded faults.
-//! - `link`: a relay before each engine; `clients`: sessions.
-//! - [`oracle`]: the rules, from what engines and clients observed.
-//! - [`report`]: what came of the seeds.
+//! - [`plan`]: the faults and their times, drawn from a seed. A plan can be saved as JSON, edited and run again.
+//! - `cluster`: the engines, links, discovery and nodes of a run; `node`: a node's process with preloaded faults.
+//! - `link`: a relay in front of each engine; `clients`: client sessions.
+//! - [`oracle`]: checks the rules on what engines and clients observed.
+//! - [`report`]: the results of the seeds.
 
 mod clients;
+mod cluster;
 mod link;
 mod node;
 pub mod oracle;
 pub mod plan;
 pub mod report;
-mod stage;
 
+use cluster::SoakCluster;
 use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef, SmolRuntime};
 use oracle::Violation;
 use plan::Plan;
 use report::{Report, SeedReport};
-use stage::Stage;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Clients of each node.
+/// The number of clients of each node.
 const CLIENTS: u64 = 3;
-/// After the last trouble, everything that was begun has so long to end.
-const SETTLE: Micros = 5_000_000;
-/// How often nodes are looked at.
-const LOOK: Micros = 100_000;
-/// Most nodes of a run.
+/// The time after the clients have stopped within which open requests must end.
+const SETTLE_TIME: Micros = 5_000_000;
+/// The interval at which the harness checks whether a node has crashed.
+const CRASH_CHECK_INTERVAL: Micros = 100_000;
+/// The largest number of nodes in a run.
 pub const MAX_NODES: usize = 40;
 
-/// Why a soak cannot be played.
+/// An error that prevents a soak run.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// A call of the system failed.
+    /// A system call failed.
     #[error("{0}: {1}")]
     Io(&'static str, std::io::Error),
-    /// The fault library was not built beside this program.
+    /// The fault injection library is not in this program's directory.
     #[error("the library ivyward-fault-injection-preload is not beside this program: build the workspace")]
     MissingLibrary,
-    /// A node does not start.
+    /// A node did not start.
     #[error("{0}")]
     Start(String),
-    /// A plan's file does not hold.
+    /// A plan cannot be read or written as JSON.
     #[error("plan: {0}")]
     Plan(#[from] serde_json::Error),
 }
@@ -55,27 +55,28 @@
     }
 }
 
-/// What to play.
+/// The options of a soak run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The daemon's program.
+    /// The path of the daemon.
     pub daemon: PathBuf,
-    /// Node processes, [`MOST_NODES`] at most.
+    /// The number of node processes, at most [`MAX_NODES`].
     pub nodes: usize,
-    /// The first seed, and how many follow each other.
+    /// The first seed and the number of consecutive seeds.
     pub seeds: (u64, u64),
-    /// Seconds of trouble in each run.
+    /// The duration of each run's fault plan, in seconds.
     pub seconds: u64,
-    /// A plan to play in place of drawn ones.
+    /// A plan to run in place of plans drawn from the seeds.
     pub plan: Option<Plan>,
-    /// Where logs, plans and configurations are kept; without it only those of seeds that broke a rule stay.
+    /// The directory for logs, plans and configurations. Without it, they are written to the system's temporary directory,
+    /// and only those of seeds with violations are kept.
     pub keep_dir: Option<PathBuf>,
 }
 
-/// Plays all seeds, and prints a line for each as it ends.
+/// Runs all seeds, and prints a line for each when it has ended.
 ///
 /// # Errors
-/// When a run cannot be played at all.
+/// [`SoakError`] if a run cannot be set up.
 pub fn run_seeds(options: &Options) -> Result<Report, SoakError> {
     let mut report = Report::default();
     for seed in options.seeds.0..options.seeds.0 + options.seeds.1 {
@@ -83,42 +84,42 @@
             .plan
             .clone()
             .unwrap_or_else(|| Plan::draw(seed, options.seconds));
-        let folder = folder(options, seed)?;
-        let played = play_one(options, &folder, plan)?;
-        println!("{}", played.summary_line());
-        if options.keep_dir.is_none() && !played.has_violations() {
-            // Files that stay are only untidy.
-            let _ = std::fs::remove_dir_all(&folder);
+        let dir = dir(options, seed)?;
+        let seed_report = run_seed(options, &dir, plan)?;
+        println!("{}", seed_report.summary_line());
+        if options.keep_dir.is_none() && !seed_report.has_violations() {
+            // Files that cannot be removed do no harm.
+            let _ = std::fs::remove_dir_all(&dir);
         }
-        report.add(played);
+        report.add(seed_report);
     }
     Ok(report)
 }
 
-fn folder(options: &Options, seed: u64) -> Result<PathBuf, SoakError> {
+fn dir(options: &Options, seed: u64) -> Result<PathBuf, SoakError> {
     let root = options.keep_dir.clone().unwrap_or_else(std::env::temp_dir);
-    let folder = root.join(format!("ivyward-soak-{}-{seed}", std::process::id()));
-    std::fs::create_dir_all(&folder).map_err(SoakError::io("a folder"))?;
-    Ok(folder)
+    let dir = root.join(format!("ivyward-soak-{}-{seed}", std::process::id()));
+    std::fs::create_dir_all(&dir).map_err(SoakError::io("create the run's directory"))?;
+    Ok(dir)
 }
 
-fn play_one(options: &Options, folder: &Path, plan: Plan) -> Result<SeedReport, SoakError> {
+fn run_seed(options: &Options, dir: &Path, plan: Plan) -> Result<SeedReport, SoakError> {
     let text = serde_json::to_string_pretty(&plan)?;
-    std::fs::write(folder.join("plan.json"), text).map_err(SoakError::io("a plan"))?;
+    std::fs::write(dir.join("plan.json"), text).map_err(SoakError::io("write the plan"))?;
     let smol = SmolRuntime::start(2, plan.seed);
     let runtime: RuntimeRef = smol.clone();
     let nodes = options.nodes.clamp(1, MAX_NODES);
-    let stage = Stage::start(&runtime, (&options.daemon, folder), nodes, plan.seed)?;
-    let (violations, faults) = smol.block_on(run(&stage, &plan, nodes));
-    let observed = stage.log.all();
-    let broken: Vec<Violation> = oracle::check(&observed, &stage::LIMITS, runtime.now());
+    let cluster = SoakCluster::start(&runtime, (&options.daemon, dir), nodes, plan.seed)?;
+    let (violations, faults) = smol.block_on(run(&cluster, &plan, nodes));
+    let observed = cluster.log.all();
+    let rule_violations: Vec<Violation> = oracle::check(&observed, &cluster::LIMITS, runtime.now());
     let lines: Vec<String> = observed
         .iter()
         .map(|(at, o)| format!("{at} {o:?}"))
         .collect();
-    std::fs::write(folder.join("observed.log"), lines.join("\n"))
-        .map_err(SoakError::io("a log"))?;
-    let answers = stage
+    std::fs::write(dir.join("observed.log"), lines.join("\n"))
+        .map_err(SoakError::io("write the log of observations"))?;
+    let answers = cluster
         .answers
         .lock()
         .map(|answers| answers.clone())
@@ -126,45 +127,47 @@
     smol.stop();
     Ok(SeedReport {
         plan,
-        folder: folder.to_owned(),
+        dir: dir.to_owned(),
         answers,
-        rule_violations: broken,
+        rule_violations,
         invariant_violations: violations,
         faults,
     })
 }
 
 async fn run(
-    stage: &Arc<Stage>,
+    cluster: &Arc<SoakCluster>,
     plan: &Plan,
     nodes: usize,
 ) -> (
     u64,
     std::collections::BTreeMap<ivyward_fault_injection::SystemFault, u64>,
 ) {
-    let runtime = stage.runtime.clone();
+    let runtime = cluster.runtime.clone();
     for node in 0..nodes {
         for number in 0..CLIENTS {
-            runtime.run(clients::session(stage.clone(), node, number));
+            runtime.run(clients::session(cluster.clone(), node, number));
         }
     }
     let began = runtime.now();
     let mut end = began;
-    for trouble in &plan.faults {
-        let at = began + trouble.at_ms * 1_000;
+    for fault in &plan.faults {
+        let at = began + fault.at_ms * 1_000;
         while runtime.now() < at {
-            runtime.sleep(LOOK.min(at - runtime.now())).await;
-            stage.look_for_crashes();
+            runtime
+                .sleep(CRASH_CHECK_INTERVAL.min(at - runtime.now()))
+                .await;
+            cluster.detect_crashes();
         }
-        end = end.max(at + trouble.duration_ms * 1_000);
-        runtime.run(stage.clone().trouble(*trouble));
+        end = end.max(at + fault.duration_ms * 1_000);
+        runtime.run(cluster.clone().inject(*fault));
     }
-    while runtime.now() < end + SETTLE / 2 {
-        runtime.sleep(LOOK).await;
-        stage.look_for_crashes();
+    while runtime.now() < end + SETTLE_TIME / 2 {
+        runtime.sleep(CRASH_CHECK_INTERVAL).await;
+        cluster.detect_crashes();
     }
-    stage.over.store(true, Ordering::SeqCst);
-    runtime.sleep(SETTLE).await;
-    stage.look_for_crashes();
-    stage.end().await
+    cluster.clients_stop.store(true, Ordering::SeqCst);
+    runtime.sleep(SETTLE_TIME).await;
+    cluster.detect_crashes();
+    cluster.stop_all_nodes().await
 }
--- a/crates/ivyward-testbed/src/soak/node.rs
+++ b/crates/ivyward-testbed/src/soak/node.rs
@@ -1,4 +1,5 @@
-//! Node processes of a soak run: configuration, preloaded faults, signals, and what their logs say of invariants.
+//! The node processes of a soak run: their configuration, preloaded faults and signals, and the invariant violations that
+//! their logs report.
 
 use crate::child_process::end_with_parent;
 use crate::soak::SoakError;
@@ -11,57 +12,59 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// What the guard of a node writes when an invariant does not hold.
-const VIOLATION: &str = "invariant violated";
+/// The text that a node logs when an invariant is violated.
+const VIOLATION_TEXT: &str = "invariant violated";
 
-/// Where a node's files are, and how it is started.
+/// The files of a node.
 #[derive(Clone)]
 pub struct NodeFiles {
-    /// The daemon.
+    /// The path of the daemon.
     pub daemon: PathBuf,
-    /// A folder of the run's own.
-    pub folder: PathBuf,
+    /// The directory of the run.
+    pub dir: PathBuf,
     /// The node's number.
     pub index: usize,
 }
 
 impl NodeFiles {
     fn config(&self) -> PathBuf {
-        self.folder.join(format!("node-{}.json", self.index))
+        self.dir.join(format!("node-{}.json", self.index))
     }
     fn log(&self) -> PathBuf {
-        self.folder.join(format!("node-{}.log", self.index))
+        self.dir.join(format!("node-{}.log", self.index))
     }
-    /// Writes the configuration beside and moves it into place, as the platform does.
+    /// Writes the configuration to a temporary file and renames it into place, as the platform does.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// Fails if the file cannot be written.
     pub fn configure(&self, text: &str) -> Result<(), SoakError> {
-        let beside = self.config().with_extension("new");
-        std::fs::write(&beside, text).map_err(SoakError::io("a configuration"))?;
-        std::fs::rename(&beside, self.config()).map_err(SoakError::io("a configuration"))
+        let temporary = self.config().with_extension("new");
+        std::fs::write(&temporary, text).map_err(SoakError::io("write a node's configuration"))?;
+        std::fs::rename(&temporary, self.config())
+            .map_err(SoakError::io("write a node's configuration"))
     }
 }
 
-/// A node's process; killed when this is dropped.
+/// A node's process. It is killed on drop.
 pub struct NodeProcess {
     child: Child,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// Its system calls and clock.
+    /// The control file for the faults of the process's system calls and its clock.
     pub control: ControlFile,
     violations: Arc<AtomicU64>,
 }
 
 impl NodeProcess {
-    /// Starts one and waits until it listens.
+    /// Starts a node and waits until it listens.
     ///
     /// # Errors
-    /// When it does not come up.
+    /// Fails if the process does not start or does not print its address.
     pub fn start(files: &NodeFiles, seed: u64) -> Result<NodeProcess, SoakError> {
-        let path = files.folder.join(format!("faults-{}", files.index));
-        let control = ControlFile::create(&path, seed).map_err(SoakError::io("a control file"))?;
-        let program = std::env::current_exe().map_err(SoakError::io("this program"))?;
+        let path = files.dir.join(format!("faults-{}", files.index));
+        let control = ControlFile::create(&path, seed)
+            .map_err(SoakError::io("create a fault control file"))?;
+        let program = std::env::current_exe().map_err(SoakError::io("find this program's path"))?;
         let library = library_beside(&program).ok_or(SoakError::MissingLibrary)?;
         let mut command = Command::new(&files.daemon);
         let mut child = end_with_parent(&mut command)
@@ -75,12 +78,12 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(SoakError::io("the daemon"))?;
+            .map_err(SoakError::io("start the daemon"))?;
         let (Some(out), Some(errors)) = (child.stdout.take(), child.stderr.take()) else {
-            return Err(SoakError::Start("a node has no output".into()));
+            return Err(SoakError::Start("the node's output is not a pipe".into()));
         };
         let violations = Arc::<AtomicU64>::default();
-        keep_log(errors, &files.log(), violations.clone())?;
+        copy_log(errors, &files.log(), violations.clone())?;
         let mut line = String::new();
         // An error leaves the line empty.
         let _ = BufReader::new(out).read_line(&mut line);
@@ -92,7 +95,7 @@
             let _ = child.kill();
             let _ = child.wait();
             return Err(SoakError::Start(format!(
-                "node {} said {line:?}",
+                "node {} wrote {line:?} instead of its address",
                 files.index
             )));
         };
@@ -104,22 +107,22 @@
         })
     }
 
-    /// Sends a signal. It is our own child and was not waited for, so its number is still its own.
+    /// Sends a signal. The process is a child that has not been waited for, so its id cannot have been reused.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            // It may have ended.
+            // The process may have ended.
             let _ = kill_process(pid, signal);
         }
     }
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has ended.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
-    /// Invariants that did not hold, as its guard says.
+    /// Returns the number of invariant violations in the node's log.
     pub fn violations(&self) -> u64 {
         self.violations.load(Ordering::SeqCst)
     }
-    /// How often each fault really took place.
+    /// Returns how often each fault occurred.
     pub fn hits(&self) -> Vec<(SystemFault, u64)> {
         SystemFault::ALL
             .iter()
@@ -130,14 +133,14 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // It may have ended.
+        // The process may have ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Writes a node's log to its file as it comes, and counts the guard's words.
-fn keep_log(
+/// Copies a node's log to its file, and counts the invariant violations in it.
+fn copy_log(
     errors: std::process::ChildStderr,
     path: &Path,
     violations: Arc<AtomicU64>,
@@ -146,13 +149,13 @@
         .create(true)
         .append(true)
         .open(path);
-    let mut file = std::io::BufWriter::new(file.map_err(SoakError::io("a log"))?);
+    let mut file = std::io::BufWriter::new(file.map_err(SoakError::io("open a node's log"))?);
     std::thread::spawn(move || {
         for line in BufReader::new(errors).lines().map_while(Result::ok) {
-            if line.contains(VIOLATION) {
+            if line.contains(VIOLATION_TEXT) {
                 violations.fetch_add(1, Ordering::SeqCst);
             }
-            // A log that cannot be kept must not hold up its node.
+            // An error in writing the log must not block the node.
             let _ = writeln!(file, "{line}");
         }
     });
--- a/crates/ivyward-testbed/src/soak/oracle.rs
+++ b/crates/ivyward-testbed/src/soak/oracle.rs
@@ -1,45 +1,45 @@
-//! The rules, checked from what engines and clients observed. It knows nothing of what a node says of itself.
+//! Checks the rules on what engines and clients observed. It uses nothing that a node reports about itself.
 
 use ivyward_fakes::platform::observe::{Effect, Observation};
 use ivyward_runtime::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A final answer may come so long after the client's time.
+/// The time after a client's time limit within which its final answer may still arrive.
 const ANSWER_SLACK: Micros = 500_000;
-/// An attempt may begin so long after its client left or was answered.
-const BEGIN_SLACK: Micros = 100_000;
-/// The time that an attempt tells may be so much more than what its client has left.
+/// The time after a client's disconnect or answer within which an attempt may still begin.
+const ATTEMPT_SLACK: Micros = 100_000;
+/// The amount by which an attempt's timeout may exceed the client's remaining time.
 const TIMEOUT_SLACK: Micros = 150_000;
-/// Whatever discovery has to tell counts as told so much later.
-const TOLD_WITHIN: Micros = 6_000_000;
-/// After SIGTERM a request that comes so late may be lost to SIGKILL.
-const STOP_TAKES: Micros = 700_000;
-/// What the platform adds to its limits on times; a rig on a busy machine adds as much again.
+/// The time after which a node counts as notified of a change in discovery, whether or not it was.
+const MAX_NOTIFICATION_DELAY: Micros = 6_000_000;
+/// A request that arrives later than this after SIGTERM may be lost, because the node may be killed first.
+const GUARANTEED_STOP_TIME: Micros = 700_000;
+/// The tolerance on all times: what the platform adds to its limits, and as much again for a harness on a busy machine.
 const CLOCK_SLACK: Micros = 100_000;
-/// What is held has so much more than the settings say.
-const HELD_SLACK: Micros = 300_000;
+/// The tolerance on the time within which reservations are released.
+const RELEASE_SLACK: Micros = 300_000;
 
-/// What the run's settings say.
+/// Limits from the run's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// What is held is let go of within this span.
+    /// The time within which a reservation is released once no attempt uses it.
     pub release_within: Micros,
-    /// Nothing new goes to a draining engine after this span.
+    /// The time after the notification of a drain from which no new attempt may go to the engine.
     pub drain_grace: Micros,
-    /// Engines drop repeats for this span.
+    /// The time for which engines drop repeated writes with the same key.
     pub deduplication_window: Micros,
 }
 
-/// A rule that did not hold.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Violation {
-    /// Its name.
+    /// The name of the rule.
     pub rule: &'static str,
-    /// The request or the node.
+    /// The id of the request, or the node.
     #[serde(rename = "of")]
     pub subject: String,
-    /// What was observed.
+    /// What was observed, as text.
     #[serde(rename = "seen")]
     pub observed: String,
 }
@@ -59,75 +59,75 @@
 struct Request {
     sent: Vec<(Micros, usize, Micros, bool)>,
     effect: Option<Effect>,
-    left: Option<Micros>,
+    disconnected: Option<Micros>,
     answers: Vec<(Micros, u16, bool)>,
     attempts: Vec<Attempt>,
-    holds: Vec<Micros>,
-    /// Its engine broke its stream off.
+    reservations: Vec<Micros>,
+    /// Whether the engine broke off the request's stream.
     stream_broke: bool,
-    freed: Vec<Micros>,
+    released: Vec<Micros>,
 }
 
-/// A drain from its beginning to its end, and when each node was told of it.
+/// A drain from its start to its end, and when each node was notified of it.
 struct Drain {
     engine: usize,
     from: Micros,
     until: Micros,
-    told: BTreeMap<usize, Micros>,
+    notified: BTreeMap<usize, Micros>,
 }
 
 #[derive(Default)]
-struct Record {
+struct History {
     requests: BTreeMap<String, Request>,
-    told: BTreeMap<(usize, usize), Micros>,
+    notified: BTreeMap<(usize, usize), Micros>,
     drains: BTreeMap<usize, Micros>,
-    drains_over: Vec<Drain>,
+    ended_drains: Vec<Drain>,
     stops: Vec<(usize, Micros)>,
     killed: Vec<(usize, Micros)>,
     engine_ends: Vec<(usize, Micros)>,
-    /// Links that were cut: engine, from, until.
+    /// Cut links: the engine, and the start and end of the cut.
     cuts: Vec<(usize, Micros, Micros)>,
-    /// Nodes under which connections broke: node, from, until.
+    /// Intervals in which a node's connections failed: the node, the start and the end.
     breaks: Vec<(usize, Micros, Micros)>,
-    /// Engines whose links were reset, and when.
+    /// Resets of links: the engine and the time.
     resets: Vec<(usize, Micros)>,
-    broken: Vec<Violation>,
+    violations: Vec<Violation>,
 }
 
-/// Rules that did not hold over a run that ended at `end`.
+/// Returns the violations of the rules in a run that ended at `end`.
 pub fn check(observed: &[(Micros, Observation)], limits: &Limits, end: Micros) -> Vec<Violation> {
-    let mut record = Record::default();
+    let mut history = History::default();
     for (at, observation) in observed {
-        record.add(*at, observation);
+        history.add(*at, observation);
     }
-    let mut broken = std::mem::take(&mut record.broken);
-    for (id, request) in &record.requests {
+    let mut violations = std::mem::take(&mut history.violations);
+    for (id, request) in &history.requests {
         let checks = [
-            record.lost(request, end),
-            record.closed_unanswered(request),
-            record.cut_stream(request),
+            history.lost(request, end),
+            history.closed_unanswered(request),
+            history.cut_stream(request),
             after_end(request),
-            record.two_at_once(request),
-            effect_twice(request, limits),
-            false_refusal(request),
-            record.told_too_much(request),
-            record.to_draining(request, limits),
-            record.pinned(request, limits, end),
+            history.two_at_once(request),
+            repeated_write(request, limits),
+            false_rejection(request),
+            history.excessive_timeout(request),
+            history.to_draining(request, limits),
+            history.unreleased(request, limits, end),
         ];
         for (rule, seen) in checks.into_iter().flatten() {
-            broken.push(Violation {
+            violations.push(Violation {
                 rule,
                 subject: id.clone(),
                 observed: seen,
             });
         }
     }
-    broken
+    violations
 }
 
 type Found = Option<(&'static str, String)>;
 
-impl Record {
+impl History {
     fn request(&mut self, id: &str) -> &mut Request {
         self.requests.entry(id.to_owned()).or_default()
     }
@@ -147,7 +147,7 @@
                     .sent
                     .push((at, *node, *client_timeout, *new_connection));
             }
-            Observation::Left { id } => self.request(id).left = Some(at),
+            Observation::Left { id } => self.request(id).disconnected = Some(at),
             Observation::Answered { id, status, whole } => {
                 self.request(id).answers.push((at, *status, *whole));
             }
@@ -176,27 +176,27 @@
                     found.ended = Some(at);
                 }
             }
-            Observation::Holds { id } => self.request(id).holds.push(at),
-            Observation::Freed { id } => self.request(id).freed.push(at),
+            Observation::Holds { id } => self.request(id).reservations.push(at),
+            Observation::Freed { id } => self.request(id).released.push(at),
             Observation::ToldDrain { node, engine } => {
-                self.told.entry((*node, *engine)).or_insert(at);
+                self.notified.entry((*node, *engine)).or_insert(at);
             }
             Observation::Drains { engine } => {
                 self.drains.insert(*engine, at);
-                // What was told before was of another drain.
-                self.told.retain(|(_, told), _| told != engine);
+                // Earlier notifications were of another drain.
+                self.notified.retain(|(_, notified), _| notified != engine);
             }
             Observation::LinkReset { engine } => self.resets.push((*engine, at)),
             Observation::StreamBroke { id } => self.request(id).stream_broke = true,
             Observation::DrainOver { engine } => {
                 if let Some(from) = self.drains.remove(engine) {
-                    let told = self.told.iter().filter(|((_, e), _)| e == engine);
-                    let told = told.map(|((node, _), at)| (*node, *at)).collect();
-                    self.drains_over.push(Drain {
+                    let notified = self.notified.iter().filter(|((_, e), _)| e == engine);
+                    let notified = notified.map(|((node, _), at)| (*node, *at)).collect();
+                    self.ended_drains.push(Drain {
                         engine: *engine,
                         from,
                         until: at,
-                        told,
+                        notified,
                     });
                 }
             }
@@ -226,7 +226,7 @@
             Observation::NodeEnded { .. } => {}
             Observation::NodeCrashed { node } => {
                 let seen = format!("ended by itself at {at}");
-                self.broken.push(Violation {
+                self.violations.push(Violation {
                     rule: "crash",
                     subject: format!("node {node}"),
                     observed: seen,
@@ -235,7 +235,7 @@
         }
     }
 
-    /// The request's node was killed before its answer was owed.
+    /// Returns whether a node was killed between two times.
     fn killed(&self, node: usize, from: Micros, until: Micros) -> bool {
         self.killed
             .iter()
@@ -251,22 +251,22 @@
             .copied()
             .filter(|(at, ..)| *at >= sent);
         let ended = answer.map_or(by, |(at, ..)| at.max(sent));
-        if request.left.is_some() || by > end || self.killed(node, sent, ended.max(by)) {
+        if request.disconnected.is_some() || by > end || self.killed(node, sent, ended.max(by)) {
             return None;
         }
         let after_stop =
-            |(stopped, at): &&(usize, Micros)| *stopped == node && sent > at + STOP_TAKES;
+            |(stopped, at): &&(usize, Micros)| *stopped == node && sent > at + GUARANTEED_STOP_TIME;
         if self
             .stops
             .iter()
             .rev()
-            .any(|stop| after_stop(&stop) && sent < stop.1 + client_timeout + STOP_TAKES)
+            .any(|stop| after_stop(&stop) && sent < stop.1 + client_timeout + GUARANTEED_STOP_TIME)
         {
             return None;
         }
         match answer {
-            None => Some(("lost", format!("no answer; sent at {sent}, owed by {by}"))),
-            // The client's own connection may have been the one that broke.
+            None => Some(("lost", format!("no answer; sent at {sent}, due by {by}"))),
+            // The client's own connection may have failed.
             Some((at, 0, _))
                 if self
                     .breaks
@@ -280,14 +280,14 @@
                 format!("closed without an answer at {at}, sent at {sent}"),
             )),
             Some((at, status, _)) if at > by && status != 200 => {
-                Some(("lost", format!("answered {status} at {at}, owed by {by}")))
+                Some(("lost", format!("answered {status} at {at}, due by {by}")))
             }
             Some(_) => None,
         }
     }
 
-    /// A request that its node had read, for an attempt of it came to an engine, and whose connection was closed with no
-    /// answer. A client may send such a request again only because nobody read it.
+    /// Finds a request that its node had read, because an attempt of it reached an engine, and whose connection was closed
+    /// without an answer. A client sends such a request again because it assumes that nobody has read it.
     fn closed_unanswered(&self, request: &Request) -> Found {
         let closes = request.answers.iter().filter(|(_, status, _)| *status == 0);
         closes.into_iter().find_map(|(at, ..)| {
@@ -313,7 +313,7 @@
         })
     }
 
-    /// A stream that its node cut while its engine wrote.
+    /// Finds a stream that the node cut while the engine was still writing.
     fn cut_stream(&self, request: &Request) -> Found {
         let (at, ..) = *request
             .answers
@@ -348,13 +348,15 @@
         request.attempts.iter().find_map(|attempt| {
             let during =
                 |d: &&Drain| d.engine == attempt.engine && (d.from..=d.until).contains(&attempt.at);
-            let drain = self.drains_over.iter().find(during)?;
-            let told = drain.told.get(&node).copied();
-            let told = told.unwrap_or(Micros::MAX).min(drain.from + TOLD_WITHIN);
-            let late = attempt.at > told + limits.drain_grace + CLOCK_SLACK;
+            let drain = self.ended_drains.iter().find(during)?;
+            let notified = drain.notified.get(&node).copied();
+            let notified = notified
+                .unwrap_or(Micros::MAX)
+                .min(drain.from + MAX_NOTIFICATION_DELAY);
+            let late = attempt.at > notified + limits.drain_grace + CLOCK_SLACK;
             let text = || {
                 format!(
-                    "sent to {} at {}, told at {told}",
+                    "sent to {} at {}, notified at {notified}",
                     attempt.engine, attempt.at
                 )
             };
@@ -362,8 +364,8 @@
         })
     }
 
-    /// Two attempts that were out at engines together. The word that one is given up takes a moment, and does not come
-    /// through a cut at all: then its connection is closed at the node all the same.
+    /// Finds two attempts of a request that were at engines at the same time. The cancellation of an attempt takes a moment to
+    /// arrive, and does not arrive during a cut, although the node has closed the connection.
     fn two_at_once(&self, request: &Request) -> Found {
         let mut attempts: Vec<&Attempt> = request.attempts.iter().collect();
         attempts.sort_by_key(|a| a.at);
@@ -383,9 +385,9 @@
         })
     }
 
-    /// An attempt that tells its engine more time than its client has left. One that waited in a cut says what was left when
-    /// it was written: nobody can change that any more.
-    fn told_too_much(&self, request: &Request) -> Found {
+    /// Finds an attempt whose timeout exceeds its client's remaining time. An attempt that waited in a cut is excused: its
+    /// timeout is the time that remained when it was written.
+    fn excessive_timeout(&self, request: &Request) -> Found {
         let (sent, _, client_timeout, _) = *request.sent.last()?;
         let by = sent + client_timeout;
         request.attempts.iter().find_map(|attempt| {
@@ -393,76 +395,77 @@
             let waited = |(engine, _, until): &(usize, Micros, Micros)| {
                 *engine == attempt.engine && (sent..=attempt.at).contains(until)
             };
-            let over = attempt.timeout > left + TIMEOUT_SLACK + CLOCK_SLACK;
+            let exceeds = attempt.timeout > left + TIMEOUT_SLACK + CLOCK_SLACK;
             let excused = self.cuts.iter().any(waited);
-            (over && !excused).then(|| {
+            (exceeds && !excused).then(|| {
                 (
                     "timeout_told",
-                    format!("told {} with {left} left", attempt.timeout),
+                    format!("timeout {} with {left} remaining", attempt.timeout),
                 )
             })
         })
     }
 
-    /// A state that waits for too long with no attempt out at an engine: a send that has not arrived is not out.
-    fn pinned(&self, request: &Request, limits: &Limits, end: Micros) -> Found {
+    /// Finds a reservation that is not released in time while no attempt is at an engine. An attempt that was sent but has not
+    /// arrived does not count as at an engine.
+    fn unreleased(&self, request: &Request, limits: &Limits, end: Micros) -> Found {
         let (sent, node, ..) = *request.sent.last()?;
-        let held = *request.holds.last()?;
-        let span = limits.release_within + HELD_SLACK + CLOCK_SLACK;
+        let reserved = *request.reservations.last()?;
+        let span = limits.release_within + RELEASE_SLACK + CLOCK_SLACK;
         let mut attempts: Vec<&Attempt> = request.attempts.iter().collect();
         attempts.sort_by_key(|a| a.at);
         let engine = attempts
             .iter()
             .rev()
-            .find(|a| a.reads && a.at <= held)
+            .find(|a| a.reads && a.at <= reserved)
             .map(|a| a.engine);
-        // Until when an attempt was out, one behind the other.
-        let mut out_until = held;
+        // The end of the interval in which attempts followed one another without a gap.
+        let mut busy_until = reserved;
         loop {
             let beside = attempts
                 .iter()
-                .filter(|a| a.at <= out_until)
+                .filter(|a| a.at <= busy_until)
                 .map(|a| a.ended.unwrap_or(end));
-            let ended = beside.max().unwrap_or(held).max(out_until);
-            // An attempt may have come just before the one beside it was seen to end.
-            if ended > out_until {
-                out_until = ended;
+            let ended = beside.max().unwrap_or(reserved).max(busy_until);
+            // Another attempt may have arrived just before this one was observed to end.
+            if ended > busy_until {
+                busy_until = ended;
                 continue;
             }
-            let freed = request
-                .freed
+            let released = request
+                .released
                 .iter()
                 .copied()
-                .filter(|at| *at >= held)
+                .filter(|at| *at >= reserved)
                 .min()
                 .unwrap_or(end);
             let next = attempts
                 .iter()
                 .map(|a| a.at)
-                .find(|at| *at > out_until)
+                .find(|at| *at > busy_until)
                 .unwrap_or(end);
-            if freed <= out_until + span {
+            if released <= busy_until + span {
                 return None;
             }
-            if next > out_until + span || next == end {
+            if next > busy_until + span || next == end {
                 let lost = |(e, at): &(usize, Micros)| {
-                    Some(*e) == engine && (held..=out_until + span).contains(at)
+                    Some(*e) == engine && (reserved..=busy_until + span).contains(at)
                 };
                 let excused =
-                    self.engine_ends.iter().any(lost) || self.killed(node, sent, out_until + span);
+                    self.engine_ends.iter().any(lost) || self.killed(node, sent, busy_until + span);
                 let text = || {
                     format!(
-                        "held at {held}, nothing out from {out_until}, freed {freed}, next {next}"
+                        "reserved at {reserved}, no attempt from {busy_until}, released at {released}, next attempt at {next}"
                     )
                 };
-                return (!excused && out_until + span < end).then(|| ("pinned", text()));
+                return (!excused && busy_until + span < end).then(|| ("pinned", text()));
             }
-            out_until = next;
+            busy_until = next;
         }
     }
 }
 
-/// An attempt that begins after its client left or had its answer.
+/// Finds an attempt that began after its client disconnected or was answered.
 fn after_end(request: &Request) -> Found {
     let answered = request
         .answers
@@ -470,19 +473,25 @@
         .filter(|(_, status, _)| *status != 0)
         .map(|a| a.0)
         .min();
-    let over = [answered, request.left].into_iter().flatten().min()?;
+    let ended = [answered, request.disconnected]
+        .into_iter()
+        .flatten()
+        .min()?;
     let late = request
         .attempts
         .iter()
-        .find(|a| a.at > over + BEGIN_SLACK + CLOCK_SLACK)?;
+        .find(|a| a.at > ended + ATTEMPT_SLACK + CLOCK_SLACK)?;
     Some((
         "after_end",
-        format!("an attempt at {} where all was over at {over}", late.at),
+        format!(
+            "an attempt at {} after the request had ended at {ended}",
+            late.at
+        ),
     ))
 }
 
-/// A write that ran twice.
-fn effect_twice(request: &Request, limits: &Limits) -> Found {
+/// Finds a write that ran twice although it must not be repeated.
+fn repeated_write(request: &Request, limits: &Limits) -> Found {
     let ran: Vec<Micros> = request
         .attempts
         .iter()
@@ -503,18 +512,18 @@
     twice.then(|| ("effect_twice", format!("writes arrived at {ran:?}")))
 }
 
-/// A refusal of something that ran.
-fn false_refusal(request: &Request) -> Found {
-    let refused = request
+/// Finds a rejection of a request whose write had run.
+fn false_rejection(request: &Request) -> Found {
+    let rejected = request
         .answers
         .iter()
         .any(|(_, status, _)| matches!(status, 429 | 503));
     let ran = request.attempts.iter().any(|a| !a.reads && !a.dropped);
-    let promised = refused && ran && request.effect == Some(Effect::Unsafe);
+    let promised = rejected && ran && request.effect == Some(Effect::Unsafe);
     promised.then(|| {
         (
             "false_refusal",
-            "refused, and a write had arrived".to_owned(),
+            "rejected after a write had arrived".to_owned(),
         )
     })
 }
--- a/crates/ivyward-testbed/src/soak/plan.rs
+++ b/crates/ivyward-testbed/src/soak/plan.rs
@@ -1,74 +1,74 @@
-//! What goes wrong in a soak run, and when: drawn from a seed, in waves whose troubles overlap.
+//! The fault plan of a soak run, drawn from a seed in waves of overlapping faults.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds before the first wave, and after the last one.
-const QUIET_MS: u64 = 1_500;
-/// Waves begin so many milliseconds apart.
-const WAVE_MS: (u64, u64) = (1_200, 2_800);
-/// The troubles of a wave begin within so many milliseconds of each other.
-const SPREAD_MS: u64 = 500;
-/// How long a trouble lasts, in milliseconds.
-const LASTS_MS: (u64, u64) = (300, 2_500);
-/// An engine that drains, or one that restarts, is back after so long at least.
-const DRAIN_MS: u64 = 2_500;
+/// The time without faults before the first wave, and at the end of the run, in milliseconds.
+const FAULT_FREE_MS: u64 = 1_500;
+/// The range of the time between the starts of two waves, in milliseconds.
+const WAVE_INTERVAL_MS: (u64, u64) = (1_200, 2_800);
+/// The interval within which the faults of a wave begin, in milliseconds.
+const WAVE_SPREAD_MS: u64 = 500;
+/// The range of a fault's duration, in milliseconds.
+const DURATION_MS: (u64, u64) = (300, 2_500);
+/// The shortest duration of an engine's drain, in milliseconds.
+const MIN_DRAIN_MS: u64 = 2_500;
 
-/// A kind of trouble.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A node stands still for some milliseconds, several times (SIGSTOP, SIGCONT).
+    /// A node is paused for some milliseconds, several times (SIGSTOP, SIGCONT).
     #[serde(rename = "node_held_up")]
     NodePaused,
-    /// A node is told to end (SIGTERM) and is started again when it has.
+    /// A node is terminated (SIGTERM) and started again when it has ended.
     NodeRestart,
     /// A node is killed (SIGKILL) and started again.
     NodeKilled,
-    /// A node reads its configuration again, twice in a row (SIGHUP); discovery moves.
+    /// A node reloads its configuration twice (SIGHUP), each time with another discovery address.
     NodeReload,
-    /// An engine's process ends and comes back cold.
+    /// An engine's process ends and restarts with an empty cache.
     EngineCrash,
-    /// An engine takes requests and does nothing.
+    /// An engine accepts requests and never answers.
     EngineHang,
     /// An engine drains.
     EngineDrain,
-    /// An engine turns requests away.
+    /// An engine rejects requests.
     #[serde(rename = "engine_turns_away")]
     EngineRejects,
-    /// An engine takes five times as long.
+    /// An engine takes five times as long for its work.
     EngineSlow,
-    /// An engine's streams break.
+    /// An engine breaks off some of its streams.
     #[serde(rename = "streams_break")]
     StreamsReset,
-    /// Nothing passes between the nodes and an engine; connections stay open.
+    /// No bytes pass between the nodes and an engine; connections stay open.
     LinkCut,
     /// The connections to an engine are reset.
     LinkReset,
-    /// Discovery does not answer.
+    /// Discovery accepts requests and does not answer.
     #[serde(rename = "discovery_silent")]
     DiscoveryUnresponsive,
-    /// All watches are reset.
+    /// The connections of all discovery watches are reset.
     WatchReset,
     /// Socket calls of a node are interrupted.
     Interrupted,
-    /// Reads and writes of a node are short.
+    /// A node's reads and writes transfer fewer bytes than asked for.
     ShortCalls,
-    /// Accepts of a node fail.
+    /// A node's accept calls fail.
     AcceptFails,
-    /// Connections of a node break with ETIMEDOUT and EHOSTUNREACH.
+    /// A node's connections fail with ETIMEDOUT and EHOSTUNREACH.
     ConnectionsBreak,
     /// The wall clock of a node is an hour ahead.
     ClockAhead,
     /// The wall clock of a node is an hour behind.
     ClockBehind,
-    /// Three times as many requests come.
+    /// Clients send three times as many requests.
     Burst,
-    /// Many clients leave early.
+    /// Many clients disconnect before their answer.
     #[serde(rename = "clients_leave")]
     ClientsDisconnect,
-    /// Clients send half a request and stay.
+    /// Clients send half a request and leave the connection open.
     HalfRequests,
 }
 
@@ -101,64 +101,61 @@
     ];
 }
 
-/// One trouble of a plan.
+/// A fault with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// When it begins, in milliseconds of the run.
+    /// When the fault begins, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// The fault's duration, in milliseconds.
     #[serde(rename = "for_ms")]
     pub duration_ms: u64,
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Which node or engine, as a number that is taken modulo how many there are.
+    /// The node or engine, as a number modulo the number of nodes or engines.
     #[serde(rename = "which")]
     pub target: usize,
 }
 
-/// A run's troubles.
+/// The fault plan of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What it was drawn from; it also feeds the run's other choices.
+    /// The seed that the plan was drawn from. It also seeds the run's other random choices.
     pub seed: u64,
-    /// By time.
+    /// The faults in the order of their start times.
     #[serde(rename = "troubles")]
     pub faults: Vec<ScheduledFault>,
 }
 
 impl Plan {
-    /// Draws a plan for a run of so many seconds.
+    /// Draws a plan for a run of the given duration in seconds.
     pub fn draw(seed: u64, seconds: u64) -> Plan {
         let mut random = SmallRng::seed_from_u64(seed);
-        let end = (seconds * 1_000).saturating_sub(QUIET_MS);
-        let (mut troubles, mut wave) = (Vec::new(), QUIET_MS);
+        let end = (seconds * 1_000).saturating_sub(FAULT_FREE_MS);
+        let (mut faults, mut wave) = (Vec::new(), FAULT_FREE_MS);
         while wave < end {
             for _ in 0..random.random_range(2..=3) {
                 let kind = FaultKind::ALL[random.random_range(0..FaultKind::ALL.len())];
-                let lasts = random.random_range(LASTS_MS.0..=LASTS_MS.1);
-                let for_ms = if kind == FaultKind::EngineDrain {
-                    lasts.max(DRAIN_MS)
+                let drawn_ms = random.random_range(DURATION_MS.0..=DURATION_MS.1);
+                let duration_ms = if kind == FaultKind::EngineDrain {
+                    drawn_ms.max(MIN_DRAIN_MS)
                 } else {
-                    lasts
+                    drawn_ms
                 };
-                let at_ms = wave + random.random_range(0..=SPREAD_MS);
-                troubles.push(ScheduledFault {
+                let at_ms = wave + random.random_range(0..=WAVE_SPREAD_MS);
+                faults.push(ScheduledFault {
                     at_ms,
-                    duration_ms: for_ms,
+                    duration_ms,
                     kind,
                     target: random.next_u32() as usize,
                 });
             }
-            wave += random.random_range(WAVE_MS.0..=WAVE_MS.1);
-        }
-        troubles.sort_by_key(|trouble| trouble.at_ms);
-        Plan {
-            seed,
-            faults: troubles,
+            wave += random.random_range(WAVE_INTERVAL_MS.0..=WAVE_INTERVAL_MS.1);
         }
+        faults.sort_by_key(|fault| fault.at_ms);
+        Plan { seed, faults }
     }
 
-    /// Kinds that overlapped in time, the lower one first.
+    /// Returns the pairs of kinds whose faults overlap in time, each with the smaller kind first.
     pub fn overlapping_kinds(&self) -> Vec<(FaultKind, FaultKind)> {
         let mut pairs = Vec::new();
         for (i, a) in self.faults.iter().enumerate() {
