--- a/crates/ivyward-testbed/src/fault_plan.rs
+++ b/crates/ivyward-testbed/src/fault_plan.rs
@@ -1,45 +1,46 @@
-//! A day: when which trouble begins, how long it lasts and how hard it is; drawn from a seed or read from a day file.
+//! Fault plans for load runs: the start, duration and severity of each fault, drawn from a seed or read from a scenario
+//! file.
 
 use ivyward::core::interface::Micros;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Kinds of trouble, by the names that day files use.
+/// Kinds of faults. Their serialized names are those of scenario files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Engines die and come back cold.
+    /// Engines crash and restart with empty caches.
     Crash,
-    /// Engines take work and answer none; their sockets stay open.
+    /// Engines accept work and never answer; their sockets stay open.
     Hang,
-    /// Engines work several times as slowly.
+    /// Engines work more slowly by a factor.
     Slow,
-    /// Engines stand still for a moment, again and again.
+    /// Engines pause for a moment, repeatedly.
     Pauses,
-    /// More requests than usual.
+    /// Clients send more requests than usual.
     Burst,
-    /// Many new sessions begin with one long opening that was not seen before.
+    /// Many new sessions share one long prefix that no engine has cached.
     HotKey,
-    /// Some prompts are many times as long.
+    /// Some prompts are many times as long as usual.
     HeavyTail,
-    /// The list of engines is further behind.
+    /// Nodes receive changes to the list of engines with a longer delay.
     DiscoveryStale,
-    /// A node is killed and comes back.
+    /// A node is killed, and started again at the end.
     BalancerCrash,
     /// Links between engines are slow.
     OriginSlow,
-    /// Clients leave early.
+    /// Clients disconnect before their answer.
     GiveUp,
-    /// Clients repeat without end.
+    /// Clients retry without a limit.
     RetryAbuse,
-    /// Work is done and its answer lost, or reset.
+    /// Engines do their work, and the answer is lost or reset.
     AnswerLost,
-    /// Engines grow slower, then crash.
+    /// Engines become slower, then crash.
     Ageing,
-    /// Engines drain, end and come back cold.
+    /// Engines drain, stop and restart with empty caches.
     Drain,
-    /// Engines refuse streams, turn away, and answer wrongly.
+    /// Engines refuse streams, reject calls, and send malformed answers.
     Malformed,
 }
 
@@ -64,70 +65,75 @@
 ];
 
 impl FaultKind {
-    /// Its name.
+    /// Returns the kind's name in scenario files.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
             .and_then(|v| v.as_str().map(str::to_owned))
             .unwrap_or_default()
     }
-    /// The kind of a name.
+    /// Returns the kind with a name.
     ///
     /// # Errors
-    /// A line that lists the names.
+    /// An error message that lists the names.
     pub fn named(name: &str) -> Result<FaultKind, String> {
         let names = || ALL.map(FaultKind::name).join(", ");
         ALL.into_iter()
-            .find(|t| t.name() == name)
-            .ok_or_else(|| format!("{name:?} is none of {}", names()))
+            .find(|fault| fault.name() == name)
+            .ok_or_else(|| {
+                format!(
+                    "unknown kind of fault {name:?}; expected one of {}",
+                    names()
+                )
+            })
     }
 }
 
-/// One trouble of a day.
+/// A fault with its time, duration and severity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// Its kind.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Microseconds from the day's start.
+    /// When the fault begins, in microseconds from the start of the run.
     pub at: Micros,
-    /// How long it lasts.
+    /// The fault's duration, in microseconds.
     pub len: Micros,
-    /// How hard it is, from 0 to 1.
+    /// The fault's severity, from 0 to 1.
     pub size: f64,
 }
 
-/// A day.
+/// A fault plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed that the plan was drawn from.
     pub seed: u64,
-    /// How long requests arrive, in microseconds.
+    /// The time during which requests arrive, in microseconds.
     pub length: Micros,
-    /// Its troubles, in the order of their starts.
+    /// The faults, in the order of their start times.
     #[serde(rename = "spells")]
     pub faults: Vec<ScheduledFault>,
 }
 
-/// Why a day file cannot be played.
+/// Why a scenario file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioFileError {
-    /// It is no JSON of a day.
-    #[error("the day file cannot be read: {0}")]
+    /// The file is not valid JSON of a scenario.
+    #[error("the scenario file is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It has a length of nothing.
-    #[error("the day file's length is 0")]
+    /// The scenario has a length of 0.
+    #[error("the scenario file's length is 0")]
     Empty,
 }
 
 #[derive(Deserialize)]
 struct ScenarioFile {
     length: Micros,
-    #[serde(default)]
-    troubles: Vec<DayTrouble>,
+    #[serde(default, rename = "troubles")]
+    faults: Vec<ScenarioFault>,
 }
 
 #[derive(Deserialize)]
-struct DayTrouble {
+struct ScenarioFault {
     kind: String,
     at: Micros,
     len: Micros,
@@ -136,12 +142,12 @@
 }
 
 impl Plan {
-    /// Draws a day with these kinds of trouble, or all of them. Spells overlap: each begins in the first two thirds and
-    /// lasts from a tenth to a third of the day.
+    /// Draws a plan with one fault of each of `kinds`, or of all kinds if `kinds` is empty. Faults overlap: each begins in the
+    /// first two thirds of the run and lasts from a tenth to a third of it.
     pub fn draw(seed: u64, length: Micros, kinds: &[FaultKind]) -> Plan {
         let mut random = SmallRng::seed_from_u64(seed);
         let kinds = if kinds.is_empty() { &ALL } else { kinds };
-        let spell = |kind: &FaultKind| {
+        let fault = |kind: &FaultKind| {
             let at = (length as f64 * random.random_range(0.05..0.65)) as Micros;
             let len = (length as f64 * random.random_range(0.10..0.33)) as Micros;
             ScheduledFault {
@@ -151,58 +157,60 @@
                 size: random.random_range(0.2..1.0),
             }
         };
-        let mut spells: Vec<ScheduledFault> = kinds.iter().map(spell).collect();
-        spells.sort_by_key(|s| s.at);
+        let mut faults: Vec<ScheduledFault> = kinds.iter().map(fault).collect();
+        faults.sort_by_key(|s| s.at);
         Plan {
             seed,
             length,
-            faults: spells,
+            faults,
         }
     }
 
-    /// Takes the kinds, times and sizes of trouble from a day file, scaled to another length. Kinds that are not known
-    /// here are named in the second value.
+    /// Reads a plan from a scenario file and scales its times to another length. The second value names the file's kinds of
+    /// faults that are not known here.
     ///
     /// # Errors
-    /// [`ScenarioFileError`] when the text is no day.
+    /// [`ScenarioFileError`] if the text is not a scenario.
     pub fn from_scenario_file(
         text: &str,
         seed: u64,
         length: Micros,
     ) -> Result<(Plan, Vec<String>), ScenarioFileError> {
-        let day: ScenarioFile = serde_json::from_str(text)?;
-        if day.length == 0 {
+        let scenario: ScenarioFile = serde_json::from_str(text)?;
+        if scenario.length == 0 {
             return Err(ScenarioFileError::Empty);
         }
-        let scale = |span: Micros| (span as f64 / day.length as f64 * length as f64) as Micros;
-        let (mut spells, mut unknown) = (Vec::new(), Vec::new());
-        for t in &day.troubles {
-            match FaultKind::named(&t.kind) {
-                // Sizes mean shares, multiples or spans by kind; here each is a part of what this machine stands.
+        let scale =
+            |duration: Micros| (duration as f64 / scenario.length as f64 * length as f64) as Micros;
+        let (mut faults, mut unknown) = (Vec::new(), Vec::new());
+        for fault in &scenario.faults {
+            match FaultKind::named(&fault.kind) {
+                // In the file, a size is a probability, a factor or a duration, depending on the kind. It is mapped to a
+                // severity, relative to what a test machine can handle.
                 Ok(kind) => {
-                    let size = (t.size / (1.0 + t.size)).clamp(0.2, 1.0);
-                    spells.push(ScheduledFault {
+                    let size = (fault.size / (1.0 + fault.size)).clamp(0.2, 1.0);
+                    faults.push(ScheduledFault {
                         kind,
-                        at: scale(t.at),
-                        len: scale(t.len),
+                        at: scale(fault.at),
+                        len: scale(fault.len),
                         size,
                     });
                 }
-                Err(_) => unknown.push(t.kind.clone()),
+                Err(_) => unknown.push(fault.kind.clone()),
             }
         }
-        spells.sort_by_key(|s| s.at);
+        faults.sort_by_key(|s| s.at);
         Ok((
             Plan {
                 seed,
                 length,
-                faults: spells,
+                faults,
             },
             unknown,
         ))
     }
 
-    /// Whether a kind of trouble is on at a time.
+    /// Returns the fault of a kind that is in progress at a time, in microseconds from the start of the run.
     pub fn active_fault(&self, kind: FaultKind, at: Micros) -> Option<&ScheduledFault> {
         self.faults
             .iter()
--- a/crates/ivyward-testbed/src/fault_plan/tests.rs
+++ b/crates/ivyward-testbed/src/fault_plan/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `plan` that nobody outside sees.
+//! Unit tests of fault plans.
 
 use super::*;
 
 #[test]
-fn a_day_file_is_scaled_to_its_new_length() {
+fn a_scenario_file_is_scaled_to_the_new_length() {
     let text = r#"{"length": 40000000, "x": 1, "troubles": [
         {"kind": "hang", "at": 20000000, "len": 4000000, "size": 0.5, "steps": []},
         {"kind": "meteor", "at": 1, "len": 1}, {"kind": "crash", "at": 0, "len": 10}]}"#;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_same_seed_draws_the_same_day() {
+fn the_same_seed_draws_the_same_plan() {
     assert_eq!(Plan::draw(7, 1_000_000, &[]), Plan::draw(7, 1_000_000, &[]));
     assert_ne!(Plan::draw(7, 1_000_000, &[]), Plan::draw(8, 1_000_000, &[]));
 }
--- a/crates/ivyward-testbed/src/registration.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -1,4 +1,4 @@
-//! Writes engines' records into etcd: registers under a lease that is kept alive, and drains.
+//! Writes engines' records to etcd: registers engines, with or without a lease, and marks them as draining.
 
 use crate::local_cluster::machine_type;
 use ivyward::core::interface::EndpointId;
@@ -10,7 +10,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// The key and the registration record of a stand-in engine, as it would write them; 0 for started long ago.
+/// Returns the key and the registration record of a fake engine. A `started_ms` of 0 means that the engine started long
+/// ago.
 pub fn record(engine: &Engine, state: State, started_ms: u64) -> (String, String) {
     let spec = engine.spec();
     let record = Record {
@@ -24,28 +25,34 @@
         started_ms,
         state,
     };
-    // A record of these fields is always JSON.
+    // Serializing a record of these fields cannot fail.
     (
         format!("{DEFAULT_ENGINE_PREFIX}{}", spec.id),
         serde_json::to_string(&record).unwrap_or_default(),
     )
 }
 
-/// A stand-in engine registers itself, under a lease of so many seconds that its process keeps alive and that ends after
-/// it.
+/// Has a fake engine register itself under a lease of `seconds`. The engine's process keeps the lease alive, so the lease
+/// expires after the process has ended. `on_event` is called for each event of the lease.
 pub fn keep_registered(
     engine: &Engine,
     endpoints: Vec<SocketAddr>,
     seconds: i64,
     started_ms: u64,
-    told: impl FnMut(LeaseEvent) + Send + 'static,
+    on_event: impl FnMut(LeaseEvent) + Send + 'static,
 ) {
     let (key, record) = record(engine, State::Ready, started_ms);
     engine.spawn_beside(move |runtime| {
         Box::pin(async move {
             let client = Client::new(&runtime, endpoints, EtcdOptions::default());
             client
-                .keep_registered(&runtime, key.as_bytes(), record.into_bytes(), seconds, told)
+                .keep_registered(
+                    &runtime,
+                    key.as_bytes(),
+                    record.into_bytes(),
+                    seconds,
+                    on_event,
+                )
                 .await;
         })
     });
@@ -60,10 +67,11 @@
     )
 }
 
-/// Writes a record, under a lease of so many seconds that is kept alive for as long as this runs, or without one.
+/// Writes a record. With `lease`, in seconds, the record is written under a lease that is kept alive until the record is
+/// deleted or taken over by another lease; without it, the function returns after one write.
 ///
 /// # Errors
-/// A line that says what is wrong with the record or the store.
+/// A message if the record is invalid or the store reports an error.
 pub fn register(
     endpoints: &[SocketAddr],
     prefix: &str,
@@ -74,7 +82,7 @@
     record["started_ms"] = (runtime.unix_micros() / 1_000).into();
     let id = record["id"].as_u64().unwrap_or_default();
     let text = record.to_string();
-    // What nodes would leave out is not written.
+    // A record that nodes would reject is not written.
     read(EndpointId(id), text.as_bytes(), 0).map_err(|e| e.to_string())?;
     let key = format!("{prefix}{id}");
     runtime.clone().block_on(async {
@@ -83,43 +91,43 @@
             return Ok(ExitCode::SUCCESS);
         };
         let as_ref: RuntimeRef = runtime.clone();
-        let mut end = ExitCode::SUCCESS;
-        let told = |kept| match kept {
+        let mut exit_code = ExitCode::SUCCESS;
+        let on_event = |event| match event {
             LeaseEvent::Written(lease) => println!("registered {key} under lease {lease:x}"),
             LeaseEvent::Changed => println!("{key} was changed; the new record is kept"),
-            LeaseEvent::Failed(e) => eprintln!("ivyward-testbed: {e}; tried again"),
-            LeaseEvent::Deleted => println!("{key} was deleted; it is left so"),
+            LeaseEvent::Failed(e) => eprintln!("ivyward-testbed: {e}; retrying"),
+            LeaseEvent::Deleted => println!("{key} was deleted; it is not written again"),
             LeaseEvent::Taken(lease) => {
                 eprintln!(
-                    "ivyward-testbed: {key} is held under another lease, {lease:x}: a later process of this id"
+                    "ivyward-testbed: {key} is registered under another lease, {lease:x}, by a later process with this id"
                 );
-                end = ExitCode::FAILURE;
+                exit_code = ExitCode::FAILURE;
             }
         };
-        client.keep_registered(&as_ref, key.as_bytes(), text.into_bytes(), seconds, told).await;
-        Ok(end)
+        client.keep_registered(&as_ref, key.as_bytes(), text.into_bytes(), seconds, on_event).await;
+        Ok(exit_code)
     })
 }
 
-/// Puts an engine's record as draining, under the lease that it has, unless it changed meanwhile.
+/// Marks an engine's record as draining, under its present lease, unless the record changes at the same time.
 ///
 /// # Errors
-/// A line that says why not.
+/// A message that says why the record was not changed.
 pub fn drain(endpoints: &[SocketAddr], prefix: &str, id: u64) -> Result<ExitCode, String> {
     let (runtime, client) = client(endpoints);
     let key = format!("{prefix}{id}").into_bytes();
     runtime.block_on(async {
-        let ask = rpc::RangeRequest {
+        let request = rpc::RangeRequest {
             key: key.clone(),
             ..rpc::RangeRequest::default()
         };
-        let found = client.range(&ask).await.map_err(|e| e.to_string())?;
+        let found = client.range(&request).await.map_err(|e| e.to_string())?;
         let kv = found
             .kvs
             .first()
             .ok_or_else(|| format!("engine {id} is not registered below {prefix}"))?;
         let mut record: serde_json::Value = serde_json::from_slice(&kv.value)
-            .map_err(|e| format!("its record is malformed: {e}"))?;
+            .map_err(|e| format!("the record of engine {id} is malformed: {e}"))?;
         record["state"] = "draining".into();
         let same = rpc::Compare {
             result: rpc::compare::CompareResult::Equal.into(),
@@ -137,14 +145,23 @@
         let put = rpc::RequestOp {
             request: Some(rpc::request_op::Request::RequestPut(put)),
         };
-        let ask = rpc::TxnRequest {
+        let request = rpc::TxnRequest {
             compare: vec![same],
             success: vec![put],
             failure: vec![],
         };
-        match client.txn(&ask).await.map_err(|e| e.to_string())?.succeeded {
-            true => println!("engine {id} drains"),
-            false => return Err("its record changed meanwhile; try again".into()),
+        match client
+            .txn(&request)
+            .await
+            .map_err(|e| e.to_string())?
+            .succeeded
+        {
+            true => println!("engine {id} is draining"),
+            false => {
+                return Err(format!(
+                    "the record of engine {id} changed at the same time; try again"
+                ))
+            }
         }
         Ok(ExitCode::SUCCESS)
     })
