--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -1,4 +1,4 @@
-//! Directed links between processes on loopback: each through a relay of its own, with faults of its own.
+//! Directed links between processes on loopback. Each link goes through its own relay, which injects the link's faults.
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -8,18 +8,18 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Datagrams that wait in one relay; one more is lost.
-const MOST_WAITING: usize = 4_096;
-/// Connections through one relay; one more is closed at once.
-const MOST_STREAMS: usize = 512;
-/// Bytes of a stream that its relay takes in before they went on.
+/// The limit on datagrams that are queued in one relay. Further datagrams are dropped.
+const MAX_QUEUED_DATAGRAMS: usize = 4_096;
+/// The limit on connections through one relay. Further connections are closed at once.
+const MAX_STREAMS: usize = 512;
+/// The size of a relay's buffer for one direction of a stream, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// Who stands at the end of a link.
+/// The endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// A node, as the rig counts them.
+    /// A node, by its number in the cluster.
     Node(usize),
     /// The store.
     Store,
@@ -27,19 +27,19 @@
     Engine(u64),
 }
 
-/// What a directed link does to what crosses it.
+/// The fault of a directed link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkFault {
-    /// Nothing comes through. Bytes of a stream wait, as they would for TCP's next try.
+    /// Whether the link is cut. Datagrams are dropped; bytes of a stream wait, as they would for a TCP retransmission.
     pub cut: bool,
-    /// The part of datagrams that are lost.
+    /// The probability that a datagram is lost, from 0 to 1.
     pub lose: f64,
-    /// The part of datagrams that come twice, the second time up to a second later.
+    /// The probability that a datagram is delivered twice, the second time up to a second later, from 0 to 1.
     pub repeat: f64,
-    /// Milliseconds that everything takes longer.
+    /// The additional delay of datagrams and bytes, in milliseconds.
     pub delay_ms: u64,
-    /// Up to so many milliseconds more, by lot for each datagram: they overtake one another.
+    /// The largest additional random delay of each datagram, in milliseconds. Datagrams may overtake one another.
     pub jitter_ms: u64,
 }
 
@@ -47,18 +47,18 @@
 struct State {
     faults: BTreeMap<(End, End), LinkFault>,
     everywhere: LinkFault,
-    /// Datagrams and bytes that came to relays.
-    came: (u64, u64),
-    /// Connections of a link are broken at each new number.
+    /// The number of datagrams and bytes that arrived at relays.
+    traffic: (u64, u64),
+    /// A counter for each link. Incrementing it closes the link's connections.
     breaks: BTreeMap<(End, End), u64>,
-    /// Datagrams from nobody who was started here.
-    foreign: u64,
-    /// Datagrams that a node sent to its own relay: answers that went to a source.
+    /// The number of datagrams from a source that is not a node of this cluster.
+    from_outside: u64,
+    /// The number of datagrams that a node sent to its own relay, which are answers to their source address.
     to_self: u64,
     sources: BTreeMap<SocketAddr, usize>,
 }
 
-/// All links. Clones are handles to the same ones.
+/// All links of a cluster. Clones are handles to the same links.
 #[derive(Clone, Default)]
 pub struct Links(Arc<Mutex<State>>);
 
@@ -66,15 +66,15 @@
     fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// Sets what a link does from now on.
+    /// Sets the fault of a link.
     pub fn set(&self, from: End, to: End, fault: LinkFault) {
         self.lock().faults.insert((from, to), fault);
     }
-    /// Sets what all links between nodes do that have no fault of their own.
+    /// Sets the fault of all links between nodes that have no fault of their own.
     pub fn set_between_all_nodes(&self, fault: LinkFault) {
         self.lock().everywhere = fault;
     }
-    /// Cuts or mends both directions between two sets of nodes.
+    /// Cuts both directions between two sets of nodes.
     pub fn set_partition(&self, some: &[usize], others: &[usize]) {
         for (a, b) in some
             .iter()
@@ -88,64 +88,68 @@
             self.set(End::Node(b), End::Node(a), cut);
         }
     }
-    /// All links are as they should be again.
+    /// Removes the faults of all links.
     pub fn clear_faults(&self) {
         let mut state = self.lock();
         state.faults.clear();
         state.everywhere = LinkFault::default();
     }
-    /// Breaks the connections that go over a link, in whichever direction they were opened.
+    /// Closes the connections that were opened from `from` to `to`.
     pub fn break_streams(&self, from: End, to: End) {
         *self.lock().breaks.entry((from, to)).or_default() += 1;
     }
     fn fault(&self, from: End, to: End) -> LinkFault {
         let state = self.lock();
         let between_nodes = matches!((from, to), (End::Node(_), End::Node(_)));
-        let usual = if between_nodes {
+        let default_fault = if between_nodes {
             state.everywhere
         } else {
             LinkFault::default()
         };
-        state.faults.get(&(from, to)).copied().unwrap_or(usual)
+        state
+            .faults
+            .get(&(from, to))
+            .copied()
+            .unwrap_or(default_fault)
     }
     fn broken(&self, from: End, to: End) -> u64 {
         self.lock().breaks.get(&(from, to)).copied().unwrap_or(0)
     }
-    /// From where a node's datagrams come.
+    /// Sets the address from which a node sends its datagrams.
     pub fn set_source(&self, at: SocketAddr, node: usize) {
         self.lock().sources.insert(at, node);
     }
-    /// Datagrams and bytes that all nodes sent each other.
+    /// Returns the number of datagrams and bytes that nodes sent to each other.
     pub fn total_traffic(&self) -> (u64, u64) {
-        self.lock().came
+        self.lock().traffic
     }
-    /// Datagrams that nobody of the rig sent, and those that a node sent to where they came from.
+    /// Returns the number of datagrams from a source outside the cluster, and of those that a node sent to its own relay.
     pub fn misdirected_datagrams(&self) -> (u64, u64) {
         let state = self.lock();
-        (state.foreign, state.to_self)
+        (state.from_outside, state.to_self)
     }
 }
 
-/// Passes on the datagrams for one node that come to its announced address, until the world ends.
+/// Relays the datagrams that arrive at a node's announced address, until the runtime stops.
 pub async fn relay_datagrams(
     runtime: RuntimeRef,
     links: Links,
-    mut door: Box<dyn Datagrams>,
+    mut socket: Box<dyn Datagrams>,
     node: usize,
     to: SocketAddr,
 ) {
-    let mut waiting: BTreeMap<(Micros, u64), Vec<u8>> = BTreeMap::new();
+    let mut queued: BTreeMap<(Micros, u64), Vec<u8>> = BTreeMap::new();
     let (mut bytes, mut count) = ([0u8; MOST_DATAGRAM + 1], 0);
     let me = End::Node(node);
     loop {
-        let due = waiting
+        let due = queued
             .first_key_value()
             .map_or(Micros::MAX, |(key, _)| key.0);
-        let came = or(async { Some(door.receive(&mut bytes).await) }, async {
+        let received = or(async { Some(socket.receive(&mut bytes).await) }, async {
             runtime.sleep_until(due).await;
             None
         });
-        match came.await {
+        match received.await {
             None => {}
             Some(Err(_)) => runtime.sleep(1_000).await,
             Some(Ok((got, source))) => {
@@ -157,18 +161,18 @@
                             End::Node(from)
                         }
                         None => {
-                            state.foreign += 1;
+                            state.from_outside += 1;
                             continue;
                         }
                     }
                 };
                 let fault = links.fault(from, me);
-                let lot = |share: f64| runtime.unit() < share;
-                let lost = fault.cut || lot(fault.lose) || waiting.len() >= MOST_WAITING;
+                let occurs = |share: f64| runtime.unit() < share;
+                let lost = fault.cut || occurs(fault.lose) || queued.len() >= MAX_QUEUED_DATAGRAMS;
                 {
                     let mut state = links.lock();
-                    state.came.0 += 1;
-                    state.came.1 += got as u64;
+                    state.traffic.0 += 1;
+                    state.traffic.1 += got as u64;
                 }
                 if lost {
                     continue;
@@ -176,43 +180,43 @@
                 let jitter = (runtime.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
                 let at = runtime.now() + fault.delay_ms * 1_000 + jitter;
                 count += 1;
-                waiting.insert((at, count), bytes[..got].to_vec());
-                if lot(fault.repeat) {
+                queued.insert((at, count), bytes[..got].to_vec());
+                if occurs(fault.repeat) {
                     count += 1;
                     let again = at + (runtime.unit() * 1e6) as Micros;
-                    waiting.insert((again, count), bytes[..got].to_vec());
+                    queued.insert((again, count), bytes[..got].to_vec());
                 }
             }
         }
         let now = runtime.now();
-        while let Some(entry) = waiting.first_entry().filter(|e| e.key().0 <= now) {
-            // What the system does not take is lost, as on any way.
-            let _ = door.send(&entry.remove(), to);
+        while let Some(entry) = queued.first_entry().filter(|e| e.key().0 <= now) {
+            // A datagram that the system does not accept is lost, as on any network.
+            let _ = socket.send(&entry.remove(), to);
         }
     }
 }
 
-/// Passes on the connections that one end opens to another, until the world ends.
+/// Relays the connections that one end opens to another, until the runtime stops.
 pub async fn relay_streams(
     runtime: RuntimeRef,
     links: Links,
-    mut door: Box<dyn Listener>,
+    mut socket: Box<dyn Listener>,
     ends: (End, End),
     to: SocketAddr,
 ) {
     let open = Arc::new(());
     loop {
-        let Ok((conn, _)) = door.accept().await else {
+        let Ok((conn, _)) = socket.accept().await else {
             runtime.sleep(1_000).await;
             continue;
         };
-        if Arc::strong_count(&open) > MOST_STREAMS {
+        if Arc::strong_count(&open) > MAX_STREAMS {
             continue;
         }
-        let (as_ref, links, place) = (runtime.clone(), links.clone(), open.clone());
+        let (as_ref, links, guard) = (runtime.clone(), links.clone(), open.clone());
         runtime.run(async move {
             stream(&as_ref, &links, conn, ends, to).await;
-            drop(place);
+            drop(guard);
         });
     }
 }
@@ -231,22 +235,22 @@
         }
     };
     let both = async {
-        passable(runtime, links, from, to).await;
+        wait_until_not_cut(runtime, links, from, to).await;
         let Ok(target) = runtime.connect(address).await else {
             return;
         };
         let (read, write) = futures_lite::io::split(conn);
         let (read_back, write_back) = futures_lite::io::split(target);
-        // An end of one direction is passed on; the other goes on until its own.
-        let there = one_way(runtime, links, (from, to), read, write_back);
+        // The end of one direction is forwarded; the other direction continues until its own end.
+        let forward = one_way(runtime, links, (from, to), read, write_back);
         let back = one_way(runtime, links, (to, from), read_back, write);
-        futures_lite::future::zip(there, back).await;
+        futures_lite::future::zip(forward, back).await;
     };
     or(both, broken).await;
 }
 
 /// Waits until a link is not cut.
-async fn passable(runtime: &RuntimeRef, links: &Links, from: End, to: End) {
+async fn wait_until_not_cut(runtime: &RuntimeRef, links: &Links, from: End, to: End) {
     while links.fault(from, to).cut {
         runtime.sleep(5_000).await;
     }
@@ -265,7 +269,7 @@
             Ok(got) if got > 0 => got,
             _ => break,
         };
-        passable(runtime, links, from, to).await;
+        wait_until_not_cut(runtime, links, from, to).await;
         let delay = links.fault(from, to).delay_ms * 1_000;
         if delay > 0 {
             runtime.sleep(delay).await;
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -1,11 +1,12 @@
-//! A rig of processes: daemons, with engines and a store beside them, and a relay on each directed link between any two.
+//! A cluster of daemon processes with fake engines and a fake store, and a relay on each directed link between two of them.
 //!
-//! - [`links`]: the relays and what they do to what crosses them.
-//! - [`process`]: the daemons.
-//! - [`plan`]: what happens, drawn from a seed or read from a file.
-//! - [`play`]: plays a plan and reports.
+//! - [`links`]: the relays and the faults that they inject.
+//! - [`process`]: the daemon processes.
+//! - [`plan`]: fault plans, drawn from a seed or read from a file.
+//! - [`play`]: runs a plan and reports the results.
 //!
-//! All of it is on loopback and ends with the [`Cluster`]. It signals only processes that it started, by their numbers.
+//! Everything runs on loopback and ends with the [`Cluster`]. Signals go only to processes that the cluster started, by
+//! their process ids.
 
 pub mod links;
 pub mod plan;
@@ -30,38 +31,38 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The key of all nodes of a rig: what others on this machine send is dropped.
-const KEY: &str = "the rig's own key, of no worth";
-/// A port that was free may be taken before a daemon takes it; so often another is tried.
-const TRIES: usize = 5;
-/// What may be on its way on a busy machine, for the auditor.
-const FLIGHT: Micros = 250_000;
-/// How often views are asked for.
-const LOOK: Micros = 50_000;
+/// The peer key of all nodes of a cluster. Messages from other nodes on this machine are dropped.
+const KEY: &str = "key of a test cluster, not a secret";
+/// The number of attempts to start a daemon. A port that was free may be taken before the daemon binds it.
+const MAX_START_ATTEMPTS: usize = 5;
+/// The longest time that data may be in flight on a busy machine, for the rule checker.
+const MAX_FLIGHT: Micros = 250_000;
+/// The interval at which views are requested.
+const VIEW_INTERVAL: Micros = 50_000;
 
-/// Why a rig does not come up.
+/// An error of a cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// A daemon does not start.
+    /// A daemon did not start.
     #[error("{program} does not start: {what}")]
     Start {
-        /// Which program.
+        /// The path of the program.
         program: String,
-        /// What it said.
+        /// The output of the program.
         what: String,
     },
-    /// A port or stand-in fails.
+    /// A socket or a fake could not be started.
     #[error("{doing}: {error}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         doing: &'static str,
-        /// What the system said.
+        /// The error of the system.
         error: std::io::Error,
     },
-    /// The stand-ins fail.
+    /// An error of the local cluster's parts.
     #[error(transparent)]
     LocalCluster(#[from] LocalClusterError),
-    /// Something that had to come about did not.
+    /// A condition was not met in time.
     #[error("{0}")]
     Timeout(String),
 }
@@ -70,37 +71,37 @@
     move |error| ClusterError::Io { doing, error }
 }
 
-/// What a rig is made of.
+/// The size and the options of a cluster.
 #[derive(Clone, Debug)]
 pub struct Size {
-    /// Node processes.
+    /// The number of node processes.
     pub nodes: usize,
-    /// Engines: two readers in five, the others writers.
+    /// The number of engines. Two of five are prefill engines, the others decode engines.
     pub engines: usize,
-    /// Nodes learn of engines and of each other by a store as well.
+    /// Whether nodes also discover engines and each other through a store.
     pub store: bool,
-    /// Addresses that each node is given; with a store none are needed.
+    /// The number of peer addresses that each node is given. With a store, none are needed.
     pub seeds: usize,
-    /// A node that nobody hears for so long is dead.
+    /// The time without messages from a node after which it is declared dead.
     pub death_after: Micros,
-    /// Seconds that a node's record outlives it.
+    /// The lease of a node's record in the store, in seconds.
     pub lease: i64,
-    /// The daemon's program.
+    /// The path of the daemon.
     pub daemon: PathBuf,
-    /// Feeds lots.
+    /// The seed of random choices.
     pub seed: u64,
 }
 
-/// One node's place: what stays when its process ends.
-struct Place {
-    /// Where it takes datagrams; what it announces is its relay.
+/// The parts of a node that stay when its process ends.
+struct NodeSlot {
+    /// The address that the node binds for datagrams. It announces the address of its relay.
     real: SocketAddr,
     flags: Vec<String>,
     process: Option<Process>,
     stopped: bool,
 }
 
-/// A running rig.
+/// A running cluster. Its processes are killed on drop.
 pub struct Cluster {
     runtime: Arc<SmolRuntime>,
     links: Links,
@@ -110,10 +111,10 @@
     specs: Vec<EngineSpec>,
     engines: Vec<Engine>,
     store: Option<Store>,
-    places: Vec<Place>,
+    nodes: Vec<NodeSlot>,
 }
 
-/// The number by which peers know a node of the rig.
+/// Returns the id by which peers know a node of the cluster.
 pub fn id(node: usize) -> u64 {
     xxh3_64(name(node).as_bytes())
 }
@@ -127,12 +128,12 @@
 }
 
 impl Cluster {
-    /// Starts stand-ins, relays and daemons.
+    /// Starts the fakes, the relays and the daemons.
     ///
     /// # Errors
     /// [`ClusterError`].
     pub fn start(size: Size) -> Result<Cluster, ClusterError> {
-        // The relays of hundreds of processes take more than one core; a late relay would look like a late node.
+        // The relays of hundreds of processes need more than one core, and a late relay would look like a late node.
         let runtime = SmolRuntime::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
         let as_ref: RuntimeRef = runtime.clone();
         let (log, host): (EventLog, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
@@ -161,7 +162,7 @@
             false => None,
         };
         let links = Links::default();
-        let places = Vec::new();
+        let nodes = Vec::new();
         let mut cluster = Cluster {
             runtime,
             links,
@@ -171,35 +172,35 @@
             specs,
             engines,
             store,
-            places,
+            nodes,
         };
-        cluster.wire_up()?;
+        cluster.set_up_nodes()?;
         for node in 0..cluster.size.nodes {
             cluster.start_node(node)?;
         }
         Ok(cluster)
     }
 
-    /// Opens the relays and works out each node's flags.
-    fn wire_up(&mut self) -> Result<(), ClusterError> {
+    /// Opens the relays and computes each node's flags.
+    fn set_up_nodes(&mut self) -> Result<(), ClusterError> {
         let runtime: RuntimeRef = self.runtime.clone();
-        let mut doors = Vec::new();
+        let mut relays = Vec::new();
         for _ in 0..self.size.nodes {
-            doors.push(runtime.datagrams(local()).map_err(io("opening a relay"))?);
+            relays.push(runtime.datagrams(local()).map_err(io("opening a relay"))?);
         }
-        let announced: Vec<SocketAddr> = doors.iter().map(|d| d.address()).collect();
-        let mut held = Vec::new();
-        for (node, door) in doors.into_iter().enumerate() {
-            // A port that was free a moment ago; the node takes it.
+        let announced: Vec<SocketAddr> = relays.iter().map(|d| d.address()).collect();
+        let mut reserved_ports = Vec::new();
+        for (node, relay) in relays.into_iter().enumerate() {
+            // Finds a free port, which the node binds later.
             let socket = runtime.datagrams(local()).map_err(io("finding a port"))?;
             let real = socket.address();
-            // Held until all are found: one that is free again is found twice.
-            held.push(socket);
+            // The sockets stay open until all ports are found; otherwise the same port could be found twice.
+            reserved_ports.push(socket);
             self.links.set_source(real, node);
             runtime.run(links::relay_datagrams(
                 runtime.clone(),
                 self.links.clone(),
-                door,
+                relay,
                 node,
                 real,
             ));
@@ -247,7 +248,7 @@
                     .take(self.size.seeds)
                     .map(|a| format!("--peer={a}")),
             );
-            self.places.push(Place {
+            self.nodes.push(NodeSlot {
                 real,
                 flags,
                 process: None,
@@ -259,99 +260,99 @@
 
     fn relay(&self, from: End, to: End, address: SocketAddr) -> Result<SocketAddr, ClusterError> {
         let runtime: RuntimeRef = self.runtime.clone();
-        let door = runtime.listen(local()).map_err(io("opening a relay"))?;
-        let through = door.address();
+        let relay = runtime.listen(local()).map_err(io("opening a relay"))?;
+        let through = relay.address();
         runtime.run(links::relay_streams(
             runtime.clone(),
             self.links.clone(),
-            door,
+            relay,
             (from, to),
             address,
         ));
         Ok(through)
     }
 
-    /// The links.
+    /// Returns the links.
     pub fn links(&self) -> &Links {
         &self.links
     }
-    /// Its clock and tasks.
+    /// Returns the runtime of the relays and the clients.
     pub fn runtime(&self) -> &Arc<SmolRuntime> {
         &self.runtime
     }
-    /// What engines, clients and the script saw.
+    /// Returns the event log of engines, clients and the harness.
     pub fn log(&self) -> &EventLog {
         &self.log
     }
-    /// The store, if there is one.
+    /// Returns the store, if there is one.
     pub fn store(&mut self) -> Option<&mut Store> {
         self.store.as_mut()
     }
-    /// A node's process, if it runs or is stopped.
+    /// Returns a node's process, running or paused.
     pub fn process(&self, node: usize) -> Option<&Process> {
-        self.places.get(node)?.process.as_ref()
+        self.nodes.get(node)?.process.as_ref()
     }
-    /// Where a node really takes datagrams, past its relay.
+    /// Returns the address that a node binds for datagrams, behind its relay.
     pub fn peer_address(&self, node: usize) -> SocketAddr {
-        self.places[node].real
+        self.nodes[node].real
     }
-    /// Nodes that run.
+    /// Returns the nodes that are running and not paused.
     pub fn running(&self) -> BTreeSet<usize> {
-        let runs = |n: &usize| self.places[*n].process.is_some() && !self.places[*n].stopped;
-        (0..self.places.len()).filter(runs).collect()
+        let runs = |n: &usize| self.nodes[*n].process.is_some() && !self.nodes[*n].stopped;
+        (0..self.nodes.len()).filter(runs).collect()
     }
-    /// Nodes whose processes are there, stopped or not: each may be sending.
+    /// Returns the number of existing processes, paused or not. Each of them may be sending requests.
     pub fn process_count(&self) -> usize {
-        self.places.iter().filter(|p| p.process.is_some()).count()
+        self.nodes.iter().filter(|p| p.process.is_some()).count()
     }
 
-    /// Starts a node, under the name that it always has.
+    /// Starts a node with its fixed name and flags.
     ///
     /// # Errors
     /// [`ClusterError`].
     pub fn start_node(&mut self, node: usize) -> Result<(), ClusterError> {
-        let place = &mut self.places[node];
-        let mut tries = 0;
+        let slot = &mut self.nodes[node];
+        let mut attempts = 0;
         let process = loop {
-            tries += 1;
-            match Process::start(&self.size.daemon, &place.flags, KEY) {
-                Err(_) if tries < TRIES => {}
+            attempts += 1;
+            match Process::start(&self.size.daemon, &slot.flags, KEY) {
+                Err(_) if attempts < MAX_START_ATTEMPTS => {}
                 other => break other?,
             }
         };
-        (place.process, place.stopped) = (Some(process), false);
+        (slot.process, slot.stopped) = (Some(process), false);
         Ok(())
     }
     /// Kills a node (SIGKILL).
     pub fn kill_node(&mut self, node: usize) {
-        if let Some(process) = self.places[node].process.take() {
+        if let Some(process) = self.nodes[node].process.take() {
             self.log.add(ObservedEvent::Killed {
                 node,
                 run: process.incarnation,
             });
         }
     }
-    /// Asks a node to end in order (SIGTERM) and waits for it; whether it ended well.
+    /// Terminates a node (SIGTERM) and waits for it. Returns whether it exited with success.
     pub fn terminate_node(&mut self, node: usize) -> bool {
-        self.places[node]
+        self.nodes[node]
             .process
             .take()
             .is_some_and(Process::terminate)
     }
-    /// Stops a node where it is, or lets it go on.
+    /// Pauses or resumes a node (SIGSTOP, SIGCONT).
     pub fn set_paused(&mut self, node: usize, on: bool) {
-        let place = &mut self.places[node];
-        if let Some(process) = &place.process {
+        let slot = &mut self.nodes[node];
+        if let Some(process) = &slot.process {
             if on {
                 process.pause();
             } else {
                 process.resume();
             }
-            place.stopped = on;
+            slot.stopped = on;
         }
     }
 
-    /// The views of all that run, by node.
+    /// Returns the views of all running nodes that answer, by node.
     pub fn views(&self) -> BTreeMap<usize, View> {
         let runtime: RuntimeRef = self.runtime.clone();
         self.runtime.block_on(async {
@@ -367,17 +368,17 @@
         })
     }
 
-    /// What is wrong with the views, in words: each that runs is to take all that run for alive and all others for dead or
-    /// gone. Empty if they agree.
+    /// Returns descriptions of disagreements between the views and the processes: every running node must have all running
+    /// nodes as alive, and all others as dead, left or unknown. Empty if the views agree.
     pub fn disagreements(&self, views: &BTreeMap<usize, View>) -> Vec<String> {
         let running = self.running();
-        let mut wrong = Vec::new();
+        let mut problems = Vec::new();
         for node in &running {
             let Some(view) = views.get(node) else {
-                wrong.push(format!("node {node} does not answer"));
+                problems.push(format!("node {node} does not answer"));
                 continue;
             };
-            for of in (0..self.places.len()).filter(|of| of != node) {
+            for of in (0..self.nodes.len()).filter(|of| of != node) {
                 let state = view
                     .peers
                     .get(&id(of))
@@ -387,66 +388,66 @@
                     false => matches!(state, "dead" | "left" | "unknown"),
                 };
                 if !right {
-                    wrong.push(format!("to node {node}, node {of} is {state}"));
+                    problems.push(format!("to node {node}, node {of} is {state}"));
                 }
             }
         }
-        wrong
+        problems
     }
 
-    /// What is wrong with the counts: none is to be lower than the number of processes that are there.
+    /// Returns descriptions of the node counts that are lower than the number of existing processes.
     pub fn miscounts(&self, views: &BTreeMap<usize, View>) -> Vec<String> {
-        let there = self.process_count() as u32;
-        let low = views.iter().filter(|(_, view)| view.count < there);
-        low.map(|(node, view)| format!("node {node} counts {} of {there}", view.count))
+        let existing = self.process_count() as u32;
+        let low = views.iter().filter(|(_, view)| view.count < existing);
+        low.map(|(node, view)| format!("node {node} counts {} of {existing}", view.count))
             .collect()
     }
 
-    /// Waits until something holds of the views; how long that took. The limit is for what never comes about.
+    /// Waits until `what` returns no problems for the views, and returns how long that took.
     ///
     /// # Errors
-    /// [`ClusterError::Never`] with what was still wrong.
+    /// [`ClusterError::Timeout`], with the remaining problems, after `timeout`.
     pub fn wait_until(
         &self,
-        most: Micros,
+        timeout: Micros,
         what: impl Fn(&Cluster, &BTreeMap<usize, View>) -> Vec<String>,
     ) -> Result<Micros, ClusterError> {
         let began = self.runtime.now();
         loop {
             let views = self.views();
-            let mut wrong = what(self, &views);
-            if wrong.is_empty() {
+            let mut problems = what(self, &views);
+            if problems.is_empty() {
                 return Ok(self.runtime.now() - began);
             }
-            if self.runtime.now() - began > most {
-                wrong.truncate(8);
+            if self.runtime.now() - began > timeout {
+                problems.truncate(8);
                 return Err(ClusterError::Timeout(format!(
                     "after {} s: {}",
-                    most / 1_000_000,
-                    wrong.join("; ")
+                    timeout / 1_000_000,
+                    problems.join("; ")
                 )));
             }
-            self.sleep(LOOK);
+            self.sleep(VIEW_INTERVAL);
         }
     }
     /// Waits until all views agree.
     ///
     /// # Errors
-    /// As for [`Cluster::until`].
-    pub fn wait_until_agreed(&self, most: Micros) -> Result<Micros, ClusterError> {
-        self.wait_until(most, |cluster, views| cluster.disagreements(views))
+    /// As for [`Cluster::wait_until`].
+    pub fn wait_until_agreed(&self, timeout: Micros) -> Result<Micros, ClusterError> {
+        self.wait_until(timeout, |cluster, views| cluster.disagreements(views))
     }
-    /// Lets a span go by.
+    /// Sleeps for a duration, in microseconds.
     pub fn sleep(&self, span: Micros) {
         let runtime: RuntimeRef = self.runtime.clone();
         self.runtime.block_on(runtime.sleep(span));
     }
 
-    /// The five rules, from what engines and clients saw.
+    /// Checks the five rules on what engines and clients observed.
     pub fn audit(&self) -> RuleReport {
         check(
             &self.log.all(),
-            &limits(&self.rules, FLIGHT, &self.specs),
+            &limits(&self.rules, MAX_FLIGHT, &self.specs),
             self.log.now(),
         )
     }
@@ -454,8 +455,8 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Processes first: what is behind the relays goes with the world.
-        self.places.clear();
+        // The processes end first; the relays end with the runtime.
+        self.nodes.clear();
         self.engines.clear();
         self.store = None;
         self.runtime.stop();
--- a/crates/ivyward-testbed/src/cluster/plan.rs
+++ b/crates/ivyward-testbed/src/cluster/plan.rs
@@ -1,4 +1,4 @@
-//! What happens to a cluster: drawn from a seed or read from a file, an episode after the other.
+//! Fault plans for a cluster of processes: consecutive episodes, drawn from a seed or read from a file.
 
 use crate::cluster::links::LinkFault;
 use rand::rngs::SmallRng;
@@ -6,62 +6,62 @@
 use rand::{RngExt, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Most nodes, episodes and seconds of one.
-const MOST: (usize, usize, u64) = (300, 1_000, 600);
+/// The limits on a plan's nodes, its episodes and the seconds of an episode.
+const LIMITS: (usize, usize, u64) = (300, 1_000, 600);
 
-/// A plan.
+/// A fault plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// What it was drawn from; feeds the lots of links and load as well.
+    /// The seed that the plan was drawn from. It also seeds the random choices of links and load.
     pub seed: u64,
-    /// Node processes.
+    /// The number of node processes.
     pub nodes: usize,
-    /// Their episodes. Each begins when all views agree after the one before.
+    /// The episodes. Each begins when all views agree after the previous one.
     pub episodes: Vec<Episode>,
 }
 
-/// A fault, and for how long it lasts.
+/// A fault and its duration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Episode {
-    /// What is wrong.
+    /// The fault.
     pub fault: ClusterFault,
-    /// Milliseconds until it is mended.
+    /// The fault's duration, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// What is wrong with nodes or links.
+/// A fault of nodes or links.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClusterFault {
-    /// Processes are killed, and started again under their names at the end.
+    /// Processes are killed, and started again with the same names at the end.
     Kill(Vec<usize>),
-    /// Processes are asked to end, one after the other, each started again before the next.
+    /// Processes are terminated one after the other, and each is started again before the next.
     #[serde(rename = "roll")]
     RollingRestart(Vec<usize>),
-    /// Processes are stopped, and go on at the end.
+    /// Processes are paused, and resumed at the end.
     #[serde(rename = "stop")]
     Pause(Vec<usize>),
     /// The links between groups are cut in both directions.
     #[serde(rename = "split")]
     Partition(Vec<Vec<usize>>),
-    /// What these nodes send reaches nobody, while all reaches them.
+    /// No message from these nodes reaches another node, but messages to them arrive.
     #[serde(rename = "mute")]
     OutboundCut(Vec<usize>),
-    /// Nothing reaches these nodes, while what they send does.
+    /// No message reaches these nodes, but messages from them arrive.
     #[serde(rename = "deaf")]
     InboundCut(Vec<usize>),
     /// One directed link is cut.
     #[serde(rename = "link")]
     LinkCut(usize, usize),
-    /// All links between nodes are so.
+    /// All links between nodes have a fault.
     #[serde(rename = "everywhere")]
     AllLinks(LinkFault),
-    /// All links to and from a node are so.
+    /// All links to and from a node have a fault.
     #[serde(rename = "around")]
     NodeLinks(usize, LinkFault),
-    /// A link goes and comes, each for so many milliseconds.
+    /// A directed link is cut and restored repeatedly, with the given number of milliseconds for each state.
     #[serde(rename = "flap")]
     LinkFlap(usize, usize, u64),
     /// The store cannot be reached by these.
@@ -69,7 +69,7 @@
     StoreCut(Vec<usize>),
 }
 
-/// Why a plan cannot be played.
+/// Why a plan is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
     /// It is no plan.
@@ -81,10 +81,10 @@
 }
 
 impl Plan {
-    /// Reads one from JSON and checks it.
+    /// Parses a plan from JSON and checks it.
     ///
     /// # Errors
-    /// [`PlanError`].
+    /// [`PlanError`] if the text is malformed or the plan exceeds a limit.
     pub fn read(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan =
             serde_json::from_str(text).map_err(|e| PlanError::Malformed(e.to_string()))?;
@@ -92,15 +92,15 @@
         Ok(plan)
     }
 
-    /// Looks for what cannot be played.
+    /// Checks the plan against the limits and its own number of nodes.
     ///
     /// # Errors
-    /// [`PlanError::Bounds`], with the first thing found.
+    /// [`PlanError::Bounds`] for the first violation.
     pub fn check(&self) -> Result<(), PlanError> {
         let bad = |what: String| Err(PlanError::Bounds(what));
-        let (nodes, episodes, seconds) = MOST;
+        let (nodes, episodes, seconds) = LIMITS;
         if !(2..=nodes).contains(&self.nodes) {
-            return bad(format!("{} nodes; 2 to {nodes} are played", self.nodes));
+            return bad(format!("{} nodes; must be 2 to {nodes}", self.nodes));
         }
         if self.episodes.len() > episodes {
             return bad(format!(
@@ -132,14 +132,15 @@
         Ok(())
     }
 
-    /// Draws one: so many episodes, of all kinds in turn, in an order by lot.
+    /// Draws a plan with the given number of episodes. Every kind of fault is drawn once, in random order, before any is drawn
+    /// again.
     pub fn draw(seed: u64, nodes: usize, episodes: usize) -> Plan {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut kinds: Vec<usize> = Vec::new();
         let mut drawn = Vec::new();
         while drawn.len() < episodes {
             if kinds.is_empty() {
-                kinds = (0..KINDS).collect();
+                kinds = (0..KIND_COUNT).collect();
                 kinds.shuffle(&mut random);
             }
             let Some(kind) = kinds.pop() else { break };
@@ -153,9 +154,9 @@
     }
 }
 
-const KINDS: usize = 12;
+const KIND_COUNT: usize = 12;
 
-fn some(random: &mut SmallRng, nodes: usize, count: usize) -> Vec<usize> {
+fn sample(random: &mut SmallRng, nodes: usize, count: usize) -> Vec<usize> {
     let mut all: Vec<usize> = (0..nodes).collect();
     all.shuffle(random);
     all.truncate(count.clamp(1, nodes));
@@ -163,32 +164,38 @@
 }
 
 fn episode(kind: usize, nodes: usize, random: &mut SmallRng) -> Episode {
-    // The processes of the last fifth are left alone: clients call them all along.
-    let ours = nodes - (nodes / 5).max(1);
-    let one = |random: &mut SmallRng| random.random_range(0..ours);
+    // The last fifth of the processes are never paused or ended, because clients call them during the whole run.
+    let affected = nodes - (nodes / 5).max(1);
+    let one = |random: &mut SmallRng| random.random_range(0..affected);
     let mut ms = |from: u64, to: u64| random.random_range(from..=to);
     let (short, long) = (ms(500, 1_800), ms(4_000, 8_000));
     let groups = |random: &mut SmallRng, count: usize| {
-        let all = some(random, nodes, nodes);
+        let all = sample(random, nodes, nodes);
         (0..count)
             .map(|g| all.iter().copied().skip(g).step_by(count).collect())
             .collect::<Vec<Vec<usize>>>()
     };
     let (fault, lasts_ms) = match kind {
         0 => (ClusterFault::Kill(vec![one(random)]), long),
-        1 => (ClusterFault::Kill(some(random, ours, nodes * 7 / 10)), long),
+        1 => (
+            ClusterFault::Kill(sample(random, affected, nodes * 7 / 10)),
+            long,
+        ),
         2 => (
-            ClusterFault::RollingRestart(some(random, ours, ours.min(8))),
+            ClusterFault::RollingRestart(sample(random, affected, affected.min(8))),
             0,
         ),
         3 => (ClusterFault::Pause(vec![one(random)]), short),
-        4 => (ClusterFault::Pause(some(random, ours, nodes / 2)), long),
+        4 => (
+            ClusterFault::Pause(sample(random, affected, nodes / 2)),
+            long,
+        ),
         5 => (ClusterFault::Partition(groups(random, 2)), long),
         6 => (ClusterFault::Partition(groups(random, 3.min(nodes))), long),
         7 => (ClusterFault::OutboundCut(vec![one(random)]), long),
         8 => (ClusterFault::InboundCut(vec![one(random)]), long),
         9 => {
-            let pair = some(random, nodes, 2);
+            let pair = sample(random, nodes, 2);
             (ClusterFault::LinkCut(pair[0], pair[1]), long)
         }
         10 => {
@@ -215,7 +222,7 @@
 }
 
 impl ClusterFault {
-    /// Nodes that it names.
+    /// Returns the nodes that the fault names.
     pub fn nodes(&self) -> Vec<usize> {
         match self {
             ClusterFault::Kill(n)
@@ -230,7 +237,7 @@
             ClusterFault::NodeLinks(node, _) => vec![*node],
         }
     }
-    /// Nodes whose processes it stops or ends.
+    /// Returns the nodes whose processes the fault pauses or ends.
     pub fn affected_processes(&self) -> Vec<usize> {
         match self {
             ClusterFault::Kill(n) | ClusterFault::RollingRestart(n) | ClusterFault::Pause(n) => {
@@ -239,13 +246,13 @@
             _ => vec![],
         }
     }
-    /// Whether nobody may be taken for dead during it but those that are killed: no silence that it makes is long, or
-    /// others hear who is cut off.
+    /// Returns whether no node except those that are killed may be declared dead during the fault, because it silences no node
+    /// for long, or because other nodes still receive messages from the node that is cut off.
     pub fn forbids_false_deaths(&self, lasts_ms: u64) -> bool {
         match self {
             ClusterFault::Pause(_) => lasts_ms < 2_000,
             ClusterFault::Partition(_) | ClusterFault::OutboundCut(_) => false,
-            // Whoever hears nobody may come to take others for dead, who do not take it so.
+            // A node that receives no messages may declare the other nodes dead, although they are not.
             ClusterFault::InboundCut(_) => false,
             _ => true,
         }
--- a/crates/ivyward-testbed/src/cluster/plan/tests.rs
+++ b/crates/ivyward-testbed/src/cluster/plan/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `plan` that nobody outside sees.
+//! Unit tests of cluster fault plans.
 
 use super::*;
 
 #[test]
-fn a_plan_is_the_same_each_time_and_comes_back_from_its_file() {
+fn a_seed_draws_the_same_plan_and_the_plan_survives_json() {
     let plan = Plan::draw(7, 5, 30);
     assert_eq!(plan, Plan::draw(7, 5, 30));
     assert_ne!(plan, Plan::draw(8, 5, 30));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_cannot_be_played_says_why() {
+fn an_invalid_plan_is_rejected_with_the_reason() {
     let plan = |fault, lasts_ms| Plan {
         seed: 1,
         nodes: 3,
--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -1,4 +1,4 @@
-//! Plays a plan on a rig under a load, and reports what came of it.
+//! Runs a fault plan on a cluster of processes under load, and reports the results.
 
 use crate::cluster::links::{End, LinkFault};
 use crate::cluster::plan::{ClusterFault, Plan};
@@ -12,122 +12,131 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Views that do not agree so long after a fault ended will not.
-const MOST_HEALING: Micros = 120_000_000;
-/// A client's patience, its least pause between two calls, and how many calls a second all of them make at most: what this
-/// machine's lateness adds to the way is to stay under what the auditor allows.
-const PATIENCE: Micros = 5_000_000;
-const PAUSE: Micros = 100_000;
-const CALLS_S: u64 = 200;
+/// The timeout for the nodes' views to agree after a fault.
+const AGREEMENT_TIMEOUT: Micros = 120_000_000;
+/// The client timeout, the shortest pause between two calls of a client, and the limit on calls per second of all clients.
+/// The limit keeps the delays of a busy machine below the tolerance of the rule checker.
+const CLIENT_TIMEOUT: Micros = 5_000_000;
+const MIN_PAUSE: Micros = 100_000;
+const MAX_CALLS_PER_SECOND: u64 = 200;
 
-/// What came of one episode.
+/// The result of one episode.
 #[derive(Clone, Debug, Serialize)]
 pub struct EpisodeReport {
-    /// What was wrong.
+    /// The fault of the episode.
     pub fault: ClusterFault,
-    /// For so long.
+    /// The fault's duration, in milliseconds.
     pub lasted_ms: u64,
-    /// Milliseconds from its end until all views agreed.
+    /// The time from the end of the fault until all views agreed, in milliseconds.
     #[serde(rename = "agreed_ms")]
     pub converged_ms: u64,
-    /// Milliseconds until all survivors knew of a kill, where there was one.
+    /// The time until all running nodes had detected a kill, in milliseconds, if the fault killed processes.
     #[serde(rename = "known_ms")]
     pub detected_ms: Option<u64>,
-    /// Somebody was taken for dead whose process was there, and the fault was one that is to be borne.
+    /// The number of times a node declared another one dead whose process existed, under a fault that must not cause that.
     pub false_deaths: usize,
-    /// Counts below the number of processes that were there, in words.
+    /// Descriptions of node counts that were below the number of existing processes.
     pub miscounts: Vec<String>,
 }
 
-/// What came of a plan.
+/// The result of a plan.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The plan.
+    /// The plan that was run.
     pub plan: Plan,
-    /// Its episodes.
-    #[serde(rename = "came")]
+    /// The results of the episodes.
+    #[serde(rename = "episode")]
     pub episodes: Vec<EpisodeReport>,
-    /// Milliseconds until all knew each other at the start.
+    /// The time from the start until all views agreed, in milliseconds.
     pub joined_ms: u64,
-    /// Datagrams and bytes that a node sent a second, on the mean of the whole run.
+    /// Datagrams that a node sent per second, on average stop_requested the run and the nodes.
     pub datagrams_s: f64,
-    /// See `datagrams_s`.
+    /// Bytes that a node sent per second, on average stop_requested the run and the nodes.
     pub bytes_s: f64,
-    /// Datagrams from nobody, and those that went to their source.
+    /// The number of datagrams from a source outside the cluster, and of those that a node sent to its own relay.
     #[serde(rename = "astray")]
     pub misdirected_datagrams: (u64, u64),
-    /// Calls that were made, and those that were served.
+    /// The number of calls that clients made, and of those that were served.
     pub calls: (u64, u64),
-    /// Of the five rules, those that were kept, and what broke the others.
+    /// The number of the five rules that were not violated.
     #[serde(rename = "rules_kept")]
     pub rules_satisfied: usize,
-    /// See `rules_kept`.
+    /// Descriptions of the violations of the other rules.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
 impl Report {
-    /// What must not be, in words.
+    /// Returns descriptions of everything that makes the run a failure.
     pub fn failures(&self) -> Vec<String> {
-        let mut wrong = self.violations.clone();
-        for (i, came) in self.episodes.iter().enumerate() {
-            wrong.extend(came.miscounts.iter().map(|m| format!("episode {i}: {m}")));
-            if came.false_deaths > 0 {
-                wrong.push(format!(
+        let mut failures = self.violations.clone();
+        for (i, episode) in self.episodes.iter().enumerate() {
+            failures.extend(
+                episode
+                    .miscounts
+                    .iter()
+                    .map(|m| format!("episode {i}: {m}")),
+            );
+            if episode.false_deaths > 0 {
+                failures.push(format!(
                     "episode {i}: {} false deaths under {:?}",
-                    came.false_deaths, came.fault
+                    episode.false_deaths, episode.fault
                 ));
             }
         }
         if self.misdirected_datagrams.1 > 0 {
-            wrong.push(format!(
+            failures.push(format!(
                 "{} datagrams were answers to their source",
                 self.misdirected_datagrams.1
             ));
         }
-        wrong
+        failures
     }
 }
 
-/// A load on nodes whose processes the plan leaves alone.
+/// A load on the nodes whose processes the plan does not pause or end.
 struct Load {
-    over: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
     made: Arc<AtomicU64>,
     served: Arc<AtomicU64>,
-    at_work: Arc<()>,
+    active_clients: Arc<()>,
 }
 
 impl Load {
-    fn begin(cluster: &Cluster, nodes: impl Iterator<Item = usize>) -> Load {
+    fn start(cluster: &Cluster, nodes: impl Iterator<Item = usize>) -> Load {
         let load = Load {
-            over: Arc::default(),
+            stop_requested: Arc::default(),
             made: Arc::default(),
             served: Arc::default(),
-            at_work: Arc::new(()),
+            active_clients: Arc::new(()),
         };
         let runtime: RuntimeRef = cluster.runtime().clone();
         let nodes: Vec<usize> = nodes.collect();
-        let pause = PAUSE.max(1_000_000 * nodes.len() as Micros / CALLS_S);
+        let pause = MIN_PAUSE.max(1_000_000 * nodes.len() as Micros / MAX_CALLS_PER_SECOND);
         for node in nodes {
-            let Some(door) = cluster.process(node).map(|p| p.client_address) else {
+            let Some(address) = cluster.process(node).map(|p| p.client_address) else {
                 continue;
             };
             let (runtime, log) = (runtime.clone(), cluster.log().clone());
-            let (over, made, served) = (load.over.clone(), load.made.clone(), load.served.clone());
-            let place = load.at_work.clone();
+            let (stop_requested, made, served) = (
+                load.stop_requested.clone(),
+                load.made.clone(),
+                load.served.clone(),
+            );
+            let guard = load.active_clients.clone();
             runtime.clone().run(async move {
-                // Not all in one moment.
+                // Spreads the clients' first calls.
                 runtime
                     .sleep((runtime.unit() * 20.0 * pause as f64) as Micros)
                     .await;
                 let mut client: Option<Client> = None;
-                while !over.load(Ordering::SeqCst) {
+                while !stop_requested.load(Ordering::SeqCst) {
                     if client.as_ref().is_none_or(|c| !c.usable()) {
-                        client = Client::connect(&runtime, &log, door).await.ok();
+                        client = Client::connect(&runtime, &log, address).await.ok();
                     }
                     if let Some(client) = &client {
                         let call = made.fetch_add(1, Ordering::SeqCst) + 1;
-                        let end = client.send(&ask(node, call)).await;
+                        let end = client.send(&request(node, call)).await;
                         served.fetch_add(
                             u64::from(end.outcome == ClientOutcome::Served),
                             Ordering::SeqCst,
@@ -135,20 +144,20 @@
                     }
                     runtime.sleep(pause).await;
                 }
-                drop(place);
+                drop(guard);
             });
         }
         load
     }
-    fn end(&self, cluster: &Cluster) {
-        self.over.store(true, Ordering::SeqCst);
-        while Arc::strong_count(&self.at_work) > 1 {
+    fn stop(&self, cluster: &Cluster) {
+        self.stop_requested.store(true, Ordering::SeqCst);
+        while Arc::strong_count(&self.active_clients) > 1 {
             cluster.sleep(10_000);
         }
     }
 }
 
-fn ask(node: usize, call: u64) -> ClientRequest {
+fn request(node: usize, call: u64) -> ClientRequest {
     ClientRequest {
         request: GenerateRequest {
             prompt: (0..80).map(|t| t ^ ((call as u32) << 8)).collect(),
@@ -161,48 +170,48 @@
         idempotency: CallIdempotency::Idempotent,
         node,
         behavior: ClientBehavior {
-            client_timeout: PATIENCE,
+            client_timeout: CLIENT_TIMEOUT,
             ..ClientBehavior::default()
         },
     }
 }
 
-/// Plays a plan to its end.
+/// Runs a plan to its end, and calls `on_episode` after each episode.
 ///
 /// # Errors
-/// When views do not come to agree, or a process does not start.
+/// [`ClusterError`] if the views do not agree in time, or a process does not start.
 pub fn run_plan(
     cluster: &mut Cluster,
     plan: &Plan,
-    mut told: impl FnMut(&EpisodeReport),
+    mut on_episode: impl FnMut(&EpisodeReport),
 ) -> Result<Report, ClusterError> {
     let began = cluster.runtime().now();
-    let joined = cluster.wait_until_agreed(MOST_HEALING)?;
+    let joined = cluster.wait_until_agreed(AGREEMENT_TIMEOUT)?;
     let touched: BTreeSet<usize> = plan
         .episodes
         .iter()
         .flat_map(|e| e.fault.affected_processes())
         .collect();
-    let load = Load::begin(cluster, (0..plan.nodes).filter(|n| !touched.contains(n)));
-    let mut came = Vec::new();
+    let load = Load::start(cluster, (0..plan.nodes).filter(|n| !touched.contains(n)));
+    let mut episodes = Vec::new();
     for episode in &plan.episodes {
-        let one = one(cluster, &episode.fault, episode.lasts_ms)?;
-        told(&one);
-        came.push(one);
+        let report = run_episode(cluster, &episode.fault, episode.lasts_ms)?;
+        on_episode(&report);
+        episodes.push(report);
     }
-    load.end(cluster);
-    // What engines keep for a while is let go by then, or pinned.
+    load.stop(cluster);
+    // By then engines have released every reservation that is ever released.
     cluster.sleep(1_000_000);
     let seconds = (cluster.runtime().now() - began) as f64 / 1e6;
     let (datagrams, bytes) = cluster.links().total_traffic();
-    let a_node = seconds * plan.nodes as f64;
+    let node_seconds = seconds * plan.nodes as f64;
     let audit = cluster.audit();
     Ok(Report {
         plan: plan.clone(),
-        episodes: came,
+        episodes,
         joined_ms: joined / 1_000,
-        datagrams_s: datagrams as f64 / a_node,
-        bytes_s: bytes as f64 / a_node,
+        datagrams_s: datagrams as f64 / node_seconds,
+        bytes_s: bytes as f64 / node_seconds,
         misdirected_datagrams: cluster.links().misdirected_datagrams(),
         calls: (
             load.made.load(Ordering::SeqCst),
@@ -213,12 +222,12 @@
     })
 }
 
-/// Deaths that nodes logged of those whose processes are there.
+/// Returns how often running nodes logged the death of one of the given nodes.
 fn deaths(cluster: &Cluster, of: &BTreeSet<usize>) -> usize {
     let running = cluster.running();
     let named = |n: &usize| format!("{:016x}", id(*n));
     let names: Vec<String> = of.iter().map(named).collect();
-    let said = |node: &usize| {
+    let logged_deaths = |node: &usize| {
         let process = cluster.process(*node);
         let of_one = |name: &String| {
             process.map_or(0, |p| {
@@ -231,22 +240,22 @@
         };
         names.iter().map(of_one).sum::<usize>()
     };
-    running.iter().map(said).sum()
+    running.iter().map(logged_deaths).sum()
 }
 
-fn one(
+fn run_episode(
     cluster: &mut Cluster,
     fault: &ClusterFault,
     lasts_ms: u64,
 ) -> Result<EpisodeReport, ClusterError> {
     let all: Vec<usize> = (0..cluster.size.nodes).collect();
     let hit: BTreeSet<usize> = fault.affected_processes().into_iter().collect();
-    let spared: BTreeSet<usize> = match fault {
-        // Those that only stop for a moment are to be borne as well.
+    let surviving: BTreeSet<usize> = match fault {
+        // Nodes that are only paused must not be declared dead either.
         ClusterFault::Pause(_) => all.iter().copied().collect(),
         _ => all.iter().copied().filter(|n| !hit.contains(n)).collect(),
     };
-    let before = deaths(cluster, &spared);
+    let before = deaths(cluster, &surviving);
     let links = cluster.links().clone();
     let node = |n: usize| End::Node(n);
     let cut = LinkFault {
@@ -258,12 +267,12 @@
     match fault {
         ClusterFault::Kill(nodes) => {
             nodes.iter().for_each(|n| cluster.kill_node(*n));
-            known_ms = Some(cluster.wait_until_agreed(MOST_HEALING)? / 1_000);
+            known_ms = Some(cluster.wait_until_agreed(AGREEMENT_TIMEOUT)? / 1_000);
         }
         ClusterFault::RollingRestart(nodes) => {
             for n in nodes {
                 if !cluster.terminate_node(*n) {
-                    miscounts.push(format!("node {n} did not end well"));
+                    miscounts.push(format!("node {n} did not exit with success"));
                 }
                 cluster.start_node(*n)?;
             }
@@ -277,9 +286,9 @@
             }
         }
         ClusterFault::OutboundCut(nodes) | ClusterFault::InboundCut(nodes) => {
-            let mute = matches!(fault, ClusterFault::OutboundCut(_));
+            let outbound = matches!(fault, ClusterFault::OutboundCut(_));
             for (n, other) in nodes.iter().flat_map(|n| all.iter().map(move |o| (*n, *o))) {
-                let (from, to) = if mute { (n, other) } else { (other, n) };
+                let (from, to) = if outbound { (n, other) } else { (other, n) };
                 links.set(node(from), node(to), cut);
             }
         }
@@ -301,12 +310,12 @@
         }
     }
     let began = cluster.runtime().now();
-    let (mut on, mut turned) = (true, began);
+    let (mut on, mut changed_at) = (true, began);
     while cluster.runtime().now() < began + lasts_ms * 1_000 {
         let now = cluster.runtime().now();
         if let ClusterFault::LinkFlap(from, to, each) = fault {
-            if now >= turned + each * 1_000 {
-                (on, turned) = (!on, now);
+            if now >= changed_at + each * 1_000 {
+                (on, changed_at) = (!on, now);
                 links.set(
                     node(*from),
                     node(*to),
@@ -317,7 +326,7 @@
                 );
             }
         }
-        // Counts hold at every moment, not only where all is well.
+        // The counts must be right at every moment, including during the fault.
         let views = cluster.views();
         miscounts.extend(cluster.miscounts(&views));
         cluster.sleep(20_000);
@@ -330,13 +339,13 @@
             _ => {}
         }
     }
-    let agreed = cluster.wait_until_agreed(MOST_HEALING)?;
+    let agreed = cluster.wait_until_agreed(AGREEMENT_TIMEOUT)?;
     let views = cluster.views();
     miscounts.extend(cluster.miscounts(&views));
     miscounts.dedup();
     miscounts.truncate(8);
     let false_deaths = match fault.forbids_false_deaths(lasts_ms) {
-        true => deaths(cluster, &spared).saturating_sub(before),
+        true => deaths(cluster, &surviving).saturating_sub(before),
         false => 0,
     };
     Ok(EpisodeReport {
--- a/crates/ivyward-testbed/src/cluster/process.rs
+++ b/crates/ivyward-testbed/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! Node processes: started, stopped, continued, killed and asked for their view.
+//! Node processes: starts, pauses, resumes, terminates and kills them, and reads their logs and views.
 
 use crate::child_process::end_with_parent;
 use crate::cluster::ClusterError;
@@ -12,49 +12,49 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Lines of its log that are kept; the oldest go first.
-const LINES: usize = 4_096;
-/// Microseconds for an answer of the admin port.
-const ASKING: u64 = 5_000_000;
+/// The number of log lines that are kept of a process. Older lines are dropped.
+const MAX_LOG_LINES: usize = 4_096;
+/// The timeout for a request to the admin port, in microseconds.
+const ADMIN_TIMEOUT: u64 = 5_000_000;
 
-/// A running daemon, killed when this is dropped.
+/// A running daemon. It is killed on drop.
 pub struct Process {
     child: Child,
-    /// Where clients call.
+    /// The address that clients connect to.
     pub client_address: SocketAddr,
-    /// Where health, metrics and the view are.
+    /// The address of the admin server, with health, metrics and the node's view.
     pub admin: SocketAddr,
-    /// The name of its run, as engines see it.
+    /// The incarnation of the node, as engines see it.
     pub incarnation: u64,
     lines: Arc<Mutex<VecDeque<String>>>,
 }
 
-/// A node as another one sees it.
+/// The state of a peer in a node's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRow {
-    /// Its state: alive, unheard, suspected, dead or left.
+    /// The peer's state: alive, unheard, suspected, dead or left.
     pub state: String,
-    /// Its start.
+    /// The peer's incarnation.
     pub start: u64,
-    /// Certainly gone.
+    /// Whether it is certain that the peer's process has ended.
     pub certain: bool,
 }
 
-/// What a node says of itself and its peers.
+/// A node's view of itself and its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// Nodes that may be sending, as it reckons.
+    /// The node's count of the nodes that may be sending requests.
     pub count: u32,
-    /// It took in a whole view.
+    /// Whether the node has received a complete view from a peer.
     pub joined: bool,
-    /// Its own start.
+    /// The node's own incarnation.
     pub start: u64,
-    /// The others, by their number.
+    /// The node's peers, by id.
     pub peers: BTreeMap<u64, PeerRow>,
 }
 
 impl View {
-    /// Reads the admin port's text.
+    /// Parses the text that the admin server returns for `/peers`. Returns `None` if it is malformed.
     pub fn read(text: &str) -> Option<View> {
         let mut view = View::default();
         for line in text.lines() {
@@ -89,21 +89,21 @@
     }
 }
 
-/// The value of a key in a line of JSON that the daemon logs.
+/// Returns the string value of a key in a line of the daemon's JSON log.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let after = line.split_once(&format!("\"{key}\":\""))?.1;
     after.split_once('"').map(|(value, _)| value)
 }
 
 impl Process {
-    /// Starts one and waits until it takes requests.
+    /// Starts a node that authenticates peer messages with `key`, and waits until it accepts requests.
     ///
     /// # Errors
-    /// [`ClusterError`] with what it said instead.
+    /// [`ClusterError`] with the output of the process if it does not start.
     pub fn start(binary: &Path, flags: &[String], key: &str) -> Result<Process, ClusterError> {
         Process::start_with(binary, flags, Some(key))
     }
-    /// The same, for one that speaks to its peers without a key.
+    /// Starts a node like [`Process::start`], but without a key for peer messages.
     ///
     /// # Errors
     /// As for [`Process::start`].
@@ -136,41 +136,43 @@
             .spawn()
             .map_err(|e| failed(e.to_string()))?;
         let (Some(out), Some(errors)) = (child.stdout.take(), child.stderr.take()) else {
-            return Err(failed("it has no output".into()));
+            return Err(failed("the process's output is not a pipe".into()));
         };
         let mut logs = BufReader::new(errors).lines().map_while(Result::ok);
-        let (mut kept, mut admin, mut run) = (VecDeque::new(), None, None);
-        // Its last word before it takes requests names its run.
+        let (mut log_lines, mut admin, mut incarnation) = (VecDeque::new(), None, None);
+        // The line "taking requests" is the last one before the node accepts requests, and names its incarnation.
         for line in logs.by_ref() {
             if line.contains("\"admin server started\"") {
                 admin = field(&line, "address").and_then(|a| a.parse().ok());
             }
             if line.contains("\"taking requests\"") {
-                run = field(&line, "run").and_then(|r| u64::from_str_radix(r, 16).ok());
+                incarnation = field(&line, "run").and_then(|r| u64::from_str_radix(r, 16).ok());
             }
-            kept.push_back(line);
-            if run.is_some() {
+            log_lines.push_back(line);
+            if incarnation.is_some() {
                 break;
             }
         }
         let mut first = String::new();
         let _ = BufReader::new(out).read_line(&mut first);
-        let door = first
+        let client_address = first
             .trim()
             .strip_prefix("listening on ")
             .and_then(|a| a.parse().ok());
-        let (Some(door), Some(admin), Some(run)) = (door, admin, run) else {
+        let (Some(client_address), Some(admin), Some(incarnation)) =
+            (client_address, admin, incarnation)
+        else {
             let _ = child.kill();
             let _ = child.wait();
-            return Err(failed(kept.into_iter().collect::<Vec<_>>().join("; ")));
+            return Err(failed(log_lines.into_iter().collect::<Vec<_>>().join("; ")));
         };
-        let lines = Arc::new(Mutex::new(kept));
+        let lines = Arc::new(Mutex::new(log_lines));
         let keep = lines.clone();
-        // Ends with the process: what it says must not fill the pipe.
+        // Drains the log until the process ends, because a full pipe would block the process.
         std::thread::spawn(move || {
             for line in logs {
                 let mut lines = keep.lock().unwrap_or_else(PoisonError::into_inner);
-                if lines.len() >= LINES {
+                if lines.len() >= MAX_LOG_LINES {
                     lines.pop_front();
                 }
                 lines.push_back(line);
@@ -178,37 +180,37 @@
         });
         Ok(Process {
             child,
-            client_address: door,
+            client_address,
             admin,
-            incarnation: run,
+            incarnation,
             lines,
         })
     }
 
-    /// Its number, for /proc.
+    /// Returns the process id, for /proc.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
     fn signal(&self, signal: Signal) {
-        // It is our own child and was not waited for, so its number is still its own.
+        // The process is a child that has not been waited for, so its id cannot have been reused.
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
             let _ = kill_process(pid, signal);
         }
     }
-    /// Stops it where it is (SIGSTOP).
+    /// Pauses the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
-    /// Lets it go on (SIGCONT).
+    /// Resumes the process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
-    /// Asks it to end in order (SIGTERM) and waits; whether it ended well.
+    /// Terminates the process (SIGTERM) and waits for it. Returns whether it exited with success.
     pub fn terminate(mut self) -> bool {
         self.signal(Signal::TERM);
         self.child.wait().is_ok_and(|status| status.success())
     }
-    /// Lines of its log that hold all these words.
+    /// Returns the number of kept log lines that contain all of `words`.
     pub fn count_log_lines(&self, words: &[&str]) -> usize {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines
@@ -216,12 +218,12 @@
             .filter(|line| words.iter().all(|w| line.contains(w)))
             .count()
     }
-    /// What its admin port says to a path.
+    /// Requests a path from the admin server, and returns the body of the answer.
     ///
     /// # Errors
-    /// When it does not answer in time.
+    /// Fails if the connection fails, or if there is no answer within five seconds.
     pub async fn admin_get(&self, runtime: &RuntimeRef, path: &str) -> std::io::Result<String> {
-        let asking = async {
+        let exchange = async {
             let mut conn = runtime.connect(self.admin).await?;
             let head = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
             conn.write_all(head.as_bytes()).await?;
@@ -232,12 +234,12 @@
                 .map(|(_, body)| body.to_owned())
                 .unwrap_or_default())
         };
-        let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-        before(runtime, runtime.now() + ASKING, asking)
+        let timed_out = || std::io::Error::from(std::io::ErrorKind::TimedOut);
+        before(runtime, runtime.now() + ADMIN_TIMEOUT, exchange)
             .await
-            .unwrap_or_else(|| Err(late()))
+            .unwrap_or_else(|| Err(timed_out()))
     }
-    /// Its view, if it answers.
+    /// Returns the node's view, or `None` if the node does not answer.
     pub async fn view(&self, runtime: &RuntimeRef) -> Option<View> {
         View::read(&self.admin_get(runtime, "/peers").await.ok()?)
     }
--- a/crates/ivyward-testbed/src/cluster/process/tests.rs
+++ b/crates/ivyward-testbed/src/cluster/process/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parts of `process` that nobody outside sees.
+//! Unit tests of the parsers of `process`.
 
 use super::*;
 
 #[test]
-fn a_view_is_read_and_what_is_none_is_not() {
+fn a_view_is_parsed_and_malformed_text_is_rejected() {
     let text = "self id=0a start=5 zone=0 address=127.0.0.1:1 count=2 joined=true\n\
                 peer id=0b start=6 zone=0 address=127.0.0.1:2 state=unheard certain=false\n";
     let view = View::read(text).unwrap();
