--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes, engines and clients on loopback, with one log of what engines and clients saw.
+//! Nodes, engines and clients on loopback, with one event log of what engines and clients observe.
 
 use crate::child_process::end_with_parent;
 use crate::registration;
@@ -28,19 +28,19 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What went wrong in setting up a scene.
+/// An error in setting up a local cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum LocalClusterError {
-    /// The system said no.
+    /// A system call failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// What the system said.
+        /// The error of the system.
         error: std::io::Error,
     },
-    /// A node did not start.
-    #[error("a node did not start: {0}")]
+    /// A node could not be started.
+    #[error("a node could not be started: {0}")]
     Node(#[from] ivyward::StartError),
 }
 
@@ -49,16 +49,17 @@
     move |error| LocalClusterError::Io { what, error }
 }
 
-/// What may be in flight after a notice, however much is allowed for the rest on a busy machine.
-const MOST_NOTICE_FLIGHT: Micros = 250_000;
+/// The limit on the time for which requests may be in flight after a notification, whatever the limit for other data is on
+/// a busy machine.
+const MAX_NOTICE_FLIGHT: Micros = 250_000;
 
-/// How nodes run.
+/// Where nodes run.
 #[derive(Clone, Debug, Default)]
 pub enum NodePlacement {
-    /// In this process, each in a world of its own.
+    /// In this process, each on its own runtime.
     #[default]
     InProcess,
-    /// As daemons.
+    /// As daemon processes, started from this path.
     Daemon(PathBuf),
 }
 
@@ -67,20 +68,20 @@
     Daemon(Child),
 }
 
-/// A node of a scene.
-struct Place {
+/// A node of a cluster. Stays when the node's process ends.
+struct NodeSlot {
     address: SocketAddr,
     process: Option<Process>,
     client: Option<Client>,
     starts: u64,
 }
 
-/// A buffer that a recording is written to and read from.
+/// An in-memory buffer for a recording. Clones share the buffer.
 #[derive(Clone, Default)]
 pub struct RecordingBuffer(Arc<Mutex<Vec<u8>>>);
 
 impl RecordingBuffer {
-    /// What was written so far.
+    /// Returns the bytes that have been written so far.
     pub fn bytes(&self) -> Vec<u8> {
         self.0
             .lock()
@@ -102,10 +103,10 @@
     }
 }
 
-/// What a recording says was decided, a line an action, everything but times.
+/// Returns a line for each action in a recording, without times.
 ///
 /// # Errors
-/// When it is no recording.
+/// [`RecordingError`] if the recording is malformed.
 pub fn decisions(recording: &[u8]) -> Result<Vec<String>, RecordingError> {
     let mut reader = RecordingReader::begin(recording)?;
     let mut out = Vec::new();
@@ -125,44 +126,45 @@
     Ok(out)
 }
 
-/// What a scene is made of.
+/// The configuration of a local cluster.
 #[derive(Clone)]
 pub struct ClusterBuilder {
-    /// Feeds every random choice.
+    /// The seed of every random choice.
     pub seed: u64,
-    /// The engines.
+    /// The engines' specifications.
     pub engines: Vec<EngineSpec>,
     /// The nodes' settings.
     pub settings: NodeSettings,
-    /// How many nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// How they run.
+    /// Where the nodes run.
     pub placement: NodePlacement,
-    /// What may be in flight on this machine, for the rule checker.
+    /// The longest time that data may be in flight on this machine, in microseconds, for the rule checker.
     pub flight: Micros,
-    /// Nodes in this process follow engines through a store instead of being told.
+    /// The options with which nodes in this process watch engines in a store. Without them, the cluster notifies the nodes.
     pub watcher: Option<ivyward::watcher::WatcherOptions>,
-    /// Records the first node's run.
+    /// The buffer for a recording of the first node's first incarnation.
     pub recording: Option<RecordingBuffer>,
 }
 
 /// Nodes, engines and clients on loopback.
 pub struct LocalCluster {
-    /// The clients' and the script's world.
+    /// The runtime of the clients and the test.
     pub runtime: Arc<SmolRuntime>,
-    /// What was seen.
+    /// The event log.
     pub log: EventLog,
     make: ClusterBuilder,
     engines: Vec<Mutex<Engine>>,
-    places: Vec<Mutex<Place>>,
+    node_slots: Vec<Mutex<NodeSlot>>,
     calls: AtomicU64,
-    /// Where nodes follow the engines, if they do.
+    /// The store in which nodes watch the engines, if they do.
     pub store: Mutex<Option<Store>>,
-    /// What the list says of each engine: its condition, and since when it runs where that is not long ago.
+    /// The listed state of each engine, and its start time if it started recently.
     list: Mutex<Vec<(EndpointState, Option<Micros>)>>,
 }
 
-/// Classes for scenes: two safe ones, one unsafe, one keyed within everything.
+/// Returns the request classes of test clusters: two idempotent ones, one that is not idempotent, and one with idempotency
+/// keys that are valid on all engines.
 pub fn classes() -> Vec<Class> {
     let class = |name: &str, settings: ClassSettings| Class {
         name: name.into(),
@@ -203,7 +205,7 @@
     ]
 }
 
-/// How far a class may be repeated, for the rule checker.
+/// Returns the idempotency of a class in the form that the rule checker uses.
 pub fn call_idempotency(class: &ClassSettings) -> CallIdempotency {
     let group = match class.deduplication_scope {
         DeduplicationScope::All => KeyScope::All,
@@ -217,7 +219,7 @@
     }
 }
 
-/// Settings for scenes on one machine: quick pauses, the rules' figures of a small deployment.
+/// Returns settings for clusters on one machine: short intervals, and the limits of a small deployment.
 pub fn settings() -> NodeSettings {
     let base = NodeSettings::default();
     NodeSettings {
@@ -232,7 +234,7 @@
             max_retry_after: 300_000,
             ..base.router.clone()
         },
-        // What the node has for its last word, on a machine that may be busy with other things.
+        // The time for a node's final answer, on a machine that may be busy.
         answer_margin: 200_000,
         ping_interval: 300_000,
         ping_timeout: 300_000,
@@ -243,7 +245,7 @@
     }
 }
 
-/// A small fleet: `racks` racks, each of one reader, one mixed engine and two writers.
+/// Returns the specifications of `racks` racks, each of one prefill engine, one mixed engine and two decode engines.
 pub fn fleet(racks: u16) -> Vec<EngineSpec> {
     let roles = [Role::Prefill, Role::Mixed, Role::Decode, Role::Decode];
     let of = |rack: u16| {
@@ -258,7 +260,7 @@
 }
 
 impl ClusterBuilder {
-    /// A scene of some engines and one node.
+    /// Returns the configuration of a cluster with the given engines and one node.
     pub fn new(seed: u64, engines: Vec<EngineSpec>) -> ClusterBuilder {
         let settings = NodeSettings { seed, ..settings() };
         ClusterBuilder {
@@ -272,16 +274,17 @@
             recording: None,
         }
     }
-    /// Aims and deadlines that only a lost request misses, for scenes in which a wait is neither overload nor a stall.
+    /// Sets objectives and deadlines that only a lost request misses, for tests in which waiting is neither overload nor a
+    /// stall.
     pub fn use_long_deadlines(&mut self) {
         for class in &mut self.settings.classes {
             (class.settings.ttft_objective, class.settings.deadline) = (60_000_000, 60_000_000);
         }
     }
-    /// Builds it.
+    /// Starts the cluster.
     ///
     /// # Errors
-    /// When a socket or a process cannot be had, or the settings do not hold.
+    /// [`LocalClusterError`] if a socket or a process cannot be created, or the settings are invalid.
     pub fn build(self) -> Result<LocalCluster, LocalClusterError> {
         let runtime = SmolRuntime::start(2, self.seed);
         let as_ref: RuntimeRef = runtime.clone();
@@ -293,77 +296,78 @@
                 Engine::start(&host, &log, spec.clone()).map_err(io("starting an engine"))?,
             ));
         }
-        let place = |_| {
+        let slot = |_| {
             let address = SocketAddr::from(([127, 0, 0, 1], 0));
-            Mutex::new(Place {
+            Mutex::new(NodeSlot {
                 address,
                 process: None,
                 client: None,
                 starts: 0,
             })
         };
-        let places = (0..self.nodes).map(place).collect();
+        let node_slots = (0..self.nodes).map(slot).collect();
         let list = Mutex::new(vec![(EndpointState::Ready, None); engines.len()]);
-        let scene = LocalCluster {
+        let cluster = LocalCluster {
             runtime,
             log,
             make: self,
             engines,
-            places,
+            node_slots,
             calls: AtomicU64::new(1),
             store: Mutex::default(),
             list,
         };
-        for node in 0..scene.nodes() {
-            scene.start_node(node)?;
+        for node in 0..cluster.nodes() {
+            cluster.start_node(node)?;
         }
-        Ok(scene)
+        Ok(cluster)
     }
 }
 
 impl LocalCluster {
-    fn place(&self, node: usize) -> MutexGuard<'_, Place> {
-        self.places[node]
+    fn slot(&self, node: usize) -> MutexGuard<'_, NodeSlot> {
+        self.node_slots[node]
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
-    /// An engine, by its number in the make.
+    /// Returns an engine by its index in [`ClusterBuilder::engines`].
     pub fn engine(&self, i: usize) -> MutexGuard<'_, Engine> {
         self.engines[i]
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
-    /// How many engines.
+    /// Returns the number of engines.
     pub fn engines(&self) -> usize {
         self.engines.len()
     }
-    /// How many nodes.
+    /// Returns the number of nodes.
     pub fn nodes(&self) -> usize {
-        self.places.len()
+        self.node_slots.len()
     }
-    /// What it is made of.
+    /// Returns the configuration of the cluster.
     pub fn builder(&self) -> &ClusterBuilder {
         &self.make
     }
-    /// The node itself, where it runs in this process.
+    /// Returns a node's handle if the node runs in this process.
     pub fn node(&self, node: usize) -> Option<Node> {
-        match &self.place(node).process {
+        match &self.slot(node).process {
             Some(Process::Inside(_, node)) => Some(node.clone()),
             _ => None,
         }
     }
 
-    /// An engine as lists name it.
-    pub fn entry(&self, i: usize, condition: EndpointState, started: Micros) -> Listed {
-        list_entry(&self.engine(i), condition, started)
+    /// Returns an engine's entry in an endpoint list.
+    pub fn entry(&self, i: usize, state: EndpointState, started: Micros) -> Listed {
+        list_entry(&self.engine(i), state, started)
     }
 
-    /// The key and the registration record of an engine, as it would write them.
+    /// Returns the key and the registration record of an engine, as the engine would write them.
     pub fn registration(&self, i: usize, state: State, started_ms: u64) -> (String, String) {
         registration::record(&self.engine(i), state, started_ms)
     }
 
-    /// The engine registers itself in a store. `skew` is how far its clock is ahead of the others, in seconds.
+    /// Has an engine register itself in a store under a lease of `seconds`. `skew` is how far the engine's clock is ahead of the
+    /// other clocks, in seconds.
     pub fn keep_engine_registered(
         &self,
         engine: usize,
@@ -381,15 +385,16 @@
         );
     }
 
-    /// Starts a node, again at its old door if it had one, and tells it all engines that are up.
+    /// Starts a node, at its previous address if it had one. Unless the node watches a store, it is given the list of all
+    /// engines that are not removed.
     ///
     /// # Errors
-    /// When a socket or a process cannot be had.
+    /// [`LocalClusterError`] if a socket or a process cannot be created.
     pub fn start_node(&self, i: usize) -> Result<(), LocalClusterError> {
         let (address, starts) = {
-            let mut place = self.place(i);
-            place.starts += 1;
-            (place.address, place.starts)
+            let mut slot = self.slot(i);
+            slot.starts += 1;
+            (slot.address, slot.starts)
         };
         let listed = self.listed();
         let seed = self
@@ -407,7 +412,7 @@
                 let as_ref: RuntimeRef = runtime.clone();
                 let mut follow = self.make.watcher.clone();
                 if let Some(follow) = follow.as_mut().filter(|_| self.nodes() > 1) {
-                    // A door of the store for each node, so that what was shown to whom is told apart.
+                    // Each node uses its own endpoint of the store, so that the store's observer knows which node it notified.
                     follow.endpoints = vec![follow.endpoints[i % follow.endpoints.len()]];
                 }
                 let record = self
@@ -417,7 +422,7 @@
                     .filter(|_| i == 0 && starts == 1);
                 let record = record.map(|m| Box::new(m) as Box<dyn Write + Send>);
                 let node = Node::start(as_ref.clone(), settings, record)?;
-                let listener = as_ref.listen(address).map_err(io("opening a door"))?;
+                let listener = as_ref.listen(address).map_err(io("opening a listener"))?;
                 let address = listener.address();
                 let now = ivyward_runtime::Runtime::now(&*runtime);
                 let since = |at: Option<Micros>| {
@@ -425,7 +430,7 @@
                 };
                 let entries = listed
                     .into_iter()
-                    .map(|(e, condition, at)| self.entry(e, condition, since(at)));
+                    .map(|(e, state, at)| self.entry(e, state, since(at)));
                 match follow {
                     None => block_on(node.update_endpoints(ListKind::Full, entries.collect())),
                     Some(follow) => {
@@ -446,25 +451,25 @@
                 (address, Process::Daemon(child))
             }
         };
-        let mut place = self.place(i);
-        (place.address, place.process, place.client) = (address, Some(process), None);
+        let mut slot = self.slot(i);
+        (slot.address, slot.process, slot.client) = (address, Some(process), None);
         Ok(())
     }
 
-    /// Kills a node outright: its clients and engines see resets.
+    /// Kills a node. Its clients and engines see connection resets.
     pub fn kill_node(&self, i: usize) {
-        let process = self.place(i).process.take();
+        let process = self.slot(i).process.take();
         let run = match process {
             Some(Process::Inside(runtime, node)) => {
                 let run = node.incarnation();
-                // Noted before and after: what breaks while it dies is its death's doing.
+                // Logged before and after, so that failures during the kill are attributed to it.
                 self.log.add(ObservedEvent::Killed { node: i, run });
                 runtime.stop();
                 run
             }
             Some(Process::Daemon(mut child)) => {
                 self.log.add(ObservedEvent::Killed { node: i, run: 0 });
-                // Already gone is as good.
+                // The process may have ended already.
                 let _ = child.kill();
                 let _ = child.wait();
                 0
@@ -472,28 +477,29 @@
             None => return,
         };
         self.log.add(ObservedEvent::Killed { node: i, run });
-        self.place(i).client = None;
+        self.slot(i).client = None;
     }
 
-    /// What the list says: each engine that is not gone, its condition, and since when it runs.
+    /// Returns the engines that are not removed, with their listed state and start time.
     fn listed(&self) -> Vec<(usize, EndpointState, Option<Micros>)> {
         let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         let all = list
             .iter()
             .enumerate()
-            .map(|(i, (condition, since))| (i, *condition, *since));
+            .map(|(i, (state, since))| (i, *state, *since));
         all.filter(|l| l.1 != EndpointState::Removed).collect()
     }
 
-    /// Changes what the list says of an engine; nodes learn of it by [`LocalCluster::notify_node`].
-    pub fn set_listed_state(&self, engine: usize, condition: EndpointState, since: Option<Micros>) {
-        self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine] = (condition, since);
+    /// Changes the listed state and start time of an engine. Nodes receive the change from [`LocalCluster::notify_node`].
+    pub fn set_listed_state(&self, engine: usize, state: EndpointState, since: Option<Micros>) {
+        self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine] = (state, since);
     }
 
-    /// Tells a node what the list says of an engine, and notes when it took that in. Daemons have a fixed list.
+    /// Sends a node the listed state of an engine, and logs when the node has processed it. Does nothing for daemons, whose
+    /// list is fixed.
     pub async fn notify_node(&self, node: usize, engine: usize) {
-        let (condition, since) = self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine];
-        let (handle, now) = match &self.place(node).process {
+        let (state, since) = self.list.lock().unwrap_or_else(PoisonError::into_inner)[engine];
+        let (handle, now) = match &self.slot(node).process {
             Some(Process::Inside(runtime, handle)) => {
                 (handle.clone(), ivyward_runtime::Runtime::now(&**runtime))
             }
@@ -502,8 +508,8 @@
         let started = since.map_or(0, |at| {
             now.saturating_sub(self.log.now().saturating_sub(at)).max(1)
         });
-        let entry = self.entry(engine, condition, started);
-        // The node may be killed before it took that in.
+        let entry = self.entry(engine, state, started);
+        // The node may be killed before it has processed the change.
         let took = handle.update_endpoints(ListKind::Changes, vec![entry]);
         let killed = async {
             while self
@@ -522,7 +528,7 @@
             killed,
         );
         if took.await {
-            let ready = condition == EndpointState::Ready;
+            let ready = state == EndpointState::Ready;
             self.log.add(ObservedEvent::Told {
                 node: handle.incarnation(),
                 engine: entry.endpoint.id.0,
@@ -531,38 +537,40 @@
         }
     }
 
-    /// Changes the list and tells all nodes at once.
+    /// Changes the listed state of an engine, and notifies all nodes one after the other.
     pub async fn notify_all_nodes(
         &self,
         engine: usize,
-        condition: EndpointState,
+        state: EndpointState,
         since: Option<Micros>,
     ) {
-        self.set_listed_state(engine, condition, since);
+        self.set_listed_state(engine, state, since);
         for node in 0..self.nodes() {
             self.notify_node(node, engine).await;
         }
     }
 
-    /// Takes a store's sight of what it showed to each node as the time at which the node was told.
+    /// Logs notifications of nodes at the time at which the store sends them, and keeps the store for
+    /// [`LocalCluster::with_store`].
     pub fn watch_store(self: &Arc<Self>, store: Store) {
         store.set_observer(self.store_observer());
         *self.store.lock().unwrap_or_else(PoisonError::into_inner) = Some(store);
     }
 
-    /// Notes what a store shows through a door for each node as what that node was told.
+    /// Returns an observer for a store that has one endpoint for each node. The observer logs what the store sends through an
+    /// endpoint as notifications of that node.
     pub fn store_observer(self: &Arc<Self>) -> Observer {
-        let scene = Arc::downgrade(self);
+        let cluster = Arc::downgrade(self);
         let known: Mutex<Vec<BTreeSet<u64>>> = Mutex::new(vec![BTreeSet::new(); self.nodes()]);
         Arc::new(move |door, shown| {
-            let Some((scene, mut known)) = scene.upgrade().zip(known.lock().ok()) else {
+            let Some((cluster, mut known)) = cluster.upgrade().zip(known.lock().ok()) else {
                 return;
             };
-            let (Some(node), Some(known)) = (scene.node(door), known.get_mut(door)) else {
+            let (Some(node), Some(known)) = (cluster.node(door), known.get_mut(door)) else {
                 return;
             };
             for (engine, ready) in notices(&shown, known) {
-                scene.log.add(ObservedEvent::Told {
+                cluster.log.add(ObservedEvent::Told {
                     node: node.incarnation(),
                     engine,
                     ready,
@@ -571,7 +579,7 @@
         })
     }
 
-    /// The store, where there is one.
+    /// Calls a function with the store, if there is one.
     pub fn with_store<T>(&self, act: impl FnOnce(&mut Store) -> T) -> Option<T> {
         self.store
             .lock()
@@ -580,48 +588,48 @@
             .map(act)
     }
 
-    /// A name for a call that no other has.
+    /// Returns a unique id for a call.
     pub fn call_id(&self) -> u64 {
         self.calls.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A connection to a node's door, opened if need be.
+    /// Returns a client that is connected to a node, and connects one if there is none.
     ///
     /// # Errors
-    /// When the node cannot be reached.
+    /// Fails if the node cannot be reached.
     pub async fn client(&self, node: usize) -> std::io::Result<Client> {
         let address = {
-            let place = self.place(node);
-            if let Some(client) = place.client.clone().filter(Client::usable) {
+            let slot = self.slot(node);
+            if let Some(client) = slot.client.clone().filter(Client::usable) {
                 return Ok(client);
             }
-            place.address
+            slot.address
         };
         let runtime: RuntimeRef = self.runtime.clone();
         let client = Client::connect(&runtime, &self.log, address).await?;
-        self.place(node).client = Some(client.clone());
+        self.slot(node).client = Some(client.clone());
         Ok(client)
     }
 
-    /// A request of a class for a node, with a name of its own.
+    /// Returns a request of a class for a node, with a unique id. `max_output_tokens` limits the answer.
     pub fn new_request(
         &self,
         node: usize,
         class: usize,
         prompt: Vec<u32>,
-        most: u32,
+        max_output_tokens: u32,
     ) -> ClientRequest {
         let call = self.call_id();
         let named = &self.make.settings.classes[class];
         let request = GenerateRequest {
             prompt,
-            max_output_tokens: most,
+            max_output_tokens,
             class: named.name.clone(),
             call_id: call,
             idempotency_key: format!("op-{call}"),
             ..GenerateRequest::default()
         };
-        let habit = ClientBehavior {
+        let behavior = ClientBehavior {
             client_timeout: named.settings.deadline,
             ..ClientBehavior::default()
         };
@@ -630,31 +638,31 @@
             operation: call,
             idempotency: call_idempotency(&named.settings),
             node,
-            behavior: habit,
+            behavior,
         }
     }
 
-    /// Sends a request and follows it to its end; `None` if the node cannot be reached.
-    pub async fn send(&self, ask: &ClientRequest) -> Option<ClientResult> {
-        Some(self.client(ask.node).await.ok()?.send(ask).await)
+    /// Sends a request and returns its result, or `None` if the node cannot be reached.
+    pub async fn send(&self, request: &ClientRequest) -> Option<ClientResult> {
+        Some(self.client(request.node).await.ok()?.send(request).await)
     }
 
-    /// The same; the client leaves as soon as `leave` is over.
+    /// Sends a request like [`LocalCluster::send`], but the client disconnects as soon as `disconnect` completes.
     pub async fn send_until(
         &self,
-        ask: &ClientRequest,
-        leave: impl Future<Output = ()>,
+        request: &ClientRequest,
+        disconnect: impl Future<Output = ()>,
     ) -> Option<ClientResult> {
         Some(
-            self.client(ask.node)
+            self.client(request.node)
                 .await
                 .ok()?
-                .send_until(ask, leave)
+                .send_until(request, disconnect)
                 .await,
         )
     }
 
-    /// What the auditor allows and asks for here.
+    /// Returns the limits that the rule checker applies to this cluster.
     pub fn limits(&self) -> RuleLimits {
         limits(
             &self.make.settings.router,
@@ -663,23 +671,23 @@
         )
     }
 
-    /// Waits until no node has anything in hand and no engine keeps anything for a request, for `span` at most.
-    pub async fn wait_until_idle(&self, span: Micros) {
-        let until = self.log.now().saturating_add(span);
+    /// Waits until no node has an open request and no engine has a reservation, but not longer than `timeout` microseconds.
+    pub async fn wait_until_idle(&self, timeout: Micros) {
+        let until = self.log.now().saturating_add(timeout);
         while self.log.now() < until {
             let open: usize = (0..self.nodes())
                 .filter_map(|n| self.node(n))
                 .map(|n| n.open_requests())
                 .sum();
-            let kept: usize = (0..self.engines()).map(|e| self.engine(e).retained()).sum();
-            if open + kept == 0 {
+            let reserved: usize = (0..self.engines()).map(|e| self.engine(e).retained()).sum();
+            if open + reserved == 0 {
                 break;
             }
             self.runtime.sleep(5_000).await;
         }
     }
 
-    /// Checks the rules on what was seen so far.
+    /// Checks the rules on the event log so far.
     pub fn audit(&self) -> RuleReport {
         check(&self.log.all(), &self.limits(), self.log.now())
     }
@@ -694,7 +702,8 @@
     }
 }
 
-/// What a store's showing tells of engines, and whether each may be sent new work; `known` are those it showed before.
+/// Returns the engines that a list or watch event of the store is about, and whether each may receive new work. `known` are
+/// the engines that the store has shown before; an engine that a list leaves out is no longer ready.
 pub(crate) fn notices(shown: &Shown<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
     let id = |key: &[u8]| {
         ivyward::registration::key_id(DEFAULT_ENGINE_PREFIX.as_bytes(), key).map(|id| id.0)
@@ -708,29 +717,29 @@
                 .iter()
                 .filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value))))
                 .collect();
-            let gone = known
+            let removed = known
                 .iter()
                 .filter(|e| !listed.contains_key(e))
                 .map(|e| (*e, false));
-            let told = gone
+            let notified = removed
                 .chain(listed.iter().map(|(e, ready)| (*e, *ready)))
                 .collect();
             *known = listed.into_keys().collect();
-            told
+            notified
         }
         Shown::Events(events) => {
             let kvs = events.iter().filter_map(|e| e.kv.as_ref());
-            // A deletion's record is empty, and so not ready.
-            let told: Vec<_> = kvs
+            // The value of a deletion is empty, so it does not parse as ready.
+            let notified: Vec<_> = kvs
                 .filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value))))
                 .collect();
-            known.extend(told.iter().map(|t| t.0));
-            told
+            known.extend(notified.iter().map(|t| t.0));
+            notified
         }
     }
 }
 
-/// The kind, as the node's settings count them, of what a stand-in does.
+/// Returns the machine type, as an index into the node's settings, for a fake engine's role.
 pub fn machine_type(role: Role) -> u8 {
     match role {
         Role::Prefill => 0,
@@ -739,18 +748,18 @@
     }
 }
 
-/// The names of the kinds, as flags have them.
+/// The names of the machine types in the daemon's flags.
 pub const ROLES: [&str; 3] = ["prefill", "decode", "mixed"];
 
-/// A stand-in engine as lists name it.
-pub fn list_entry(engine: &Engine, condition: EndpointState, started: Micros) -> Listed {
+/// Returns a fake engine's entry in an endpoint list.
+pub fn list_entry(engine: &Engine, state: EndpointState, started: Micros) -> Listed {
     let spec = engine.spec();
     let entry = Endpoint {
         id: EndpointId(spec.id),
         zone: 0,
         machine_type: machine_type(spec.role),
         rack: spec.rack,
-        state: condition,
+        state,
         weight: 1.0,
         started_at: started,
     };
@@ -760,11 +769,11 @@
     }
 }
 
-/// What the auditor allows and asks for, by the nodes' own rules.
+/// Returns the limits of the rule checker that follow from the nodes' settings.
 pub fn limits(rules: &Settings, flight: Micros, engines: &[EngineSpec]) -> RuleLimits {
     RuleLimits {
         flight,
-        notice_flight: flight.min(MOST_NOTICE_FLIGHT),
+        notice_flight: flight.min(MAX_NOTICE_FLIGHT),
         drain_grace: rules.drain_grace,
         overload_multiple: rules.overload_multiple,
         overload_window: rules.overload_window,
@@ -775,7 +784,7 @@
     }
 }
 
-/// Starts a daemon with the same settings, by its flags, and waits for its line that the door is open.
+/// Starts a daemon with the given settings as flags, and waits for the line with its address on standard output.
 fn daemon(
     path: &Path,
     settings: &NodeSettings,
@@ -797,17 +806,17 @@
     let out = child
         .stdout
         .take()
-        .ok_or_else(|| io(what())(std::io::Error::other("no output")))?;
+        .ok_or_else(|| io(what())(std::io::Error::other("standard output is not a pipe")))?;
     let mut line = String::new();
     std::io::BufRead::read_line(&mut std::io::BufReader::new(out), &mut line)
         .map_err(io(what()))?;
-    let told = line
+    let notified = line
         .trim()
         .strip_prefix("listening on ")
         .and_then(|a| a.parse().ok());
-    told.map(|address| (child, address)).ok_or_else(|| {
+    notified.map(|address| (child, address)).ok_or_else(|| {
         io(what())(std::io::Error::other(format!(
-            "it said {line:?} instead of its address"
+            "it wrote {line:?} instead of its address"
         )))
     })
 }
--- a/crates/ivyward-testbed/src/manual_cluster.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -1,4 +1,5 @@
-//! A fleet to try a daemon with: engines and a store on addresses of one's choice, faults by a line, and one request.
+//! Fake engines and a store for trying out a daemon: on addresses of the operator's choice, with faults injected by commands
+//! on standard input, and single requests.
 
 use crate::local_cluster::{machine_type, ROLES};
 use crate::registration;
@@ -15,72 +16,72 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What goes wrong by hand, in a line that names what to do.
+/// An error of a manual cluster. Its message names the flag or the command that caused it.
 #[derive(Debug, thiserror::Error)]
 pub enum ManualClusterError {
-    /// A port cannot be taken.
+    /// An address cannot be bound.
     #[error("--listen {address}: {error}")]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system.
         error: std::io::Error,
     },
-    /// A line on standard input that says nothing.
+    /// A line on standard input is not a command.
     #[error("{line:?}: {reason}; one of: drain, ready, hang, go, slow N, ill SHARE, lose SHARE, full SHARE, die, up, show")]
     Command {
-        /// The line.
+        /// The text of the line.
         line: String,
-        /// What is wrong with it.
+        /// Why the line is not a command.
         reason: String,
     },
-    /// The door cannot be reached, or said no.
+    /// The node cannot be reached, or the call failed.
     #[error("{0}")]
     Request(String),
 }
 
-/// What an engine is told by a line.
+/// A command for an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineCommand {
-    /// It takes nothing new, or does again.
+    /// Rejects new work, or accepts it again.
     Drain(bool),
-    /// It hangs, or goes on.
+    /// Hangs, or resumes.
     Hang(bool),
-    /// It works so many times as slowly.
+    /// Works more slowly by this factor, from 0 to 1000.
     Slow(f64),
-    /// It resets, loses answers or turns away this part of calls.
+    /// Resets calls, loses answers and rejects calls as full, each with this probability.
     FailCalls(f64),
-    /// It loses this part of its answers.
+    /// Loses answers with this probability.
     LoseAnswers(f64),
-    /// It turns away this part of calls as full.
+    /// Rejects calls as full with this probability.
     RejectAsFull(f64),
-    /// Its process dies: all connections are reset, all states are lost.
+    /// Crashes: all connections are reset and all KV states are lost.
     Crash,
-    /// It comes back, cold.
+    /// Restarts with an empty cache.
     Restart,
-    /// What it holds.
+    /// Reports the engine's state without a change.
     Show,
 }
 
-/// Reads a line.
+/// Parses a command.
 ///
 /// # Errors
-/// When it is no order; the message names all of them.
+/// [`ManualClusterError::Command`] if the line is not a command. The message lists all commands.
 pub fn parse_command(line: &str) -> Result<EngineCommand, ManualClusterError> {
     let bad = |reason: &str| ManualClusterError::Command {
         line: line.trim().into(),
         reason: reason.into(),
     };
-    let words: Vec<&str> = line.split_whitespace().collect();
-    let number = |most: f64| {
-        let text = words.get(1).ok_or_else(|| bad("a number is missing"))?;
+    let fields: Vec<&str> = line.split_whitespace().collect();
+    let number = |max: f64| {
+        let text = fields.get(1).ok_or_else(|| bad("a number is missing"))?;
         let value: f64 = text.parse().map_err(|_| bad("not a number"))?;
-        match (0.0..=most).contains(&value) {
+        match (0.0..=max).contains(&value) {
             true => Ok(value),
-            false => Err(bad(&format!("must be from 0 to {most}"))),
+            false => Err(bad(&format!("must be from 0 to {max}"))),
         }
     };
-    let order = match words.first().copied() {
+    let command = match fields.first().copied() {
         Some("drain") => EngineCommand::Drain(true),
         Some("ready") => EngineCommand::Drain(false),
         Some("hang") => EngineCommand::Hang(true),
@@ -95,8 +96,8 @@
         Some(_) => return Err(bad("not known")),
         None => return Err(bad("empty")),
     };
-    let takes = if matches!(
-        order,
+    let expected_fields = if matches!(
+        command,
         EngineCommand::Slow(_)
             | EngineCommand::FailCalls(_)
             | EngineCommand::LoseAnswers(_)
@@ -106,16 +107,16 @@
     } else {
         1
     };
-    match words.len() == takes {
-        true => Ok(order),
+    match fields.len() == expected_fields {
+        true => Ok(command),
         false => Err(bad("too many words")),
     }
 }
 
-/// Does what an engine is told; a line of what came of it.
-pub fn apply_command(engine: &mut Engine, order: EngineCommand) -> String {
+/// Applies a command to an engine, and returns a line with the engine's state.
+pub fn apply_command(engine: &mut Engine, command: EngineCommand) -> String {
     let id = engine.spec().id;
-    match order {
+    match command {
         EngineCommand::Drain(on) => engine.drain(on),
         EngineCommand::Hang(on) => engine.fault(|f| f.hang = on),
         EngineCommand::Slow(by) => engine.fault(|f| f.slow = by),
@@ -127,7 +128,10 @@
         EngineCommand::Crash => engine.crash(),
         EngineCommand::Restart => {
             if let Err(e) = engine.restart(true) {
-                return format!("engine {id} cannot come up at {}: {e}", engine.address());
+                return format!(
+                    "engine {id} cannot be restarted at {}: {e}",
+                    engine.address()
+                );
             }
         }
         EngineCommand::Show => {}
@@ -139,16 +143,16 @@
     )
 }
 
-/// A fleet that runs until its holder drops it.
+/// Running engines with an optional store. They end on drop.
 pub struct Fleet {
     engines: Vec<Mutex<Engine>>,
     store: Option<Store>,
-    /// The log's clock.
+    /// The runtime of the event log's clock.
     runtime: Arc<SmolRuntime>,
 }
 
-/// Specs of so many racks of one prefill, one mixed and two decode engines, at the pace of small models: 20,000 prompt
-/// tokens and 50 answer tokens a second.
+/// Returns the specifications of `count` racks, each of one prefill, one mixed and two decode engines, with the speed of
+/// small models: 20,000 prompt tokens and 50 answer tokens per second.
 pub fn rack_specs(count: u16) -> Vec<EngineSpec> {
     let specs = crate::local_cluster::fleet(count).into_iter();
     specs
@@ -162,10 +166,11 @@
 }
 
 impl Fleet {
-    /// Starts engines from a port on (0 for free ones), and a store with their records if its address is given.
+    /// Starts engines on consecutive ports from `port`, or on free ports if `port` is 0, and a store with their records if its
+    /// address is given.
     ///
     /// # Errors
-    /// When a port cannot be taken.
+    /// [`ManualClusterError::Listen`] if an address cannot be bound.
     pub fn start(
         specs: Vec<EngineSpec>,
         ip: IpAddr,
@@ -206,7 +211,7 @@
         Ok(fleet)
     }
 
-    /// The daemon's flags for it, a line each.
+    /// Returns the daemon's flags for these engines, one flag in each line.
     pub fn flags(&self) -> Vec<String> {
         if let Some(store) = &self.store {
             return vec![format!("--etcd-endpoint={}", store.address())];
@@ -227,10 +232,10 @@
             .collect()
     }
 
-    /// Follows a line: an order, after the engine's id where there are several.
+    /// Parses a line and applies the command to an engine. With several engines, the engine's id precedes the command.
     ///
     /// # Errors
-    /// When it is none.
+    /// [`ManualClusterError::Command`] if the line is not a command or names no engine.
     pub fn apply_command(&self, line: &str) -> Result<String, ManualClusterError> {
         let (id, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
         let bad = |reason: String| ManualClusterError::Command {
@@ -240,26 +245,26 @@
         let (engine, text) = match (&self.engines[..], id.parse::<u64>()) {
             ([one], Err(_)) => (one, line),
             (all, Ok(id)) => {
-                let this = |e: &&Mutex<Engine>| {
+                let has_id = |e: &&Mutex<Engine>| {
                     e.lock().unwrap_or_else(PoisonError::into_inner).spec().id == id
                 };
                 (
                     all.iter()
-                        .find(this)
+                        .find(has_id)
                         .ok_or_else(|| bad(format!("there is no engine {id}")))?,
                     rest,
                 )
             }
             (_, Err(_)) => return Err(bad("the engine's id comes first".into())),
         };
-        let order = parse_command(text)?;
+        let command = parse_command(text)?;
         Ok(apply_command(
             &mut engine.lock().unwrap_or_else(PoisonError::into_inner),
-            order,
+            command,
         ))
     }
 
-    /// Follows lines from standard input; when that ends, it goes on until the process is ended.
+    /// Applies commands from standard input. After the end of the input, the engines continue until the process ends.
     pub fn run_commands_from_stdin(&self) -> ! {
         for line in std::io::stdin().lock().lines() {
             let Ok(line) = line else { break };
@@ -267,7 +272,7 @@
                 continue;
             }
             match self.apply_command(&line) {
-                Ok(said) => println!("{said}"),
+                Ok(reply) => println!("{reply}"),
                 Err(e) => eprintln!("ivyward-testbed: {e}"),
             }
         }
@@ -277,13 +282,13 @@
     }
 }
 
-/// The engines register themselves, under leases of so many seconds.
+/// Has the engines register themselves in etcd, under leases of `seconds` that they keep alive.
 pub fn keep_engines_registered(fleet: &Fleet, endpoints: &[SocketAddr], seconds: i64) {
     for engine in &fleet.engines {
         let engine = engine.lock().unwrap_or_else(PoisonError::into_inner);
-        let told = |kept| {
-            if let ivyward_etcd::LeaseEvent::Failed(e) = kept {
-                eprintln!("ivyward-testbed: {e}; tried again");
+        let on_event = |event| {
+            if let ivyward_etcd::LeaseEvent::Failed(e) = event {
+                eprintln!("ivyward-testbed: {e}; retrying");
             }
         };
         registration::keep_registered(
@@ -291,17 +296,18 @@
             endpoints.to_vec(),
             seconds,
             fleet.runtime.unix_micros() / 1_000,
-            told,
+            on_event,
         );
     }
 }
 
-/// Sends one request to a door, writes tokens as they come, and tells its end in words; whether it was served.
+/// Sends one request to a node and writes the tokens to `out` as they arrive. Returns whether the request was served, and a
+/// description of its outcome.
 ///
 /// # Errors
-/// When the door cannot be reached or does not speak gRPC.
+/// [`ManualClusterError::Request`] if the node cannot be reached or does not speak gRPC.
 pub fn send_request(
-    door: SocketAddr,
+    address: SocketAddr,
     request: GenerateRequest,
     client_timeout: std::time::Duration,
     out: &mut impl Write,
@@ -309,32 +315,32 @@
     let runtime = SmolRuntime::start(1, 1);
     let as_ref: RuntimeRef = runtime.clone();
     runtime.block_on(async {
-        let error = |what: &str, e: &dyn std::fmt::Display| ManualClusterError::Request(format!("{door}: {what}: {e}"));
+        let error = |what: &str, e: &dyn std::fmt::Display| ManualClusterError::Request(format!("{address}: {what}: {e}"));
         let began = runtime.now();
-        let conn = as_ref.connect(door).await.map_err(|e| error("cannot connect", &e))?;
+        let conn = as_ref.connect(address).await.map_err(|e| error("cannot connect", &e))?;
         let channel = Channel::begin(&as_ref, conn, Options::default())
             .await
-            .map_err(|e| error("no HTTP/2 spoken", &e))?;
+            .map_err(|e| error("no HTTP/2 connection", &e))?;
         let headers = deadline(client_timeout.as_micros() as u64);
         let mut call = channel
             .call(GENERATE, encode(&request), headers)
             .await
-            .map_err(|e| error("the call broke", &e))?;
+            .map_err(|e| error("the call failed", &e))?;
         let ms = || (runtime.now() - began) as f64 / 1e3;
         let (mut tokens, mut first) = (0, None);
         let end = loop {
             let next = async { Some(call.next::<Tokens>().await) };
-            let late = async {
+            let timeout = async {
                 runtime.sleep_until(began + client_timeout.as_micros() as u64).await;
                 None
             };
-            match or(next, late).await {
-                None => break (false, format!("given up after {:.1} ms", ms())),
-                Some(Ok(Some(run))) => {
+            match or(next, timeout).await {
+                None => break (false, format!("timed out after {:.1} ms", ms())),
+                Some(Ok(Some(batch))) => {
                     first.get_or_insert(ms());
-                    tokens += run.ids.len();
-                    let text: Vec<String> = run.ids.iter().map(u32::to_string).collect();
-                    // Whoever reads may have left; the answer goes on all the same.
+                    tokens += batch.ids.len();
+                    let text: Vec<String> = batch.ids.iter().map(u32::to_string).collect();
+                    // The reader of the output may have closed it; the request continues.
                     let _ = write!(out, "{} ", text.join(" ")).and_then(|()| out.flush());
                 }
                 Some(Ok(None)) => {
@@ -348,14 +354,14 @@
                     );
                 }
                 Some(Err(e)) => {
-                    let Cause::Status(status) = &e.cause else { break (false, format!("broken: {e}")) };
-                    let (outcome, back) = final_metadata(&status.metadata);
+                    let Cause::Status(status) = &e.cause else { break (false, format!("failed: {e}")) };
+                    let (outcome, pushback) = final_metadata(&status.metadata);
                     let outcome = outcome.unwrap_or("ended");
-                    let again = match back {
-                        Some(ms) if ms >= 0 => format!("; come back in {ms} ms"),
+                    let retry = match pushback {
+                        Some(ms) if ms >= 0 => format!("; retry after {ms} ms"),
                         _ => String::new(),
                     };
-                    break (false, format!("{outcome} after {:.1} ms and {tokens} tokens: {e}{again}", ms()));
+                    break (false, format!("{outcome} after {:.1} ms and {tokens} tokens: {e}{retry}", ms()));
                 }
             }
         };
