--- a/crates/ivyward-platform/src/engine/endpoint.rs
+++ b/crates/ivyward-platform/src/engine/endpoint.rs
@@ -8,7 +8,7 @@
 use ivyward::core::connection_reuse::ReusePolicy;
 use ivyward::core::interface::{LoadReport, Micros};
 use ivyward::engines::connect::{connect, ConnectFailure, Connected};
-use ivyward::runtime::before;
+use ivyward::runtime::timeout_at;
 use ivyward::Engine;
 use ivyward_http1::head;
 use std::net::SocketAddr;
@@ -167,16 +167,16 @@
             let body = read_response_body(&mut connection, &head, &LIMITS).await;
             Ok((head, body))
         };
-        let Some(exchange) = before(&self.pool.runtime, until, exchange).await else {
+        let Some(exchange) = timeout_at(&self.pool.runtime, until, exchange).await else {
             self.record_failure();
             return Err(CallError::TimedOut(self.endpoint.address));
         };
         let (head, body) = exchange?;
-        let mut report = self.load_report(head.head.text("x-server-load"));
+        let mut report = self.load_report(head.headers.text("x-server-load"));
         if let Some(body) = body.as_deref().filter(|_| report.len == 0) {
             report = self.load_report(std::str::from_utf8(body).ok());
         }
-        self.return_connection(connection, body.is_some() && head.head.keeps());
+        self.return_connection(connection, body.is_some() && head.headers.is_keep_alive());
         Ok(CallResponse {
             status: head.status,
             report,
--- a/crates/ivyward-platform/tests/clients.rs
+++ b/crates/ivyward-platform/tests/clients.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward::runtime::{before, Conn, RuntimeExt};
+use ivyward::runtime::{timeout_at, Conn, RuntimeExt};
 
 /// Returns a valid request in which `from` is replaced by `to`.
 fn modified_request(from: &str, to: &str) -> Vec<u8> {
@@ -110,9 +110,9 @@
                 response.status
             );
             assert!(
-                response.at - begun < 3_000_000,
+                response.ended_at - begun < 3_000_000,
                 "{defect}: {} us",
-                response.at - begun
+                response.ended_at - begun
             );
             if !matches!(defect, "empty request" | "incomplete head") {
                 assert!(response.status >= 400, "{defect}: closed without an error");
@@ -171,7 +171,7 @@
         .await;
         assert_eq!(cluster.send_request("same", "send").await.status, 409);
         let response = read_response(&cluster.client, &mut first).await;
-        assert_eq!((response.status, response.whole), (200, true));
+        assert_eq!((response.status, response.complete), (200, true));
         assert_eq!(cluster.attempts("same").len(), 2, "one prefill, one decode");
         // After the response the id may be used again.
         assert_eq!(cluster.send_request("same", "send").await.status, 200);
@@ -214,7 +214,7 @@
         let mut open = 0;
         for conn in &mut silent {
             let mut byte = [0];
-            let ended = before(
+            let ended = timeout_at(
                 &cluster.client,
                 cluster.client.now() + 1,
                 conn.read(&mut byte),
@@ -230,7 +230,7 @@
         cluster.client.sleep(2_500_000).await;
         for conn in &mut silent {
             let mut byte = [0];
-            assert!(before(
+            assert!(timeout_at(
                 &cluster.client,
                 cluster.client.now() + 1,
                 conn.read(&mut byte)
@@ -271,7 +271,7 @@
         drop(done);
         let mut served = 0;
         while let Ok((id, response)) = responses.recv().await {
-            served += usize::from(response.status == 200 && response.whole);
+            served += usize::from(response.status == 200 && response.complete);
             if response.status == 503 {
                 assert!(
                     cluster.attempts(&id).is_empty(),
@@ -279,7 +279,7 @@
                 );
             }
             assert!(
-                response.status != 200 || response.whole,
+                response.status != 200 || response.complete,
                 "{id} was truncated"
             );
         }
@@ -297,7 +297,7 @@
         conn.write_all(&both).await.unwrap();
         for _ in 0..2 {
             let response = read_response(&cluster.client, &mut conn).await;
-            assert_eq!((response.status, response.whole), (200, true));
+            assert_eq!((response.status, response.complete), (200, true));
         }
         assert_eq!(cluster.attempts("b").len(), 2);
     });
@@ -355,9 +355,9 @@
             response.status
         );
         assert!(
-            response.at - begun <= 2_010_000,
+            response.ended_at - begun <= 2_010_000,
             "{} us",
-            response.at - begun
+            response.ended_at - begun
         );
         let attempts = cluster.attempts("one").len();
         cluster.runtime.sleep(5_000_000).await;
@@ -417,7 +417,7 @@
             true => EngineBehavior::RespondAfterFirstEvent(rest.clone().into_bytes()),
             false => EngineBehavior::Normal,
         });
-        setup.sim.net(|net| net.buffer = 2 << 10);
+        setup.sim.update_network(|net| net.buffer_bytes = 2 << 10);
         setup.run(move |cluster| async move {
             let mut conn = cluster.connect().await;
             conn.write_all(&request("slow", "send", 4_800))
@@ -467,7 +467,7 @@
             }
         });
         let bound = setup.config().bounds.client_connections;
-        setup.sim.net(|net| net.jitter = 0);
+        setup.sim.update_network(|net| net.jitter = 0);
         let (sim, node) = (setup.sim.clone(), setup.node.id());
         setup.run(move |cluster| async move {
             let mut first = cluster.connect().await;
@@ -478,7 +478,7 @@
             let (client, address) = (cluster.client.clone(), cluster.address);
             let (done, connected) = async_channel::bounded(1);
             // The node is paused, so that it finds the request and the new connection at the same time.
-            sim.freeze(node, true);
+            sim.set_paused(node, true);
             let (sender, resumer) = (cluster.client.clone(), cluster.client.clone());
             cluster.client.run(async move {
                 sender.sleep(offset).await;
@@ -497,7 +497,7 @@
             });
             cluster.client.run(async move {
                 resumer.sleep(2_000).await;
-                sim.freeze(node, false);
+                sim.set_paused(node, false);
             });
             let _connection = connected.recv().await.unwrap();
             let begun = cluster.client.now();
--- a/crates/ivyward-platform/tests/delivery_guarantees.rs
+++ b/crates/ivyward-platform/tests/delivery_guarantees.rs
@@ -5,7 +5,7 @@
 use common::*;
 use futures_lite::AsyncWriteExt;
 use ivyward::core::interface::Micros;
-use ivyward::runtime::{before, RuntimeExt, RuntimeRef};
+use ivyward::runtime::{timeout_at, RuntimeExt, RuntimeRef};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -91,7 +91,7 @@
         .await
         .unwrap();
     let response = match disconnects {
-        true => before(&client, sent + 150_000, read_response(&client, &mut conn)).await,
+        true => timeout_at(&client, sent + 150_000, read_response(&client, &mut conn)).await,
         false => Some(read_response(&client, &mut conn).await),
     };
     drop(conn);
@@ -111,7 +111,7 @@
     if let Some(response) = &record.response {
         assert_ne!(response.status, 0, "{id}: no response");
         if response.status != 200 {
-            let took = response.at - record.sent;
+            let took = response.ended_at - record.sent;
             assert!(
                 took <= record.timeout + TOLERANCE,
                 "{id}: response after {took} us, timeout {} us",
@@ -211,7 +211,7 @@
         let is_broken = record
             .response
             .as_ref()
-            .is_some_and(|response| response.status == 200 && !response.whole);
+            .is_some_and(|response| response.status == 200 && !response.complete);
         counts.broken += usize::from(is_broken);
         counts.rejected += usize::from(record.is_rejected());
         counts.retried += usize::from(decodes.len() > 1);
--- a/crates/ivyward-platform/tests/engines.rs
+++ b/crates/ivyward-platform/tests/engines.rs
@@ -14,7 +14,7 @@
     ClusterSetup::new(|_| EngineBehavior::Normal).run(|cluster| async move {
         for id in ["one", "two"] {
             let response = cluster.send_request(id, "draft").await;
-            assert_eq!((response.status, response.whole), (200, true));
+            assert_eq!((response.status, response.complete), (200, true));
             assert_eq!(String::from_utf8(response.body).unwrap(), SERVED_EVENTS);
             let attempts = cluster.attempts(id);
             assert_eq!(attempts.len(), 2, "{attempts:?}");
@@ -122,8 +122,8 @@
         }
         let other = 5 - received.engine;
         let (sim, node, engines) = script_network.get().unwrap();
-        sim.cut(*node, engines[other], true);
-        sim.cut(engines[other], *node, true);
+        sim.set_partitioned(*node, engines[other], true);
+        sim.set_partitioned(engines[other], *node, true);
         partitioned_engine.set(other).unwrap();
         EngineBehavior::RespondAndClose(Vec::new())
     });
@@ -194,7 +194,7 @@
                 let (idempotent, non_idempotent) = (format!("safe{n}"), format!("once{n}"));
                 let response = cluster.send_request(&idempotent, "draft").await;
                 assert_eq!(
-                    (response.status, response.whole),
+                    (response.status, response.complete),
                     (200, true),
                     "response {i}"
                 );
@@ -247,7 +247,11 @@
         setup.run(move |cluster| async move {
             for n in 0..4 {
                 let response = cluster.send_request(&format!("r{n}"), "send").await;
-                assert_eq!((response.status, response.whole), (200, true), "{status}");
+                assert_eq!(
+                    (response.status, response.complete),
+                    (200, true),
+                    "{status}"
+                );
             }
             assert!(
                 cluster
@@ -288,7 +292,7 @@
         setup.run(move |cluster| async move {
             let response = cluster.send_request("one", "draft").await;
             assert_eq!(
-                (response.status, response.whole),
+                (response.status, response.complete),
                 (200, false),
                 "{malformed:?}"
             );
@@ -297,9 +301,9 @@
                 "{malformed:?}"
             );
             assert!(
-                response.at - response.last < 5_000_000,
+                response.ended_at - response.last_data_at < 5_000_000,
                 "{malformed:?}: the stream ended {} us after its last byte",
-                response.at - response.last
+                response.ended_at - response.last_data_at
             );
             cluster.runtime.sleep(1_000_000).await;
             assert_eq!(
@@ -355,7 +359,7 @@
                 let id = format!("r{n}");
                 let response = cluster.send_request(&id, "draft").await;
                 assert_eq!(
-                    (response.status, response.whole, response.body.as_slice()),
+                    (response.status, response.complete, response.body.as_slice()),
                     (200, true, SERVED_EVENTS.as_bytes())
                 );
                 connections.extend(
@@ -418,7 +422,9 @@
             false => EngineBehavior::Normal,
         }
     });
-    setup.sim.lag(setup.node.id(), setup.engines[0].id(), 1_500);
+    setup
+        .sim
+        .set_extra_latency(setup.node.id(), setup.engines[0].id(), 1_500);
     setup.run(|cluster| async move {
         let mut abandoned = 0;
         for n in 0..40 {
@@ -457,7 +463,7 @@
         for decode_engine in 2..4 {
             setup
                 .sim
-                .cut(setup.node.id(), setup.engines[decode_engine].id(), true);
+                .set_partitioned(setup.node.id(), setup.engines[decode_engine].id(), true);
         }
         setup.run(move |cluster| async move {
             let response = cluster.send_request("one", class).await;
@@ -593,7 +599,7 @@
         cluster.runtime.sleep(20_000).await;
         for n in 0..12 {
             let response = cluster.send_request(&format!("r{n}"), "send").await;
-            assert_eq!((response.status, response.whole), (200, true), "r{n}");
+            assert_eq!((response.status, response.complete), (200, true), "r{n}");
             cluster.runtime.sleep(2_000_000).await;
         }
         assert!(
@@ -624,7 +630,7 @@
         for n in 0..60 {
             let (id, class) = (format!("r{n}"), if n % 3 == 0 { "send" } else { "draft" });
             let response = cluster.send_request(&id, class).await;
-            assert_eq!((response.status, response.whole), (200, true), "{id}");
+            assert_eq!((response.status, response.complete), (200, true), "{id}");
             attempts += cluster.attempts(&id).len();
             cluster.runtime.sleep(250_000).await;
         }
--- a/crates/ivyward-platform/tests/local_errors.rs
+++ b/crates/ivyward-platform/tests/local_errors.rs
@@ -5,7 +5,8 @@
 use common::{request, ClusterSetup, EngineBehavior, EngineRequest};
 use futures_lite::AsyncWriteExt;
 use ivyward::runtime::{
-    BorrowedFuture, BoxFuture, Conn, Datagrams, Listener, Micros, Runtime, RuntimeExt, RuntimeRef,
+    BorrowedFuture, BoxFuture, Conn, DatagramSocket, Listener, Micros, Runtime, RuntimeExt,
+    RuntimeRef,
 };
 use ivyward_platform::Service;
 use std::io;
@@ -64,8 +65,8 @@
             has_failed: false,
         }))
     }
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        self.runtime.datagrams(at)
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn DatagramSocket>> {
+        self.runtime.bind_datagram(at)
     }
     fn random(&self) -> u64 {
         self.runtime.random()
@@ -148,7 +149,7 @@
         for (n, conn) in queued.iter_mut().enumerate() {
             let response = common::read_response(&client, conn).await;
             assert_eq!(
-                (response.status, response.whole),
+                (response.status, response.complete),
                 (200, true),
                 "request {n} of the queue"
             );
@@ -182,7 +183,7 @@
                 .unwrap();
             let response = common::read_response(&client, &mut conn).await;
             assert_eq!(
-                (response.status, response.whole),
+                (response.status, response.complete),
                 (200, true),
                 "request {n}"
             );
--- a/crates/ivyward-testbed/src/cluster/links.rs
+++ b/crates/ivyward-testbed/src/cluster/links.rs
@@ -2,7 +2,9 @@
 
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ivyward_runtime::{Conn, Datagrams, Listener, Micros, RuntimeExt, RuntimeRef, MOST_DATAGRAM};
+use ivyward_runtime::{
+    Conn, DatagramSocket, Listener, Micros, RuntimeExt, RuntimeRef, MAX_DATAGRAM_BYTES,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -134,12 +136,12 @@
 pub async fn relay_datagrams(
     runtime: RuntimeRef,
     links: Links,
-    mut socket: Box<dyn Datagrams>,
+    mut socket: Box<dyn DatagramSocket>,
     node: usize,
     to: SocketAddr,
 ) {
     let mut queued: BTreeMap<(Micros, u64), Vec<u8>> = BTreeMap::new();
-    let (mut bytes, mut count) = ([0u8; MOST_DATAGRAM + 1], 0);
+    let (mut bytes, mut count) = ([0u8; MAX_DATAGRAM_BYTES + 1], 0);
     let me = End::Node(node);
     loop {
         let due = queued
@@ -167,7 +169,7 @@
                     }
                 };
                 let fault = links.fault(from, me);
-                let occurs = |share: f64| runtime.unit() < share;
+                let occurs = |share: f64| runtime.random_f64() < share;
                 let lost = fault.cut || occurs(fault.lose) || queued.len() >= MAX_QUEUED_DATAGRAMS;
                 {
                     let mut state = links.lock();
@@ -177,13 +179,13 @@
                 if lost {
                     continue;
                 }
-                let jitter = (runtime.unit() * fault.jitter_ms as f64 * 1e3) as Micros;
+                let jitter = (runtime.random_f64() * fault.jitter_ms as f64 * 1e3) as Micros;
                 let at = runtime.now() + fault.delay_ms * 1_000 + jitter;
                 count += 1;
                 queued.insert((at, count), bytes[..got].to_vec());
                 if occurs(fault.repeat) {
                     count += 1;
-                    let again = at + (runtime.unit() * 1e6) as Micros;
+                    let again = at + (runtime.random_f64() * 1e6) as Micros;
                     queued.insert((again, count), bytes[..got].to_vec());
                 }
             }
--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -18,7 +18,7 @@
 use ivyward::core::interface::Settings;
 use ivyward::registration::State;
 use ivyward::NodeSettings;
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::event_log::ObservedEvent;
 use ivyward_fakes::{check, Engine, EngineSpec, EventLog, Host, Role, RuleReport};
@@ -136,7 +136,8 @@
         // The relays of hundreds of processes need more than one core, and a late relay would look like a late node.
         let runtime = SmolRuntime::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
         let as_ref: RuntimeRef = runtime.clone();
-        let (log, host): (EventLog, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
+        let (log, host): (EventLog, Arc<dyn Host>) =
+            (EventLog::new(&as_ref), Arc::new(ThreadPerProcess));
         let rules = Settings {
             replica_count: size.nodes as u32,
             ..settings().router
@@ -186,13 +187,19 @@
         let runtime: RuntimeRef = self.runtime.clone();
         let mut relays = Vec::new();
         for _ in 0..self.size.nodes {
-            relays.push(runtime.datagrams(local()).map_err(io("opening a relay"))?);
+            relays.push(
+                runtime
+                    .bind_datagram(local())
+                    .map_err(io("opening a relay"))?,
+            );
         }
         let announced: Vec<SocketAddr> = relays.iter().map(|d| d.address()).collect();
         let mut reserved_ports = Vec::new();
         for (node, relay) in relays.into_iter().enumerate() {
             // Finds a free port, which the node binds later.
-            let socket = runtime.datagrams(local()).map_err(io("finding a port"))?;
+            let socket = runtime
+                .bind_datagram(local())
+                .map_err(io("finding a port"))?;
             let real = socket.address();
             // The sockets stay open until all ports are found; otherwise the same port could be found twice.
             reserved_ports.push(socket);
@@ -326,7 +333,7 @@
     /// Kills a node (SIGKILL).
     pub fn kill_node(&mut self, node: usize) {
         if let Some(process) = self.nodes[node].process.take() {
-            self.log.add(ObservedEvent::Killed {
+            self.log.add(ObservedEvent::NodeKilled {
                 node,
                 run: process.incarnation,
             });
--- a/crates/ivyward-testbed/src/cluster/play.rs
+++ b/crates/ivyward-testbed/src/cluster/play.rs
@@ -127,11 +127,11 @@
             runtime.clone().run(async move {
                 // Spreads the clients' first calls.
                 runtime
-                    .sleep((runtime.unit() * 20.0 * pause as f64) as Micros)
+                    .sleep((runtime.random_f64() * 20.0 * pause as f64) as Micros)
                     .await;
                 let mut client: Option<Client> = None;
                 while !stop_requested.load(Ordering::SeqCst) {
-                    if client.as_ref().is_none_or(|c| !c.usable()) {
+                    if client.as_ref().is_none_or(|c| !c.is_usable()) {
                         client = Client::connect(&runtime, &log, address).await.ok();
                     }
                     if let Some(client) = &client {
@@ -217,8 +217,8 @@
             load.made.load(Ordering::SeqCst),
             load.served.load(Ordering::SeqCst),
         ),
-        rules_satisfied: audit.kept(),
-        violations: audit.broken(),
+        rules_satisfied: audit.rules_passed(),
+        violations: audit.violations(),
     })
 }
 
--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -10,7 +10,7 @@
 use ivyward::recording::{RecordingError, RecordingReader};
 use ivyward::registration::{Record, State, DEFAULT_ENGINE_PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::{Observer, Shown, Store};
 use ivyward_fakes::event_log::{CallIdempotency, KeyScope};
 use ivyward_fakes::{
@@ -289,7 +289,7 @@
         let runtime = SmolRuntime::start(2, self.seed);
         let as_ref: RuntimeRef = runtime.clone();
         let log = EventLog::new(&as_ref);
-        let host: Arc<dyn Host> = Arc::new(OwnThreads);
+        let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
         let mut engines = Vec::new();
         for spec in &self.engines {
             engines.push(Mutex::new(
@@ -463,12 +463,12 @@
             Some(Process::Inside(runtime, node)) => {
                 let run = node.incarnation();
                 // Logged before and after, so that failures during the kill are attributed to it.
-                self.log.add(ObservedEvent::Killed { node: i, run });
+                self.log.add(ObservedEvent::NodeKilled { node: i, run });
                 runtime.stop();
                 run
             }
             Some(Process::Daemon(mut child)) => {
-                self.log.add(ObservedEvent::Killed { node: i, run: 0 });
+                self.log.add(ObservedEvent::NodeKilled { node: i, run: 0 });
                 // The process may have ended already.
                 let _ = child.kill();
                 let _ = child.wait();
@@ -476,7 +476,7 @@
             }
             None => return,
         };
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         self.slot(i).client = None;
     }
 
@@ -529,7 +529,7 @@
         );
         if took.await {
             let ready = state == EndpointState::Ready;
-            self.log.add(ObservedEvent::Told {
+            self.log.add(ObservedEvent::NodeNotified {
                 node: handle.incarnation(),
                 engine: entry.endpoint.id.0,
                 ready,
@@ -570,7 +570,7 @@
                 return;
             };
             for (engine, ready) in notices(&shown, known) {
-                cluster.log.add(ObservedEvent::Told {
+                cluster.log.add(ObservedEvent::NodeNotified {
                     node: node.incarnation(),
                     engine,
                     ready,
@@ -600,7 +600,7 @@
     pub async fn client(&self, node: usize) -> std::io::Result<Client> {
         let address = {
             let slot = self.slot(node);
-            if let Some(client) = slot.client.clone().filter(Client::usable) {
+            if let Some(client) = slot.client.clone().filter(Client::is_usable) {
                 return Ok(client);
             }
             slot.address
@@ -679,7 +679,9 @@
                 .filter_map(|n| self.node(n))
                 .map(|n| n.open_requests())
                 .sum();
-            let reserved: usize = (0..self.engines()).map(|e| self.engine(e).retained()).sum();
+            let reserved: usize = (0..self.engines())
+                .map(|e| self.engine(e).retained_count())
+                .sum();
             if open + reserved == 0 {
                 break;
             }
@@ -772,8 +774,8 @@
 /// Returns the limits of the rule checker that follow from the nodes' settings.
 pub fn limits(rules: &Settings, flight: Micros, engines: &[EngineSpec]) -> RuleLimits {
     RuleLimits {
-        flight,
-        notice_flight: flight.min(MAX_NOTICE_FLIGHT),
+        delivery_allowance: flight,
+        notification_allowance: flight.min(MAX_NOTICE_FLIGHT),
         drain_grace: rules.drain_grace,
         overload_multiple: rules.overload_multiple,
         overload_window: rules.overload_window,
--- a/crates/ivyward-testbed/src/manual_cluster.rs
+++ b/crates/ivyward-testbed/src/manual_cluster.rs
@@ -6,7 +6,7 @@
 use futures_lite::future::or;
 use ivyward::registration::State;
 use ivyward_fakes::client::{deadline, final_metadata, GENERATE};
-use ivyward_fakes::engine::OwnThreads;
+use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
 use ivyward_fakes::{Engine, EngineSpec, EventLog, Host};
 use ivyward_grpc::{encode, Cause, Channel, Options};
@@ -117,14 +117,14 @@
 pub fn apply_command(engine: &mut Engine, command: EngineCommand) -> String {
     let id = engine.spec().id;
     match command {
-        EngineCommand::Drain(on) => engine.drain(on),
+        EngineCommand::Drain(on) => engine.set_draining(on),
         EngineCommand::Hang(on) => engine.fault(|f| f.hang = on),
-        EngineCommand::Slow(by) => engine.fault(|f| f.slow = by),
+        EngineCommand::Slow(by) => engine.fault(|f| f.slowdown = by),
         EngineCommand::FailCalls(share) => {
-            engine.fault(|f| (f.reset, f.lose_answer, f.full) = (share, share, share))
+            engine.fault(|f| (f.reset, f.lose_answer, f.reject) = (share, share, share))
         }
         EngineCommand::LoseAnswers(share) => engine.fault(|f| f.lose_answer = share),
-        EngineCommand::RejectAsFull(share) => engine.fault(|f| f.full = share),
+        EngineCommand::RejectAsFull(share) => engine.fault(|f| f.reject = share),
         EngineCommand::Crash => engine.crash(),
         EngineCommand::Restart => {
             if let Err(e) = engine.restart(true) {
@@ -139,7 +139,7 @@
     let state = if engine.is_running() { "up" } else { "down" };
     format!(
         "engine {id} is {state} and keeps {} states and places",
-        engine.retained()
+        engine.retained_count()
     )
 }
 
@@ -157,9 +157,9 @@
     let specs = crate::local_cluster::fleet(count).into_iter();
     specs
         .map(|spec| EngineSpec {
-            read_rate: 20_000.0,
-            fetch_rate: 200_000.0,
-            token_gap: 20_000,
+            prefill_rate: 20_000.0,
+            kv_fetch_rate: 200_000.0,
+            token_interval: 20_000,
             ..spec
         })
         .collect()
@@ -179,7 +179,7 @@
     ) -> Result<Fleet, ManualClusterError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
-        let (log, host): (_, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(OwnThreads));
+        let (log, host): (_, Arc<dyn Host>) = (EventLog::new(&as_ref), Arc::new(ThreadPerProcess));
         let mut engines = Vec::new();
         for (i, spec) in specs.into_iter().enumerate() {
             let port = if port == 0 {
--- a/crates/ivyward-testbed/src/registration.rs
+++ b/crates/ivyward-testbed/src/registration.rs
@@ -42,7 +42,7 @@
     on_event: impl FnMut(LeaseEvent) + Send + 'static,
 ) {
     let (key, record) = record(engine, State::Ready, started_ms);
-    engine.spawn_beside(move |runtime| {
+    engine.spawn_in_process(move |runtime| {
         Box::pin(async move {
             let client = Client::new(&runtime, endpoints, EtcdOptions::default());
             client
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -115,9 +115,9 @@
                 None => return,
             }
         };
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         self.sim.kill(host, true);
-        self.log.add(ObservedEvent::Killed { node: i, run });
+        self.log.add(ObservedEvent::NodeKilled { node: i, run });
         lock(&self.shown_engines)[i].clear();
     }
 
@@ -155,7 +155,7 @@
                     recent.retain(|n| n.0 + MAX_TRANSIT >= now);
                     recent.push((now, node, engine));
                 }
-                cluster.log.add(ObservedEvent::Told {
+                cluster.log.add(ObservedEvent::NodeNotified {
                     node,
                     engine,
                     ready,
@@ -167,7 +167,7 @@
     pub(super) async fn client(&self, i: usize) -> Option<Client> {
         let address = {
             let slot = lock(&self.node_slots[i]);
-            if let Some(client) = slot.client.clone().filter(Client::usable) {
+            if let Some(client) = slot.client.clone().filter(Client::is_usable) {
                 return Some(client);
             }
             slot.node.as_ref()?;
@@ -175,7 +175,7 @@
         };
         let connecting = Client::connect_with(&self.runtime, &self.log, address, CLIENT_WINDOW);
         let until = self.runtime.now() + 500_000;
-        let client = ivyward_runtime::before(&self.runtime, until, connecting)
+        let client = ivyward_runtime::timeout_at(&self.runtime, until, connecting)
             .await?
             .ok()?;
         lock(&self.node_slots[i]).client = Some(client.clone());
--- a/crates/ivyward-testbed/src/simulation/coincidences.rs
+++ b/crates/ivyward-testbed/src/simulation/coincidences.rs
@@ -33,9 +33,9 @@
     let (mut reserved, mut dead, mut draining) =
         (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     let mut counts = [0u64; 9];
-    for LoggedEvent { at, what } in log {
+    for LoggedEvent { at, event: what } in log {
         match *what {
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
@@ -43,7 +43,7 @@
                 notices.push((*at, node, engine));
                 draining.insert(engine);
             }
-            ObservedEvent::Told {
+            ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
@@ -51,16 +51,18 @@
                 returns.push((*at, node, engine));
                 draining.remove(&engine);
             }
-            ObservedEvent::Arrived { key, .. } if key.attempt >= 2 => retries.push((*at, key.node)),
+            ObservedEvent::AttemptArrived { key, .. } if key.attempt >= 2 => {
+                retries.push((*at, key.node))
+            }
             ObservedEvent::Retained { key, .. } => drop(reserved.insert(key)),
             ObservedEvent::Released { key, .. } => drop(reserved.remove(&key)),
-            ObservedEvent::Killed { run, .. } => {
+            ObservedEvent::NodeKilled { run, .. } => {
                 counts[3] += u64::from(reserved.iter().any(|k| k.node == run))
             }
-            ObservedEvent::Began { call } => drop(first_tokens.insert(call, *at)),
-            ObservedEvent::ClientOutcome {
+            ObservedEvent::FirstTokenReceived { call } => drop(first_tokens.insert(call, *at)),
+            ObservedEvent::CallEnded {
                 call,
-                how: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
+                outcome: ClientOutcome::Disconnected | ClientOutcome::TimedOut,
             } => {
                 disconnects.push(*at);
                 counts[4] += u64::from(
@@ -69,11 +71,11 @@
                         .is_some_and(|b| near(*b, *at, 5_000)),
                 );
             }
-            ObservedEvent::Down { engine, .. } => {
+            ObservedEvent::EngineStopped { engine, .. } => {
                 dead.insert(engine);
                 counts[5] += u64::from(draining.contains(&engine));
             }
-            ObservedEvent::Up { engine, .. } => drop(dead.remove(&engine)),
+            ObservedEvent::EngineStarted { engine, .. } => drop(dead.remove(&engine)),
             _ => {}
         }
     }
--- a/crates/ivyward-testbed/src/simulation/inject.rs
+++ b/crates/ivyward-testbed/src/simulation/inject.rs
@@ -7,7 +7,7 @@
 use ivyward::registration::State;
 use ivyward_fakes::{Engine, Faults, ObservedEvent};
 use ivyward_runtime::RuntimeExt;
-use ivyward_sim::{HostId, Net};
+use ivyward_sim::{HostId, NetworkConfig};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
@@ -24,9 +24,9 @@
             } => {
                 let id = self.engine(engine, |e| e.spec().id);
                 if !reset_connections {
-                    self.log.add(ObservedEvent::Dark {
+                    self.log.add(ObservedEvent::EngineUnreachable {
                         engine: id,
-                        on: true,
+                        unreachable: true,
                     });
                 }
                 self.hosts
@@ -40,9 +40,9 @@
                 runtime.sleep(duration).await;
                 let restarted = self.engine(engine, |e| e.restart(true));
                 if !reset_connections {
-                    self.log.add(ObservedEvent::Dark {
+                    self.log.add(ObservedEvent::EngineUnreachable {
                         engine: id,
-                        on: false,
+                        unreachable: false,
                     });
                 }
                 if restarted.is_ok() {
@@ -67,17 +67,18 @@
                 fault(engine, &|f| f.hang = false);
             }
             Fault::Slow { engine, by } => {
-                fault(engine, &|f| f.slow = by);
+                fault(engine, &|f| f.slowdown = by);
                 runtime.sleep(duration).await;
-                fault(engine, &|f| f.slow = 1.0);
+                fault(engine, &|f| f.slowdown = 1.0);
             }
             Fault::FailCalls { engine, share } => {
                 fault(engine, &|f| {
-                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (share, share, share, share)
+                    (f.reset, f.lose_answer, f.reject, f.refuse_stream) =
+                        (share, share, share, share)
                 });
                 runtime.sleep(duration).await;
                 fault(engine, &|f| {
-                    (f.reset, f.lose_answer, f.full, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
+                    (f.reset, f.lose_answer, f.reject, f.refuse_stream) = (0.0, 0.0, 0.0, 0.0)
                 });
             }
             Fault::MalformedResponses {
@@ -109,14 +110,14 @@
                 } else {
                     (node, engine)
                 };
-                self.sim.cut(from, to, true);
+                self.sim.set_partitioned(from, to, true);
                 runtime.sleep(duration).await;
-                self.sim.cut(from, to, false);
+                self.sim.set_partitioned(from, to, false);
             }
             Fault::StoreCut { engine } => {
                 let links = |on: bool, hosts: (HostId, HostId)| {
-                    self.sim.cut(hosts.0, hosts.1, on);
-                    self.sim.cut(hosts.1, hosts.0, on);
+                    self.sim.set_partitioned(hosts.0, hosts.1, on);
+                    self.sim.set_partitioned(hosts.1, hosts.0, on);
                 };
                 let hosts = (lock(&self.engines[engine]).1, *lock(&self.store_host));
                 links(true, hosts);
@@ -143,27 +144,35 @@
                 };
                 links
                     .iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, true));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, true));
                 runtime.sleep(duration).await;
                 links
                     .iter()
-                    .for_each(|(from, to)| self.sim.cut(*from, *to, false));
+                    .for_each(|(from, to)| self.sim.set_partitioned(*from, *to, false));
             }
             Fault::PeerDatagramLoss { lose } => {
-                self.sim.net(|n| (n.lose, n.repeat) = (lose, lose / 2.0));
+                self.sim.update_network(|n| {
+                    (n.datagram_loss, n.datagram_duplication) = (lose, lose / 2.0)
+                });
                 runtime.sleep(duration).await;
-                self.sim.net(|n| (n.lose, n.repeat) = (0.0, 0.0));
+                self.sim
+                    .update_network(|n| (n.datagram_loss, n.datagram_duplication) = (0.0, 0.0));
             }
             Fault::Fragmentation => {
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.5, 4_000));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.5, 4_000));
                 runtime.sleep(duration).await;
-                self.sim.net(|n| (n.pieces, n.jitter) = (0.0, 100));
+                self.sim
+                    .update_network(|n| (n.partial_io, n.jitter) = (0.0, 100));
             }
             Fault::LowBandwidth => {
-                self.sim.net(|n| (n.rate, n.buffer) = (400_000, 3_000));
-                runtime.sleep(duration).await;
                 self.sim
-                    .net(|n| (n.rate, n.buffer) = (0, Net::default().buffer));
+                    .update_network(|n| (n.bytes_per_second, n.buffer_bytes) = (400_000, 3_000));
+                runtime.sleep(duration).await;
+                self.sim.update_network(|n| {
+                    (n.bytes_per_second, n.buffer_bytes) =
+                        (0, NetworkConfig::default().buffer_bytes)
+                });
             }
             Fault::StoreCrash => {
                 lock(&self.store).crash();
@@ -172,7 +181,7 @@
                 let lost_since = self.runtime.now().saturating_sub(MAX_TRANSIT);
                 for (at, node, engine) in std::mem::take(&mut *lock(&self.recent_notices)) {
                     if at >= lost_since {
-                        self.log.add(ObservedEvent::Told {
+                        self.log.add(ObservedEvent::NodeNotified {
                             node,
                             engine,
                             ready: true,
@@ -187,16 +196,16 @@
                 }
             }
             Fault::StoreCompacts => {
-                lock(&self.store).fault(|f| f.mute_watches = true);
+                lock(&self.store).fault(|f| f.suppress_watch_events = true);
                 runtime.sleep(duration).await;
                 let store = lock(&self.store);
                 store.compact();
-                store.fault(|f| f.mute_watches = false);
+                store.fault(|f| f.suppress_watch_events = false);
             }
             Fault::StoreLags => {
-                lock(&self.store).fault(|f| f.lag = vec![100_000, 20_000]);
+                lock(&self.store).fault(|f| f.watch_delays = vec![100_000, 20_000]);
                 runtime.sleep(duration).await;
-                lock(&self.store).fault(|f| f.lag = vec![]);
+                lock(&self.store).fault(|f| f.watch_delays = vec![]);
             }
         }
     }
--- a/crates/ivyward-testbed/src/simulation/requests.rs
+++ b/crates/ivyward-testbed/src/simulation/requests.rs
@@ -32,8 +32,8 @@
                 12,
             );
             match random.random_range(0..10) {
-                0 => behavior.leave_after = Some(random.random_range(1_000..300_000)),
-                1 => behavior.leave_at_token = Some(random.random_range(1..5)),
+                0 => behavior.disconnect_after = Some(random.random_range(1_000..300_000)),
+                1 => behavior.disconnect_at_token = Some(random.random_range(1..5)),
                 // A long answer to a client that reads slowly.
                 2 => {
                     (max_output_tokens, behavior.read_pause) =
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -19,7 +19,7 @@
 use ivyward_fakes::event_log::LoggedEvent;
 use ivyward_fakes::{check, check_so_far, Engine, EngineSpec, EventLog, Host, RuleChecker};
 use ivyward_runtime::{RuntimeExt, RuntimeRef};
-use ivyward_sim::{Net, Sim, Stuck};
+use ivyward_sim::{NetworkConfig, RunError, Sim};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
 
 /// Runs a seed under a plan. A run that takes more than 120 s of virtual time fails.
 pub fn run(seed: u64, size: &Size, plan: &[ScheduledFault]) -> Outcome {
-    let sim = Sim::new(seed, Net::default());
+    let sim = Sim::new(seed, NetworkConfig::default());
     let script = sim.host(0);
     let result = {
         let (sim, size, plan, runtime) = (sim.clone(), *size, plan.to_vec(), script.runtime());
@@ -51,7 +51,7 @@
             wrong: vec![format!("the simulation run cannot be set up: {line}")],
             ..RunFindings::default()
         },
-        Err(stuck @ Stuck::Nothing { .. }) => RunFindings {
+        Err(stuck @ RunError::Deadlock { .. }) => RunFindings {
             wrong: vec![format!("deadlock: {stuck}")],
             ..RunFindings::default()
         },
@@ -123,9 +123,9 @@
     let mut engines = Vec::new();
     for spec in fleet(size.racks) {
         let spec = EngineSpec {
-            read_rate: 20_000.0,
-            fetch_rate: 200_000.0,
-            token_gap: 3_000,
+            prefill_rate: 20_000.0,
+            kv_fetch_rate: 200_000.0,
+            token_interval: 3_000,
             ..spec
         };
         let engine = Engine::start(&host, &log, spec).map_err(|e| e.to_string())?;
@@ -227,7 +227,7 @@
         MAX_FLIGHT + longest_cut,
         &fleet(size.racks),
     );
-    limits.notice_flight = limits.flight;
+    limits.notification_allowance = limits.delivery_allowance;
     let first: Arc<Mutex<Option<Violation>>> = Arc::default();
     let (broken, broke) = async_channel::bounded::<()>(1);
     let report = {
@@ -253,7 +253,7 @@
         setup_violations.extend(rules.step(&seen));
     }
     let report_violation = report.clone();
-    log.show(move |seen| {
+    log.set_observer(move |seen| {
         let (rule, count) = {
             let (rules, count) = &mut *lock(&checker);
             *count += 1;
@@ -278,7 +278,7 @@
                 if let Some(low) = low {
                     return report(log.now(), seen.len(), low);
                 }
-                let found = check_so_far(&seen, &limits, log.now()).broken();
+                let found = check_so_far(&seen, &limits, log.now()).violations();
                 if let Some(rule) = found.into_iter().next() {
                     return report(log.now(), seen.len(), rule);
                 }
@@ -295,7 +295,7 @@
             .map(|n| n.1.open_requests())
             .sum();
         let reserved: usize = (0..cluster.engines.len())
-            .map(|e| cluster.engine(e, |e| e.retained()))
+            .map(|e| cluster.engine(e, |e| e.retained_count()))
             .sum();
         (open, reserved)
     };
@@ -333,7 +333,7 @@
         None => check(&log.all(), &limits, log.now()),
     };
     if broke.is_none() {
-        wrong.extend(audit.broken());
+        wrong.extend(audit.violations());
     }
     let ids: Vec<u64> = fleet(size.racks).iter().map(|s| s.id).collect();
     let mut met = coincidences(&log.all(), &played, &ids);
--- a/crates/ivyward-testbed/src/soak/clients.rs
+++ b/crates/ivyward-testbed/src/soak/clients.rs
@@ -3,17 +3,17 @@
 
 use crate::soak::cluster::SoakCluster;
 use futures_lite::AsyncWriteExt;
-use ivyward_fakes::platform::exchange::{read_answer, Got};
-use ivyward_fakes::platform::observe::{Effect, Observation};
-use ivyward_runtime::{before, Conn, Micros, RuntimeExt};
+use ivyward_fakes::platform::exchange::{read_response, ReceivedResponse};
+use ivyward_fakes::platform::observe::{Idempotency, Observation};
+use ivyward_runtime::{timeout_at, Conn, Micros, RuntimeExt};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
 /// The classes of the run's configuration, each with the idempotency of its requests.
-const CLASSES: [(&str, Effect); 3] = [
-    ("draft", Effect::Safe),
-    ("once", Effect::Keyed),
-    ("send", Effect::Unsafe),
+const CLASSES: [(&str, Idempotency); 3] = [
+    ("draft", Idempotency::Idempotent),
+    ("once", Idempotency::WithKey),
+    ("send", Idempotency::NonIdempotent),
 ];
 /// The time limit that clients send with a request, in milliseconds.
 const TIMEOUT_MS: u64 = 2_500;
@@ -68,7 +68,7 @@
         .lock()
         .map_or(None, |addresses| addresses[node])?;
     let until = cluster.runtime.now() + LATE_ANSWER_TIME;
-    before(&cluster.runtime, until, cluster.runtime.connect(address))
+    timeout_at(&cluster.runtime, until, cluster.runtime.connect(address))
         .await?
         .ok()
 }
@@ -109,11 +109,11 @@
     cluster: &SoakCluster,
     (node, new_connection): (usize, bool),
     id: &str,
-    (class, effect): (&str, Effect),
+    (class, effect): (&str, Idempotency),
     mut conn: Conn,
 ) -> Exchange {
     let runtime = &cluster.runtime;
-    let key = if effect == Effect::Keyed {
+    let key = if effect == Idempotency::WithKey {
         format!("Idempotency-Key: {id}\r\n")
     } else {
         String::new()
@@ -133,7 +133,7 @@
     let client_timeout = TIMEOUT_MS * 1_000;
     let sent = Observation::Sent {
         id: id.into(),
-        effect,
+        idempotency: effect,
         node,
         client_timeout,
         new_connection,
@@ -147,27 +147,28 @@
         client_timeout + LATE_ANSWER_TIME
     };
     let until = runtime.now() + wait;
-    let got = before(runtime, until, read_answer(runtime, &mut conn)).await;
-    let Some(Got {
+    let got = timeout_at(runtime, until, read_response(runtime, &mut conn)).await;
+    let Some(ReceivedResponse {
         status,
-        whole,
-        closes,
+        complete: whole,
+        closes_connection: closes,
         ..
     }) = got
     else {
         if disconnects {
-            cluster
-                .log
-                .add(runtime.now(), Observation::Left { id: id.into() });
+            cluster.log.add(
+                runtime.now(),
+                Observation::ClientDisconnected { id: id.into() },
+            );
         }
         return Exchange::Closed;
     };
     cluster.log.add(
         runtime.now(),
-        Observation::Answered {
+        Observation::ResponseEnded {
             id: id.into(),
             status,
-            whole,
+            complete: whole,
         },
     );
     if status == 0 && !new_connection {
--- a/crates/ivyward-testbed/src/soak/cluster.rs
+++ b/crates/ivyward-testbed/src/soak/cluster.rs
@@ -135,7 +135,7 @@
             node,
             self.files.len(),
             self.discovery_addresses[node][address_index],
-            &self.discovery.text(),
+            &self.discovery.list_json(),
         );
         self.files[node].configure(&text)?;
         let process = NodeProcess::start(&self.files[node], self.seed ^ node as u64)?;
@@ -204,7 +204,7 @@
         let Some(mut process) = taken else { return };
         process.signal(Signal::TERM);
         self.log
-            .add(self.runtime.now(), Observation::NodeStops { node });
+            .add(self.runtime.now(), Observation::NodeStopRequested { node });
         let until = self.runtime.now() + STOP_LIMIT;
         // New connections still arrive for a while, as from a load balancer that removes the node late.
         self.runtime.sleep(LATE_CONNECTIONS).await;
@@ -260,7 +260,7 @@
                 let mark = |on| {
                     self.log.add(
                         self.runtime.now(),
-                        Observation::ConnectionsBreak { node, on },
+                        Observation::ConnectionFaults { node, on },
                     )
                 };
                 mark(true);
@@ -276,9 +276,9 @@
             }
             FaultKind::HalfRequests => self.set_flag_for(&self.half_requests, duration).await,
             FaultKind::DiscoveryUnresponsive => {
-                self.discovery.set_silent(true);
+                self.discovery.set_unresponsive(true);
                 self.runtime.sleep(duration).await;
-                self.discovery.set_silent(false);
+                self.discovery.set_unresponsive(false);
             }
             FaultKind::WatchReset => self.discovery.reset_watches(),
             kind => self.inject_engine_fault(kind, engine, duration).await,
@@ -308,7 +308,7 @@
                 for address_index in [1, 0] {
                     let address = self.discovery_addresses[node][address_index];
                     let text =
-                        configuration(node, self.files.len(), address, &self.discovery.text());
+                        configuration(node, self.files.len(), address, &self.discovery.list_json());
                     if self.files[node].configure(&text).is_ok() {
                         self.with_node(node, |process| process.signal(Signal::HUP));
                     }
@@ -386,11 +386,13 @@
             );
         };
         match kind {
-            FaultKind::EngineCrash => engine.set(|t| t.down = true),
-            FaultKind::EngineHang => engine.set(|t| t.hangs = true),
-            FaultKind::EngineRejects => engine.set(|t| t.turns_away = true),
-            FaultKind::EngineSlow => engine.set(|t| t.slower = SLOW_FACTOR),
-            FaultKind::StreamsReset => engine.set(|t| t.breaks_percent = BREAKS_PERCENT),
+            FaultKind::EngineCrash => engine.set_faults(|t| t.down = true),
+            FaultKind::EngineHang => engine.set_faults(|t| t.hung = true),
+            FaultKind::EngineRejects => engine.set_faults(|t| t.rejects_requests = true),
+            FaultKind::EngineSlow => engine.set_faults(|t| t.slowdown = SLOW_FACTOR),
+            FaultKind::StreamsReset => {
+                engine.set_faults(|t| t.broken_stream_percent = BREAKS_PERCENT)
+            }
             FaultKind::LinkCut => cut(true),
             FaultKind::LinkReset => {
                 self.log
@@ -398,10 +400,12 @@
                 link.reset();
             }
             FaultKind::EngineDrain => {
-                self.log
-                    .add(self.runtime.now(), Observation::Drains { engine: index });
+                self.log.add(
+                    self.runtime.now(),
+                    Observation::DrainStarted { engine: index },
+                );
                 self.discovery
-                    .change(index, |entry| entry.state = "draining");
+                    .update_engine(index, |entry| entry.state = "draining");
             }
             _ => {}
         }
@@ -410,19 +414,22 @@
             FaultKind::EngineCrash => {
                 let started_ms = self.runtime.unix_micros() / 1_000;
                 self.discovery
-                    .change(index, |entry| entry.started_ms = started_ms);
-                engine.set(|t| t.down = false);
+                    .update_engine(index, |entry| entry.started_ms = started_ms);
+                engine.set_faults(|t| t.down = false);
             }
             FaultKind::LinkCut => cut(false),
             FaultKind::EngineDrain => {
-                self.discovery.change(index, |entry| entry.state = "up");
-                self.log
-                    .add(self.runtime.now(), Observation::DrainOver { engine: index });
+                self.discovery
+                    .update_engine(index, |entry| entry.state = "up");
+                self.log.add(
+                    self.runtime.now(),
+                    Observation::DrainEnded { engine: index },
+                );
             }
-            FaultKind::EngineHang => engine.set(|t| t.hangs = false),
-            FaultKind::EngineRejects => engine.set(|t| t.turns_away = false),
-            FaultKind::EngineSlow => engine.set(|t| t.slower = 1.0),
-            FaultKind::StreamsReset => engine.set(|t| t.breaks_percent = 0),
+            FaultKind::EngineHang => engine.set_faults(|t| t.hung = false),
+            FaultKind::EngineRejects => engine.set_faults(|t| t.rejects_requests = false),
+            FaultKind::EngineSlow => engine.set_faults(|t| t.slowdown = 1.0),
+            FaultKind::StreamsReset => engine.set_faults(|t| t.broken_stream_percent = 0),
             _ => {}
         }
     }
--- a/crates/ivyward-testbed/src/soak/link.rs
+++ b/crates/ivyward-testbed/src/soak/link.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future::{or, poll_once, zip};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use ivyward_runtime::{before, Conn, Micros, RuntimeExt, RuntimeRef};
+use ivyward_runtime::{timeout_at, Conn, Micros, RuntimeExt, RuntimeRef};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -67,7 +67,7 @@
         let connected = match self.is_cut() {
             true => None,
             false => {
-                before(
+                timeout_at(
                     runtime,
                     runtime.now() + CONNECT_TIMEOUT,
                     runtime.connect(target),
@@ -115,7 +115,7 @@
             was_cut |= self.is_cut();
             self.wait_until_not_cut(runtime).await;
             let until = runtime.now() + 10 * POLL_INTERVAL;
-            let got = match before(runtime, until, read.read(&mut chunk)).await {
+            let got = match timeout_at(runtime, until, read.read(&mut chunk)).await {
                 None => continue,
                 Some(Ok(0)) => break,
                 Some(Ok(got)) => got,
