--- a/crates/ivyward-testbed/src/cluster/mod.rs
+++ b/crates/ivyward-testbed/src/cluster/mod.rs
@@ -131,7 +131,7 @@
     /// Starts the fakes, the relays and the daemons.
     ///
     /// # Errors
-    /// [`ClusterError`].
+    /// [`ClusterError`] if a socket, an engine, the store or a daemon cannot be started.
     pub fn start(size: Size) -> Result<Cluster, ClusterError> {
         // The relays of hundreds of processes need more than one core, and a late relay would look like a late node.
         let runtime = SmolRuntime::start(if size.nodes > 20 { 6 } else { 2 }, size.seed);
@@ -316,7 +316,7 @@
     /// Starts a node with its fixed name and flags.
     ///
     /// # Errors
-    /// [`ClusterError`].
+    /// [`ClusterError::Start`] if the daemon does not start.
     pub fn start_node(&mut self, node: usize) -> Result<(), ClusterError> {
         let slot = &mut self.nodes[node];
         let mut attempts = 0;
--- a/crates/ivyward-testbed/src/cluster/plan.rs
+++ b/crates/ivyward-testbed/src/cluster/plan.rs
@@ -64,7 +64,7 @@
     /// A directed link is cut and restored repeatedly, with the given number of milliseconds for each state.
     #[serde(rename = "flap")]
     LinkFlap(usize, usize, u64),
-    /// The store cannot be reached by these.
+    /// The links between the store and these nodes are cut in both directions.
     #[serde(rename = "no_store")]
     StoreCut(Vec<usize>),
 }
@@ -72,10 +72,10 @@
 /// Why a plan is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// It is no plan.
+    /// The text is not JSON of a plan.
     #[error("the plan cannot be read: {0}")]
     Malformed(String),
-    /// Out of bounds.
+    /// The plan exceeds a limit, or names a node that it does not have.
     #[error("{0}")]
     Bounds(String),
 }
--- a/crates/ivyward-testbed/src/simulation/outcome.rs
+++ b/crates/ivyward-testbed/src/simulation/outcome.rs
@@ -53,8 +53,11 @@
         let mut lines = Vec::new();
         for (i, LoggedEvent { at, event: what }) in self.observed.iter().enumerate() {
             lines.push((*at, format!("seen    {what:?}")));
-            if let Some(broke) = self.first_violation.as_ref().filter(|b| b.seen == i + 1) {
-                lines.push((*at, format!("BROKEN  {} (step {})", broke.rule, broke.step)));
+            if let Some(violation) = self.first_violation.as_ref().filter(|b| b.seen == i + 1) {
+                lines.push((
+                    *at,
+                    format!("BROKEN  {} (step {})", violation.rule, violation.step),
+                ));
             }
         }
         for (node, bytes) in &self.recordings {
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -48,25 +48,25 @@
     let findings = match result {
         Ok(Ok(findings)) => findings,
         Ok(Err(line)) => RunFindings {
-            wrong: vec![format!("the simulation run cannot be set up: {line}")],
+            failures: vec![format!("the simulation run cannot be set up: {line}")],
             ..RunFindings::default()
         },
         Err(stuck @ RunError::Deadlock { .. }) => RunFindings {
-            wrong: vec![format!("deadlock: {stuck}")],
+            failures: vec![format!("deadlock: {stuck}")],
             ..RunFindings::default()
         },
         Err(stuck) => RunFindings {
-            wrong: vec![stuck.to_string()],
+            failures: vec![stuck.to_string()],
             ..RunFindings::default()
         },
     };
     let RunFindings {
-        mut wrong,
-        heard,
-        mut met,
+        mut failures,
+        client_outcomes,
+        mut coincidence_counts,
         seen,
         records,
-        broke,
+        first_violation,
     } = findings;
     // A replay of each recording must agree with the router core's actions in the run, and the digest includes the
     // recordings.
@@ -79,34 +79,34 @@
                 ListKind::Changes => "list: changes",
                 _ => "list: of another kind",
             };
-            *met.entry(name).or_default() += 1;
+            *coincidence_counts.entry(name).or_default() += 1;
         }
         if let Err(e) = replay(&bytes[..]) {
-            wrong.push(format!("node {node}'s recording cannot be replayed: {e}"));
+            failures.push(format!("node {node}'s recording cannot be replayed: {e}"));
         }
     }
     Outcome {
         digest,
         events,
-        failures: wrong,
-        client_outcomes: heard,
-        coincidences: met,
+        failures,
+        client_outcomes,
+        coincidences: coincidence_counts,
         duration: span,
         observed: seen,
         recordings: records,
-        first_violation: broke,
+        first_violation,
     }
 }
 
 #[derive(Default)]
 /// The findings of [`run_plan`].
 struct RunFindings {
-    pub(super) wrong: Vec<String>,
-    pub(super) heard: BTreeMap<&'static str, u64>,
-    pub(super) met: BTreeMap<&'static str, u64>,
+    pub(super) failures: Vec<String>,
+    pub(super) client_outcomes: BTreeMap<&'static str, u64>,
+    pub(super) coincidence_counts: BTreeMap<&'static str, u64>,
     pub(super) seen: Vec<LoggedEvent>,
     pub(super) records: Vec<(usize, Vec<u8>)>,
-    pub(super) broke: Option<Violation>,
+    pub(super) first_violation: Option<Violation>,
 }
 
 /// Sets up the cluster, injects the plan's faults, sends the requests, and checks the rules during the run and at its end.
@@ -190,7 +190,7 @@
     }
     let (done, wait) = async_channel::bounded::<()>(1);
     let mut random = SmallRng::seed_from_u64(seed);
-    let played = plan.clone();
+    let planned = plan.clone();
     for (i, timed) in plan.into_iter().enumerate() {
         let (cluster, runtime, done) = (cluster.clone(), runtime.clone(), done.clone());
         let salt = seed.wrapping_mul(16).wrapping_add(8 + i as u64);
@@ -221,7 +221,7 @@
             0
         }
     };
-    let longest_cut = played.iter().map(cut).max().unwrap_or(0);
+    let longest_cut = planned.iter().map(cut).max().unwrap_or(0);
     let mut limits = limits(
         &cluster.settings.router,
         MAX_FLIGHT + longest_cut,
@@ -229,7 +229,7 @@
     );
     limits.notification_allowance = limits.delivery_allowance;
     let first: Arc<Mutex<Option<Violation>>> = Arc::default();
-    let (broken, broke) = async_channel::bounded::<()>(1);
+    let (violation_sender, violation_reported) = async_channel::bounded::<()>(1);
     let report = {
         let (first, cluster) = (first.clone(), Arc::downgrade(&cluster));
         move |at: Micros, seen: usize, rule: String| {
@@ -241,7 +241,7 @@
                 seen,
             });
             // A full channel means that a violation was already reported.
-            let _ = broken.try_send(());
+            let _ = violation_sender.try_send(());
         }
     };
     let checker = Mutex::new((RuleChecker::new(limits.clone()), 0));
@@ -287,7 +287,7 @@
     }
     // Returns an error, and so ends, when the last fault and the last request have dropped their senders.
     let all_ended = wait.recv();
-    let _ = or(all_ended, broke.recv()).await;
+    let _ = or(all_ended, violation_reported.recv()).await;
     // Liveness: open requests and the engines' reservations must fall to zero.
     let outstanding = |cluster: &SimulatedCluster| {
         let open: usize = (0..size.nodes)
@@ -303,18 +303,18 @@
     while outstanding(&cluster) != (0, 0) && runtime.now() < deadline && lock(&first).is_none() {
         runtime.sleep(20_000).await;
     }
-    let broke = lock(&first).clone();
-    let mut wrong = setup_violations;
-    if let Some(Violation { step, at, rule, .. }) = &broke {
-        wrong.push(format!("step {step}, {} ms: {rule}", (at - START) / 1_000));
+    let first_violation = lock(&first).clone();
+    let mut failures = setup_violations;
+    if let Some(Violation { step, at, rule, .. }) = &first_violation {
+        failures.push(format!("step {step}, {} ms: {rule}", (at - START) / 1_000));
     } else if outstanding(&cluster) != (0, 0) {
         let (open, reserved) = outstanding(&cluster);
-        wrong.push(format!(
+        failures.push(format!(
             "{open} requests open and {reserved} reservations 15 s after the last fault and request"
         ));
     }
-    if wrong.is_empty() {
-        wrong.extend(cluster.check_recovery().await);
+    if failures.is_empty() {
+        failures.extend(cluster.check_recovery().await);
     }
     let buffered = |node: Node| node.metrics().max_buffered_tokens.get();
     let nodes = (0..size.nodes).filter_map(|n| cluster.node(n));
@@ -323,24 +323,24 @@
         .max()
         .filter(|most| *most > 2 * STREAM_BUFFER as u64)
     {
-        wrong.push(format!(
+        failures.push(format!(
             "{most} tokens were buffered for one client, more than twice the limit of {STREAM_BUFFER}"
         ));
     }
     // Requests are still in progress if a violation ended the run early.
-    let audit = match broke {
+    let audit = match first_violation {
         Some(_) => check_so_far(&log.all(), &limits, log.now()),
         None => check(&log.all(), &limits, log.now()),
     };
-    if broke.is_none() {
-        wrong.extend(audit.violations());
+    if first_violation.is_none() {
+        failures.extend(audit.violations());
     }
     let ids: Vec<u64> = fleet(size.racks).iter().map(|s| s.id).collect();
-    let mut met = coincidences(&log.all(), &played, &ids);
+    let mut coincidence_counts = coincidences(&log.all(), &planned, &ids);
     for (_, node) in (0..size.nodes).filter_map(|n| cluster.node(n)) {
         for (counter, (_, name)) in node.metrics().violations.iter().zip(Rule::ALL) {
             if counter.get() > 0 {
-                wrong.push(format!(
+                failures.push(format!(
                     "invariant {name} was violated {} times",
                     counter.get()
                 ));
@@ -352,7 +352,7 @@
             .iter()
             .zip(ivyward::metrics::OUTCOMES)
         {
-            *met.entry(name).or_default() += counter.get();
+            *coincidence_counts.entry(name).or_default() += counter.get();
         }
     }
     let records = std::mem::take(&mut *lock(&cluster.recordings));
@@ -361,11 +361,11 @@
         .map(|(node, memory)| (node, memory.bytes()))
         .collect();
     Ok(RunFindings {
-        wrong,
-        heard: audit.outcomes,
-        met,
+        failures,
+        client_outcomes: audit.outcomes,
+        coincidence_counts,
         seen: log.all(),
         records,
-        broke,
+        first_violation,
     })
 }
