--- a/crates/ivyward-testbed/src/local_cluster.rs
+++ b/crates/ivyward-testbed/src/local_cluster.rs
@@ -11,7 +11,7 @@
 use ivyward::registration::{Record, State, DEFAULT_ENGINE_PREFIX};
 use ivyward::{Class, Engine as Listed, Node, NodeSettings};
 use ivyward_fakes::engine::ThreadPerProcess;
-use ivyward_fakes::etcd::{Observer, Shown, Store};
+use ivyward_fakes::etcd::{Observer, Store, StoreOutput};
 use ivyward_fakes::event_log::{CallIdempotency, KeyScope};
 use ivyward_fakes::{
     check, Client, ClientBehavior, ClientRequest, ClientResult, Engine, EngineSpec, EventLog, Host,
@@ -706,7 +706,7 @@
 
 /// Returns the engines that a list or watch event of the store is about, and whether each may receive new work. `known` are
 /// the engines that the store has shown before; an engine that a list leaves out is no longer ready.
-pub(crate) fn notices(shown: &Shown<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
+pub(crate) fn notices(shown: &StoreOutput<'_>, known: &mut BTreeSet<u64>) -> Vec<(u64, bool)> {
     let id = |key: &[u8]| {
         ivyward::registration::key_id(DEFAULT_ENGINE_PREFIX.as_bytes(), key).map(|id| id.0)
     };
@@ -714,7 +714,7 @@
         serde_json::from_slice::<Record>(value).is_ok_and(|r| r.state == State::Ready)
     };
     match shown {
-        Shown::List(kvs) => {
+        StoreOutput::List(kvs) => {
             let listed: BTreeMap<u64, bool> = kvs
                 .iter()
                 .filter_map(|kv| Some((id(&kv.key)?, ready(&kv.value))))
@@ -729,7 +729,7 @@
             *known = listed.into_keys().collect();
             notified
         }
-        Shown::Events(events) => {
+        StoreOutput::Events(events) => {
             let kvs = events.iter().filter_map(|e| e.kv.as_ref());
             // The value of a deletion is empty, so it does not parse as ready.
             let notified: Vec<_> = kvs
--- a/crates/ivyward-testbed/src/scale/hollow.rs
+++ b/crates/ivyward-testbed/src/scale/stub.rs
@@ -1,9 +1,10 @@
-//! A hollow process: nodes, engines or a store, which do what a run says on standard input until that ends.
+//! The program of a stub process: runs nodes, engines or a store, and carries out the commands that it reads from standard
+//! input until end of file.
 
 use crate::local_cluster::classes;
 use crate::registration;
-use crate::scale::message::{Order, Reply, Role};
-use crate::scale::usage::{Counted, Counters};
+use crate::scale::message::{Reply, Role, StubCommand};
+use crate::scale::usage::{Counters, PartCounters};
 use crate::scale::ScaleError;
 use ivyward::watcher::{EtcdOptions, WatcherOptions};
 use ivyward::{Class, Node, NodeSettings, PeerOptions, PeerStore, Tenant};
@@ -15,16 +16,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Threads of a hollow process.
+/// Number of threads of a stub process.
 const THREADS: usize = 2;
-/// Seconds that records of engines and nodes outlive them.
+/// Lease of the records of engines and nodes, in seconds: how long a record remains after its owner has ended.
 pub const LEASE: i64 = 10;
-/// Of so many engines in a hundred, prompts are read at: the share that the operators plan for.
+/// Percentage of engines that are prefill engines: the share that the operators plan for.
 const PREFILL_PERCENT: u64 = 35;
-/// Tokens that engines hold back between two, in microseconds: the target's 26 ms.
-const TOKEN_GAP: u64 = 26_000;
+/// Time between two output tokens of an engine, in microseconds: the 26 ms of the planned deployment.
+const TOKEN_INTERVAL_US: u64 = 26_000;
 
-/// Processes with a thread of their own each, counted together, so that the store can die and come back.
+/// Starts each simulated process on a runtime of its own, so that the store can crash and restart. One meter counts the
+/// traffic of all of them.
 struct MeteredThreads(Arc<Meter>);
 
 impl Host for MeteredThreads {
@@ -39,10 +41,10 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The make of a hollow engine.
+/// Specification of a stub engine: its role and speeds.
 pub fn spec(id: u64) -> EngineSpec {
-    let reads = id * PREFILL_PERCENT / 100 != (id + 1) * PREFILL_PERCENT / 100;
-    let role = if reads {
+    let is_prefill = id * PREFILL_PERCENT / 100 != (id + 1) * PREFILL_PERCENT / 100;
+    let role = if is_prefill {
         EngineRole::Prefill
     } else {
         EngineRole::Decode
@@ -50,12 +52,12 @@
     EngineSpec {
         prefill_rate: 40_000.0,
         kv_fetch_rate: 400_000.0,
-        token_interval: TOKEN_GAP,
+        token_interval: TOKEN_INTERVAL_US,
         ..EngineSpec::small(id, role)
     }
 }
 
-/// So many tenants without quotas.
+/// Returns `count` tenants without quotas.
 pub fn tenants(count: u64) -> Vec<Tenant> {
     let tenant = |i| Tenant {
         name: format!("tenant-{i}"),
@@ -64,64 +66,68 @@
     (0..count).map(tenant).collect()
 }
 
-/// So many request classes, all like the first one of the scenes.
+/// Returns `count` request classes with the settings of the first class of the simulation runs.
 pub fn request_classes(count: u64) -> Vec<Class> {
-    let Some(usual) = classes().into_iter().next() else {
+    let Some(template) = classes().into_iter().next() else {
         return Vec::new();
     };
     (0..count)
         .map(|i| Class {
             name: format!("class-{i}"),
-            settings: usual.settings.clone(),
+            settings: template.settings.clone(),
         })
         .collect()
 }
 
-/// What the process holds.
-enum Held {
+/// What the process runs.
+enum Workload {
     Store(Box<Store>),
-    /// Held so that they run.
+    /// Never read: the engines stop when they are dropped.
     Engines(#[allow(dead_code)] Vec<Engine>),
     Nodes(Vec<Node>),
 }
 
-/// Runs a hollow process until its standard input ends.
+/// Runs a stub process until its standard input ends.
 ///
 /// # Errors
-/// When what it is to hold does not come up.
+/// When the store, an engine or a node cannot be started.
 pub fn run(role: Role) -> Result<(), ScaleError> {
     let smol = SmolRuntime::start(THREADS, u64::from(std::process::id()));
     let (plain, meter): (RuntimeRef, Arc<Meter>) = (smol.clone(), Arc::default());
     let runtime = metered(&plain, &meter);
-    let mut held = hold(role, &runtime, &meter)?;
-    say(&Reply::Ready(match &held {
-        Held::Store(store) => Some(store.address()),
+    let mut workload = start_workload(role, &runtime, &meter)?;
+    write_reply(&Reply::Ready(match &workload {
+        Workload::Store(store) => Some(store.address()),
         _ => None,
     }));
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-        let reply = match serde_json::from_str::<Order>(&line) {
-            Ok(order) => smol.block_on(obey(&mut held, order, &meter, &runtime)),
-            Err(e) => Reply::Failed(format!("{line:?}: {e}")),
+        let reply = match serde_json::from_str::<StubCommand>(&line) {
+            Ok(command) => smol.block_on(execute(&mut workload, command, &meter, &runtime)),
+            Err(e) => Reply::Failed(format!("malformed command {line:?}: {e}")),
         };
-        say(&reply);
+        write_reply(&reply);
     }
     Ok(())
 }
 
-fn say(reply: &Reply) {
+fn write_reply(reply: &Reply) {
     let mut out = std::io::stdout().lock();
-    // The run that asked may be gone, and this process ends with its input.
+    // Write errors are ignored: the run may have ended already, and then this process ends at the end of its input.
     let _ = serde_json::to_writer(&mut out, reply);
     let _ = writeln!(out);
     let _ = out.flush();
 }
 
-fn hold(role: Role, runtime: &RuntimeRef, meter: &Arc<Meter>) -> Result<Held, ScaleError> {
+fn start_workload(
+    role: Role,
+    runtime: &RuntimeRef,
+    meter: &Arc<Meter>,
+) -> Result<Workload, ScaleError> {
     match role {
         Role::Store => {
             let host: Arc<dyn Host> = Arc::new(MeteredThreads(meter.clone()));
             let store = Store::start(&host, 1).map_err(ScaleError::io("starting the store"))?;
-            Ok(Held::Store(Box::new(store)))
+            Ok(Workload::Store(Box::new(store)))
         }
         Role::Engines {
             first,
@@ -137,7 +143,7 @@
                 registration::keep_registered(&engine, vec![store], LEASE, 0, |_| {});
                 engines.push(engine);
             }
-            Ok(Held::Engines(engines))
+            Ok(Workload::Engines(engines))
         }
         Role::Nodes {
             first,
@@ -147,7 +153,7 @@
             classes,
         } => {
             let start = |number| node(runtime, number, store, (tenants, classes));
-            Ok(Held::Nodes(
+            Ok(Workload::Nodes(
                 (first..first + count)
                     .map(start)
                     .collect::<Result<_, _>>()?,
@@ -156,14 +162,15 @@
     }
 }
 
-/// A node that takes no requests.
+/// Starts a node that serves no requests.
 fn node(
     runtime: &RuntimeRef,
     number: u64,
     store: SocketAddr,
     (tenant_count, class_count): (u64, u64),
 ) -> Result<Node, ScaleError> {
-    let failed = |e: &dyn std::fmt::Display| ScaleError::Process(format!("node {number}: {e}"));
+    let failed =
+        |e: &dyn std::fmt::Display| ScaleError::Process(format!("starting node {number}: {e}"));
     let settings = NodeSettings {
         seed: number,
         classes: request_classes(class_count),
@@ -171,12 +178,12 @@
         ..NodeSettings::default()
     };
     let node = Node::start(runtime.clone(), settings, None).map_err(|e| failed(&e))?;
-    let follow = WatcherOptions {
+    let watcher_options = WatcherOptions {
         endpoints: vec![store],
         ..WatcherOptions::default()
     };
-    let following = node.clone();
-    runtime.run(async move { following.watch_endpoints(follow).await });
+    let watching_node = node.clone();
+    runtime.run(async move { watching_node.watch_endpoints(watcher_options).await });
     let peer_store = PeerStore {
         endpoints: vec![store],
         prefix: ivyward::peers::DEFAULT_NODE_PREFIX.into(),
@@ -193,32 +200,41 @@
     Ok(node)
 }
 
-async fn obey(held: &mut Held, order: Order, meter: &Meter, runtime: &RuntimeRef) -> Reply {
-    match (order, held) {
-        (Order::Count, Held::Nodes(nodes)) => Reply::Counted(node_counters(nodes)),
-        (Order::Count, _) => Reply::Counted([("all".to_owned(), meter.usage().into())].into()),
-        (Order::Connect(most), Held::Nodes(nodes)) => {
+async fn execute(
+    workload: &mut Workload,
+    command: StubCommand,
+    meter: &Meter,
+    runtime: &RuntimeRef,
+) -> Reply {
+    match (command, workload) {
+        (StubCommand::ReadCounters, Workload::Nodes(nodes)) => Reply::Counted(node_counters(nodes)),
+        (StubCommand::ReadCounters, _) => {
+            Reply::Counted([("all".to_owned(), meter.usage().into())].into())
+        }
+        (StubCommand::Connect(most), Workload::Nodes(nodes)) => {
             let mut each = Vec::new();
             for node in nodes {
                 each.push(node.open_connections(most as usize).await as u64);
             }
-            Reply::Each(each)
+            Reply::PerNode(each)
         }
-        (Order::Known, Held::Nodes(nodes)) => Reply::Each(
+        (StubCommand::KnownEngines, Workload::Nodes(nodes)) => Reply::PerNode(
             nodes
                 .iter()
                 .map(|node| node.metrics().engines.get())
                 .collect(),
         ),
-        (Order::Revision, Held::Nodes(nodes)) => Reply::Each(
+        (StubCommand::ListRevision, Workload::Nodes(nodes)) => Reply::PerNode(
             nodes
                 .iter()
                 .map(|node| node.metrics().list_revision.get())
                 .collect(),
         ),
-        (Order::Revision, Held::Store(store)) => Reply::Each(vec![store.revision().unsigned_abs()]),
-        (Order::Change(count), Held::Store(store)) => change(store, count),
-        (Order::Restart, Held::Store(store)) => {
+        (StubCommand::ListRevision, Workload::Store(store)) => {
+            Reply::PerNode(vec![store.revision().unsigned_abs()])
+        }
+        (StubCommand::ChangeRecords(count), Workload::Store(store)) => change(store, count),
+        (StubCommand::Restart, Workload::Store(store)) => {
             store.crash();
             runtime.sleep(500_000).await;
             match store.restart() {
@@ -226,11 +242,13 @@
                 Err(e) => Reply::Failed(e.to_string()),
             }
         }
-        (order, _) => Reply::Failed(format!("{order:?} is not for this process")),
+        (command, _) => Reply::Failed(format!(
+            "a process of this role cannot carry out {command:?}"
+        )),
     }
 }
 
-/// Writes engines' records anew with another weight, which is a change that every node hears of.
+/// Changes the weight in `count` engine records, so that every node that watches the list is notified.
 fn change(store: &Store, count: u64) -> Reply {
     let keys: Vec<String> = store
         .keys()
@@ -259,14 +277,14 @@
     Reply::Done
 }
 
-/// The counters of all nodes of a process together.
+/// Sums the counters of all nodes of the process.
 fn node_counters(nodes: &[Node]) -> Counters {
     let mut all = Counters::new();
     for node in nodes {
         for (part, counted) in
             crate::scale::usage::counters(&node.metrics().text(node.open_requests()))
         {
-            let sum: &mut Counted = all.entry(part).or_default();
+            let sum: &mut PartCounters = all.entry(part).or_default();
             sum.bytes_in += counted.bytes_in;
             sum.bytes_out += counted.bytes_out;
             sum.messages_in += counted.messages_in;
