--- a/crates/ivyward-runtime/src/io.rs
+++ b/crates/ivyward-runtime/src/io.rs
@@ -1,4 +1,6 @@
-//! Connections under the I/O traits that h2 and hyper expect. Only the traits are used; no runtime runs.
+//! Adapters that give connections the I/O traits of tokio, which h2 uses, and of hyper.
+//!
+//! Only tokio's traits are used; no tokio runtime runs.
 
 use crate::{BoxFuture, RuntimeRef};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -8,21 +10,22 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 
-/// A futures-io stream under the traits of h2 (tokio's) and of hyper.
+/// Wraps a futures-io stream and implements the I/O traits of tokio, for h2, and of hyper.
 pub struct Io<C>(pub C);
 
-fn fill<C: AsyncRead + Unpin>(
+/// Polls for a read into a buffer that may be uninitialized. Returns the number of bytes that were read into its front.
+fn poll_read_uninit<C: AsyncRead + Unpin>(
     stream: &mut C,
     cx: &mut Context<'_>,
-    space: &mut [MaybeUninit<u8>],
+    buffer: &mut [MaybeUninit<u8>],
 ) -> Poll<io::Result<usize>> {
-    // The stream wants plain bytes, so the space is cleared first.
-    let space = {
-        space.fill(MaybeUninit::new(0));
-        // Sound: every byte was just written.
-        unsafe { &mut *(space as *mut [MaybeUninit<u8>] as *mut [u8]) }
+    // futures-io reads into initialized bytes, so the buffer is zeroed first.
+    let buffer = {
+        buffer.fill(MaybeUninit::new(0));
+        // SAFETY: every byte was just initialized.
+        unsafe { &mut *(buffer as *mut [MaybeUninit<u8>] as *mut [u8]) }
     };
-    Pin::new(stream).poll_read(cx, space)
+    Pin::new(stream).poll_read(cx, buffer)
 }
 
 impl<C: AsyncRead + Unpin> tokio::io::AsyncRead for Io<C> {
@@ -31,8 +34,8 @@
         cx: &mut Context<'_>,
         buf: &mut tokio::io::ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let got = ready!(Pin::new(&mut self.0).poll_read(cx, buf.initialize_unfilled()))?;
-        buf.advance(got);
+        let length = ready!(Pin::new(&mut self.0).poll_read(cx, buf.initialize_unfilled()))?;
+        buf.advance(length);
         Poll::Ready(Ok(()))
     }
 }
@@ -69,9 +72,10 @@
         cx: &mut Context<'_>,
         mut buf: hyper::rt::ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        // Sound: `fill` only writes, and only what it says was filled is taken as filled.
-        let got = ready!(fill(&mut self.0, cx, unsafe { buf.as_mut() }))?;
-        unsafe { buf.advance(got) };
+        // SAFETY: `poll_read_uninit` never makes initialized bytes uninitialized, and it has initialized the bytes by
+        // which the cursor advances.
+        let length = ready!(poll_read_uninit(&mut self.0, cx, unsafe { buf.as_mut() }))?;
+        unsafe { buf.advance(length) };
         Poll::Ready(Ok(()))
     }
 }
@@ -102,7 +106,7 @@
     }
 }
 
-/// Runs hyper's tasks in a world.
+/// Runs the tasks that hyper spawns on a [`Runtime`](crate::Runtime).
 #[derive(Clone)]
 pub struct HyperExecutor(pub RuntimeRef);
 
