--- a/crates/ivyward-runtime/src/metered.rs
+++ b/crates/ivyward-runtime/src/metered.rs
@@ -1,4 +1,5 @@
-//! A world that counts what goes through it: bytes, reads and writes of its connections, and the time its tasks run.
+//! A runtime that counts the bytes, reads and writes of its connections and UDP sockets, and the time that its tasks
+//! run.
 
 use crate::{
     BorrowedFuture, BoxFuture, Conn, Connection, DatagramSocket, Listener, Micros, Peer, Runtime,
@@ -13,7 +14,7 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// What has gone through a metered world so far.
+/// Counters of the traffic and the task time of a metered runtime.
 #[derive(Debug, Default)]
 pub struct Meter {
     bytes_in: AtomicU64,
@@ -25,53 +26,53 @@
     closed: AtomicU64,
 }
 
-/// A reading of a [`Meter`].
+/// The values of a [`Meter`] at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Bytes that came in.
+    /// Bytes received.
     pub bytes_in: u64,
-    /// Bytes that went out.
+    /// Bytes sent.
     pub bytes_out: u64,
-    /// Reads that brought something, datagrams among them.
+    /// Reads that returned at least one byte, and datagrams received that were not empty.
     pub reads: u64,
-    /// Writes that took something, datagrams among them.
+    /// Writes that accepted at least one byte, and datagrams sent that were not empty.
     pub writes: u64,
-    /// Microseconds that tasks were polled.
+    /// Microseconds spent in polls of tasks, added up over all threads.
     pub busy: Micros,
-    /// Connections that were opened or accepted.
+    /// Connections opened or accepted since the start.
     pub opened: u64,
-    /// Those of them that are open.
+    /// Connections that are open now.
     pub open: u64,
 }
 
 impl Meter {
-    /// What it shows now.
+    /// Returns the current values.
     pub fn usage(&self) -> Usage {
-        let get = |value: &AtomicU64| value.load(Ordering::Relaxed);
-        let (opened, closed) = (get(&self.opened), get(&self.closed));
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let (opened, closed) = (load(&self.opened), load(&self.closed));
         Usage {
-            bytes_in: get(&self.bytes_in),
-            bytes_out: get(&self.bytes_out),
-            reads: get(&self.reads),
-            writes: get(&self.writes),
-            busy: get(&self.busy),
+            bytes_in: load(&self.bytes_in),
+            bytes_out: load(&self.bytes_out),
+            reads: load(&self.reads),
+            writes: load(&self.writes),
+            busy: load(&self.busy),
             opened,
             open: opened.saturating_sub(closed),
         }
     }
-    fn came(&self, bytes: usize) {
+    fn count_read(&self, bytes: usize) {
         if bytes > 0 {
             self.bytes_in.fetch_add(bytes as u64, Ordering::Relaxed);
             self.reads.fetch_add(1, Ordering::Relaxed);
         }
     }
-    fn went(&self, bytes: usize) {
+    fn count_write(&self, bytes: usize) {
         if bytes > 0 {
             self.bytes_out.fetch_add(bytes as u64, Ordering::Relaxed);
             self.writes.fetch_add(1, Ordering::Relaxed);
         }
     }
-    /// Counts what crosses a connection.
+    /// Wraps a connection so that this meter counts it and what is read from and written to it.
     pub fn wrap(self: &Arc<Self>, conn: Conn) -> Conn {
         self.opened.fetch_add(1, Ordering::Relaxed);
         Box::new(MeteredConn {
@@ -81,7 +82,7 @@
     }
 }
 
-/// The same world, with what is done through this handle counted.
+/// Returns a handle to the same runtime that counts in `meter` what is done through the handle.
 pub fn metered(runtime: &RuntimeRef, meter: &Arc<Meter>) -> RuntimeRef {
     Arc::new(Metered {
         runtime: runtime.clone(),
@@ -106,7 +107,7 @@
     }
     fn spawn(&self, task: BoxFuture<()>) {
         let (runtime, meter) = (self.runtime.clone(), self.meter.clone());
-        self.runtime.spawn(Box::pin(Timed {
+        self.runtime.spawn(Box::pin(TimedTask {
             task,
             runtime,
             meter,
@@ -133,21 +134,21 @@
     }
 }
 
-/// A task whose polls are timed.
-struct Timed {
+/// A task that adds the duration of each poll to [`Usage::busy`].
+struct TimedTask {
     task: BoxFuture<()>,
     runtime: RuntimeRef,
     meter: Arc<Meter>,
 }
 
-impl Future for Timed {
+impl Future for TimedTask {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        let began = self.runtime.now();
-        let polled = self.task.as_mut().poll(cx);
-        let took = self.runtime.now().saturating_sub(began);
-        self.meter.busy.fetch_add(took, Ordering::Relaxed);
-        polled
+        let started_at = self.runtime.now();
+        let result = self.task.as_mut().poll(cx);
+        let duration = self.runtime.now().saturating_sub(started_at);
+        self.meter.busy.fetch_add(duration, Ordering::Relaxed);
+        result
     }
 }
 
@@ -179,16 +180,16 @@
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.conn).poll_read(cx, buf);
         if let Poll::Ready(Ok(bytes)) = &read {
-            self.meter.came(*bytes);
+            self.meter.count_read(*bytes);
         }
         read
     }
 }
 
 impl MeteredConn {
-    fn wrote(&self, written: &Poll<io::Result<usize>>) {
+    fn count_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = written {
-            self.meter.went(*bytes);
+            self.meter.count_write(*bytes);
         }
     }
 }
@@ -200,7 +201,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.conn).poll_write(cx, buf);
-        self.wrote(&written);
+        self.count_written(&written);
         written
     }
     fn poll_write_vectored(
@@ -209,7 +210,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.conn).poll_write_vectored(cx, bufs);
-        self.wrote(&written);
+        self.count_written(&written);
         written
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -243,7 +244,7 @@
 
 impl DatagramSocket for MeteredDatagramSocket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
-        self.meter.went(bytes.len());
+        self.meter.count_write(bytes.len());
         self.socket.send(bytes, to)
     }
     fn receive<'a>(
@@ -254,7 +255,7 @@
         let receiving = self.socket.receive(into);
         Box::pin(async move {
             let received = receiving.await?;
-            meter.came(received.0);
+            meter.count_read(received.0);
             Ok(received)
         })
     }
--- a/crates/ivyward-runtime/tests/metered.rs
+++ b/crates/ivyward-runtime/tests/metered.rs
@@ -1,11 +1,11 @@
-//! What a metered world counts.
+//! Tests of the counters of a metered runtime.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ivyward_runtime::{metered, Meter, RuntimeRef, SmolRuntime};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-fn any() -> SocketAddr {
+fn free_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -13,10 +13,13 @@
 fn bytes_and_connections_are_counted_on_both_sides() {
     let smol = SmolRuntime::start(1, 1);
     let plain: RuntimeRef = smol.clone();
-    let (dialler, acceptor) = (Arc::new(Meter::default()), Arc::new(Meter::default()));
-    let (dialling, accepting) = (metered(&plain, &dialler), metered(&plain, &acceptor));
+    let (client_meter, server_meter) = (Arc::new(Meter::default()), Arc::new(Meter::default()));
+    let (client, server) = (
+        metered(&plain, &client_meter),
+        metered(&plain, &server_meter),
+    );
     smol.block_on(async {
-        let mut listener = accepting.listen(any()).unwrap();
+        let mut listener = server.listen(free_loopback_port()).unwrap();
         let address = listener.address();
         let serve = async {
             let (mut conn, _) = listener.accept().await.unwrap();
@@ -25,27 +28,46 @@
             conn.write_all(b"abc").await.unwrap();
             conn
         };
-        let ask = async {
-            let mut conn = dialling.connect(address).await.unwrap();
+        let call = async {
+            let mut conn = client.connect(address).await.unwrap();
             conn.write_all(b"hello").await.unwrap();
             let mut bytes = [0; 3];
             conn.read_exact(&mut bytes).await.unwrap();
             conn
         };
-        let (held, conn) = futures_lite::future::zip(serve, ask).await;
-        let (one, other) = (dialler.usage(), acceptor.usage());
-        assert_eq!((one.bytes_out, one.writes, one.bytes_in), (5, 1, 3));
-        assert_eq!((other.bytes_in, other.bytes_out, other.writes), (5, 3, 1));
+        let (accepted, conn) = futures_lite::future::zip(serve, call).await;
+        let (client_usage, server_usage) = (client_meter.usage(), server_meter.usage());
+        assert_eq!(
+            (
+                client_usage.bytes_out,
+                client_usage.writes,
+                client_usage.bytes_in
+            ),
+            (5, 1, 3)
+        );
         assert_eq!(
-            (one.opened, one.open, other.opened, other.open),
+            (
+                server_usage.bytes_in,
+                server_usage.bytes_out,
+                server_usage.writes
+            ),
+            (5, 3, 1)
+        );
+        assert_eq!(
+            (
+                client_usage.opened,
+                client_usage.open,
+                server_usage.opened,
+                server_usage.open
+            ),
             (1, 1, 1, 1)
         );
-        drop((conn, held));
+        drop((conn, accepted));
         assert_eq!(
             (
-                dialler.usage().open,
-                dialler.usage().opened,
-                acceptor.usage().open
+                client_meter.usage().open,
+                client_meter.usage().opened,
+                server_meter.usage().open
             ),
             (0, 1, 0)
         );
@@ -59,13 +81,13 @@
     let meter = Arc::new(Meter::default());
     let runtime = metered(&plain, &meter);
     smol.block_on(async {
-        let (one, mut other) = (
-            runtime.bind_datagram(any()).unwrap(),
-            runtime.bind_datagram(any()).unwrap(),
+        let (sender, mut receiver) = (
+            runtime.bind_datagram(free_loopback_port()).unwrap(),
+            runtime.bind_datagram(free_loopback_port()).unwrap(),
         );
-        one.send(b"four", other.address()).unwrap();
-        let mut into = [0; 16];
-        assert_eq!(other.receive(&mut into).await.unwrap().0, 4);
+        sender.send(b"four", receiver.address()).unwrap();
+        let mut buffer = [0; 16];
+        assert_eq!(receiver.receive(&mut buffer).await.unwrap().0, 4);
     });
     let usage = meter.usage();
     assert_eq!(
