--- a/crates/ivyward-runtime/src/origin.rs
+++ b/crates/ivyward-runtime/src/origin.rs
@@ -1,8 +1,8 @@
-//! Where an error of a socket call comes from: this machine, or the connection and its other side.
+//! Tells whether an error of a socket call was caused by this machine, or by the connection or its peer.
 
 use std::io;
 
-// errno of Linux, which std has no kinds for.
+// Values of errno on Linux. `io::ErrorKind` has no stable kinds for them.
 const ENOMEM: i32 = 12;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
@@ -12,18 +12,18 @@
 const ENETUNREACH: i32 = 101;
 const ENOBUFS: i32 = 105;
 
-/// Whose failure an error is.
+/// The side that caused an error of a socket call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorOrigin {
-    /// This machine had no descriptor, port, memory or route at the moment. It says nothing of the other side, and the
-    /// next call may go well.
+    /// This machine lacked a file descriptor, port, memory or route at that moment. The error says nothing about the
+    /// peer, and the next call may succeed.
     Local,
-    /// The connection, or its other side.
+    /// The connection or the peer failed.
     Remote,
 }
 
 impl ErrorOrigin {
-    /// Classes an error of `accept`, `socket` or `connect`.
+    /// Classifies an error of `accept`, `socket` or `connect`.
     pub fn of(error: &io::Error) -> ErrorOrigin {
         match error.raw_os_error() {
             Some(
--- a/crates/ivyward-runtime/src/origin/tests.rs
+++ b/crates/ivyward-runtime/src/origin/tests.rs
@@ -1,9 +1,9 @@
-//! Which errors are whose.
+//! Which errors count as local and which as remote.
 
 use super::*;
 
 #[test]
-fn what_this_machine_lacks_says_nothing_of_the_other_side() {
+fn resource_errors_of_this_machine_are_local_and_all_others_remote() {
     for local in [
         ENOMEM,
         ENFILE,
