--- a/crates/ivyward-runtime/src/lib.rs
+++ b/crates/ivyward-runtime/src/lib.rs
@@ -87,7 +87,8 @@
     /// Microseconds since the Unix epoch on the wall clock, which may jump. Used only for times that are displayed or
     /// exchanged with other processes.
     fn unix_micros(&self) -> Micros;
-    /// Waits until [`Runtime::now`] is at least `at`. Dropping the future cancels the timer.
+    /// Waits until [`Runtime::now`] is at least `at`. Dropping the future cancels the timer. [`SmolRuntime`] waits for a
+    /// day at most: a caller with a later time waits again.
     fn sleep_until(&self, at: Micros) -> BoxFuture<()>;
     /// Runs a task in the background until it completes or the runtime stops. A panic ends only this task.
     fn spawn(&self, task: BoxFuture<()>);
--- a/crates/ivyward-runtime/src/smol.rs
+++ b/crates/ivyward-runtime/src/smol.rs
@@ -1,5 +1,5 @@
-//! The real surroundings, on async-io and async-executor.
-#![allow(clippy::disallowed_methods, clippy::disallowed_types)] // The one place that may ask the system.
+//! The runtime on the operating system's clock and sockets, with async-io and async-executor.
+#![allow(clippy::disallowed_methods, clippy::disallowed_types)] // The only module that may use the system's clock and sockets.
 
 use crate::{
     BorrowedFuture, BoxFuture, Conn, Connection, DatagramSocket, Listener, Micros, Peer, Runtime,
@@ -19,15 +19,18 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock's fixed moment lies so long before a world begins, so that what started before it has a time on it.
-const BEFORE: Micros = 3_600_000_000;
-/// How many connections may wait to be accepted.
-const BACKLOG: i32 = 1024;
+/// What the monotonic clock shows when the runtime starts: one hour, so that moments before the start have a time on it
+/// as well.
+const CLOCK_AT_START: Micros = 3_600_000_000;
+/// How many connections may wait to be accepted by one listener.
+const LISTEN_BACKLOG: i32 = 1024;
+/// The longest duration of one timer, in microseconds: a day. Later times would overflow the timer's clock.
+const MAX_TIMER: Micros = 86_400_000_000;
 
-/// An executor with threads of its own, the system's clock and sockets. [`SmolRuntime::stop`], or dropping the
-/// last handle, ends its tasks and closes their sockets, as the death of a process would.
+/// A runtime with an executor and threads of its own, on the system's clock and sockets. [`SmolRuntime::stop`], or
+/// dropping the last handle, ends its tasks and closes their sockets, as the death of a process would.
 pub struct SmolRuntime {
-    begun: Instant,
+    started_at: Instant,
     random: Mutex<SmallRng>,
     executor: Weak<Executor<'static>>,
     inner: Mutex<Inner>,
@@ -37,12 +40,12 @@
 struct Inner {
     executor: Option<Arc<Executor<'static>>>,
     threads: Vec<JoinHandle<()>>,
-    wake: Vec<Arc<Stop>>,
+    stop_signals: Vec<Arc<StopSignal>>,
 }
 
-/// Tells a thread to end.
+/// Wakes an executor thread, so that it sees `SmolRuntime::stopped` and ends.
 #[derive(Default)]
-struct Stop {
+struct StopSignal {
     waker: Mutex<Option<std::task::Waker>>,
 }
 
@@ -50,9 +53,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Polls until the system call behind it was not interrupted. Guards against EINTR that is taken for the end of a
-/// connection: the call did nothing and is simply made again. This is the only place that does so for connections.
-fn uninterrupted_poll<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+/// Polls again as long as the system call is interrupted (EINTR). An interrupted call has done nothing; without the
+/// retry, its error would be taken for the end of the connection. This is the only place that retries reads and writes
+/// of connections.
+fn retry_interrupted_poll<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match poll() {
             Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -61,8 +65,8 @@
     }
 }
 
-/// The same for a call that is begun anew each time.
-async fn uninterrupted<T, F>(mut call: impl FnMut() -> F) -> io::Result<T>
+/// Like [`retry_interrupted_poll`], for a call that is started anew for each retry.
+async fn retry_interrupted<T, F>(mut call: impl FnMut() -> F) -> io::Result<T>
 where
     F: std::future::Future<Output = io::Result<T>>,
 {
@@ -75,17 +79,21 @@
 }
 
 impl SmolRuntime {
-    /// Starts `threads` threads (at least one). `seed` feeds [`Runtime::random`].
+    /// Starts a runtime with `threads` threads, at least one. `seed` initializes the generator behind
+    /// [`Runtime::random`].
     pub fn start(threads: usize, seed: u64) -> Arc<SmolRuntime> {
         let executor = Arc::new(Executor::new());
         let stopped = Arc::new(AtomicBool::new(false));
-        let (mut handles, mut wake) = (Vec::new(), Vec::new());
+        let (mut handles, mut stop_signals) = (Vec::new(), Vec::new());
         for i in 0..threads.max(1) {
-            let (executor, stopped, stop) =
-                (executor.clone(), stopped.clone(), Arc::new(Stop::default()));
-            wake.push(stop.clone());
+            let (executor, stopped, signal) = (
+                executor.clone(),
+                stopped.clone(),
+                Arc::new(StopSignal::default()),
+            );
+            stop_signals.push(signal.clone());
             let until = std::future::poll_fn(move |cx: &mut Context<'_>| {
-                *lock(&stop.waker) = Some(cx.waker().clone());
+                *lock(&signal.waker) = Some(cx.waker().clone());
                 if stopped.load(Ordering::SeqCst) {
                     Poll::Ready(())
                 } else {
@@ -101,46 +109,47 @@
             }
         }
         Arc::new(SmolRuntime {
-            begun: Instant::now(),
+            started_at: Instant::now(),
             random: Mutex::new(SmallRng::seed_from_u64(seed)),
             executor: Arc::downgrade(&executor),
             inner: Mutex::new(Inner {
                 executor: Some(executor),
                 threads: handles,
-                wake,
+                stop_signals,
             }),
             stopped,
         })
     }
 
-    /// Ends every task and closes their sockets. Waits until the threads are done, unless called by one of them.
+    /// Ends all tasks and closes their sockets. Waits until the threads have ended, except for the calling thread if it
+    /// is one of them.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
-        let (executor, threads, wake) = {
+        let (executor, threads, stop_signals) = {
             let mut inner = lock(&self.inner);
             (
                 inner.executor.take(),
                 std::mem::take(&mut inner.threads),
-                std::mem::take(&mut inner.wake),
+                std::mem::take(&mut inner.stop_signals),
             )
         };
-        for stop in wake {
-            if let Some(waker) = lock(&stop.waker).take() {
+        for signal in stop_signals {
+            if let Some(waker) = lock(&signal.waker).take() {
                 waker.wake();
             }
         }
-        let me = std::thread::current().id();
+        let current = std::thread::current().id();
         for handle in threads {
-            if handle.thread().id() != me {
-                // A thread that panicked is over as well.
+            if handle.thread().id() != current {
+                // An error means that the thread panicked; it has ended as well.
                 let _ = handle.join();
             }
         }
-        // The last handle: tasks that still wait are dropped here, and with them their sockets.
+        // The last strong reference: pending tasks are dropped here, and their sockets with them.
         drop(executor);
     }
 
-    /// Runs a future on the calling thread, with this world's tasks going on beside it.
+    /// Runs a future on the calling thread, while the tasks of this runtime run on its own threads.
     pub fn block_on<T>(&self, future: impl std::future::Future<Output = T>) -> T {
         async_io::block_on(future)
     }
@@ -154,7 +163,7 @@
 
 impl Runtime for SmolRuntime {
     fn now(&self) -> Micros {
-        self.begun.elapsed().as_micros() as Micros + BEFORE
+        self.started_at.elapsed().as_micros() as Micros + CLOCK_AT_START
     }
     fn unix_micros(&self) -> Micros {
         SystemTime::now()
@@ -165,16 +174,16 @@
         if at == Micros::MAX {
             return Box::pin(std::future::pending());
         }
-        // A day at most: far times would overflow, and whoever waits so long asks again.
-        let span = at.saturating_sub(self.now()).min(86_400_000_000);
-        let timer = async_io::Timer::after(Duration::from_micros(span));
+        // A caller that waits for longer than the limit is woken early and has to wait again.
+        let duration = at.saturating_sub(self.now()).min(MAX_TIMER);
+        let timer = async_io::Timer::after(Duration::from_micros(duration));
         Box::pin(async move {
             timer.await;
         })
     }
     fn spawn(&self, task: BoxFuture<()>) {
         if let Some(executor) = self.executor.upgrade() {
-            // A task that panics must not take its thread along.
+            // A panic must end the task only, not the executor thread.
             executor
                 .spawn(async move {
                     let _ = AssertUnwindSafe(task).catch_unwind().await;
@@ -184,9 +193,9 @@
     }
     fn connect(&self, to: SocketAddr) -> BoxFuture<io::Result<Conn>> {
         Box::pin(async move {
-            // A connection that was interrupted on its way is given up whole: nothing was sent on it.
-            let stream = uninterrupted(|| TcpStream::connect(to)).await?;
-            Ok(Box::new(Tcp::new(stream)?) as Conn)
+            // An interrupted connection attempt is dropped and begun anew: nothing was sent on it.
+            let stream = retry_interrupted(|| TcpStream::connect(to)).await?;
+            Ok(Box::new(TcpConnection::new(stream)?) as Conn)
         })
     }
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
@@ -195,36 +204,36 @@
             socket2::Type::STREAM,
             None,
         )?;
-        // A process that comes back takes its old port at once.
+        // A restarted process can bind its old port at once, without waiting for TIME_WAIT to end.
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         socket.set_nonblocking(true)?;
         let socket: std::net::TcpListener = socket.into();
         let address = socket.local_addr()?;
         let socket = TcpListener::from(async_io::Async::new(socket)?);
-        Ok(Box::new(TcpDoor { socket, address }))
+        Ok(Box::new(SmolListener { socket, address }))
     }
     fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn DatagramSocket>> {
         let socket = async_io::Async::<std::net::UdpSocket>::bind(at)?;
         let address = socket.get_ref().local_addr()?;
-        Ok(Box::new(Udp { socket, address }))
+        Ok(Box::new(UdpSocket { socket, address }))
     }
     fn random(&self) -> u64 {
         lock(&self.random).next_u64()
     }
 }
 
-struct TcpDoor {
+struct SmolListener {
     socket: TcpListener,
     address: SocketAddr,
 }
 
-impl Listener for TcpDoor {
+impl Listener for SmolListener {
     fn accept(&mut self) -> BorrowedFuture<'_, io::Result<(Conn, SocketAddr)>> {
         Box::pin(async move {
-            let (stream, peer) = uninterrupted(|| self.socket.accept()).await?;
-            Ok((Box::new(Tcp::new(stream)?) as Conn, peer))
+            let (stream, peer) = retry_interrupted(|| self.socket.accept()).await?;
+            Ok((Box::new(TcpConnection::new(stream)?) as Conn, peer))
         })
     }
     fn address(&self) -> SocketAddr {
@@ -232,12 +241,12 @@
     }
 }
 
-struct Udp {
+struct UdpSocket {
     socket: async_io::Async<std::net::UdpSocket>,
     address: SocketAddr,
 }
 
-impl DatagramSocket for Udp {
+impl DatagramSocket for UdpSocket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         loop {
             match self.socket.get_ref().send_to(bytes, to) {
@@ -265,20 +274,20 @@
     }
 }
 
-struct Tcp {
+struct TcpConnection {
     stream: TcpStream,
 }
 
-impl Tcp {
-    fn new(stream: TcpStream) -> io::Result<Tcp> {
+impl TcpConnection {
+    fn new(stream: TcpStream) -> io::Result<TcpConnection> {
         stream.set_nodelay(true)?;
-        Ok(Tcp { stream })
+        Ok(TcpConnection { stream })
     }
 }
 
-impl Connection for Tcp {
+impl Connection for TcpConnection {
     fn reset_on_close(&mut self) {
-        // Without it the close is orderly, which only a test would notice.
+        // If this fails, the close is orderly instead, which only tests would notice.
         let async_socket: Arc<async_io::Async<std::net::TcpStream>> = self.stream.clone().into();
         let _ = socket2::SockRef::from(async_socket.get_ref()).set_linger(Some(Duration::ZERO));
     }
@@ -305,35 +314,35 @@
     }
 }
 
-impl AsyncRead for Tcp {
+impl AsyncRead for TcpConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        uninterrupted_poll(|| Pin::new(&mut self.stream).poll_read(cx, buf))
+        retry_interrupted_poll(|| Pin::new(&mut self.stream).poll_read(cx, buf))
     }
 }
 
-impl AsyncWrite for Tcp {
+impl AsyncWrite for TcpConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        uninterrupted_poll(|| Pin::new(&mut self.stream).poll_write(cx, buf))
+        retry_interrupted_poll(|| Pin::new(&mut self.stream).poll_write(cx, buf))
     }
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        uninterrupted_poll(|| Pin::new(&mut self.stream).poll_write_vectored(cx, bufs))
+        retry_interrupted_poll(|| Pin::new(&mut self.stream).poll_write_vectored(cx, bufs))
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        uninterrupted_poll(|| Pin::new(&mut self.stream).poll_flush(cx))
+        retry_interrupted_poll(|| Pin::new(&mut self.stream).poll_flush(cx))
     }
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        uninterrupted_poll(|| Pin::new(&mut self.stream).poll_close(cx))
+        retry_interrupted_poll(|| Pin::new(&mut self.stream).poll_close(cx))
     }
 }
