--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -1,4 +1,4 @@
-//! A virtual world from one seed.
+//! A deterministic simulation: clock, tasks, network and processes, all derived from one seed.
 //!
 //! - [`Sim`]: the whole of it; [`Sim::run`] plays it until a future is done, and says so when it cannot go on.
 //! - [`Host`]: a process in it, which implements [`ivyward_runtime::Runtime`]; it can die, freeze and have a wrong clock.
@@ -26,12 +26,12 @@
 use tasks::Tasks;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A process's number; the same for all its life, not used again.
+/// Number of a simulated process, never reused.
 pub type HostId = usize;
 
-/// What the clock shows when a world begins.
+/// What the monotonic clock shows when a simulation starts.
 const BEGIN: Micros = 1_000_000;
-/// What Unix time is then.
+/// Unix time, in microseconds, when the monotonic clock shows 0.
 const EPOCH: Micros = 1_750_000_000_000_000;
 
 /// Something that is due.
@@ -92,7 +92,7 @@
     }
 }
 
-/// A virtual world. Clones are handles to the same one.
+/// A simulation. Clones are handles to the same one.
 #[derive(Clone)]
 pub struct Sim(Arc<Inner>);
 
@@ -211,7 +211,7 @@
     pub fn update_network(&self, change: impl FnOnce(&mut NetworkConfig)) {
         change(&mut self.0.lock().net.ways);
     }
-    /// Streams take so much longer from one host to the other, and back.
+    /// Sets an extra latency, in microseconds, of streams between two hosts, in each direction.
     pub fn set_extra_latency(&self, one: HostId, other: HostId, longer: Micros) {
         let mut state = self.0.lock();
         state.net.lag(one, other, longer);
@@ -222,13 +222,13 @@
     pub fn set_partitioned(&self, from: HostId, to: HostId, on: bool) {
         self.wake(|state| state.net.cut(from, to, on));
     }
-    /// Freezes a process: its sockets stay, it does nothing. Or lets it go on.
+    /// Pauses a process or resumes it. A paused process keeps its sockets and runs no task.
     pub fn set_paused(&self, host: HostId, on: bool) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
             host.frozen = on;
         }
     }
-    /// Sets a host's clock so far off, in microseconds.
+    /// Sets the error of a host's wall clock, in microseconds.
     pub fn set_clock_skew(&self, host: HostId, skew: i64) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
             host.skew = skew;
@@ -256,7 +256,7 @@
     }
 }
 
-/// A process of the virtual world.
+/// A simulated process.
 pub struct Host {
     inner: Arc<Inner>,
     id: HostId,
