--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -14,22 +14,22 @@
 use std::sync::{Arc, Weak};
 use std::task::{Context, Poll, Waker};
 
-/// What the network does. Times are microseconds.
+/// Settings of the virtual network. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConfig {
-    /// From one host to another.
+    /// One-way latency between two hosts.
     pub latency: Micros,
-    /// Up to so much more, drawn anew for each piece; pieces of one stream keep their order.
+    /// Largest random extra latency, drawn for each write or datagram. Bytes of one stream keep their order.
     pub jitter: Micros,
-    /// Bytes a second of each stream; 0 for as many as there are.
+    /// Bandwidth of each direction of a stream, in bytes per second; 0 means unlimited.
     pub bytes_per_second: u64,
-    /// Bytes of a stream that may be under way or wait for their reader; a writer waits at it.
+    /// Bytes of a stream that may be in transit or unread; at this limit the writer waits.
     pub buffer_bytes: usize,
-    /// The part of reads and writes that take only some of the bytes, down to one.
+    /// Fraction of reads and writes that transfer only some of the bytes, at least one.
     pub partial_io: f64,
-    /// The part of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub datagram_loss: f64,
-    /// The part of them that come twice.
+    /// Fraction of datagrams that are delivered twice.
     pub datagram_duplication: f64,
 }
 
