--- a/crates/ivyward-platform/src/buffered_connection.rs
+++ b/crates/ivyward-platform/src/buffered_connection.rs
@@ -4,7 +4,7 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use ivyward::core::interface::Micros;
 use ivyward::runtime::{timeout_at, Conn, Peer, RuntimeRef};
-use ivyward_http1::{Answer, Body, BodyError, Limits, Step};
+use ivyward_http1::{BodyDecoder, BodyError, Decoded, Limits, ResponseHead};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -117,11 +117,11 @@
     /// Parses the next part of a body from the unread bytes, and appends its data to `output`.
     pub(crate) fn read_body_step(
         &mut self,
-        body: &mut Body,
+        body: &mut BodyDecoder,
         output: &mut Vec<u8>,
-    ) -> Result<Step, BodyError> {
-        let (step, used) = body.step(self.unread())?;
-        if let Step::Data(range) = &step {
+    ) -> Result<Decoded, BodyError> {
+        let (step, used) = body.decode(self.unread())?;
+        if let Decoded::Data(range) = &step {
             output.extend_from_slice(&self.unread()[range.clone()]);
         }
         self.consume(used);
@@ -193,7 +193,7 @@
     Io(#[from] io::Error),
     /// The received bytes are not a valid response head.
     #[error("{0}")]
-    Invalid(#[from] ivyward_http1::Fault),
+    Invalid(#[from] ivyward_http1::HeadError),
     /// More than `MAX_INTERIM_RESPONSES` (8) interim responses were received.
     #[error("more than {MAX_INTERIM_RESPONSES} interim responses")]
     TooManyInterimResponses,
@@ -203,10 +203,10 @@
 pub(crate) async fn read_response_head(
     connection: &mut BufferedConnection,
     limits: &Limits,
-) -> Result<Answer, ResponseHeadError> {
+) -> Result<ResponseHead, ResponseHeadError> {
     let mut interim_responses = 0;
     loop {
-        match Answer::read(connection.unread(), limits)? {
+        match ResponseHead::parse(connection.unread(), limits)? {
             Some((response, used)) => {
                 connection.consume(used);
                 match response.status {
@@ -230,16 +230,16 @@
 /// the limit.
 pub(crate) async fn read_response_body(
     connection: &mut BufferedConnection,
-    response: &Answer,
+    response: &ResponseHead,
     limits: &Limits,
 ) -> Option<Vec<u8>> {
-    let mut body = Body::new(response.framing, limits);
+    let mut body = BodyDecoder::new(response.framing, limits);
     let mut bytes = Vec::new();
     loop {
         match connection.read_body_step(&mut body, &mut bytes).ok()? {
-            Step::Done => return Some(bytes),
-            _ if bytes.len() as u64 > limits.body => return None,
-            Step::More if connection.fill().await.ok()? == 0 => return None,
+            Decoded::Done => return Some(bytes),
+            _ if bytes.len() as u64 > limits.max_body_bytes => return None,
+            Decoded::NeedMoreInput if connection.fill().await.ok()? == 0 => return None,
             _ => {}
         }
     }
