--- a/crates/ivyward-testbed/src/commands/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/commands/fault_scenario.rs
@@ -53,7 +53,7 @@
 
 impl FaultScenario {
     pub fn run(self) -> CommandResult {
-        let mut scenario = Scenario::drawn(self.seed, self.requests as usize, &self.faults);
+        let mut scenario = Scenario::from_seed(self.seed, self.requests as usize, &self.faults);
         scenario.load.rate = self.rate as f64;
         scenario.etcd = self.discovery == "etcd";
         if scenario.etcd && self.daemon.is_some() {
@@ -65,7 +65,7 @@
         let length = (self.requests as f64 / self.rate as f64 * 1e6) as u64;
         scenario.plan = Plan::draw(self.seed, length.max(MIN_LENGTH), &self.faults);
         if let Some(path) = self.daemon {
-            scenario.runs = NodePlacement::Daemon(path);
+            scenario.placement = NodePlacement::Daemon(path);
         }
         if let Some(path) = self.scenario {
             scenario.plan = read_plan(&path, &scenario.plan)?;
--- a/crates/ivyward-testbed/src/commands/mod.rs
+++ b/crates/ivyward-testbed/src/commands/mod.rs
@@ -116,7 +116,7 @@
                 Ok(ExitCode::SUCCESS)
             }
             Command::KvTransfer(flags) => {
-                print!("{}", ivyward_testbed::kv_transfer::play(flags).text());
+                print!("{}", ivyward_testbed::kv_transfer::simulate(flags).text());
                 Ok(ExitCode::SUCCESS)
             }
             Command::Hollow(command) => command.run(),
--- a/crates/ivyward-testbed/src/commands/peers.rs
+++ b/crates/ivyward-testbed/src/commands/peers.rs
@@ -32,7 +32,7 @@
             ..PeerSettings::default()
         };
         let mut all = Vec::new();
-        println!("{}", peer_simulation::HEAD);
+        println!("{}", peer_simulation::TABLE_HEADER);
         for nodes in self.nodes {
             let figures = peer_simulation::measure(
                 nodes as usize,
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -2,7 +2,7 @@
 //! size of the fleet.
 
 use crate::fault_plan::Plan;
-use crate::load::{play, Load};
+use crate::load::{run_load, Load};
 use crate::local_cluster::{fleet, io, settings, ClusterBuilder, LocalCluster, LocalClusterError};
 use ivyward::core::interface::Micros;
 use ivyward::registration::State;
@@ -176,7 +176,7 @@
             }
             let _ = tell.send(counts).await;
         });
-        play(&scene, &plan, &load).await;
+        run_load(&scene, &plan, &load).await;
         let _ = wait.recv().await;
         drop(stop);
         out.faults = played.recv().await.unwrap_or_default();
--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -1,7 +1,7 @@
 //! Plays a day's troubles under its load on real sockets, and reports what came of it.
 
 use crate::fault_plan::{FaultKind, Plan, ScheduledFault};
-use crate::load::{play, Load, Tried};
+use crate::load::{run_load, Load, RequestRecord};
 use crate::local_cluster::{
     settings, ClusterBuilder, LocalCluster, LocalClusterError, NodePlacement, RecordingBuffer,
 };
@@ -40,7 +40,7 @@
     /// How many racks of one reader, one mixed engine and two writers.
     pub racks: u16,
     /// How nodes run.
-    pub runs: NodePlacement,
+    pub placement: NodePlacement,
     /// What the auditor takes for in flight on this machine.
     pub flight: Micros,
     /// Nodes follow engines through a store that is among the faulty, instead of being told by the script.
@@ -49,7 +49,7 @@
 
 impl FaultScenario {
     /// A day of so many requests, with these kinds of trouble or all.
-    pub fn drawn(seed: u64, requests: usize, kinds: &[FaultKind]) -> FaultScenario {
+    pub fn from_seed(seed: u64, requests: usize, kinds: &[FaultKind]) -> FaultScenario {
         let load = Load {
             requests,
             rate: 200.0,
@@ -62,7 +62,7 @@
             load,
             nodes: 3,
             racks: 4,
-            runs: NodePlacement::InProcess,
+            placement: NodePlacement::InProcess,
             flight: 250_000,
             etcd: false,
         }
@@ -87,30 +87,30 @@
     specs
 }
 
-/// What came of a day.
+/// What came of a scenario.
 pub struct Report {
-    /// The day.
-    pub day: FaultScenario,
+    /// The scenario.
+    pub scenario: FaultScenario,
     /// Every try.
-    pub tries: Vec<Tried>,
+    pub requests: Vec<RequestRecord>,
     /// What the auditor found.
     pub audit: RuleReport,
     /// The first node's recording.
     pub recording: Vec<u8>,
 }
 
-/// Plays a day.
+/// Plays a scenario.
 ///
 /// # Errors
 /// When the scene cannot be set up.
-pub fn run(day: FaultScenario) -> Result<Report, LocalClusterError> {
+pub fn run(scenario: FaultScenario) -> Result<Report, LocalClusterError> {
     let memory = RecordingBuffer::default();
-    let store = match day.etcd {
+    let store = match scenario.etcd {
         false => None,
         true => {
             let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
             let open = Store::start(&host, 1)
-                .and_then(|mut store| store.open_endpoints(day.nodes).map(|()| store));
+                .and_then(|mut store| store.open_endpoints(scenario.nodes).map(|()| store));
             Some(open.map_err(|error| LocalClusterError::Io {
                 what: "starting a store".into(),
                 error,
@@ -125,18 +125,18 @@
         ..WatcherOptions::default()
     });
     let make = ClusterBuilder {
-        seed: day.plan.seed,
-        engines: engines(day.racks),
+        seed: scenario.plan.seed,
+        engines: engines(scenario.racks),
         settings: NodeSettings {
             router: ivyward_core::interface::Settings {
-                replica_count: day.nodes as u32,
+                replica_count: scenario.nodes as u32,
                 ..settings().router
             },
             ..settings()
         },
-        nodes: day.nodes,
-        placement: day.runs.clone(),
-        flight: day.flight,
+        nodes: scenario.nodes,
+        placement: scenario.placement.clone(),
+        flight: scenario.flight,
         watcher: follow,
         recording: Some(memory.clone()),
     };
@@ -158,8 +158,8 @@
             }
         });
     }
-    let plan = Arc::new(day.plan.clone());
-    let tries = scene.runtime.clone().block_on(async {
+    let plan = Arc::new(scenario.plan.clone());
+    let requests = scene.runtime.clone().block_on(async {
         let (done, wait) = async_channel::bounded::<()>(1);
         for (i, spell) in plan.faults.iter().enumerate() {
             let (scene, plan, spell, done) =
@@ -171,19 +171,19 @@
             });
         }
         drop(done);
-        let tries = play(&scene, &plan, &day.load).await;
+        let requests = run_load(&scene, &plan, &scenario.load).await;
         // Troubles that outlast the load end by themselves.
         let _ = wait.recv().await;
         scene.wait_until_idle(5_000_000).await;
         if let Some(node) = scene.node(0) {
             node.flush_recording().await;
         }
-        tries
+        requests
     });
     let audit = scene.audit();
     Ok(Report {
-        day,
-        tries,
+        scenario,
+        requests,
         audit,
         recording: memory.bytes(),
     })
@@ -497,9 +497,9 @@
     pub fn all(&self) -> Ends {
         self.ends(|_| true)
     }
-    fn ends(&self, of: impl Fn(&Tried) -> bool) -> Ends {
+    fn ends(&self, of: impl Fn(&RequestRecord) -> bool) -> Ends {
         let mut ends = Ends::default();
-        self.tries
+        self.requests
             .iter()
             .filter(|t| of(t))
             .for_each(|t| ends.add(t.end.outcome));
@@ -507,14 +507,14 @@
     }
     fn first_tokens(&self, class: Option<usize>) -> BTreeMap<String, f64> {
         let of = self
-            .tries
+            .requests
             .iter()
             .filter(|t| class.is_none_or(|c| t.class == c));
         percentiles(of.filter_map(|t| t.end.first_token_after))
     }
     fn paces(&self) -> BTreeMap<String, f64> {
         let served = self
-            .tries
+            .requests
             .iter()
             .filter(|t| t.end.outcome == ClientOutcome::Served && t.end.tokens > 1);
         percentiles(served.filter_map(|t| {
@@ -550,7 +550,7 @@
         let classes = self.class_names().into_iter().enumerate();
         let rules = self.audit.rules.iter().zip(RULES);
         let json = Json {
-            plan: &self.day.plan,
+            plan: &self.scenario.plan,
             all: self.all(),
             classes: classes
                 .map(|(i, name)| (name, self.ends(|t| t.class == i)))
@@ -600,13 +600,13 @@
             "{:<18}{:>9}{:>9}{:>9}{:>9}{:>10}",
             "during", "requests", "served", "refused", "failed", "given up"
         ));
-        for spell in &self.day.plan.faults {
+        for spell in &self.scenario.plan.faults {
             let during = self.ends(|t| (spell.at..spell.at + spell.len).contains(&t.at));
             line(row(&spell.kind.name(), during));
         }
-        let quiet = |t: &Tried| {
+        let quiet = |t: &RequestRecord| {
             !self
-                .day
+                .scenario
                 .plan
                 .faults
                 .iter()
--- a/crates/ivyward-testbed/src/kv_transfer.rs
+++ b/crates/ivyward-testbed/src/kv_transfer.rs
@@ -56,7 +56,7 @@
 
 /// Where states went.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KvTransfers {
+pub struct KvTransferCounts {
     /// Requests that were counted.
     pub requests: u64,
     /// States handed over within a rack.
@@ -71,7 +71,7 @@
     pub not_sent: u64,
 }
 
-impl KvTransfers {
+impl KvTransferCounts {
     /// A line for people.
     pub fn text(&self) -> String {
         let percent = |n: u64| n as f64 / self.requests.max(1) as f64 * 100.0;
@@ -106,7 +106,7 @@
     /// Where requests were read, and how many attempts they had.
     read_at: BTreeMap<u64, EndpointId>,
     attempts: BTreeMap<u64, u16>,
-    seen: KvTransfers,
+    seen: KvTransferCounts,
 }
 
 fn fleet(flags: &KvTransferFlags) -> Vec<Endpoint> {
@@ -127,7 +127,7 @@
 }
 
 /// Plays it.
-pub fn play(flags: KvTransferFlags) -> KvTransfers {
+pub fn simulate(flags: KvTransferFlags) -> KvTransferCounts {
     let node = NodeSettings {
         classes: crate::local_cluster::classes(),
         router: Settings {
@@ -147,7 +147,7 @@
         steps: 0,
         read_at: BTreeMap::new(),
         attempts: BTreeMap::new(),
-        seen: KvTransfers::default(),
+        seen: KvTransferCounts::default(),
     };
     let begin = 3_600_000_000;
     play.tell(
--- a/crates/ivyward-testbed/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -14,7 +14,7 @@
 
 /// One try, as reports count it.
 #[derive(Clone, Debug)]
-pub struct Tried {
+pub struct RequestRecord {
     /// Microseconds from the day's start.
     pub at: Micros,
     /// Its class.
@@ -77,9 +77,13 @@
 }
 
 /// Plays all sessions and returns every try.
-pub async fn play(scene: &Arc<LocalCluster>, plan: &Arc<Plan>, load: &Load) -> Vec<Tried> {
+pub async fn run_load(
+    scene: &Arc<LocalCluster>,
+    plan: &Arc<Plan>,
+    load: &Load,
+) -> Vec<RequestRecord> {
     let begun = scene.log.now();
-    let tries: Arc<Mutex<Vec<Tried>>> = Arc::default();
+    let tries: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
     let (done, wait) = async_channel::bounded::<()>(1);
     let classes = scene.builder().settings.classes.len();
     for session in draw(plan, load, scene.nodes(), classes) {
@@ -108,7 +112,7 @@
     load: &Load,
     session: &Session,
     begun: Micros,
-    tries: &Mutex<Vec<Tried>>,
+    tries: &Mutex<Vec<RequestRecord>>,
 ) {
     let mut random = SmallRng::seed_from_u64(session.seed);
     let now = || scene.log.now() - begun;
@@ -167,7 +171,7 @@
     random: &mut SmallRng,
     begun: Micros,
     (prompt, opening, output): (&[u32], u32, u32),
-    tries: &Mutex<Vec<Tried>>,
+    tries: &Mutex<Vec<RequestRecord>>,
 ) {
     let class = &scene.builder().settings.classes[session.class];
     let operation = scene.call_id();
@@ -227,7 +231,7 @@
         tries
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(Tried {
+            .push(RequestRecord {
                 at,
                 class: session.class,
                 end,
--- a/crates/ivyward-testbed/src/peer_scenario.rs
+++ b/crates/ivyward-testbed/src/peer_scenario.rs
@@ -10,27 +10,27 @@
 
 /// Where nodes announce themselves and where they really are.
 #[derive(Default)]
-pub struct Addresses {
+pub struct PeerAddresses {
     announced: Vec<SocketAddr>,
     real: Vec<SocketAddr>,
     /// Datagrams that a node sent to its own forwarder: answers that went to where a datagram seemed to come from.
-    pub astray: Arc<AtomicU64>,
+    pub misdirected: Arc<AtomicU64>,
 }
 
-impl Addresses {
+impl PeerAddresses {
     /// Opens a forwarder for each node, in a world of their own.
     ///
     /// # Errors
     /// When a port cannot be taken.
-    pub fn open(runtime: &RuntimeRef, nodes: usize) -> std::io::Result<Addresses> {
-        let mut addresses = Addresses::default();
+    pub fn open(runtime: &RuntimeRef, nodes: usize) -> std::io::Result<PeerAddresses> {
+        let mut addresses = PeerAddresses::default();
         for node in 0..nodes {
             let door = runtime.bind_datagram(SocketAddr::from(([127, 0, 0, 1], 0)))?;
             let real = SocketAddr::from(([127, 0, 0, 1], 10_000 + node as u16));
             addresses.announced.push(door.address());
             addresses.real.push(real);
-            let (as_ref, astray) = (runtime.clone(), addresses.astray.clone());
-            runtime.run(async move { forward(&as_ref, door, real, &astray).await });
+            let (as_ref, misdirected) = (runtime.clone(), addresses.misdirected.clone());
+            runtime.run(async move { forward(&as_ref, door, real, &misdirected).await });
         }
         Ok(addresses)
     }
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// What the node says.
-    pub fn begin(&self, node: &Node, i: usize) -> Result<PeersHandle, String> {
+    pub fn start_peers(&self, node: &Node, i: usize) -> Result<PeersHandle, String> {
         let peers = self
             .announced
             .iter()
@@ -60,12 +60,12 @@
     runtime: &RuntimeRef,
     mut door: Box<dyn DatagramSocket>,
     to: SocketAddr,
-    astray: &AtomicU64,
+    misdirected: &AtomicU64,
 ) {
     let mut bytes = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         match door.receive(&mut bytes).await {
-            Ok((_, from)) if from == to => drop(astray.fetch_add(1, Ordering::SeqCst)),
+            Ok((_, from)) if from == to => drop(misdirected.fetch_add(1, Ordering::SeqCst)),
             Ok((got, _)) => {
                 let _ = door.send(&bytes[..got], to);
             }
--- a/crates/ivyward-testbed/src/peer_simulation.rs
+++ b/crates/ivyward-testbed/src/peer_simulation.rs
@@ -18,7 +18,7 @@
 }
 
 /// How a node announces itself.
-pub fn card(node: usize, start: u64) -> NodeInfo {
+pub fn node_info(node: usize, start: u64) -> NodeInfo {
     NodeInfo {
         id: PeerId(node as u64 + 1),
         incarnation: start,
@@ -28,7 +28,7 @@
 }
 
 /// What a directed link does to a message at that time, from one to another, by a lot: loses it, or how much later it comes.
-pub type Way = Box<dyn FnMut(Micros, usize, usize, u64) -> Option<Micros>>;
+pub type LinkModel = Box<dyn FnMut(Micros, usize, usize, u64) -> Option<Micros>>;
 
 enum Due {
     Tick(usize, u64),
@@ -37,28 +37,28 @@
 
 /// How a node's process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     /// It runs.
-    Up,
+    Running,
     /// It is stopped until then; what comes waits in its socket.
-    Stopped(Micros),
+    Paused(Micros),
     /// It was killed.
-    Gone,
+    Killed,
 }
 
 /// The network and its nodes.
-pub struct Net {
+pub struct PeerNetwork {
     /// The time.
     pub now: Micros,
     /// The deciders.
     pub peers: Vec<Peers>,
     /// How their processes are.
-    pub life: Vec<Life>,
+    pub process_states: Vec<ProcessState>,
     starts: Vec<u64>,
     heap: BinaryHeap<Reverse<(Micros, u64)>>,
     due: BTreeMap<u64, Due>,
     seq: u64,
-    way: Way,
+    way: LinkModel,
     /// When who changed its view of whom to what.
     pub changes: Vec<(Micros, usize, PeerId, PeerState)>,
     /// Datagrams and bytes that each sent, at 86 bytes and 46 a claim, which is what they are on the wire by IPv4.
@@ -68,29 +68,34 @@
 }
 
 /// A network that loses nothing, with 0.2 to 1 ms of way.
-pub fn easy() -> Way {
+pub fn lossless_links() -> LinkModel {
     Box::new(|_, _, _, lot| Some(200 + lot % 800))
 }
 
 /// The same that loses this share.
-pub fn lossy(share: f64) -> Way {
+pub fn lossy_links(share: f64) -> LinkModel {
     Box::new(move |_, _, _, lot| {
         ((lot % 10_000) as f64 >= share * 10_000.0).then_some(200 + lot % 800)
     })
 }
 
-impl Net {
+impl PeerNetwork {
     /// So many nodes, all of which start within the first second and know two addresses.
-    pub fn new(nodes: usize, seed: u64, way: Way) -> Net {
-        Net::with(nodes, seed, way, PeerSettings::default())
+    pub fn new(nodes: usize, seed: u64, way: LinkModel) -> PeerNetwork {
+        PeerNetwork::with_settings(nodes, seed, way, PeerSettings::default())
     }
     /// The same with other spans.
-    pub fn with(nodes: usize, seed: u64, way: Way, spans: PeerSettings) -> Net {
-        let mut net = Net {
+    pub fn with_settings(
+        nodes: usize,
+        seed: u64,
+        way: LinkModel,
+        spans: PeerSettings,
+    ) -> PeerNetwork {
+        let mut net = PeerNetwork {
             spans,
             now: 0,
             peers: Vec::new(),
-            life: vec![Life::Up; nodes],
+            process_states: vec![ProcessState::Running; nodes],
             starts: vec![1; nodes],
             heap: BinaryHeap::new(),
             due: BTreeMap::new(),
@@ -113,7 +118,7 @@
         let seeds = vec![address(0), address(1)];
         Peers::new(
             self.now,
-            card(node, start),
+            node_info(node, start),
             seeds,
             self.spans,
             self.random ^ node as u64,
@@ -132,7 +137,7 @@
         self.due.insert(self.seq, due);
     }
     /// Takes out what a decider wants done.
-    pub fn carry(&mut self, node: usize, out: Vec<PeerAction>) {
+    pub fn apply_actions(&mut self, node: usize, out: Vec<PeerAction>) {
         for one in out {
             match one {
                 PeerAction::Changed {
@@ -180,14 +185,14 @@
                 Due::Tick(node, _) => *node,
                 Due::Message(to, _) => *to,
             };
-            match self.life[node] {
-                Life::Gone => continue,
+            match self.process_states[node] {
+                ProcessState::Killed => continue,
                 // What came meanwhile waits in its socket.
-                Life::Stopped(end) if end > at => {
+                ProcessState::Paused(end) if end > at => {
                     self.at(end, due);
                     continue;
                 }
-                _ => self.life[node] = Life::Up,
+                _ => self.process_states[node] = ProcessState::Running,
             }
             let mut out = Vec::new();
             match due {
@@ -201,25 +206,25 @@
                     self.peers[node].handle_message(at, *message, &mut out)
                 }
             }
-            self.carry(node, out);
+            self.apply_actions(node, out);
         }
         self.now = until;
     }
     /// Kills a node.
     pub fn kill(&mut self, node: usize) {
-        self.life[node] = Life::Gone;
+        self.process_states[node] = ProcessState::Killed;
     }
     /// Starts a node again, under its old name.
     pub fn restart(&mut self, node: usize) {
         self.starts[node] += 1;
-        self.life[node] = Life::Up;
+        self.process_states[node] = ProcessState::Running;
         self.peers[node] = self.fresh(node, self.starts[node]);
         self.at(self.now, Due::Tick(node, self.starts[node]));
     }
     /// Starts a process in a node's place that announces itself otherwise: another name, another start.
     pub fn restart_as(&mut self, node: usize, card: NodeInfo) {
         self.starts[node] += 1;
-        self.life[node] = Life::Up;
+        self.process_states[node] = ProcessState::Running;
         self.peers[node] = Peers::new(
             self.now,
             card,
@@ -230,19 +235,19 @@
         self.at(self.now, Due::Tick(node, self.starts[node]));
     }
     /// What one takes another for.
-    pub fn standing(&self, at: usize, of: usize) -> Option<PeerState> {
+    pub fn peer_state(&self, at: usize, of: usize) -> Option<PeerState> {
         self.peers[at].peer(PeerId(of as u64 + 1)).map(|p| p.state)
     }
     /// Who was not killed.
-    pub fn live(&self) -> Vec<usize> {
+    pub fn running_nodes(&self) -> Vec<usize> {
         (0..self.peers.len())
-            .filter(|n| self.life[*n] != Life::Gone)
+            .filter(|n| self.process_states[*n] != ProcessState::Killed)
             .collect()
     }
     /// Whether each live node takes all live ones for alive, and all others for dead or gone.
-    pub fn agreed(&self) -> bool {
-        let live = self.live();
-        let right = |at: usize, of: usize| match self.standing(at, of) {
+    pub fn converged(&self) -> bool {
+        let live = self.running_nodes();
+        let right = |at: usize, of: usize| match self.peer_state(at, of) {
             Some(PeerState::Alive) => live.contains(&of),
             Some(PeerState::Suspected) => false,
             _ => !live.contains(&of),
@@ -251,10 +256,10 @@
             .all(|at| (0..self.peers.len()).all(|of| of == *at || right(*at, of)))
     }
     /// Plays until all agree; how long that took, if it came about in time.
-    pub fn until_agreed(&mut self, most: Micros) -> Option<Micros> {
+    pub fn run_until_converged(&mut self, most: Micros) -> Option<Micros> {
         let began = self.now;
         while self.now < began + most {
-            if self.agreed() {
+            if self.converged() {
                 return Some(self.now - began);
             }
             self.run(self.now + 50_000);
@@ -262,7 +267,7 @@
         None
     }
     /// How often somebody was taken for dead from then on.
-    pub fn deaths(&self, since: Micros) -> usize {
+    pub fn count_deaths(&self, since: Micros) -> usize {
         self.changes
             .iter()
             .filter(|c| c.0 >= since && c.3 == PeerState::Dead)
@@ -272,7 +277,7 @@
 
 /// What is measured for one number of nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Measurements {
     /// How many nodes.
     pub nodes: usize,
     /// Milliseconds from a kill until half, and all, of the survivors take it for dead; one of each a kill.
@@ -280,9 +285,9 @@
     /// See `half`.
     pub all: Vec<u64>,
     /// Milliseconds from a kill until each of the survivors took it for dead, all kills together, in order.
-    pub known: Vec<u64>,
+    pub detected: Vec<u64>,
     /// Milliseconds from the kill of seven in ten at once until the others agree on it.
-    pub herd: Vec<u64>,
+    pub mass_kill: Vec<u64>,
     /// Kills that not all survivors knew of after ten seconds.
     pub late: usize,
     /// Loss, hours played, and false deaths (somebody taken for dead by somebody, who was not) with a pause of up to two
@@ -296,14 +301,14 @@
     pub healed: Vec<u64>,
 }
 
-fn settled(nodes: usize, seed: u64, way: Way, spans: PeerSettings) -> Net {
-    let mut net = Net::with(nodes, seed, way, spans);
+fn settled(nodes: usize, seed: u64, way: LinkModel, spans: PeerSettings) -> PeerNetwork {
+    let mut net = PeerNetwork::with_settings(nodes, seed, way, spans);
     net.run(20 * SECOND);
-    net.until_agreed(60 * SECOND);
+    net.run_until_converged(60 * SECOND);
     net
 }
 
-fn rate(net: &Net, before: (u64, u64), seconds: f64) -> (f64, f64) {
+fn rate(net: &PeerNetwork, before: (u64, u64), seconds: f64) -> (f64, f64) {
     let (datagrams, bytes) = total(net);
     let a_node = seconds * net.peers.len() as f64;
     (
@@ -312,14 +317,14 @@
     )
 }
 
-fn total(net: &Net) -> (u64, u64) {
+fn total(net: &PeerNetwork) -> (u64, u64) {
     net.sent
         .iter()
         .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1))
 }
 
 /// Plays minutes in which each node is stopped once for up to two seconds; false deaths.
-fn pauses(net: &mut Net, minutes: u64) -> usize {
+fn pauses(net: &mut PeerNetwork, minutes: u64) -> usize {
     let since = net.now;
     for _ in 0..minutes {
         let began = net.now;
@@ -335,17 +340,17 @@
         stops.sort();
         for (at, node, span) in stops {
             net.run(at);
-            net.life[node] = Life::Stopped(at + span);
+            net.process_states[node] = ProcessState::Paused(at + span);
         }
         net.run(began + 60 * SECOND);
     }
-    net.deaths(since)
+    net.count_deaths(since)
 }
 
 /// One run of a measurement.
 enum Run {
     Kill(u64),
-    Herd(u64),
+    MassKill(u64),
     Split(u64),
     Pauses(f64, u64),
 }
@@ -358,10 +363,10 @@
     minutes: u64,
     spans: PeerSettings,
     threads: usize,
-) -> Figures {
+) -> Measurements {
     let losses = [0.0, 0.05, 0.2];
     let mut runs: Vec<Run> = (1..=seeds)
-        .flat_map(|seed| [Run::Kill(seed), Run::Herd(seed), Run::Split(seed)])
+        .flat_map(|seed| [Run::Kill(seed), Run::MassKill(seed), Run::Split(seed)])
         .collect();
     runs.extend(
         losses
@@ -369,7 +374,7 @@
             .flat_map(|loss| (1..=seeds).map(|seed| Run::Pauses(*loss, 100 + seed))),
     );
     let next = std::sync::atomic::AtomicUsize::new(0);
-    let parts: std::sync::Mutex<BTreeMap<usize, Figures>> = std::sync::Mutex::default();
+    let parts: std::sync::Mutex<BTreeMap<usize, Measurements>> = std::sync::Mutex::default();
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
@@ -386,18 +391,18 @@
     let parts = parts
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let mut figures = Figures {
+    let mut figures = Measurements {
         nodes,
-        ..Figures::default()
+        ..Measurements::default()
     };
     figures.false_deaths = losses.iter().map(|loss| (*loss, 0.0, 0)).collect();
     for part in parts.into_values() {
         figures.half.extend(part.half);
         figures.all.extend(part.all);
         figures.late += part.late;
-        figures.known.extend(part.known);
+        figures.detected.extend(part.detected);
         figures.healed.extend(part.healed);
-        figures.herd.extend(part.herd);
+        figures.mass_kill.extend(part.mass_kill);
         for (loss, hours, deaths) in part.false_deaths {
             if let Some(sum) = figures.false_deaths.iter_mut().find(|f| f.0 == loss) {
                 *sum = (loss, sum.1 + hours, sum.2 + deaths);
@@ -410,15 +415,15 @@
             figures.paused = part.paused;
         }
     }
-    figures.known.sort_unstable();
+    figures.detected.sort_unstable();
     figures
 }
 
-fn one(nodes: usize, run: &Run, minutes: u64, spans: PeerSettings) -> Figures {
-    let mut figures = Figures::default();
+fn one(nodes: usize, run: &Run, minutes: u64, spans: PeerSettings) -> Measurements {
+    let mut figures = Measurements::default();
     match run {
         Run::Kill(seed) => {
-            let mut net = settled(nodes, *seed, easy(), spans);
+            let mut net = settled(nodes, *seed, lossless_links(), spans);
             let before = total(&net);
             net.run(net.now + 20 * SECOND);
             figures.quiet = rate(&net, before, 20.0);
@@ -432,7 +437,7 @@
                 .filter(|c| c.0 >= at && c.2 == of && c.3 == PeerState::Dead)
                 .map(|c| (c.0 - at) / 1_000)
                 .collect();
-            figures.known.extend(&known);
+            figures.detected.extend(&known);
             if known.len() + 1 >= nodes {
                 figures.half.push(known[(nodes - 1) / 2]);
                 figures.all.push(known[nodes - 2]);
@@ -440,31 +445,33 @@
                 figures.late += 1;
             }
         }
-        Run::Herd(seed) => {
-            let mut net = settled(nodes, *seed, easy(), spans);
+        Run::MassKill(seed) => {
+            let mut net = settled(nodes, *seed, lossless_links(), spans);
             let mut all: Vec<usize> = (0..nodes).collect();
             for _ in 0..nodes * 7 / 10 {
                 let at = (net.lot() % all.len() as u64) as usize;
                 net.kill(all.swap_remove(at));
             }
-            figures
-                .herd
-                .extend(net.until_agreed(60 * SECOND).map(|took| took / 1_000));
+            figures.mass_kill.extend(
+                net.run_until_converged(60 * SECOND)
+                    .map(|took| took / 1_000),
+            );
         }
         Run::Split(seed) => {
             let (from, until) = (80 * SECOND, 140 * SECOND);
-            let way: Way = Box::new(move |now, a, b, lot| {
+            let way: LinkModel = Box::new(move |now, a, b, lot| {
                 let cut = (from..until).contains(&now) && a % 2 != b % 2;
                 (!cut).then_some(200 + lot % 800)
             });
             let mut net = settled(nodes, *seed, way, spans);
             net.run(until);
-            figures
-                .healed
-                .extend(net.until_agreed(60 * SECOND).map(|took| took / 1_000));
+            figures.healed.extend(
+                net.run_until_converged(60 * SECOND)
+                    .map(|took| took / 1_000),
+            );
         }
         Run::Pauses(loss, seed) => {
-            let mut net = settled(nodes, *seed, lossy(*loss), spans);
+            let mut net = settled(nodes, *seed, lossy_links(*loss), spans);
             let before = total(&net);
             let deaths = pauses(&mut net, minutes);
             if *loss == 0.0 {
@@ -488,7 +495,7 @@
         .unwrap_or(0)
 }
 
-impl std::fmt::Display for Figures {
+impl std::fmt::Display for Measurements {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "| {} | {} | ", self.nodes, self.all.len() + self.late)?;
         write!(
@@ -511,8 +518,8 @@
         write!(
             f,
             "{} / {} | ",
-            quantile(&self.herd, 0.5),
-            quantile(&self.herd, 1.0)
+            quantile(&self.mass_kill, 0.5),
+            quantile(&self.mass_kill, 1.0)
         )?;
         for (loss, hours, deaths) in &self.false_deaths {
             write!(f, "{:.0}%: {deaths} in {hours:.2} h; ", loss * 100.0)?;
@@ -526,12 +533,12 @@
 const COLOURS: [&str; 5] = ["#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#8c564b"];
 
 /// A chart as SVG: which part of the survivors knows of a kill so long after it, a line for each number of nodes.
-pub fn chart(all: &[Figures]) -> String {
+pub fn chart(all: &[Measurements]) -> String {
     use std::fmt::Write;
     let (left, top, width, height) = (60.0, 30.0, 560.0, 260.0);
     let longest = all
         .iter()
-        .filter_map(|f| f.known.last())
+        .filter_map(|f| f.detected.last())
         .max()
         .copied()
         .unwrap_or(0);
@@ -570,12 +577,12 @@
     }
     for (i, figures) in all.iter().enumerate() {
         let colour = COLOURS[i % COLOURS.len()];
-        let count = figures.known.len();
+        let count = figures.detected.len();
         // A few hundred points are as many as can be seen.
         let points = (0..=400).filter_map(|p| {
             let at = (count * p / 400).min(count.saturating_sub(1));
             figures
-                .known
+                .detected
                 .get(at)
                 .map(|ms| format!("{:.1},{:.1}", x(*ms as f64), y(p as f64 / 400.0)))
         });
@@ -598,6 +605,6 @@
     out + "</svg>\n"
 }
 
-/// The head of a table of [`Figures`].
-pub const HEAD: &str = "| nodes | kills | known to half / all, ms (median) | to all, most ms | healed, most ms | seven in ten killed, all agree, ms (median / most) | false deaths with pauses, by \
+/// The head of a table of [`Measurements`].
+pub const TABLE_HEADER: &str = "| nodes | kills | known to half / all, ms (median) | to all, most ms | healed, most ms | seven in ten killed, all agree, ms (median / most) | false deaths with pauses, by \
      loss | quiet: datagrams, bytes a second | with pauses |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |";
--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -3,7 +3,7 @@
 use super::hosts::Hosts;
 use super::{lock, CLIENT_WINDOW, LAST_MOMENT, LEASE};
 use crate::local_cluster::{notices, RecordingBuffer};
-use crate::peer_scenario::Addresses;
+use crate::peer_scenario::PeerAddresses;
 use crate::registration;
 use ivyward::core::interface::Micros;
 use ivyward::registration::{State, DEFAULT_ENGINE_PREFIX};
@@ -27,7 +27,7 @@
 /// Nodes, engines and a store in virtual time.
 pub(super) struct SimulatedCluster {
     /// If nodes know each other: where, and the forwarders' process.
-    pub(super) addresses: Option<(Addresses, HostId)>,
+    pub(super) addresses: Option<(PeerAddresses, HostId)>,
     pub(super) sim: Sim,
     pub(super) hosts: Arc<Hosts>,
     pub(super) log: EventLog,
@@ -85,7 +85,7 @@
         let node = Node::start(runtime.clone(), settings, Some(Box::new(record.clone())));
         let node = node.map_err(|e| e.to_string())?;
         if let Some((addresses, _)) = &self.addresses {
-            addresses.begin(&node, i)?;
+            addresses.start_peers(&node, i)?;
         }
         let mut place = lock(&self.places[i]);
         let listener = runtime.listen(place.address).map_err(|e| e.to_string())?;
--- a/crates/ivyward-testbed/src/simulation/recovery.rs
+++ b/crates/ivyward-testbed/src/simulation/recovery.rs
@@ -33,7 +33,7 @@
                 self.runtime.sleep(50_000).await;
             }
             wrong.extend(disagreements(&self.nodes()));
-            let astray = addresses.astray.load(Ordering::SeqCst);
+            let astray = addresses.misdirected.load(Ordering::SeqCst);
             if astray > 0 {
                 wrong.push(format!(
                     "{astray} datagrams were answers to where one seemed to come from"
--- a/crates/ivyward-testbed/src/simulation/run.rs
+++ b/crates/ivyward-testbed/src/simulation/run.rs
@@ -9,7 +9,7 @@
 use super::recordings::lists;
 use super::{lock, Size, BEGIN, SPAN, STREAM_BUFFER};
 use crate::local_cluster::{classes, fleet, limits, settings};
-use crate::peer_scenario::{miscounts, Addresses};
+use crate::peer_scenario::{miscounts, PeerAddresses};
 use futures_lite::future::or;
 use ivyward::core::interface::{ListKind, Micros};
 use ivyward::core::invariants::Rule;
@@ -154,7 +154,8 @@
         false => None,
         true => {
             let host = sim.host(seed);
-            let opened = Addresses::open(&host.runtime(), size.nodes).map_err(|e| e.to_string())?;
+            let opened =
+                PeerAddresses::open(&host.runtime(), size.nodes).map_err(|e| e.to_string())?;
             Some((opened, host.id()))
         }
     };
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -329,7 +329,7 @@
 #[test]
 fn a_small_bad_day_keeps_all_rules() {
     for seed in [1, 2] {
-        let mut day = FaultScenario::drawn(seed, 500, &[]);
+        let mut day = FaultScenario::from_seed(seed, 500, &[]);
         day.load.rate = 100.0;
         // Other tests keep the machine busy beside this one.
         day.flight = 500_000;
--- a/crates/ivyward-testbed/tests/kv_transfer.rs
+++ b/crates/ivyward-testbed/tests/kv_transfer.rs
@@ -1,7 +1,7 @@
 //! Where states are handed over, by one node's decisions in synthetic time.
 
 use clap::Parser;
-use ivyward_testbed::kv_transfer::{play, KvTransferFlags, KvTransfers};
+use ivyward_testbed::kv_transfer::{simulate, KvTransferCounts, KvTransferFlags};
 
 #[derive(Parser)]
 struct Flags {
@@ -9,9 +9,9 @@
     flags: KvTransferFlags,
 }
 
-fn played(args: &[&str]) -> KvTransfers {
+fn played(args: &[&str]) -> KvTransferCounts {
     let few = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
-    play(Flags::parse_from(few.iter().chain(args)).flags)
+    simulate(Flags::parse_from(few.iter().chain(args)).flags)
 }
 
 #[test]
--- a/crates/ivyward-testbed/tests/peer_mutations.rs
+++ b/crates/ivyward-testbed/tests/peer_mutations.rs
@@ -11,13 +11,13 @@
         ..PeerSettings::default()
     };
     // The ways from 2 to 3 and from 5 to 3 are cut for some time: others hear who is doubted there.
-    let way: Way = Box::new(|now, a, b, lot| {
+    let way: LinkModel = Box::new(|now, a, b, lot| {
         let cut = (30 * SECOND..60 * SECOND).contains(&now) && b == 3 && a < 12 && a != 3;
         (!cut).then_some(200 + lot % 800)
     });
-    let mut net = Net::with(16, seed, way, spans);
+    let mut net = PeerNetwork::with_settings(16, seed, way, spans);
     net.run(30 * SECOND);
-    if !net.agreed() {
+    if !net.converged() {
         return Some("they do not know each other".into());
     }
     // Counts hold at every moment of it.
@@ -30,20 +30,20 @@
             ));
         }
     }
-    if net.deaths(0) > 0 {
-        return Some(format!("{} deaths by cut links alone", net.deaths(0)));
+    if net.count_deaths(0) > 0 {
+        return Some(format!("{} deaths by cut links alone", net.count_deaths(0)));
     }
     // All but two sleep for less than a death takes, and half of them again for more.
     let since = net.now;
-    (0..14).for_each(|n| net.life[n] = Life::Stopped(since + 2 * SECOND));
+    (0..14).for_each(|n| net.process_states[n] = ProcessState::Paused(since + 2 * SECOND));
     net.run(since + 10 * SECOND);
-    if net.deaths(since) > 0 {
+    if net.count_deaths(since) > 0 {
         return Some(format!(
             "{} deaths of those that slept for 2 s",
-            net.deaths(since)
+            net.count_deaths(since)
         ));
     }
-    (0..8).for_each(|n| net.life[n] = Life::Stopped(since + 18 * SECOND));
+    (0..8).for_each(|n| net.process_states[n] = ProcessState::Paused(since + 18 * SECOND));
     net.run(since + 18 * SECOND);
     let woke = net.now;
     net.run(woke + 10 * SECOND);
@@ -56,7 +56,7 @@
     net.kill(4);
     net.run(net.now + 100 * SECOND);
     let stays = net
-        .live()
+        .running_nodes()
         .iter()
         .filter(|n| net.peers[**n].peer(PeerId(5)).is_some())
         .count();
