--- a/crates/ivyward-testbed/src/commands/cluster.rs
+++ b/crates/ivyward-testbed/src/commands/cluster.rs
@@ -1,4 +1,4 @@
-//! `cluster`: daemons as processes under a plan of faults.
+//! `cluster`: runs daemons as processes and injects the faults of a plan.
 
 use super::{exit_code, file_error, CommandResult};
 use ivyward_testbed::cluster::plan::Plan;
@@ -7,37 +7,37 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-/// Silence in microseconds after which the daemons take a peer for dead.
+/// Time in microseconds without an answer after which the daemons declare a peer dead.
 const DEATH_TIMEOUT: u64 = 2_400_000;
-/// Seconds of a node's lease in the store.
+/// Lease of a node's record in the store, in seconds.
 const LEASE: i64 = 5;
-/// Nodes whose addresses the others are given, where there is no store.
+/// Number of seed nodes whose addresses all daemons are given when there is no store.
 const SEED_NODES: usize = 2;
 
 #[derive(clap::Args)]
 pub struct ClusterCommand {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     #[arg(long, value_name = "PATH")]
     daemon: PathBuf,
-    /// Draws the plan.
+    /// Seed from which the fault plan is generated.
     #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
     seed: u64,
-    /// Node processes.
+    /// Number of node processes to start.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=300))]
     nodes: u64,
-    /// Fake engines.
+    /// Number of fake engines to start.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(0..=32))]
     engines: u64,
-    /// Episodes of the plan.
+    /// Number of fault episodes in the generated plan.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(0..=1_000))]
     episodes: u64,
-    /// Plays this plan instead of a drawn one; nodes and seed are its own.
+    /// Runs the plan in this file instead of a generated one. The number of nodes and the seed are taken from the file.
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// Nodes learn of each other and of engines by a store.
+    /// Starts an etcd store, through which nodes discover each other and the engines.
     #[arg(long)]
     store: bool,
-    /// Keeps the plan and the report in this file.
+    /// Writes the plan and the report to this file as JSON.
     #[arg(long, value_name = "FILE")]
     keep: Option<PathBuf>,
 }
@@ -81,15 +81,15 @@
     }
 }
 
-fn print_episode(came: &EpisodeReport) {
-    let fault = serde_json::to_string(&came.fault).unwrap_or_default();
-    let known = came.detected_ms.map_or("-".into(), |ms| ms.to_string());
+fn print_episode(episode: &EpisodeReport) {
+    let fault = serde_json::to_string(&episode.fault).unwrap_or_default();
+    let detected = episode.detected_ms.map_or("-".into(), |ms| ms.to_string());
     println!(
-        "| {fault} | {} | {} | {known} | {} | {} |",
-        came.lasted_ms,
-        came.converged_ms,
-        came.false_deaths,
-        came.miscounts.len()
+        "| {fault} | {} | {} | {detected} | {} | {} |",
+        episode.lasted_ms,
+        episode.converged_ms,
+        episode.false_deaths,
+        episode.miscounts.len()
     );
 }
 
--- a/crates/ivyward-testbed/src/commands/drain_latency.rs
+++ b/crates/ivyward-testbed/src/commands/drain_latency.rs
@@ -1,22 +1,23 @@
-//! `drain-latency`: how soon nodes follow watch events.
+//! `drain-latency`: measures how soon nodes act on watch events.
 
 use super::{exit_code, CommandResult};
 use ivyward_testbed::drain_latency::{changes, followed, text};
 
-/// Nodes that follow the store.
+/// Number of nodes that watch the store.
 const NODES: usize = 2;
-/// Changes of each fleet whose cost is measured.
+/// Number of record changes that are timed at each fleet size.
 const CHANGES: usize = 200;
 
 #[derive(clap::Args)]
 pub struct DrainLatency {
-    /// Drains and departures.
+    /// Number of times an engine is drained or its record deleted; the two alternate.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     drains: u64,
-    /// Engines in the fleet, for the cost of a change; may be given several times.
+    /// Number of engines in the fleet for which the cost of a change is measured. May be given several times.
     #[arg(long, default_values_t = [100, 1_000, 10_000], value_parser = clap::value_parser!(u64).range(1..=50_000))]
     fleet: Vec<u64>,
-    /// The store is among the faulty: it lags, batches, restarts, hangs, goes half open, and loses its history.
+    /// Injects faults into the store as well: late and batched watch events, cancelled watches, compaction, restarts, hangs,
+    /// half-open connections and a slow link.
     #[arg(long)]
     faults: bool,
 }
--- a/crates/ivyward-testbed/src/commands/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/commands/fault_scenario.rs
@@ -1,4 +1,4 @@
-//! `fault-scenario`: scripted faults under load, checked by the rule checker.
+//! `fault-scenario`: injects scripted faults under load and runs the rule checker on what was observed.
 
 use super::{exit_code, file_error, CommandResult};
 use ivyward_testbed::fault_plan::{FaultKind, Plan};
@@ -11,25 +11,26 @@
 
 #[derive(clap::Args)]
 pub struct FaultScenario {
-    /// Draws the scenario.
+    /// Seed from which the fault plan and the load are generated.
     #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
     seed: u64,
-    /// Requests, retries not counted.
+    /// Number of requests to send, not counting retries.
     #[arg(long, env = "IVYWARD_TESTBED_REQUESTS", default_value_t = 3_000, value_parser = clap::value_parser!(u64).range(1..=200_000))]
     requests: u64,
-    /// Requests a second, on the mean.
+    /// Mean number of requests per second.
     #[arg(long, env = "IVYWARD_TESTBED_RATE", default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=5_000))]
     rate: u64,
-    /// Nodes.
+    /// Number of nodes to start.
     #[arg(long, env = "IVYWARD_TESTBED_NODES", default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=32))]
     nodes: u64,
-    /// Racks of one prefill, one mixed and two decode engines.
+    /// Number of racks, each with one prefill, one mixed and two decode engines.
     #[arg(long, env = "IVYWARD_TESTBED_RACKS", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=32))]
     racks: u16,
-    /// Only these kinds of fault; may be given several times.
+    /// Restricts the plan to this kind of fault. May be given several times; all kinds are used without it.
     #[arg(long = "fault", alias = "trouble", value_parser = FaultKind::named)]
     faults: Vec<FaultKind>,
-    /// Plays the kinds of fault of a scenario file, scaled to this machine.
+    /// Runs the faults of this scenario file, with times scaled to the length of the run and sizes to
+    /// what one machine can take.
     #[arg(
         long = "scenario",
         alias = "day",
@@ -37,16 +38,17 @@
         conflicts_with = "faults"
     )]
     scenario: Option<PathBuf>,
-    /// How nodes learn of engines: notified by the script, or through a store that is among the faulty.
+    /// How nodes discover engines. With `told`, the script notifies each node of every change. With `etcd`, nodes watch an
+    /// etcd store, into which faults are injected as well.
     #[arg(long, default_value = "told", value_parser = ["told", "etcd"])]
     discovery: String,
-    /// Prints JSON instead of tables.
+    /// Prints the report as JSON instead of as tables.
     #[arg(long)]
     json: bool,
-    /// Runs these daemons instead of nodes in this process.
+    /// Starts the nodes as processes of this daemon executable instead of inside this process.
     #[arg(long, value_name = "PATH")]
     daemon: Option<PathBuf>,
-    /// Keeps the first node's recording in this file.
+    /// Writes the recording of the first node to this file.
     #[arg(long, value_name = "FILE")]
     record: Option<PathBuf>,
 }
@@ -58,7 +60,7 @@
         scenario.etcd = self.discovery == "etcd";
         if scenario.etcd && self.daemon.is_some() {
             let error =
-                "--discovery etcd: goes with nodes in this process, not with --daemon".to_owned();
+                "--discovery etcd needs nodes inside this process and cannot be combined with --daemon".to_owned();
             return Err(error.into());
         }
         (scenario.nodes, scenario.racks) = (self.nodes as usize, self.racks);
@@ -83,14 +85,14 @@
     }
 }
 
-/// The plan of a scenario file, with the seed and the length of a drawn one.
-fn read_plan(path: &PathBuf, drawn: &Plan) -> Result<Plan, Box<dyn std::error::Error>> {
+/// Reads the plan from a scenario file and gives it the seed and the length of the generated plan.
+fn read_plan(path: &PathBuf, generated: &Plan) -> Result<Plan, Box<dyn std::error::Error>> {
     let text =
         std::fs::read_to_string(path).map_err(|error| file_error("--scenario", path, error))?;
-    let (plan, unknown) = Plan::from_scenario_file(&text, drawn.seed, drawn.length)
+    let (plan, unknown) = Plan::from_scenario_file(&text, generated.seed, generated.length)
         .map_err(|error| file_error("--scenario", path, error))?;
     for kind in unknown {
-        eprintln!("ivyward-testbed: fault {kind:?} is not known here and is left out");
+        eprintln!("ivyward-testbed: skipping unknown fault kind {kind:?} of the scenario file");
     }
     Ok(plan)
 }
--- a/crates/ivyward-testbed/src/commands/manual.rs
+++ b/crates/ivyward-testbed/src/commands/manual.rs
@@ -1,4 +1,4 @@
-//! `engine`, `store`, `fleet` and `request`: parts of a cluster by hand.
+//! `engine`, `store`, `fleet` and `request`: start parts of a cluster by hand and send single requests.
 
 use super::{exit_code, CommandResult};
 use ivyward_fakes::{EngineSpec, Role};
@@ -8,42 +8,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Tokens of KV state a second that an engine fetches.
+/// Rate at which an engine fetches KV state, in tokens per second.
 const FETCH_RATE: f64 = 200_000.0;
 
 #[derive(clap::Args)]
 pub struct Engine {
-    /// Its id.
+    /// Id of the engine, unique in the fleet.
     #[arg(long)]
     id: u64,
-    /// prefill, decode or mixed.
+    /// Role of the engine: prefill, decode or mixed.
     #[arg(long, value_parser = ["prefill", "decode", "mixed"])]
     role: String,
-    /// Where it listens; port 0 for a free one.
+    /// Address on which the engine listens; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Its rack.
+    /// Rack number of the engine.
     #[arg(long = "rack", alias = "cell", default_value_t = 0)]
     rack: u16,
-    /// Prompt tokens a second that it prefills.
+    /// Prefill rate, in prompt tokens per second.
     #[arg(long, default_value_t = 20_000, value_parser = clap::value_parser!(u32).range(1..))]
     read_rate: u32,
-    /// Milliseconds from one output token to the next.
+    /// Interval between two output tokens, in milliseconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=60_000))]
     token_gap_ms: u32,
-    /// Calls at work at once.
+    /// Number of calls that the engine works on at the same time.
     #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     slots: u32,
-    /// Tokens of KV state that it retains.
+    /// Capacity of the KV cache, in tokens.
     #[arg(long, default_value_t = 4_000_000, value_parser = clap::value_parser!(u64).range(1..))]
     memory: u64,
-    /// A line of standard input to begin with; may be given several times.
+    /// Command to carry out at the start, in the form of a line of standard input. May be given several times.
     #[arg(long = "order")]
     orders: Vec<String>,
-    /// An endpoint of a store in which it registers itself; may be given several times.
+    /// Address of an etcd endpoint at which the engine registers itself. May be given several times. Without it the engine
+    /// does not register.
     #[arg(long = "register-in")]
     register_in: Vec<SocketAddr>,
-    /// Seconds that its record outlives it.
+    /// Lease of the engine's record, in seconds; the record expires this long after the engine stops renewing it.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(i64).range(1..=3_600))]
     lease: i64,
 }
@@ -60,7 +61,7 @@
         if !self.register_in.is_empty() {
             manual_cluster::keep_engines_registered(&fleet, &self.register_in, self.lease);
         }
-        follow(&fleet)
+        print_flags_and_run(&fleet)
     }
 
     fn spec(&self) -> EngineSpec {
@@ -85,26 +86,26 @@
 
 #[derive(clap::Args)]
 pub struct Store {
-    /// Where it listens; port 0 for a free one.
+    /// Address on which the store listens; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
 }
 
 impl Store {
     pub fn run(self) -> CommandResult {
-        follow(&start(Vec::new(), self.listen, Some(self.listen))?)
+        print_flags_and_run(&start(Vec::new(), self.listen, Some(self.listen))?)
     }
 }
 
 #[derive(clap::Args)]
 pub struct Fleet {
-    /// Racks of one prefill, one mixed and two decode engines.
+    /// Number of racks, each with one prefill, one mixed and two decode engines.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=64))]
     racks: u16,
-    /// Where the first engine listens; the others at the ports after it. Port 0 for free ones.
+    /// Address on which the first engine listens; the other engines use the ports that follow. Port 0 selects free ports.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Runs a store here that lists them.
+    /// Address on which to run an etcd store that lists the engines. Without it no store is started.
     #[arg(long)]
     store: Option<SocketAddr>,
 }
@@ -112,7 +113,7 @@
 impl Fleet {
     pub fn run(self) -> CommandResult {
         let specs = manual_cluster::rack_specs(self.racks);
-        follow(&start(specs, self.listen, self.store)?)
+        print_flags_and_run(&start(specs, self.listen, self.store)?)
     }
 }
 
@@ -125,33 +126,33 @@
     Ok(fleet)
 }
 
-/// Prints the daemon's flags, and carries out lines of standard input until the process is ended.
-fn follow(fleet: &manual_cluster::Fleet) -> CommandResult {
+/// Prints the flags for the daemon, then carries out commands from standard input until the process is stopped.
+fn print_flags_and_run(fleet: &manual_cluster::Fleet) -> CommandResult {
     for flag in fleet.flags() {
         println!("{flag}");
     }
-    // Whoever reads a file or a pipe needs them while this goes on.
+    // Output to a file or a pipe is buffered: a reader needs the flags while this process still runs.
     std::io::stdout().flush()?;
     fleet.run_commands_from_stdin()
 }
 
 #[derive(clap::Args)]
 pub struct Request {
-    /// The daemon's address for clients.
+    /// Address at which the daemon accepts client requests.
     address: SocketAddr,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     tokens: u32,
-    /// Prompt tokens.
+    /// Length of the prompt, in tokens.
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     prompt: u32,
-    /// Its class; the daemon's first without one.
+    /// Class of the request; if empty, the daemon uses its first class.
     #[arg(long, default_value = "")]
     class: String,
-    /// Its session.
+    /// Session of the request; if empty, the request belongs to no session.
     #[arg(long, default_value = "")]
     session: String,
-    /// Milliseconds until the client gives up.
+    /// Client timeout, in milliseconds.
     #[arg(long = "timeout-ms", alias = "patience-ms", default_value_t = 10_000, value_parser = clap::value_parser!(u64).range(1..=3_600_000))]
     timeout_ms: u64,
 }
--- a/crates/ivyward-testbed/src/commands/mod.rs
+++ b/crates/ivyward-testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands: each module holds one command's flags and carries it out.
+//! The subcommands. Each module defines the flags of its commands and runs them.
 
 mod cluster;
 mod drain_latency;
@@ -17,10 +17,10 @@
 use std::error::Error;
 use std::process::ExitCode;
 
-/// How a command ended, or why it could not be carried out.
+/// Exit code of a command that ran, or the error that kept it from running.
 pub type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
-/// Success if all checks passed.
+/// Returns the exit code for success only if all checks passed.
 fn exit_code(passed: bool) -> ExitCode {
     match passed {
         true => ExitCode::SUCCESS,
@@ -28,12 +28,12 @@
     }
 }
 
-/// An error that names the flag and the file it is about.
+/// Returns an error text that names the flag and the file to which the error relates.
 fn file_error(flag: &str, path: &std::path::Path, error: impl std::fmt::Display) -> Box<dyn Error> {
     format!("{flag} {}: {error}", path.display()).into()
 }
 
-/// Threads to use: as many as asked for, or one for each core.
+/// Returns the number of threads to use: `jobs`, or one per core if `jobs` is 0.
 fn threads(jobs: usize) -> usize {
     match jobs {
         0 => std::thread::available_parallelism().map_or(1, usize::from),
@@ -43,61 +43,70 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Plays scripted, overlapping faults against nodes and fake engines, and checks the five rules from what crossed the sockets.
+    /// Injects scripted, overlapping faults into nodes and fake engines on real sockets, and checks the five rules on the
+    /// observed traffic.
     #[command(alias = "bad-day")]
     FaultScenario(fault_scenario::FaultScenario),
-    /// Plays random, overlapping faults against node processes of the platform, and checks the rules from outside.
+    /// Injects random, overlapping faults into node processes of the platform, and checks the rules from outside.
     Soak(soak::Soak),
-    /// Registers an engine in etcd under a lease and keeps it alive until interrupted, or once with --once.
+    /// Registers an engine in etcd under a lease and renews the lease until interrupted. With --once, writes the record
+    /// without a lease and exits.
     Register(register::Register),
     /// Marks an engine as draining in etcd.
     Drain(register::Drain),
-    /// Measures how soon nodes follow watch events under load, and what a change costs by the number of engines.
+    /// Measures how soon nodes act on watch events under load, and the CPU time of a change by the number of engines.
     #[command(alias = "drains")]
     DrainLatency(drain_latency::DrainLatency),
-    /// Measures in virtual time how soon peers detect a failure, how often they are wrong, and what it costs.
+    /// Measures in virtual time how soon peers detect a failed node, how often they declare a running node dead, and the
+    /// network traffic that detection takes.
     Peers(peers::PeersCommand),
-    /// Plays a plan of faults on daemons as processes, with a relay on each directed link, and reports.
+    /// Runs daemons as processes with a relay on each directed link, injects the faults of a plan, and reports.
     Cluster(cluster::ClusterCommand),
-    /// Plays a scale run on processes of this machine, and what each role uses. Or, with --vary, one quantity alone at
-    /// several sizes.
+    /// Runs a deployment as processes on this machine and reports the resources that each role uses. With --vary, varies
+    /// a single quantity over several sizes.
     Scale(ivyward_testbed::scale::command::ScaleFlags),
-    /// Works out what a deployment of a size needs, from slopes that scale runs kept; without flags, of the size to plan for.
+    /// Computes the resources that a deployment of a given size needs, from the slopes recorded by scale runs. Without
+    /// flags, computes them for the planned size.
     Capacity(ivyward_testbed::capacity::command::CapacityFlags),
-    /// Plays one node's decisions among all engines of a fleet, in synthetic time, and reports how far KV caches move.
+    /// Simulates the routing decisions of one node among all engines of a fleet, and reports how many KV caches are
+    /// transferred within a rack, within a zone and between zones.
     #[command(alias = "handover")]
     KvTransfer(ivyward_testbed::kv_transfer::KvTransferFlags),
-    /// A process of a scale run, which starts it.
+    /// Runs one process of a scale run. Started by the `scale` command.
     #[command(name = ivyward_testbed::scale::child::SUBCOMMAND, hide = true)]
-    Hollow(Hollow),
-    /// Plays clusters in virtual time under faults drawn from a seed, and checks the rules: one seed, or many.
+    ScaleProcess(ScaleProcess),
+    /// Simulates clusters in virtual time under faults generated from a seed, and checks the rules, for one seed or a
+    /// range of seeds.
     #[command(aliases = ["seed", "seeds"])]
     Simulate(simulate::Simulate),
-    /// Activates each mutation in turn and plays seeds until one finds it. Only with RUSTFLAGS="--cfg mutations".
+    /// Activates each mutation in turn and simulates seeds until one detects it. Available only when built with
+    /// RUSTFLAGS="--cfg mutations".
     #[cfg(mutations)]
     #[command(alias = "planted")]
     Mutations(mutations::Mutations),
-    /// Runs one fake engine; lines on standard input make it drain, hang, slow down, fail, die and come back.
+    /// Runs one fake engine. Commands on standard input, one per line, make it drain, hang, slow down, fail, crash and
+    /// restart.
     Engine(manual::Engine),
-    /// Runs a small store that speaks etcd's API.
+    /// Runs a small in-memory store that serves the etcd API.
     Store(manual::Store),
-    /// Runs a fleet of fake engines and prints the daemon's flags for it. Lines on standard input: ID ORDER.
+    /// Runs a fleet of fake engines and prints the flags with which a daemon uses it. Accepts commands on standard input,
+    /// one per line, in the form: ID ORDER.
     Fleet(manual::Fleet),
-    /// Sends one request, prints its tokens as they come and how it ended.
+    /// Sends one request, prints its tokens as they arrive, and prints the outcome.
     #[command(alias = "ask")]
     Request(manual::Request),
     /// Prints the JSON schema of registration records.
     Schema,
-    /// Measures what a node adds: streams straight from an engine against the same through a node, and what a decision
-    /// costs by the number of engines.
+    /// Measures the overhead of a node: streams read directly from an engine are compared with the same streams through a
+    /// node. Also measures the CPU time of a routing decision by the number of engines.
     #[command(alias = "relay")]
     RelayOverhead(relay_overhead::RelayOverhead),
-    /// Replays a node's recording into a fresh router and compares every action.
+    /// Replays a node's recording into a new router and compares every action with the recorded one.
     ReplayRecord(replay_record::ReplayRecord),
 }
 
 impl Command {
-    /// Carries the command out.
+    /// Runs the command.
     pub fn run(self) -> CommandResult {
         match self {
             Command::FaultScenario(command) => command.run(),
@@ -119,7 +128,7 @@
                 print!("{}", ivyward_testbed::kv_transfer::simulate(flags).text());
                 Ok(ExitCode::SUCCESS)
             }
-            Command::Hollow(command) => command.run(),
+            Command::ScaleProcess(command) => command.run(),
             Command::Simulate(command) => command.run(),
             #[cfg(mutations)]
             Command::Mutations(command) => command.run(),
@@ -138,12 +147,12 @@
 }
 
 #[derive(clap::Args)]
-pub struct Hollow {
-    /// What it is, as JSON.
+pub struct ScaleProcess {
+    /// Role of the process and its parameters, as JSON.
     role: String,
 }
 
-impl Hollow {
+impl ScaleProcess {
     fn run(self) -> CommandResult {
         let role = serde_json::from_str(&self.role)
             .map_err(|error| format!("{:?}: {error}", self.role))?;
--- a/crates/ivyward-testbed/src/commands/mutations.rs
+++ b/crates/ivyward-testbed/src/commands/mutations.rs
@@ -1,4 +1,4 @@
-//! `mutations`: how many seeds it takes to find each mutation.
+//! `mutations`: reports how many seeds it takes to detect each mutation.
 
 use super::simulate::size;
 use super::{exit_code, threads, CommandResult};
@@ -7,10 +7,10 @@
 
 #[derive(clap::Args)]
 pub struct Mutations {
-    /// Most seeds for each.
+    /// Maximum number of seeds to simulate for each mutation.
     #[arg(long, default_value_t = 2_000)]
     count: u64,
-    /// Threads; 0 for one a core.
+    /// Number of threads; 0 uses one per core.
     #[arg(long, default_value_t = 0)]
     jobs: usize,
 }
@@ -18,7 +18,7 @@
 impl Mutations {
     pub fn run(self) -> CommandResult {
         println!("| mutation | seeds | found by |\n| --- | --- | --- |");
-        let peers = size(true, Size::default().faults, Size::default().rough);
+        let peers = size(true, Size::default().faults, Size::default().intensity);
         let usual = GENERAL.map(|mutation| (mutation, Size::default()));
         let of_peers = PEERS.map(|mutation| (mutation, peers));
         let mut all_found = true;
--- a/crates/ivyward-testbed/src/commands/peers.rs
+++ b/crates/ivyward-testbed/src/commands/peers.rs
@@ -1,4 +1,4 @@
-//! `peers`: failure detection among many nodes in virtual time.
+//! `peers`: measures failure detection among many nodes in virtual time.
 
 use super::{file_error, threads, CommandResult};
 use ivyward_core::peers::PeerSettings;
@@ -8,19 +8,19 @@
 
 #[derive(clap::Args)]
 pub struct PeersCommand {
-    /// Nodes; may be given several times.
+    /// Number of nodes. May be given several times; each number is measured by itself.
     #[arg(long, default_values_t = [16, 64], value_parser = clap::value_parser!(u64).range(2..=2_000))]
     nodes: Vec<u64>,
-    /// Seeds of each.
+    /// Number of seeds to run for each number of nodes.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1_000))]
     seeds: u64,
-    /// Minutes with pauses, each seed at each loss.
+    /// Virtual minutes to run with paused nodes, for each seed and each loss rate.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(0..=600))]
     minutes: u64,
-    /// Without what a node knows of its own health: SWIM as it was first described, for comparison.
+    /// Disables local health awareness, for a comparison with SWIM as first published.
     #[arg(long)]
     plain: bool,
-    /// Draws in this file, as SVG, how soon survivors know of a failure.
+    /// Writes an SVG chart to this file that shows how soon the surviving nodes detect a failure.
     #[arg(long, value_name = "FILE")]
     chart: Option<PathBuf>,
 }
--- a/crates/ivyward-testbed/src/commands/register.rs
+++ b/crates/ivyward-testbed/src/commands/register.rs
@@ -1,13 +1,13 @@
-//! `register` and `drain`: an engine's record in etcd.
+//! `register` and `drain`: write an engine's record in etcd.
 
 use super::CommandResult;
 use ivyward_testbed::registration;
 use std::net::SocketAddr;
 
-/// Where the store is.
+/// Flags that say where the store is and where in it the records are.
 #[derive(clap::Args)]
 struct StoreFlags {
-    /// An endpoint of the store; may be given several times.
+    /// Address of an etcd endpoint. May be given several times, or as a list separated by semicolons.
     #[arg(
         long = "etcd-endpoint",
         env = "IVYWARD_ETCD_ENDPOINTS",
@@ -15,7 +15,7 @@
         required = true
     )]
     endpoints: Vec<SocketAddr>,
-    /// Engines' records stand below it.
+    /// Key prefix of the engines' records.
     #[arg(long = "etcd-prefix", env = "IVYWARD_ETCD_PREFIX", default_value = ivyward::registration::DEFAULT_ENGINE_PREFIX)]
     prefix: String,
 }
@@ -24,28 +24,28 @@
 pub struct Register {
     #[command(flatten)]
     store: StoreFlags,
-    /// The engine's id.
+    /// Id of the engine.
     #[arg(long)]
     id: u64,
-    /// Where it listens.
+    /// Address on which the engine listens.
     #[arg(long)]
     address: SocketAddr,
-    /// prefill, decode or mixed.
+    /// Role of the engine: prefill, decode or mixed.
     #[arg(long, value_parser = ["prefill", "decode", "mixed"])]
     role: String,
-    /// Its zone.
+    /// Zone number of the engine.
     #[arg(long, default_value_t = 0)]
     zone: u8,
-    /// Its rack.
+    /// Rack number of the engine.
     #[arg(long = "rack", alias = "cell", default_value_t = 0)]
     rack: u16,
-    /// Its size relative to others of its machine type.
+    /// Capacity of the engine relative to others of its machine type, where 1.0 is the normal capacity.
     #[arg(long, default_value_t = 1.0)]
     weight: f64,
-    /// Seconds that the record outlives whoever keeps it.
+    /// Lease of the record, in seconds; the record expires this long after this command stops renewing it.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(i64).range(1..=3_600))]
     lease: i64,
-    /// Writes the record without a lease and returns.
+    /// Writes the record once, without a lease, and exits. The record then stays until it is deleted.
     #[arg(long)]
     once: bool,
 }
@@ -65,7 +65,7 @@
 
 #[derive(clap::Args)]
 pub struct Drain {
-    /// The engine's id.
+    /// Id of the engine to drain.
     id: u64,
     #[command(flatten)]
     store: StoreFlags,
--- a/crates/ivyward-testbed/src/commands/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/commands/relay_overhead.rs
@@ -1,21 +1,21 @@
-//! `relay-overhead`: what a node adds to a stream, and what a decision costs.
+//! `relay-overhead`: measures the latency that a node adds to a stream and the CPU time of a routing decision.
 
 use super::CommandResult;
 use ivyward_testbed::relay_overhead::{costs, rows, text};
 use std::process::ExitCode;
 
-/// Decisions of each fleet that are timed.
+/// Number of requests whose routing decisions are timed at each fleet size.
 const DECISIONS: usize = 1_600;
 
 #[derive(clap::Args)]
 pub struct RelayOverhead {
-    /// Streams at once; may be given several times.
+    /// Number of concurrent streams. May be given several times; each number is measured by itself.
     #[arg(long, default_values_t = [1, 64, 1000], value_parser = clap::value_parser!(u64).range(1..=4_000))]
     streams: Vec<u64>,
-    /// Engines in the fleet; may be given several times.
+    /// Number of engines in the fleet for which the decision time is measured. May be given several times.
     #[arg(long, default_values_t = [30, 130, 500, 2000], value_parser = clap::value_parser!(u64).range(4..=4_000))]
     fleet: Vec<u64>,
-    /// Rounds of each, after one that warms up.
+    /// Number of measured rounds for each number of streams, after one warm-up round.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=100))]
     rounds: u64,
 }
--- a/crates/ivyward-testbed/src/commands/replay_record.rs
+++ b/crates/ivyward-testbed/src/commands/replay_record.rs
@@ -1,4 +1,4 @@
-//! `replay-record`: a recording against a fresh router.
+//! `replay-record`: replays a node's recording into a new router and compares the actions.
 
 use super::CommandResult;
 use std::fs::File;
@@ -8,7 +8,7 @@
 
 #[derive(clap::Args)]
 pub struct ReplayRecord {
-    /// The recording.
+    /// Path of the recording.
     file: PathBuf,
 }
 
@@ -17,12 +17,12 @@
         let file =
             File::open(&self.file).map_err(|error| format!("{}: {error}", self.file.display()))?;
         let summary = ivyward::recording::replay(BufReader::new(file))?;
-        let cut = match summary.truncated {
+        let truncated = match summary.truncated {
             true => "; the recording ends inside an entry",
             false => "",
         };
         println!(
-            "{} events, {} actions, all as recorded{cut}",
+            "{} events, {} actions, all as recorded{truncated}",
             summary.events, summary.actions
         );
         Ok(ExitCode::SUCCESS)
--- a/crates/ivyward-testbed/src/commands/simulate.rs
+++ b/crates/ivyward-testbed/src/commands/simulate.rs
@@ -1,72 +1,78 @@
-//! `simulate`: clusters in virtual time, by one seed or many.
+//! `simulate`: simulates clusters in virtual time for one seed or a range of seeds.
 
 use super::{exit_code, file_error, threads, CommandResult};
 use ivyward_testbed::simulation::{self, Size, Summary};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Nodes of a cluster in which they know each other.
+/// Number of nodes of a cluster with peer discovery.
 const NODES_WITH_PEERS: usize = 4;
-/// Seeds with something wrong that are printed, and lines of each.
+/// Maximum number of failed seeds that are printed.
 const MAX_PRINTED: usize = 20;
+/// Maximum number of lines that are printed for each failed seed.
 const MAX_LINES: usize = 12;
-/// From so many seeds on, every situation of the catalogue has to have occurred.
-const SEEDS_FOR_CATALOGUE: u64 = 1_000;
-/// Seeds between two lines of progress.
-const PROGRESS: u64 = 500;
+/// A run of at least this many seeds fails if one of the coincidences in the catalogue never occurred.
+const SEEDS_FOR_ALL_COINCIDENCES: u64 = 1_000;
+/// Number of seeds between two progress lines.
+const PROGRESS_INTERVAL: u64 = 500;
 
 #[derive(clap::Args)]
 pub struct Simulate {
-    /// Plays this seed alone and prints its plan; without it, a range of seeds.
+    /// Simulates only this seed and prints its plan. Without it, a range of seeds is simulated.
     seed: Option<u64>,
-    /// The first seed of the range.
+    /// First seed of the range.
     #[arg(long, default_value_t = 1, conflicts_with = "seed")]
     from: u64,
-    /// How many seeds.
+    /// Number of seeds in the range.
     #[arg(long, default_value_t = 1_000, conflicts_with = "seed")]
     count: u64,
-    /// Threads; 0 for one a core.
+    /// Number of threads; 0 uses one per core.
     #[arg(long, default_value_t = 0, conflicts_with = "seed")]
     jobs: usize,
-    /// Faults in each.
+    /// Number of faults in the plan of each seed.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(0..=200))]
     faults: u64,
-    /// How rough they are: durations, shares and slowness grow with it.
-    #[arg(long, default_value_t = 1.0, value_parser = roughness)]
-    rough: f64,
-    /// Nodes know each other, with faults between them.
+    /// Intensity of the faults, from 0.1 to 20. Their durations, the shares of affected traffic and the slowdowns grow with
+    /// it.
+    #[arg(long = "rough", value_name = "ROUGH", default_value_t = 1.0, value_parser = intensity)]
+    intensity: f64,
+    /// Runs peer discovery between the nodes and injects faults between them as well.
     #[arg(long)]
     peers: bool,
-    /// Cuts a plan under which something is wrong down to the faults that it takes.
+    /// If the seed fails, reduces its plan to the faults that are needed for the failure.
     #[arg(long, requires = "seed")]
     shrink: bool,
-    /// Plays only these faults of its plan, numbered from 0 as they are printed: 0,3-5.
+    /// Injects only these faults of the plan, numbered from 0 in the order in which they are printed, for example 0,3-5.
     #[arg(long, value_name = "PART", value_parser = fault_numbers, requires = "seed")]
     keep: Option<FaultNumbers>,
-    /// Writes what was observed, each router's events and actions, and what was wrong to this file, a line each.
+    /// Writes the observed events, the events and actions of each router, and the failures to this file, one per line.
     #[arg(long, value_name = "FILE", requires = "seed")]
     trace: Option<PathBuf>,
 }
 
-/// Numbers of faults in a plan.
+/// Numbers of the faults in a plan that `--keep` selects.
 #[derive(Clone, Debug, PartialEq)]
 struct FaultNumbers(Vec<usize>);
 
-/// The size of a cluster, with more nodes where they know each other.
-pub fn size(peers: bool, faults: usize, rough: f64) -> Size {
-    let usual = Size::default();
+/// Returns the size of a simulated cluster, which has more nodes if peer discovery is on.
+pub fn size(peers: bool, faults: usize, intensity: f64) -> Size {
+    let default = Size::default();
     Size {
         faults,
-        intensity: rough,
+        intensity,
         peers,
-        nodes: if peers { NODES_WITH_PEERS } else { usual.nodes },
-        ..usual
+        nodes: if peers {
+            NODES_WITH_PEERS
+        } else {
+            default.nodes
+        },
+        ..default
     }
 }
 
 impl Simulate {
     pub fn run(self) -> CommandResult {
-        let size = size(self.peers, self.faults as usize, self.rough);
+        let size = size(self.peers, self.faults as usize, self.intensity);
         match self.seed {
             Some(seed) => self.run_one(seed, &size),
             None => Ok(self.run_range(&size)),
@@ -98,7 +104,7 @@
         for timed in &plan {
             println!("{}", serde_json::to_string(timed)?);
         }
-        println!("ends: {:?}", outcome.client_outcomes);
+        println!("client outcomes: {:?}", outcome.client_outcomes);
         println!(
             "digest {:016x} over {} events in {} ms of virtual time",
             outcome.digest,
@@ -113,57 +119,59 @@
 
     fn run_range(self, size: &Size) -> ExitCode {
         let count = self.count;
-        let progress = |tally: &Summary| {
-            if tally.runs % PROGRESS == 0 {
-                let (played, wrong) = (tally.runs, tally.failures.len());
-                eprintln!("{played} of {count} seeds, {wrong} with something wrong");
+        let progress = |summary: &Summary| {
+            if summary.runs % PROGRESS_INTERVAL == 0 {
+                let (run, failed) = (summary.runs, summary.failures.len());
+                eprintln!("{run} of {count} seeds simulated, {failed} failed");
             }
         };
-        let tally = simulation::run_seeds(self.from, count, threads(self.jobs), size, &progress);
-        let (played, from, faults) = (tally.runs, self.from, size.faults);
-        let rough = size.intensity;
-        println!("{played} seeds from {from} on, {faults} faults of roughness {rough} in each");
-        print_tally(&tally);
-        let missed = never_met(&tally);
-        // A few seeds need not bring about everything.
-        let incomplete = count >= SEEDS_FOR_CATALOGUE && !missed.is_empty();
+        let summary = simulation::run_seeds(self.from, count, threads(self.jobs), size, &progress);
+        let (run, from, faults) = (summary.runs, self.from, size.faults);
+        let intensity = size.intensity;
+        println!(
+            "{run} seeds simulated from seed {from} on, each with {faults} faults of intensity {intensity}"
+        );
+        print_summary(&summary);
+        let missing = coincidences_not_seen(&summary);
+        // A small number of seeds need not produce every coincidence.
+        let incomplete = count >= SEEDS_FOR_ALL_COINCIDENCES && !missing.is_empty();
         if incomplete {
-            println!("never met: {}", missed.join("; "));
+            println!("coincidences that never occurred: {}", missing.join("; "));
         }
-        print_wrong(&tally);
-        exit_code(tally.failures.is_empty() && !incomplete)
+        print_failures(&summary);
+        exit_code(summary.failures.is_empty() && !incomplete)
     }
 }
 
-fn print_tally(tally: &Summary) {
-    let ends: Vec<String> = tally
+fn print_summary(summary: &Summary) {
+    let outcomes: Vec<String> = summary
         .client_outcomes
         .iter()
-        .map(|(end, count)| format!("{end} {count}"))
+        .map(|(outcome, count)| format!("{outcome} {count}"))
         .collect();
-    println!("ends: {}", ends.join(", "));
-    let faults: Vec<String> = tally
+    println!("client outcomes: {}", outcomes.join(", "));
+    let faults: Vec<String> = summary
         .faults
         .iter()
         .map(|(kind, count)| format!("{kind} {count}"))
         .collect();
     println!("faults: {}", faults.join(", "));
     println!("met:");
-    for (situation, count) in &tally.coincidences {
-        println!("  {situation}: {count}");
+    for (coincidence, count) in &summary.coincidences {
+        println!("  {coincidence}: {count}");
     }
 }
 
-fn never_met(tally: &Summary) -> Vec<&'static str> {
+fn coincidences_not_seen(summary: &Summary) -> Vec<&'static str> {
     simulation::COINCIDENCES
         .into_iter()
-        .filter(|situation| !tally.coincidences.contains_key(situation))
+        .filter(|coincidence| !summary.coincidences.contains_key(coincidence))
         .collect()
 }
 
-fn print_wrong(tally: &Summary) {
-    println!("seeds with something wrong: {}", tally.failures.len());
-    for (seed, lines) in tally.failures.iter().take(MAX_PRINTED) {
+fn print_failures(summary: &Summary) {
+    println!("failed seeds: {}", summary.failures.len());
+    for (seed, lines) in summary.failures.iter().take(MAX_PRINTED) {
         println!("seed {seed}:");
         for line in lines.iter().take(MAX_LINES) {
             println!("  {line}");
@@ -171,10 +179,10 @@
     }
 }
 
-fn roughness(text: &str) -> Result<f64, String> {
-    let rough: f64 = text.parse().map_err(|error| format!("{error}"))?;
-    match (0.1..=20.0).contains(&rough) {
-        true => Ok(rough),
+fn intensity(text: &str) -> Result<f64, String> {
+    let intensity: f64 = text.parse().map_err(|error| format!("{error}"))?;
+    match (0.1..=20.0).contains(&intensity) {
+        true => Ok(intensity),
         false => Err("must be from 0.1 to 20".into()),
     }
 }
@@ -183,14 +191,16 @@
     let number = |text: &str| {
         text.trim()
             .parse::<usize>()
-            .map_err(|_| format!("{text:?} is no number of a fault"))
+            .map_err(|_| format!("{text:?} is not a fault number"))
     };
     let mut numbers = Vec::new();
     for piece in text.split(',') {
         let (from, to) = piece.split_once('-').unwrap_or((piece, piece));
         let (from, to) = (number(from)?, number(to)?);
         if from > to || to >= 1_000 {
-            return Err(format!("{piece:?} is no range of faults"));
+            return Err(format!(
+                "{piece:?} is not a range of fault numbers from 0 to 999"
+            ));
         }
         numbers.extend(from..=to);
     }
--- a/crates/ivyward-testbed/src/commands/soak.rs
+++ b/crates/ivyward-testbed/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: random faults against node processes.
+//! `soak`: injects random faults into node processes and checks the rules.
 
 use super::{exit_code, CommandResult};
 use ivyward_testbed::soak::{self, Options};
@@ -6,25 +6,26 @@
 
 #[derive(clap::Args)]
 pub struct Soak {
-    /// Node processes.
+    /// Number of node processes to start.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u16).range(1..=40))]
     nodes: u16,
-    /// The first seed.
+    /// First seed to run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after the other.
+    /// Number of seeds to run, one after the other.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     seeds: u64,
-    /// Seconds of faults in each.
+    /// Length of the fault phase of each seed, in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(4..=3_600))]
     seconds: u64,
-    /// Plays this plan.
+    /// Runs the plan in this JSON file instead of generating one for each seed.
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// Keeps logs, plans and configurations of all seeds in this folder.
+    /// Directory in which the logs, plans and configurations of all seeds are kept. Without it, only those of seeds with
+    /// violations are kept, in the temporary directory of the system.
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
-    /// The daemon; the one beside this program if left out.
+    /// Path of the daemon's executable. Defaults to `ivywardd` in the directory of this program.
     #[arg(long, value_name = "PATH")]
     daemon: Option<PathBuf>,
 }
--- a/crates/ivyward-testbed/src/lib.rs
+++ b/crates/ivyward-testbed/src/lib.rs
@@ -1,22 +1,22 @@
-//! Scenarios, load, measurements and reports.
+//! Fault scenarios, load generation and measurements for ivyward, on loopback sockets and in virtual time.
 //!
-//! - [`local_cluster`]: nodes, engines and clients on loopback, in one process or with real daemons.
-//! - [`fault_plan`]: when which fault begins, drawn from a seed or read from a file.
-//! - [`load`]: sessions and their turns.
-//! - [`fault_scenario`]: plays a fault plan under load and reports.
-//! - [`manual_cluster`]: engines and a store to try a daemon with, and single requests.
-//! - [`registration`]: writes engines' records into etcd.
-//! - [`cluster`]: daemons as processes, a relay on each directed link, faults between them.
-//! - [`soak`]: random faults against node processes, with the rules checked from outside.
-//! - [`simulation`]: whole clusters in virtual time, one for each seed.
-//! - [`peer_simulation`]: many peers on a simulated network of datagrams, and what is measured there.
-//! - [`peer_scenario`]: faults between peers in the clusters of [`simulation`].
-//! - [`drain_latency`]: how soon a node follows a watch event, and what a change costs.
-//! - [`kv_transfer`]: how far KV caches are transferred, by one node's decisions.
-//! - [`relay_overhead`]: what a node adds to a stream.
-//! - [`scale`]: what each role uses as a deployment grows.
-//! - [`capacity`]: what a deployment of a size needs, from the slopes that scale runs found.
-//! - [`child_process`]: processes that end with their parent.
+//! - [`local_cluster`]: a cluster of nodes, fake engines and clients on loopback, with nodes in this process or as daemons.
+//! - [`fault_plan`]: the kinds and times of faults, generated from a seed or read from a file.
+//! - [`load`]: generates client sessions and sends their requests.
+//! - [`fault_scenario`]: runs a fault plan under load and reports the outcomes.
+//! - [`manual_cluster`]: fake engines and a store for trying a daemon by hand, and single requests.
+//! - [`registration`]: writes the records of engines into etcd.
+//! - [`cluster`]: daemons as processes with a relay on each directed link, on which network faults are injected.
+//! - [`soak`]: injects random faults into node processes and checks the rules from outside.
+//! - [`simulation`]: deterministic simulation of whole clusters in virtual time, one run per seed.
+//! - [`peer_simulation`]: simulates failure detection among many peers on a datagram network in virtual time.
+//! - [`peer_scenario`]: peer discovery in the clusters of [`simulation`], with checks of the nodes' views.
+//! - [`drain_latency`]: measures how soon a node acts on a watch event, and the CPU time of a change.
+//! - [`kv_transfer`]: counts the KV transfers within and between racks and zones that one node's decisions cause.
+//! - [`relay_overhead`]: measures the latency and CPU time that a node adds to a stream.
+//! - [`scale`]: measures the resources that each role uses as a deployment grows.
+//! - [`capacity`]: computes the resources that a deployment of a given size needs, from the slopes of scale runs.
+//! - [`child_process`]: child processes that are killed when their parent ends.
 
 pub mod capacity;
 pub mod child_process;
--- a/crates/ivyward-testbed/src/main.rs
+++ b/crates/ivyward-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: scenarios, load, measurements and reports on loopback and in virtual time.
+//! Command line of the testbed: runs fault scenarios, load and measurements on loopback sockets and in virtual time.
 
 mod commands;
 
