--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -1,4 +1,4 @@
-//! Plays a day's troubles under its load on real sockets, and reports what came of it.
+//! Runs a fault plan under load on loopback sockets, and reports the outcomes and the rule violations.
 
 use crate::fault_plan::{FaultKind, Plan, ScheduledFault};
 use crate::load::{run_load, Load, RequestRecord};
@@ -24,31 +24,34 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// How the list of engines runs behind, in microseconds, and how much further while it is late.
-const LIST_BEHIND: Micros = 150_000;
-const LIST_LATE: Micros = 1_500_000;
+/// Time in microseconds from a change of an engine until all nodes are notified of it.
+const LISTING_DELAY: Micros = 150_000;
+/// Additional delay in microseconds during a `DiscoveryStale` fault of size 1; it scales with the size.
+const STALE_LISTING_DELAY: Micros = 1_500_000;
 
-/// What to play.
+/// A fault plan, the load that runs with it, and the size of the cluster.
 #[derive(Clone, Debug)]
 pub struct FaultScenario {
-    /// The troubles.
+    /// Faults to inject.
     pub plan: Plan,
-    /// The load.
+    /// Requests that clients send.
     pub load: Load,
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many racks of one reader, one mixed engine and two writers.
+    /// Number of racks, each with one prefill, one mixed and two decode engines.
     pub racks: u16,
-    /// How nodes run.
+    /// Whether the nodes run in this process or as daemons.
     pub placement: NodePlacement,
-    /// What the auditor takes for in flight on this machine.
-    pub flight: Micros,
-    /// Nodes follow engines through a store that is among the faulty, instead of being told by the script.
+    /// Longest time in microseconds that the rule checker accepts for a message in flight on this machine.
+    pub in_flight_window: Micros,
+    /// Whether nodes watch the engines in an etcd store, which is subject to faults too, instead of being notified by the
+    /// script.
     pub etcd: bool,
 }
 
 impl FaultScenario {
-    /// A day of so many requests, with these kinds of trouble or all.
+    /// Returns a scenario of `requests` requests whose plan is generated from `seed`, with faults of these kinds, or of all
+    /// kinds if `kinds` is empty.
     pub fn from_seed(seed: u64, requests: usize, kinds: &[FaultKind]) -> FaultScenario {
         let load = Load {
             requests,
@@ -63,13 +66,13 @@
             nodes: 3,
             racks: 4,
             placement: NodePlacement::InProcess,
-            flight: 250_000,
+            in_flight_window: 250_000,
             etcd: false,
         }
     }
 }
 
-/// The engines of a day: slower than those of tests, so that queues form.
+/// Returns the engines of a scenario. They are slower than the engines of other tests, so that queues form.
 pub fn engines(racks: u16) -> Vec<EngineSpec> {
     let mut specs = crate::local_cluster::fleet(racks);
     for spec in &mut specs {
@@ -87,44 +90,44 @@
     specs
 }
 
-/// What came of a scenario.
+/// Result of a scenario.
 pub struct Report {
-    /// The scenario.
+    /// The scenario that was run.
     pub scenario: FaultScenario,
-    /// Every try.
+    /// Every request that was sent, with retries as requests of their own.
     pub requests: Vec<RequestRecord>,
-    /// What the auditor found.
+    /// Findings of the rule checker.
     pub audit: RuleReport,
-    /// The first node's recording.
+    /// Recording of the first node.
     pub recording: Vec<u8>,
 }
 
-/// Plays a scenario.
+/// Runs a scenario to its end and checks the rules.
 ///
 /// # Errors
-/// When the scene cannot be set up.
+/// Returns an error if the cluster cannot be set up.
 pub fn run(scenario: FaultScenario) -> Result<Report, LocalClusterError> {
-    let memory = RecordingBuffer::default();
+    let recording = RecordingBuffer::default();
     let store = match scenario.etcd {
         false => None,
         true => {
             let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
-            let open = Store::start(&host, 1)
+            let opened = Store::start(&host, 1)
                 .and_then(|mut store| store.open_endpoints(scenario.nodes).map(|()| store));
-            Some(open.map_err(|error| LocalClusterError::Io {
+            Some(opened.map_err(|error| LocalClusterError::Io {
                 what: "starting a store".into(),
                 error,
             })?)
         }
     };
-    let follow = store.as_ref().map(|store| WatcherOptions {
+    let watcher = store.as_ref().map(|store| WatcherOptions {
         endpoints: store.endpoints().to_vec(),
         silence_timeout: 400_000,
         empty_grace: 2_000_000,
         backoff: (10_000, 200_000),
         ..WatcherOptions::default()
     });
-    let make = ClusterBuilder {
+    let builder = ClusterBuilder {
         seed: scenario.plan.seed,
         engines: engines(scenario.racks),
         settings: NodeSettings {
@@ -136,267 +139,322 @@
         },
         nodes: scenario.nodes,
         placement: scenario.placement.clone(),
-        flight: scenario.flight,
-        watcher: follow,
-        recording: Some(memory.clone()),
+        flight: scenario.in_flight_window,
+        watcher,
+        recording: Some(recording.clone()),
     };
-    let scene = Arc::new(make.build()?);
+    let cluster = Arc::new(builder.build()?);
     if let Some(store) = store {
-        scene.watch_store(store);
-        for engine in 0..scene.engines() {
-            write_record(&scene, engine, EndpointState::Ready, None);
+        cluster.watch_store(store);
+        for engine in 0..cluster.engines() {
+            write_record(&cluster, engine, EndpointState::Ready, None);
         }
-        scene.runtime.clone().block_on(async {
-            let all = scene.engines() as u64;
-            let knows = |n: usize| {
-                scene
+        cluster.runtime.clone().block_on(async {
+            let all = cluster.engines() as u64;
+            let lists_all = |n: usize| {
+                cluster
                     .node(n)
                     .is_none_or(|n| n.metrics().engines.get() == all)
             };
-            while !(0..scene.nodes()).all(knows) {
-                scene.runtime.sleep(5_000).await;
+            while !(0..cluster.nodes()).all(lists_all) {
+                cluster.runtime.sleep(5_000).await;
             }
         });
     }
     let plan = Arc::new(scenario.plan.clone());
-    let requests = scene.runtime.clone().block_on(async {
+    let requests = cluster.runtime.clone().block_on(async {
         let (done, wait) = async_channel::bounded::<()>(1);
-        for (i, spell) in plan.faults.iter().enumerate() {
-            let (scene, plan, spell, done) =
-                (scene.clone(), plan.clone(), spell.clone(), done.clone());
-            scene.runtime.clone().run(async move {
-                scene.runtime.sleep(spell.at).await;
-                trouble(&scene, &plan, &spell, i).await;
+        for (i, scheduled) in plan.faults.iter().enumerate() {
+            let (cluster, plan, scheduled, done) = (
+                cluster.clone(),
+                plan.clone(),
+                scheduled.clone(),
+                done.clone(),
+            );
+            cluster.runtime.clone().run(async move {
+                cluster.runtime.sleep(scheduled.at).await;
+                inject_fault(&cluster, &plan, &scheduled, i).await;
                 drop(done);
             });
         }
         drop(done);
-        let requests = run_load(&scene, &plan, &scenario.load).await;
-        // Troubles that outlast the load end by themselves.
+        let requests = run_load(&cluster, &plan, &scenario.load).await;
+        // Faults that outlast the load end by themselves. The channel closes when the last one has ended.
         let _ = wait.recv().await;
-        scene.wait_until_idle(5_000_000).await;
-        if let Some(node) = scene.node(0) {
+        cluster.wait_until_idle(5_000_000).await;
+        if let Some(node) = cluster.node(0) {
             node.flush_recording().await;
         }
         requests
     });
-    let audit = scene.audit();
+    let audit = cluster.audit();
     Ok(Report {
         scenario,
         requests,
         audit,
-        recording: memory.bytes(),
+        recording: recording.bytes(),
     })
 }
 
-/// Engines for a trouble: up to a share of all, of one role if wanted.
-fn some(scene: &LocalCluster, random: &mut SmallRng, share: f64, role: Option<Role>) -> Vec<usize> {
-    let fits = |i: &usize| role.is_none_or(|r| scene.engine(*i).spec().role == r);
-    let mut all: Vec<usize> = (0..scene.engines()).filter(fits).collect();
+/// Picks a random share of the engines, at least one, optionally of one role only.
+fn pick_engines(
+    cluster: &LocalCluster,
+    random: &mut SmallRng,
+    share: f64,
+    role: Option<Role>,
+) -> Vec<usize> {
+    let fits = |i: &usize| role.is_none_or(|r| cluster.engine(*i).spec().role == r);
+    let mut all: Vec<usize> = (0..cluster.engines()).filter(fits).collect();
     all.shuffle(random);
     let count = ((all.len() as f64 * share).round() as usize).clamp(1, all.len());
     all.truncate(count);
     all
 }
 
-/// Writes what the list says of an engine into the store, as the engine would.
+/// Writes the state of an engine into the store, as the engine itself would. Returns false if there is no store.
 fn write_record(
-    scene: &LocalCluster,
+    cluster: &LocalCluster,
     engine: usize,
-    condition: EndpointState,
+    state: EndpointState,
     since: Option<Micros>,
 ) -> bool {
-    let unix = scene.runtime.unix_micros();
+    let unix = cluster.runtime.unix_micros();
     let started_ms = since.map_or(0, |at| {
-        unix.saturating_sub(scene.log.now().saturating_sub(at)) / 1_000
+        unix.saturating_sub(cluster.log.now().saturating_sub(at)) / 1_000
     });
-    let state = if condition == EndpointState::Ready {
+    let registered = if state == EndpointState::Ready {
         State::Ready
     } else {
         State::Draining
     };
-    let (key, record) = scene.registration(engine, state, started_ms);
-    let written = scene.with_store(|store| match condition {
+    let (key, record) = cluster.registration(engine, registered, started_ms);
+    let written = cluster.with_store(|store| match state {
         EndpointState::Removed => store.delete(&key),
         _ => store.put(&key, &record),
     });
     written.is_some()
 }
 
-/// A store in trouble: it dies and comes back, loses its history while its watches are mute, ends its watches.
-async fn store_trouble(scene: &Arc<LocalCluster>, spell: &ScheduledFault) {
-    let part = spell.len / 6;
-    scene.with_store(|s| s.fault(|f| f.suppress_watch_events = true));
-    scene.runtime.sleep(part).await;
-    scene.with_store(|s| {
+/// Injects a sequence of faults into the store: it suppresses watch events while its history is compacted, crashes and
+/// restarts, cancels its watches, and hangs.
+async fn inject_store_faults(cluster: &Arc<LocalCluster>, scheduled: &ScheduledFault) {
+    let part = scheduled.len / 6;
+    cluster.with_store(|s| s.fault(|f| f.suppress_watch_events = true));
+    cluster.runtime.sleep(part).await;
+    cluster.with_store(|s| {
         s.compact();
         s.fault(|f| f.suppress_watch_events = false);
     });
-    scene.runtime.sleep(part).await;
-    scene.with_store(Store::crash);
-    scene.runtime.sleep(part).await;
+    cluster.runtime.sleep(part).await;
+    cluster.with_store(Store::crash);
+    cluster.runtime.sleep(part).await;
     for _ in 0..50 {
-        if scene.with_store(Store::restart).is_none_or(|up| up.is_ok()) {
+        if cluster
+            .with_store(Store::restart)
+            .is_none_or(|up| up.is_ok())
+        {
             break;
         }
-        scene.runtime.sleep(20_000).await;
+        cluster.runtime.sleep(20_000).await;
     }
-    scene.runtime.sleep(part).await;
-    scene.with_store(|s| s.cancel_watches());
-    scene.with_store(|s| s.fault(|f| f.hang = true));
-    scene.runtime.sleep(part).await;
-    scene.with_store(|s| s.fault(|f| f.hang = false));
+    cluster.runtime.sleep(part).await;
+    cluster.with_store(|s| s.cancel_watches());
+    cluster.with_store(|s| s.fault(|f| f.hang = true));
+    cluster.runtime.sleep(part).await;
+    cluster.with_store(|s| s.fault(|f| f.hang = false));
 }
 
-async fn list(
-    scene: &Arc<LocalCluster>,
+/// Changes the listed state of an engine: through the store if there is one, otherwise by notifying each node.
+async fn update_listing(
+    cluster: &Arc<LocalCluster>,
     plan: &Plan,
     engine: usize,
-    condition: EndpointState,
+    state: EndpointState,
     since: Option<Micros>,
     at: Micros,
 ) {
-    scene.set_listed_state(engine, condition, since);
-    if write_record(scene, engine, condition, since) {
+    cluster.set_listed_state(engine, state, since);
+    if write_record(cluster, engine, state, since) {
         return;
     }
     let late = plan
         .active_fault(FaultKind::DiscoveryStale, at)
-        .map_or(0, |s| (LIST_LATE as f64 * s.size) as Micros);
-    for node in 0..scene.nodes() {
-        // Nodes hear of it one after the other.
-        scene
+        .map_or(0, |s| (STALE_LISTING_DELAY as f64 * s.size) as Micros);
+    for node in 0..cluster.nodes() {
+        // Nodes are notified one after the other.
+        cluster
             .runtime
-            .sleep((LIST_BEHIND + late) / scene.nodes() as u64)
+            .sleep((LISTING_DELAY + late) / cluster.nodes() as u64)
             .await;
-        scene.notify_node(node, engine).await;
+        cluster.notify_node(node, engine).await;
     }
 }
 
-/// An engine dies, the list learns of it, it comes back cold, and the list learns of that.
-async fn crash(scene: &Arc<LocalCluster>, plan: &Plan, engine: usize, spell: &ScheduledFault) {
-    scene.engine(engine).crash();
-    list(scene, plan, engine, EndpointState::Removed, None, spell.at).await;
-    scene.runtime.sleep(spell.len / 2).await;
-    come_back(scene, plan, engine, spell).await;
+/// Crashes an engine, lists it as removed, restarts it with an empty cache, and lists it as ready.
+async fn crash_and_restart(
+    cluster: &Arc<LocalCluster>,
+    plan: &Plan,
+    engine: usize,
+    scheduled: &ScheduledFault,
+) {
+    cluster.engine(engine).crash();
+    update_listing(
+        cluster,
+        plan,
+        engine,
+        EndpointState::Removed,
+        None,
+        scheduled.at,
+    )
+    .await;
+    cluster.runtime.sleep(scheduled.len / 2).await;
+    restart_engine(cluster, plan, engine, scheduled).await;
 }
 
-async fn come_back(scene: &Arc<LocalCluster>, plan: &Plan, engine: usize, spell: &ScheduledFault) {
-    // A port that is still taken is tried again.
+async fn restart_engine(
+    cluster: &Arc<LocalCluster>,
+    plan: &Plan,
+    engine: usize,
+    scheduled: &ScheduledFault,
+) {
+    // The restart is retried while the port is still in use.
     for _ in 0..50 {
-        if scene.engine(engine).restart(true).is_ok() {
+        if cluster.engine(engine).restart(true).is_ok() {
             break;
         }
-        scene.runtime.sleep(20_000).await;
+        cluster.runtime.sleep(20_000).await;
     }
-    let since = Some(scene.log.now());
-    list(
-        scene,
+    let since = Some(cluster.log.now());
+    update_listing(
+        cluster,
         plan,
         engine,
         EndpointState::Ready,
         since,
-        spell.at + spell.len,
+        scheduled.at + scheduled.len,
     )
     .await;
 }
 
-async fn trouble(scene: &Arc<LocalCluster>, plan: &Plan, spell: &ScheduledFault, no: usize) {
-    let mut random = SmallRng::seed_from_u64(plan.seed.wrapping_mul(31).wrapping_add(no as u64));
-    let runtime = scene.runtime.clone();
-    let size = spell.size;
+async fn inject_fault(
+    cluster: &Arc<LocalCluster>,
+    plan: &Plan,
+    scheduled: &ScheduledFault,
+    index: usize,
+) {
+    let mut random = SmallRng::seed_from_u64(plan.seed.wrapping_mul(31).wrapping_add(index as u64));
+    let runtime = cluster.runtime.clone();
+    let size = scheduled.size;
     let all = |engines: &[usize], change: &dyn Fn(&mut ivyward_fakes::Faults)| {
-        engines.iter().for_each(|e| scene.engine(*e).fault(change));
+        engines
+            .iter()
+            .for_each(|e| cluster.engine(*e).fault(change));
     };
-    match spell.kind {
+    match scheduled.kind {
         FaultKind::Crash => {
-            for engine in some(scene, &mut random, 0.2 * size, None) {
-                crash(scene, plan, engine, spell).await;
+            for engine in pick_engines(cluster, &mut random, 0.2 * size, None) {
+                crash_and_restart(cluster, plan, engine, scheduled).await;
             }
         }
         FaultKind::Hang => {
-            let hung = some(scene, &mut random, 0.2 * size, None);
+            let hung = pick_engines(cluster, &mut random, 0.2 * size, None);
             all(&hung, &|f| f.hang = true);
-            runtime.sleep(spell.len).await;
+            runtime.sleep(scheduled.len).await;
             all(&hung, &|f| f.hang = false);
         }
         FaultKind::Slow => {
-            let slow = some(scene, &mut random, 0.25, None);
+            let slow = pick_engines(cluster, &mut random, 0.25, None);
             all(&slow, &|f| f.slowdown = 2.0 + 6.0 * size);
-            runtime.sleep(spell.len).await;
+            runtime.sleep(scheduled.len).await;
             all(&slow, &|f| f.slowdown = 1.0);
         }
         FaultKind::Pauses => {
-            let engines = some(scene, &mut random, 0.4 * size, None);
-            let until = scene.log.now() + spell.len;
-            while scene.log.now() < until {
+            let engines = pick_engines(cluster, &mut random, 0.4 * size, None);
+            let until = cluster.log.now() + scheduled.len;
+            while cluster.log.now() < until {
                 let one = engines[random.random_range(0..engines.len())];
-                let span = random.random_range(80_000..250_000);
-                scene.engine(one).fault(|f| f.hang = true);
-                runtime.sleep(span).await;
-                scene.engine(one).fault(|f| f.hang = false);
-                runtime.sleep(span).await;
+                let duration = random.random_range(80_000..250_000);
+                cluster.engine(one).fault(|f| f.hang = true);
+                runtime.sleep(duration).await;
+                cluster.engine(one).fault(|f| f.hang = false);
+                runtime.sleep(duration).await;
             }
         }
         FaultKind::BalancerCrash => {
-            let node = random.random_range(0..scene.nodes());
-            scene.kill_node(node);
-            runtime.sleep(spell.len / 2).await;
+            let node = random.random_range(0..cluster.nodes());
+            cluster.kill_node(node);
+            runtime.sleep(scheduled.len / 2).await;
             for _ in 0..50 {
-                if scene.start_node(node).is_ok() {
+                if cluster.start_node(node).is_ok() {
                     break;
                 }
                 runtime.sleep(20_000).await;
             }
         }
         FaultKind::OriginSlow => {
-            let readers = some(scene, &mut random, 0.5, Some(Role::Prefill));
-            all(&readers, &|f| f.fetch_slowdown = 2.0 + 18.0 * size);
-            runtime.sleep(spell.len).await;
-            all(&readers, &|f| f.fetch_slowdown = 1.0);
+            let prefill_engines = pick_engines(cluster, &mut random, 0.5, Some(Role::Prefill));
+            all(&prefill_engines, &|f| f.fetch_slowdown = 2.0 + 18.0 * size);
+            runtime.sleep(scheduled.len).await;
+            all(&prefill_engines, &|f| f.fetch_slowdown = 1.0);
         }
         FaultKind::AnswerLost => {
-            let engines = some(scene, &mut random, 0.5, None);
+            let engines = pick_engines(cluster, &mut random, 0.5, None);
             all(&engines, &|f| {
                 (f.lose_answer, f.reset) = (0.06 * size, 0.06 * size)
             });
-            runtime.sleep(spell.len).await;
+            runtime.sleep(scheduled.len).await;
             all(&engines, &|f| (f.lose_answer, f.reset) = (0.0, 0.0));
         }
         FaultKind::Ageing => {
-            let engines = some(scene, &mut random, 0.3, Some(Role::Decode));
+            let engines = pick_engines(cluster, &mut random, 0.3, Some(Role::Decode));
             for step in 1..=10 {
                 all(&engines, &|f| {
                     f.slowdown = 1.0 + 5.0 * size * f64::from(step) / 10.0
                 });
-                runtime.sleep(spell.len / 10).await;
+                runtime.sleep(scheduled.len / 10).await;
             }
             let first = engines[0];
             all(&engines, &|f| f.slowdown = 1.0);
-            crash(
-                scene,
+            crash_and_restart(
+                cluster,
                 plan,
                 first,
                 &ScheduledFault {
-                    len: spell.len / 4,
-                    ..spell.clone()
+                    len: scheduled.len / 4,
+                    ..scheduled.clone()
                 },
             )
             .await;
         }
         FaultKind::Drain => {
-            for engine in some(scene, &mut random, 0.15 * size, None) {
-                scene.engine(engine).set_draining(true);
-                list(scene, plan, engine, EndpointState::Draining, None, spell.at).await;
-                runtime.sleep(spell.len / 2).await;
-                scene.engine(engine).crash();
-                list(scene, plan, engine, EndpointState::Removed, None, spell.at).await;
-                come_back(scene, plan, engine, spell).await;
+            for engine in pick_engines(cluster, &mut random, 0.15 * size, None) {
+                cluster.engine(engine).set_draining(true);
+                update_listing(
+                    cluster,
+                    plan,
+                    engine,
+                    EndpointState::Draining,
+                    None,
+                    scheduled.at,
+                )
+                .await;
+                runtime.sleep(scheduled.len / 2).await;
+                cluster.engine(engine).crash();
+                update_listing(
+                    cluster,
+                    plan,
+                    engine,
+                    EndpointState::Removed,
+                    None,
+                    scheduled.at,
+                )
+                .await;
+                restart_engine(cluster, plan, engine, scheduled).await;
             }
         }
         FaultKind::Malformed => {
-            let engines = some(scene, &mut random, 0.3, None);
-            let twists = [
+            let engines = pick_engines(cluster, &mut random, 0.3, None);
+            let response_faults = [
                 ResponseFault::WrongId,
                 ResponseFault::Malformed,
                 ResponseFault::Oversized,
@@ -407,59 +465,62 @@
                 ResponseFault::StatusExhausted,
                 ResponseFault::MissingFinalMessage,
             ];
-            let until = scene.log.now() + spell.len;
-            while scene.log.now() < until {
-                let twist = twists[random.random_range(0..twists.len())];
+            let until = cluster.log.now() + scheduled.len;
+            while cluster.log.now() < until {
+                let response_fault = response_faults[random.random_range(0..response_faults.len())];
                 let engine = engines[random.random_range(0..engines.len())];
-                scene.engine(engine).fault(|f| {
-                    (f.response_fault, f.malformed) = (Some(twist), 0.2 * size);
+                cluster.engine(engine).fault(|f| {
+                    (f.response_fault, f.malformed) = (Some(response_fault), 0.2 * size);
                     (f.refuse_stream, f.reject, f.stall) = (0.1 * size, 0.1 * size, 0.02 * size);
                 });
-                runtime.sleep(spell.len / 8).await;
-                scene.engine(engine).fault(|f| {
+                runtime.sleep(scheduled.len / 8).await;
+                cluster.engine(engine).fault(|f| {
                     (f.malformed, f.refuse_stream, f.reject, f.stall) = (0.0, 0.0, 0.0, 0.0);
                 });
             }
         }
         FaultKind::DiscoveryStale => {
-            store_trouble(scene, spell).await;
-            runtime.sleep(spell.len / 6).await;
+            inject_store_faults(cluster, scheduled).await;
+            runtime.sleep(scheduled.len / 6).await;
         }
-        // These are the load's.
+        // The load generator implements these kinds.
         FaultKind::Burst
         | FaultKind::HotKey
         | FaultKind::HeavyTail
         | FaultKind::GiveUp
-        | FaultKind::RetryAbuse => runtime.sleep(spell.len).await,
+        | FaultKind::RetryAbuse => runtime.sleep(scheduled.len).await,
     }
 }
 
-/// Ends of a group of tries.
+/// Numbers of requests by outcome. Retries count as requests of their own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Ends {
-    /// All.
+pub struct OutcomeCounts {
+    /// Requests sent.
     pub requests: u64,
-    /// Served.
+    /// Requests served to the end.
     pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed.
+    /// Requests that a node rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Requests that failed.
     pub failed: u64,
-    /// Given up: the client left by its script, or its node was killed.
-    pub given_up: u64,
-    /// Ended in a way that breaks a rule.
-    pub broken: u64,
+    /// Requests whose client disconnected according to its script, or whose node was killed.
+    #[serde(rename = "given_up")]
+    pub disconnected: u64,
+    /// Requests with an outcome that violates a rule: no answer in time or a wrong answer.
+    #[serde(rename = "broken")]
+    pub invalid: u64,
 }
 
-impl Ends {
-    fn add(&mut self, how: ClientOutcome) {
+impl OutcomeCounts {
+    fn add(&mut self, outcome: ClientOutcome) {
         self.requests += 1;
-        match how {
+        match outcome {
             ClientOutcome::Served => self.served += 1,
-            ClientOutcome::Rejected => self.refused += 1,
+            ClientOutcome::Rejected => self.rejected += 1,
             ClientOutcome::Failed => self.failed += 1,
-            ClientOutcome::Disconnected | ClientOutcome::Unreachable => self.given_up += 1,
-            ClientOutcome::TimedOut | ClientOutcome::Wrong => self.broken += 1,
+            ClientOutcome::Disconnected | ClientOutcome::Unreachable => self.disconnected += 1,
+            ClientOutcome::TimedOut | ClientOutcome::Wrong => self.invalid += 1,
         }
     }
 }
@@ -467,20 +528,24 @@
 #[derive(Serialize)]
 struct Json<'a> {
     plan: &'a Plan,
-    all: Ends,
-    classes: BTreeMap<String, Ends>,
+    all: OutcomeCounts,
+    classes: BTreeMap<String, OutcomeCounts>,
     first_token_ms: BTreeMap<String, f64>,
-    token_pace_ms: BTreeMap<String, f64>,
-    rules_kept: usize,
+    #[serde(rename = "token_pace_ms")]
+    token_interval_ms: BTreeMap<String, f64>,
+    #[serde(rename = "rules_kept")]
+    rules_satisfied: usize,
     rules: BTreeMap<&'a str, (u64, u64)>,
-    attempts_side_by_side: (u64, u64),
+    #[serde(rename = "attempts_side_by_side")]
+    overlapping_attempts: (u64, u64),
     longest_overlap_ms: f64,
-    broken: Vec<String>,
+    #[serde(rename = "broken")]
+    violations: Vec<String>,
 }
 
-/// Microseconds up to ten minutes, to three digits.
+/// Returns a histogram of microseconds up to ten minutes, with three significant digits.
 fn histogram() -> Histogram<u64> {
-    // The bounds are fixed and right.
+    // The bounds are constant and valid.
     Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
@@ -493,26 +558,26 @@
 }
 
 impl Report {
-    /// Ends of all tries.
-    pub fn all(&self) -> Ends {
-        self.ends(|_| true)
+    /// Counts the outcomes of all requests.
+    pub fn all(&self) -> OutcomeCounts {
+        self.count_outcomes(|_| true)
     }
-    fn ends(&self, of: impl Fn(&RequestRecord) -> bool) -> Ends {
-        let mut ends = Ends::default();
+    fn count_outcomes(&self, of: impl Fn(&RequestRecord) -> bool) -> OutcomeCounts {
+        let mut ends = OutcomeCounts::default();
         self.requests
             .iter()
             .filter(|t| of(t))
             .for_each(|t| ends.add(t.end.outcome));
         ends
     }
-    fn first_tokens(&self, class: Option<usize>) -> BTreeMap<String, f64> {
+    fn first_token_times(&self, class: Option<usize>) -> BTreeMap<String, f64> {
         let of = self
             .requests
             .iter()
             .filter(|t| class.is_none_or(|c| t.class == c));
         percentiles(of.filter_map(|t| t.end.first_token_after))
     }
-    fn paces(&self) -> BTreeMap<String, f64> {
+    fn token_intervals(&self) -> BTreeMap<String, f64> {
         let served = self
             .requests
             .iter()
@@ -528,7 +593,7 @@
             .collect()
     }
 
-    /// The last line.
+    /// Returns the summary line that ends the report.
     pub fn verdict(&self) -> String {
         let e = self.all();
         format!(
@@ -536,16 +601,16 @@
             self.audit.rules_passed(),
             e.requests,
             e.served,
-            e.refused,
+            e.rejected,
             e.failed,
-            e.given_up + e.broken
+            e.disconnected + e.invalid
         )
     }
 
-    /// All of it as JSON.
+    /// Returns the report as JSON.
     ///
     /// # Errors
-    /// Never for these types, but the library says so.
+    /// Does not occur for these types; serde_json's signature requires it.
     pub fn json(&self) -> serde_json::Result<String> {
         let classes = self.class_names().into_iter().enumerate();
         let rules = self.audit.rules.iter().zip(RULES);
@@ -553,35 +618,35 @@
             plan: &self.scenario.plan,
             all: self.all(),
             classes: classes
-                .map(|(i, name)| (name, self.ends(|t| t.class == i)))
+                .map(|(i, name)| (name, self.count_outcomes(|t| t.class == i)))
                 .collect(),
-            first_token_ms: self.first_tokens(None),
-            token_pace_ms: self.paces(),
-            rules_kept: self.audit.rules_passed(),
+            first_token_ms: self.first_token_times(None),
+            token_interval_ms: self.token_intervals(),
+            rules_satisfied: self.audit.rules_passed(),
             rules: rules
                 .map(|(r, name)| (name, (r.checked, r.violation_count)))
                 .collect(),
-            attempts_side_by_side: (
+            overlapping_attempts: (
                 self.audit.overlap.checked,
                 self.audit.overlap.violation_count,
             ),
             longest_overlap_ms: self.audit.longest_overlap as f64 / 1e3,
-            broken: self.audit.violations(),
+            violations: self.audit.violations(),
         };
         serde_json::to_string_pretty(&json)
     }
 
-    /// All of it as text, the verdict last.
+    /// Returns the report as text tables, followed by [`Report::verdict`].
     pub fn text(&self) -> String {
         let mut out = String::new();
-        let row = |name: &str, e: Ends| {
+        let row = |name: &str, e: OutcomeCounts| {
             format!(
                 "{name:<18}{:>9}{:>9}{:>9}{:>9}{:>10}",
                 e.requests,
                 e.served,
-                e.refused,
+                e.rejected,
                 e.failed,
-                e.given_up + e.broken
+                e.disconnected + e.invalid
             )
         };
         let mut line = |text: String| {
@@ -593,18 +658,19 @@
             "class", "requests", "served", "refused", "failed", "given up"
         ));
         for (i, name) in self.class_names().iter().enumerate() {
-            line(row(name, self.ends(|t| t.class == i)));
+            line(row(name, self.count_outcomes(|t| t.class == i)));
         }
         line(String::new());
         line(format!(
             "{:<18}{:>9}{:>9}{:>9}{:>9}{:>10}",
             "during", "requests", "served", "refused", "failed", "given up"
         ));
-        for spell in &self.scenario.plan.faults {
-            let during = self.ends(|t| (spell.at..spell.at + spell.len).contains(&t.at));
-            line(row(&spell.kind.name(), during));
+        for scheduled in &self.scenario.plan.faults {
+            let during = self
+                .count_outcomes(|t| (scheduled.at..scheduled.at + scheduled.len).contains(&t.at));
+            line(row(&scheduled.kind.name(), during));
         }
-        let quiet = |t: &RequestRecord| {
+        let outside_faults = |t: &RequestRecord| {
             !self
                 .scenario
                 .plan
@@ -612,7 +678,7 @@
                 .iter()
                 .any(|s| (s.at..s.at + s.len).contains(&t.at))
         };
-        line(row("(none of these)", self.ends(quiet)));
+        line(row("(none of these)", self.count_outcomes(outside_faults)));
         line(String::new());
         let show = |p: &BTreeMap<String, f64>| {
             p.iter()
@@ -622,9 +688,12 @@
         };
         line(format!(
             "first token, ms: {}",
-            show(&self.first_tokens(None))
+            show(&self.first_token_times(None))
+        ));
+        line(format!(
+            "token pace, ms:  {}",
+            show(&self.token_intervals())
         ));
-        line(format!("token pace, ms:  {}", show(&self.paces())));
         line(String::new());
         for (rule, name) in self.audit.rules.iter().zip(RULES) {
             line(format!(
--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -332,7 +332,7 @@
         let mut day = FaultScenario::from_seed(seed, 500, &[]);
         day.load.rate = 100.0;
         // Other tests keep the machine busy beside this one.
-        day.flight = 500_000;
+        day.in_flight_window = 500_000;
         let report = fault_scenario::run(day).unwrap();
         assert_eq!(
             (report.audit.rules_passed(), report.audit.violations()),
@@ -341,10 +341,10 @@
             report.text()
         );
         let all = report.all();
-        assert_eq!(all.broken, 0);
+        assert_eq!(all.invalid, 0);
         assert_eq!(
             all.requests,
-            all.served + all.refused + all.failed + all.given_up
+            all.served + all.rejected + all.failed + all.disconnected
         );
         assert!(all.requests >= 450, "{all:?}");
         let done = ivyward::recording::replay(&report.recording[..]).unwrap();
