--- a/crates/ivyward-testbed/src/fault_scenario.rs
+++ b/crates/ivyward-testbed/src/fault_scenario.rs
@@ -567,7 +567,7 @@
         self.requests
             .iter()
             .filter(|t| of(t))
-            .for_each(|t| ends.add(t.end.outcome));
+            .for_each(|t| ends.add(t.result.outcome));
         ends
     }
     fn first_token_times(&self, class: Option<usize>) -> BTreeMap<String, f64> {
@@ -575,15 +575,15 @@
             .requests
             .iter()
             .filter(|t| class.is_none_or(|c| t.class == c));
-        percentiles(of.filter_map(|t| t.end.first_token_after))
+        percentiles(of.filter_map(|t| t.result.first_token_after))
     }
     fn token_intervals(&self) -> BTreeMap<String, f64> {
         let served = self
             .requests
             .iter()
-            .filter(|t| t.end.outcome == ClientOutcome::Served && t.end.tokens > 1);
+            .filter(|t| t.result.outcome == ClientOutcome::Served && t.result.tokens > 1);
         percentiles(served.filter_map(|t| {
-            Some((t.end.duration - t.end.first_token_after?) / u64::from(t.end.tokens - 1))
+            Some((t.result.duration - t.result.first_token_after?) / u64::from(t.result.tokens - 1))
         }))
     }
     fn class_names(&self) -> Vec<String> {
--- a/crates/ivyward-testbed/src/load.rs
+++ b/crates/ivyward-testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Sessions and their turns: what clients ask, and how they come back.
+//! Generates the load: client sessions, their turns, and the retries of each turn.
 
 use crate::fault_plan::{FaultKind, Plan};
 use crate::local_cluster::{call_idempotency, LocalCluster};
@@ -12,51 +12,51 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One try, as reports count it.
+/// Record of one request, for the report. Each retry is a request of its own.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Microseconds from the day's start.
+    /// Time at which the request was sent, in microseconds from the start of the load.
     pub at: Micros,
-    /// Its class.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// How it ended.
-    pub end: ClientResult,
+    /// Result that the client received.
+    pub result: ClientResult,
 }
 
-/// The load of a day.
+/// Amount and rate of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// First tries of all sessions.
+    /// Number of requests of all sessions, not counting retries.
     pub requests: usize,
-    /// Requests a second, on the mean.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Most output tokens of a quick answer; long ones have twice as many.
+    /// Maximum number of output tokens; requests of class 1 have twice as many.
     pub output: u32,
 }
 
-/// What one session does: drawn before the day begins, so that it does not hang on how the day goes.
+/// Plan of one session. It is generated before the load starts, so that it does not depend on the course of the run.
 #[derive(Clone)]
 struct Session {
-    begins: Micros,
+    starts_at: Micros,
     seed: u64,
     turns: usize,
     class: usize,
     node: usize,
 }
 
-fn draw(plan: &Plan, load: &Load, nodes: usize, classes: usize) -> Vec<Session> {
+fn generate_sessions(plan: &Plan, load: &Load, nodes: usize, classes: usize) -> Vec<Session> {
     let mut random = SmallRng::seed_from_u64(plan.seed ^ 0x5e55);
-    let (mut sessions, mut asked, mut at) = (Vec::new(), 0, 0.0);
-    // Two turns a session, on the mean.
+    let (mut sessions, mut generated, mut at) = (Vec::new(), 0, 0.0);
+    // A session has two turns on average.
     let gap = Exp::new(load.rate / 2.0 / 1e6).ok();
-    while asked < load.requests {
+    while generated < load.requests {
         let burst = plan
             .active_fault(FaultKind::Burst, at as Micros)
             .map_or(1.0, |s| 1.0 + 3.0 * s.size);
         at += gap.map_or(0.0, |g| g.sample(&mut random)) / burst;
-        let turns = random.random_range(1..=3).min(load.requests - asked);
-        asked += turns;
-        // Six of ten are quick, the rest by turns.
+        let turns = random.random_range(1..=3).min(load.requests - generated);
+        generated += turns;
+        // Class 0 takes 60% of the sessions, class 1 20%, and classes 2 and 3 take 10% each.
         let class = match random.random_range(0..10) {
             0..=5 => 0,
             6..=7 => 1,
@@ -66,7 +66,7 @@
         let class = class.min(classes - 1);
         let node = random.random_range(0..nodes);
         sessions.push(Session {
-            begins: at as Micros,
+            starts_at: at as Micros,
             seed: random.random(),
             turns,
             class,
@@ -76,169 +76,172 @@
     sessions
 }
 
-/// Plays all sessions and returns every try.
+/// Runs all sessions and returns a record of every request.
 pub async fn run_load(
-    scene: &Arc<LocalCluster>,
+    cluster: &Arc<LocalCluster>,
     plan: &Arc<Plan>,
     load: &Load,
 ) -> Vec<RequestRecord> {
-    let begun = scene.log.now();
-    let tries: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
+    let started_at = cluster.log.now();
+    let records: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
     let (done, wait) = async_channel::bounded::<()>(1);
-    let classes = scene.builder().settings.classes.len();
-    for session in draw(plan, load, scene.nodes(), classes) {
-        scene
+    let classes = cluster.builder().settings.classes.len();
+    for session in generate_sessions(plan, load, cluster.nodes(), classes) {
+        cluster
             .runtime
-            .sleep((begun + session.begins).saturating_sub(scene.log.now()))
+            .sleep((started_at + session.starts_at).saturating_sub(cluster.log.now()))
             .await;
-        let (scene, plan, tries, done) = (scene.clone(), plan.clone(), tries.clone(), done.clone());
-        let runtime = scene.runtime.clone();
+        let (cluster, plan, records, done) =
+            (cluster.clone(), plan.clone(), records.clone(), done.clone());
+        let runtime = cluster.runtime.clone();
         let load = *load;
         runtime.run(async move {
-            follow(&scene, &plan, &load, &session, begun, &tries).await;
+            run_session(&cluster, &plan, &load, &session, started_at, &records).await;
             drop(done);
         });
     }
     drop(done);
-    // Ends with an error when the last session is over.
+    // Nothing is sent on the channel: `recv` returns an error when the last session drops its sender.
     let _ = wait.recv().await;
-    let tries = std::mem::take(&mut *tries.lock().unwrap_or_else(PoisonError::into_inner));
-    tries
+    let records = std::mem::take(&mut *records.lock().unwrap_or_else(PoisonError::into_inner));
+    records
 }
 
-async fn follow(
-    scene: &Arc<LocalCluster>,
+async fn run_session(
+    cluster: &Arc<LocalCluster>,
     plan: &Plan,
     load: &Load,
     session: &Session,
-    begun: Micros,
-    tries: &Mutex<Vec<RequestRecord>>,
+    started_at: Micros,
+    records: &Mutex<Vec<RequestRecord>>,
 ) {
     let mut random = SmallRng::seed_from_u64(session.seed);
-    let now = || scene.log.now() - begun;
-    let hot = plan
-        .active_fault(FaultKind::HotKey, session.begins)
+    let now = || cluster.log.now() - started_at;
+    let hot_key = plan
+        .active_fault(FaultKind::HotKey, session.starts_at)
         .is_some_and(|s| random.random_bool(0.5 * s.size));
-    // Openings by popularity: the first of twelve is asked twelve times as often as the last.
-    let opening: u32 = match hot {
+    // Sessions share twelve prefixes of different popularity: squaring the uniform sample makes the first prefix about
+    // seven times as frequent as the last (29% and 4%).
+    let shared_prefix: u32 = match hot_key {
         true => 4_000 + plan.seed as u32 % 1_000,
         false => 1_000 + (12.0 * random.random::<f64>().powi(2)) as u32,
     };
-    let length = if hot { 2_000 } else { 300 };
-    let mut prompt: Vec<u32> = (0..length).map(|i| opening ^ (i * 31)).collect();
+    let length = if hot_key { 2_000 } else { 300 };
+    let mut prompt: Vec<u32> = (0..length).map(|i| shared_prefix ^ (i * 31)).collect();
     let lengths = LogNormal::new(4.6, 0.6).ok();
     for _ in 0..session.turns {
-        let mut new = lengths
+        let mut new_tokens = lengths
             .map_or(100.0_f64, |l| l.sample(&mut random))
             .min(2_000.0) as u32;
         if session.class == 1 {
-            new *= 4;
+            new_tokens *= 4;
         }
         if plan
             .active_fault(FaultKind::HeavyTail, now())
             .is_some_and(|s| random.random_bool(0.1 * s.size))
         {
-            new *= 12;
+            new_tokens *= 12;
         }
-        let new = new.clamp(1, 20_000);
-        prompt.extend((0..new).map(|_| random.random::<u32>() >> 8));
+        let new_tokens = new_tokens.clamp(1, 20_000);
+        prompt.extend((0..new_tokens).map(|_| random.random::<u32>() >> 8));
         let output = if session.class == 1 {
             2 * load.output
         } else {
             load.output
         };
-        turn(
-            scene,
+        send_turn(
+            cluster,
             plan,
             session,
             &mut random,
-            begun,
+            started_at,
             (&prompt, length, output),
-            tries,
+            records,
         )
         .await;
         prompt.extend(text::answer(&prompt, output));
-        let think = random.random_range(50_000..400_000);
-        scene.runtime.sleep(think).await;
+        let think_time = random.random_range(50_000..400_000);
+        cluster.runtime.sleep(think_time).await;
     }
 }
 
-/// One request with its retries.
-async fn turn(
-    scene: &Arc<LocalCluster>,
+/// Sends one request and its retries.
+async fn send_turn(
+    cluster: &Arc<LocalCluster>,
     plan: &Plan,
     session: &Session,
     random: &mut SmallRng,
-    begun: Micros,
-    (prompt, opening, output): (&[u32], u32, u32),
-    tries: &Mutex<Vec<RequestRecord>>,
+    started_at: Micros,
+    (prompt, shared_prefix_tokens, output): (&[u32], u32, u32),
+    records: &Mutex<Vec<RequestRecord>>,
 ) {
-    let class = &scene.builder().settings.classes[session.class];
-    let operation = scene.call_id();
-    let effect = call_idempotency(&class.settings);
-    let abuse = plan
-        .active_fault(FaultKind::RetryAbuse, scene.log.now() - begun)
+    let class = &cluster.builder().settings.classes[session.class];
+    let operation = cluster.call_id();
+    let idempotency = call_idempotency(&class.settings);
+    let retry_abuse = plan
+        .active_fault(FaultKind::RetryAbuse, cluster.log.now() - started_at)
         .is_some();
-    let most_tries = if abuse { 8 } else { 3 };
-    for attempt in 0..most_tries {
-        let at = scene.log.now() - begun;
-        // A front layer spreads clients; one whose node is gone goes to the next.
-        let node = (session.node + attempt) % scene.nodes();
-        let mut habit = ClientBehavior {
+    let max_tries = if retry_abuse { 8 } else { 3 };
+    for attempt in 0..max_tries {
+        let at = cluster.log.now() - started_at;
+        // Stands for a load balancer in front of the nodes: each retry goes to the next node, so that a client whose node
+        // is down reaches another one.
+        let node = (session.node + attempt) % cluster.nodes();
+        let mut behavior = ClientBehavior {
             client_timeout: class.settings.deadline,
             ..ClientBehavior::default()
         };
-        habit.client_timeout =
-            (habit.client_timeout as f64 * random.random_range(0.5..1.0)) as Micros;
+        behavior.client_timeout =
+            (behavior.client_timeout as f64 * random.random_range(0.5..1.0)) as Micros;
         if plan
             .active_fault(FaultKind::GiveUp, at)
             .is_some_and(|s| random.random_bool(0.6 * s.size))
         {
-            habit.disconnect_after = Some(random.random_range(1_000..400_000));
+            behavior.disconnect_after = Some(random.random_range(1_000..400_000));
         }
         if random.random_bool(0.01) {
-            habit.disconnect_at_token = Some(random.random_range(1..=output / 2));
+            behavior.disconnect_at_token = Some(random.random_range(1..=output / 2));
         }
         let request = GenerateRequest {
             prompt: prompt.to_vec(),
             max_output_tokens: output,
             session: format!("s{:x}", session.seed),
-            shared_opening_tokens: opening,
+            shared_opening_tokens: shared_prefix_tokens,
             class: class.name.clone(),
             repeat: attempt > 0,
             idempotency_key: format!("op{operation:x}"),
-            call_id: scene.call_id(),
+            call_id: cluster.call_id(),
             ..GenerateRequest::default()
         };
-        let ask = ClientRequest {
+        let client_request = ClientRequest {
             request,
             operation,
-            idempotency: effect,
+            idempotency,
             node,
-            behavior: habit,
+            behavior,
         };
-        let Some(end) = scene.send(&ask).await else {
-            // Nobody there: nothing was sent.
-            scene.runtime.sleep(20_000).await;
+        let Some(result) = cluster.send(&client_request).await else {
+            // The node is not running, and nothing was sent.
+            cluster.runtime.sleep(20_000).await;
             continue;
         };
-        let how = end.outcome;
-        let pause = if abuse {
+        let outcome = result.outcome;
+        let pause = if retry_abuse {
             1_000
         } else {
-            end.pushback.unwrap_or(50_000)
+            result.pushback.unwrap_or(50_000)
         };
-        tries
+        records
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(RequestRecord {
                 at,
                 class: session.class,
-                end,
+                result,
             });
-        let again = match (how, effect) {
+        let retry = match (outcome, idempotency) {
             (ClientOutcome::Rejected, _) => true,
-            // A failure promises nothing: only what may be repeated freely is.
+            // A failed request may have taken effect, so it is retried only if it is idempotent or has an idempotency key.
             (ClientOutcome::Failed | ClientOutcome::Unreachable, CallIdempotency::Idempotent) => {
                 true
             }
@@ -247,9 +250,9 @@
             }
             _ => false,
         };
-        if !again {
+        if !retry {
             return;
         }
-        scene.runtime.sleep(pause).await;
+        cluster.runtime.sleep(pause).await;
     }
 }
