--- a/crates/ivyward-testbed/tests/kv_transfer.rs
+++ b/crates/ivyward-testbed/tests/kv_transfer.rs
@@ -1,4 +1,4 @@
-//! Where states are handed over, by one node's decisions in synthetic time.
+//! The counts of KV transfers that one node's decisions cause, in virtual time.
 
 use clap::Parser;
 use ivyward_testbed::kv_transfer::{simulate, KvTransferCounts, KvTransferFlags};
@@ -9,21 +9,22 @@
     flags: KvTransferFlags,
 }
 
-fn played(args: &[&str]) -> KvTransferCounts {
-    let few = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
-    simulate(Flags::parse_from(few.iter().chain(args)).flags)
+fn simulated(args: &[&str]) -> KvTransferCounts {
+    let small_fleet = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
+    simulate(Flags::parse_from(small_fleet.iter().chain(args)).flags)
 }
 
 #[test]
-fn each_request_is_counted_once_and_a_run_is_the_same_each_time() {
-    let seen = played(&[]);
-    let sum = seen.in_rack + seen.in_zone + seen.between_zones + seen.in_place + seen.not_sent;
-    assert_eq!((seen.requests, sum), (1_100, 1_100), "{seen:?}");
-    assert_eq!(played(&[]), seen);
+fn each_request_is_counted_once_and_runs_are_repeatable() {
+    let counts = simulated(&[]);
+    let sum =
+        counts.in_rack + counts.in_zone + counts.between_zones + counts.in_place + counts.not_sent;
+    assert_eq!((counts.requests, sum), (1_100, 1_100), "{counts:?}");
+    assert_eq!(simulated(&[]), counts);
 }
 
 #[test]
-fn in_one_rack_nothing_leaves_it() {
-    let seen = played(&["--rack=1000", "--zones=1"]);
-    assert_eq!((seen.in_zone, seen.between_zones), (0, 0), "{seen:?}");
+fn with_a_single_rack_no_transfer_leaves_the_rack() {
+    let counts = simulated(&["--rack=1000", "--zones=1"]);
+    assert_eq!((counts.in_zone, counts.between_zones), (0, 0), "{counts:?}");
 }
