--- a/crates/ivyward-testbed/src/commands/drain_latency.rs
+++ b/crates/ivyward-testbed/src/commands/drain_latency.rs
@@ -1,7 +1,9 @@
 //! `drain-latency`: measures how soon nodes act on watch events.
 
 use super::{exit_code, CommandResult};
-use ivyward_testbed::drain_latency::{changes, followed, text};
+use ivyward_testbed::drain_latency::{
+    format_tables, measure_change_costs, measure_watch_latencies,
+};
 
 /// Number of nodes that watch the store.
 const NODES: usize = 2;
@@ -25,9 +27,9 @@
 impl DrainLatency {
     pub fn run(self) -> CommandResult {
         let sizes: Vec<usize> = self.fleet.iter().map(|engines| *engines as usize).collect();
-        let followed = followed(self.drains as usize, NODES, self.faults)?;
-        let changes = changes(&sizes, CHANGES)?;
-        print!("{}", text(&followed, &changes));
-        Ok(exit_code(followed.broken.is_empty()))
+        let latencies = measure_watch_latencies(self.drains as usize, NODES, self.faults)?;
+        let costs = measure_change_costs(&sizes, CHANGES)?;
+        print!("{}", format_tables(&latencies, &costs));
+        Ok(exit_code(latencies.violations.is_empty()))
     }
 }
--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -1,5 +1,5 @@
-//! How soon a node follows a notice: the last send after a drain, the first to a new engine, and what a change costs by the
-//! size of the fleet.
+//! Measures how soon a node acts on a notification: the time to its last attempt at a drained engine and to its first
+//! attempt at a returned one. Also measures the cost of a record change by the size of the fleet.
 
 use crate::fault_plan::Plan;
 use crate::load::{run_load, Load};
@@ -17,25 +17,26 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// What was measured under load.
+/// Latencies of watch events, measured under load.
 #[derive(Clone, Debug, Default)]
-pub struct Followed {
-    /// For each notice to a node: how long after it the node's last attempt came to the engine; 0 where none came.
+pub struct WatchLatencies {
+    /// Microseconds from each notification of a node that an engine is draining or removed to the arrival of that node's last
+    /// attempt at the engine; 0 if no attempt arrived.
     pub last_sends: Vec<Micros>,
-    /// From an engine's return to the list to its first attempt.
+    /// Microseconds from the first notification that an engine is listed as ready again to its first attempt.
     pub first_sends: Vec<Micros>,
-    /// Engines drained or deleted.
+    /// Number of times that an engine was drained or its record deleted.
     pub drains: usize,
-    /// Times that something was wrong with the store, by kind.
+    /// Number of faults injected into the store, by kind.
     pub faults: BTreeMap<&'static str, usize>,
-    /// Gaps that nodes met.
-    pub gaps: u64,
-    /// What broke the rules, in words; the third is the one that matters here.
-    pub broken: Vec<String>,
+    /// Number of gaps in the watch, over all nodes.
+    pub list_gaps: u64,
+    /// Violations of the rules, as texts. The third rule is the one that this measurement is about.
+    pub violations: Vec<String>,
 }
 
-/// The kinds of what goes wrong with the store, in the order in which a round plays them.
-const FAULTS: [&str; 8] = [
+/// Kinds of store faults, in the order in which they are injected.
+const STORE_FAULTS: [&str; 8] = [
     "lag",
     "batches",
     "cancelled",
@@ -46,31 +47,31 @@
     "slow link",
 ];
 
-/// Plays one kind of trouble with the store.
-async fn fault(scene: &LocalCluster, kind: &str) {
-    let set = |change: &dyn Fn(&mut StoreFaults)| scene.with_store(|s| s.fault(change));
+/// Injects one store fault for 300 ms and then clears it.
+async fn inject_store_fault(cluster: &LocalCluster, kind: &str) {
+    let set = |change: &dyn Fn(&mut StoreFaults)| cluster.with_store(|s| s.fault(change));
     match kind {
         "lag" => set(&|f| f.watch_delays = vec![0, 200_000]),
         "batches" => set(&|f| f.batch_interval = 60_000),
-        "cancelled" => scene.with_store(|s| s.cancel_watches()),
+        "cancelled" => cluster.with_store(|s| s.cancel_watches()),
         "mute and compacted" => set(&|f| f.suppress_watch_events = true),
-        "restart" => scene.with_store(Store::crash),
+        "restart" => cluster.with_store(Store::crash),
         "hang" => set(&|f| f.hang = true),
         "half open" => set(&|f| f.half_open = true),
         _ => set(&|f| f.bytes_per_second = 60_000),
     };
-    scene.runtime.sleep(300_000).await;
+    cluster.runtime.sleep(300_000).await;
     match kind {
         "mute and compacted" => {
-            scene.with_store(|s| s.compact());
+            cluster.with_store(|s| s.compact());
         }
         "restart" => {
-            // A port that is still taken is tried again.
-            while scene
+            // The restart is retried while the port is still in use.
+            while cluster
                 .with_store(Store::restart)
                 .is_some_and(|up| up.is_err())
             {
-                scene.runtime.sleep(20_000).await;
+                cluster.runtime.sleep(20_000).await;
             }
         }
         _ => {}
@@ -78,18 +79,19 @@
     set(&|f| *f = StoreFaults::default());
 }
 
-/// What a change costs at one size of the fleet, in microseconds of the node.
+/// Cost of a record change at one fleet size. Times are in microseconds and measured in the node.
 #[derive(Clone, Debug)]
-pub struct Change {
-    /// Engines.
+pub struct ChangeCost {
+    /// Number of engines in the fleet.
     pub fleet: usize,
-    /// From the start to all of them known.
+    /// Time from the start of the watch until the node lists all engines.
     pub load: Micros,
-    /// The module's time a change.
+    /// Router time per change.
     pub module: f64,
-    /// The rest of the driver's.
+    /// Time of the rest of the driver per change.
     pub driver: f64,
-    /// Memory that the node and the store's list of this many took in the process, in KiB; 0 where not told.
+    /// Growth of the resident memory of this process, which holds the node and the store, in KiB; 0 if the system does not
+    /// report it.
     pub memory: u64,
 }
 
@@ -98,121 +100,126 @@
     Store::start(&host, 1).map_err(io("starting a store"))
 }
 
-/// Drains engines one after the other under load, half of them by a put and half by a deletion, and brings them back.
+/// Takes engines out one after the other under load, alternately by marking the record as draining and by deleting it, and
+/// lists them as ready again. `faults` injects faults into the store meanwhile.
 ///
 /// # Errors
-/// When the scene cannot be set up.
-pub fn followed(drains: usize, nodes: usize, faults: bool) -> Result<Followed, LocalClusterError> {
+/// Returns an error if the cluster cannot be set up.
+pub fn measure_watch_latencies(
+    drains: usize,
+    nodes: usize,
+    faults: bool,
+) -> Result<WatchLatencies, LocalClusterError> {
     let mut store = store()?;
     store
         .open_endpoints(nodes)
-        .map_err(io("opening doors of a store"))?;
-    let mut follow = WatcherOptions {
+        .map_err(io("opening endpoints of a store"))?;
+    let mut watcher_options = WatcherOptions {
         endpoints: store.endpoints().to_vec(),
         ..WatcherOptions::default()
     };
     if faults {
-        (follow.silence_timeout, follow.backoff) = (150_000, (10_000, 100_000));
-        follow.etcd.call_timeout = 150_000;
+        (watcher_options.silence_timeout, watcher_options.backoff) = (150_000, (10_000, 100_000));
+        watcher_options.etcd.call_timeout = 150_000;
     }
-    let mut make = ClusterBuilder::new(51, fleet(4));
-    (make.nodes, make.watcher) = (nodes, Some(follow));
-    let scene = Arc::new(make.build()?);
-    scene.watch_store(store);
-    let put = |scene: &LocalCluster, engine: usize, state| {
-        let (key, record) = scene.registration(engine, state, 0);
-        scene.with_store(|s| s.put(&key, &record));
+    let mut builder = ClusterBuilder::new(51, fleet(4));
+    (builder.nodes, builder.watcher) = (nodes, Some(watcher_options));
+    let cluster = Arc::new(builder.build()?);
+    cluster.watch_store(store);
+    let put = |cluster: &LocalCluster, engine: usize, state| {
+        let (key, record) = cluster.registration(engine, state, 0);
+        cluster.with_store(|s| s.put(&key, &record));
     };
-    (0..scene.engines()).for_each(|e| put(&scene, e, State::Ready));
-    // Beside faults, long enough for sends past the grace to show.
-    let span = if faults { 450_000 } else { 150_000 };
-    let mut out = Followed {
+    (0..cluster.engines()).for_each(|e| put(&cluster, e, State::Ready));
+    // With store faults, the interval is long enough to reveal attempts sent after the drain grace has ended.
+    let interval = if faults { 450_000 } else { 150_000 };
+    let mut out = WatchLatencies {
         drains,
-        ..Followed::default()
+        ..WatchLatencies::default()
     };
-    scene.runtime.clone().block_on(async {
-        scene.runtime.sleep(300_000).await;
+    cluster.runtime.clone().block_on(async {
+        cluster.runtime.sleep(300_000).await;
         let load = Load {
-            requests: drains * 2 * span as usize / 5_000,
+            requests: drains * 2 * interval as usize / 5_000,
             rate: 200.0,
             output: 12,
         };
         let plan = Arc::new(Plan {
             seed: 51,
-            length: drains as u64 * 2 * span,
+            length: drains as u64 * 2 * interval,
             faults: vec![],
         });
         let (done, wait) = async_channel::bounded::<()>(1);
-        let one = scene.clone();
-        scene.runtime.run(async move {
+        let task_cluster = cluster.clone();
+        cluster.runtime.run(async move {
             for drain in 0..drains {
-                let engine = drain * 5 % one.engines();
+                let engine = drain * 5 % task_cluster.engines();
                 match drain % 2 {
-                    0 => put(&one, engine, State::Draining),
+                    0 => put(&task_cluster, engine, State::Draining),
                     _ => {
-                        let key = one.registration(engine, State::Ready, 0).0;
-                        one.with_store(|s| s.delete(&key));
+                        let key = task_cluster.registration(engine, State::Ready, 0).0;
+                        task_cluster.with_store(|s| s.delete(&key));
                     }
                 }
-                one.runtime.sleep(span).await;
-                put(&one, engine, State::Ready);
-                one.runtime.sleep(span).await;
+                task_cluster.runtime.sleep(interval).await;
+                put(&task_cluster, engine, State::Ready);
+                task_cluster.runtime.sleep(interval).await;
             }
             drop(done);
         });
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let (tell, played) = async_channel::bounded(1);
-        let one = scene.clone();
-        scene.runtime.run(async move {
+        let (report_counts, fault_counts) = async_channel::bounded(1);
+        let task_cluster = cluster.clone();
+        cluster.runtime.run(async move {
             let mut counts = BTreeMap::new();
-            for kind in FAULTS
+            for kind in STORE_FAULTS
                 .iter()
                 .cycle()
                 .take_while(|_| faults && !stopped.is_closed())
             {
-                fault(&one, kind).await;
+                inject_store_fault(&task_cluster, kind).await;
                 *counts.entry(*kind).or_insert(0) += 1;
-                one.runtime.sleep(250_000).await;
+                task_cluster.runtime.sleep(250_000).await;
             }
-            let _ = tell.send(counts).await;
+            let _ = report_counts.send(counts).await;
         });
-        run_load(&scene, &plan, &load).await;
+        run_load(&cluster, &plan, &load).await;
         let _ = wait.recv().await;
         drop(stop);
-        out.faults = played.recv().await.unwrap_or_default();
-        scene.wait_until_idle(5_000_000).await;
+        out.faults = fault_counts.recv().await.unwrap_or_default();
+        cluster.wait_until_idle(5_000_000).await;
     });
-    let (mut told, mut back) = (BTreeMap::new(), BTreeMap::new());
-    out.gaps = (0..nodes)
-        .filter_map(|n| scene.node(n))
+    let (mut notified, mut relisted) = (BTreeMap::new(), BTreeMap::new());
+    out.list_gaps = (0..nodes)
+        .filter_map(|n| cluster.node(n))
         .map(|n| n.metrics().list_gaps.get())
         .sum();
-    out.broken = scene.audit().violations();
-    for seen in scene.log.all() {
+    out.violations = cluster.audit().violations();
+    for seen in cluster.log.all() {
         match seen.event {
             ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: false,
             } => {
-                told.insert((node, engine), (seen.at, seen.at));
-                back.remove(&engine);
+                notified.insert((node, engine), (seen.at, seen.at));
+                relisted.remove(&engine);
             }
             ObservedEvent::NodeNotified {
                 node,
                 engine,
                 ready: true,
             } => {
-                if let Some((from, last)) = told.remove(&(node, engine)) {
+                if let Some((from, last)) = notified.remove(&(node, engine)) {
                     out.last_sends.push(last - from);
-                    back.entry(engine).or_insert(seen.at);
+                    relisted.entry(engine).or_insert(seen.at);
                 }
             }
             ObservedEvent::AttemptArrived { engine, key, .. } => {
-                if let Some((_, last)) = told.get_mut(&(key.node, engine)) {
+                if let Some((_, last)) = notified.get_mut(&(key.node, engine)) {
                     *last = seen.at;
                 }
-                if let Some(from) = back.remove(&engine) {
+                if let Some(from) = relisted.remove(&engine) {
                     out.first_sends.push(seen.at - from);
                 }
             }
@@ -222,7 +229,7 @@
     Ok(out)
 }
 
-fn memory() -> u64 {
+fn resident_memory_kib() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     line.and_then(|l| l.split_whitespace().next())
@@ -230,14 +237,17 @@
         .unwrap_or(0)
 }
 
-/// Measures a change's cost at these sizes of the fleet; the engines are records alone.
+/// Measures the cost of a change at each of these fleet sizes. The engines exist only as records.
 ///
 /// # Errors
-/// When a node or a store does not start.
-pub fn changes(fleets: &[usize], count: usize) -> Result<Vec<Change>, LocalClusterError> {
+/// Returns an error if a node or a store does not start.
+pub fn measure_change_costs(
+    fleets: &[usize],
+    count: usize,
+) -> Result<Vec<ChangeCost>, LocalClusterError> {
     let mut out = Vec::new();
     for &fleet in fleets {
-        let before = memory();
+        let before = resident_memory_kib();
         let store = store()?;
         let record = |i: usize, state: &str| {
             let role = ["prefill", "mixed", "decode", "decode"][i % 4];
@@ -254,12 +264,12 @@
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
         let node = Node::start(as_ref.clone(), NodeSettings { ..settings() }, None)?;
-        let follow = WatcherOptions {
+        let watcher_options = WatcherOptions {
             endpoints: vec![store.address()],
             ..WatcherOptions::default()
         };
         let (following, began) = (node.clone(), as_ref.now());
-        runtime.run(async move { following.watch_endpoints(follow).await });
+        runtime.run(async move { following.watch_endpoints(watcher_options).await });
         let known = |at_least: i64| {
             let (node, runtime) = (node.clone(), as_ref.clone());
             async move {
@@ -273,7 +283,7 @@
             known(0).await;
             as_ref.now() - began
         });
-        // A first change, so that the watch stands before the others are timed.
+        // One change before the measurement makes sure that the watch is established.
         let first = store.put(&key(1), &record(1, "draining"));
         runtime.block_on(known(first));
         let m = node.metrics();
@@ -288,20 +298,20 @@
             runtime.block_on(known(last));
         }
         let (module, driver) = (m.router_us.get() - module, m.driver_us.get() - driver);
-        out.push(Change {
+        out.push(ChangeCost {
             fleet,
             load,
             module: module as f64 / count as f64,
             driver: driver.saturating_sub(module) as f64 / count as f64,
-            memory: memory().saturating_sub(before),
+            memory: resident_memory_kib().saturating_sub(before),
         });
         runtime.stop();
     }
     Ok(out)
 }
 
-/// The tables, as they are kept in docs.
-pub fn text(followed: &Followed, changes: &[Change]) -> String {
+/// Formats the results as Markdown tables for the documentation.
+pub fn format_tables(latencies: &WatchLatencies, changes: &[ChangeCost]) -> String {
     let mut out = String::new();
     let row = |name: &str, values: &[Micros]| {
         let mut sorted = values.to_vec();
@@ -326,17 +336,20 @@
     let _ = writeln!(
         out,
         "{}",
-        row("last send after a notice, a node", &followed.last_sends)
+        row(
+            "last attempt after a notification, per node",
+            &latencies.last_sends
+        )
     );
     let _ = writeln!(
         out,
         "{}",
         row(
             "first request after an engine's return",
-            &followed.first_sends
+            &latencies.first_sends
         )
     );
-    let kinds: Vec<String> = followed
+    let kinds: Vec<String> = latencies
         .faults
         .iter()
         .map(|(kind, n)| format!("{kind} {n}"))
@@ -344,16 +357,16 @@
     let _ = writeln!(
         out,
         "\n{} drains and departures; {} gaps; the store's faults: {}",
-        followed.drains,
-        followed.gaps,
+        latencies.drains,
+        latencies.list_gaps,
         if kinds.is_empty() {
             "none".into()
         } else {
             kinds.join(", ")
         }
     );
-    let _ = writeln!(out, "rules broken: {}", followed.broken.len());
-    followed.broken.iter().for_each(|line| {
+    let _ = writeln!(out, "rule violations: {}", latencies.violations.len());
+    latencies.violations.iter().for_each(|line| {
         let _ = writeln!(out, "- {line}");
     });
     let _ = writeln!(
