--- a/crates/ivyward-testbed/src/commands/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/commands/relay_overhead.rs
@@ -1,7 +1,7 @@
 //! `relay-overhead`: measures the latency that a node adds to a stream and the CPU time of a routing decision.
 
 use super::CommandResult;
-use ivyward_testbed::relay_overhead::{costs, rows, text};
+use ivyward_testbed::relay_overhead::{format_tables, measure_decision_costs, measure_streams};
 use std::process::ExitCode;
 
 /// Number of requests whose routing decisions are timed at each fleet size.
@@ -23,9 +23,9 @@
 impl RelayOverhead {
     pub fn run(self) -> CommandResult {
         let sizes = |values: &[u64]| values.iter().map(|n| *n as usize).collect::<Vec<_>>();
-        let rows = rows(&sizes(&self.streams), self.rounds as usize)?;
-        let costs = costs(&sizes(&self.fleet), DECISIONS)?;
-        print!("{}", text(&rows, &costs));
+        let rows = measure_streams(&sizes(&self.streams), self.rounds as usize)?;
+        let costs = measure_decision_costs(&sizes(&self.fleet), DECISIONS)?;
+        print!("{}", format_tables(&rows, &costs));
         Ok(ExitCode::SUCCESS)
     }
 }
--- a/crates/ivyward-testbed/src/relay_overhead.rs
+++ b/crates/ivyward-testbed/src/relay_overhead.rs
@@ -1,5 +1,5 @@
-//! What a node adds: streams straight from an engine against the same through a node, in one run; and what a decision
-//! costs by the size of the fleet.
+//! Measures the overhead of a node: in one run, streams read directly from an engine are compared with the same streams
+//! through a node. Also measures the CPU time of a routing decision by the size of the fleet.
 
 use crate::local_cluster::{io, settings, LocalClusterError};
 use hdrhistogram::Histogram;
@@ -10,46 +10,46 @@
 use ivyward_grpc::{encode, CallError, Channel, Options};
 use ivyward_proto::engine as pb;
 use ivyward_proto::front::{GenerateRequest, Tokens};
-use ivyward_runtime::{Micros as Us, RuntimeExt, RuntimeRef, SmolRuntime};
+use ivyward_runtime::{Micros, RuntimeExt, RuntimeRef, SmolRuntime};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Calls on one client connection.
-const PER_CONNECTION: usize = 100;
+/// Maximum number of streams on one client connection.
+const STREAMS_PER_CONNECTION: usize = 100;
 
-/// What was measured at one number of streams.
+/// Measurements at one number of concurrent streams.
 #[derive(Clone, Debug)]
-pub struct Row {
-    /// Streams at once.
+pub struct StreamMeasurement {
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens a second straight from the engine, and through the node: medians of the rounds.
+    /// Tokens per second directly from the engine and through the node, each the median of the rounds.
     pub tokens: (f64, f64),
-    /// Streams a second, in the same way.
+    /// Completed streams per second, directly and through the node, each the median of the rounds.
     pub ended: (f64, f64),
-    /// First-token times in microseconds, paced: p50 and p99, straight and through the node.
+    /// Time to the first token in microseconds with paced output, as p50 and p99: first directly, then through the node.
     pub first: [(u64, u64); 2],
 }
 
-/// What a decision costs at one size of the fleet, in microseconds a request.
+/// CPU time of a decision at one fleet size, in microseconds per request.
 #[derive(Clone, Debug)]
-pub struct Cost {
-    /// Engines.
+pub struct DecisionCost {
+    /// Number of engines in the fleet.
     pub fleet: usize,
-    /// The module's time.
+    /// Time of the router.
     pub module: f64,
-    /// The rest of the driver's.
+    /// Time of the rest of the driver.
     pub driver: f64,
 }
 
 fn relay_settings() -> NodeSettings {
     let mut settings = settings();
     for class in &mut settings.classes {
-        // Nothing is to be shed or timed out: the node's own work is measured.
+        // No request may be rejected or time out, since only the node's own work is measured.
         (class.settings.ttft_objective, class.settings.deadline) = (3_600_000_000, 3_600_000_000);
     }
     settings.router.overload_multiple = 0.0;
-    // A thousand streams at full speed keep one core busy for longer than a dial may take.
+    // A thousand streams at full speed keep one core busy for longer than the default dial timeout.
     (settings.dial_timeout, settings.router.drain_grace) = (10_000_000, 10_000_000);
     (
         settings.ping_interval,
@@ -59,16 +59,16 @@
     settings
 }
 
-/// One engine that reads and writes, and one node in front of it, each with a thread of its own.
-struct Pair {
+/// A mixed engine and a node in front of it, each with its own thread.
+struct RelayPair {
     runtime: Arc<SmolRuntime>,
     engine: Engine,
     node_runtime: Arc<SmolRuntime>,
-    door: SocketAddr,
+    node_address: SocketAddr,
 }
 
-impl Pair {
-    fn start(token_gap: Us) -> Result<Pair, LocalClusterError> {
+impl RelayPair {
+    fn start(token_gap: Micros) -> Result<RelayPair, LocalClusterError> {
         let runtime = SmolRuntime::start(1, 1);
         let as_ref: RuntimeRef = runtime.clone();
         let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
@@ -88,10 +88,10 @@
             ..relay_settings()
         };
         let node = Node::start(node_ref.clone(), settings, None)?;
-        let door = node_ref
+        let listener = node_ref
             .listen(SocketAddr::from(([127, 0, 0, 1], 0)))
-            .map_err(io("opening a door"))?;
-        let address = door.address();
+            .map_err(io("opening a listener"))?;
+        let address = listener.address();
         let entry = Endpoint {
             id: EndpointId(1),
             machine_type: 2,
@@ -104,34 +104,34 @@
             address: engine.address(),
         }];
         runtime.block_on(node.update_endpoints(ListKind::Full, listed));
-        node_runtime.run(async move { node.serve(door).await });
-        Ok(Pair {
+        node_runtime.run(async move { node.serve(listener).await });
+        Ok(RelayPair {
             runtime,
             engine,
             node_runtime,
-            door: address,
+            node_address: address,
         })
     }
 
-    /// Runs streams at once, each in its turn on one of a few connections, straight or through the node. Returns the
-    /// time they took and each one's first-token time.
-    fn streams(
+    /// Runs `count` concurrent streams, distributed over the connections, directly or through the node. Returns the total
+    /// time and each stream's time to the first token.
+    fn run_streams(
         &self,
-        node: bool,
+        through_node: bool,
         count: usize,
         tokens: u32,
-        spread: Us,
-    ) -> Result<(Us, Vec<Us>), LocalClusterError> {
+        spread: Micros,
+    ) -> Result<(Micros, Vec<Micros>), LocalClusterError> {
         let runtime: RuntimeRef = self.runtime.clone();
-        let to = if node {
-            self.door
+        let to = if through_node {
+            self.node_address
         } else {
             self.engine.address()
         };
-        let firsts: Arc<Mutex<Vec<Us>>> = Arc::default();
+        let firsts: Arc<Mutex<Vec<Micros>>> = Arc::default();
         self.runtime.clone().block_on(async {
             let mut channels = Vec::new();
-            for _ in 0..count.div_ceil(PER_CONNECTION) {
+            for _ in 0..count.div_ceil(STREAMS_PER_CONNECTION) {
                 let conn = runtime.connect(to).await.map_err(io("connecting"))?;
                 let channel = Channel::begin(&runtime, conn, Options::default()).await;
                 channels.push(channel.map_err(|e| io("connecting")(std::io::Error::other(e)))?);
@@ -148,7 +148,8 @@
                 let at = began + spread * i as u64 / count as u64;
                 runtime.clone().run(async move {
                     runtime.sleep_until(at).await;
-                    let first = one(&runtime, &channel, node, i as u32, tokens).await;
+                    let first =
+                        run_stream(&runtime, &channel, through_node, i as u32, tokens).await;
                     firsts
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
@@ -157,7 +158,7 @@
                 });
             }
             drop(done);
-            // Ends with an error when the last stream is over.
+            // Nothing is sent on the channel: `recv` returns an error when the last stream drops its sender.
             let _ = wait.recv().await;
             let took = runtime.now() - began;
             channels.iter().for_each(Channel::close);
@@ -166,35 +167,35 @@
             match firsts.len() == count {
                 true => Ok((took, firsts)),
                 false => {
-                    let lost = format!(
-                        "{} of {count} streams did not end well",
+                    let message = format!(
+                        "{} of {count} streams failed or were incomplete",
                         count - firsts.len()
                     );
-                    Err(io("relaying")(std::io::Error::other(lost)))
+                    Err(io("relaying")(std::io::Error::other(message)))
                 }
             }
         })
     }
 }
 
-/// One stream to its end: the time to its first token, if all of it came.
-async fn one(
+/// Runs one stream to its end. Returns the time to its first token, or `None` if the stream failed or was incomplete.
+async fn run_stream(
     runtime: &RuntimeRef,
     channel: &Channel,
-    node: bool,
+    through_node: bool,
     i: u32,
     tokens: u32,
-) -> Option<Us> {
+) -> Option<Micros> {
     let prompt: Vec<u32> = (0..32).map(|t| t ^ (i << 8)).collect();
     let expected = text::length(text::digest(&prompt), tokens);
-    let (path, body) = match node {
+    let (path, body) = match through_node {
         true => {
-            let ask = GenerateRequest {
+            let request = GenerateRequest {
                 prompt,
                 max_output_tokens: tokens,
                 ..GenerateRequest::default()
             };
-            ("/ivyward.front.v1.Front/Generate", encode(&ask))
+            ("/ivyward.front.v1.Front/Generate", encode(&request))
         }
         false => {
             let key = Some(pb::AttemptKey {
@@ -207,41 +208,40 @@
                 engine: 1,
                 ..pb::Header::default()
             });
-            let ask = pb::WriteRequest {
+            let request = pb::WriteRequest {
                 header,
                 prompt,
                 max_output_tokens: tokens,
                 ..pb::WriteRequest::default()
             };
-            ("/ivyward.engine.v1.Engine/Write", encode(&ask))
+            ("/ivyward.engine.v1.Engine/Write", encode(&request))
         }
     };
     let began = runtime.now();
-    let told = |e: CallError| eprintln!("ivyward-testbed: a stream broke: {e}");
+    let report = |e: CallError| eprintln!("ivyward-testbed: stream failed: {e}");
     let mut call = channel
         .call(path, body, http::HeaderMap::new())
         .await
-        .map_err(told)
+        .map_err(report)
         .ok()?;
     let (mut first, mut got) = (None, 0);
     loop {
-        let more = match node {
+        let more = match through_node {
             true => call
                 .next::<Tokens>()
                 .await
-                .map_err(told)
+                .map_err(report)
                 .ok()?
                 .map(|run| run.ids.len()),
-            false => {
-                call.next::<pb::WriteEvent>()
-                    .await
-                    .map_err(told)
-                    .ok()?
-                    .map(|event| match event.event {
-                        Some(pb::write_event::Event::Tokens(run)) => run.ids.len(),
-                        _ => 0,
-                    })
-            }
+            false => call
+                .next::<pb::WriteEvent>()
+                .await
+                .map_err(report)
+                .ok()?
+                .map(|event| match event.event {
+                    Some(pb::write_event::Event::Tokens(run)) => run.ids.len(),
+                    _ => 0,
+                }),
         };
         match more {
             Some(run) => {
@@ -258,8 +258,8 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn ends(values: &[Us]) -> (u64, u64) {
-    // The bounds are fixed and right.
+fn median_and_p99(values: &[Micros]) -> (u64, u64) {
+    // The bounds are constant and valid.
     let Ok(mut h) = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3) else {
         return (0, 0);
     };
@@ -267,36 +267,41 @@
     (h.value_at_percentile(50.0), h.value_at_percentile(99.0))
 }
 
-/// Measures at these numbers of streams.
+/// Measures each of these numbers of concurrent streams.
 ///
 /// # Errors
-/// When the scene cannot be set up, or a stream does not end well.
-pub fn rows(counts: &[usize], rounds: usize) -> Result<Vec<Row>, LocalClusterError> {
+/// Returns an error if the engine or the node cannot be started, or if a stream fails or is incomplete.
+pub fn measure_streams(
+    counts: &[usize],
+    rounds: usize,
+) -> Result<Vec<StreamMeasurement>, LocalClusterError> {
     let mut rows = Vec::new();
     for &streams in counts {
-        // As many tokens in all at each number of streams, as far as that makes sense.
+        // The total is 400,000 tokens at each number of streams, within 128 to 40,000 tokens per stream.
         let tokens = (400_000 / streams).clamp(128, 40_000) as u32;
-        let fast = Pair::start(0)?;
+        let fast = RelayPair::start(0)?;
         let (mut speeds, mut ended) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
         for round in 0..=rounds {
-            for (i, node) in [false, true].into_iter().enumerate() {
+            for (i, through_node) in [false, true].into_iter().enumerate() {
                 let before = fast.engine.tokens_sent();
-                // Not all in one moment: the module takes that for overload.
-                let (took, _) = fast.streams(node, streams, tokens, streams as Us * 200)?;
-                let came = fast.engine.tokens_sent() - before;
-                // The first round opens connections and warms up.
+                // Streams start 200 us apart, because the router treats simultaneous arrivals as overload.
+                let (took, _) =
+                    fast.run_streams(through_node, streams, tokens, streams as Micros * 200)?;
+                let sent = fast.engine.tokens_sent() - before;
+                // The first round opens connections and is a warm-up.
                 if round > 0 {
-                    speeds[i].push(came as f64 * 1e6 / took as f64);
+                    speeds[i].push(sent as f64 * 1e6 / took as f64);
                     ended[i].push(streams as f64 * 1e6 / took as f64);
                 }
             }
         }
-        // Paced as engines are: the first token's time, with calls spread over one gap and the other streams running.
-        let paced = Pair::start(50_000)?;
+        // Time to the first token with output paced as on real engines: the calls are spread over one token interval, and
+        // the other streams run meanwhile.
+        let paced = RelayPair::start(50_000)?;
         let mut firsts = [Vec::new(), Vec::new()];
         for round in 0..=rounds.max(40 / streams) {
-            for (i, node) in [false, true].into_iter().enumerate() {
-                let (_, first) = paced.streams(node, streams, 4, 50_000)?;
+            for (i, through_node) in [false, true].into_iter().enumerate() {
+                let (_, first) = paced.run_streams(through_node, streams, 4, 50_000)?;
                 if round > 0 {
                     firsts[i].extend(first);
                 }
@@ -304,11 +309,11 @@
         }
         let [direct, through] = speeds.map(median);
         let [ended_direct, ended_through] = ended.map(median);
-        rows.push(Row {
+        rows.push(StreamMeasurement {
             streams,
             tokens: (direct, through),
             ended: (ended_direct, ended_through),
-            first: [ends(&firsts[0]), ends(&firsts[1])],
+            first: [median_and_p99(&firsts[0]), median_and_p99(&firsts[1])],
         });
         fast.node_runtime.stop();
         paced.node_runtime.stop();
@@ -316,12 +321,15 @@
     Ok(rows)
 }
 
-/// Measures the module's and the driver's time a request, at these sizes of the fleet: a quarter each of readers and
-/// mixed engines, the rest writers, 16 requests at a time.
+/// Measures the time of the router and of the driver per request at each of these fleet sizes. A quarter of the engines are
+/// prefill engines, a quarter mixed and the rest decode engines; 16 requests run concurrently.
 ///
 /// # Errors
-/// When the scene cannot be set up.
-pub fn costs(fleets: &[usize], requests: usize) -> Result<Vec<Cost>, LocalClusterError> {
+/// Returns an error if an engine or the node cannot be started.
+pub fn measure_decision_costs(
+    fleets: &[usize],
+    requests: usize,
+) -> Result<Vec<DecisionCost>, LocalClusterError> {
     let mut out = Vec::new();
     for &fleet in fleets {
         let runtime = SmolRuntime::start(2, 1);
@@ -367,19 +375,19 @@
                 let (node, done) = (node.clone(), done.clone());
                 runtime.run(async move {
                     for i in 0..requests / lanes {
-                        let words = |n: u32| {
+                        let prompt = |n: u32| {
                             (0..n)
                                 .map(|t| t ^ ((lane * 7_919 + i) as u32) << 8)
                                 .collect()
                         };
-                        let ask = GenerateRequest {
-                            prompt: words(200),
+                        let request = GenerateRequest {
+                            prompt: prompt(200),
                             max_output_tokens: 8,
                             session: format!("s{lane}-{}", i / 3),
                             shared_opening_tokens: 100,
                             ..GenerateRequest::default()
                         };
-                        node.generate(ask, None).collect().await;
+                        node.generate(request, None).collect().await;
                     }
                     drop(done);
                 });
@@ -393,7 +401,7 @@
             per(m.router_us.get(), before.0),
             per(m.driver_us.get(), before.1),
         );
-        out.push(Cost {
+        out.push(DecisionCost {
             fleet,
             module,
             driver: (all - module).max(0.0),
@@ -404,8 +412,8 @@
     Ok(out)
 }
 
-/// The tables, as they are kept in docs.
-pub fn text(rows: &[Row], costs: &[Cost]) -> String {
+/// Formats the results as Markdown tables for the documentation.
+pub fn format_tables(rows: &[StreamMeasurement], costs: &[DecisionCost]) -> String {
     let mut out = String::new();
     let ms = |us: u64| us as f64 / 1e3;
     // Writing to a String cannot fail.
