--- a/crates/ivyward-testbed/src/peer_simulation.rs
+++ b/crates/ivyward-testbed/src/peer_simulation.rs
@@ -1,5 +1,6 @@
-//! Many peers on a network of datagrams in virtual time: kills, pauses, loss, cuts, splits, restarts; and what is measured
-//! on it. Only the deciders run here: what is asked is how soon a view is right, and how often it is wrong.
+//! Simulates failure detection among many peers on a datagram network in virtual time, with kills, pauses, message loss,
+//! cut links, network splits and restarts. Only the peer state machines run. Measured are the time until a view is correct
+//! and the number of false deaths.
 
 use ivyward_core::interface::Micros;
 use ivyward_core::peers::{
@@ -9,25 +10,26 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-/// A second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// Where a node is reached, by its number.
+/// Returns the address of a node, which encodes its number in the last two octets.
 pub fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (node >> 8) as u8, node as u8], 7_000))
 }
 
-/// How a node announces itself.
-pub fn node_info(node: usize, start: u64) -> NodeInfo {
+/// Returns the information that a node announces about itself.
+pub fn node_info(node: usize, incarnation: u64) -> NodeInfo {
     NodeInfo {
         id: PeerId(node as u64 + 1),
-        incarnation: start,
+        incarnation,
         zone: (node % 3) as u8,
         address: address(node),
     }
 }
 
-/// What a directed link does to a message at that time, from one to another, by a lot: loses it, or how much later it comes.
+/// Behaviour of the directed links. Called with the time, the sending node, the receiving node and a random number, it returns
+/// the delay of the message in microseconds, or `None` if the message is lost.
 pub type LinkModel = Box<dyn FnMut(Micros, usize, usize, u64) -> Option<Micros>>;
 
 enum Due {
@@ -35,145 +37,146 @@
     Message(usize, Box<Message>),
 }
 
-/// How a node's process is.
+/// State of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It runs.
+    /// The process runs.
     Running,
-    /// It is stopped until then; what comes waits in its socket.
+    /// The process is paused until this time; messages wait in its socket.
     Paused(Micros),
-    /// It was killed.
+    /// The process was killed.
     Killed,
 }
 
-/// The network and its nodes.
+/// A simulated datagram network and the nodes on it.
 pub struct PeerNetwork {
-    /// The time.
+    /// Virtual time in microseconds.
     pub now: Micros,
-    /// The deciders.
+    /// Peer state machine of each node.
     pub peers: Vec<Peers>,
-    /// How their processes are.
+    /// Process state of each node.
     pub process_states: Vec<ProcessState>,
-    starts: Vec<u64>,
+    incarnations: Vec<u64>,
     heap: BinaryHeap<Reverse<(Micros, u64)>>,
     due: BTreeMap<u64, Due>,
     seq: u64,
-    way: LinkModel,
-    /// When who changed its view of whom to what.
+    link: LinkModel,
+    /// Changes of the nodes' views: time, observing node, observed peer and its new state.
     pub changes: Vec<(Micros, usize, PeerId, PeerState)>,
-    /// Datagrams and bytes that each sent, at 86 bytes and 46 a claim, which is what they are on the wire by IPv4.
+    /// Datagrams and bytes sent by each node. A datagram counts as 86 bytes plus 46 per update, which is its size on the wire
+    /// with IPv4.
     pub sent: Vec<(u64, u64)>,
     random: u64,
-    spans: PeerSettings,
+    settings: PeerSettings,
 }
 
-/// A network that loses nothing, with 0.2 to 1 ms of way.
+/// Returns links that lose nothing and delay each message by 0.2 to 1 ms.
 pub fn lossless_links() -> LinkModel {
-    Box::new(|_, _, _, lot| Some(200 + lot % 800))
+    Box::new(|_, _, _, random| Some(200 + random % 800))
 }
 
-/// The same that loses this share.
+/// Returns links that lose this share of the messages, with the delays of [`lossless_links`].
 pub fn lossy_links(share: f64) -> LinkModel {
-    Box::new(move |_, _, _, lot| {
-        ((lot % 10_000) as f64 >= share * 10_000.0).then_some(200 + lot % 800)
+    Box::new(move |_, _, _, random| {
+        ((random % 10_000) as f64 >= share * 10_000.0).then_some(200 + random % 800)
     })
 }
 
 impl PeerNetwork {
-    /// So many nodes, all of which start within the first second and know two addresses.
-    pub fn new(nodes: usize, seed: u64, way: LinkModel) -> PeerNetwork {
-        PeerNetwork::with_settings(nodes, seed, way, PeerSettings::default())
+    /// Creates a network with default peer settings. All nodes start within the first second and know two seed addresses.
+    pub fn new(nodes: usize, seed: u64, link: LinkModel) -> PeerNetwork {
+        PeerNetwork::with_settings(nodes, seed, link, PeerSettings::default())
     }
-    /// The same with other spans.
+    /// Creates a network like [`PeerNetwork::new`], with these peer settings.
     pub fn with_settings(
         nodes: usize,
         seed: u64,
-        way: LinkModel,
-        spans: PeerSettings,
+        link: LinkModel,
+        settings: PeerSettings,
     ) -> PeerNetwork {
         let mut net = PeerNetwork {
-            spans,
+            settings,
             now: 0,
             peers: Vec::new(),
             process_states: vec![ProcessState::Running; nodes],
-            starts: vec![1; nodes],
+            incarnations: vec![1; nodes],
             heap: BinaryHeap::new(),
             due: BTreeMap::new(),
             seq: 0,
-            way,
+            link,
             changes: Vec::new(),
             sent: vec![(0, 0); nodes],
             random: seed,
         };
         for node in 0..nodes {
-            let peers = net.fresh(node, 1);
+            let peers = net.new_peers(node, 1);
             net.peers.push(peers);
-            // All join within one second.
-            let at = net.lot() % SECOND;
-            net.at(at, Due::Tick(node, 1));
+            // All nodes start within one second.
+            let at = net.next_random() % SECOND;
+            net.schedule(at, Due::Tick(node, 1));
         }
         net
     }
-    fn fresh(&self, node: usize, start: u64) -> Peers {
+    fn new_peers(&self, node: usize, incarnation: u64) -> Peers {
         let seeds = vec![address(0), address(1)];
         Peers::new(
             self.now,
-            node_info(node, start),
+            node_info(node, incarnation),
             seeds,
-            self.spans,
+            self.settings,
             self.random ^ node as u64,
         )
     }
-    fn lot(&mut self) -> u64 {
+    fn next_random(&mut self) -> u64 {
         self.random = self
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         self.random >> 20
     }
-    fn at(&mut self, at: Micros, due: Due) {
+    fn schedule(&mut self, at: Micros, due: Due) {
         self.seq += 1;
         self.heap.push(Reverse((at, self.seq)));
         self.due.insert(self.seq, due);
     }
-    /// Takes out what a decider wants done.
+    /// Carries out the actions of a node's state machine: records changes and sends messages.
     pub fn apply_actions(&mut self, node: usize, out: Vec<PeerAction>) {
-        for one in out {
-            match one {
+        for action in out {
+            match action {
                 PeerAction::Changed {
-                    node: card,
-                    current: is,
+                    node: info,
+                    current: state,
                     ..
-                } => self.changes.push((self.now, node, card.id, is)),
+                } => self.changes.push((self.now, node, info.id, state)),
                 PeerAction::Send { to, message } => {
                     let [_, _, high, low] = match to.ip() {
                         std::net::IpAddr::V4(ip) => ip.octets(),
                         std::net::IpAddr::V6(_) => unreachable!(),
                     };
                     let target = usize::from(high) * 256 + usize::from(low);
-                    let claims = message.updates.len()
-                        + if let MessageBody::ViewPage {
-                            updates: claims, ..
-                        } = &message.body
-                        {
-                            claims.len()
+                    let updates = message.updates.len()
+                        + if let MessageBody::ViewPage { updates: page, .. } = &message.body {
+                            page.len()
                         } else {
                             0
                         };
-                    debug_assert!(claims <= MAX_UPDATES);
+                    debug_assert!(updates <= MAX_UPDATES);
                     self.sent[node].0 += 1;
-                    self.sent[node].1 += 86 + 46 * claims as u64;
-                    let lot = self.lot();
+                    self.sent[node].1 += 86 + 46 * updates as u64;
+                    let random = self.next_random();
                     if target < self.peers.len() {
-                        if let Some(later) = (self.way)(self.now, node, target, lot) {
-                            self.at(self.now + later, Due::Message(target, Box::new(message)));
+                        if let Some(later) = (self.link)(self.now, node, target, random) {
+                            self.schedule(
+                                self.now + later,
+                                Due::Message(target, Box::new(message)),
+                            );
                         }
                     }
                 }
             }
         }
     }
-    /// Plays until then.
+    /// Runs the simulation until this time.
     pub fn run(&mut self, until: Micros) {
         while let Some(Reverse((at, seq))) = self.heap.peek().copied().filter(|d| d.0 .0 < until) {
             self.heap.pop();
@@ -187,19 +190,19 @@
             };
             match self.process_states[node] {
                 ProcessState::Killed => continue,
-                // What came meanwhile waits in its socket.
+                // Messages to a paused process wait in its socket.
                 ProcessState::Paused(end) if end > at => {
-                    self.at(end, due);
+                    self.schedule(end, due);
                     continue;
                 }
                 _ => self.process_states[node] = ProcessState::Running,
             }
             let mut out = Vec::new();
             match due {
-                Due::Tick(node, start) if start == self.starts[node] => {
+                Due::Tick(node, start) if start == self.incarnations[node] => {
                     self.peers[node].tick(at, &mut out);
                     let next = at + self.peers[node].tick_interval();
-                    self.at(next, Due::Tick(node, start));
+                    self.schedule(next, Due::Tick(node, start));
                 }
                 Due::Tick(..) => {}
                 Due::Message(node, message) => {
@@ -210,55 +213,57 @@
         }
         self.now = until;
     }
-    /// Kills a node.
+    /// Kills the process of a node.
     pub fn kill(&mut self, node: usize) {
         self.process_states[node] = ProcessState::Killed;
     }
-    /// Starts a node again, under its old name.
+    /// Restarts a node under its old id, with the next incarnation.
     pub fn restart(&mut self, node: usize) {
-        self.starts[node] += 1;
+        self.incarnations[node] += 1;
         self.process_states[node] = ProcessState::Running;
-        self.peers[node] = self.fresh(node, self.starts[node]);
-        self.at(self.now, Due::Tick(node, self.starts[node]));
+        self.peers[node] = self.new_peers(node, self.incarnations[node]);
+        self.schedule(self.now, Due::Tick(node, self.incarnations[node]));
     }
-    /// Starts a process in a node's place that announces itself otherwise: another name, another start.
-    pub fn restart_as(&mut self, node: usize, card: NodeInfo) {
-        self.starts[node] += 1;
+    /// Restarts a node with other announced information, such as another id or incarnation.
+    pub fn restart_as(&mut self, node: usize, info: NodeInfo) {
+        self.incarnations[node] += 1;
         self.process_states[node] = ProcessState::Running;
         self.peers[node] = Peers::new(
             self.now,
-            card,
+            info,
             vec![address(0), address(1)],
-            self.spans,
+            self.settings,
             self.random ^ node as u64,
         );
-        self.at(self.now, Due::Tick(node, self.starts[node]));
+        self.schedule(self.now, Due::Tick(node, self.incarnations[node]));
     }
-    /// What one takes another for.
+    /// Returns the state of node `of` in the view of node `at`, or `None` if it is not listed.
     pub fn peer_state(&self, at: usize, of: usize) -> Option<PeerState> {
         self.peers[at].peer(PeerId(of as u64 + 1)).map(|p| p.state)
     }
-    /// Who was not killed.
+    /// Returns the nodes that have not been killed, including paused ones.
     pub fn running_nodes(&self) -> Vec<usize> {
         (0..self.peers.len())
             .filter(|n| self.process_states[*n] != ProcessState::Killed)
             .collect()
     }
-    /// Whether each live node takes all live ones for alive, and all others for dead or gone.
+    /// Returns whether each node that was not killed lists all other such nodes as alive, and all killed ones as dead or not
+    /// at all.
     pub fn converged(&self) -> bool {
-        let live = self.running_nodes();
+        let running = self.running_nodes();
         let right = |at: usize, of: usize| match self.peer_state(at, of) {
-            Some(PeerState::Alive) => live.contains(&of),
+            Some(PeerState::Alive) => running.contains(&of),
             Some(PeerState::Suspected) => false,
-            _ => !live.contains(&of),
+            _ => !running.contains(&of),
         };
-        live.iter()
+        running
+            .iter()
             .all(|at| (0..self.peers.len()).all(|of| of == *at || right(*at, of)))
     }
-    /// Plays until all agree; how long that took, if it came about in time.
-    pub fn run_until_converged(&mut self, most: Micros) -> Option<Micros> {
+    /// Runs until the views have converged, for at most `timeout`. Returns the time that it took, or `None` on a timeout.
+    pub fn run_until_converged(&mut self, timeout: Micros) -> Option<Micros> {
         let began = self.now;
-        while self.now < began + most {
+        while self.now < began + timeout {
             if self.converged() {
                 return Some(self.now - began);
             }
@@ -266,7 +271,7 @@
         }
         None
     }
-    /// How often somebody was taken for dead from then on.
+    /// Counts the changes of any view to `Dead` since this time.
     pub fn count_deaths(&self, since: Micros) -> usize {
         self.changes
             .iter()
@@ -275,79 +280,85 @@
     }
 }
 
-/// What is measured for one number of nodes.
+/// Measurements at one number of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Measurements {
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Milliseconds from a kill until half, and all, of the survivors take it for dead; one of each a kill.
+    /// Milliseconds from a kill until half of the survivors list the node as dead, one value per kill.
     pub half: Vec<u64>,
-    /// See `half`.
+    /// Milliseconds from a kill until all survivors list the node as dead, one value per kill.
     pub all: Vec<u64>,
-    /// Milliseconds from a kill until each of the survivors took it for dead, all kills together, in order.
+    /// Milliseconds from a kill until each survivor lists the node as dead, over all kills, sorted.
     pub detected: Vec<u64>,
-    /// Milliseconds from the kill of seven in ten at once until the others agree on it.
+    /// Milliseconds from the simultaneous kill of 70% of the nodes until the survivors' views have converged.
     pub mass_kill: Vec<u64>,
-    /// Kills that not all survivors knew of after ten seconds.
+    /// Number of kills that not all survivors had detected after ten seconds.
     pub late: usize,
-    /// Loss, hours played, and false deaths (somebody taken for dead by somebody, who was not) with a pause of up to two
-    /// seconds of each node a minute.
+    /// Loss rate, simulated hours, and number of false deaths (a view that lists a running node as dead), with each node
+    /// paused for up to two seconds once a minute.
     pub false_deaths: Vec<(f64, f64, usize)>,
-    /// Datagrams and bytes a second a node, in quiet times and with those pauses.
+    /// Datagrams and bytes per second and node, without faults.
     pub quiet: (f64, f64),
-    /// See `quiet`.
+    /// Datagrams and bytes per second and node, with the pauses of `false_deaths` and no loss.
     pub paused: (f64, f64),
-    /// Milliseconds from the end of a minute's split into halves until all agree.
+    /// Milliseconds from the end of a one-minute split of the network into halves until all views have converged.
     pub healed: Vec<u64>,
 }
 
-fn settled(nodes: usize, seed: u64, way: LinkModel, spans: PeerSettings) -> PeerNetwork {
-    let mut net = PeerNetwork::with_settings(nodes, seed, way, spans);
+fn converged_network(
+    nodes: usize,
+    seed: u64,
+    link: LinkModel,
+    settings: PeerSettings,
+) -> PeerNetwork {
+    let mut net = PeerNetwork::with_settings(nodes, seed, link, settings);
     net.run(20 * SECOND);
     net.run_until_converged(60 * SECOND);
     net
 }
 
-fn rate(net: &PeerNetwork, before: (u64, u64), seconds: f64) -> (f64, f64) {
-    let (datagrams, bytes) = total(net);
-    let a_node = seconds * net.peers.len() as f64;
+fn traffic_per_node(net: &PeerNetwork, before: (u64, u64), seconds: f64) -> (f64, f64) {
+    let (datagrams, bytes) = total_sent(net);
+    let node_seconds = seconds * net.peers.len() as f64;
     (
-        (datagrams - before.0) as f64 / a_node,
-        (bytes - before.1) as f64 / a_node,
+        (datagrams - before.0) as f64 / node_seconds,
+        (bytes - before.1) as f64 / node_seconds,
     )
 }
 
-fn total(net: &PeerNetwork) -> (u64, u64) {
+fn total_sent(net: &PeerNetwork) -> (u64, u64) {
     net.sent
         .iter()
         .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1))
 }
 
-/// Plays minutes in which each node is stopped once for up to two seconds; false deaths.
-fn pauses(net: &mut PeerNetwork, minutes: u64) -> usize {
+/// Runs for some minutes, in each of which every node is paused once for up to two seconds. Returns the number of false
+/// deaths.
+fn run_with_pauses(net: &mut PeerNetwork, minutes: u64) -> usize {
     let since = net.now;
     for _ in 0..minutes {
         let began = net.now;
         let mut stops: Vec<(Micros, usize, Micros)> = (0..net.peers.len())
             .map(|node| {
                 (
-                    began + net.lot() % (55 * SECOND),
+                    began + net.next_random() % (55 * SECOND),
                     node,
-                    net.lot() % (2 * SECOND),
+                    net.next_random() % (2 * SECOND),
                 )
             })
             .collect();
         stops.sort();
-        for (at, node, span) in stops {
+        for (at, node, duration) in stops {
             net.run(at);
-            net.process_states[node] = ProcessState::Paused(at + span);
+            net.process_states[node] = ProcessState::Paused(at + duration);
         }
         net.run(began + 60 * SECOND);
     }
     net.count_deaths(since)
 }
 
-/// One run of a measurement.
+/// One run of a measurement, with its seed. `Pauses` has the loss rate first.
 enum Run {
     Kill(u64),
     MassKill(u64),
@@ -355,13 +366,13 @@
     Pauses(f64, u64),
 }
 
-/// Measures for one number of nodes, over so many seeds, on so many threads; with these spans. The same on any number of
-/// threads.
+/// Runs all measurements for one number of nodes, with `seeds` seeds each, on `threads` threads. The result does not depend on
+/// the number of threads.
 pub fn measure(
     nodes: usize,
     seeds: u64,
     minutes: u64,
-    spans: PeerSettings,
+    settings: PeerSettings,
     threads: usize,
 ) -> Measurements {
     let losses = [0.0, 0.05, 0.2];
@@ -380,7 +391,7 @@
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
                 let Some(run) = runs.get(at) else { return };
-                let part = one(nodes, run, minutes, spans);
+                let part = measure_run(nodes, run, minutes, settings);
                 parts
                     .lock()
                     .unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -419,15 +430,15 @@
     figures
 }
 
-fn one(nodes: usize, run: &Run, minutes: u64, spans: PeerSettings) -> Measurements {
+fn measure_run(nodes: usize, run: &Run, minutes: u64, settings: PeerSettings) -> Measurements {
     let mut figures = Measurements::default();
     match run {
         Run::Kill(seed) => {
-            let mut net = settled(nodes, *seed, lossless_links(), spans);
-            let before = total(&net);
+            let mut net = converged_network(nodes, *seed, lossless_links(), settings);
+            let before = total_sent(&net);
             net.run(net.now + 20 * SECOND);
-            figures.quiet = rate(&net, before, 20.0);
-            let (killed, at) = ((net.lot() % nodes as u64) as usize, net.now);
+            figures.quiet = traffic_per_node(&net, before, 20.0);
+            let (killed, at) = ((net.next_random() % nodes as u64) as usize, net.now);
             net.kill(killed);
             net.run(at + 10 * SECOND);
             let of = PeerId(killed as u64 + 1);
@@ -446,10 +457,10 @@
             }
         }
         Run::MassKill(seed) => {
-            let mut net = settled(nodes, *seed, lossless_links(), spans);
+            let mut net = converged_network(nodes, *seed, lossless_links(), settings);
             let mut all: Vec<usize> = (0..nodes).collect();
             for _ in 0..nodes * 7 / 10 {
-                let at = (net.lot() % all.len() as u64) as usize;
+                let at = (net.next_random() % all.len() as u64) as usize;
                 net.kill(all.swap_remove(at));
             }
             figures.mass_kill.extend(
@@ -459,11 +470,11 @@
         }
         Run::Split(seed) => {
             let (from, until) = (80 * SECOND, 140 * SECOND);
-            let way: LinkModel = Box::new(move |now, a, b, lot| {
+            let link: LinkModel = Box::new(move |now, a, b, random| {
                 let cut = (from..until).contains(&now) && a % 2 != b % 2;
-                (!cut).then_some(200 + lot % 800)
+                (!cut).then_some(200 + random % 800)
             });
-            let mut net = settled(nodes, *seed, way, spans);
+            let mut net = converged_network(nodes, *seed, link, settings);
             net.run(until);
             figures.healed.extend(
                 net.run_until_converged(60 * SECOND)
@@ -471,11 +482,11 @@
             );
         }
         Run::Pauses(loss, seed) => {
-            let mut net = settled(nodes, *seed, lossy_links(*loss), spans);
-            let before = total(&net);
-            let deaths = pauses(&mut net, minutes);
+            let mut net = converged_network(nodes, *seed, lossy_links(*loss), settings);
+            let before = total_sent(&net);
+            let deaths = run_with_pauses(&mut net, minutes);
             if *loss == 0.0 {
-                figures.paused = rate(&net, before, 60.0 * minutes as f64);
+                figures.paused = traffic_per_node(&net, before, 60.0 * minutes as f64);
             }
             figures
                 .false_deaths
@@ -485,12 +496,12 @@
     figures
 }
 
-/// A quantile of some spans.
-fn quantile(spans: &[u64], part: f64) -> u64 {
-    let mut sorted = spans.to_vec();
+/// Returns a quantile of unsorted values, or 0 if there are none.
+fn quantile(values: &[u64], fraction: f64) -> u64 {
+    let mut sorted = values.to_vec();
     sorted.sort_unstable();
     sorted
-        .get(((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1)))
+        .get(((sorted.len() as f64 * fraction) as usize).min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0)
 }
@@ -529,10 +540,10 @@
     }
 }
 
-/// Colours of the lines of a chart.
+/// Line colours of the chart.
 const COLOURS: [&str; 5] = ["#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#8c564b"];
 
-/// A chart as SVG: which part of the survivors knows of a kill so long after it, a line for each number of nodes.
+/// Returns an SVG chart of the share of survivors that have detected a kill over time, with one line per number of nodes.
 pub fn chart(all: &[Measurements]) -> String {
     use std::fmt::Write;
     let (left, top, width, height) = (60.0, 30.0, 560.0, 260.0);
@@ -548,7 +559,7 @@
     let mut out = String::from(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"760\" height=\"350\" font-family=\"sans-serif\" font-size=\"12\">\n\
          <rect width=\"760\" height=\"350\" fill=\"white\"/>\n\
-         <text x=\"60\" y=\"18\">Part of the survivors that take a killed node for dead, by seconds after the kill (virtual time)</text>\n",
+         <text x=\"60\" y=\"18\">Share of the survivors that list a killed node as dead, by seconds after the kill (virtual time)</text>\n",
     );
     // Writing to a String cannot fail.
     for tenth in (0..=10).step_by(2) {
@@ -578,7 +589,7 @@
     for (i, figures) in all.iter().enumerate() {
         let colour = COLOURS[i % COLOURS.len()];
         let count = figures.detected.len();
-        // A few hundred points are as many as can be seen.
+        // More than a few hundred points per line would not be visible.
         let points = (0..=400).filter_map(|p| {
             let at = (count * p / 400).min(count.saturating_sub(1));
             figures
@@ -605,6 +616,6 @@
     out + "</svg>\n"
 }
 
-/// The head of a table of [`Measurements`].
+/// Header of a Markdown table whose rows are [`Measurements`].
 pub const TABLE_HEADER: &str = "| nodes | kills | known to half / all, ms (median) | to all, most ms | healed, most ms | seven in ten killed, all agree, ms (median / most) | false deaths with pauses, by \
      loss | quiet: datagrams, bytes a second | with pauses |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |";
