--- a/crates/ivyward-testbed/src/commands/mod.rs
+++ b/crates/ivyward-testbed/src/commands/mod.rs
@@ -73,7 +73,7 @@
     #[command(alias = "handover")]
     KvTransfer(ivyward_testbed::kv_transfer::KvTransferFlags),
     /// Runs one process of a scale run. Started by the `scale` command.
-    #[command(name = ivyward_testbed::scale::child::SUBCOMMAND, hide = true)]
+    #[command(name = ivyward_testbed::scale::stub_process::SUBCOMMAND, hide = true)]
     ScaleProcess(ScaleProcess),
     /// Simulates clusters in virtual time under faults generated from a seed, and checks the rules, for one seed or a
     /// range of seeds.
@@ -117,7 +117,7 @@
             Command::Peers(command) => command.run(),
             Command::Cluster(command) => command.run(),
             Command::Scale(flags) => {
-                flags.play()?;
+                flags.run()?;
                 Ok(ExitCode::SUCCESS)
             }
             Command::Capacity(flags) => {
@@ -156,7 +156,7 @@
     fn run(self) -> CommandResult {
         let role = serde_json::from_str(&self.role)
             .map_err(|error| format!("{:?}: {error}", self.role))?;
-        ivyward_testbed::scale::hollow::run(role)?;
+        ivyward_testbed::scale::stub::run(role)?;
         Ok(ExitCode::SUCCESS)
     }
 }
