--- a/crates/ivyward-testbed/src/simulation/cluster.rs
+++ b/crates/ivyward-testbed/src/simulation/cluster.rs
@@ -3,7 +3,7 @@
 use super::hosts::Hosts;
 use super::{lock, CLIENT_WINDOW, LEASE_SECONDS, MAX_TRANSIT};
 use crate::local_cluster::{notices, RecordingBuffer};
-use crate::peer_scenario::Addresses;
+use crate::peer_scenario::PeerAddresses;
 use crate::registration;
 use ivyward::core::interface::Micros;
 use ivyward::registration::{State, DEFAULT_ENGINE_PREFIX};
@@ -27,7 +27,7 @@
 /// Nodes, engines and a store in virtual time.
 pub(super) struct SimulatedCluster {
     /// The nodes' peer addresses and the host of the datagram forwarders, if nodes exchange peer messages.
-    pub(super) addresses: Option<(Addresses, HostId)>,
+    pub(super) addresses: Option<(PeerAddresses, HostId)>,
     pub(super) sim: Sim,
     pub(super) hosts: Arc<Hosts>,
     pub(super) log: EventLog,
@@ -85,7 +85,7 @@
         let node = Node::start(runtime.clone(), settings, Some(Box::new(recording.clone())));
         let node = node.map_err(|e| e.to_string())?;
         if let Some((addresses, _)) = &self.addresses {
-            addresses.begin(&node, i)?;
+            addresses.start_peers(&node, i)?;
         }
         let mut slot = lock(&self.node_slots[i]);
         let listener = runtime.listen(slot.address).map_err(|e| e.to_string())?;
--- a/crates/ivyward-testbed/src/simulation/recovery.rs
+++ b/crates/ivyward-testbed/src/simulation/recovery.rs
@@ -35,7 +35,7 @@
                 self.runtime.sleep(50_000).await;
             }
             failures_found.extend(disagreements(&self.nodes()));
-            let misdirected = addresses.astray.load(Ordering::SeqCst);
+            let misdirected = addresses.misdirected.load(Ordering::SeqCst);
             if misdirected > 0 {
                 failures_found.push(format!(
                     "{misdirected} datagrams were answers to their apparent source address"
