--- a/crates/ivyward-testbed/src/scale/run.rs
+++ b/crates/ivyward-testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! The parts of a run, one after the other, and what came of them.
+//! Carries out the parts of a scale run in order and measures each.
 
 use crate::scale::cluster::{Cluster, Programs, Readings};
 use crate::scale::load::{ClientTotals, Load};
@@ -10,41 +10,41 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Changes of configuration on an ordinary day, as the operators plan for.
+/// Configuration changes per day that the operators plan for.
 const CHANGES_PER_DAY: u64 = 620;
-/// Seconds in which requests reach their steady state: longer than an answer of 408 tokens takes.
+/// Time after which the load of requests is steady, in seconds: longer than an answer of 408 tokens takes.
 const WARM_UP_SECONDS: u64 = 14;
-/// Time that connections take to come to rest after they were opened.
+/// Time until the traffic of opening connections has ended, in microseconds.
 const SETTLE_TIME: Micros = 1_500_000;
 
-/// What each role used, a second. Roles are `node` (the measured hollow one), `real` (the mean of the daemons), `engines`
-/// (their process) and `store`.
+/// Resource use by role, per second where it is a rate. The roles are `node` (the measured stub node), `real` (the mean of
+/// the daemons), `engines` (the process of the stub engines) and `store`.
 pub type Roles = BTreeMap<String, Rates>;
 
-/// A part of a run.
+/// The results of one part of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Its name.
+    /// Name of the part, as in reports.
     pub name: String,
-    /// What each role used.
+    /// Resource use of each role.
     pub roles: Roles,
-    /// What clients saw, if there were any.
+    /// Results of the requests; `None` in a part without load.
     pub clients: Option<ClientTotals>,
-    /// How long things took, in milliseconds; most of them until every node knew of something.
+    /// Durations in milliseconds, by name: mostly the time until every node knew of a change.
     pub took_ms: BTreeMap<String, f64>,
 }
 
-/// A whole run.
+/// The results of a whole run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// How large it was.
+    /// Size of the run.
     pub size: Size,
-    /// Its parts, in order.
+    /// The parts, in the order in which they were carried out.
     pub parts: Vec<Part>,
 }
 
 impl Readings {
-    /// What each role used from an earlier reading to this one.
+    /// Resource use of each role between the readings `before` and these.
     pub fn since(&self, before: &Readings) -> Roles {
         let seconds = (self.at - before.at) as f64 / 1e6;
         let rates = |now: &Reading, before: &Reading| now.since(before, seconds);
@@ -66,10 +66,10 @@
     }
 }
 
-/// Plays all parts of a run.
+/// Starts the processes and carries out all parts of a run.
 ///
 /// # Errors
-/// When the size is out of bounds, or a process does something else than asked.
+/// When the size is invalid or exceeds a limit, or a process fails.
 pub fn run(size: Size, programs: Programs) -> Result<Report, ScaleError> {
     let mut cluster = Cluster::start(size, programs)?;
     let joined = cluster.join_duration;
@@ -84,7 +84,7 @@
     })?;
     runner.cluster.sleep(SETTLE_TIME);
     runner.run_part("quiet", BTreeMap::new(), Runner::wait)?;
-    runner.begin_load()?;
+    runner.start_load()?;
     runner.run_part("requests", BTreeMap::new(), Runner::wait)?;
     runner.zone()?;
     runner.store()?;
@@ -103,7 +103,8 @@
     parts: Vec<Part>,
 }
 
-type Known = BTreeMap<String, Micros>;
+/// Durations in microseconds, by name.
+type Durations = BTreeMap<String, Micros>;
 
 impl Runner<'_> {
     fn wait(&mut self) -> Result<(), ScaleError> {
@@ -111,7 +112,7 @@
         Ok(())
     }
 
-    fn begin_load(&mut self) -> Result<(), ScaleError> {
+    fn start_load(&mut self) -> Result<(), ScaleError> {
         if self.size.rate > 0.0 && self.size.real_nodes > 0 {
             self.load = Some(Load::start(
                 self.cluster,
@@ -129,26 +130,26 @@
         self.load.as_ref().map(Load::take).transpose()
     }
 
-    /// Plays a part and measures it. `known` may grow while it is played.
+    /// Carries out and measures a part whose durations are known beforehand.
     fn run_part(
         &mut self,
         name: &str,
-        known: Known,
+        durations: Durations,
         part: impl FnOnce(&mut Self) -> Result<(), ScaleError>,
     ) -> Result<(), ScaleError> {
-        self.measure_part(name, |runner| part(runner).map(|()| known))
+        self.measure_part(name, |runner| part(runner).map(|()| durations))
     }
 
     fn measure_part(
         &mut self,
         name: &str,
-        part: impl FnOnce(&mut Self) -> Result<Known, ScaleError>,
+        part: impl FnOnce(&mut Self) -> Result<Durations, ScaleError>,
     ) -> Result<(), ScaleError> {
         let before = self.cluster.readings()?;
-        let known = part(self)?;
+        let durations = part(self)?;
         let roles = self.cluster.readings()?.since(&before);
         let clients = self.clients()?;
-        let took_ms = known
+        let took_ms = durations
             .into_iter()
             .map(|(what, took)| (what, took as f64 / 1e3))
             .collect();
@@ -161,7 +162,7 @@
         Ok(())
     }
 
-    /// A zone's machines are gone, and are back.
+    /// Stops the engines of a zone, as if its machines were lost, and starts them again.
     fn zone(&mut self) -> Result<(), ScaleError> {
         self.measure_part("zone lost", |runner| {
             let left = runner.size.engines - runner.cluster.zone_engines();
@@ -178,7 +179,7 @@
         })
     }
 
-    /// The store dies, and is back half a second later.
+    /// Crashes the store and restarts it half a second later.
     fn store(&mut self) -> Result<(), ScaleError> {
         self.measure_part("store restarted", |runner| {
             runner.cluster.store.send(&StubCommand::Restart)?;
@@ -188,7 +189,7 @@
         })
     }
 
-    /// An ordinary day's changes and restarts, within the part's seconds.
+    /// Makes the configuration changes and the restarts of a day within the duration of the part.
     fn day(&mut self) -> Result<(), ScaleError> {
         self.measure_part("a day", |runner| {
             let (seconds, mut slowest) = (runner.size.seconds, 0);
@@ -209,7 +210,7 @@
         })
     }
 
-    /// A daemon ends in order while requests run through it, and is started again: what a change of its settings takes.
+    /// Restarts a daemon gracefully while it serves requests, which is what a change of its settings takes.
     fn restart(&mut self) -> Result<(), ScaleError> {
         if self.cluster.real.is_empty() {
             return Ok(());
