--- a/crates/ivyward-testbed/src/scale/sweep.rs
+++ b/crates/ivyward-testbed/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! One quantity varied alone, and the lines through what each role used.
+//! Varies one quantity, measures the resource use of each role at several sizes, and fits lines to the figures.
 
 use crate::scale::cluster::{Cluster, Programs};
 use crate::scale::fit::{line, Fit};
@@ -10,39 +10,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Time that a cluster takes to come to rest.
+/// Time until the traffic of the start has ended, in microseconds.
 const SETTLE_TIME: Micros = 2_500_000;
-/// Time that requests take to reach their steady state.
+/// Time after which the load of requests is steady, in microseconds.
 const WARM_UP: Micros = 12_000_000;
-/// Seconds that requests are measured.
+/// Duration of a measurement with requests, in seconds.
 const REQUEST_SECONDS: u64 = 8;
 
-/// A quantity that is varied.
+/// A quantity that a sweep varies.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
-    /// Nodes that know each other.
+    /// Stub nodes, which are peers of each other.
     Nodes,
-    /// Engines in the list.
+    /// Engines in the engine list.
     Engines,
-    /// Connections of a node to engines, without requests.
+    /// Idle connections of a node to engines.
     Connections,
-    /// Tenants that a node is told of.
+    /// Tenants in a node's settings.
     Tenants,
-    /// Request classes that a node is told of.
+    /// Request classes in a node's settings.
     Classes,
-    /// Sessions that requests belong to.
+    /// Sessions over which the requests are spread.
     Sessions,
-    /// Requests a second at a node.
+    /// Requests per second at a daemon.
     Requests,
-    /// Changes of the list an hour.
+    /// Changes of the engine list per hour.
     Changes,
 }
 
 impl Quantity {
-    /// All of them.
+    /// All quantities.
     pub const ALL: [Quantity; 8] = [
         Quantity::Nodes,
         Quantity::Engines,
@@ -54,7 +54,7 @@
         Quantity::Changes,
     ];
 
-    /// Its name, as in flags and files.
+    /// Name of the quantity in flags and file names.
     pub fn name(self) -> &'static str {
         match self {
             Quantity::Nodes => "nodes",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sizes through which the line goes.
+    /// Sizes at which the line is fitted.
     pub fn fitted(self) -> [u64; 4] {
         match self {
             Quantity::Nodes => [4, 16, 32, 64],
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sizes that are left out of the line and predicted by it.
+    /// Sizes that are not used for the fit; the line's predictions are compared with the figures measured there.
     pub fn left_out(self) -> [u64; 2] {
         match self {
             Quantity::Nodes => [96, 128],
@@ -96,7 +96,8 @@
         }
     }
 
-    /// The size of a run with so much of it, all else as it is by default.
+    /// Size of a run with `value` of this quantity. All other values are the defaults of [`Size`], except that sweeps of
+    /// sessions and requests add a daemon with load, and the sweep of connections has 1,100 engines.
     pub fn size(self, value: u64, seed: u64) -> Size {
         let base = Size {
             seed,
@@ -146,37 +147,37 @@
     }
 }
 
-/// A size of a sweep as it was measured.
+/// One measurement of a sweep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// How much of the quantity.
+    /// Value of the varied quantity.
     pub value: u64,
-    /// Which play of this size, from 1 on.
+    /// Number of this measurement among those of the same size, from 1.
     #[serde(rename = "play")]
     pub repetition: u64,
-    /// It was left out of the lines.
+    /// Whether the point is left out of the fit.
     pub left_out: bool,
-    /// What each role used.
+    /// Resource use of each role.
     pub roles: Roles,
 }
 
-/// A quantity varied alone.
+/// The results of a sweep, in which one quantity is varied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sweep {
-    /// Which.
+    /// The varied quantity.
     pub quantity: Quantity,
-    /// All else of the size.
+    /// Size of the run at the smallest value of the quantity.
     pub base: Size,
-    /// What was measured.
+    /// All measurements.
     pub points: Vec<Point>,
-    /// The lines: by role, by figure.
+    /// The fitted lines, by role and by name of the figure.
     pub fits: BTreeMap<String, BTreeMap<String, Fit>>,
 }
 
-/// Measures one size.
+/// Starts a run of the given size and measures it for `size.seconds`.
 ///
 /// # Errors
-/// When it is out of bounds, or a process does something else than asked.
+/// When the size is invalid or exceeds a limit, or a process fails.
 pub fn measure(size: Size, programs: Programs) -> Result<Roles, ScaleError> {
     let mut cluster = Cluster::start(size, programs)?;
     cluster.sleep(SETTLE_TIME);
@@ -201,7 +202,8 @@
     Ok(cluster.readings()?.since(&before))
 }
 
-/// Measures all sizes of a quantity, `plays` times each, and draws the lines. `told` hears of each size before it begins.
+/// Measures all sizes of a quantity, `repetitions` times each, and fits the lines. Calls `before_size` with the value and
+/// the number of the repetition before each measurement.
 ///
 /// # Errors
 /// As for [`measure`].
@@ -238,10 +240,10 @@
     })
 }
 
-/// Sizes with what was measured there: those that a line goes through, and those that are left out of it.
+/// Points of size and figure: first those that the line is fitted to, then those that are left out of the fit.
 type Series = [Vec<(f64, f64)>; 2];
 
-/// The lines through all figures of all roles.
+/// Fits a line to each figure of each role.
 pub fn fits(points: &[Point]) -> BTreeMap<String, BTreeMap<String, Fit>> {
     let mut series: BTreeMap<(String, String), Series> = BTreeMap::new();
     for point in points {
