--- a/crates/ivyward-testbed/src/scale/load.rs
+++ b/crates/ivyward-testbed/src/scale/load.rs
@@ -1,4 +1,4 @@
-//! Requests at a steady rate, through the daemons of a run, and what their clients saw.
+//! Sends requests at a constant rate through the daemons of a run and counts their results.
 
 use crate::scale::cluster::Cluster;
 use crate::scale::ScaleError;
@@ -10,28 +10,29 @@
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Output tokens that a request asks for. Stand-in engines answer with half to all of them: 306 in the mean, the target's.
+/// Output tokens that a request asks for. Fake engines generate between half and all of them: 306 on average, as in the
+/// planned deployment.
 const OUTPUT_TOKENS: u32 = 408;
 /// Prompt tokens of a request.
 const PROMPT_TOKENS: u64 = 200;
-/// How long clients wait for the whole answer.
+/// How long clients wait for the whole answer, in microseconds.
 const CLIENT_TIMEOUT: Micros = 60_000_000;
 
-/// What clients saw.
+/// Results of the requests, as seen by the clients.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClientTotals {
-    /// Requests that ended.
+    /// Requests that ended, in whatever way.
     pub requests: u64,
-    /// Those that were served.
+    /// Requests that were served.
     pub served: u64,
-    /// Those that were refused.
+    /// Requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Those that failed, or had no answer.
+    /// Requests that failed or were not answered.
     pub failed: u64,
-    /// Output tokens that came.
+    /// Output tokens that clients received.
     pub tokens: u64,
-    /// Time to the first token, in milliseconds: the median, and for 95 in 100.
+    /// Time to the first token, in milliseconds: median and 95th percentile.
     pub first_token_ms: [f64; 2],
 }
 
@@ -40,7 +41,7 @@
     first: Histogram<u64>,
 }
 
-/// Clients that send at a rate; dropping it stops new requests.
+/// Clients that send requests at a constant rate. They send no new requests after this is dropped.
 pub struct Load {
     tally: Arc<Mutex<Tally>>,
     _stop: async_channel::Sender<()>,
@@ -55,7 +56,7 @@
 }
 
 impl Load {
-    /// Begins to send `rate` requests a second to each daemon, in so many sessions.
+    /// Starts to send `rate` requests per second to each daemon, spread over `sessions` sessions.
     ///
     /// # Errors
     /// When a daemon cannot be reached.
@@ -83,7 +84,7 @@
             let stopped = stopped.clone();
             runtime.run(async move {
                 let until = async {
-                    // Ends when the load is dropped.
+                    // The channel is closed when the load is dropped.
                     let _ = stopped.recv().await;
                 };
                 futures_lite::future::or(one.send_all(number as u64 + 1), until).await;
@@ -92,10 +93,10 @@
         Ok(Load { tally, _stop: stop })
     }
 
-    /// What clients saw since this was asked last.
+    /// Returns the results since the previous call, and resets them.
     ///
     /// # Errors
-    /// When there is no memory for the next figures.
+    /// When the histogram of the next results cannot be created.
     pub fn take(&self) -> Result<ClientTotals, ScaleError> {
         let fresh = Tally {
             seen: ClientTotals::default(),
@@ -119,9 +120,9 @@
 }
 
 impl Sender {
-    /// Sends at even pauses, whatever becomes of what was sent before.
+    /// Sends requests at even intervals (an open loop), regardless of whether earlier ones have ended.
     async fn send_all(&self, node: u64) {
-        let pause = (1e6 / self.rate) as Micros;
+        let interval = (1e6 / self.rate) as Micros;
         let mut at = self.runtime.now();
         for number in 0.. {
             let (client, tally, request) = (
@@ -133,7 +134,7 @@
                 let end = client.send(&request).await;
                 count(&tally, &end);
             });
-            at += pause;
+            at += interval;
             self.runtime.sleep_until(at).await;
         }
     }
@@ -141,11 +142,11 @@
     fn request(&self, node: u64, number: u64) -> ClientRequest {
         let call = node << 32 | number;
         let session = number % self.sessions;
-        // A session's prompts have the same beginning.
-        let words = (0..PROMPT_TOKENS).map(|i| (session * 1_000 + i) as u32);
+        // All prompts of a session have the same prefix.
+        let prefix = (0..PROMPT_TOKENS).map(|i| (session * 1_000 + i) as u32);
         let last = [number as u32];
         let request = GenerateRequest {
-            prompt: words.chain(last).collect(),
+            prompt: prefix.chain(last).collect(),
             max_output_tokens: OUTPUT_TOKENS,
             session: format!("{node}-{session}"),
             call_id: call,
@@ -175,7 +176,7 @@
         _ => tally.seen.failed += 1,
     }
     if let Some(first) = end.first_token_after {
-        // At most the patience, which the histogram holds.
+        // Cannot fail: the time is at most the client timeout, which is the histogram's maximum.
         let _ = tally.first.record(first);
     }
 }
