--- a/crates/ivyward-testbed/src/scale/command.rs
+++ b/crates/ivyward-testbed/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! The `scale` subcommand: its flags, and its report as text.
+//! Flags and text report of the `scale` subcommand.
 
 use crate::scale::cluster::Programs;
 use crate::scale::run::{run, Part, Report};
@@ -8,49 +8,50 @@
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 
-/// The flags of a scale run.
+/// Flags of the `scale` subcommand.
 #[derive(Debug, clap::Args)]
 pub struct ScaleFlags {
-    /// Hollow nodes, the measured one among them.
+    /// Number of stub nodes, including the measured one. Stub nodes exchange control traffic and serve no requests.
     #[arg(long, default_value_t = 10)]
     nodes: u64,
-    /// Hollow engines.
+    /// Number of stub engines.
     #[arg(long, default_value_t = 40)]
     engines: u64,
-    /// Daemons that take requests.
+    /// Number of daemons that serve requests.
     #[arg(long, default_value_t = 1)]
     real_nodes: u64,
-    /// Connections that the measured hollow node opens and keeps; one to each engine if left out.
+    /// Connections to engines that the measured stub node opens and keeps open. Default: one to each engine.
     #[arg(long)]
     connections: Option<u64>,
-    /// Tenants that nodes are told of.
+    /// Number of tenants in the nodes' settings.
     #[arg(long, default_value_t = 10)]
     tenants: u64,
-    /// Request classes that nodes are told of.
+    /// Number of request classes in the nodes' settings.
     #[arg(long, default_value_t = 4)]
     classes: u64,
-    /// Sessions of requests at each daemon.
+    /// Number of sessions over which the requests at each daemon are spread.
     #[arg(long, default_value_t = 200)]
     sessions: u64,
-    /// Requests a second at each daemon.
+    /// Requests per second at each daemon, from 0 to 1000.
     #[arg(long, default_value_t = 4.0)]
     rate: f64,
-    /// Seconds that each part is measured.
+    /// Duration of the measurement of each part, in seconds.
     #[arg(long, default_value_t = 5)]
     seconds: u64,
-    /// Feeds all choices.
+    /// Seed of all random choices.
     #[arg(long, env = "IVYWARD_TESTBED_SEED", default_value_t = 1)]
     seed: u64,
-    /// Varies one quantity alone instead, at sizes of its own, and draws lines through what each role used.
+    /// Varies only this quantity over a fixed list of sizes and fits lines to the resource use of each role, instead of one
+    /// run of the given size.
     #[arg(long)]
     vary: Option<Quantity>,
-    /// Plays of each size, with --vary.
+    /// Measurements of each size with --vary, from 1 to 20.
     #[arg(long = "plays", id = "plays", value_name = "PLAYS", default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=20))]
     repetitions: u64,
-    /// Keeps the report in this file, as JSON.
+    /// Writes the report to this file, as JSON.
     #[arg(long, value_name = "FILE")]
     keep: Option<PathBuf>,
-    /// The daemon's program; the one beside this program if left out.
+    /// Path of the daemon's program. Default: `ivywardd` in the directory of this program.
     #[arg(long, value_name = "PATH")]
     daemon: Option<PathBuf>,
 }
@@ -73,7 +74,8 @@
     }
 
     fn programs(&self) -> Result<Programs, ScaleError> {
-        let testbed = std::env::current_exe().map_err(ScaleError::io("finding this program"))?;
+        let testbed =
+            std::env::current_exe().map_err(ScaleError::io("finding the path of this program"))?;
         let daemon = self
             .daemon
             .clone()
@@ -81,15 +83,20 @@
         Ok(Programs { testbed, daemon })
     }
 
-    /// Plays it, prints what came of it, and keeps it where that was asked for.
+    /// Carries out the run or the sweep, prints the report, and writes it as JSON if a file was given.
     ///
     /// # Errors
-    /// When the size is out of bounds, or something did not come about.
+    /// When the size is invalid or exceeds a limit, a process fails, or the report cannot be written.
     pub fn run(&self) -> Result<(), ScaleError> {
         let programs = self.programs()?;
         if let Some(quantity) = self.vary {
-            let told = |value, play| eprintln!("{} {value}, play {play}", quantity.name());
-            let swept = sweep(quantity, self.repetitions, &programs, told)?;
+            let before_size = |value, repetition| {
+                eprintln!(
+                    "measuring {} {value}, repetition {repetition}",
+                    quantity.name()
+                );
+            };
+            let swept = sweep(quantity, self.repetitions, &programs, before_size)?;
             print!("{}", sweep_text(&swept));
             return self.keep(&swept);
         }
