--- a/crates/ivyward-testbed/src/scale/fit.rs
+++ b/crates/ivyward-testbed/src/scale/fit.rs
@@ -1,34 +1,34 @@
-//! Straight lines by least squares, and how well they predict what was left out of them.
+//! Straight lines by least squares, and the errors of their predictions at sizes left out of the fit.
 
 use serde::{Deserialize, Serialize};
 
-/// A straight line through measured points.
+/// A straight line fitted to measured points.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// How much the figure grows with one more of the varied quantity.
+    /// Growth of the figure per unit of the varied quantity.
     pub slope: f64,
-    /// The figure where the quantity is 0.
+    /// Value of the line where the quantity is 0.
     pub intercept: f64,
-    /// Root of the mean square of what the points lie off the line.
+    /// Root mean square of the distances of the points from the line, in the unit of the figure.
     pub residual: f64,
-    /// What the line says of sizes that were left out of it.
+    /// Comparison of the line with the measurements at sizes left out of the fit.
     pub predictions: Vec<Prediction>,
 }
 
-/// What a line says of a size that was left out of it.
+/// The prediction of a line at a size that was left out of the fit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Prediction {
-    /// The size.
+    /// Value of the varied quantity.
     pub size: f64,
-    /// What the line says.
+    /// Value of the line at this size.
     pub predicted: f64,
-    /// The mean of what was measured.
+    /// Mean of the figures measured at this size.
     pub measured: f64,
-    /// How far off the line is, in percent of what was measured.
+    /// Error of the prediction in percent of the measured mean; 0 if that mean is 0.
     pub error_percent: f64,
 }
 
-/// The line through points of size and figure; `None` for fewer than two sizes.
+/// Fits a line to points of size and figure. Returns `None` for fewer than two different sizes.
 pub fn line(points: &[(f64, f64)]) -> Option<Fit> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
@@ -56,12 +56,12 @@
 }
 
 impl Fit {
-    /// What the line says of a size.
+    /// Value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
-    /// Compares the line with points that were left out of it, one prediction a size.
+    /// Compares the line with points that were left out of the fit, and stores one prediction for each size.
     pub fn predict(&mut self, left_out: &[(f64, f64)]) {
         let mut sizes: Vec<f64> = left_out.iter().map(|p| p.0).collect();
         sizes.sort_by(f64::total_cmp);
--- a/crates/ivyward-testbed/src/scale/fit/tests.rs
+++ b/crates/ivyward-testbed/src/scale/fit/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of lines and predictions.
+//! Tests of least-squares lines and their predictions.
 
 use super::*;
 
 #[test]
-fn a_line_goes_through_points_that_lie_on_one() {
+fn the_line_of_collinear_points_is_exact() {
     let fit = line(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).unwrap();
     assert!(
         (fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9 && fit.residual < 1e-9
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn points_off_the_line_leave_a_residual_and_left_out_sizes_an_error() {
+fn the_residual_and_the_prediction_errors_are_computed() {
     let mut fit = line(&[(0.0, 1.0), (0.0, -1.0), (10.0, 11.0), (10.0, 9.0)]).unwrap();
     assert!((fit.slope - 1.0).abs() < 1e-9 && (fit.residual - 1.0).abs() < 1e-9);
     fit.predict(&[(20.0, 24.0), (20.0, 26.0), (30.0, 30.0)]);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn one_size_alone_has_no_line() {
+fn a_single_size_has_no_line() {
     assert_eq!(line(&[]), None);
     assert_eq!(line(&[(3.0, 1.0), (3.0, 2.0)]), None);
 }
