--- a/crates/ivyward-testbed/src/scale/usage.rs
+++ b/crates/ivyward-testbed/src/scale/usage.rs
@@ -1,48 +1,44 @@
-//! What a process uses: by /proc, and by the counters that it tells of itself.
+//! Resource use of a process, from /proc and from the counters that the process reports.
 
 use crate::scale::ScaleError;
 use ivyward_runtime::Usage as Traffic;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Ticks of processor time a second, as Linux counts them for every program (USER_HZ).
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in /proc/PID/stat (USER_HZ), which is 100 for every program on Linux.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What /proc says of a process.
+/// Resource use of a process according to /proc.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Proc {
-    /// Seconds of processor time, the system's part among them.
+    /// Processor time since the start of the process, user and system, in seconds.
     pub processor: f64,
     /// Resident memory in KiB.
     pub resident_kib: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
 }
 
 impl Proc {
-    /// Reads it.
+    /// Reads the figures of a process from /proc.
     ///
     /// # Errors
-    /// When the process is gone.
+    /// When the process has ended, or its files in /proc cannot be read or parsed.
     pub fn read(pid: u32) -> Result<Proc, ScaleError> {
         let path = |file: &str| format!("/proc/{pid}/{file}");
         let text =
             |file: &str| std::fs::read_to_string(path(file)).map_err(ScaleError::io(path(file)));
-        let odd = || {
-            ScaleError::Process(format!(
-                "{} says something else than expected",
-                path("stat")
-            ))
-        };
+        let malformed =
+            || ScaleError::Process(format!("malformed process status in {}", path("stat")));
         let stat = text("stat")?;
-        // The name stands in brackets and may hold anything.
-        let (_, fields) = stat.rsplit_once(')').ok_or_else(odd)?;
+        // The program's name stands in parentheses and may contain any character, also spaces and parentheses.
+        let (_, fields) = stat.rsplit_once(')').ok_or_else(malformed)?;
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let ticks = |i: usize| {
             fields
                 .get(i)
                 .and_then(|f| f.parse::<f64>().ok())
-                .ok_or_else(odd)
+                .ok_or_else(malformed)
         };
         let status = text("status")?;
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -53,26 +49,26 @@
             .map_err(ScaleError::io(path("fd")))?
             .count();
         Ok(Proc {
-            // utime and stime, the 14th and 15th fields of the line.
-            processor: (ticks(11)? + ticks(12)?) / TICKS,
+            // utime and stime: the 14th and 15th fields of the line, the 12th and 13th after the program's name.
+            processor: (ticks(11)? + ticks(12)?) / TICKS_PER_SECOND,
             resident_kib: resident.unwrap_or(0),
             descriptors: descriptors as u64,
         })
     }
 }
 
-/// A part of a program, by what it does.
+/// Traffic and time counters of one part of a program, such as its connections to engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartCounters {
-    /// Bytes that came in.
+    /// Bytes received.
     pub bytes_in: u64,
-    /// Bytes that went out.
+    /// Bytes sent.
     pub bytes_out: u64,
-    /// Messages that came in: reads that brought something.
+    /// Messages received: reads that returned data.
     pub messages_in: u64,
-    /// Messages that went out: writes that took something.
+    /// Messages sent: writes that accepted data.
     pub messages_out: u64,
-    /// Microseconds at work.
+    /// Time spent executing, in microseconds.
     pub busy_us: u64,
 }
 
@@ -88,10 +84,10 @@
     }
 }
 
-/// Counters of a process, by the parts of its program.
+/// Counters of a process, by name of the part of its program.
 pub type Counters = BTreeMap<String, PartCounters>;
 
-/// Reads the counters that a node tells on its admin port.
+/// Parses the counters from the metrics page of a node's admin port.
 pub fn counters(metrics: &str) -> Counters {
     let mut counters = Counters::new();
     for line in metrics.lines() {
@@ -111,7 +107,7 @@
             _ => traffic(&mut counters, name, value),
         }
     }
-    // The driver's time has the module's in it.
+    // The driver's time includes the time of the module, which is reported separately.
     let module = counters.get("module").map_or(0, |m| m.busy_us);
     if let Some(driver) = counters.get_mut("driver") {
         driver.busy_us = driver.busy_us.saturating_sub(module);
@@ -143,45 +139,45 @@
     }
 }
 
-/// What a process used over a span, a second.
+/// Resource use of a process over an interval; amounts are per second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rates {
-    /// Part of a core, in percent.
+    /// Processor time, in percent of a core.
     pub core_percent: f64,
-    /// Resident memory at the end, in KiB.
+    /// Resident memory at the end of the interval, in KiB.
     pub resident_kib: f64,
-    /// Descriptors at the end.
+    /// Open file descriptors at the end of the interval.
     pub descriptors: f64,
-    /// Bytes and messages a second and percent of a core, by the parts of its program.
+    /// Traffic and processor time, by name of the part of the program.
     pub parts: BTreeMap<String, PartRates>,
 }
 
-/// What a part of a program used over a span, a second.
+/// Resource use of a part of a program over an interval; amounts are per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PartRates {
-    /// Bytes that came in.
+    /// Bytes received per second.
     pub bytes_in: f64,
-    /// Bytes that went out.
+    /// Bytes sent per second.
     pub bytes_out: f64,
-    /// Messages that came in.
+    /// Messages received per second.
     pub messages_in: f64,
-    /// Messages that went out.
+    /// Messages sent per second.
     pub messages_out: f64,
-    /// Part of a core, in percent, by the clock on the wall.
+    /// Time spent executing, in percent of the interval, by the wall clock.
     pub busy_percent: f64,
 }
 
-/// A reading of a process at a moment.
+/// The resource use of a process up to one point in time.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    /// By /proc.
+    /// Figures from /proc.
     pub proc: Proc,
-    /// By its counters.
+    /// Counters that the process reports.
     pub counters: Counters,
 }
 
 impl Reading {
-    /// What was used from an earlier reading to this one, `seconds` later.
+    /// Resource use between the reading `before` and this one, which was taken `seconds` later.
     pub fn since(&self, before: &Reading, seconds: f64) -> Rates {
         let part = |(name, now): (&String, &PartCounters)| {
             let before = before.counters.get(name).copied().unwrap_or_default();
@@ -205,7 +201,7 @@
 }
 
 impl Rates {
-    /// The mean of several processes of one role.
+    /// Mean over several processes of one role.
     pub fn mean(each: &[Rates]) -> Rates {
         let count = each.len().max(1) as f64;
         let mut figures: BTreeMap<String, f64> = BTreeMap::new();
@@ -217,7 +213,7 @@
         Rates::from_figures(&figures)
     }
 
-    /// All figures by their names: those of a part have its name and a point before theirs.
+    /// All figures by name. The names of a part's figures have the form `part.figure`.
     pub fn figures(&self) -> BTreeMap<String, f64> {
         let mut figures = BTreeMap::from([
             ("core_percent".to_owned(), self.core_percent),
--- a/crates/ivyward-testbed/src/scale/usage/tests.rs
+++ b/crates/ivyward-testbed/src/scale/usage/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is read of processes.
+//! Tests of reading and computing the resource use of processes.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 ";
 
 #[test]
-fn a_nodes_counters_are_read_by_part() {
+fn counters_of_a_node_are_parsed_by_part() {
     let counters = counters(METRICS);
     let engines = counters["engines"];
     assert_eq!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn rates_are_differences_over_the_span_and_their_mean_is_by_figure() {
+fn rates_are_differences_per_second_and_the_mean_is_taken_for_each_figure() {
     let before = Reading {
         counters: counters(METRICS),
         ..Reading::default()
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn this_process_is_read_from_proc() {
+fn figures_of_the_test_process_are_read_from_proc() {
     let proc = Proc::read(std::process::id()).unwrap();
     assert!(proc.resident_kib > 100 && proc.descriptors >= 3);
     assert!(Proc::read(u32::MAX).is_err());
