--- a/crates/ivyward-testbed/src/capacity/measurements.rs
+++ b/crates/ivyward-testbed/src/capacity/measurements.rs
@@ -1,4 +1,4 @@
-//! What scale runs kept: a sweep for each quantity, and a whole run.
+//! Reads the results of scale runs from files: a sweep for each quantity, and a whole run.
 
 use crate::capacity::CapacityError;
 use crate::scale::run::{Part, Report};
@@ -7,29 +7,29 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The file of the whole run.
+/// Name of the file with the results of the whole run.
 pub const RUN: &str = "run.json";
 
-/// What scale runs kept in a folder.
+/// The results of scale runs that a folder contains.
 #[derive(Clone, Debug)]
 pub struct Measurements {
-    /// By quantity.
+    /// The sweeps, by the quantity that each varies.
     pub sweeps: BTreeMap<Quantity, Sweep>,
-    /// The whole run.
+    /// Results of a run with all its parts.
     pub run: Report,
 }
 
 fn read<T: DeserializeOwned>(path: &Path) -> Result<T, CapacityError> {
-    let bad = |reason: String| CapacityError::MeasurementFile {
+    let error = |reason: String| CapacityError::MeasurementFile {
         path: path.display().to_string(),
         reason,
     };
-    let text = std::fs::read_to_string(path).map_err(|e| bad(e.to_string()))?;
-    serde_json::from_str(&text).map_err(|e| bad(e.to_string()))
+    let text = std::fs::read_to_string(path).map_err(|e| error(e.to_string()))?;
+    serde_json::from_str(&text).map_err(|e| error(e.to_string()))
 }
 
 impl Measurements {
-    /// Reads a folder.
+    /// Reads the file of each sweep and that of the whole run from a folder.
     ///
     /// # Errors
     /// When a file is missing or malformed.
@@ -47,10 +47,10 @@
         })
     }
 
-    /// A part of the whole run.
+    /// Results of the part `name` of the whole run.
     ///
     /// # Errors
-    /// When there is none of that name.
+    /// When the run has no part of that name.
     pub fn part(&self, name: &str) -> Result<&Part, CapacityError> {
         let missing = || CapacityError::MeasurementFile {
             path: RUN.into(),
