--- a/crates/ivyward-testbed/src/capacity/mod.rs
+++ b/crates/ivyward-testbed/src/capacity/mod.rs
@@ -1,12 +1,12 @@
-//! What a deployment of a size takes, worked out from slopes that were measured. Knows nothing of how they were measured:
-//! it reads what scale runs kept.
+//! Capacity planning: estimates the resource use of a deployment of a given size from slopes that scale runs measured. The
+//! input is the files that scale runs wrote; how they measured is not known here.
 //!
-//! - [`target`]: the size that is asked about, and the budgets.
-//! - [`measurements`]: what scale runs kept.
-//! - [`model`]: a figure at a size, from a base and slopes.
-//! - [`rows`]: the figures of each role, against budgets.
-//! - [`table`]: the rows as Markdown.
-//! - [`chart`]: cost over size for each role, as SVG.
+//! - [`target`]: the size of the planned deployment, and the budgets.
+//! - [`measurements`]: reads the results of scale runs.
+//! - [`model`]: estimates a figure at a size from a base value and slopes.
+//! - [`rows`]: the figures of each role with their budgets.
+//! - [`table`]: prints the rows as Markdown.
+//! - [`chart`]: draws resource use over size for each role, as SVG.
 //! - [`command`]: the `capacity` subcommand.
 
 pub mod chart;
@@ -18,38 +18,38 @@
 pub mod table;
 pub mod target;
 
-/// Why there is no answer.
+/// Why the estimate cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// What was kept cannot be read.
+    /// A file of results cannot be read, parsed or written, or lacks a part.
     #[error("{path}: {reason}")]
     MeasurementFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// Why the file cannot be used.
         reason: String,
     },
-    /// What was kept has no such figure.
-    #[error("no {figure} of {role} was kept in the sweep of {quantity}")]
+    /// The results have no such figure.
+    #[error("the sweep of {quantity} has no figure {figure} of the role {role}")]
     Missing {
-        /// Which sweep.
+        /// Quantity that the sweep varies.
         quantity: &'static str,
-        /// Which role.
+        /// Role whose figure is missing.
         role: String,
-        /// Which figure.
+        /// Name of the missing figure.
         figure: String,
     },
-    /// A size that cannot be.
+    /// A value of the deployment's size is invalid.
     #[error("--{flag} {value}: {reason}")]
     Size {
-        /// Which flag.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: f64,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         reason: &'static str,
     },
     /// The chart cannot be drawn.
-    #[error("the chart: {0}")]
+    #[error("cannot draw the chart: {0}")]
     Chart(String),
 }
--- a/crates/ivyward-testbed/src/capacity/model.rs
+++ b/crates/ivyward-testbed/src/capacity/model.rs
@@ -1,21 +1,22 @@
-//! A figure at a size: what was measured at the base, and for each quantity its slope times what it has more.
+//! Estimates a figure at a size: the value of the line at the base size, plus for each quantity its slope times the
+//! difference between the quantity and its base value.
 //!
-//! A slope counts only where it stands out of the noise: where the figure grows over the measured sizes by more than twice
-//! what the points lie off their line. Everything else is held to be flat, and so is what falls: a cost is not taken to fall
-//! beyond the sizes at which it was seen to.
+//! A slope counts only if it is significant: if the figure grows over the range of the fitted sizes by more than twice the
+//! residual of the line. Otherwise the figure is taken as constant. A falling figure is taken as constant too, because a
+//! cost need not fall further beyond the sizes at which it was measured.
 
 use crate::capacity::measurements::Measurements;
 use crate::capacity::CapacityError;
 use crate::scale::fit::Fit;
 use crate::scale::sweep::{Quantity, Sweep};
 
-/// So many times the residual is what a figure has to grow by for its slope to count.
+/// A slope counts only if the figure grows by more than this many times the residual.
 const MIN_GROWTH_OVER_RESIDUAL: f64 = 2.0;
 
-/// How much of a quantity a size has.
+/// A quantity and its value at a size.
 pub type Amount = (Quantity, f64);
 
-/// The line of a figure in a sweep.
+/// Returns the sweep of a quantity and the line fitted to a role's figure.
 ///
 /// # Errors
 /// When the sweep has no such figure.
@@ -39,7 +40,7 @@
     Ok((sweep, fit))
 }
 
-/// How much a figure grows with one more of a quantity; 0 where it falls, or does not stand out of the noise.
+/// Growth of a figure per unit of a quantity; 0 if the figure falls or its growth is not significant.
 ///
 /// # Errors
 /// When the sweep has no such figure.
@@ -66,7 +67,7 @@
     })
 }
 
-/// A figure of a role at a size, from the smallest size of a sweep on.
+/// Estimates a figure of a role for the given amounts, starting from the base size of the sweep of `from`.
 ///
 /// # Errors
 /// When a sweep has no such figure.
@@ -87,7 +88,7 @@
     Ok(value.max(0.0))
 }
 
-/// How much of a quantity a size has.
+/// Value of a quantity at a size.
 fn amount_of(quantity: Quantity, size: &crate::scale::size::Size) -> f64 {
     match quantity {
         Quantity::Nodes => size.nodes as f64,
--- a/crates/ivyward-testbed/src/capacity/model/tests.rs
+++ b/crates/ivyward-testbed/src/capacity/model/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of figures worked out from slopes.
+//! Tests of the estimates from slopes.
 
 use super::*;
 use crate::scale::run::{Report, Roles};
@@ -6,7 +6,7 @@
 use crate::scale::usage::Rates;
 use std::collections::BTreeMap;
 
-/// A sweep in which a node's memory is a line, and its processor time is noise around 5.
+/// Returns a sweep in which a node's memory follows `memory` and its processor time is 5 percent with noise.
 fn sweep(quantity: Quantity, memory: impl Fn(u64) -> f64) -> Sweep {
     let mut points = Vec::new();
     for (i, value) in quantity.fitted().into_iter().enumerate() {
@@ -64,7 +64,7 @@
         &amounts,
     )
     .unwrap();
-    // 2,500 at the base of 4 nodes and 50 connections, 100 nodes and 1,000 connections more.
+    // 2,500 KiB at the base of 4 nodes and 50 connections, plus 100 nodes and 1,000 connections.
     assert!(
         (memory - (2_500.0 + 1_250.0 + 30_000.0)).abs() < 1e-6,
         "{memory}"
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_slope_that_does_not_stand_out_of_the_noise_counts_for_nothing() {
+fn a_slope_within_the_noise_counts_as_zero() {
     let measurements = measurements();
     assert_eq!(
         slope(&measurements, Quantity::Nodes, "node", "core_percent").unwrap(),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_figure_that_falls_is_not_taken_to_fall_further() {
+fn a_falling_figure_is_taken_as_constant_beyond_the_base() {
     let falling = sweep(Quantity::Nodes, |n| 5_000.0 - 10.0 * n as f64);
     let measurements = Measurements {
         sweeps: BTreeMap::from([(Quantity::Nodes, falling)]),
@@ -108,15 +108,15 @@
 }
 
 #[test]
-fn what_was_not_kept_is_named() {
+fn a_missing_figure_is_named_in_the_error() {
     let error = figure(&measurements(), Quantity::Nodes, "node", "temperature", &[]).unwrap_err();
     assert_eq!(
         error.to_string(),
-        "no temperature of node was kept in the sweep of nodes"
+        "the sweep of nodes has no figure temperature of the role node"
     );
     let error = slope(&measurements(), Quantity::Tenants, "node", "resident_kib").unwrap_err();
     assert_eq!(
         error.to_string(),
-        "no resident_kib of node was kept in the sweep of tenants"
+        "the sweep of tenants has no figure resident_kib of the role node"
     );
 }
