--- a/crates/ivyward-testbed/src/capacity/target.rs
+++ b/crates/ivyward-testbed/src/capacity/target.rs
@@ -1,33 +1,33 @@
-//! The size that is asked about, and the budgets that it is held against.
+//! The size of the planned deployment, and the budgets that its resource use is compared with.
 
 use crate::capacity::CapacityError;
 use serde::{Deserialize, Serialize};
 
-/// A size of a deployment. Without flags, the one that the operators plan for.
+/// The size of a deployment. The defaults are the size that the operators plan for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, clap::Args)]
 pub struct Target {
-    /// Nodes.
+    /// Number of nodes.
     #[arg(long, default_value_t = 350.0)]
     pub nodes: f64,
-    /// Engines, each of which every node has a connection to.
+    /// Number of engines. Every node has a connection to each engine.
     #[arg(long, default_value_t = 1_100.0)]
     pub engines: f64,
-    /// Tenants.
+    /// Number of tenants.
     #[arg(long, default_value_t = 5_500.0)]
     pub tenants: f64,
-    /// Request classes.
+    /// Number of request classes.
     #[arg(long, default_value_t = 7.0)]
     pub classes: f64,
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     #[arg(long, default_value_t = 3_600.0)]
     pub rate: f64,
-    /// Sessions at a node.
+    /// Number of sessions at each node.
     #[arg(long, default_value_t = 600.0)]
     pub sessions: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     #[arg(long, default_value_t = 620.0)]
     pub changes: f64,
-    /// Engines that fail, are restarted or replaced a day.
+    /// Engines that fail, are restarted or are replaced per day.
     #[arg(long, default_value_t = 92.0)]
     pub replaced: f64,
 }
@@ -48,10 +48,10 @@
 }
 
 impl Target {
-    /// Looks for what cannot be.
+    /// Checks that all values are valid.
     ///
     /// # Errors
-    /// The first one found.
+    /// Names the flag of the first invalid value.
     pub fn check(&self) -> Result<(), CapacityError> {
         let sizes = [
             ("nodes", self.nodes, 1.0),
@@ -65,10 +65,11 @@
         ];
         match sizes
             .into_iter()
-            .find(|(_, value, least)| !(*least..=1e9).contains(value))
+            .find(|(_, value, min)| !(*min..=1e9).contains(value))
         {
             Some((flag, value, _)) => {
-                let reason = "must be a number that a deployment can have";
+                let reason =
+                    "must be from 1 to 1e9; 0 is allowed for tenants, rate, changes and replaced";
                 Err(CapacityError::Size {
                     flag,
                     value,
@@ -79,36 +80,37 @@
         }
     }
 
-    /// Requests a second at a node.
+    /// Requests per second at each node.
     pub fn rate_per_node(&self) -> f64 {
         self.rate / self.nodes
     }
-    /// Requests a second at an engine.
+    /// Requests per second at each engine.
     pub fn rate_per_engine(&self) -> f64 {
         self.rate / self.engines
     }
-    /// Changes of the list an hour: of configuration, and of engines that go and come.
+    /// Changes of the engine list per hour: configuration changes, and two for each replaced engine (its removal and its
+    /// return).
     pub fn changes_per_hour(&self) -> f64 {
         (self.changes + 2.0 * self.replaced) / 24.0
     }
-    /// Seconds between two requests from one node to one engine, if all are used alike.
+    /// Mean time between two requests from one node to one engine, in seconds, if the load is spread evenly.
     pub fn request_interval_per_pair(&self) -> f64 {
         self.nodes * self.engines / self.rate
     }
 }
 
-/// What a node may use for control, and how soon things are to come about.
+/// Budgets: how much a node may use for control traffic, and how long operations may take.
 pub mod budget {
-    /// Percent of a core.
+    /// Processor time of a node, in percent of a core.
     pub const CORE_PERCENT: f64 = 3.1;
-    /// Mebibytes of memory.
+    /// Memory of a node, in MiB.
     pub const MEMORY_MIB: f64 = 256.0;
-    /// Kilobytes a second, both ways together.
+    /// Control traffic of a node, in kB per second, both directions together.
     pub const KILOBYTES_PER_SECOND: f64 = 16.0;
-    /// Seconds until a change of configuration is in force everywhere.
+    /// Time until a configuration change is in force on all nodes, in seconds.
     pub const CHANGE_SECONDS: f64 = 15.0;
-    /// Milliseconds to the first token, for 95 in 100.
+    /// 95th percentile of the time to the first token, in milliseconds.
     pub const FIRST_TOKEN_MS: f64 = 610.0;
-    /// Machines set aside for control.
+    /// Number of machines reserved for control.
     pub const CONTROL_MACHINES: f64 = 19.0;
 }
