--- a/crates/ivyward-testbed/src/capacity/rows.rs
+++ b/crates/ivyward-testbed/src/capacity/rows.rs
@@ -1,4 +1,4 @@
-//! The figures of each role at a size, against the budgets.
+//! The figures of each role at a size, with their budgets.
 
 use crate::capacity::measurements::Measurements;
 use crate::capacity::model::{figure, slope, Amount};
@@ -7,28 +7,29 @@
 use crate::scale::sweep::Quantity;
 use serde::Serialize;
 
-/// Bytes of IP and TCP headers, with timestamps, of each segment; and of IP and UDP headers of each datagram.
+/// Bytes of the IP and TCP headers of a segment, with the timestamps option.
 const TCP_HEADERS: f64 = 52.0;
+/// Bytes of the IP and UDP headers of a datagram.
 const UDP_HEADERS: f64 = 28.0;
-/// Of the nodes, so many in a hundred are restarted at once.
+/// Fraction of the nodes that are restarted at the same time.
 const RESTARTED_AT_ONCE: f64 = 0.1;
-/// Members of a store that bears the loss of two.
+/// Members of a store cluster that tolerates the loss of two members.
 const STORE_MEMBERS: f64 = 5.0;
-/// Nodes of a sweep beside those that it varies: in the sweep of changes so many watch the list.
+/// Number of nodes that watch the list in the sweep of changes, which runs with the default number of nodes.
 const WATCHERS_OF_CHANGES: f64 = 4.0;
 
-/// Where a figure comes from.
+/// How a figure was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Basis {
-    /// Measured as it stands.
+    /// Measured directly.
     Measured,
-    /// Worked out from slopes that were measured.
+    /// Extrapolated by measured slopes.
     Extrapolated,
-    /// Reckoned from other figures and from what is stated.
+    /// Calculated from other figures and from stated values.
     #[serde(rename = "reckoned")]
     Calculated,
-    /// There is no mechanism; the figure is what it takes without one.
+    /// There is no mechanism for the operation; the figure is what the operation takes without one.
     #[serde(rename = "missing")]
     NoMechanism,
 }
@@ -36,48 +37,48 @@
 /// A figure of a role.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// Which role.
+    /// Role that the figure belongs to.
     pub role: &'static str,
-    /// What it is a figure of.
+    /// Name of the figure.
     pub what: &'static str,
-    /// How much.
+    /// Value of the figure, in `unit`.
     pub value: f64,
-    /// Of what.
+    /// Unit of the value and of the budget; empty for a count.
     pub unit: &'static str,
-    /// How much it may be.
+    /// Upper limit of the value; `None` if there is no budget for it.
     pub budget: Option<f64>,
-    /// Where it comes from.
+    /// How the figure was obtained.
     pub basis: Basis,
 }
 
 impl Row {
-    /// How many times its budget it is.
-    pub fn over_budget(&self) -> Option<f64> {
+    /// Ratio of the value to its budget; above 1 the budget is exceeded.
+    pub fn budget_ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.value / budget)
     }
 }
 
-/// Works figures out at one size.
-struct Worker<'a> {
+/// Estimates the figures at one size.
+struct Estimator<'a> {
     measurements: &'a Measurements,
     target: &'a Target,
 }
 
-/// All rows at a size.
+/// Returns all rows at a size.
 ///
 /// # Errors
-/// When the size cannot be, or a figure was not kept.
+/// When the size is invalid, or the results of scale runs lack a figure.
 pub fn rows(measurements: &Measurements, target: &Target) -> Result<Vec<Row>, CapacityError> {
     target.check()?;
-    let worker = Worker {
+    let estimator = Estimator {
         measurements,
         target,
     };
-    let mut rows = worker.node_control()?;
-    rows.extend(worker.node_requests()?);
-    rows.extend(worker.engine()?);
-    rows.extend(worker.store()?);
-    rows.extend(worker.times()?);
+    let mut rows = estimator.node_control()?;
+    rows.extend(estimator.node_requests()?);
+    rows.extend(estimator.engine()?);
+    rows.extend(estimator.store()?);
+    rows.extend(estimator.times()?);
     Ok(rows)
 }
 
@@ -98,12 +99,12 @@
     }
 }
 
-/// What a process whose counters are not split uses, by a function that works its figures out.
+/// Returns the rows of a process whose counters are not split by part. `of` estimates a figure by its name.
 fn usage(
     role: &'static str,
     of: impl Fn(&str) -> Result<f64, CapacityError>,
 ) -> Result<Vec<Row>, CapacityError> {
-    let part = Basis::Extrapolated;
+    let basis = Basis::Extrapolated;
     let bytes = of("all.bytes_in")? + of("all.bytes_out")?;
     Ok(vec![
         row(
@@ -111,30 +112,30 @@
             "processor",
             (of("core_percent")?, PERCENT),
             None,
-            part,
+            basis,
         ),
         row(
             role,
             "memory",
             (of("resident_kib")? / 1_024.0, "MiB"),
             None,
-            part,
+            basis,
         ),
-        row(role, "descriptors", (of("descriptors")?, ""), None, part),
+        row(role, "descriptors", (of("descriptors")?, ""), None, basis),
         row(
             role,
             "bytes without headers",
             (bytes / 1_000.0, "kB/s"),
             None,
-            part,
+            basis,
         ),
     ])
 }
 
 const PERCENT: &str = "% of a core";
 
-impl Worker<'_> {
-    /// What a node without requests has of each quantity.
+impl Estimator<'_> {
+    /// The quantities that determine the resource use of a node without requests, with their values.
     fn control_amounts(&self) -> [Amount; 6] {
         let target = self.target;
         [
@@ -157,7 +158,8 @@
         )
     }
 
-    /// Bytes of a part of a node, both ways together: its payload, and with headers and bare acknowledgements.
+    /// Bytes per second of a part of a node, both directions together: first the payload alone, then with headers and bare
+    /// acknowledgements.
     fn node_bytes(&self, part: &str, headers: f64) -> Result<(f64, f64), CapacityError> {
         let payload =
             self.node(&format!("{part}.bytes_in"))? + self.node(&format!("{part}.bytes_out"))?;
@@ -165,7 +167,8 @@
             self.node(&format!("{part}.messages_in"))?,
             self.node(&format!("{part}.messages_out"))?,
         );
-        // What comes is acknowledged by a segment of its own unless something goes out just then.
+        // A received TCP segment is acknowledged by a segment of its own unless data is sent at that moment. This counts an
+        // acknowledgement for every received message.
         let acknowledgements = if headers == TCP_HEADERS { came } else { 0.0 };
         Ok((
             payload,
@@ -175,76 +178,88 @@
 
     fn node_control(&self) -> Result<Vec<Row>, CapacityError> {
         let role = "node, control";
-        let kib = |bytes: f64| bytes / 1_000.0;
+        let kilobytes = |bytes: f64| bytes / 1_000.0;
         let (engines, engines_wire) = self.node_bytes("engines", TCP_HEADERS)?;
         let (list, list_wire) = self.node_bytes("list", TCP_HEADERS)?;
         let (peers, peers_wire) = self.node_bytes("peers", UDP_HEADERS)?;
         let core = self.node("core_percent")?;
-        let of_connections = |name| {
+        let connections_share = |name| {
             Ok::<f64, CapacityError>(
                 slope(self.measurements, Quantity::Connections, "node", name)?
                     * self.target.engines,
             )
         };
         let memory = self.node("resident_kib")? / 1_024.0;
-        let memory_of_connections = of_connections("resident_kib")? / 1_024.0;
-        let part = Basis::Extrapolated;
+        let memory_of_connections = connections_share("resident_kib")? / 1_024.0;
+        let basis = Basis::Extrapolated;
         Ok(vec![
             row(
                 role,
                 "processor",
                 (core, PERCENT),
                 Some(budget::CORE_PERCENT),
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it connections",
-                (of_connections("core_percent")?, PERCENT),
+                (connections_share("core_percent")?, PERCENT),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "memory",
                 (memory, "MiB"),
                 Some(budget::MEMORY_MIB),
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it connections",
                 (memory_of_connections, "MiB"),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "descriptors",
                 (self.node("descriptors")?, ""),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "bytes without headers",
-                (kib(engines + list + peers), "kB/s"),
+                (kilobytes(engines + list + peers), "kB/s"),
                 Some(budget::KILOBYTES_PER_SECOND),
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it pings of connections",
-                (kib(engines), "kB/s"),
+                (kilobytes(engines), "kB/s"),
                 None,
-                part,
+                basis,
+            ),
+            row(
+                role,
+                "- of it peers",
+                (kilobytes(peers), "kB/s"),
+                None,
+                basis,
+            ),
+            row(
+                role,
+                "- of it the list",
+                (kilobytes(list), "kB/s"),
+                None,
+                basis,
             ),
-            row(role, "- of it peers", (kib(peers), "kB/s"), None, part),
-            row(role, "- of it the list", (kib(list), "kB/s"), None, part),
             row(
                 role,
                 "bytes with headers",
-                (kib(engines_wire + list_wire + peers_wire), "kB/s"),
+                (kilobytes(engines_wire + list_wire + peers_wire), "kB/s"),
                 Some(budget::KILOBYTES_PER_SECOND),
                 Basis::Calculated,
             ),
@@ -253,7 +268,7 @@
                 "messages to and from engines",
                 (self.messages("engines")?, "/s"),
                 None,
-                part,
+                basis,
             ),
         ])
     }
@@ -263,11 +278,11 @@
             + self.node(&format!("{part}.messages_out"))?)
     }
 
-    /// What requests take beside control: the growth by requests alone.
+    /// Resource use of requests in addition to control traffic: only the growth with the rate of requests.
     fn node_requests(&self) -> Result<Vec<Row>, CapacityError> {
         let role = "node, requests";
         let rate = self.target.rate_per_node();
-        let part = Basis::Extrapolated;
+        let basis = Basis::Extrapolated;
         let of = |name: &str| {
             Ok::<f64, CapacityError>(
                 slope(self.measurements, Quantity::Requests, "real", name)? * rate,
@@ -281,61 +296,61 @@
                 "processor",
                 (of("core_percent")?, PERCENT),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it decisions",
                 (of("module.busy_percent")?, PERCENT),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it the driver",
                 (of("driver.busy_percent")?, PERCENT),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it clients' connections",
                 (of("clients.busy_percent")?, PERCENT),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "- of it engines' connections",
                 (of("engines.busy_percent")?, PERCENT),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "memory",
                 (of("resident_kib")? / 1_024.0, "MiB"),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "bytes to and from clients",
                 (clients / 1_000.0, "kB/s"),
                 None,
-                part,
+                basis,
             ),
             row(
                 role,
                 "bytes to and from engines",
                 (engines / 1_000.0, "kB/s"),
                 None,
-                part,
+                basis,
             ),
         ])
     }
 
-    /// What an engine's end of the nodes' connections takes, and its registration.
+    /// Resource use of an engine for its ends of the nodes' connections and for its registration.
     fn engine(&self) -> Result<Vec<Row>, CapacityError> {
         let role = "engine, control";
         let nodes = self.target.nodes;
@@ -347,7 +362,8 @@
         usage(role, of)
     }
 
-    /// What the list's store takes. Each change goes to every node, so that slope grows with them.
+    /// Resource use of the store of the engine list. Each change is sent to every node, so the cost of a change is
+    /// proportional to the number of nodes.
     fn store(&self) -> Result<Vec<Row>, CapacityError> {
         let role = "store";
         let target = self.target;
@@ -374,7 +390,7 @@
         Ok(rows)
     }
 
-    /// How long things take, as the whole run saw them.
+    /// Durations of operations, as measured in the whole run.
     fn times(&self) -> Result<Vec<Row>, CapacityError> {
         let took = |part: &str, what: &str| {
             let missing = || CapacityError::Missing {
--- a/crates/ivyward-testbed/src/capacity/table.rs
+++ b/crates/ivyward-testbed/src/capacity/table.rs
@@ -1,8 +1,8 @@
-//! Rows as Markdown.
+//! Prints rows as Markdown.
 
 use crate::capacity::rows::{Basis, Row};
 
-/// A number with as many digits as it is good for.
+/// Formats a number with about three significant digits.
 fn number(value: f64) -> String {
     match value.abs() {
         v if v >= 100.0 => format!("{value:.0}"),
@@ -24,7 +24,7 @@
     let budget = row.budget.map_or("-".to_owned(), |budget| {
         format!("{} {}", number(budget), row.unit)
     });
-    let over = match row.over_budget() {
+    let over = match row.budget_ratio() {
         Some(over) if over > 1.0 => format!("**{} times over**", number(over)),
         Some(_) => "within".to_owned(),
         None => "-".to_owned(),
@@ -39,17 +39,17 @@
     )
 }
 
-/// The table of all rows.
+/// Table of all rows.
 pub fn markdown(rows: &[Row]) -> String {
     let head = "| role | figure | at this size | budget | | basis |\n| --- | --- | --- | --- | --- | --- |\n";
     head.to_owned() + &rows.iter().map(line).collect::<String>()
 }
 
-/// The rows that are over their budgets, the farthest first.
+/// Numbered list of the rows that exceed their budgets, the highest ratio to the budget first.
 pub fn ranking(rows: &[Row]) -> String {
     let mut over: Vec<(f64, &Row)> = rows
         .iter()
-        .filter_map(|row| Some((row.over_budget()?, row)))
+        .filter_map(|row| Some((row.budget_ratio()?, row)))
         .filter(|(over, _)| *over > 1.0)
         .collect();
     over.sort_by(|a, b| b.0.total_cmp(&a.0));
