--- a/crates/ivyward-testbed/src/capacity/chart.rs
+++ b/crates/ivyward-testbed/src/capacity/chart.rs
@@ -1,4 +1,4 @@
-//! Cost over size for each role, as SVG.
+//! Draws resource use over size for each role, as SVG.
 
 use crate::capacity::measurements::Measurements;
 use crate::capacity::model::fit;
@@ -7,30 +7,30 @@
 use crate::scale::sweep::Quantity;
 use plotters::prelude::*;
 
-/// Width and height of the whole picture.
+/// Width and height of the image, in pixels.
 const SIZE: (u32, u32) = (1_080, 620);
 
-/// One panel: a figure of a role over a quantity.
+/// One diagram of the chart: a figure of a role over a quantity.
 struct Panel {
     title: &'static str,
     role: &'static str,
     figure: &'static str,
     quantity: Quantity,
-    /// What the figure is divided by.
+    /// Divisor that converts the figure to the unit of the panel.
     scale: f64,
-    /// Up to which size the line is drawn.
-    until: f64,
+    /// Largest size for which the line is drawn.
+    max_size: f64,
     budget: Option<f64>,
 }
 
 fn panels(target: &Target) -> [Panel; 6] {
-    let panel = |title, role, figure, quantity, scale, until| Panel {
+    let panel = |title, role, figure, quantity, scale, max_size| Panel {
         title,
         role,
         figure,
         quantity,
         scale,
-        until,
+        max_size,
         budget: None,
     };
     let engines = target.engines;
@@ -89,10 +89,10 @@
     ]
 }
 
-/// Draws all panels.
+/// Draws all panels and returns the SVG text.
 ///
 /// # Errors
-/// When a figure was not kept, or the picture cannot be drawn.
+/// When the results lack a figure, or the chart cannot be drawn.
 pub fn svg(measurements: &Measurements, target: &Target) -> Result<String, CapacityError> {
     let mut text = String::new();
     {
@@ -125,18 +125,18 @@
         }
     }
     let at = |size: f64| line.at(size) / panel.scale;
-    let most_x = points.iter().map(|p| p.0).fold(panel.until, f64::max);
-    let most_y = points
+    let max_x = points.iter().map(|p| p.0).fold(panel.max_size, f64::max);
+    let max_y = points
         .iter()
         .map(|p| p.1)
-        .fold(at(most_x), f64::max)
+        .fold(at(max_x), f64::max)
         .max(panel.budget.unwrap_or(0.0));
     let mut chart = ChartBuilder::on(area)
         .margin(10)
         .caption(panel.title, ("sans-serif", 14))
         .x_label_area_size(24)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..most_x * 1.05, 0.0..most_y * 1.15)
+        .build_cartesian_2d(0.0..max_x * 1.05, 0.0..max_y * 1.15)
         .map_err(|e| error(&e))?;
     chart
         .configure_mesh()
@@ -145,13 +145,13 @@
         .light_line_style(WHITE)
         .draw()
         .map_err(|e| error(&e))?;
-    let fitted = LineSeries::new([(0.0, at(0.0).max(0.0)), (most_x, at(most_x))], &BLUE);
+    let fitted = LineSeries::new([(0.0, at(0.0).max(0.0)), (max_x, at(max_x))], &BLUE);
     chart.draw_series(fitted).map_err(|e| error(&e))?;
-    if let Some(most) = panel.budget {
-        let limit = LineSeries::new([(0.0, most), (most_x, most)], &RED);
+    if let Some(budget) = panel.budget {
+        let limit = LineSeries::new([(0.0, budget), (max_x, budget)], &RED);
         chart.draw_series(limit).map_err(|e| error(&e))?;
     }
-    // Filled: the line goes through them. Open: left out of it.
+    // Filled points are used for the fit; open ones are left out of it.
     let dots = points.iter().map(|(x, y, left_out)| {
         let style = if *left_out {
             BLACK.stroke_width(1)
--- a/crates/ivyward-testbed/src/capacity/command.rs
+++ b/crates/ivyward-testbed/src/capacity/command.rs
@@ -1,4 +1,4 @@
-//! The `capacity` subcommand.
+//! Flags and output of the `capacity` subcommand.
 
 use crate::capacity::measurements::Measurements;
 use crate::capacity::rows::{rows, Row};
@@ -7,30 +7,30 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// The flags of `capacity`.
+/// Flags of the `capacity` subcommand.
 #[derive(Debug, clap::Args)]
 pub struct CapacityFlags {
     #[command(flatten)]
     target: Target,
-    /// What scale runs kept: a file for each quantity, and one for a whole run.
+    /// Folder with the results of scale runs: a file for each quantity, and `run.json` for a whole run.
     #[arg(long, value_name = "FOLDER", default_value = "docs/capacity")]
     slopes: PathBuf,
-    /// Prints JSON instead of Markdown.
+    /// Print JSON instead of Markdown.
     #[arg(long)]
     json: bool,
-    /// Draws cost over size for each role in this file, as SVG.
+    /// Write a chart to this file, as SVG: resource use over size for each role.
     #[arg(long, value_name = "FILE")]
     chart: Option<PathBuf>,
 }
 
-/// What is printed as JSON.
+/// The JSON output.
 #[derive(Serialize)]
 struct Answer<'a> {
     size: &'a Target,
     rows: &'a [Row],
 }
 
-/// The tables as Markdown: all rows, and those over their budgets by how far.
+/// Formats the table of all rows, and the list of those that exceed their budgets, as Markdown.
 pub fn markdown(rows: &[Row]) -> String {
     format!(
         "{}\nOver budget, the farthest first:\n\n{}",
@@ -40,10 +40,11 @@
 }
 
 impl CapacityFlags {
-    /// What is to be printed; the chart is written where one was asked for.
+    /// Returns the text to print, and writes the chart if a file was given for it.
     ///
     /// # Errors
-    /// When what was kept cannot be read or lacks a figure, or the size cannot be.
+    /// When the results of scale runs cannot be read or lack a figure, the size is invalid, or the chart cannot be drawn or
+    /// written.
     pub fn answer(&self) -> Result<String, CapacityError> {
         let measurements = Measurements::load(&self.slopes)?;
         let rows = rows(&measurements, &self.target)?;
