--- a/crates/ivyward-testbed/src/scale/stub.rs
+++ b/crates/ivyward-testbed/src/scale/stub.rs
@@ -25,8 +25,8 @@
 /// Time between two output tokens of an engine, in microseconds: the 26 ms of the planned deployment.
 const TOKEN_INTERVAL_US: u64 = 26_000;
 
-/// Starts each simulated process on a runtime of its own, so that the store can crash and restart. One meter counts the
-/// traffic of all of them.
+/// Starts each fake process on a runtime with threads of its own, so that the store can crash and restart. One meter
+/// counts the traffic of all of them.
 struct MeteredThreads(Arc<Meter>);
 
 impl Host for MeteredThreads {
@@ -66,7 +66,7 @@
     (0..count).map(tenant).collect()
 }
 
-/// Returns `count` request classes with the settings of the first class of the simulation runs.
+/// Returns `count` request classes with the settings of the first class of [`classes`].
 pub fn request_classes(count: u64) -> Vec<Class> {
     let Some(template) = classes().into_iter().next() else {
         return Vec::new();
