--- a/crates/ivyward-testbed/src/drain_latency.rs
+++ b/crates/ivyward-testbed/src/drain_latency.rs
@@ -283,7 +283,7 @@
             known(0).await;
             as_ref.now() - began
         });
-        // One change before the measurement makes sure that the watch is established.
+        // One change goes first, so that the watch is established before the changes that are timed.
         let first = store.put(&key(1), &record(1, "draining"));
         runtime.block_on(known(first));
         let m = node.metrics();
