--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -209,18 +209,18 @@
     }
     /// Changes what the network does from now on.
     pub fn update_network(&self, change: impl FnOnce(&mut NetworkConfig)) {
-        change(&mut self.0.lock().net.ways);
+        change(&mut self.0.lock().net.config);
     }
     /// Sets an extra latency, in microseconds, of streams between two hosts, in each direction.
     pub fn set_extra_latency(&self, one: HostId, other: HostId, longer: Micros) {
         let mut state = self.0.lock();
-        state.net.lag(one, other, longer);
-        state.net.lag(other, one, longer);
+        state.net.set_extra_latency(one, other, longer);
+        state.net.set_extra_latency(other, one, longer);
     }
     /// Cuts or mends the way from one host to another, in that direction alone. What is under way then waits, as it
     /// would for TCP's next try.
     pub fn set_partitioned(&self, from: HostId, to: HostId, on: bool) {
-        self.wake(|state| state.net.cut(from, to, on));
+        self.wake(|state| state.net.set_partitioned(from, to, on));
     }
     /// Pauses a process or resumes it. A paused process keeps its sockets and runs no task.
     pub fn set_paused(&self, host: HostId, on: bool) {
@@ -245,7 +245,7 @@
             }
             state.note(3, host as u64, &[u8::from(word)]);
         }
-        self.wake(|state| state.net.die(host, word, state.now));
+        self.wake(|state| state.net.kill_host(host, word, state.now));
         // Outside of the lock: what is dropped closes sockets and timers.
         self.0.tasks.kill(host);
     }
@@ -301,7 +301,7 @@
         net::listen(self.inner.clone(), self.id, at)
     }
     fn bind_datagram(&self, at: SocketAddr) -> std::io::Result<Box<dyn DatagramSocket>> {
-        net::datagrams(self.inner.clone(), self.id, at)
+        net::bind_datagram(self.inner.clone(), self.id, at)
     }
     fn random(&self) -> u64 {
         self.inner.lock().hosts[self.id].random.next_u64()
--- a/crates/ivyward-sim/src/net.rs
+++ b/crates/ivyward-sim/src/net.rs
@@ -1,4 +1,4 @@
-//! The virtual network: byte streams between hosts, with what happens to them on the way.
+//! The virtual network: byte streams and datagrams between hosts, with latency, loss, partial reads and partitions.
 
 use crate::{HostId, Inner, State};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -47,90 +47,91 @@
     }
 }
 
-/// Ports are given out from here on.
+/// First port that is assigned to a listener or socket bound to port 0; ports are not reused.
 const FIRST_PORT: u16 = 20_000;
-/// Connections that may wait to be accepted; one more is refused.
+/// Maximum number of connections that wait to be accepted by a listener; a further one is refused.
 const BACKLOG: usize = 1_024;
 
-/// Datagrams that wait at a socket; one more is lost.
-const POST: usize = 256;
+/// Maximum number of datagrams queued at a socket; a further one is lost.
+const MAX_QUEUED_DATAGRAMS: usize = 256;
 
-/// Bytes on their way from one side of a connection to the other.
+/// One direction of a connection: the bytes in transit or unread, and how the direction ends.
 #[derive(Default)]
-struct Way {
+struct Direction {
+    /// Time of arrival and bytes of each write, in order.
     chunks: VecDeque<(Micros, Vec<u8>)>,
-    /// Bytes in `chunks`.
+    /// Total number of bytes in `chunks`, limited by `NetworkConfig::buffer_bytes`.
     waiting: usize,
-    /// When the last piece arrives; the next is no earlier.
+    /// Arrival time of the most recently written chunk; the next chunk arrives no earlier.
     last: Micros,
-    /// The writer closed: the end arrives then.
+    /// Arrival time of the end of the stream, set when the writer closes.
     end: Option<Micros>,
-    /// The connection is broken for the reader from then on.
+    /// Time from which the reader gets a connection reset.
     reset: Option<Micros>,
-    /// Its reader is gone without a word: nothing is taken out any more.
-    deaf: bool,
+    /// The reading host died without sending resets, so nothing is read any more.
+    reader_lost: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
-struct Pair {
-    /// Who opened it, and who took it.
+struct ConnectionState {
+    /// The host that connected and the host that accepted; the index is the side.
     hosts: [HostId; 2],
-    /// From each side to the other.
-    ways: [Way; 2],
-    /// Sides that are there no more.
+    /// The direction from each side to the other, indexed by the writing side.
+    directions: [Direction; 2],
+    /// Sides whose stream was dropped or whose host died.
     closed: [bool; 2],
-    /// The door that it was opened at.
-    door: SocketAddr,
+    /// Address of the listener that accepted the connection.
+    listener: SocketAddr,
 }
 
-struct Door {
+struct ListenerState {
     host: HostId,
     waiting: VecDeque<u64>,
     waker: Option<Waker>,
 }
 
-/// A socket for datagrams.
-struct Post {
+/// State of a datagram socket.
+struct DatagramSocketState {
     host: HostId,
-    /// By when they arrive: a later one may overtake.
+    /// Ordered by time of arrival, so that a datagram may overtake one that was sent earlier.
     waiting: BTreeMap<(Micros, u64), (Vec<u8>, SocketAddr)>,
     waker: Option<Waker>,
 }
 
 pub(crate) struct Network {
-    pub(crate) ways: NetworkConfig,
-    posts: BTreeMap<SocketAddr, Post>,
+    pub(crate) config: NetworkConfig,
+    datagram_sockets: BTreeMap<SocketAddr, DatagramSocketState>,
     next_datagram: u64,
-    doors: BTreeMap<SocketAddr, Door>,
-    pairs: BTreeMap<u64, Pair>,
-    cuts: BTreeSet<(HostId, HostId)>,
-    /// What the way from one host to another takes longer than others.
-    lags: BTreeMap<(HostId, HostId), Micros>,
-    /// Those who dial over a cut.
-    dialing: Vec<Waker>,
-    next_pair: u64,
+    listeners: BTreeMap<SocketAddr, ListenerState>,
+    connections: BTreeMap<u64, ConnectionState>,
+    partitions: BTreeSet<(HostId, HostId)>,
+    /// Extra latency of streams from one host to another.
+    extra_latencies: BTreeMap<(HostId, HostId), Micros>,
+    /// Wakers of connection attempts that wait for a partition to be lifted.
+    connecting: Vec<Waker>,
+    next_connection: u64,
     next_port: u16,
 }
 
 impl Network {
-    pub(crate) fn new(ways: NetworkConfig) -> Network {
+    pub(crate) fn new(config: NetworkConfig) -> Network {
         Network {
-            ways,
-            posts: BTreeMap::new(),
+            config,
+            datagram_sockets: BTreeMap::new(),
             next_datagram: 0,
-            doors: BTreeMap::new(),
-            pairs: BTreeMap::new(),
-            cuts: BTreeSet::new(),
-            lags: BTreeMap::new(),
-            dialing: Vec::new(),
-            next_pair: 1,
+            listeners: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            extra_latencies: BTreeMap::new(),
+            connecting: Vec::new(),
+            next_connection: 1,
             next_port: FIRST_PORT,
         }
     }
 
-    /// The address itself, or with a port that nobody had where it names none.
-    fn free(&mut self, mut at: SocketAddr) -> Result<SocketAddr> {
+    /// Returns `at`, with a port that was never assigned before if its port is 0.
+    fn assign_port(&mut self, mut at: SocketAddr) -> Result<SocketAddr> {
         if at.port() == 0 {
             let port = self.next_port;
             self.next_port = port.checked_add(1).ok_or(ErrorKind::AddrNotAvailable)?;
@@ -139,61 +140,63 @@
         Ok(at)
     }
 
-    pub(crate) fn lag(&mut self, from: HostId, to: HostId, longer: Micros) {
-        self.lags.insert((from, to), longer);
+    pub(crate) fn set_extra_latency(&mut self, from: HostId, to: HostId, extra: Micros) {
+        self.extra_latencies.insert((from, to), extra);
     }
 
-    /// What streams take from one host to another.
+    /// Returns the one-way latency of streams from one host to another, without jitter.
     fn latency(&self, from: HostId, to: HostId) -> Micros {
-        self.ways.latency + self.lags.get(&(from, to)).copied().unwrap_or(0)
+        self.config.latency + self.extra_latencies.get(&(from, to)).copied().unwrap_or(0)
     }
 
-    /// Whoever may find something changed is woken.
-    pub(crate) fn cut(&mut self, from: HostId, to: HostId, on: bool) -> Vec<Waker> {
+    /// Starts or ends a partition in one direction. Returns the wakers of the tasks that it may affect.
+    pub(crate) fn set_partitioned(&mut self, from: HostId, to: HostId, on: bool) -> Vec<Waker> {
         match on {
-            true => drop(self.cuts.insert((from, to))),
-            false => drop(self.cuts.remove(&(from, to))),
+            true => drop(self.partitions.insert((from, to))),
+            false => drop(self.partitions.remove(&(from, to))),
         }
         let readers = self
-            .pairs
+            .connections
             .values_mut()
-            .flat_map(|p| p.ways.iter_mut().filter_map(|w| w.reader.take()));
-        readers.chain(self.dialing.drain(..)).collect()
+            .flat_map(|c| c.directions.iter_mut().filter_map(|d| d.reader.take()));
+        readers.chain(self.connecting.drain(..)).collect()
     }
 
-    /// A host ends. With a word, its peers' connections are reset; without, they hear nothing.
-    pub(crate) fn die(&mut self, host: HostId, word: bool, now: Micros) -> Vec<Waker> {
-        self.doors.retain(|_, door| door.host != host);
-        self.posts.retain(|_, post| post.host != host);
+    /// Removes the sockets of a dead host. If `send_resets` is set, its peers' connections are reset;
+    /// otherwise the peers get no notification. Returns the wakers of the tasks that this affects.
+    pub(crate) fn kill_host(&mut self, host: HostId, send_resets: bool, now: Micros) -> Vec<Waker> {
+        self.listeners.retain(|_, listener| listener.host != host);
+        self.datagram_sockets
+            .retain(|_, socket| socket.host != host);
         let mut wakers = Vec::new();
-        let after = now + self.ways.latency;
-        for pair in self.pairs.values_mut() {
+        let after = now + self.config.latency;
+        for connection in self.connections.values_mut() {
             for side in 0..2 {
-                if pair.hosts[side] != host || pair.closed[side] {
+                if connection.hosts[side] != host || connection.closed[side] {
                     continue;
                 }
-                pair.closed[side] = true;
+                connection.closed[side] = true;
                 let (out, inward) = (side, 1 - side);
-                if word {
-                    pair.ways[out].reset.get_or_insert(after);
+                if send_resets {
+                    connection.directions[out].reset.get_or_insert(after);
                 } else {
-                    pair.ways[inward].deaf = true;
+                    connection.directions[inward].reader_lost = true;
                 }
-                wakers.extend(pair.ways[out].reader.take());
-                wakers.extend(pair.ways[inward].writer.take());
+                wakers.extend(connection.directions[out].reader.take());
+                wakers.extend(connection.directions[inward].writer.take());
             }
         }
         wakers
     }
 }
 
-fn broken() -> Error {
+fn connection_reset() -> Error {
     ErrorKind::ConnectionReset.into()
 }
 
-/// Waits for a span, in a way that does not hold the lock.
-fn pause(inner: &Arc<Inner>, span: Micros) -> BoxFuture<()> {
-    let at = inner.lock().now.saturating_add(span);
+/// Returns a timer for `duration` from now; the lock is not held while it waits.
+fn sleep(inner: &Arc<Inner>, duration: Micros) -> BoxFuture<()> {
+    let at = inner.lock().now.saturating_add(duration);
     Box::pin(crate::Timer {
         inner: inner.clone(),
         at,
@@ -203,41 +206,43 @@
 
 pub(crate) fn connect(inner: Arc<Inner>, from: HostId, to: SocketAddr) -> BoxFuture<Result<Conn>> {
     Box::pin(async move {
-        // Whose door it is, or was last, decides which way the first packet goes.
+        // The host that listens at the address determines the latency; without a listener, `from` itself stands in.
         let (there, back) = {
             let net = &inner.lock().net;
-            let host = net.doors.get(&to).map_or(from, |d| d.host);
+            let host = net.listeners.get(&to).map_or(from, |l| l.host);
             (net.latency(from, host), net.latency(host, from))
         };
-        pause(&inner, there).await;
+        sleep(&inner, there).await;
         let opened = poll_fn(|cx| {
             let mut state = inner.lock();
-            let Some(host) = state.net.doors.get(&to).map(|d| d.host) else {
+            let Some(host) = state.net.listeners.get(&to).map(|l| l.host) else {
                 return Poll::Ready(Err(Error::from(ErrorKind::ConnectionRefused)));
             };
-            if state.net.cuts.contains(&(from, host)) || state.net.cuts.contains(&(host, from)) {
-                state.net.dialing.push(cx.waker().clone());
+            if state.net.partitions.contains(&(from, host))
+                || state.net.partitions.contains(&(host, from))
+            {
+                state.net.connecting.push(cx.waker().clone());
                 return Poll::Pending;
             }
-            let id = state.net.next_pair;
-            state.net.next_pair += 1;
-            let (hosts, ways) = ([from, host], [Way::default(), Way::default()]);
-            state.net.pairs.insert(
+            let id = state.net.next_connection;
+            state.net.next_connection += 1;
+            let (hosts, directions) = ([from, host], [Direction::default(), Direction::default()]);
+            state.net.connections.insert(
                 id,
-                Pair {
+                ConnectionState {
                     hosts,
-                    ways,
+                    directions,
                     closed: [false; 2],
-                    door: to,
+                    listener: to,
                 },
             );
-            let waker = match state.net.doors.get_mut(&to) {
-                Some(door) if door.waiting.len() < BACKLOG => {
-                    door.waiting.push_back(id);
-                    door.waker.take()
+            let waker = match state.net.listeners.get_mut(&to) {
+                Some(listener) if listener.waiting.len() < BACKLOG => {
+                    listener.waiting.push_back(id);
+                    listener.waker.take()
                 }
                 _ => {
-                    state.net.pairs.remove(&id);
+                    state.net.connections.remove(&id);
                     return Poll::Ready(Err(Error::from(ErrorKind::ConnectionRefused)));
                 }
             };
@@ -249,59 +254,59 @@
         .await?;
         let stream = Stream {
             inner: inner.clone(),
-            pair: opened,
+            connection: opened,
             side: 0,
-            hard: false,
+            reset_on_drop: false,
         };
-        pause(&inner, back).await;
+        sleep(&inner, back).await;
         Ok(Box::new(stream) as Conn)
     })
 }
 
 pub(crate) fn listen(inner: Arc<Inner>, host: HostId, at: SocketAddr) -> Result<Box<dyn Listener>> {
     let mut state = inner.lock();
-    let address = state.net.free(at)?;
-    if state.net.doors.contains_key(&address) {
+    let address = state.net.assign_port(at)?;
+    if state.net.listeners.contains_key(&address) {
         return Err(ErrorKind::AddrInUse.into());
     }
-    state.net.doors.insert(
+    state.net.listeners.insert(
         address,
-        Door {
+        ListenerState {
             host,
             waiting: VecDeque::new(),
             waker: None,
         },
     );
     drop(state);
-    Ok(Box::new(Opened {
+    Ok(Box::new(VirtualListener {
         inner,
         address,
         host,
     }))
 }
 
-struct Opened {
+struct VirtualListener {
     inner: Arc<Inner>,
     address: SocketAddr,
     host: HostId,
 }
 
-impl Listener for Opened {
+impl Listener for VirtualListener {
     fn accept(&mut self) -> BorrowedFuture<'_, Result<(Conn, SocketAddr)>> {
         Box::pin(poll_fn(|cx| {
             let mut state = self.inner.lock();
-            let Some(door) = state.net.doors.get_mut(&self.address) else {
+            let Some(listener) = state.net.listeners.get_mut(&self.address) else {
                 return Poll::Ready(Err(ErrorKind::NotConnected.into()));
             };
-            let Some(pair) = door.waiting.pop_front() else {
-                door.waker = Some(cx.waker().clone());
+            let Some(connection) = listener.waiting.pop_front() else {
+                listener.waker = Some(cx.waker().clone());
                 return Poll::Pending;
             };
             let conn: Conn = Box::new(Stream {
                 inner: self.inner.clone(),
-                pair,
+                connection,
                 side: 1,
-                hard: false,
+                reset_on_drop: false,
             });
             Poll::Ready(Ok((conn, self.address)))
         }))
@@ -311,90 +316,96 @@
     }
 }
 
-impl Drop for Opened {
+impl Drop for VirtualListener {
     fn drop(&mut self) {
         let mut state = self.inner.lock();
-        // A dead host's door is gone, and may be another's by now.
+        // The listener of a dead host was already removed, and another host may listen at the address by now.
         if state
             .net
-            .doors
+            .listeners
             .get(&self.address)
-            .is_some_and(|d| d.host == self.host)
+            .is_some_and(|l| l.host == self.host)
         {
-            let door = state.net.doors.remove(&self.address);
+            let listener = state.net.listeners.remove(&self.address);
             drop(state);
-            drop(door);
+            drop(listener);
         }
     }
 }
 
-pub(crate) fn datagrams(
+pub(crate) fn bind_datagram(
     inner: Arc<Inner>,
     host: HostId,
     at: SocketAddr,
 ) -> Result<Box<dyn DatagramSocket>> {
     let mut state = inner.lock();
-    let address = state.net.free(at)?;
-    if state.net.posts.contains_key(&address) {
+    let address = state.net.assign_port(at)?;
+    if state.net.datagram_sockets.contains_key(&address) {
         return Err(ErrorKind::AddrInUse.into());
     }
-    state.net.posts.insert(
+    state.net.datagram_sockets.insert(
         address,
-        Post {
+        DatagramSocketState {
             host,
             waiting: BTreeMap::new(),
             waker: None,
         },
     );
     drop(state);
-    Ok(Box::new(Mail {
+    Ok(Box::new(VirtualDatagramSocket {
         inner,
         host,
         address,
     }))
 }
 
-struct Mail {
+struct VirtualDatagramSocket {
     inner: Arc<Inner>,
     host: HostId,
     address: SocketAddr,
 }
 
-impl DatagramSocket for Mail {
+impl DatagramSocket for VirtualDatagramSocket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> Result<()> {
         let mut state = self.inner.lock();
-        let (now, ways) = (state.now, state.net.ways);
-        let Some(host) = state.net.posts.get(&to).map(|p| p.host) else {
+        let (now, config) = (state.now, state.net.config);
+        let Some(host) = state.net.datagram_sockets.get(&to).map(|s| s.host) else {
             return Ok(());
         };
-        if state.net.cuts.contains(&(self.host, host))
-            || state.random.random_bool(ways.datagram_loss.clamp(0.0, 1.0))
+        if state.net.partitions.contains(&(self.host, host))
+            || state
+                .random
+                .random_bool(config.datagram_loss.clamp(0.0, 1.0))
         {
             return Ok(());
         }
         let copies = 1 + usize::from(
             state
                 .random
-                .random_bool(ways.datagram_duplication.clamp(0.0, 1.0)),
+                .random_bool(config.datagram_duplication.clamp(0.0, 1.0)),
         );
         for _ in 0..copies {
-            let jitter = if ways.jitter > 0 {
-                state.random.random_range(0..=ways.jitter)
+            let jitter = if config.jitter > 0 {
+                state.random.random_range(0..=config.jitter)
             } else {
                 0
             };
             state.net.next_datagram += 1;
-            let key = (now + ways.latency + jitter, state.net.next_datagram);
-            if let Some(post) = state
+            let key = (now + config.latency + jitter, state.net.next_datagram);
+            if let Some(socket) = state
                 .net
-                .posts
+                .datagram_sockets
                 .get_mut(&to)
-                .filter(|p| p.waiting.len() < POST)
+                .filter(|s| s.waiting.len() < MAX_QUEUED_DATAGRAMS)
             {
-                post.waiting.insert(key, (bytes.to_vec(), self.address));
+                socket.waiting.insert(key, (bytes.to_vec(), self.address));
             }
         }
-        let waker = state.net.posts.get_mut(&to).and_then(|p| p.waker.take());
+        let waker = state
+            .net
+            .datagram_sockets
+            .get_mut(&to)
+            .and_then(|s| s.waker.take());
         drop(state);
         waker.into_iter().for_each(Waker::wake);
         Ok(())
@@ -406,12 +417,12 @@
         Box::pin(poll_fn(move |cx| {
             let mut state = self.inner.lock();
             let now = state.now;
-            let Some(post) = state.net.posts.get_mut(&self.address) else {
+            let Some(socket) = state.net.datagram_sockets.get_mut(&self.address) else {
                 return Poll::Ready(Err(ErrorKind::NotConnected.into()));
             };
-            match post.waiting.first_key_value().map(|(key, _)| key.0) {
+            match socket.waiting.first_key_value().map(|(key, _)| key.0) {
                 Some(at) if at <= now => {
-                    let Some((_, (bytes, from))) = post.waiting.pop_first() else {
+                    let Some((_, (bytes, from))) = socket.waiting.pop_first() else {
                         return Poll::Pending;
                     };
                     let got = bytes.len().min(into.len());
@@ -420,7 +431,7 @@
                     Poll::Ready(Ok((got, from)))
                 }
                 next => {
-                    post.waker = Some(cx.waker().clone());
+                    socket.waker = Some(cx.waker().clone());
                     if let Some(at) = next {
                         state.at(at, cx.waker().clone());
                     }
@@ -434,83 +445,84 @@
     }
 }
 
-impl Drop for Mail {
+impl Drop for VirtualDatagramSocket {
     fn drop(&mut self) {
         let mut state = self.inner.lock();
         if state
             .net
-            .posts
+            .datagram_sockets
             .get(&self.address)
-            .is_some_and(|p| p.host == self.host)
+            .is_some_and(|s| s.host == self.host)
         {
-            let post = state.net.posts.remove(&self.address);
+            let socket = state.net.datagram_sockets.remove(&self.address);
             drop(state);
-            drop(post);
+            drop(socket);
         }
     }
 }
 
-/// One side of a connection.
+/// One side of a connection, as the host's tasks use it.
 struct Stream {
     inner: Arc<Inner>,
-    pair: u64,
+    connection: u64,
     side: usize,
-    /// Its end is a reset.
-    hard: bool,
+    /// Dropping the stream sends a reset instead of an orderly end.
+    reset_on_drop: bool,
 }
 
 impl Connection for Stream {
     fn reset_on_close(&mut self) {
-        self.hard = true;
+        self.reset_on_drop = true;
     }
     fn peer(&self) -> Arc<dyn Peer> {
-        Arc::new(OtherSide {
+        Arc::new(StreamPeer {
             inner: Arc::downgrade(&self.inner),
-            pair: self.pair,
+            connection: self.connection,
             side: self.side,
         })
     }
 }
 
-/// What a stream's other side does, looked at from beside the stream.
-struct OtherSide {
+/// Reports whether the other side of a stream disconnected, without reading from the stream.
+struct StreamPeer {
     inner: Weak<Inner>,
-    pair: u64,
+    connection: u64,
     side: usize,
 }
 
-impl Peer for OtherSide {
+impl Peer for StreamPeer {
     fn is_disconnected(&self) -> bool {
         let Some(inner) = self.inner.upgrade() else {
             return true;
         };
         let state = inner.lock();
-        let Some(pair) = state
+        let Some(connection) = state
             .net
-            .pairs
-            .get(&self.pair)
-            .filter(|p| !p.closed[self.side])
+            .connections
+            .get(&self.connection)
+            .filter(|c| !c.closed[self.side])
         else {
             return true;
         };
         let peer = 1 - self.side;
-        let way = &pair.ways[peer];
-        let came = |at: Option<Micros>| at.is_some_and(|at| at <= state.now);
-        let cut = state
+        let direction = &connection.directions[peer];
+        let arrived = |at: Option<Micros>| at.is_some_and(|at| at <= state.now);
+        let partitioned = state
             .net
-            .cuts
-            .contains(&(pair.hosts[peer], pair.hosts[self.side]));
-        !cut && (came(way.reset) || way.chunks.is_empty() && came(way.end))
+            .partitions
+            .contains(&(connection.hosts[peer], connection.hosts[self.side]));
+        !partitioned
+            && (arrived(direction.reset) || direction.chunks.is_empty() && arrived(direction.end))
     }
 }
 
-/// How many of `most` bytes are taken at once.
-fn piece(state: &mut State, most: usize) -> usize {
-    let pieces = state.net.ways.partial_io;
-    if most > 1 && pieces > 0.0 && state.random.random_bool(pieces.min(1.0)) {
-        return state.random.random_range(1..=most);
+/// Returns how many of `max` bytes a read or write transfers; `NetworkConfig::partial_io` makes it draw fewer.
+fn transfer_len(state: &mut State, max: usize) -> usize {
+    let partial_io = state.net.config.partial_io;
+    if max > 1 && partial_io > 0.0 && state.random.random_bool(partial_io.min(1.0)) {
+        return state.random.random_range(1..=max);
     }
-    most
+    max
 }
 
 impl AsyncRead for Stream {
@@ -521,46 +533,54 @@
     ) -> Poll<Result<usize>> {
         let mut state = self.inner.lock();
         let now = state.now;
-        let most = piece(&mut state, buf.len());
+        let max = transfer_len(&mut state, buf.len());
         let peer = 1 - self.side;
-        let Some(hosts) = state.net.pairs.get(&self.pair).map(|p| p.hosts) else {
-            return Poll::Ready(Err(broken()));
+        let Some(hosts) = state.net.connections.get(&self.connection).map(|c| c.hosts) else {
+            return Poll::Ready(Err(connection_reset()));
         };
-        let cut = state.net.cuts.contains(&(hosts[peer], hosts[self.side]));
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
-            return Poll::Ready(Err(broken()));
+        let partitioned = state
+            .net
+            .partitions
+            .contains(&(hosts[peer], hosts[self.side]));
+        let Some(connection) = state.net.connections.get_mut(&self.connection) else {
+            return Poll::Ready(Err(connection_reset()));
         };
-        let way = &mut pair.ways[peer];
-        // The earliest thing that arrives: bytes, a reset, the end.
-        if !cut && way.reset.is_some_and(|at| at <= now) {
-            return Poll::Ready(Err(broken()));
+        let direction = &mut connection.directions[peer];
+        // A reset that has arrived comes before bytes, and bytes before the end of the stream.
+        if !partitioned && direction.reset.is_some_and(|at| at <= now) {
+            return Poll::Ready(Err(connection_reset()));
         }
-        if !cut && way.chunks.front().is_some_and(|c| c.0 <= now) {
+        if !partitioned && direction.chunks.front().is_some_and(|c| c.0 <= now) {
             let mut got = 0;
-            if let Some((_, bytes)) = way.chunks.front_mut() {
-                got = bytes.len().min(most);
+            if let Some((_, bytes)) = direction.chunks.front_mut() {
+                got = bytes.len().min(max);
                 buf[..got].copy_from_slice(&bytes[..got]);
                 bytes.drain(..got);
                 if bytes.is_empty() {
-                    way.chunks.pop_front();
+                    direction.chunks.pop_front();
                 }
             }
-            way.waiting -= got;
-            let writer = way.writer.take();
-            let (pair, side) = (self.pair, self.side as u64);
-            state.note(5, pair * 2 + side, &buf[..got]);
+            direction.waiting -= got;
+            let writer = direction.writer.take();
+            let (connection, side) = (self.connection, self.side as u64);
+            state.note(5, connection * 2 + side, &buf[..got]);
             drop(state);
             writer.into_iter().for_each(Waker::wake);
             return Poll::Ready(Ok(got));
         }
-        if !cut && way.chunks.is_empty() && way.end.is_some_and(|at| at <= now) {
+        if !partitioned && direction.chunks.is_empty() && direction.end.is_some_and(|at| at <= now)
+        {
             return Poll::Ready(Ok(0));
         }
-        way.reader = Some(cx.waker().clone());
-        // Woken when it arrives; over a cut, when that is mended.
-        let next = [way.chunks.front().map(|c| c.0), way.reset, way.end];
+        direction.reader = Some(cx.waker().clone());
+        // Wakes the reader at the next arrival; during a partition, lifting the partition wakes it.
+        let next = [
+            direction.chunks.front().map(|c| c.0),
+            direction.reset,
+            direction.end,
+        ];
         let next = next.into_iter().flatten().filter(|at| *at > now).min();
-        if let Some(at) = next.filter(|_| !cut) {
+        if let Some(at) = next.filter(|_| !partitioned) {
             state.at(at, cx.waker().clone());
         }
         Poll::Pending
@@ -570,57 +590,61 @@
 impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         let mut state = self.inner.lock();
-        let (now, ways) = (state.now, state.net.ways);
-        let jitter = if ways.jitter > 0 {
-            state.random.random_range(0..=ways.jitter)
+        let (now, config) = (state.now, state.net.config);
+        let jitter = if config.jitter > 0 {
+            state.random.random_range(0..=config.jitter)
         } else {
             0
         };
-        let most = piece(&mut state, buf.len());
-        // The peer's process may have come back: its machine knows nothing of this connection.
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
-            return Poll::Ready(Err(broken()));
+        let max = transfer_len(&mut state, buf.len());
+        // The peer's process may have been restarted; its machine then knows nothing of this connection.
+        let Some(connection) = state.net.connections.get_mut(&self.connection) else {
+            return Poll::Ready(Err(connection_reset()));
         };
         let peer = 1 - self.side;
-        if pair.ways[peer].reset.is_some_and(|at| at <= now) {
-            return Poll::Ready(Err(broken()));
+        if connection.directions[peer]
+            .reset
+            .is_some_and(|at| at <= now)
+        {
+            return Poll::Ready(Err(connection_reset()));
         }
-        let peer_gone = pair.closed[peer];
-        let door = pair.door;
-        // A machine that is there again knows nothing of the connection, and says so.
-        let back = self.side == 0 && state.net.doors.contains_key(&door);
-        let Some(hosts) = state.net.pairs.get(&self.pair).map(|p| p.hosts) else {
-            return Poll::Ready(Err(broken()));
+        let peer_closed = connection.closed[peer];
+        let listener = connection.listener;
+        // If the address has a listener again, the peer's machine is back. It does not know this connection and
+        // answers with a reset.
+        let listening_again = self.side == 0 && state.net.listeners.contains_key(&listener);
+        let Some(hosts) = state.net.connections.get(&self.connection).map(|c| c.hosts) else {
+            return Poll::Ready(Err(connection_reset()));
         };
         let latency = state.net.latency(hosts[self.side], hosts[peer]);
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
-            return Poll::Ready(Err(broken()));
+        let Some(connection) = state.net.connections.get_mut(&self.connection) else {
+            return Poll::Ready(Err(connection_reset()));
         };
-        let way = &mut pair.ways[self.side];
-        if peer_gone && (!way.deaf || back) {
-            // Nobody is there to read: the answer is a reset, a way there and back later.
-            let at = now + 2 * ways.latency;
-            pair.ways[peer].reset.get_or_insert(at);
-            let reader = pair.ways[peer].reader.take();
+        let direction = &mut connection.directions[self.side];
+        if peer_closed && (!direction.reader_lost || listening_again) {
+            // The peer has closed: its reset arrives one round trip later.
+            let at = now + 2 * config.latency;
+            connection.directions[peer].reset.get_or_insert(at);
+            let reader = connection.directions[peer].reader.take();
             drop(state);
             reader.into_iter().for_each(Waker::wake);
             return Poll::Ready(Ok(buf.len()));
         }
-        let room = ways.buffer_bytes.saturating_sub(way.waiting);
-        if room == 0 {
-            way.writer = Some(cx.waker().clone());
+        let capacity = config.buffer_bytes.saturating_sub(direction.waiting);
+        if capacity == 0 {
+            direction.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        let put = most.min(room);
-        let carry = (put as u64 * 1_000_000)
-            .checked_div(ways.bytes_per_second)
+        let put = max.min(capacity);
+        let transmission = (put as u64 * 1_000_000)
+            .checked_div(config.bytes_per_second)
             .unwrap_or(0);
-        let at = (now + latency + jitter).max(way.last) + carry;
-        way.last = at;
-        way.waiting += put;
-        way.chunks.push_back((at, buf[..put].to_vec()));
-        // Whoever reads looks again, and finds when it arrives.
-        let reader = way.reader.take();
+        let at = (now + latency + jitter).max(direction.last) + transmission;
+        direction.last = at;
+        direction.waiting += put;
+        direction.chunks.push_back((at, buf[..put].to_vec()));
+        // Wakes the reader, which then sets a timer for the arrival.
+        let reader = direction.reader.take();
         drop(state);
         reader.into_iter().for_each(Waker::wake);
         Poll::Ready(Ok(put))
@@ -630,16 +654,16 @@
     }
     fn poll_close(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Result<()>> {
         let mut state = self.inner.lock();
-        let Some(hosts) = state.net.pairs.get(&self.pair).map(|p| p.hosts) else {
+        let Some(hosts) = state.net.connections.get(&self.connection).map(|c| c.hosts) else {
             return Poll::Ready(Ok(()));
         };
         let after = state.now + state.net.latency(hosts[self.side], hosts[1 - self.side]);
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+        let Some(connection) = state.net.connections.get_mut(&self.connection) else {
             return Poll::Ready(Ok(()));
         };
-        let way = &mut pair.ways[self.side];
-        way.end.get_or_insert(after.max(way.last));
-        let reader = way.reader.take();
+        let direction = &mut connection.directions[self.side];
+        direction.end.get_or_insert(after.max(direction.last));
+        let reader = direction.reader.take();
         drop(state);
         reader.into_iter().for_each(Waker::wake);
         Poll::Ready(Ok(()))
@@ -649,37 +673,37 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         let mut state = self.inner.lock();
-        let Some(hosts) = state.net.pairs.get(&self.pair).map(|p| p.hosts) else {
+        let Some(hosts) = state.net.connections.get(&self.connection).map(|c| c.hosts) else {
             return;
         };
         let after = state.now + state.net.latency(hosts[self.side], hosts[1 - self.side]);
-        let Some(pair) = state.net.pairs.get_mut(&self.pair) else {
+        let Some(connection) = state.net.connections.get_mut(&self.connection) else {
             return;
         };
         let (side, peer) = (self.side, 1 - self.side);
         let mut wakers = Vec::new();
-        // A host that died has said what there was to say.
-        if !pair.closed[side] {
-            pair.closed[side] = true;
-            // What came in and was not read makes the end a reset, as it does in TCP.
-            let unread = !pair.ways[peer].chunks.is_empty();
-            let way = &mut pair.ways[side];
-            if self.hard || unread {
-                way.reset.get_or_insert(after);
+        // A side that was closed by the death of its host has already sent its reset, if any.
+        if !connection.closed[side] {
+            connection.closed[side] = true;
+            // Closing with unread incoming bytes sends a reset, as in TCP.
+            let unread = !connection.directions[peer].chunks.is_empty();
+            let direction = &mut connection.directions[side];
+            if self.reset_on_drop || unread {
+                direction.reset.get_or_insert(after);
             } else {
-                way.end.get_or_insert(after.max(way.last));
+                direction.end.get_or_insert(after.max(direction.last));
             }
-            wakers.extend(way.reader.take());
-            wakers.extend(pair.ways[peer].writer.take());
+            wakers.extend(direction.reader.take());
+            wakers.extend(connection.directions[peer].writer.take());
         }
-        // The last to go takes the pair along, and with it wakers, which are dropped after the lock.
-        let gone = if pair.closed == [true; 2] {
-            state.net.pairs.remove(&self.pair)
+        // The second side to close removes the connection. Its wakers are dropped after the lock is released.
+        let removed = if connection.closed == [true; 2] {
+            state.net.connections.remove(&self.connection)
         } else {
             None
         };
         drop(state);
-        drop(gone);
+        drop(removed);
         wakers.into_iter().for_each(Waker::wake);
     }
 }
