--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -167,7 +167,7 @@
                 return Ok(());
             };
             polls += 1;
-            if polls > tasks::MOST_POLLS {
+            if polls > tasks::MAX_POLLS_PER_EVENT {
                 let (at, host) = (self.now(), task.host);
                 return Err(RunError::Livelock { at, host });
             }
--- a/crates/ivyward-sim/src/tasks.rs
+++ b/crates/ivyward-sim/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks of all hosts, polled one at a time in an order that the seed draws.
+//! The tasks of all hosts, polled one at a time in an order drawn from the seed.
 
 use crate::HostId;
 use ivyward_runtime::{BoxFuture, Micros};
@@ -10,36 +10,37 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// Polls at one instant after which a task is taken to spin.
-pub(crate) const MOST_POLLS: u64 = 2_000_000;
+/// Maximum number of polls between two events; beyond it the run ends with [`RunError::Livelock`].
+pub(crate) const MAX_POLLS_PER_EVENT: u64 = 2_000_000;
 
-/// Why a world cannot go on.
+/// The reason why a simulation run ended before its future was done.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RunError {
-    /// Tasks wait, and nothing will ever wake them.
-    #[error("at {at} us nothing is left to happen; tasks that wait, by host: {waiting:?}")]
+    /// Tasks are pending, and no event is queued that could wake them.
+    #[error("no event is pending at {at} us; waiting tasks by host: {waiting:?}")]
     Deadlock {
-        /// When.
+        /// Virtual time of the failure, in microseconds.
         at: Micros,
-        /// How many tasks of each host wait.
+        /// Number of pending tasks of each host.
         waiting: BTreeMap<HostId, usize>,
     },
-    /// Tasks wake each other without time passing.
-    #[error("at {at} us tasks spin, the last one at host {host}")]
+    /// Tasks keep waking each other without virtual time advancing.
+    #[error("livelock at {at} us: tasks keep waking each other without time advancing, the last one on host {host}")]
     Livelock {
-        /// When.
+        /// Virtual time of the failure, in microseconds.
         at: Micros,
-        /// Where.
+        /// The host of the task that was due to be polled next.
         host: HostId,
     },
-    /// The latest time came.
+    /// The run reached its time limit.
     #[error("it was not done by {at} us")]
     TimedOut {
-        /// That time.
+        /// The time limit, in microseconds of virtual time.
         at: Micros,
     },
 }
 
+/// A spawned future of a host. Waking it puts it in the ready list unless it is there already.
 pub(crate) struct Task {
     pub(crate) id: u64,
     pub(crate) host: HostId,
@@ -63,7 +64,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct Known {
+/// The tasks that are neither done nor killed, by id, and the generator that picks the next one.
+struct TaskTable {
     tasks: BTreeMap<u64, Arc<Task>>,
     next: u64,
     random: SmallRng,
@@ -71,7 +73,7 @@
 
 pub(crate) struct Tasks {
     ready: Arc<Mutex<Vec<Arc<Task>>>>,
-    known: Mutex<Known>,
+    table: Mutex<TaskTable>,
 }
 
 impl Tasks {
@@ -79,7 +81,7 @@
         let random = SmallRng::seed_from_u64(seed ^ 0x7a5c);
         Tasks {
             ready: Arc::default(),
-            known: Mutex::new(Known {
+            table: Mutex::new(TaskTable {
                 tasks: BTreeMap::new(),
                 next: 1,
                 random,
@@ -89,9 +91,9 @@
 
     pub(crate) fn spawn(&self, host: HostId, future: BoxFuture<()>) {
         let task = {
-            let mut known = lock(&self.known);
-            let id = known.next;
-            known.next += 1;
+            let mut table = lock(&self.table);
+            let id = table.next;
+            table.next += 1;
             let task = Arc::new(Task {
                 id,
                 host,
@@ -99,24 +101,24 @@
                 future: Mutex::new(Some(future)),
                 ready: Arc::downgrade(&self.ready),
             });
-            known.tasks.insert(id, task.clone());
+            table.tasks.insert(id, task.clone());
             task
         };
         task.wake();
     }
 
-    /// One of those that are ready and whose host runs.
-    pub(crate) fn next(&self, frozen: impl Fn(HostId) -> bool) -> Option<Arc<Task>> {
+    /// Takes a ready task whose host is not paused; among several, the seed draws one.
+    pub(crate) fn next(&self, paused: impl Fn(HostId) -> bool) -> Option<Arc<Task>> {
         let mut ready = lock(&self.ready);
-        let open: Vec<usize> = (0..ready.len())
-            .filter(|i| !frozen(ready[*i].host))
+        let runnable: Vec<usize> = (0..ready.len())
+            .filter(|i| !paused(ready[*i].host))
             .collect();
-        let pick = match open.len() {
+        let pick = match runnable.len() {
             0 => return None,
             1 => 0,
-            n => lock(&self.known).random.random_range(0..n),
+            n => lock(&self.table).random.random_range(0..n),
         };
-        let task = ready.remove(open[pick]);
+        let task = ready.remove(runnable[pick]);
         task.queued.store(false, Ordering::SeqCst);
         Some(task)
     }
@@ -126,45 +128,45 @@
             return;
         };
         let waker = Waker::from(task.clone());
-        // A task that panics is over; the others go on, as they would beside it.
+        // A panic ends only the task in which it happens; the other tasks go on.
         let polled = catch_unwind(AssertUnwindSafe(|| {
             future.as_mut().poll(&mut Context::from_waker(&waker))
         }));
-        // It may have been killed while it ran: then it is not among the known any more, and ends here.
+        // A task whose host was killed during the poll is no longer in the table; its future is dropped here.
         let pending = matches!(polled, Ok(Poll::Pending));
-        if pending && lock(&self.known).tasks.contains_key(&task.id) {
+        if pending && lock(&self.table).tasks.contains_key(&task.id) {
             *lock(&task.future) = Some(future);
             return;
         }
-        lock(&self.known).tasks.remove(&task.id);
+        lock(&self.table).tasks.remove(&task.id);
         drop(future);
     }
 
-    /// Drops all tasks of a host.
+    /// Removes all tasks of a host and drops their futures.
     pub(crate) fn kill(&self, host: HostId) {
-        let gone: Vec<Arc<Task>> = {
-            let mut known = lock(&self.known);
-            let ids: Vec<u64> = known
+        let removed: Vec<Arc<Task>> = {
+            let mut table = lock(&self.table);
+            let ids: Vec<u64> = table
                 .tasks
                 .values()
                 .filter(|t| t.host == host)
                 .map(|t| t.id)
                 .collect();
             ids.into_iter()
-                .filter_map(|id| known.tasks.remove(&id))
+                .filter_map(|id| table.tasks.remove(&id))
                 .collect()
         };
         lock(&self.ready).retain(|t| t.host != host);
-        for task in gone {
+        for task in removed {
             let future = lock(&task.future).take();
             drop(future);
         }
     }
 
-    /// How many tasks there are, by host.
+    /// Returns the number of unfinished tasks of each host.
     pub(crate) fn waiting(&self) -> BTreeMap<HostId, usize> {
         let mut out = BTreeMap::new();
-        for task in lock(&self.known).tasks.values() {
+        for task in lock(&self.table).tasks.values() {
             *out.entry(task.host).or_insert(0) += 1;
         }
         out
