--- a/crates/ivyward-sim/src/lib.rs
+++ b/crates/ivyward-sim/src/lib.rs
@@ -1,11 +1,12 @@
 //! A deterministic simulation: clock, tasks, network and processes, all derived from one seed.
 //!
-//! - [`Sim`]: the whole of it; [`Sim::run`] plays it until a future is done, and says so when it cannot go on.
-//! - [`Host`]: a process in it, which implements [`ivyward_runtime::Runtime`]; it can die, freeze and have a wrong clock.
-//! - [`Net`]: what the network does between hosts, and [`Sim::set_partitioned`] for partitions.
+//! - [`Sim`]: the simulation; [`Sim::run`] runs it until a future is done, or returns why the run cannot continue.
+//! - [`Host`]: a simulated process, which implements [`ivyward_runtime::Runtime`]; it can be killed, be paused and have a
+//!   wrong wall clock.
+//! - [`NetworkConfig`]: latency, bandwidth and loss between hosts; [`Sim::set_partitioned`] adds partitions.
 //!
-//! One thread polls one task at a time. Which of several ready tasks is next, and which of several events at one instant,
-//! is drawn from the seed. Nothing here asks the system for time or randomness.
+//! One thread polls one task at a time. The order of ready tasks, and of events at the same instant, is drawn from the
+//! seed. The simulation never reads the system's clock or its source of randomness.
 
 mod net;
 mod tasks;
@@ -29,22 +30,22 @@
 /// Number of a simulated process, never reused.
 pub type HostId = usize;
 
-/// What the monotonic clock shows when a simulation starts.
-const BEGIN: Micros = 1_000_000;
-/// Unix time, in microseconds, when the monotonic clock shows 0.
+/// Reading of the monotonic clock at the start of a simulation, in microseconds.
+const START: Micros = 1_000_000;
+/// Unix time, in microseconds, at which the monotonic clock reads 0.
 const EPOCH: Micros = 1_750_000_000_000_000;
 
-/// Something that is due.
-pub(crate) enum Due {
+/// An event in the queue.
+pub(crate) enum Event {
     Wake(Waker),
 }
 
-/// Everything that changes but the tasks.
+/// The mutable state of a simulation except its tasks.
 pub(crate) struct State {
     pub(crate) now: Micros,
     pub(crate) random: SmallRng,
-    /// By time, a drawn number that orders one instant, and a number of their own.
-    queue: BTreeMap<(Micros, u32, u64), Due>,
+    /// Events by time, then by a drawn number that orders events at one instant, then by a unique number.
+    queue: BTreeMap<(Micros, u32, u64), Event>,
     next: u64,
     pub(crate) net: Network,
     hosts: Vec<HostState>,
@@ -54,21 +55,21 @@
 
 struct HostState {
     alive: bool,
-    frozen: bool,
-    /// Its clock's error, in microseconds.
+    paused: bool,
+    /// Error of the host's wall clock, in microseconds.
     skew: i64,
     random: SmallRng,
 }
 
 impl State {
-    /// Wakes somebody at a time; the key takes it back.
+    /// Schedules a wakeup at a time, at the earliest now, and returns the key that cancels it.
     pub(crate) fn at(&mut self, at: Micros, waker: Waker) -> (Micros, u32, u64) {
         let key = (at.max(self.now), self.random.random(), self.next);
         self.next += 1;
-        self.queue.insert(key, Due::Wake(waker));
+        self.queue.insert(key, Event::Wake(waker));
         key
     }
-    /// Takes something into the run's digest.
+    /// Adds an event to the run's digest: its kind, the time, an id and the bytes that it transfers.
     pub(crate) fn note(&mut self, kind: u8, id: u64, bytes: &[u8]) {
         self.events += 1;
         let mut head = [kind; 17];
@@ -97,10 +98,10 @@
 pub struct Sim(Arc<Inner>);
 
 impl Sim {
-    /// A world from a seed, with a network that behaves so.
+    /// Creates a simulation from a seed, with a network that behaves as `net` states.
     pub fn new(seed: u64, net: NetworkConfig) -> Sim {
         let state = State {
-            now: BEGIN,
+            now: START,
             random: SmallRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             next: 0,
@@ -115,7 +116,7 @@
         }))
     }
 
-    /// A new process. Its random numbers come from the world's seed, its number and `salt`.
+    /// Adds a process. Its random numbers are derived from the simulation's seed, the draws so far and `salt`.
     pub fn host(&self, salt: u64) -> Arc<Host> {
         let mut state = self.0.lock();
         let id = state.hosts.len();
@@ -123,7 +124,7 @@
         let random = SmallRng::seed_from_u64(seed);
         state.hosts.push(HostState {
             alive: true,
-            frozen: false,
+            paused: false,
             skew: 0,
             random,
         });
@@ -133,10 +134,12 @@
         })
     }
 
-    /// Plays the world until a future, run as a task of the host, is done.
+    /// Runs the simulation until `future`, spawned as a task of `host`, is done. `until` is the time limit, on the
+    /// monotonic clock.
     ///
     /// # Errors
-    /// [`RunError`] when nothing is left that could happen, when a task spins, or at the latest time.
+    /// Returns a [`RunError`] when no event is pending, when tasks keep waking each other without time advancing, or when
+    /// the next event is later than `until`.
     pub fn run<T: Send + 'static>(
         &self,
         host: &Arc<Host>,
@@ -150,20 +153,20 @@
             *put.lock().unwrap_or_else(PoisonError::into_inner) = Some(done);
         }));
         loop {
-            self.settle()?;
+            self.poll_ready_tasks()?;
             if let Some(done) = result.lock().unwrap_or_else(PoisonError::into_inner).take() {
                 return Ok(done);
             }
-            self.jump(until)?;
+            self.advance(until)?;
         }
     }
 
-    /// Polls ready tasks until none is.
-    fn settle(&self) -> Result<(), RunError> {
+    /// Polls ready tasks until none is ready on a host that is not paused.
+    fn poll_ready_tasks(&self) -> Result<(), RunError> {
         let mut polls = 0u64;
         loop {
-            let frozen = |host: HostId| self.0.lock().hosts[host].frozen;
-            let Some(task) = self.0.tasks.next(frozen) else {
+            let paused = |host: HostId| self.0.lock().hosts[host].paused;
+            let Some(task) = self.0.tasks.next(paused) else {
                 return Ok(());
             };
             polls += 1;
@@ -176,11 +179,11 @@
         }
     }
 
-    /// Lets the next thing that is due happen.
-    fn jump(&self, until: Micros) -> Result<(), RunError> {
-        let due = {
+    /// Advances the clock to the next event and triggers the event.
+    fn advance(&self, until: Micros) -> Result<(), RunError> {
+        let event = {
             let mut state = self.0.lock();
-            let Some(((at, _, id), due)) = state.queue.pop_first() else {
+            let Some(((at, _, id), event)) = state.queue.pop_first() else {
                 return Err(RunError::Deadlock {
                     at: state.now,
                     waiting: self.0.tasks.waiting(),
@@ -191,41 +194,41 @@
             }
             state.now = state.now.max(at);
             state.note(2, id, &[]);
-            due
+            event
         };
-        let Due::Wake(waker) = due;
+        let Event::Wake(waker) = event;
         waker.wake();
         Ok(())
     }
 
-    /// The clock.
+    /// Returns the reading of the monotonic clock, which all hosts share.
     pub fn now(&self) -> Micros {
         self.0.lock().now
     }
-    /// A digest over every byte that was read, every poll and every event so far, and how many those were.
+    /// Returns a digest over every byte read, every poll and every event so far, and the number of entries in it.
     pub fn digest(&self) -> (u64, u64) {
         let state = self.0.lock();
         (state.digest, state.events)
     }
-    /// Changes what the network does from now on.
+    /// Changes the network's settings from now on; data already in transit keeps its time of arrival.
     pub fn update_network(&self, change: impl FnOnce(&mut NetworkConfig)) {
         change(&mut self.0.lock().net.config);
     }
     /// Sets an extra latency, in microseconds, of streams between two hosts, in each direction.
-    pub fn set_extra_latency(&self, one: HostId, other: HostId, longer: Micros) {
+    pub fn set_extra_latency(&self, one: HostId, other: HostId, extra: Micros) {
         let mut state = self.0.lock();
-        state.net.set_extra_latency(one, other, longer);
-        state.net.set_extra_latency(other, one, longer);
+        state.net.set_extra_latency(one, other, extra);
+        state.net.set_extra_latency(other, one, extra);
     }
-    /// Cuts or mends the way from one host to another, in that direction alone. What is under way then waits, as it
-    /// would for TCP's next try.
+    /// Starts or ends a partition from one host to another, in that direction only. Stream data in transit waits until the
+    /// partition ends, as it would for a TCP retransmission.
     pub fn set_partitioned(&self, from: HostId, to: HostId, on: bool) {
         self.wake(|state| state.net.set_partitioned(from, to, on));
     }
     /// Pauses a process or resumes it. A paused process keeps its sockets and runs no task.
     pub fn set_paused(&self, host: HostId, on: bool) {
         if let Some(host) = self.0.lock().hosts.get_mut(host) {
-            host.frozen = on;
+            host.paused = on;
         }
     }
     /// Sets the error of a host's wall clock, in microseconds.
@@ -234,22 +237,23 @@
             host.skew = skew;
         }
     }
-    /// Ends a process: its tasks are dropped, its ports are free. `word` says whether its peers hear of it by resets,
-    /// or nothing at all comes any more, as when its machine lost power.
-    pub fn kill(&self, host: HostId, word: bool) {
+    /// Kills a process: its tasks are dropped and its ports become free. With `send_resets`, its peers' connections are
+    /// reset; without, the peers receive nothing any more, as when the machine lost power.
+    pub fn kill(&self, host: HostId, send_resets: bool) {
         {
             let mut state = self.0.lock();
             match state.hosts.get_mut(host) {
                 Some(host) if host.alive => host.alive = false,
                 _ => return,
             }
-            state.note(3, host as u64, &[u8::from(word)]);
+            state.note(3, host as u64, &[u8::from(send_resets)]);
         }
-        self.wake(|state| state.net.kill_host(host, word, state.now));
-        // Outside of the lock: what is dropped closes sockets and timers.
+        self.wake(|state| state.net.kill_host(host, send_resets, state.now));
+        // The state is not locked here: dropping the tasks closes sockets and timers, which lock it.
         self.0.tasks.kill(host);
     }
 
+    /// Applies a change to the state, and wakes the returned wakers after the lock is released.
     fn wake(&self, change: impl FnOnce(&mut State) -> Vec<Waker>) {
         let wakers = change(&mut self.0.lock());
         wakers.into_iter().for_each(Waker::wake);
@@ -263,11 +267,11 @@
 }
 
 impl Host {
-    /// Its number.
+    /// Returns the number by which [`Sim`]'s methods name this process.
     pub fn id(&self) -> HostId {
         self.id
     }
-    /// It, as the rest of the program holds a world.
+    /// Returns this host as the runtime of the code that runs on it.
     pub fn runtime(self: &Arc<Self>) -> RuntimeRef {
         self.clone()
     }
@@ -325,7 +329,7 @@
         if state.now >= self.at {
             return Poll::Ready(());
         }
-        // Never is no event: whoever waits for it alone is stuck.
+        // `Micros::MAX` means never and queues no event, so that a run in which all tasks wait for it ends as a deadlock.
         if self.at < Micros::MAX {
             self.key = Some(state.at(self.at, cx.waker().clone()));
         }
@@ -336,9 +340,10 @@
 impl Drop for Timer {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            // Taken out under the lock, dropped after it: a waker may be a task's last handle.
-            let due = self.inner.lock().queue.remove(&key);
-            drop(due);
+            // The event is removed under the lock and dropped after it: its waker may be the last handle of a task, whose
+            // drop can lock the state again.
+            let event = self.inner.lock().queue.remove(&key);
+            drop(event);
         }
     }
 }
