--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -13,44 +13,44 @@
 /// A reader that takes a request and never answers is waited out only in part: another one reads in time.
 #[test]
 fn a_reader_that_stalls_after_accepting_is_left() {
-    let scene = build(ClusterBuilder::new(5, pools(2, 2)));
+    let cluster = build(ClusterBuilder::new(5, pools(2, 2)));
     block_on(async {
         for i in 0..10 {
-            let end = scene
-                .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
+            let end = cluster
+                .send(&cluster.new_request(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served);
         }
-        scene.engine(0).fault(|f| f.stall = 1.0);
+        cluster.engine(0).fault(|f| f.stall = 1.0);
         for i in 0..10 {
-            let end = scene
-                .send(&scene.new_request(0, QUICK, prompt(i + 50, 50), 5))
+            let end = cluster
+                .send(&cluster.new_request(0, QUICK, prompt(i + 50, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
 /// A process that hangs keeps its sockets open: pings find out, and requests go elsewhere.
 #[test]
 fn an_engine_whose_process_hangs_is_found_by_pings() {
-    let scene = build(ClusterBuilder::new(5, pools(2, 2)));
+    let cluster = build(ClusterBuilder::new(5, pools(2, 2)));
     block_on(async {
         for hung in [0, 2] {
-            scene.engine(hung).fault(|f| f.hang = true);
+            cluster.engine(hung).fault(|f| f.hang = true);
             for i in 0..10 {
-                let end = scene
-                    .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
+                let end = cluster
+                    .send(&cluster.new_request(0, QUICK, prompt(i, 50), 5))
                     .await
                     .unwrap();
                 assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
             }
-            scene.engine(hung).fault(|f| f.hang = false);
+            cluster.engine(hung).fault(|f| f.hang = false);
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
@@ -78,24 +78,24 @@
         let mut make = ClusterBuilder::new(5, pools(1, 1));
         // Over any pause of a busy machine: it ends one stream here, and is not to end the one beside it.
         make.settings.stream_idle_timeout = 1_000_000;
-        let scene = build(make);
+        let cluster = build(make);
         block_on(async {
-            let long = scene.new_request(0, QUICK, prompt(1_000, 50), 400);
+            let long = cluster.new_request(0, QUICK, prompt(1_000, 50), 400);
             let (tell, wait) = async_channel::bounded(1);
-            let (one, call) = (scene.clone(), long.request.call_id);
-            scene.runtime.run(async move {
+            let (one, call) = (cluster.clone(), long.request.call_id);
+            cluster.runtime.run(async move {
                 let _ = tell.send(one.send(&long).await).await;
             });
-            seen(
-                &scene,
+            wait_for_event(
+                &cluster,
                 |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
             )
             .await;
-            scene
+            cluster
                 .engine(1)
                 .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(twist)));
-            let end = scene
-                .send(&scene.new_request(0, ORDER, prompt(1, 50), 10))
+            let end = cluster
+                .send(&cluster.new_request(0, ORDER, prompt(1, 50), 10))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Failed, "{twist:?}: {end:?}");
@@ -106,8 +106,8 @@
                 ClientOutcome::Served,
                 "{twist:?}: {beside:?}"
             );
-            scene.engine(1).fault(|f| f.malformed = 0.0);
-            clean(&scene).await;
+            cluster.engine(1).fault(|f| f.malformed = 0.0);
+            assert_clean(&cluster).await;
         });
     }
 }
@@ -115,29 +115,29 @@
 /// Tokens after the last word are not passed on, and the answer stands.
 #[test]
 fn tokens_after_the_end_go_nowhere() {
-    let scene = build(ClusterBuilder::new(5, pools(1, 1)));
+    let cluster = build(ClusterBuilder::new(5, pools(1, 1)));
     block_on(async {
-        scene.engine(1).fault(|f| {
+        cluster.engine(1).fault(|f| {
             (f.malformed, f.response_fault) = (1.0, Some(ResponseFault::TokensAfterEnd))
         });
-        let end = scene
-            .send(&scene.new_request(0, QUICK, prompt(1, 50), 10))
+        let end = cluster
+            .send(&cluster.new_request(0, QUICK, prompt(1, 50), 10))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
 /// An engine that restarts under its id and address is used again, and what it kept counts as lost.
 #[test]
 fn an_engine_restarts_under_its_id() {
-    let scene = build(ClusterBuilder::new(5, pools(1, 2)));
+    let cluster = build(ClusterBuilder::new(5, pools(1, 2)));
     block_on(async {
         for round in 0..5 {
             for i in 0..5 {
-                let end = scene
-                    .send(&scene.new_request(0, QUICK, prompt(round * 10 + i, 50), 5))
+                let end = cluster
+                    .send(&cluster.new_request(0, QUICK, prompt(round * 10 + i, 50), 5))
                     .await
                     .unwrap();
                 assert!(
@@ -146,27 +146,29 @@
                 );
             }
             for e in 0..3 {
-                scene.engine(e).restart(false).unwrap();
-                scene
-                    .notify_all_nodes(e, EndpointState::Ready, Some(scene.log.now()))
+                cluster.engine(e).restart(false).unwrap();
+                cluster
+                    .notify_all_nodes(e, EndpointState::Ready, Some(cluster.log.now()))
                     .await;
             }
         }
         // Cold ones get little at first; once told otherwise they get all.
         for e in 0..3 {
-            scene.notify_all_nodes(e, EndpointState::Ready, None).await;
+            cluster
+                .notify_all_nodes(e, EndpointState::Ready, None)
+                .await;
         }
         let mut served = 0;
         for i in 0..40 {
-            let end = scene
-                .send(&scene.new_request(0, QUICK, prompt(900 + i, 50), 5))
+            let end = cluster
+                .send(&cluster.new_request(0, QUICK, prompt(900 + i, 50), 5))
                 .await
                 .unwrap();
             served += usize::from(end.outcome == ClientOutcome::Served);
-            scene.runtime.sleep(20_000).await;
+            cluster.runtime.sleep(20_000).await;
         }
         assert!(served > 20, "{served} of 40 served after the restarts");
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
@@ -182,29 +184,29 @@
     make.nodes = 2;
     // The module is to wait for the slow fetch.
     make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
         // The second request waits for the only slot while its state is kept at the reader.
         let asks: Vec<_> = (0..2)
-            .map(|i| scene.new_request(0, QUICK, prompt(i, 50), 5))
+            .map(|i| cluster.new_request(0, QUICK, prompt(i, 50), 5))
             .collect();
         let (tell, wait) = async_channel::bounded(2);
         for ask in asks {
-            let (one, tell) = (scene.clone(), tell.clone());
-            scene.runtime.run(async move {
+            let (one, tell) = (cluster.clone(), tell.clone());
+            cluster.runtime.run(async move {
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
         let second = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { kind: CallKind::Decode, key, .. } if key.request == 2);
-        seen(&scene, second).await;
-        scene.kill_node(0);
+        wait_for_event(&cluster, second).await;
+        cluster.kill_node(0);
         for _ in 0..2 {
             assert_eq!(
                 wait.recv().await.unwrap().outcome,
                 ClientOutcome::Unreachable
             );
         }
-        seen(&scene, |s| {
+        wait_for_event(&cluster, |s| {
             matches!(
                 s,
                 ObservedEvent::Released {
@@ -215,15 +217,15 @@
         })
         .await;
         // The other node shares nothing with the dead one and goes on.
-        let end = scene
-            .send(&scene.new_request(1, QUICK, prompt(7, 10), 5))
+        let end = cluster
+            .send(&cluster.new_request(1, QUICK, prompt(7, 10), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
-        clean(&scene).await;
-        scene.start_node(0).unwrap();
-        let end = scene
-            .send(&scene.new_request(0, QUICK, prompt(8, 10), 5))
+        assert_clean(&cluster).await;
+        cluster.start_node(0).unwrap();
+        let end = cluster
+            .send(&cluster.new_request(0, QUICK, prompt(8, 10), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -239,27 +241,27 @@
     let mut make = ClusterBuilder::new(5, specs);
     // The module is to wait until the client leaves.
     make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
         // The writer takes the request and does not fetch.
-        scene.engine(1).fault(|f| f.stall = 1.0);
-        let ask = scene.new_request(0, QUICK, prompt(1, 50), 5);
+        cluster.engine(1).fault(|f| f.stall = 1.0);
+        let ask = cluster.new_request(0, QUICK, prompt(1, 50), 5);
         let call = ask.request.call_id;
         let (leave, left) = async_channel::bounded::<()>(1);
         let (tell, wait) = async_channel::bounded(1);
-        let one = scene.clone();
-        scene.runtime.run(async move {
+        let one = cluster.clone();
+        cluster.runtime.run(async move {
             let leave = async {
                 let _ = left.recv().await;
             };
             let _ = tell.send(one.send_until(&ask, leave).await.unwrap()).await;
         });
         let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
-        seen(&scene, came).await;
+        wait_for_event(&cluster, came).await;
         // The reader's connections break and break again while the release is due.
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let one = scene.clone();
-        scene.runtime.run(async move {
+        let one = cluster.clone();
+        cluster.runtime.run(async move {
             while !stopped.is_closed() {
                 one.engine(0).drop_connections();
                 one.runtime.sleep(1_000).await;
@@ -269,7 +271,7 @@
         let end = wait.recv().await.unwrap();
         assert_eq!(end.outcome, ClientOutcome::Disconnected, "{end:?}");
         drop(stop);
-        seen(&scene, |s| {
+        wait_for_event(&cluster, |s| {
             matches!(
                 s,
                 ObservedEvent::Released {
@@ -279,8 +281,8 @@
             )
         })
         .await;
-        scene.engine(1).fault(|f| f.stall = 0.0);
-        clean(&scene).await;
+        cluster.engine(1).fault(|f| f.stall = 0.0);
+        assert_clean(&cluster).await;
     });
 }
 
@@ -289,27 +291,27 @@
 fn a_node_stops_in_order() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 10_000;
-    let scene = build(ClusterBuilder::new(5, specs));
+    let cluster = build(ClusterBuilder::new(5, specs));
     block_on(async {
-        let short = scene.new_request(0, QUICK, prompt(1, 50), 10);
-        let mut long = scene.new_request(0, QUICK, prompt(2, 50), 5_000);
+        let short = cluster.new_request(0, QUICK, prompt(1, 50), 10);
+        let mut long = cluster.new_request(0, QUICK, prompt(2, 50), 5_000);
         long.behavior.client_timeout = 30_000_000;
         let calls = [short.request.call_id, long.request.call_id];
         let (tell, wait) = async_channel::bounded(2);
         for ask in [short, long] {
-            let (one, tell) = (scene.clone(), tell.clone());
-            scene.runtime.run(async move {
+            let (one, tell) = (cluster.clone(), tell.clone());
+            cluster.runtime.run(async move {
                 let _ = tell.send(one.send(&ask).await.unwrap()).await;
             });
         }
         for call in calls {
-            seen(
-                &scene,
+            wait_for_event(
+                &cluster,
                 |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
             )
             .await;
         }
-        let node = scene.node(0).unwrap();
+        let node = cluster.node(0).unwrap();
         node.stop(3_000_000).await;
         let mut ends = [wait.recv().await.unwrap(), wait.recv().await.unwrap()];
         ends.sort_by_key(|e| e.tokens);
@@ -320,7 +322,7 @@
         );
         assert!(ends[1].message.contains("the node stopped"), "{ends:?}");
         assert!(!node.is_accepting());
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
--- a/crates/ivyward-testbed/tests/request_path.rs
+++ b/crates/ivyward-testbed/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The ordinary path, cancels and deadlines, on loopback sockets.
+//! The normal request path, cancellation and deadlines, on loopback sockets.
 
 mod common;
 use common::*;
@@ -10,58 +10,64 @@
 use ivyward_testbed::local_cluster::{fleet, ClusterBuilder};
 
 #[test]
-fn prompts_are_read_and_answered() {
-    let scene = build(ClusterBuilder::new(1, fleet(1)));
+fn requests_are_served_with_the_whole_answer() {
+    let cluster = build(ClusterBuilder::new(1, fleet(1)));
     block_on(async {
         for i in 0..20 {
-            let ask = scene.new_request(0, QUICK, prompt(i, 400), 20);
-            let end = scene.send(&ask).await.unwrap();
+            let client_request = cluster.new_request(0, QUICK, prompt(i, 400), 20);
+            let end = cluster.send(&client_request).await.unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
             assert_eq!(
                 end.tokens,
-                text::answer(&ask.request.prompt, 20).len() as u32
+                text::answer(&client_request.request.prompt, 20).len() as u32
             );
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
 #[test]
-fn bad_requests_get_a_clear_failure_and_nothing_is_sent() {
-    let scene = build(ClusterBuilder::new(1, pools(1, 1)));
+fn invalid_requests_fail_with_a_reason_and_no_attempt_is_sent() {
+    let cluster = build(ClusterBuilder::new(1, pools(1, 1)));
     block_on(async {
-        let good = || scene.new_request(0, QUICK, prompt(1, 10), 5);
+        let good = || cluster.new_request(0, QUICK, prompt(1, 10), 5);
         let mut bad = Vec::new();
-        let mut ask = good();
-        ask.request.prompt.clear();
-        bad.push((ask, "a prompt of 0 tokens"));
-        let mut ask = good();
-        ask.request.max_output_tokens = 0;
-        bad.push((ask, "max_output_tokens 0"));
-        let mut ask = good();
-        ask.request.class = "mystery".into();
-        bad.push((ask, "class \"mystery\" is none of: quick-ask"));
-        let mut ask = good();
-        ask.request.shared_opening_tokens = 11;
-        bad.push((ask, "shared_opening_tokens 11 is over the prompt's 10"));
-        let mut ask = scene.new_request(0, NOTE, prompt(1, 10), 5);
-        ask.request.idempotency_key.clear();
-        bad.push((ask, "needs an idempotency_key"));
-        for (ask, text) in bad {
-            let end = scene.send(&ask).await.unwrap();
+        let mut client_request = good();
+        client_request.request.prompt.clear();
+        bad.push((client_request, "a prompt of 0 tokens"));
+        let mut client_request = good();
+        client_request.request.max_output_tokens = 0;
+        bad.push((client_request, "max_output_tokens 0"));
+        let mut client_request = good();
+        client_request.request.class = "mystery".into();
+        bad.push((client_request, "class \"mystery\" is none of: quick-ask"));
+        let mut client_request = good();
+        client_request.request.shared_opening_tokens = 11;
+        bad.push((
+            client_request,
+            "shared_opening_tokens 11 is over the prompt's 10",
+        ));
+        let mut client_request = cluster.new_request(0, NOTE, prompt(1, 10), 5);
+        client_request.request.idempotency_key.clear();
+        bad.push((client_request, "needs an idempotency_key"));
+        for (client_request, text) in bad {
+            let end = cluster.send(&client_request).await.unwrap();
             assert_eq!(
                 (end.outcome, end.code),
                 (ClientOutcome::Failed, 3),
                 "{end:?}"
             );
             assert!(end.message.contains(text), "{end:?}");
-            assert_eq!(attempts(&scene, ask.request.call_id, CallKind::Prefill), 0);
+            assert_eq!(
+                attempt_count(&cluster, client_request.request.call_id, CallKind::Prefill),
+                0
+            );
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
-/// Slow enough that a script can step in at each stage.
+/// Slows the engines down so that the test can disconnect a client at each stage of a request.
 fn slow_stages(specs: &mut [EngineSpec]) {
     for spec in specs {
         spec.prefill_rate = 1_000.0;
@@ -71,22 +77,22 @@
 }
 
 #[test]
-fn a_client_may_leave_at_any_stage() {
+fn a_client_may_disconnect_at_any_stage() {
     let mut specs = pools(2, 2);
     slow_stages(&mut specs);
-    let scene = build(ClusterBuilder::new(1, specs));
+    let cluster = build(ClusterBuilder::new(1, specs));
     block_on(async {
-        // Read and fetch take 100 ms each, tokens 20 ms each; the answer has 200.
+        // Prefill and KV fetch take 100 ms each, and each of the 200 tokens of the answer takes 20 ms.
         for stage in 0..6 {
-            let ask = scene.new_request(0, QUICK, prompt(stage, 100), 200);
-            let call = ask.request.call_id;
+            let client_request = cluster.new_request(0, QUICK, prompt(stage, 100), 200);
+            let call = client_request.request.call_id;
             let arrived = |s: &LoggedEvent| matches!(s.event, ObservedEvent::AttemptArrived { call: c, .. } if c == call);
             let key_of = |s: &LoggedEvent| match s.event {
                 ObservedEvent::AttemptArrived { key, .. } => Some(key),
                 _ => None,
             };
             let keys = || -> Vec<AttemptKey> {
-                scene
+                cluster
                     .log
                     .all()
                     .iter()
@@ -94,7 +100,7 @@
                     .filter_map(key_of)
                     .collect()
             };
-            leaves_when(&scene, &ask, |s| match (stage, s) {
+            disconnect_when(&cluster, &client_request, |s| match (stage, s) {
                 (0, ObservedEvent::CallStarted { call: c, .. }) => *c == call,
                 (
                     1,
@@ -119,227 +125,229 @@
             })
             .await;
             if stage == 0 {
-                // It may never have come so far as an engine.
-                scene.wait_until_idle(10_000_000).await;
+                // The request may not have reached an engine before its client disconnected.
+                cluster.wait_until_idle(10_000_000).await;
                 continue;
             }
-            // All engines that were asked see the end: a stream that nobody reads ends.
+            // Every engine that received an attempt sees it end, because its stream is closed once nobody reads it.
             assert!(!keys().is_empty());
             for key in keys() {
-                seen(
-                    &scene,
+                wait_for_event(
+                    &cluster,
                     |s| matches!(s, ObservedEvent::AttemptEnded { key: k, .. } if *k == key),
                 )
                 .await;
             }
         }
-        // In the very moment of the first token.
+        // The client disconnects as soon as it receives the first token.
         for i in 0..20 {
-            let mut ask = scene.new_request(0, QUICK, prompt(i, 20), 20);
-            ask.behavior.disconnect_at_token = Some(1);
+            let mut client_request = cluster.new_request(0, QUICK, prompt(i, 20), 20);
+            client_request.behavior.disconnect_at_token = Some(1);
             assert_eq!(
-                scene.send(&ask).await.unwrap().outcome,
+                cluster.send(&client_request).await.unwrap().outcome,
                 ClientOutcome::Disconnected
             );
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
-/// Guards against answers that come when the client has just left: whatever hangs, the final answer comes a margin
-/// before the deadline.
+/// Guards against final answers that arrive just after the client stopped waiting: whichever engine hangs, the final
+/// answer is sent `answer_margin` before the deadline.
 #[test]
 fn the_final_answer_comes_before_the_deadline_whatever_hangs() {
-    // The margin is what the node has for its last word, on a machine that may be busy with other things.
+    // The margin is the time that the node has to send its final answer, on a machine that may be busy with other work.
     let mut make = ClusterBuilder::new(1, pools(2, 2));
     make.settings.answer_margin = 1_000_000;
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
-        for i in 0..scene.engines() {
-            scene.engine(i).fault(|f| f.hang = true);
+        for i in 0..cluster.engines() {
+            cluster.engine(i).fault(|f| f.hang = true);
         }
-        let asks = (0..40).map(|i| {
-            let mut ask = scene.new_request(0, i % 4, prompt(i as u32, 50), 5);
-            ask.behavior.client_timeout = 1_300_000 + i as u64 * 5_000;
-            ask
+        let client_requests = (0..40).map(|i| {
+            let mut client_request = cluster.new_request(0, i % 4, prompt(i as u32, 50), 5);
+            client_request.behavior.client_timeout = 1_300_000 + i as u64 * 5_000;
+            client_request
         });
-        for end in all(&scene, asks.collect()).await {
+        for end in send_all(&cluster, client_requests.collect()).await {
             assert!(
                 matches!(end.outcome, ClientOutcome::Failed | ClientOutcome::Rejected),
                 "{end:?}"
             );
         }
-        for i in 0..scene.engines() {
-            scene.engine(i).fault(|f| f.hang = false);
+        for i in 0..cluster.engines() {
+            cluster.engine(i).fault(|f| f.hang = false);
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
-/// The call's deadline also ends a stream that has begun: as a failure, before it.
+/// The call's deadline also applies to a stream that has begun: the node ends the stream as failed before the deadline.
 #[test]
 fn a_stream_past_the_deadline_is_ended_as_failed() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 100_000;
-    let scene = build(ClusterBuilder::new(1, specs));
+    let cluster = build(ClusterBuilder::new(1, specs));
     block_on(async {
-        let mut ask = scene.new_request(0, QUICK, prompt(1, 50), 100);
-        ask.behavior.client_timeout = 1_500_000;
-        let end = scene.send(&ask).await.unwrap();
+        let mut client_request = cluster.new_request(0, QUICK, prompt(1, 50), 100);
+        client_request.behavior.client_timeout = 1_500_000;
+        let end = cluster.send(&client_request).await.unwrap();
         assert_eq!(
             (end.outcome, end.code),
             (ClientOutcome::Failed, 4),
             "{end:?}"
         );
         assert!(end.first_token_after.is_some() && end.tokens < 20);
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
-/// A call without a deadline has its class's for the first token, and none for the stream.
+/// For a call without a deadline, the deadline of its class applies to the first token, and none applies to the stream.
 #[test]
 fn without_a_deadline_the_class_counts_for_the_first_token_only() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 150_000;
     let mut make = ClusterBuilder::new(1, specs);
     make.settings.classes[QUICK].settings.deadline = 1_000_000;
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
-        let mut ask = scene.new_request(0, QUICK, prompt(1, 50), 12);
-        ask.behavior = ClientBehavior {
+        let mut client_request = cluster.new_request(0, QUICK, prompt(1, 50), 12);
+        client_request.behavior = ClientBehavior {
             client_timeout: 20_000_000,
             omit_deadline: true,
             ..ClientBehavior::default()
         };
-        let end = scene.send(&ask).await.unwrap();
+        let end = cluster.send(&client_request).await.unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
 #[test]
-fn drains_and_departures_are_kept_and_restarts_are_taken_back() {
-    let scene = build(ClusterBuilder::new(1, pools(2, 3)));
+fn draining_and_removed_engines_get_no_attempts_until_ready_again() {
+    let cluster = build(ClusterBuilder::new(1, pools(2, 3)));
     block_on(async {
         for (round, condition) in [EndpointState::Draining, EndpointState::Removed]
             .into_iter()
             .enumerate()
         {
             for engine in [0, 2] {
-                scene.notify_all_nodes(engine, condition, None).await;
+                cluster.notify_all_nodes(engine, condition, None).await;
             }
             for i in 0..30 {
-                let ask = scene.new_request(0, QUICK, prompt(i + round as u32 * 100, 50), 5);
+                let client_request =
+                    cluster.new_request(0, QUICK, prompt(i + round as u32 * 100, 50), 5);
                 assert_eq!(
-                    scene.send(&ask).await.unwrap().outcome,
+                    cluster.send(&client_request).await.unwrap().outcome,
                     ClientOutcome::Served
                 );
             }
             for engine in [0, 2] {
-                scene
+                cluster
                     .notify_all_nodes(engine, EndpointState::Ready, None)
                     .await;
             }
         }
-        let all_seen = scene.log.all();
-        let told = all_seen
+        let all_events = cluster.log.all();
+        let notifications = all_events
             .iter()
             .filter(|s| matches!(s.event, ObservedEvent::NodeNotified { .. }))
             .count();
-        assert_eq!(told, 8);
-        clean(&scene).await;
+        assert_eq!(notifications, 8);
+        assert_clean(&cluster).await;
     });
 }
 
-/// A client that reads slowly holds up its own stream alone, and what waits for it stays bounded.
+/// A client that reads slowly delays only its own stream, and the number of tokens buffered for it is bounded.
 #[test]
-fn a_slow_client_holds_up_its_own_stream_alone() {
+fn a_slow_client_delays_only_its_own_stream() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 0;
     let mut make = ClusterBuilder::new(1, specs);
     make.settings.max_buffered_tokens = 64;
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
-        let mut slow = scene.new_request(0, QUICK, prompt(1, 50), 60_000);
+        let mut slow = cluster.new_request(0, QUICK, prompt(1, 50), 60_000);
         slow.behavior.read_pause = 400_000;
         slow.behavior.client_timeout = 60_000_000;
         let call = slow.request.call_id;
-        let (leave, left) = async_channel::bounded::<()>(1);
-        let (tell, wait) = async_channel::bounded(1);
-        let one = scene.clone();
-        scene.runtime.run(async move {
-            let leave = async {
-                let _ = left.recv().await;
+        let (disconnect, disconnected) = async_channel::bounded::<()>(1);
+        let (sender, receiver) = async_channel::bounded(1);
+        let one = cluster.clone();
+        cluster.runtime.run(async move {
+            let disconnect = async {
+                let _ = disconnected.recv().await;
             };
-            let _ = tell
-                .send(one.send_until(&slow, leave).await.unwrap().outcome)
+            let _ = sender
+                .send(one.send_until(&slow, disconnect).await.unwrap().outcome)
                 .await;
         });
-        seen(
-            &scene,
+        wait_for_event(
+            &cluster,
             |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
         )
         .await;
-        // Others on the same connection are not held up: each is served while the slow one waits.
+        // Other requests on the same connection are not delayed: each is served while the slow one is open.
         for i in 0..20 {
-            let end = scene
-                .send(&scene.new_request(0, QUICK, prompt(i + 2, 50), 20))
+            let end = cluster
+                .send(&cluster.new_request(0, QUICK, prompt(i + 2, 50), 20))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         }
-        drop(leave);
-        assert_eq!(wait.recv().await, Ok(ClientOutcome::Disconnected));
-        // What left the engine: at most what the client took, the node's buffer (twice its bound) and three windows
-        // of 64 KiB of messages of at least four bytes for each token.
-        let sent = scene.engine(1).tokens_sent();
+        drop(disconnect);
+        assert_eq!(receiver.recv().await, Ok(ClientOutcome::Disconnected));
+        // The engine sends at most what the client has read, the node's buffer (twice its limit) and three flow-control
+        // windows of 64 KiB, where each token takes a message of at least four bytes.
+        let sent = cluster.engine(1).tokens_sent();
         let bound = 4 * 64 + 2 * 64 + 3 * (64 << 10) / 4;
         assert!(
             sent < bound,
-            "{sent} tokens left the engine, {bound} at most"
+            "the engine sent {sent} tokens, expected fewer than {bound}"
         );
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
 /// Guards against connections that break under many small frames: slow clients of one engine share its connection, and
-/// none of them, nor a quick one beside them, loses its stream by that.
+/// neither their streams nor that of a fast client on the same connection are lost.
 #[test]
 fn many_slow_clients_do_not_break_the_connection_they_share() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 0;
     let mut make = ClusterBuilder::new(1, specs);
-    // Forty streams at full speed keep the machine busy: first tokens come late, and the module is not to shed for that,
-    // nor to take a wait for a stall. How soon a busy engine takes up what waits in its sockets is not the matter either.
+    // Forty streams at full speed keep the machine busy, so first tokens arrive late. The router must not reject
+    // requests because of that, nor treat the delay as a stall. How soon a busy engine reads its sockets is not tested
+    // here either.
     make.use_long_deadlines();
     make.settings.router.release_within = 20_000_000;
     make.flight = 20_000_000;
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
-        let asks = (0..40).map(|i| {
-            let mut ask = scene.new_request(0, QUICK, prompt(i, 50), 20_000);
-            ask.behavior.read_pause = 200_000;
-            ask.behavior.disconnect_after = Some(1_200_000);
-            // Not all in one moment, which the module would take for overload.
-            ask.behavior.client_timeout = 10_000_000;
-            ask
+        let client_requests = (0..40).map(|i| {
+            let mut client_request = cluster.new_request(0, QUICK, prompt(i, 50), 20_000);
+            client_request.behavior.read_pause = 200_000;
+            client_request.behavior.disconnect_after = Some(1_200_000);
+            // The requests are sent one after another, because the router would treat a burst as overload.
+            client_request.behavior.client_timeout = 10_000_000;
+            client_request
         });
-        let mut waits = Vec::new();
-        for ask in asks {
-            let (tell, wait) = async_channel::bounded(1);
-            let one = scene.clone();
-            scene.runtime.run(async move {
-                let _ = tell.send(one.send(&ask).await.unwrap()).await;
+        let mut receivers = Vec::new();
+        for client_request in client_requests {
+            let (sender, receiver) = async_channel::bounded(1);
+            let one = cluster.clone();
+            cluster.runtime.run(async move {
+                let _ = sender.send(one.send(&client_request).await.unwrap()).await;
             });
-            scene.runtime.sleep(5_000).await;
-            waits.push(wait);
+            cluster.runtime.sleep(5_000).await;
+            receivers.push(receiver);
         }
-        let mut quick = scene.new_request(0, QUICK, prompt(99, 50), 20);
+        let mut quick = cluster.new_request(0, QUICK, prompt(99, 50), 20);
         quick.behavior.client_timeout = 10_000_000;
-        let quick = scene.send(&quick).await.unwrap();
+        let quick = cluster.send(&quick).await.unwrap();
         assert_eq!(quick.outcome, ClientOutcome::Served, "{quick:?}");
-        for wait in waits {
-            let end = wait.recv().await.unwrap();
+        for receiver in receivers {
+            let end = receiver.recv().await.unwrap();
             assert!(
                 matches!(
                     end.outcome,
@@ -348,6 +356,6 @@
                 "{end:?}"
             );
         }
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
--- a/crates/ivyward-testbed/tests/reservations.rs
+++ b/crates/ivyward-testbed/tests/reservations.rs
@@ -1,4 +1,4 @@
-//! Places held ahead, load reports, and the node's bounds.
+//! Decode slots reserved before prefill, load reports, and the node's limits.
 
 mod common;
 use common::*;
@@ -10,18 +10,18 @@
 use ivyward_testbed::local_cluster::{ClusterBuilder, RecordingBuffer};
 
 #[test]
-fn places_are_held_ahead_taken_and_let_go() {
+fn decode_slots_are_reserved_used_and_released() {
     let mut specs = pools(1, 2);
-    // Reads take a quarter of a second, so that a place is held meanwhile.
+    // Prefill takes a quarter of a second, so that a decode slot is reserved during that time.
     specs[0].prefill_rate = 200.0;
     let mut make = ClusterBuilder::new(31, specs);
     make.settings.router.reserve_decode_slot = true;
     make.use_long_deadlines();
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
         for i in 0..6 {
-            let end = scene
-                .send(&scene.new_request(0, QUICK, prompt(i, 50), 5))
+            let end = cluster
+                .send(&cluster.new_request(0, QUICK, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -36,16 +36,17 @@
                 }
             )
         };
-        seen(&scene, taken).await;
-        // A client that leaves during the read: its place is let go at once, long before the engine's own limit.
-        let ask = scene.new_request(0, QUICK, prompt(50, 50), 5);
-        leaves_when(
-            &scene,
-            &ask,
+        wait_for_event(&cluster, taken).await;
+        // When a client disconnects during prefill, its decode slot is released at once, long before the engine's own
+        // time limit.
+        let client_request = cluster.new_request(0, QUICK, prompt(50, 50), 5);
+        disconnect_when(
+            &cluster,
+            &client_request,
             |s| matches!(s, ObservedEvent::Retained { is_decode_slot: true, key, .. } if key.request == 7),
         )
         .await;
-        seen(&scene, |s| {
+        wait_for_event(&cluster, |s| {
             matches!(
                 s,
                 ObservedEvent::Released {
@@ -56,44 +57,47 @@
             )
         })
         .await;
-        // An engine that cannot be asked holds up nothing.
+        // A reservation that gets no answer from the decode engine does not delay prefill.
         for e in [1, 2] {
-            scene.engine(e).fault(|f| f.hang = true);
+            cluster.engine(e).fault(|f| f.hang = true);
         }
-        let (one, ask) = (
-            scene.clone(),
-            scene.new_request(0, QUICK, prompt(60, 50), 5),
+        let (one, client_request) = (
+            cluster.clone(),
+            cluster.new_request(0, QUICK, prompt(60, 50), 5),
         );
-        let (tell, wait) = async_channel::bounded(1);
-        let call = ask.request.call_id;
-        scene.runtime.run(async move {
-            let _ = tell.send(one.send(&ask).await.unwrap()).await;
+        let (sender, receiver) = async_channel::bounded(1);
+        let call = client_request.request.call_id;
+        cluster.runtime.run(async move {
+            let _ = sender.send(one.send(&client_request).await.unwrap()).await;
         });
-        let came = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Prefill, .. } if *c == call);
-        seen(&scene, came).await;
+        let arrived = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Prefill, .. } if *c == call);
+        wait_for_event(&cluster, arrived).await;
         for e in [1, 2] {
-            scene.engine(e).fault(|f| f.hang = false);
+            cluster.engine(e).fault(|f| f.hang = false);
         }
-        assert_eq!(wait.recv().await.unwrap().outcome, ClientOutcome::Served);
-        clean(&scene).await;
+        assert_eq!(
+            receiver.recv().await.unwrap().outcome,
+            ClientOutcome::Served
+        );
+        assert_clean(&cluster).await;
     });
 }
 
 #[test]
-fn load_reports_ride_on_answers() {
+fn answers_carry_load_reports() {
     let memory = RecordingBuffer::default();
     let mut make = ClusterBuilder::new(32, pools(1, 1));
     make.settings.router.report_fields = vec![ReportField::Utilization, ReportField::Outstanding];
     make.recording = Some(memory.clone());
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
-        let end = scene
-            .send(&scene.new_request(0, QUICK, prompt(1, 50), 5))
+        let end = cluster
+            .send(&cluster.new_request(0, QUICK, prompt(1, 50), 5))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served);
-        scene.node(0).unwrap().flush_recording().await;
-        clean(&scene).await;
+        cluster.node(0).unwrap().flush_recording().await;
+        assert_clean(&cluster).await;
     });
     let bytes = memory.bytes();
     let mut reader = RecordingReader::begin(&bytes[..]).unwrap();
@@ -103,25 +107,25 @@
             reports.push((report.len, report.values[1]));
         }
     }
-    // One request was inside each engine when it answered.
+    // Each engine had one request when it answered.
     assert_eq!(reports, [(2, 1.0), (2, 1.0)]);
 }
 
 #[test]
-fn a_full_node_refuses_and_says_so() {
+fn a_full_node_rejects_requests_with_a_reason() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 30_000;
     let mut make = ClusterBuilder::new(33, specs);
     make.settings.max_open_requests = 2;
-    // Refused by the bound alone: a wait on a busy machine is no overload.
+    // Only the limit may cause a rejection: with long deadlines, delays on a busy machine do not count as overload.
     make.use_long_deadlines();
-    let scene = build(make);
+    let cluster = build(make);
     block_on(async {
-        let node = scene.node(0).unwrap();
-        let long = |i| scene.new_request(0, QUICK, prompt(i, 50), 2_000).request;
-        let held: Vec<_> = (0..2).map(|i| node.generate(long(i), None)).collect();
-        let end = scene
-            .send(&scene.new_request(0, QUICK, prompt(9, 50), 5))
+        let node = cluster.node(0).unwrap();
+        let long = |i| cluster.new_request(0, QUICK, prompt(i, 50), 2_000).request;
+        let open: Vec<_> = (0..2).map(|i| node.generate(long(i), None)).collect();
+        let end = cluster
+            .send(&cluster.new_request(0, QUICK, prompt(9, 50), 5))
             .await
             .unwrap();
         assert_eq!(
@@ -130,26 +134,26 @@
             "{end:?}"
         );
         assert!(end.message.contains("this node is full"), "{end:?}");
-        drop(held);
-        scene.wait_until_idle(5_000_000).await;
-        let end = scene
-            .send(&scene.new_request(0, QUICK, prompt(10, 50), 2))
+        drop(open);
+        cluster.wait_until_idle(5_000_000).await;
+        let end = cluster
+            .send(&cluster.new_request(0, QUICK, prompt(10, 50), 2))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
-        clean(&scene).await;
+        assert_clean(&cluster).await;
     });
 }
 
-/// Guards against dials without end: an engine that closes each connection at once costs a bounded number of them, and
+/// Guards against unlimited dials: an engine that closes each connection at once causes a bounded number of dials, and
 /// requests end in time.
 #[test]
-fn an_engine_that_closes_each_connection_is_not_dialled_without_end() {
-    let scene = build(ClusterBuilder::new(34, pools(1, 1)));
+fn dials_to_an_engine_that_closes_each_connection_are_bounded() {
+    let cluster = build(ClusterBuilder::new(34, pools(1, 1)));
     block_on(async {
-        let runtime = scene.runtime.clone();
+        let runtime = cluster.runtime.clone();
         let address = {
-            let mut engine = scene.engine(1);
+            let mut engine = cluster.engine(1);
             engine.crash();
             engine.address()
         };
@@ -164,8 +168,8 @@
             }
         });
         for i in 0..5 {
-            let end = scene
-                .send(&scene.new_request(0, ORDER, prompt(i, 50), 5))
+            let end = cluster
+                .send(&cluster.new_request(0, ORDER, prompt(i, 50), 5))
                 .await
                 .unwrap();
             assert!(
@@ -175,7 +179,7 @@
         }
         let dials = dials.load(std::sync::atomic::Ordering::SeqCst);
         assert!(dials < 200, "{dials} dials for five requests");
-        scene.wait_until_idle(5_000_000).await;
-        assert_eq!(scene.node(0).unwrap().open_requests(), 0);
+        cluster.wait_until_idle(5_000_000).await;
+        assert_eq!(cluster.node(0).unwrap().open_requests(), 0);
     });
 }
--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -24,8 +24,8 @@
 }
 
 /// What the auditor finds broken, by rule; then attempts side by side, and deadlines told to engines.
-fn broken(scene: &LocalCluster) -> [bool; 7] {
-    let audit = scene.audit();
+fn broken(cluster: &LocalCluster) -> [bool; 7] {
+    let audit = cluster.audit();
     let mut out = [false; 7];
     for (i, rule) in audit.rules.iter().enumerate() {
         out[i] = rule.violation_count > 0;
@@ -39,9 +39,9 @@
     std::array::from_fn(|i| i == rule)
 }
 
-async fn dial(scene: &LocalCluster, engine: usize) -> Channel {
-    let runtime: RuntimeRef = scene.runtime.clone();
-    let address = scene.engine(engine).address();
+async fn dial(cluster: &LocalCluster, engine: usize) -> Channel {
+    let runtime: RuntimeRef = cluster.runtime.clone();
+    let address = cluster.engine(engine).address();
     let conn = runtime.connect(address).await.unwrap();
     Channel::begin(&runtime, conn, Options::default())
         .await
@@ -49,7 +49,7 @@
 }
 
 fn header(
-    scene: &LocalCluster,
+    cluster: &LocalCluster,
     engine: usize,
     request: u64,
     attempt: u32,
@@ -60,7 +60,7 @@
         request,
         attempt,
     });
-    let engine = scene.engine(engine).spec().id;
+    let engine = cluster.engine(engine).spec().id;
     Some(pb::Header {
         key,
         engine,
@@ -69,14 +69,20 @@
     })
 }
 
-async fn write(scene: &LocalCluster, engine: usize, request: u64, attempt: u32, call: u64) -> Call {
+async fn write(
+    cluster: &LocalCluster,
+    engine: usize,
+    request: u64,
+    attempt: u32,
+    call: u64,
+) -> Call {
     let ask = pb::WriteRequest {
-        header: header(scene, engine, request, attempt, call),
+        header: header(cluster, engine, request, attempt, call),
         prompt: prompt(1, 10),
         max_output_tokens: 5,
         ..pb::WriteRequest::default()
     };
-    let channel = dial(scene, engine).await;
+    let channel = dial(cluster, engine).await;
     channel
         .call(
             "/ivyward.engine.v1.Engine/Write",
@@ -87,13 +93,13 @@
         .unwrap()
 }
 
-async fn read(scene: &LocalCluster, engine: usize, request: u64, attempt: u32) -> Call {
+async fn read(cluster: &LocalCluster, engine: usize, request: u64, attempt: u32) -> Call {
     let ask = pb::ReadRequest {
-        header: header(scene, engine, request, attempt, 1),
+        header: header(cluster, engine, request, attempt, 1),
         prompt: prompt(1, 10),
         ..pb::ReadRequest::default()
     };
-    let channel = dial(scene, engine).await;
+    let channel = dial(cluster, engine).await;
     channel
         .call(
             "/ivyward.engine.v1.Engine/Read",
@@ -108,9 +114,9 @@
     while let Ok(Some(_)) = call.next::<M>().await {}
 }
 
-fn called(scene: &LocalCluster, call: u64, effect: CallIdempotency) {
-    let until = scene.log.now() + 1_000_000;
-    scene.log.add(ObservedEvent::CallStarted {
+fn called(cluster: &LocalCluster, call: u64, effect: CallIdempotency) {
+    let until = cluster.log.now() + 1_000_000;
+    cluster.log.add(ObservedEvent::CallStarted {
         call,
         operation: call,
         node: 0,
@@ -119,8 +125,8 @@
     });
 }
 
-fn heard(scene: &LocalCluster, call: u64, how: ClientOutcome) {
-    scene
+fn heard(cluster: &LocalCluster, call: u64, how: ClientOutcome) {
+    cluster
         .log
         .add(ObservedEvent::CallEnded { call, outcome: how });
 }
@@ -132,24 +138,24 @@
         (ClientOutcome::TimedOut, false, Some(0)),
         (ClientOutcome::Rejected, true, Some(0)),
     ] {
-        let scene = engines(pools(0, 1));
+        let cluster = engines(pools(0, 1));
         block_on(async {
-            called(&scene, 1, CallIdempotency::Idempotent);
+            called(&cluster, 1, CallIdempotency::Idempotent);
             if !late {
-                to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
+                to_end::<pb::WriteEvent>(write(&cluster, 0, 1, 0, 1).await).await;
             }
-            heard(&scene, 1, how);
+            heard(&cluster, 1, how);
             if late {
-                scene.runtime.sleep(150_000).await;
-                to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
+                cluster.runtime.sleep(150_000).await;
+                to_end::<pb::WriteEvent>(write(&cluster, 0, 1, 0, 1).await).await;
             }
         });
-        assert_eq!(broken(&scene), rule.map_or([false; 7], only), "{how:?}");
+        assert_eq!(broken(&cluster), rule.map_or([false; 7], only), "{how:?}");
     }
     // One that was never heard of again.
-    let scene = engines(pools(0, 1));
-    called(&scene, 1, CallIdempotency::Idempotent);
-    assert_eq!(broken(&scene), only(0));
+    let cluster = engines(pools(0, 1));
+    called(&cluster, 1, CallIdempotency::Idempotent);
+    assert_eq!(broken(&cluster), only(0));
 }
 
 #[test]
@@ -180,18 +186,18 @@
             None,
         ),
     ] {
-        let scene = engines(pools(0, 2));
+        let cluster = engines(pools(0, 2));
         block_on(async {
-            called(&scene, 1, effect);
+            called(&cluster, 1, effect);
             for attempt in 0..runs {
-                to_end::<pb::WriteEvent>(write(&scene, attempt as usize, 1, attempt, 1).await)
+                to_end::<pb::WriteEvent>(write(&cluster, attempt as usize, 1, attempt, 1).await)
                     .await;
             }
-            scene.wait_until_idle(1_000_000).await;
-            heard(&scene, 1, how);
+            cluster.wait_until_idle(1_000_000).await;
+            heard(&cluster, 1, how);
         });
         assert_eq!(
-            broken(&scene),
+            broken(&cluster),
             rule.map_or([false; 7], only),
             "{effect:?} run {runs} times, {how:?}"
         );
@@ -201,19 +207,19 @@
 #[test]
 fn rule_3_work_for_an_engine_that_drains() {
     for (wait, rule) in [(0, None), (500_000, Some(2))] {
-        let scene = engines(pools(0, 1));
+        let cluster = engines(pools(0, 1));
         block_on(async {
-            let engine = scene.engine(0).spec().id;
-            scene.log.add(ObservedEvent::NodeNotified {
+            let engine = cluster.engine(0).spec().id;
+            cluster.log.add(ObservedEvent::NodeNotified {
                 node: NODE,
                 engine,
                 ready: false,
             });
-            scene.runtime.sleep(wait).await;
-            to_end::<pb::WriteEvent>(write(&scene, 0, 1, 0, 1).await).await;
+            cluster.runtime.sleep(wait).await;
+            to_end::<pb::WriteEvent>(write(&cluster, 0, 1, 0, 1).await).await;
         });
         assert_eq!(
-            broken(&scene),
+            broken(&cluster),
             rule.map_or([false; 7], only),
             "after {wait} us"
         );
@@ -239,21 +245,21 @@
             rules.overload_window,
             rules.warm_up_duration,
         ) = (0.1, window, warm);
-        let scene = build(make);
+        let cluster = build(make);
         block_on(async {
-            scene.engine(0).restart(true).unwrap();
+            cluster.engine(0).restart(true).unwrap();
             for i in 0..calls {
-                if scene.engine(0).is_running() {
-                    to_end::<pb::WriteEvent>(write(&scene, 0, i, 0, i).await).await;
+                if cluster.engine(0).is_running() {
+                    to_end::<pb::WriteEvent>(write(&cluster, 0, i, 0, i).await).await;
                 }
             }
         });
         assert_eq!(
-            broken(&scene),
+            broken(&cluster),
             rule.map_or([false; 7], only),
             "{calls} calls"
         );
-        assert_eq!(scene.engine(0).is_running(), rule.is_none());
+        assert_eq!(cluster.engine(0).is_running(), rule.is_none());
     }
 }
 
@@ -262,9 +268,9 @@
     for (release, rule) in [(true, None), (false, Some(4))] {
         let mut specs = pools(1, 0);
         specs[0].retention = 700_000;
-        let scene = engines(specs);
+        let cluster = engines(specs);
         block_on(async {
-            to_end::<pb::ReadReply>(read(&scene, 0, 1, 0).await).await;
+            to_end::<pb::ReadReply>(read(&cluster, 0, 1, 0).await).await;
             if release {
                 let key = Some(pb::AttemptKey {
                     node: NODE,
@@ -273,17 +279,17 @@
                 });
                 let ask = encode(&pb::ReleaseRequest { key, engine: 1 });
                 let path = "/ivyward.engine.v1.Engine/Release";
-                let call = dial(&scene, 0)
+                let call = dial(&cluster, 0)
                     .await
                     .call(path, ask, http::HeaderMap::new())
                     .await
                     .unwrap();
                 to_end::<pb::ReleaseReply>(call).await;
             }
-            seen(&scene, |s| matches!(s, ObservedEvent::Released { .. })).await;
+            wait_for_event(&cluster, |s| matches!(s, ObservedEvent::Released { .. })).await;
         });
         assert_eq!(
-            broken(&scene),
+            broken(&cluster),
             rule.map_or([false; 7], only),
             "released: {release}"
         );
@@ -298,32 +304,32 @@
             EngineSpec::small(2, Role::Decode),
         ];
         specs[0].token_interval = 100_000;
-        let scene = engines(specs);
+        let cluster = engines(specs);
         block_on(async {
-            let first = write(&scene, 0, 1, 0, 1).await;
+            let first = write(&cluster, 0, 1, 0, 1).await;
             let run = async {
                 if !beside {
                     to_end::<pb::WriteEvent>(first).await;
-                    return to_end::<pb::WriteEvent>(write(&scene, 1, 1, 1, 1).await).await;
+                    return to_end::<pb::WriteEvent>(write(&cluster, 1, 1, 1, 1).await).await;
                 }
                 let (tell, wait) = async_channel::bounded::<()>(1);
-                scene.runtime.run(async move {
+                cluster.runtime.run(async move {
                     to_end::<pb::WriteEvent>(first).await;
                     drop(tell);
                 });
-                seen(&scene, |s| matches!(s, ObservedEvent::AttemptRan { .. })).await;
-                to_end::<pb::WriteEvent>(write(&scene, 1, 1, 1, 1).await).await;
+                wait_for_event(&cluster, |s| matches!(s, ObservedEvent::AttemptRan { .. })).await;
+                to_end::<pb::WriteEvent>(write(&cluster, 1, 1, 1, 1).await).await;
                 let _ = wait.recv().await;
             };
             run.await;
-            seen(
-                &scene,
+            wait_for_event(
+                &cluster,
                 |s| matches!(s, ObservedEvent::AttemptEnded { key, .. } if key.attempt == 0),
             )
             .await;
         });
         assert_eq!(
-            broken(&scene),
+            broken(&cluster),
             rule.map_or([false; 7], only),
             "beside: {beside}"
         );
@@ -333,10 +339,14 @@
 /// A run that goes on: what may still come out right is no break yet, and is one as soon as it cannot any more.
 #[test]
 fn a_run_that_goes_on_is_judged_by_what_can_still_come() {
-    let scene = engines(pools(0, 2));
-    called(&scene, 1, CallIdempotency::Idempotent);
+    let cluster = engines(pools(0, 2));
+    called(&cluster, 1, CallIdempotency::Idempotent);
     let broken = |after: u64| {
-        let audit = check_so_far(&scene.log.all(), &scene.limits(), scene.log.now() + after);
+        let audit = check_so_far(
+            &cluster.log.all(),
+            &cluster.limits(),
+            cluster.log.now() + after,
+        );
         (
             audit.rules[0].violation_count,
             audit.overlap.violation_count,
@@ -351,7 +361,7 @@
             request: 1,
             attempt,
         };
-        scene.log.add(ObservedEvent::AttemptArrived {
+        cluster.log.add(ObservedEvent::AttemptArrived {
             engine: u64::from(attempt) + 1,
             key,
             call: 1,
@@ -366,26 +376,26 @@
 #[test]
 fn a_deadline_told_to_an_engine_past_the_clients() {
     for (more, broken_rule) in [(100_000, None), (400_000, Some(6))] {
-        let scene = engines(pools(0, 1));
+        let cluster = engines(pools(0, 1));
         block_on(async {
-            called(&scene, 1, CallIdempotency::Idempotent);
+            called(&cluster, 1, CallIdempotency::Idempotent);
             let ask = pb::WriteRequest {
-                header: header(&scene, 0, 1, 0, 1),
+                header: header(&cluster, 0, 1, 0, 1),
                 prompt: prompt(1, 10),
                 max_output_tokens: 5,
                 ..pb::WriteRequest::default()
             };
             let path = "/ivyward.engine.v1.Engine/Write";
-            let deadline = scene.runtime.now() + 1_000_000 + more;
-            let call = dial(&scene, 0)
+            let deadline = cluster.runtime.now() + 1_000_000 + more;
+            let call = dial(&cluster, 0)
                 .await
                 .call_with_deadline(path, encode(&ask), Some(deadline))
                 .await;
             to_end::<pb::WriteEvent>(call.unwrap()).await;
-            heard(&scene, 1, ClientOutcome::Served);
+            heard(&cluster, 1, ClientOutcome::Served);
         });
         assert_eq!(
-            broken(&scene),
+            broken(&cluster),
             broken_rule.map_or([false; 7], only),
             "{more} us past its end"
         );
--- a/crates/ivyward-testbed/tests/watch_latency.rs
+++ b/crates/ivyward-testbed/tests/watch_latency.rs
@@ -22,7 +22,7 @@
 }
 
 struct Rig {
-    scene: Arc<LocalCluster>,
+    cluster: Arc<LocalCluster>,
     store: Store,
 }
 
@@ -56,29 +56,29 @@
     (make.nodes, make.watcher) = (nodes, Some(follow));
     quiet_about_time(&mut make);
     Rig {
-        scene: build(make),
+        cluster: build(make),
         store,
     }
 }
 
 impl Rig {
     fn put(&self, engine: usize, state: State) {
-        let (key, record) = self.scene.registration(engine, state, 0);
+        let (key, record) = self.cluster.registration(engine, state, 0);
         self.store.put(&key, &record);
     }
     fn delete(&self, engine: usize) {
         self.store
-            .delete(&self.scene.registration(engine, State::Ready, 0).0);
+            .delete(&self.cluster.registration(engine, State::Ready, 0).0);
     }
     fn put_all(&self) {
-        (0..self.scene.engines()).for_each(|e| self.put(e, State::Ready));
+        (0..self.cluster.engines()).for_each(|e| self.put(e, State::Ready));
     }
     /// Notes that all nodes are told of an engine now, which is before they can know.
     fn told(&self, engine: usize, ready: bool) {
-        let id = self.scene.engine(engine).spec().id;
-        for node in 0..self.scene.nodes() {
-            let node = self.scene.node(node).unwrap().incarnation();
-            self.scene.log.add(ObservedEvent::NodeNotified {
+        let id = self.cluster.engine(engine).spec().id;
+        for node in 0..self.cluster.nodes() {
+            let node = self.cluster.node(node).unwrap().incarnation();
+            self.cluster.log.add(ObservedEvent::NodeNotified {
                 node,
                 engine: id,
                 ready,
@@ -92,8 +92,8 @@
         self.told(engine, false);
     }
     fn engines_known(&self) -> Vec<u64> {
-        (0..self.scene.nodes())
-            .map(|n| self.scene.node(n).unwrap().metrics().engines.get())
+        (0..self.cluster.nodes())
+            .map(|n| self.cluster.node(n).unwrap().metrics().engines.get())
             .collect()
     }
     async fn until(&self, what: impl Fn(&Rig) -> bool) {
@@ -101,9 +101,9 @@
             if what(self) {
                 return;
             }
-            self.scene.runtime.sleep(1_000).await;
+            self.cluster.runtime.sleep(1_000).await;
         }
-        let m = self.scene.node(0).unwrap().metrics().text(0);
+        let m = self.cluster.node(0).unwrap().metrics().text(0);
         panic!(
             "it did not come about within ten seconds: {:?} {m}",
             self.engines_known()
@@ -111,8 +111,8 @@
     }
     /// All nodes heard all that the store holds.
     async fn heard_all(&self) {
-        let heard = |n: usize| self.scene.node(n).unwrap().metrics().list_revision.get() as i64;
-        self.until(|rig| (0..rig.scene.nodes()).all(|n| heard(n) >= rig.store.revision()))
+        let heard = |n: usize| self.cluster.node(n).unwrap().metrics().list_revision.get() as i64;
+        self.until(|rig| (0..rig.cluster.nodes()).all(|n| heard(n) >= rig.store.revision()))
             .await;
     }
     async fn all_known(&self, count: u64) {
@@ -125,14 +125,14 @@
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let (done, wait) = async_channel::bounded::<()>(1);
         for client in 0..8 {
-            let (scene, stopped, done) = (self.scene.clone(), stopped.clone(), done.clone());
-            self.scene.runtime.run(async move {
+            let (cluster, stopped, done) = (self.cluster.clone(), stopped.clone(), done.clone());
+            self.cluster.runtime.run(async move {
                 let mut i = client * 100_000;
                 while !stopped.is_closed() {
-                    let ask = scene.new_request(client as usize % 2, QUICK, prompt(i, 40), 4);
-                    scene.send(&ask).await;
+                    let ask = cluster.new_request(client as usize % 2, QUICK, prompt(i, 40), 4);
+                    cluster.send(&ask).await;
                     i += 1;
-                    scene.runtime.sleep(2_000).await;
+                    cluster.runtime.sleep(2_000).await;
                 }
                 drop(done);
             });
@@ -142,8 +142,8 @@
     async fn served(&self, i: u32) {
         for node in 0..2 {
             let end = self
-                .scene
-                .send(&self.scene.new_request(node, QUICK, prompt(i, 40), 4))
+                .cluster
+                .send(&self.cluster.new_request(node, QUICK, prompt(i, 40), 4))
                 .await
                 .unwrap();
             assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
@@ -165,15 +165,15 @@
                 _ => rig.delete(engine),
             }
             rig.told(engine, false);
-            rig.scene.runtime.sleep(300_000).await;
+            rig.cluster.runtime.sleep(300_000).await;
             rig.told(engine, true);
             rig.put(engine, State::Ready);
-            rig.scene.runtime.sleep(30_000).await;
+            rig.cluster.runtime.sleep(30_000).await;
         }
         drop(stop);
         let _ = done.recv().await;
-        clean(&rig.scene).await;
-        let checked = rig.scene.audit().rules[2].checked;
+        assert_clean(&rig.cluster).await;
+        let checked = rig.cluster.audit().rules[2].checked;
         assert!(checked >= 40, "{checked} checks");
     });
 }
@@ -191,11 +191,11 @@
             rig.put(engine, State::Draining);
             rig.told(engine, false);
         }
-        rig.until(|rig| rig.scene.audit().rules[2].violation_count > 0)
+        rig.until(|rig| rig.cluster.audit().rules[2].violation_count > 0)
             .await;
         drop(stop);
         let _ = done.recv().await;
-        rig.scene.wait_until_idle(5_000_000).await;
+        rig.cluster.wait_until_idle(5_000_000).await;
     });
 }
 
@@ -215,11 +215,11 @@
         rig.store.compact();
         rig.store.fault(|f| f.suppress_watch_events = false);
         rig.all_known(11).await;
-        let gaps = rig.scene.node(0).unwrap().metrics().list_gaps.get();
+        let gaps = rig.cluster.node(0).unwrap().metrics().list_gaps.get();
         assert!(gaps >= 1);
         rig.told(5, false);
         rig.served(1).await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -233,19 +233,21 @@
         rig.all_known(12).await;
         rig.drained(4).await;
         rig.store.crash();
-        rig.until(|rig| rig.scene.node(0).unwrap().metrics().list_stale.get() == 1)
+        rig.until(|rig| rig.cluster.node(0).unwrap().metrics().list_stale.get() == 1)
             .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         rig.served(1).await;
         rig.store.restart().unwrap();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
-            .await;
+        rig.until(|rig| {
+            (0..2).all(|n| rig.cluster.node(n).unwrap().metrics().list_stale.get() == 0)
+        })
+        .await;
         rig.served(2).await;
         rig.told(4, true);
         rig.put(4, State::Ready);
         rig.heard_all().await;
         rig.served(3).await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -258,8 +260,10 @@
     block_on(async {
         rig.all_known(12).await;
         rig.store.reset_empty();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_gaps.get() >= 1))
-            .await;
+        rig.until(|rig| {
+            (0..2).all(|n| rig.cluster.node(n).unwrap().metrics().list_gaps.get() >= 1)
+        })
+        .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         rig.served(1).await;
         (0..6).for_each(|e| rig.put(e, State::Ready));
@@ -269,12 +273,12 @@
         rig.store.reset_empty();
         rig.all_known(0).await;
         let end = rig
-            .scene
-            .send(&rig.scene.new_request(0, QUICK, prompt(3, 40), 4))
+            .cluster
+            .send(&rig.cluster.new_request(0, QUICK, prompt(3, 40), 4))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Rejected, "{end:?}");
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -289,33 +293,41 @@
         rig.store.put("ivyward/engines/x", "{}");
         rig.store.put(
             "ivyward/engines/77",
-            &rig.scene.registration(4, State::Ready, 0).1,
+            &rig.cluster.registration(4, State::Ready, 0).1,
         );
-        rig.until(|rig| rig.scene.node(0).unwrap().metrics().records_malformed.get() == 3)
-            .await;
+        rig.until(|rig| {
+            rig.cluster
+                .node(0)
+                .unwrap()
+                .metrics()
+                .records_malformed
+                .get()
+                == 3
+        })
+        .await;
         assert_eq!(rig.engines_known(), [12, 12]);
         // A long answer runs while all writers are told to be elsewhere, and come back.
-        let ask = rig.scene.new_request(0, QUICK, prompt(1, 40), 400);
-        let (one, call) = (rig.scene.clone(), ask.request.call_id);
+        let ask = rig.cluster.new_request(0, QUICK, prompt(1, 40), 400);
+        let (one, call) = (rig.cluster.clone(), ask.request.call_id);
         let (tell, wait) = async_channel::bounded(1);
-        rig.scene.runtime.run(async move {
+        rig.cluster.runtime.run(async move {
             let _ = tell.send(one.send(&ask).await.unwrap()).await;
         });
-        seen(
-            &rig.scene,
+        wait_for_event(
+            &rig.cluster,
             |s| matches!(s, ObservedEvent::FirstTokenReceived { call: c } if *c == call),
         )
         .await;
         for engine in 4..12 {
-            let (key, record) = rig.scene.registration(engine, State::Ready, 0);
-            let own = rig.scene.engine(engine).address().to_string();
+            let (key, record) = rig.cluster.registration(engine, State::Ready, 0);
+            let own = rig.cluster.engine(engine).address().to_string();
             rig.store.put(&key, &record.replace(&own, "127.0.0.1:9"));
         }
         rig.put_all();
         let end = wait.recv().await.unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
         rig.served(2).await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -324,7 +336,7 @@
 fn a_kept_list_serves_while_the_store_is_down() {
     let mut rig = rig(200_000);
     let path = std::env::temp_dir().join(format!("ivyward-kept-{}", std::process::id()));
-    let follow = rig.scene.builder().watcher.clone().unwrap();
+    let follow = rig.cluster.builder().watcher.clone().unwrap();
     rig.put_all();
     block_on(async {
         let keeping = WatcherOptions {
@@ -335,7 +347,7 @@
             let runtime = ivyward_runtime::SmolRuntime::start(1, seed);
             let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
             let node =
-                ivyward::Node::start(as_ref, rig.scene.builder().settings.clone(), None).unwrap();
+                ivyward::Node::start(as_ref, rig.cluster.builder().settings.clone(), None).unwrap();
             let following = node.clone();
             runtime.run(async move { following.watch_endpoints(follow).await });
             (runtime, node)
@@ -347,7 +359,7 @@
         rig.store.crash();
         let (_second, node) = start(2, keeping);
         rig.until(|_| node.metrics().engines.get() == 12).await;
-        let ask = rig.scene.new_request(0, QUICK, prompt(1, 40), 4).request;
+        let ask = rig.cluster.new_request(0, QUICK, prompt(1, 40), 4).request;
         assert_eq!(
             node.generate(ask.clone(), Some(2_000_000))
                 .collect()
@@ -373,13 +385,13 @@
     let rig = rig(200_000);
     let folder = std::env::temp_dir().join(format!("ivyward-kept-later-{}", std::process::id()));
     let path = folder.join("engines");
-    let follow = rig.scene.builder().watcher.clone().unwrap();
+    let follow = rig.cluster.builder().watcher.clone().unwrap();
     rig.put_all();
     block_on(async {
         let runtime = ivyward_runtime::SmolRuntime::start(1, 1);
         let as_ref: ivyward_runtime::RuntimeRef = runtime.clone();
         let node =
-            ivyward::Node::start(as_ref, rig.scene.builder().settings.clone(), None).unwrap();
+            ivyward::Node::start(as_ref, rig.cluster.builder().settings.clone(), None).unwrap();
         let (following, keeping) = (
             node.clone(),
             WatcherOptions {
@@ -433,13 +445,13 @@
             if part == 25 {
                 rig.drained(4).await;
             }
-            rig.scene.runtime.sleep(20_000).await;
+            rig.cluster.runtime.sleep(20_000).await;
         }
         rig.all_known(12 + fleet - burst).await;
         rig.served(2).await;
         drop(stop);
         let _ = done.recv().await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -459,7 +471,7 @@
     block_on(async {
         rig.all_known(12).await;
         rig.store.fault(|f| f.watch_delays = vec![0, 700_000]);
-        rig.store.set_observer(rig.scene.store_observer());
+        rig.store.set_observer(rig.cluster.store_observer());
         let (stop, done) = rig.load();
         for engine in 4..8 {
             rig.put(engine, State::Draining);
@@ -467,8 +479,8 @@
         }
         drop(stop);
         let _ = done.recv().await;
-        clean(&rig.scene).await;
-        let all = rig.scene.log.all();
+        assert_clean(&rig.cluster).await;
+        let all = rig.cluster.log.all();
         let told = |engine: u64| -> Vec<u64> {
             let of = |s: &ObservedEvent| matches!(s, ObservedEvent::NodeNotified { engine: e, ready: false, .. } if *e == engine);
             all.iter().filter(|s| of(&s.event)).map(|s| s.at).collect()
@@ -505,25 +517,25 @@
             behind[door] = old;
             rig.store.fault(|f| f.stale_revisions = behind);
             for _ in 0..4 {
-                let gaps = rig.scene.node(0).unwrap().metrics().list_gaps.get();
+                let gaps = rig.cluster.node(0).unwrap().metrics().list_gaps.get();
                 // Again and again, for one before the watch stands is missed.
                 let gap = |r: &Rig| {
                     r.store.cancel_watches();
-                    r.scene.node(0).unwrap().metrics().list_gaps.get() > gaps
+                    r.cluster.node(0).unwrap().metrics().list_gaps.get() > gaps
                 };
                 rig.until(gap).await;
-                rig.until(|r| r.scene.node(0).unwrap().metrics().list_stale.get() == 0)
+                rig.until(|r| r.cluster.node(0).unwrap().metrics().list_stale.get() == 0)
                     .await;
                 assert_eq!(rig.engines_known(), [11]);
             }
         }
         let end = rig
-            .scene
-            .send(&rig.scene.new_request(0, QUICK, prompt(1, 40), 4))
+            .cluster
+            .send(&rig.cluster.new_request(0, QUICK, prompt(1, 40), 4))
             .await
             .unwrap();
         assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -557,7 +569,7 @@
             rig.served(1).await;
             rig.drained(5).await;
             rig.served(2).await;
-            clean(&rig.scene).await;
+            assert_clean(&rig.cluster).await;
         });
     }
     std::fs::remove_file(&path).unwrap();
@@ -575,7 +587,7 @@
         rig.delete(4);
         let stale = |on: u64| {
             move |rig: &Rig| {
-                (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == on)
+                (0..2).all(|n| rig.cluster.node(n).unwrap().metrics().list_stale.get() == on)
             }
         };
         rig.until(stale(1)).await;
@@ -585,7 +597,7 @@
         rig.all_known(11).await;
         rig.until(stale(0)).await;
         rig.served(2).await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -616,7 +628,7 @@
         }
         drop(stop);
         let _ = done.recv().await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -630,22 +642,26 @@
         rig.all_known(12).await;
         rig.drained(4).await;
         rig.store.crash();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 1))
-            .await;
+        rig.until(|rig| {
+            (0..2).all(|n| rig.cluster.node(n).unwrap().metrics().list_stale.get() == 1)
+        })
+        .await;
         // Thirty lists in vain at the longest pause of this rig.
-        let until = rig.scene.log.now() + 3_000_000;
+        let until = rig.cluster.log.now() + 3_000_000;
         let mut i = 0;
-        while rig.scene.log.now() < until {
+        while rig.cluster.log.now() < until {
             rig.served(i).await;
             i += 1;
             assert_eq!(rig.engines_known(), [12, 12]);
-            rig.scene.runtime.sleep(50_000).await;
+            rig.cluster.runtime.sleep(50_000).await;
         }
         rig.store.restart().unwrap();
-        rig.until(|rig| (0..2).all(|n| rig.scene.node(n).unwrap().metrics().list_stale.get() == 0))
-            .await;
+        rig.until(|rig| {
+            (0..2).all(|n| rig.cluster.node(n).unwrap().metrics().list_stale.get() == 0)
+        })
+        .await;
         rig.served(i).await;
-        clean(&rig.scene).await;
+        assert_clean(&rig.cluster).await;
     });
 }
 
@@ -656,14 +672,14 @@
     let rig = rig_of(2_000_000, 60_000_000);
     let endpoints = [rig.store.address()];
     for engine in 0..12 {
-        rig.scene.keep_engine_registered(engine, &endpoints, 3, 0);
+        rig.cluster.keep_engine_registered(engine, &endpoints, 3, 0);
     }
     block_on(async {
         rig.all_known(12).await;
-        rig.scene.engine(5).crash();
+        rig.cluster.engine(5).crash();
         rig.all_known(11).await;
         // Drained by hand, under the lease that it has.
-        let key = rig.scene.registration(4, State::Ready, 0).0;
+        let key = rig.cluster.registration(4, State::Ready, 0).0;
         let value = rig.store.value(&key).unwrap().replace("ready", "draining");
         rig.store.put_keeping_lease(&key, &value);
         // The keeper sees the change with its next renewal, of which there are three in a lease's time; then the store
