--- a/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
+++ b/crates/ivyward-testbed/tests/disconnects_and_deadlines.rs
@@ -1,5 +1,5 @@
-//! Terms of service on the gRPC side, in the virtual world: what happens after a client left, which deadlines engines are
-//! told, and that answers reach their clients when a node stops.
+//! Disconnects and deadlines of gRPC calls, in the deterministic simulation: what happens after a client disconnected, which
+//! timeouts are sent to engines, and that answers reach their clients when a node stops.
 
 mod virtual_cluster;
 use ivyward::core::interface::ListKind;
@@ -16,20 +16,20 @@
 use virtual_cluster::{prompt, request, virtual_cluster, VirtualCluster, HOUR};
 
 const MS: Micros = 1_000;
-/// Nothing begins for a client later than this after it left.
-const LEFT_WITHIN: Micros = 100 * MS;
-/// How far the time told to an engine may lie past the client's end.
+/// No attempt arrives at an engine later than this after its client disconnected.
+const MAX_DELAY_AFTER_DISCONNECT: Micros = 100 * MS;
+/// How much the timeout sent to an engine may exceed the time that the client has left.
 const DEADLINE_SLACK: Micros = 150 * MS;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
-    ResetsItsCall,
-    ClosesItsConnection,
+enum DisconnectKind {
+    ResetCall,
+    CloseConnection,
 }
 
-/// What a scene is played with.
-struct Cast {
+/// A node with its list of engines, and what a test needs to send requests to it.
+struct TestNode {
     node: Node,
     address: SocketAddr,
     node_host: HostId,
@@ -38,7 +38,7 @@
     log: EventLog,
 }
 
-impl Cast {
+impl TestNode {
     async fn client(&self) -> Client {
         self.node
             .update_endpoints(ListKind::Full, self.listed.clone())
@@ -49,27 +49,27 @@
     }
 }
 
-/// A stage with one node, which may or may not call attempts off.
-fn cast(stage: &VirtualCluster, may_cancel: bool) -> Cast {
+/// Starts one node in the cluster. `may_cancel` sets whether the node may cancel attempts.
+fn start_node(cluster: &VirtualCluster, may_cancel: bool) -> TestNode {
     let mut settings = NodeSettings {
         seed: 7,
         ..settings()
     };
     settings.router.may_cancel = may_cancel;
-    let (node, address, _, node_host) = stage.node_with(settings);
-    let (runtime, log) = (stage.runtime.clone(), stage.log.clone());
-    Cast {
+    let (node, address, _, node_host) = cluster.node_with(settings);
+    let (runtime, log) = (cluster.runtime.clone(), cluster.log.clone());
+    TestNode {
         node,
         address,
         node_host,
-        listed: stage.listed(),
+        listed: cluster.listed(),
         runtime,
         log,
     }
 }
 
-fn ask(call: u64, words: u32, client_timeout: Micros) -> ClientRequest {
-    let habit = ClientBehavior {
+fn client_request(call: u64, words: u32, client_timeout: Micros) -> ClientRequest {
+    let behavior = ClientBehavior {
         client_timeout,
         ..ClientBehavior::default()
     };
@@ -79,12 +79,12 @@
         operation: call,
         idempotency: CallIdempotency::Idempotent,
         node: 0,
-        behavior: habit,
+        behavior,
     }
 }
 
-/// When the last call of these kinds came to an engine, after a moment.
-fn latest(log: &EventLog, kinds: &[CallKind], since: Micros) -> Micros {
+/// Time from `since` until the last attempt of these kinds arrived at an engine, or 0 if none arrived later.
+fn last_arrival(log: &EventLog, kinds: &[CallKind], since: Micros) -> Micros {
     let came = |s: &LoggedEvent| match s.event {
         ObservedEvent::AttemptArrived { kind, .. } if kinds.contains(&kind) => Some(s.at),
         _ => None,
@@ -97,118 +97,136 @@
         .saturating_sub(since)
 }
 
-/// Sends a request, leaves when `moment` is over, and returns how long after that the last attempt came to an engine.
-async fn leaves(
-    cast: &Cast,
-    ask: &ClientRequest,
-    how: Leaves,
+/// Sends a request, disconnects the client when `moment` completes, and returns how long after that the last attempt
+/// arrived at an engine.
+async fn disconnect_and_measure(
+    test_node: &TestNode,
+    client_request: &ClientRequest,
+    how: DisconnectKind,
     moment: impl Future<Output = ()>,
 ) -> Micros {
-    let client = cast.client().await;
+    let client = test_node.client().await;
     let closing = client.clone();
-    let leaving = async {
+    let disconnect = async {
         moment.await;
-        if how == Leaves::ClosesItsConnection {
+        if how == DisconnectKind::CloseConnection {
             closing.close();
         }
     };
-    let end = client.send_until(ask, leaving).await;
+    let end = client.send_until(client_request, disconnect).await;
     assert_eq!(end.outcome, ClientOutcome::Disconnected, "{end:?}");
-    let left = cast.runtime.now();
-    cast.runtime.sleep(5_000 * MS).await;
-    latest(&cast.log, &[CallKind::Prefill, CallKind::Decode], left)
+    let left = test_node.runtime.now();
+    test_node.runtime.sleep(5_000 * MS).await;
+    last_arrival(&test_node.log, &[CallKind::Prefill, CallKind::Decode], left)
 }
 
-fn ways() -> impl Iterator<Item = (Leaves, bool)> {
-    let ways = [Leaves::ResetsItsCall, Leaves::ClosesItsConnection];
+fn disconnect_cases() -> impl Iterator<Item = (DisconnectKind, bool)> {
+    let ways = [DisconnectKind::ResetCall, DisconnectKind::CloseConnection];
     ways.into_iter().flat_map(|how| [(how, true), (how, false)])
 }
 
-/// Connections to engines come up late, and the client leaves meanwhile: whether attempts may be called off or not.
+/// The client disconnects while connections to engines are still being opened. No attempt may follow, whether or not the
+/// node may cancel attempts.
 #[test]
-fn nothing_begins_for_a_client_that_left_during_a_dial() {
-    for (how, may_cancel) in ways() {
-        let stage = virtual_cluster();
-        let cast = cast(&stage, may_cancel);
-        // A dial takes 220 ms, of 250 that it may take.
-        for engine in &stage.engine_hosts {
-            stage
+fn no_attempt_arrives_after_a_disconnect_during_a_dial() {
+    for (how, may_cancel) in disconnect_cases() {
+        let cluster = virtual_cluster();
+        let test_node = start_node(&cluster, may_cancel);
+        // A dial takes 220 ms; its timeout is 250 ms.
+        for engine in &cluster.engine_hosts {
+            cluster
                 .sim
-                .set_extra_latency(cast.node_host, *engine, 110 * MS);
+                .set_extra_latency(test_node.node_host, *engine, 110 * MS);
         }
-        let played = stage.sim.run(&stage.script, HOUR, async move {
-            let clock = cast.runtime.clone();
+        let result = cluster.sim.run(&cluster.script, HOUR, async move {
+            let clock = test_node.runtime.clone();
             let moment = async move { clock.sleep(50 * MS).await };
-            leaves(&cast, &ask(1, 50, 4_000 * MS), how, moment).await
+            disconnect_and_measure(&test_node, &client_request(1, 50, 4_000 * MS), how, moment)
+                .await
         });
         assert!(
-            played.as_ref().is_ok_and(|late| *late <= LEFT_WITHIN),
-            "{how:?}, may cancel {may_cancel}: {played:?}"
+            result
+                .as_ref()
+                .is_ok_and(|delay| *delay <= MAX_DELAY_AFTER_DISCONNECT),
+            "{how:?}, may cancel {may_cancel}: {result:?}"
         );
     }
 }
 
-/// The read goes on where it may not be called off, and no write follows it.
+/// A prefill attempt continues if the node may not cancel it, but no decode attempt follows it.
 #[test]
-fn no_write_follows_the_read_of_a_client_that_left() {
-    for (how, may_cancel) in ways() {
-        let stage = virtual_cluster();
-        let cast = cast(&stage, may_cancel);
-        let played = stage.sim.run(&stage.script, HOUR, async move {
-            let (clock, log) = (cast.runtime.clone(), cast.log.clone());
+fn no_decode_follows_the_prefill_of_a_disconnected_client() {
+    for (how, may_cancel) in disconnect_cases() {
+        let cluster = virtual_cluster();
+        let test_node = start_node(&cluster, may_cancel);
+        let result = cluster.sim.run(&cluster.script, HOUR, async move {
+            let (clock, log) = (test_node.runtime.clone(), test_node.log.clone());
             let moment = async move {
-                while latest(&log, &[CallKind::Prefill], 0) == 0 {
+                while last_arrival(&log, &[CallKind::Prefill], 0) == 0 {
                     clock.sleep(MS).await;
                 }
             };
-            // The read takes half a second.
-            let late = leaves(&cast, &ask(1, 2_000, 4_000 * MS), how, moment).await;
+            // Prefill takes half a second.
+            let delay = disconnect_and_measure(
+                &test_node,
+                &client_request(1, 2_000, 4_000 * MS),
+                how,
+                moment,
+            )
+            .await;
             (
-                late,
-                cast.node.open_requests(),
-                cast.node.pending_releases(),
+                delay,
+                test_node.node.open_requests(),
+                test_node.node.pending_releases(),
             )
         });
         assert!(
-            matches!(played, Ok((0, 0, 0))),
-            "{how:?}, may cancel {may_cancel}: {played:?}"
+            matches!(result, Ok((0, 0, 0))),
+            "{how:?}, may cancel {may_cancel}: {result:?}"
         );
     }
 }
 
-/// How long after its client's end, if it left, the last attempt came that sends a prompt of some 170 kB at 100 kB a second.
-fn slow_upload(how: Leaves, may_cancel: bool, leave_after: Micros) -> Micros {
-    let stage = virtual_cluster();
-    let cast = cast(&stage, may_cancel);
-    let sim = stage.sim.clone();
+/// Sends a prompt of about 170 kB over links of 100 kB/s, disconnects the client, and returns how long after that the last
+/// attempt arrived at an engine.
+fn delay_of_slow_upload(how: DisconnectKind, may_cancel: bool, disconnect_after: Micros) -> Micros {
+    let cluster = virtual_cluster();
+    let test_node = start_node(&cluster, may_cancel);
+    let sim = cluster.sim.clone();
     sim.update_network(|net| net.buffer_bytes = 8 << 10);
-    let played = stage.sim.run(&stage.script, HOUR, async move {
-        let clock = cast.runtime.clone();
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
+        let clock = test_node.runtime.clone();
         let moment = async move {
-            // The client's own part of the way is quick.
+            // The client sends its request to the node before the links become slow.
             clock.sleep(5 * MS).await;
             sim.update_network(|net| net.bytes_per_second = 100_000);
-            clock.sleep(leave_after).await;
+            clock.sleep(disconnect_after).await;
         };
-        leaves(&cast, &ask(1, 60_000, 6_000 * MS), how, moment).await
+        disconnect_and_measure(
+            &test_node,
+            &client_request(1, 60_000, 6_000 * MS),
+            how,
+            moment,
+        )
+        .await
     });
-    played.unwrap()
+    result.unwrap()
 }
 
-/// A long prompt leaves slowly: its last bytes stay here when the client leaves meanwhile.
+/// The node takes a while to send a long prompt. It does not send the rest when the client disconnects meanwhile.
 #[test]
-fn a_prompt_that_is_still_leaving_stays_here_when_its_client_leaves() {
-    for (how, may_cancel) in ways() {
+fn the_rest_of_a_prompt_is_not_sent_after_a_disconnect() {
+    for (how, may_cancel) in disconnect_cases() {
         assert_eq!(
-            slow_upload(how, may_cancel, 300 * MS),
+            delay_of_slow_upload(how, may_cancel, 300 * MS),
             0,
             "{how:?}, may cancel {may_cancel}"
         );
     }
 }
 
-/// What calls told their engines, as far as their kind is among these: when they came, and the time they stated.
-fn told(log: &EventLog, call: u64, kinds: &[CallKind]) -> Vec<(Micros, Option<Micros>)> {
+/// Attempts of these kinds that arrived at engines for a call: the time of arrival, and the timeout sent with it.
+fn timeouts_sent(log: &EventLog, call: u64, kinds: &[CallKind]) -> Vec<(Micros, Option<Micros>)> {
     let of = |s: &LoggedEvent| match s.event {
         ObservedEvent::AttemptArrived {
             call: c,
@@ -221,123 +239,127 @@
     log.all().iter().filter_map(of).collect()
 }
 
-/// Reads, writes and holds, first and further ones, tell engines what the client has left and no more: after late dials and
-/// after attempts that failed.
+/// Prefill, decode and reservation calls, first attempts and retries, send at most the time that the client has left as
+/// their timeout: also after slow dials and after attempts that failed.
 #[test]
-fn engines_are_told_what_the_client_has_left() {
+fn timeouts_sent_to_engines_do_not_exceed_the_clients() {
     for lag in [0, 110 * MS] {
-        let mut stage = virtual_cluster();
-        let cast = cast(&stage, true);
-        for engine in &stage.engine_hosts {
-            stage.sim.set_extra_latency(cast.node_host, *engine, lag);
+        let mut cluster = virtual_cluster();
+        let test_node = start_node(&cluster, true);
+        for engine in &cluster.engine_hosts {
+            cluster
+                .sim
+                .set_extra_latency(test_node.node_host, *engine, lag);
         }
-        // Some of what engines do is reset at its end: further attempts follow late.
-        for engine in &stage.engines {
+        // Engines reset some streams at their end, so that retries follow late.
+        for engine in &cluster.engines {
             engine.fault(|f| f.reset = 0.2);
         }
-        let engines = std::mem::take(&mut stage.engines);
-        let log = stage.log.clone();
-        let played = stage.sim.run(&stage.script, HOUR, async move {
-            let client = cast.client().await;
+        let engines = std::mem::take(&mut cluster.engines);
+        let log = cluster.log.clone();
+        let result = cluster.sim.run(&cluster.script, HOUR, async move {
+            let client = test_node.client().await;
             let client_timeout = 3_000 * MS;
-            let (mut reads, mut writes, mut further) = (0, 0, 0);
+            let (mut prefills, mut decodes, mut retries) = (0, 0, 0);
             for call in 1..=80 {
-                // Long enough for engines that failed to be tried again.
-                cast.runtime.sleep(3_000 * MS).await;
-                let began = cast.runtime.now();
-                client.send(&ask(call, 50, client_timeout)).await;
-                let all = told(
+                // Long enough for engines that failed to be used again.
+                test_node.runtime.sleep(3_000 * MS).await;
+                let began = test_node.runtime.now();
+                client.send(&client_request(call, 50, client_timeout)).await;
+                let all = timeouts_sent(
                     &log,
                     call,
                     &[CallKind::Prefill, CallKind::Decode, CallKind::Reserve],
                 );
                 for (at, timeout) in &all {
                     let timeout =
-                        timeout.unwrap_or_else(|| panic!("call {call}: no deadline was told"));
+                        timeout.unwrap_or_else(|| panic!("call {call}: no timeout was sent"));
                     let left = (began + client_timeout).saturating_sub(*at);
                     assert!(
                         timeout <= left + DEADLINE_SLACK,
-                        "call {call}: {timeout} told, {left} left"
+                        "call {call}: timeout {timeout} was sent, {left} was left"
                     );
                 }
-                // A writer may take as long as the client waits, less the node's margin.
-                for (at, timeout) in told(&log, call, &[CallKind::Decode]) {
+                // A decode engine may use all the time that the client has left, less the node's margin.
+                for (at, timeout) in timeouts_sent(&log, call, &[CallKind::Decode]) {
                     let left = (began + client_timeout).saturating_sub(at);
                     let least = left.saturating_sub(settings().answer_margin + lag + 5 * MS);
                     assert!(
                         timeout.unwrap() >= least,
-                        "call {call}: {timeout:?} told, {left} left"
+                        "call {call}: timeout {timeout:?} was sent, {left} was left"
                     );
-                    writes += 1;
+                    decodes += 1;
                 }
-                reads += told(&log, call, &[CallKind::Prefill]).len();
-                let attempts = told(&log, call, &[CallKind::Prefill, CallKind::Decode]).len();
-                further += attempts.saturating_sub(2);
+                prefills += timeouts_sent(&log, call, &[CallKind::Prefill]).len();
+                let attempts =
+                    timeouts_sent(&log, call, &[CallKind::Prefill, CallKind::Decode]).len();
+                retries += attempts.saturating_sub(2);
             }
             drop(engines);
-            (reads, writes, further)
+            (prefills, decodes, retries)
         });
-        let (reads, writes, further) = played.unwrap();
+        let (prefills, decodes, retries) = result.unwrap();
         assert!(
-            reads >= 20 && writes >= 10 && further >= 10,
-            "{reads} reads, {writes} writes, {further} further"
+            prefills >= 20 && decodes >= 10 && retries >= 10,
+            "{prefills} prefill, {decodes} decode, {retries} retries"
         );
     }
 }
 
-/// A client without a deadline has none for its stream: its writer is told none, its reader its class's.
+/// For a client without a deadline, the prefill attempt has the deadline of the request's class, and the decode attempt has
+/// none.
 #[test]
-fn without_a_clients_deadline_only_reads_have_one() {
-    let stage = virtual_cluster();
-    let cast = cast(&stage, true);
-    let log = stage.log.clone();
-    let played = stage.sim.run(&stage.script, HOUR, async move {
-        let client = cast.client().await;
-        let mut one = ask(1, 50, 60_000 * MS);
+fn without_a_clients_deadline_only_prefill_has_one() {
+    let cluster = virtual_cluster();
+    let test_node = start_node(&cluster, true);
+    let log = cluster.log.clone();
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
+        let client = test_node.client().await;
+        let mut one = client_request(1, 50, 60_000 * MS);
         one.behavior.omit_deadline = true;
         let end = client.send(&one).await;
         (
             end.outcome,
-            told(&log, 1, &[CallKind::Prefill]),
-            told(&log, 1, &[CallKind::Decode]),
+            timeouts_sent(&log, 1, &[CallKind::Prefill]),
+            timeouts_sent(&log, 1, &[CallKind::Decode]),
         )
     });
-    let (how, reads, writes) = played.unwrap();
-    assert_eq!(how, ClientOutcome::Served);
+    let (outcome, prefills, decodes) = result.unwrap();
+    assert_eq!(outcome, ClientOutcome::Served);
     let deadline = settings().classes[0].settings.deadline;
     assert!(
-        reads
+        prefills
             .iter()
             .all(|(_, timeout)| timeout.is_some_and(|t| t <= deadline)),
-        "{reads:?}"
+        "{prefills:?}"
     );
     assert!(
-        !writes.is_empty() && writes.iter().all(|(_, timeout)| timeout.is_none()),
-        "{writes:?}"
+        !decodes.is_empty() && decodes.iter().all(|(_, timeout)| timeout.is_none()),
+        "{decodes:?}"
     );
 }
 
-/// An engine that its node cannot reach any more ends the work by itself when the client's time is over.
+/// An engine that its node can no longer reach ends the attempt by itself when the client's deadline has passed.
 #[test]
-fn an_engine_behind_a_cut_drops_what_is_over() {
-    let mut stage = virtual_cluster();
-    // One writer alone, and it takes five seconds over its answer.
-    stage.engines[4].set_draining(true);
-    stage.engines[3].fault(|f| f.slowdown = 300.0);
-    let cast = cast(&stage, true);
+fn a_partitioned_engine_ends_attempts_past_their_deadline() {
+    let mut cluster = virtual_cluster();
+    // Only one decode engine is ready, and it needs five seconds for its answer.
+    cluster.engines[4].set_draining(true);
+    cluster.engines[3].fault(|f| f.slowdown = 300.0);
+    let test_node = start_node(&cluster, true);
     let (log, sim, hosts) = (
-        stage.log.clone(),
-        stage.sim.clone(),
-        stage.engine_hosts.clone(),
+        cluster.log.clone(),
+        cluster.sim.clone(),
+        cluster.engine_hosts.clone(),
     );
-    let engines = std::mem::take(&mut stage.engines);
-    let played = stage.sim.run(&stage.script, HOUR, async move {
-        let client = cast.client().await;
-        let began = cast.runtime.now();
-        let (clock, cuts, seen) = (cast.runtime.clone(), sim.clone(), log.clone());
-        let node = cast.node_host;
-        cast.runtime.run(async move {
-            while latest(&seen, &[CallKind::Decode], 0) == 0 {
+    let engines = std::mem::take(&mut cluster.engines);
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
+        let client = test_node.client().await;
+        let began = test_node.runtime.now();
+        let (clock, cuts, seen) = (test_node.runtime.clone(), sim.clone(), log.clone());
+        let node = test_node.node_host;
+        test_node.runtime.run(async move {
+            while last_arrival(&seen, &[CallKind::Decode], 0) == 0 {
                 clock.sleep(MS).await;
             }
             for host in hosts {
@@ -345,8 +367,8 @@
             }
         });
         let client_timeout = 2_000 * MS;
-        client.send(&ask(1, 50, client_timeout)).await;
-        cast.runtime.sleep(3_000 * MS).await;
+        client.send(&client_request(1, 50, client_timeout)).await;
+        test_node.runtime.sleep(3_000 * MS).await;
         drop(engines);
         let ended = log.all().into_iter().rev().find_map(|s| match s.event {
             ObservedEvent::AttemptEnded { engine: 4, .. } => Some(s.at),
@@ -355,27 +377,27 @@
         ended.map(|at| at.saturating_sub(began + client_timeout))
     });
     assert_eq!(
-        played,
+        result,
         Ok(Some(0)),
-        "the work goes on past the client's end"
+        "the attempt continues after the client's deadline"
     );
 }
 
-/// A node is told to stop while clients with slow links read their answers: each gets its whole answer, though the process
-/// ends as soon as the stop is done.
+/// A node stops while a slow client reads its answer. The client receives the whole answer, even though the process is
+/// killed as soon as the stop completes.
 #[test]
 fn a_stop_waits_until_answers_have_reached_slow_clients() {
-    let stage = virtual_cluster();
-    let cast = cast(&stage, true);
-    let sim = stage.sim.clone();
-    let played = stage.sim.run(&stage.script, HOUR, async move {
-        let client = cast.client().await;
-        let mut one = ask(1, 50, 20_000 * MS);
+    let cluster = virtual_cluster();
+    let test_node = start_node(&cluster, true);
+    let sim = cluster.sim.clone();
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
+        let client = test_node.client().await;
+        let mut one = client_request(1, 50, 20_000 * MS);
         one.request.max_output_tokens = 400;
         one.behavior.read_pause = 5 * MS;
-        let (done, wait) = async_channel::bounded(1);
-        let log = cast.log.clone();
-        cast.runtime.run(async move {
+        let (done, receiver) = async_channel::bounded(1);
+        let log = test_node.log.clone();
+        test_node.runtime.run(async move {
             let _ = done.send(client.send(&one).await).await;
         });
         while !log
@@ -383,12 +405,12 @@
             .iter()
             .any(|s| matches!(s.event, ObservedEvent::FirstTokenReceived { .. }))
         {
-            cast.runtime.sleep(MS).await;
+            test_node.runtime.sleep(MS).await;
         }
-        cast.node.stop(10_000 * MS).await;
-        sim.kill(cast.node_host, true);
-        wait.recv().await.unwrap()
+        test_node.node.stop(10_000 * MS).await;
+        sim.kill(test_node.node_host, true);
+        receiver.recv().await.unwrap()
     });
-    let end = played.unwrap();
+    let end = result.unwrap();
     assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
 }
