--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Engines, nodes and clients that misbehave, each as a test that causes it.
+//! Faults of engines and nodes on loopback sockets, one test per fault.
 
 mod common;
 use common::*;
@@ -10,9 +10,10 @@
 use ivyward_testbed::fault_scenario::{self, FaultScenario};
 use ivyward_testbed::local_cluster::ClusterBuilder;
 
-/// A reader that takes a request and never answers is waited out only in part: another one reads in time.
+/// A prefill engine that accepts a request and never answers uses up only part of the deadline: another engine runs the
+/// prefill in time.
 #[test]
-fn a_reader_that_stalls_after_accepting_is_left() {
+fn a_prefill_that_stalls_after_accepting_is_retried_in_time() {
     let cluster = build(ClusterBuilder::new(5, pools(2, 2)));
     block_on(async {
         for i in 0..10 {
@@ -34,9 +35,9 @@
     });
 }
 
-/// A process that hangs keeps its sockets open: pings find out, and requests go elsewhere.
+/// A process that hangs keeps its sockets open. Pings detect it, and requests go to other engines.
 #[test]
-fn an_engine_whose_process_hangs_is_found_by_pings() {
+fn an_engine_whose_process_hangs_is_detected_by_pings() {
     let cluster = build(ClusterBuilder::new(5, pools(2, 2)));
     block_on(async {
         for hung in [0, 2] {
@@ -54,10 +55,10 @@
     });
 }
 
-/// Each way of answering wrongly fails that attempt with a clear reason, and nothing else suffers: requests on the same
-/// connections are served.
+/// Each kind of invalid response fails its own attempt with a clear reason, and other requests on the same connection are
+/// served.
 #[test]
-fn wrong_answers_fail_their_attempt_alone() {
+fn invalid_responses_fail_only_their_own_attempt() {
     let wrong = [
         (ResponseFault::WrongId, "answered as engine"),
         (ResponseFault::Malformed, "cannot be read"),
@@ -74,17 +75,17 @@
         (ResponseFault::StreamStalled, "no token for too long"),
         (ResponseFault::MissingFinalMessage, "without its last word"),
     ];
-    for (twist, text) in wrong {
+    for (response_fault, text) in wrong {
         let mut make = ClusterBuilder::new(5, pools(1, 1));
-        // Over any pause of a busy machine: it ends one stream here, and is not to end the one beside it.
+        // Longer than any pause of a busy machine, because the timeout must end the stalled stream and not the other one.
         make.settings.stream_idle_timeout = 1_000_000;
         let cluster = build(make);
         block_on(async {
             let long = cluster.new_request(0, QUICK, prompt(1_000, 50), 400);
-            let (tell, wait) = async_channel::bounded(1);
+            let (sender, receiver) = async_channel::bounded(1);
             let (one, call) = (cluster.clone(), long.request.call_id);
             cluster.runtime.run(async move {
-                let _ = tell.send(one.send(&long).await).await;
+                let _ = sender.send(one.send(&long).await).await;
             });
             wait_for_event(
                 &cluster,
@@ -93,18 +94,22 @@
             .await;
             cluster
                 .engine(1)
-                .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(twist)));
+                .fault(|f| (f.malformed, f.response_fault) = (1.0, Some(response_fault)));
             let end = cluster
                 .send(&cluster.new_request(0, ORDER, prompt(1, 50), 10))
                 .await
                 .unwrap();
-            assert_eq!(end.outcome, ClientOutcome::Failed, "{twist:?}: {end:?}");
-            assert!(end.message.contains(text), "{twist:?}: {end:?}");
-            let beside = wait.recv().await.unwrap().unwrap();
             assert_eq!(
-                beside.outcome,
+                end.outcome,
+                ClientOutcome::Failed,
+                "{response_fault:?}: {end:?}"
+            );
+            assert!(end.message.contains(text), "{response_fault:?}: {end:?}");
+            let other = receiver.recv().await.unwrap().unwrap();
+            assert_eq!(
+                other.outcome,
                 ClientOutcome::Served,
-                "{twist:?}: {beside:?}"
+                "{response_fault:?}: {other:?}"
             );
             cluster.engine(1).fault(|f| f.malformed = 0.0);
             assert_clean(&cluster).await;
@@ -112,9 +117,9 @@
     }
 }
 
-/// Tokens after the last word are not passed on, and the answer stands.
+/// Tokens after the final message are not passed on, and the request counts as served.
 #[test]
-fn tokens_after_the_end_go_nowhere() {
+fn tokens_after_the_final_message_are_discarded() {
     let cluster = build(ClusterBuilder::new(5, pools(1, 1)));
     block_on(async {
         cluster.engine(1).fault(|f| {
@@ -129,9 +134,9 @@
     });
 }
 
-/// An engine that restarts under its id and address is used again, and what it kept counts as lost.
+/// An engine that restarts with the same id and address is used again, and the KV state that it had retained counts as lost.
 #[test]
-fn an_engine_restarts_under_its_id() {
+fn an_engine_that_restarts_with_the_same_id_is_used_again() {
     let cluster = build(ClusterBuilder::new(5, pools(1, 2)));
     block_on(async {
         for round in 0..5 {
@@ -152,7 +157,7 @@
                     .await;
             }
         }
-        // Cold ones get little at first; once told otherwise they get all.
+        // Cold engines get little work at first. A notification without a start time ends that.
         for e in 0..3 {
             cluster
                 .notify_all_nodes(e, EndpointState::Ready, None)
@@ -172,29 +177,29 @@
     });
 }
 
-/// A node that dies: its clients see it at once, and what is kept for it is let go by the engines' own limit.
+/// When a node dies, its clients notice at once, and engines release the KV state retained for it after their own time limit.
 #[test]
-fn a_node_dies_and_engines_let_go_by_themselves() {
+fn engines_release_the_kv_state_of_a_dead_node_after_their_limit() {
     let mut specs = pools(1, 1);
-    // The read is done soon; the fetch takes a second.
+    // Prefill is short; the KV fetch takes a second.
     specs[1].kv_fetch_rate = 50.0;
     (specs[0].retention, specs[1].retention) = (1_000_000, 1_000_000);
     specs[1].slots = 1;
     let mut make = ClusterBuilder::new(5, specs);
     make.nodes = 2;
-    // The module is to wait for the slow fetch.
+    // The router must wait for the slow fetch.
     make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
     let cluster = build(make);
     block_on(async {
-        // The second request waits for the only slot while its state is kept at the reader.
-        let asks: Vec<_> = (0..2)
+        // The second request waits for the only decode slot while the prefill engine retains its KV state.
+        let client_requests: Vec<_> = (0..2)
             .map(|i| cluster.new_request(0, QUICK, prompt(i, 50), 5))
             .collect();
-        let (tell, wait) = async_channel::bounded(2);
-        for ask in asks {
-            let (one, tell) = (cluster.clone(), tell.clone());
+        let (sender, receiver) = async_channel::bounded(2);
+        for client_request in client_requests {
+            let (one, sender) = (cluster.clone(), sender.clone());
             cluster.runtime.run(async move {
-                let _ = tell.send(one.send(&ask).await.unwrap()).await;
+                let _ = sender.send(one.send(&client_request).await.unwrap()).await;
             });
         }
         let second = |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { kind: CallKind::Decode, key, .. } if key.request == 2);
@@ -202,7 +207,7 @@
         cluster.kill_node(0);
         for _ in 0..2 {
             assert_eq!(
-                wait.recv().await.unwrap().outcome,
+                receiver.recv().await.unwrap().outcome,
                 ClientOutcome::Unreachable
             );
         }
@@ -216,7 +221,7 @@
             )
         })
         .await;
-        // The other node shares nothing with the dead one and goes on.
+        // The other node shares no state with the dead one and continues to serve.
         let end = cluster
             .send(&cluster.new_request(1, QUICK, prompt(7, 10), 5))
             .await
@@ -232,33 +237,35 @@
     });
 }
 
-/// A state whose engine cannot be reached when it is to be let go: the release is tried again and lets go as soon as
-/// the engine is back, well before the engine's own limit.
+/// A release for an engine that cannot be reached is retried. The KV state is released as soon as the engine is reachable
+/// again, well before the engine's own time limit.
 #[test]
-fn a_release_reaches_an_engine_that_was_out_of_reach() {
+fn a_release_is_retried_until_the_engine_is_reachable() {
     let mut specs = pools(1, 1);
     specs[0].retention = 60_000_000;
     let mut make = ClusterBuilder::new(5, specs);
-    // The module is to wait until the client leaves.
+    // The router must wait until the client disconnects.
     make.settings.classes[QUICK].settings.ttft_objective = 2_000_000;
     let cluster = build(make);
     block_on(async {
-        // The writer takes the request and does not fetch.
+        // The decode engine accepts the request and does not fetch the KV state.
         cluster.engine(1).fault(|f| f.stall = 1.0);
-        let ask = cluster.new_request(0, QUICK, prompt(1, 50), 5);
-        let call = ask.request.call_id;
-        let (leave, left) = async_channel::bounded::<()>(1);
-        let (tell, wait) = async_channel::bounded(1);
+        let client_request = cluster.new_request(0, QUICK, prompt(1, 50), 5);
+        let call = client_request.request.call_id;
+        let (disconnect, disconnected) = async_channel::bounded::<()>(1);
+        let (sender, receiver) = async_channel::bounded(1);
         let one = cluster.clone();
         cluster.runtime.run(async move {
-            let leave = async {
-                let _ = left.recv().await;
+            let disconnect = async {
+                let _ = disconnected.recv().await;
             };
-            let _ = tell.send(one.send_until(&ask, leave).await.unwrap()).await;
+            let _ = sender
+                .send(one.send_until(&client_request, disconnect).await.unwrap())
+                .await;
         });
-        let came = move |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
-        wait_for_event(&cluster, came).await;
-        // The reader's connections break and break again while the release is due.
+        let arrived = move |s: &ObservedEvent| matches!(s, ObservedEvent::AttemptArrived { call: c, kind: CallKind::Decode, .. } if *c == call);
+        wait_for_event(&cluster, arrived).await;
+        // The connections to the prefill engine are dropped repeatedly while the release is pending.
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let one = cluster.clone();
         cluster.runtime.run(async move {
@@ -267,8 +274,8 @@
                 one.runtime.sleep(1_000).await;
             }
         });
-        drop(leave);
-        let end = wait.recv().await.unwrap();
+        drop(disconnect);
+        let end = receiver.recv().await.unwrap();
         assert_eq!(end.outcome, ClientOutcome::Disconnected, "{end:?}");
         drop(stop);
         wait_for_event(&cluster, |s| {
@@ -286,9 +293,10 @@
     });
 }
 
-/// A stop in order: nothing new is taken, what is under way ends, and the rest is failed in the stated time.
+/// A node that stops accepts no new requests, lets open requests end, and fails those that are still open after the stated
+/// time.
 #[test]
-fn a_node_stops_in_order() {
+fn a_stopping_node_finishes_or_fails_its_requests_in_time() {
     let mut specs = pools(1, 1);
     specs[1].token_interval = 10_000;
     let cluster = build(ClusterBuilder::new(5, specs));
@@ -297,11 +305,11 @@
         let mut long = cluster.new_request(0, QUICK, prompt(2, 50), 5_000);
         long.behavior.client_timeout = 30_000_000;
         let calls = [short.request.call_id, long.request.call_id];
-        let (tell, wait) = async_channel::bounded(2);
-        for ask in [short, long] {
-            let (one, tell) = (cluster.clone(), tell.clone());
+        let (sender, receiver) = async_channel::bounded(2);
+        for client_request in [short, long] {
+            let (one, sender) = (cluster.clone(), sender.clone());
             cluster.runtime.run(async move {
-                let _ = tell.send(one.send(&ask).await.unwrap()).await;
+                let _ = sender.send(one.send(&client_request).await.unwrap()).await;
             });
         }
         for call in calls {
@@ -313,7 +321,10 @@
         }
         let node = cluster.node(0).unwrap();
         node.stop(3_000_000).await;
-        let mut ends = [wait.recv().await.unwrap(), wait.recv().await.unwrap()];
+        let mut ends = [
+            receiver.recv().await.unwrap(),
+            receiver.recv().await.unwrap(),
+        ];
         ends.sort_by_key(|e| e.tokens);
         assert_eq!(
             (ends[0].outcome, ends[1].outcome),
@@ -326,16 +337,16 @@
     });
 }
 
-/// The whole of it, small: several nodes, every kind of trouble, one final answer each, all rules kept, and the
-/// recording replays with the same actions.
+/// A short fault scenario with several nodes and every kind of fault: each request has one final answer, no rule is
+/// violated, and the recording replays with the same actions.
 #[test]
-fn a_small_bad_day_keeps_all_rules() {
+fn a_short_fault_scenario_violates_no_rule() {
     for seed in [1, 2] {
-        let mut day = FaultScenario::drawn(seed, 500, &[]);
-        day.load.rate = 100.0;
-        // Other tests keep the machine busy beside this one.
-        day.flight = 500_000;
-        let report = fault_scenario::run(day).unwrap();
+        let mut scenario = FaultScenario::drawn(seed, 500, &[]);
+        scenario.load.rate = 100.0;
+        // Other tests run at the same time and keep the machine busy.
+        scenario.flight = 500_000;
+        let report = fault_scenario::run(scenario).unwrap();
         assert_eq!(
             (report.audit.rules_passed(), report.audit.violations()),
             (5, vec![]),
