--- a/crates/ivyward-testbed/tests/cancellation_safety.rs
+++ b/crates/ivyward-testbed/tests/cancellation_safety.rs
@@ -1,5 +1,6 @@
-//! Whatever is dropped, and at whichever step, nothing is left behind: futures at each of their polls, processes at many
-//! moments of a request's life. In the virtual world, so that each step is met.
+//! Cancellation at any step leaves no open request and no retained KV state: futures are dropped at each of their polls, and
+//! nodes are killed at many moments of a request. The tests run in the deterministic simulation, so that every step is
+//! covered.
 
 mod virtual_cluster;
 
@@ -19,7 +20,7 @@
 use std::task::{Context, Poll};
 use virtual_cluster::{prompt, request, virtual_cluster, HOUR};
 
-/// Drops a future that is not done after so many polls.
+/// Drops a future that has not completed after `polls` polls.
 struct DropAfter<F: Future> {
     future: Option<Pin<Box<F>>>,
     polls: u32,
@@ -52,42 +53,42 @@
     }
 }
 
-fn ask(call: u64) -> GenerateRequest {
+fn generate_request(call: u64) -> GenerateRequest {
     request(call, &prompt(call as u32, 60), call as u32)
 }
 
-/// Nothing is in hand and nothing is kept, within what a release takes.
-async fn nothing_left(
+/// Waits until no request is open and engines retain nothing. Fails after one second, which is enough for a release.
+async fn assert_everything_released(
     runtime: &RuntimeRef,
     nodes: &[Node],
-    stage_kept: impl Fn() -> usize,
+    retained: impl Fn() -> usize,
     what: &str,
 ) {
     let open = || nodes.iter().map(|n| n.open_requests()).sum::<usize>();
     let until = runtime.now() + 1_000_000;
-    while (open(), stage_kept()) != (0, 0) {
+    while (open(), retained()) != (0, 0) {
         assert!(
             runtime.now() < until,
-            "{what}: {} open, {} kept",
+            "{what}: {} open, {} retained",
             open(),
-            stage_kept()
+            retained()
         );
         runtime.sleep(1_000).await;
     }
 }
 
-/// The library's answer, dropped at its first poll, its second, and so on until one comes to its end.
+/// Drops the answer of a library call at its first poll, at its second, and so on, until one completes.
 #[test]
 fn an_answer_dropped_at_each_poll() {
-    let stage = virtual_cluster();
-    let (node, ..) = stage.node(7);
-    let (listed, runtime) = (stage.listed(), stage.runtime.clone());
-    let engines = Arc::new(Mutex::new(stage.engines));
-    let kept = engines.clone();
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+    let cluster = virtual_cluster();
+    let (node, ..) = cluster.node(7);
+    let (listed, runtime) = (cluster.listed(), cluster.runtime.clone());
+    let engines = Arc::new(Mutex::new(cluster.engines));
+    let shared_engines = engines.clone();
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         node.update_endpoints(ListKind::Full, listed).await;
         for polls in 0.. {
-            let mut answer = node.generate(ask(u64::from(polls) + 1), Some(2_000_000));
+            let mut answer = node.generate(generate_request(u64::from(polls) + 1), Some(2_000_000));
             let whole = async {
                 let mut tokens = 0;
                 loop {
@@ -100,13 +101,14 @@
             let done = drop_after(polls, whole).await;
             drop(answer);
             let sum = || {
-                kept.lock()
+                shared_engines
+                    .lock()
                     .unwrap()
                     .iter()
                     .map(|e| e.retained_count())
                     .sum()
             };
-            nothing_left(
+            assert_everything_released(
                 &runtime,
                 std::slice::from_ref(&node),
                 sum,
@@ -114,61 +116,66 @@
             )
             .await;
             if let Some(end) = done {
-                let whole = text::answer(&ask(u64::from(polls) + 1).prompt, 6).len();
+                let whole = text::answer(&generate_request(u64::from(polls) + 1).prompt, 6).len();
                 assert_eq!(end, (whole, FinalStatus::Served));
                 return polls;
             }
         }
         0
     });
-    // Its taking, some tokens and its end.
-    assert!(played.as_ref().is_ok_and(|polls| *polls >= 3), "{played:?}");
+    // At least the start of the request, some tokens and the end of the answer.
+    assert!(result.as_ref().is_ok_and(|polls| *polls >= 3), "{result:?}");
 }
 
-/// The same with a client's call through the door: what it leaves is a stream reset at each step.
+/// Drops a gRPC call of a client in the same way, which resets its stream at each step.
 #[test]
 fn a_call_dropped_at_each_poll() {
-    let stage = virtual_cluster();
-    let (node, address, _) = stage.node(7);
-    let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
-    let engines = Arc::new(Mutex::new(stage.engines));
-    let kept = engines.clone();
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+    let cluster = virtual_cluster();
+    let (node, address, _) = cluster.node(7);
+    let (listed, runtime, log) = (
+        cluster.listed(),
+        cluster.runtime.clone(),
+        cluster.log.clone(),
+    );
+    let engines = Arc::new(Mutex::new(cluster.engines));
+    let shared_engines = engines.clone();
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         node.update_endpoints(ListKind::Full, listed).await;
         let client = Client::connect(&runtime, &log, address).await.unwrap();
         for polls in 0.. {
             let call = u64::from(polls) + 1;
-            let habit = ClientBehavior {
+            let behavior = ClientBehavior {
                 client_timeout: 2_000_000,
                 ..ClientBehavior::default()
             };
-            let one = ClientRequest {
-                request: ask(call),
+            let client_request = ClientRequest {
+                request: generate_request(call),
                 operation: call,
                 idempotency: CallIdempotency::NonIdempotent,
                 node: 0,
-                behavior: habit,
+                behavior,
             };
-            let done = drop_after(polls, client.send(&one)).await;
-            let left = runtime.now();
+            let done = drop_after(polls, client.send(&client_request)).await;
+            let dropped_at = runtime.now();
             let sum = || {
-                kept.lock()
+                shared_engines
+                    .lock()
                     .unwrap()
                     .iter()
                     .map(|e| e.retained_count())
                     .sum()
             };
-            nothing_left(
+            assert_everything_released(
                 &runtime,
                 std::slice::from_ref(&node),
                 sum,
                 &format!("dropped at poll {polls}"),
             )
             .await;
-            // A reset is on its way for less than a millisecond; after it nothing is sent for the call.
+            // The reset reaches the node within a millisecond. After that, no attempt is sent for the call.
             let late = |s: &&ivyward_fakes::LoggedEvent| {
                 matches!(s.event, ObservedEvent::AttemptArrived { call: c, .. } if c == call)
-                    && s.at > left + 2_000
+                    && s.at > dropped_at + 2_000
             };
             assert_eq!(
                 log.all().iter().filter(late).count(),
@@ -181,42 +188,46 @@
         }
         0
     });
-    assert!(played.as_ref().is_ok_and(|polls| *polls >= 3), "{played:?}");
-    // One effect at most for each call, and one for the last.
+    assert!(result.as_ref().is_ok_and(|polls| *polls >= 3), "{result:?}");
+    // Each call ran at most once, and the last one, which completed, exactly once.
     let ran = |call: u64| {
         let of = |s: &&ivyward_fakes::LoggedEvent| matches!(s.event, ObservedEvent::AttemptRan { call: c, .. } if c == call);
-        stage.log.all().iter().filter(of).count()
+        cluster.log.all().iter().filter(of).count()
     };
-    let last = u64::from(played.unwrap()) + 1;
+    let last = u64::from(result.unwrap()) + 1;
     assert!((1..=last).all(|call| ran(call) <= 1));
     assert_eq!(ran(last), 1);
 }
 
-/// A node killed at many moments of one request's life, with and without a word: engines let go of what they kept for it
-/// by their own limit, nothing runs twice, and its successor serves at once.
+/// Kills a node at many moments of one request, with and without closing its connections: engines release what they retain
+/// for it after their own time limit, nothing runs twice, and another node serves at once.
 #[test]
 fn a_node_killed_at_each_moment() {
     for moment in 0..60 {
-        let stage = virtual_cluster();
-        let (node, address, _, host) = stage.node_at(7);
-        let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
-        let (again, its_address, _) = stage.node(8);
-        let engines = Arc::new(Mutex::new(stage.engines));
-        let (kept, sim) = (engines.clone(), stage.sim.clone());
-        let played = stage.sim.run(&stage.script, HOUR, async move {
+        let cluster = virtual_cluster();
+        let (node, address, _, host) = cluster.node_at(7);
+        let (listed, runtime, log) = (
+            cluster.listed(),
+            cluster.runtime.clone(),
+            cluster.log.clone(),
+        );
+        let (successor, successor_address, _) = cluster.node(8);
+        let engines = Arc::new(Mutex::new(cluster.engines));
+        let (shared_engines, sim) = (engines.clone(), cluster.sim.clone());
+        let result = cluster.sim.run(&cluster.script, HOUR, async move {
             node.update_endpoints(ListKind::Full, listed.clone()).await;
-            again.update_endpoints(ListKind::Full, listed).await;
+            successor.update_endpoints(ListKind::Full, listed).await;
             let client = Client::connect(&runtime, &log, address).await.unwrap();
-            let habit = ClientBehavior {
+            let behavior = ClientBehavior {
                 client_timeout: 2_000_000,
                 ..ClientBehavior::default()
             };
-            let one = ClientRequest {
-                request: ask(1),
+            let client_request = ClientRequest {
+                request: generate_request(1),
                 operation: 1,
                 idempotency: CallIdempotency::Idempotent,
                 node: 0,
-                behavior: habit,
+                behavior,
             };
             let (clock, killer) = (runtime.clone(), sim.clone());
             let at = runtime.now() + 500 * moment;
@@ -224,33 +235,36 @@
                 clock.sleep_until(at).await;
                 killer.kill(host, moment % 2 == 0);
             });
-            client.send(&one).await;
-            let client = Client::connect(&runtime, &log, its_address).await.unwrap();
-            let one = ClientRequest {
-                request: ask(2),
+            client.send(&client_request).await;
+            let client = Client::connect(&runtime, &log, successor_address)
+                .await
+                .unwrap();
+            let client_request = ClientRequest {
+                request: generate_request(2),
                 operation: 2,
                 node: 1,
-                ..one
+                ..client_request
             };
-            let end = client.send(&one).await;
+            let end = client.send(&client_request).await;
             assert_eq!(
                 end.outcome,
                 ivyward_fakes::event_log::ClientOutcome::Served,
                 "{end:?}"
             );
-            // Longer than engines keep anything for a node that is gone.
+            // Longer than engines retain anything for a dead node.
             runtime.sleep(60_000_000).await;
             (
-                again.open_requests(),
-                kept.lock()
+                successor.open_requests(),
+                shared_engines
+                    .lock()
                     .unwrap()
                     .iter()
                     .map(|e| e.retained_count())
                     .sum::<usize>(),
             )
         });
-        assert_eq!(played, Ok((0, 0)), "killed at moment {moment}");
-        let log = stage.log.all();
+        assert_eq!(result, Ok((0, 0)), "killed at moment {moment}");
+        let log = cluster.log.all();
         let ran = |call| {
             log.iter()
                 .filter(
@@ -262,17 +276,17 @@
     }
 }
 
-/// Calls to the store, dropped at each poll: the client goes on as if nothing had been.
+/// Drops calls to the store at each poll: the client stays usable and the next calls return complete results.
 #[test]
 fn calls_to_the_store_dropped_at_each_poll() {
-    let stage = virtual_cluster();
-    let host: Arc<dyn Processes> = Arc::new(Hosts::of(&stage.sim));
+    let cluster = virtual_cluster();
+    let host: Arc<dyn Processes> = Arc::new(Hosts::of(&cluster.sim));
     let store = Store::start(&host, 1).unwrap();
     for i in 0..20 {
         store.put(&format!("k/{i:02}"), "v");
     }
-    let (runtime, endpoint, store) = (stage.runtime.clone(), store.address(), Mutex::new(store));
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+    let (runtime, endpoint, store) = (cluster.runtime.clone(), store.address(), Mutex::new(store));
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         let options = ivyward_etcd::EtcdOptions {
             page_size: 3,
             ..Default::default()
@@ -303,9 +317,9 @@
         steps
     });
     assert!(
-        played
+        result
             .as_ref()
             .is_ok_and(|steps| steps.0 > 3 && steps.1 >= 1),
-        "{played:?}"
+        "{result:?}"
     );
 }
