--- a/crates/ivyward-testbed/tests/node_isolation.rs
+++ b/crates/ivyward-testbed/tests/node_isolation.rs
@@ -1,5 +1,5 @@
-//! Two nodes in one process share nothing, and a node in process decides as one behind a socket. In the virtual world,
-//! where what is learned from times is the same in each run.
+//! Two nodes in one process share no state, and library calls lead to the same decisions as gRPC calls. The tests run in the
+//! deterministic simulation, where the times from which a node learns are the same in each run.
 
 mod virtual_cluster;
 
@@ -18,8 +18,8 @@
 use std::sync::Arc;
 use virtual_cluster::{prompt, request, virtual_cluster, HOUR};
 
-async fn served(client: &Client, request: GenerateRequest) -> u32 {
-    let habit = ClientBehavior {
+async fn send_and_expect_served(client: &Client, request: GenerateRequest) -> u32 {
+    let behavior = ClientBehavior {
         client_timeout: 2_000_000,
         ..ClientBehavior::default()
     };
@@ -30,76 +30,93 @@
             operation,
             idempotency: CallIdempotency::Idempotent,
             node: 0,
-            behavior: habit,
+            behavior,
         })
         .await;
     assert_eq!(end.outcome, ClientOutcome::Served, "{end:?}");
     end.tokens
 }
 
-/// Sessions of several turns, one request at a time, by gRPC; with a busy node beside it or without.
-fn scripted(neighbour: bool) -> Vec<String> {
-    let stage = virtual_cluster();
-    let (node, address, memory) = stage.node(7);
-    let (other, its_address, _) = stage.node(8);
-    let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+/// Runs sessions of several turns over gRPC, one request at a time, with or without load on a second node. Returns the
+/// decisions of the first node.
+fn decisions_of_script(with_other_node: bool) -> Vec<String> {
+    let cluster = virtual_cluster();
+    let (node, address, memory) = cluster.node(7);
+    let (other, other_address, _) = cluster.node(8);
+    let (listed, runtime, log) = (
+        cluster.listed(),
+        cluster.runtime.clone(),
+        cluster.log.clone(),
+    );
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         node.update_endpoints(ListKind::Full, listed.clone()).await;
         other.update_endpoints(ListKind::Full, listed).await;
         let client = Client::connect(&runtime, &log, address).await.unwrap();
-        let beside = Client::connect(&runtime, &log, its_address).await.unwrap();
+        let other_client = Client::connect(&runtime, &log, other_address)
+            .await
+            .unwrap();
         let mut call = 0;
         for session in 0..6u32 {
             let mut words = prompt(session, 60);
             for _ in 0..3 {
                 call += 2;
-                if neighbour {
-                    served(&beside, request(call, &words, session)).await;
+                if with_other_node {
+                    send_and_expect_served(&other_client, request(call, &words, session)).await;
                 }
-                served(&client, request(call + 1, &words, session)).await;
+                send_and_expect_served(&client, request(call + 1, &words, session)).await;
                 words.extend(text::answer(&words, 6));
                 words.extend([session; 20]);
             }
         }
         node.flush_recording().await;
     });
-    assert_eq!(played, Ok(()));
-    // Whatever it decided, its own events alone led to it.
+    assert_eq!(result, Ok(()));
+    // The decisions of the node can be reproduced from its own events alone.
     ivyward::recording::replay(&memory.bytes()[..]).unwrap();
     decisions(&memory.bytes()).unwrap()
 }
 
 #[test]
-fn a_node_decides_the_same_alone_and_beside_another() {
-    let (alone, beside) = (scripted(false), scripted(true));
+fn a_second_node_does_not_change_a_nodes_decisions() {
+    let (alone, with_other) = (decisions_of_script(false), decisions_of_script(true));
     assert!(alone.len() > 20, "{alone:?}");
-    assert_eq!(alone, beside);
+    assert_eq!(alone, with_other);
 }
 
-/// A library user who never opens a door gets the same decisions and the same answers.
+/// Calls through the library, without a listener, get the same decisions and the same answers as gRPC calls.
 #[test]
-fn in_process_calls_are_decided_as_calls_through_the_door() {
-    let run = |door: bool| {
-        let stage = virtual_cluster();
-        let (node, address, memory) = stage.node(7);
-        let (listed, runtime, log) = (stage.listed(), stage.runtime.clone(), stage.log.clone());
-        let answers = stage.sim.run(&stage.script, HOUR, async move {
+fn library_calls_are_decided_as_grpc_calls() {
+    let run = |over_grpc: bool| {
+        let cluster = virtual_cluster();
+        let (node, address, memory) = cluster.node(7);
+        let (listed, runtime, log) = (
+            cluster.listed(),
+            cluster.runtime.clone(),
+            cluster.log.clone(),
+        );
+        let answers = cluster.sim.run(&cluster.script, HOUR, async move {
             node.update_endpoints(ListKind::Full, listed).await;
             let client = Client::connect(&runtime, &log, address).await.unwrap();
             let mut answers = Vec::new();
             for i in 0..20 {
-                let ask = request(i + 1, &prompt(i as u32 / 2, 60), i as u32 / 2);
-                if door {
-                    answers.push(served(&client, ask).await);
+                let generate_request = request(i + 1, &prompt(i as u32 / 2, 60), i as u32 / 2);
+                if over_grpc {
+                    answers.push(send_and_expect_served(&client, generate_request).await);
                 } else {
-                    let (ids, end) = node.generate(ask.clone(), Some(2_000_000)).collect().await;
+                    let (ids, end) = node
+                        .generate(generate_request.clone(), Some(2_000_000))
+                        .collect()
+                        .await;
                     assert_eq!(
                         (&ids, end),
-                        (&text::answer(&ask.prompt, 6), FinalStatus::Served)
+                        (
+                            &text::answer(&generate_request.prompt, 6),
+                            FinalStatus::Served
+                        )
                     );
                     answers.push(ids.len() as u32);
                 }
-                // Ways to the door take time; the next request comes at a time of its own.
+                // A gRPC call takes longer than a library call, so each request starts at a fixed time.
                 runtime.sleep_until((i + 2) * 1_000_000).await;
             }
             node.flush_recording().await;
@@ -110,53 +127,53 @@
     assert_eq!(run(true), run(false));
 }
 
-/// A handle that is dropped gives its request up, as a client that leaves.
+/// Dropping the answer of a library call cancels its request, as if a client had disconnected.
 #[test]
-fn dropping_an_answer_gives_the_request_up() {
-    let stage = virtual_cluster();
-    let (node, ..) = stage.node(13);
-    let (listed, runtime) = (stage.listed(), stage.runtime.clone());
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+fn dropping_an_answer_cancels_the_request() {
+    let cluster = virtual_cluster();
+    let (node, ..) = cluster.node(13);
+    let (listed, runtime) = (cluster.listed(), cluster.runtime.clone());
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         node.update_endpoints(ListKind::Full, listed).await;
         for call in 1..=5 {
-            let ask = GenerateRequest {
+            let generate_request = GenerateRequest {
                 max_output_tokens: 1_000,
                 ..request(call, &prompt(1, 40), 1)
             };
-            let mut answer = node.generate(ask, None);
+            let mut answer = node.generate(generate_request, None);
             assert!(matches!(answer.next().await, ResponsePart::Tokens(_)));
             drop(answer);
         }
-        // As long as a reset takes to be written, and to cross.
+        // Longer than a reset takes to be sent and to arrive.
         runtime.sleep(1_000_000).await;
         (node.open_requests(), node.metrics().disconnected.get())
     });
-    assert_eq!(played, Ok((0, 5)));
-    assert!(stage.engines.iter().all(|e| e.retained_count() == 0));
+    assert_eq!(result, Ok((0, 5)));
+    assert!(cluster.engines.iter().all(|e| e.retained_count() == 0));
 }
 
-/// All endpoints of the store gone for a minute: the old list stands and is marked stale, no pool is emptied, requests
-/// are served all the while.
+/// All endpoints of the store are unreachable for a minute: the last known list stays in use and is marked stale, no pool is
+/// emptied, and requests are served throughout.
 #[test]
 fn a_minute_without_the_store() {
-    let stage = virtual_cluster();
-    let host: Arc<dyn Processes> = Arc::new(Hosts::of(&stage.sim));
+    let cluster = virtual_cluster();
+    let host: Arc<dyn Processes> = Arc::new(Hosts::of(&cluster.sim));
     let mut store = Store::start(&host, 1).unwrap();
-    for engine in &stage.engines {
+    for engine in &cluster.engines {
         let (key, record) = registration::record(engine, State::Ready, 0);
         store.put(&key, &record);
     }
-    let (node, address, _) = stage.node(7);
-    let (runtime, log) = (stage.runtime.clone(), stage.log.clone());
+    let (node, address, _) = cluster.node(7);
+    let (runtime, log) = (cluster.runtime.clone(), cluster.log.clone());
     let follow = WatcherOptions {
         endpoints: vec![store.address()],
         ..WatcherOptions::default()
     };
     let following = node.clone();
-    stage
+    cluster
         .runtime
         .run(async move { following.watch_endpoints(follow).await });
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         let until = |what: fn(&Node) -> bool| {
             let (node, runtime) = (node.clone(), runtime.clone());
             async move {
@@ -173,7 +190,7 @@
         let mut call = 0;
         while runtime.now() < end {
             call += 1;
-            served(
+            send_and_expect_served(
                 &client,
                 request(call, &prompt(call as u32, 60), call as u32),
             )
@@ -190,7 +207,7 @@
         assert!(call > 80, "{call} requests in the minute");
         store.restart().unwrap();
         until(|n| n.metrics().list_stale.get() == 0).await;
-        served(&client, request(call + 1, &prompt(1, 60), 1)).await;
+        send_and_expect_served(&client, request(call + 1, &prompt(1, 60), 1)).await;
     });
-    assert_eq!(played, Ok(()));
+    assert_eq!(result, Ok(()));
 }
