--- a/crates/ivyward-testbed/tests/rule_checker.rs
+++ b/crates/ivyward-testbed/tests/rule_checker.rs
@@ -1,5 +1,5 @@
-//! The auditor can fail: for each rule a bad node, played by hand on real sockets, breaks it once and is caught, beside
-//! the same steps done rightly, which are not.
+//! The rule checker reports violations: for each rule, the test acts as a faulty node on real sockets and violates the rule
+//! once, which must be reported. The same steps without the fault must not be reported.
 
 mod common;
 use common::*;
@@ -16,15 +16,15 @@
 
 const NODE: u64 = 77;
 
-/// Engines and no node: the test plays it.
+/// Starts engines without a node. The test sends the calls of a node itself.
 fn engines(specs: Vec<EngineSpec>) -> Arc<LocalCluster> {
-    let mut make = ClusterBuilder::new(9, specs);
-    (make.nodes, make.flight) = (0, 50_000);
-    build(make)
+    let mut builder = ClusterBuilder::new(9, specs);
+    (builder.nodes, builder.flight) = (0, 50_000);
+    build(builder)
 }
 
-/// What the auditor finds broken, by rule; then attempts side by side, and deadlines told to engines.
-fn broken(cluster: &LocalCluster) -> [bool; 7] {
+/// Which checks report a violation: the five rules in order, then concurrent attempts, then deadlines sent to engines.
+fn violated(cluster: &LocalCluster) -> [bool; 7] {
     let audit = cluster.audit();
     let mut out = [false; 7];
     for (i, rule) in audit.rules.iter().enumerate() {
@@ -69,14 +69,14 @@
     })
 }
 
-async fn write(
+async fn start_decode(
     cluster: &LocalCluster,
     engine: usize,
     request: u64,
     attempt: u32,
     call: u64,
 ) -> Call {
-    let ask = pb::WriteRequest {
+    let body = pb::WriteRequest {
         header: header(cluster, engine, request, attempt, call),
         prompt: prompt(1, 10),
         max_output_tokens: 5,
@@ -86,15 +86,15 @@
     channel
         .call(
             "/ivyward.engine.v1.Engine/Write",
-            encode(&ask),
+            encode(&body),
             http::HeaderMap::new(),
         )
         .await
         .unwrap()
 }
 
-async fn read(cluster: &LocalCluster, engine: usize, request: u64, attempt: u32) -> Call {
-    let ask = pb::ReadRequest {
+async fn start_prefill(cluster: &LocalCluster, engine: usize, request: u64, attempt: u32) -> Call {
+    let body = pb::ReadRequest {
         header: header(cluster, engine, request, attempt, 1),
         prompt: prompt(1, 10),
         ..pb::ReadRequest::default()
@@ -103,64 +103,66 @@
     channel
         .call(
             "/ivyward.engine.v1.Engine/Read",
-            encode(&ask),
+            encode(&body),
             http::HeaderMap::new(),
         )
         .await
         .unwrap()
 }
 
-async fn to_end<M: prost::Message + Default>(mut call: Call) {
+async fn read_to_end<M: prost::Message + Default>(mut call: Call) {
     while let Ok(Some(_)) = call.next::<M>().await {}
 }
 
-fn called(cluster: &LocalCluster, call: u64, effect: CallIdempotency) {
+fn log_call_started(cluster: &LocalCluster, call: u64, idempotency: CallIdempotency) {
     let until = cluster.log.now() + 1_000_000;
     cluster.log.add(ObservedEvent::CallStarted {
         call,
         operation: call,
         node: 0,
-        idempotency: effect,
+        idempotency,
         until,
     });
 }
 
-fn heard(cluster: &LocalCluster, call: u64, how: ClientOutcome) {
-    cluster
-        .log
-        .add(ObservedEvent::CallEnded { call, outcome: how });
+fn log_call_ended(cluster: &LocalCluster, call: u64, outcome: ClientOutcome) {
+    cluster.log.add(ObservedEvent::CallEnded { call, outcome });
 }
 
 #[test]
-fn rule_1_a_request_without_an_answer_and_one_sent_after_its_end() {
-    for (how, late, rule) in [
+fn rule_1_a_request_without_an_answer_or_with_an_attempt_after_its_end() {
+    for (outcome, late, rule) in [
         (ClientOutcome::Served, false, None),
         (ClientOutcome::TimedOut, false, Some(0)),
         (ClientOutcome::Rejected, true, Some(0)),
     ] {
         let cluster = engines(pools(0, 1));
         block_on(async {
-            called(&cluster, 1, CallIdempotency::Idempotent);
+            log_call_started(&cluster, 1, CallIdempotency::Idempotent);
             if !late {
-                to_end::<pb::WriteEvent>(write(&cluster, 0, 1, 0, 1).await).await;
+                read_to_end::<pb::WriteEvent>(start_decode(&cluster, 0, 1, 0, 1).await).await;
             }
-            heard(&cluster, 1, how);
+            log_call_ended(&cluster, 1, outcome);
             if late {
                 cluster.runtime.sleep(150_000).await;
-                to_end::<pb::WriteEvent>(write(&cluster, 0, 1, 0, 1).await).await;
+                read_to_end::<pb::WriteEvent>(start_decode(&cluster, 0, 1, 0, 1).await).await;
             }
         });
-        assert_eq!(broken(&cluster), rule.map_or([false; 7], only), "{how:?}");
+        assert_eq!(
+            violated(&cluster),
+            rule.map_or([false; 7], only),
+            "{outcome:?}"
+        );
     }
-    // One that was never heard of again.
+    // A call that never ends.
     let cluster = engines(pools(0, 1));
-    called(&cluster, 1, CallIdempotency::Idempotent);
-    assert_eq!(broken(&cluster), only(0));
+    log_call_started(&cluster, 1, CallIdempotency::Idempotent);
+    assert_eq!(violated(&cluster), only(0));
 }
 
 #[test]
-fn rule_2_an_unsafe_request_run_twice_or_refused_after_it_ran() {
-    for (effect, runs, how, rule) in [
+fn rule_2_an_unsafe_request_that_runs_twice_or_is_rejected_after_it_ran() {
+    for (idempotency, runs, outcome, rule) in [
         (
             CallIdempotency::NonIdempotent,
             1,
@@ -188,24 +190,26 @@
     ] {
         let cluster = engines(pools(0, 2));
         block_on(async {
-            called(&cluster, 1, effect);
+            log_call_started(&cluster, 1, idempotency);
             for attempt in 0..runs {
-                to_end::<pb::WriteEvent>(write(&cluster, attempt as usize, 1, attempt, 1).await)
-                    .await;
+                read_to_end::<pb::WriteEvent>(
+                    start_decode(&cluster, attempt as usize, 1, attempt, 1).await,
+                )
+                .await;
             }
             cluster.wait_until_idle(1_000_000).await;
-            heard(&cluster, 1, how);
+            log_call_ended(&cluster, 1, outcome);
         });
         assert_eq!(
-            broken(&cluster),
+            violated(&cluster),
             rule.map_or([false; 7], only),
-            "{effect:?} run {runs} times, {how:?}"
+            "{idempotency:?} run {runs} times, {outcome:?}"
         );
     }
 }
 
 #[test]
-fn rule_3_work_for_an_engine_that_drains() {
+fn rule_3_an_attempt_on_a_draining_engine() {
     for (wait, rule) in [(0, None), (500_000, Some(2))] {
         let cluster = engines(pools(0, 1));
         block_on(async {
@@ -216,10 +220,10 @@
                 ready: false,
             });
             cluster.runtime.sleep(wait).await;
-            to_end::<pb::WriteEvent>(write(&cluster, 0, 1, 0, 1).await).await;
+            read_to_end::<pb::WriteEvent>(start_decode(&cluster, 0, 1, 0, 1).await).await;
         });
         assert_eq!(
-            broken(&cluster),
+            violated(&cluster),
             rule.map_or([false; 7], only),
             "after {wait} us"
         );
@@ -227,35 +231,36 @@
 }
 
 #[test]
-fn rule_4_a_cold_engine_that_is_pushed() {
+fn rule_4_a_cold_engine_that_is_overloaded() {
     for (calls, rule) in [(5, None), (80, Some(3))] {
         let mut specs = pools(0, 1);
-        // A tenth of one a second, four times that in a hundred seconds: 40, and two for chance. The window is far longer
-        // than any machine takes for these calls, so that what counts is how many there are.
+        // A cold engine has a tenth of a capacity of one per second. Four times that load in a window of 100 s is 40
+        // calls, and the check allows two more for chance. The window is far longer than any machine needs for these
+        // calls, so that only their number matters.
         let (window, warm) = (100_000_000, 4_000_000_000);
         (specs[0].overload, specs[0].capacity) = ((4.0, window), 1.0);
         specs[0].warm_up = (0.1, warm);
-        // Nothing is worked on meanwhile: a cold engine is slow.
+        // Attempts take no time here, because a cold engine would be slow.
         (specs[0].token_interval, specs[0].prefill_rate) = (0, 1e12);
-        let mut make = ClusterBuilder::new(9, specs);
-        make.nodes = 0;
-        let rules = &mut make.settings.router;
+        let mut builder = ClusterBuilder::new(9, specs);
+        builder.nodes = 0;
+        let router = &mut builder.settings.router;
         (
-            rules.initial_capacity,
-            rules.overload_window,
-            rules.warm_up_duration,
+            router.initial_capacity,
+            router.overload_window,
+            router.warm_up_duration,
         ) = (0.1, window, warm);
-        let cluster = build(make);
+        let cluster = build(builder);
         block_on(async {
             cluster.engine(0).restart(true).unwrap();
             for i in 0..calls {
                 if cluster.engine(0).is_running() {
-                    to_end::<pb::WriteEvent>(write(&cluster, 0, i, 0, i).await).await;
+                    read_to_end::<pb::WriteEvent>(start_decode(&cluster, 0, i, 0, i).await).await;
                 }
             }
         });
         assert_eq!(
-            broken(&cluster),
+            violated(&cluster),
             rule.map_or([false; 7], only),
             "{calls} calls"
         );
@@ -264,32 +269,32 @@
 }
 
 #[test]
-fn rule_5_a_state_that_nobody_lets_go() {
+fn rule_5_kv_state_that_is_never_released() {
     for (release, rule) in [(true, None), (false, Some(4))] {
         let mut specs = pools(1, 0);
         specs[0].retention = 700_000;
         let cluster = engines(specs);
         block_on(async {
-            to_end::<pb::ReadReply>(read(&cluster, 0, 1, 0).await).await;
+            read_to_end::<pb::ReadReply>(start_prefill(&cluster, 0, 1, 0).await).await;
             if release {
                 let key = Some(pb::AttemptKey {
                     node: NODE,
                     request: 1,
                     attempt: 0,
                 });
-                let ask = encode(&pb::ReleaseRequest { key, engine: 1 });
+                let body = encode(&pb::ReleaseRequest { key, engine: 1 });
                 let path = "/ivyward.engine.v1.Engine/Release";
                 let call = dial(&cluster, 0)
                     .await
-                    .call(path, ask, http::HeaderMap::new())
+                    .call(path, body, http::HeaderMap::new())
                     .await
                     .unwrap();
-                to_end::<pb::ReleaseReply>(call).await;
+                read_to_end::<pb::ReleaseReply>(call).await;
             }
             wait_for_event(&cluster, |s| matches!(s, ObservedEvent::Released { .. })).await;
         });
         assert_eq!(
-            broken(&cluster),
+            violated(&cluster),
             rule.map_or([false; 7], only),
             "released: {release}"
         );
@@ -297,8 +302,8 @@
 }
 
 #[test]
-fn two_attempts_at_once() {
-    for (beside, rule) in [(false, None), (true, Some(5))] {
+fn two_concurrent_attempts_of_a_request() {
+    for (concurrent, rule) in [(false, None), (true, Some(5))] {
         let mut specs = vec![
             EngineSpec::small(1, Role::Decode),
             EngineSpec::small(2, Role::Decode),
@@ -306,20 +311,21 @@
         specs[0].token_interval = 100_000;
         let cluster = engines(specs);
         block_on(async {
-            let first = write(&cluster, 0, 1, 0, 1).await;
+            let first = start_decode(&cluster, 0, 1, 0, 1).await;
             let run = async {
-                if !beside {
-                    to_end::<pb::WriteEvent>(first).await;
-                    return to_end::<pb::WriteEvent>(write(&cluster, 1, 1, 1, 1).await).await;
+                if !concurrent {
+                    read_to_end::<pb::WriteEvent>(first).await;
+                    return read_to_end::<pb::WriteEvent>(start_decode(&cluster, 1, 1, 1, 1).await)
+                        .await;
                 }
-                let (tell, wait) = async_channel::bounded::<()>(1);
+                let (sender, receiver) = async_channel::bounded::<()>(1);
                 cluster.runtime.run(async move {
-                    to_end::<pb::WriteEvent>(first).await;
-                    drop(tell);
+                    read_to_end::<pb::WriteEvent>(first).await;
+                    drop(sender);
                 });
                 wait_for_event(&cluster, |s| matches!(s, ObservedEvent::AttemptRan { .. })).await;
-                to_end::<pb::WriteEvent>(write(&cluster, 1, 1, 1, 1).await).await;
-                let _ = wait.recv().await;
+                read_to_end::<pb::WriteEvent>(start_decode(&cluster, 1, 1, 1, 1).await).await;
+                let _ = receiver.recv().await;
             };
             run.await;
             wait_for_event(
@@ -329,19 +335,19 @@
             .await;
         });
         assert_eq!(
-            broken(&cluster),
+            violated(&cluster),
             rule.map_or([false; 7], only),
-            "beside: {beside}"
+            "concurrent: {concurrent}"
         );
     }
 }
 
-/// A run that goes on: what may still come out right is no break yet, and is one as soon as it cannot any more.
+/// During a run, `check_so_far` reports a violation only when no later event can still resolve it.
 #[test]
-fn a_run_that_goes_on_is_judged_by_what_can_still_come() {
+fn a_run_in_progress_is_checked_by_what_can_still_happen() {
     let cluster = engines(pools(0, 2));
-    called(&cluster, 1, CallIdempotency::Idempotent);
-    let broken = |after: u64| {
+    log_call_started(&cluster, 1, CallIdempotency::Idempotent);
+    let violated = |after: u64| {
         let audit = check_so_far(
             &cluster.log.all(),
             &cluster.limits(),
@@ -352,9 +358,13 @@
             audit.overlap.violation_count,
         )
     };
-    assert_eq!(broken(0), (0, 0));
-    assert_eq!(broken(2_000_000), (1, 0), "its client's time is over");
-    // An attempt beside one that has not ended.
+    assert_eq!(violated(0), (0, 0));
+    assert_eq!(
+        violated(2_000_000),
+        (1, 0),
+        "the deadline of the client has passed"
+    );
+    // A second attempt while the first one has not ended.
     for attempt in 0..2 {
         let key = AttemptKey {
             node: NODE,
@@ -369,17 +379,21 @@
             timeout: None,
         });
     }
-    assert_eq!(broken(0).1, 0, "the first's end may be under way");
-    assert_eq!(broken(100_000).1, 1);
+    assert_eq!(
+        violated(0).1,
+        0,
+        "the end of the first attempt may not be logged yet"
+    );
+    assert_eq!(violated(100_000).1, 1);
 }
 
 #[test]
-fn a_deadline_told_to_an_engine_past_the_clients() {
-    for (more, broken_rule) in [(100_000, None), (400_000, Some(6))] {
+fn a_deadline_sent_to_an_engine_past_the_clients() {
+    for (more, rule) in [(100_000, None), (400_000, Some(6))] {
         let cluster = engines(pools(0, 1));
         block_on(async {
-            called(&cluster, 1, CallIdempotency::Idempotent);
-            let ask = pb::WriteRequest {
+            log_call_started(&cluster, 1, CallIdempotency::Idempotent);
+            let body = pb::WriteRequest {
                 header: header(&cluster, 0, 1, 0, 1),
                 prompt: prompt(1, 10),
                 max_output_tokens: 5,
@@ -389,15 +403,15 @@
             let deadline = cluster.runtime.now() + 1_000_000 + more;
             let call = dial(&cluster, 0)
                 .await
-                .call_with_deadline(path, encode(&ask), Some(deadline))
+                .call_with_deadline(path, encode(&body), Some(deadline))
                 .await;
-            to_end::<pb::WriteEvent>(call.unwrap()).await;
-            heard(&cluster, 1, ClientOutcome::Served);
+            read_to_end::<pb::WriteEvent>(call.unwrap()).await;
+            log_call_ended(&cluster, 1, ClientOutcome::Served);
         });
         assert_eq!(
-            broken(&cluster),
-            broken_rule.map_or([false; 7], only),
-            "{more} us past its end"
+            violated(&cluster),
+            rule.map_or([false; 7], only),
+            "{more} us past the client's deadline"
         );
     }
 }
