--- a/crates/ivyward-testbed/tests/simulation.rs
+++ b/crates/ivyward-testbed/tests/simulation.rs
@@ -1,27 +1,28 @@
-//! Scenes in the virtual world: rules under faults from seeds, and the same run each time.
+//! Simulation runs: the rules hold under faults drawn from seeds, and a seed gives the same run each time.
 
 use ivyward_testbed::simulation::{plan, run, run_seeds, shrink, Fault, ScheduledFault, Size};
 
 #[test]
-fn seeds_keep_all_rules() {
+fn no_seed_violates_a_rule() {
     let size = Size::default();
     let tally = run_seeds(1, 200, 4, &size, &|_| {});
     assert_eq!(tally.failures, Default::default());
     assert_eq!(tally.runs, 200);
-    // Each kind of fault was played, and calls ended in each way.
+    // Each kind of fault was injected, and calls ended with each outcome.
     assert_eq!(tally.faults.len(), 15, "{:?}", tally.faults);
-    for how in ["served", "refused", "failed", "left", "unreachable"] {
+    for outcome in ["served", "refused", "failed", "left", "unreachable"] {
         assert!(
-            tally.client_outcomes.get(how).is_some_and(|n| *n > 0),
-            "{how}: {:?}",
+            tally.client_outcomes.get(outcome).is_some_and(|n| *n > 0),
+            "{outcome}: {:?}",
             tally.client_outcomes
         );
     }
 }
 
-/// Nodes that know each other, with their links among the faulty: views and counts hold beside the rules.
+/// Nodes that are peers of each other, with faults on the links between them: their views and replica counts are checked
+/// along with the rules.
 #[test]
-fn seeds_with_peers_keep_all_rules() {
+fn no_seed_with_peers_violates_a_rule() {
     let size = Size {
         peers: true,
         nodes: 4,
@@ -32,11 +33,11 @@
     assert_eq!(tally.faults.len(), 17, "{:?}", tally.faults);
 }
 
-/// Seeds that once found something, what, and their plans as they were.
-const FOUND: &[(u64, &str, &str)] = &[
+/// Seeds that found a defect: the seed, the defect, and the fault plan that the seed gave at that time.
+const REGRESSIONS: &[(u64, &str, &str)] = &[
     (
         15,
-        "a place held beside a read that was turned away was taken for used by the write",
+        "a decode slot reserved during a prefill that was rejected was taken for used by the decode attempt",
         r#"[{"at":427763,"len":454807,"fault":"store_lags"},
     {"at":456850,"len":488948,"fault":{"die":{"engine":3,"word":true}}},
     {"at":1195941,"len":95645,"fault":{"cut":{"engine":5,"node":0,"back":false}}},
@@ -48,31 +49,31 @@
     ),
     (
         37,
-        "a hold went on after its request had ended",
+        "a reservation continued after its request had ended",
         r#"[{"at":1101303,"len":563374,"fault":{"hang":{"engine":5}}}]"#,
     ),
     (
         103,
-        "a place whose hold came after the write was taken for used by it",
+        "a decode slot whose reservation arrived after the decode attempt was taken for used by it",
         r#"[{"at":1952539,"len":85986,"fault":{"cut":{"engine":5,"node":1,"back":false}}},
     {"at":1952539,"len":65020,"fault":{"cut":{"engine":1,"node":0,"back":true}}}]"#,
     ),
     (
         949,
-        "a release overtook the hold that it was for",
+        "a release overtook its reservation",
         r#"[{"at":1966791,"len":751586,"fault":{"die":{"engine":5,"word":true}}},
     {"at":1966791,"len":846844,"fault":{"slow":{"engine":2,"by":5.444049325676639}}}]"#,
     ),
     (
         631,
-        "the auditor forgot the first of two spans in which a machine was dark",
+        "the rule checker forgot the first of two intervals in which a machine was down",
         r#"[
     {"at":234251,"len":1564144,"fault":{"die":{"engine":1,"word":false}}},
     {"at":1094742,"len":413629,"fault":{"die":{"engine":1,"word":false}}}]"#,
     ),
     (
         1769,
-        "a drain whose record named no start was taken for an echo of the past",
+        "a drain whose record had no start time was taken for an outdated record",
         r#"[{"at":552836,"len":141088,"fault":"store_compacts"},{"at":552836,"len":686258,"fault":"pieces"},
     {"at":971218,"len":523102,"fault":{"ill":{"engine":0,"share":0.22693215636667174}}},
     {"at":995231,"len":97113,"fault":{"cut":{"engine":6,"node":0,"back":false}}},
@@ -84,9 +85,9 @@
 ];
 
 #[test]
-fn seeds_that_found_something() {
+fn seeds_that_found_a_defect_pass() {
     let size = Size::default();
-    for (seed, what, plan) in FOUND {
+    for (seed, what, plan) in REGRESSIONS {
         let plan: Vec<ScheduledFault> = serde_json::from_str(plan).unwrap();
         assert_eq!(
             run(*seed, &size, &plan).failures,
@@ -96,26 +97,26 @@
     }
 }
 
-/// Anything that does not follow from the seed (hash order, addresses, real time, other threads) shows here.
+/// Guards against anything in a run that does not follow from the seed: hash order, addresses, real time, other threads.
 #[test]
-fn a_seed_plays_the_same_run_beside_others() {
+fn a_seed_gives_the_same_run_alone_and_in_parallel() {
     let size = Size::default();
     let alone: Vec<_> = (1..=6)
         .map(|seed| run(seed, &size, &plan(seed, &size)))
         .collect();
-    let beside: Vec<_> = std::thread::scope(|scope| {
-        let play =
+    let in_parallel: Vec<_> = std::thread::scope(|scope| {
+        let start =
             |seed| scope.spawn(move || run(seed, &Size::default(), &plan(seed, &Size::default())));
-        let all: Vec<_> = (1..=6).map(play).collect();
+        let all: Vec<_> = (1..=6).map(start).collect();
         all.into_iter().map(|one| one.join().unwrap()).collect()
     });
-    assert_eq!(alone, beside);
+    assert_eq!(alone, in_parallel);
     assert!(alone.windows(2).all(|w| w[0].digest != w[1].digest));
 }
 
-/// The check can fail, and a plan that makes it fail is cut down to what it takes: here a fault that outlasts the run.
+/// The check can fail, and a plan that makes it fail is shrunk to the necessary faults: here, one that outlasts the run.
 #[test]
-fn a_scene_that_does_not_end_is_told_and_cut_down() {
+fn a_run_that_does_not_end_is_reported_and_shrunk() {
     let size = Size {
         requests: 5,
         faults: 0,
@@ -131,12 +132,12 @@
         len: 500_000_000,
         fault: Fault::Fragmentation,
     };
-    let planted = [fine, endless, fine];
-    let outcome = run(3, &size, &planted);
+    let faults = [fine, endless, fine];
+    let result = run(3, &size, &faults);
     assert!(
-        outcome.failures[0].contains("it was not done by"),
+        result.failures[0].contains("it was not done by"),
         "{:?}",
-        outcome.failures
+        result.failures
     );
-    assert_eq!(shrink(3, &size, &planted), [endless]);
+    assert_eq!(shrink(3, &size, &faults), [endless]);
 }
