--- a/crates/ivyward-testbed/tests/peer_mutations.rs
+++ b/crates/ivyward-testbed/tests/peer_mutations.rs
@@ -1,26 +1,26 @@
-//! A scene of peers that goes through what defects would show in, checked as it goes; and, with
-//! `RUSTFLAGS="--cfg mutations"`, that it finds each of those planted in the decider.
+//! A scenario of peers with partitions, pauses and a death, checked throughout. With `RUSTFLAGS="--cfg mutations"`, the
+//! scenario must find each defect injected into the peer state machine.
 
 use ivyward_core::peers::*;
 use ivyward_testbed::peer_simulation::*;
 
-/// Plays it; what was wrong.
-fn wrong(seed: u64) -> Option<String> {
-    let spans = PeerSettings {
+/// Runs the scenario and returns the first failure.
+fn first_failure(seed: u64) -> Option<String> {
+    let settings = PeerSettings {
         tombstone_ttl: 60 * SECOND,
         ..PeerSettings::default()
     };
-    // The ways from 2 to 3 and from 5 to 3 are cut for some time: others hear who is doubted there.
+    // Links from peers 0 to 11 to peer 3 are cut for some time. Peer 3 suspects those peers and notifies others of that.
     let way: Way = Box::new(|now, a, b, lot| {
         let cut = (30 * SECOND..60 * SECOND).contains(&now) && b == 3 && a < 12 && a != 3;
         (!cut).then_some(200 + lot % 800)
     });
-    let mut net = Net::with(16, seed, way, spans);
+    let mut net = Net::with(16, seed, way, settings);
     net.run(30 * SECOND);
     if !net.agreed() {
-        return Some("they do not know each other".into());
+        return Some("the peers did not agree on the membership".into());
     }
-    // Counts hold at every moment of it.
+    // The replica counts must be right throughout.
     while net.now < 60 * SECOND {
         net.run(net.now + 50_000);
         if let Some(low) = net.peers.iter().position(|p| p.replica_count() < 16) {
@@ -31,60 +31,66 @@
         }
     }
     if net.deaths(0) > 0 {
-        return Some(format!("{} deaths by cut links alone", net.deaths(0)));
+        return Some(format!(
+            "{} deaths because of cut links alone",
+            net.deaths(0)
+        ));
     }
-    // All but two sleep for less than a death takes, and half of them again for more.
+    // All but two are paused for less time than it takes to declare a peer dead, and then eight of them for longer.
     let since = net.now;
     (0..14).for_each(|n| net.life[n] = Life::Stopped(since + 2 * SECOND));
     net.run(since + 10 * SECOND);
     if net.deaths(since) > 0 {
         return Some(format!(
-            "{} deaths of those that slept for 2 s",
+            "{} deaths of peers that were paused for 2 s",
             net.deaths(since)
         ));
     }
     (0..8).for_each(|n| net.life[n] = Life::Stopped(since + 18 * SECOND));
     net.run(since + 18 * SECOND);
-    let woke = net.now;
-    net.run(woke + 10 * SECOND);
-    let by_sleepers =
-        |c: &&(u64, usize, PeerId, PeerState)| c.0 >= woke && c.1 < 8 && c.3 == PeerState::Dead;
-    let wrongly = net.changes.iter().filter(by_sleepers).count();
-    if wrongly > 0 {
-        return Some(format!("those that slept took {wrongly} others for dead"));
+    let resumed = net.now;
+    net.run(resumed + 10 * SECOND);
+    let declared_by_paused =
+        |c: &&(u64, usize, PeerId, PeerState)| c.0 >= resumed && c.1 < 8 && c.3 == PeerState::Dead;
+    let wrong_deaths = net.changes.iter().filter(declared_by_paused).count();
+    if wrong_deaths > 0 {
+        return Some(format!(
+            "peers that were paused declared {wrong_deaths} others dead"
+        ));
     }
     net.kill(4);
     net.run(net.now + 100 * SECOND);
-    let stays = net
+    let remaining = net
         .live()
         .iter()
         .filter(|n| net.peers[**n].peer(PeerId(5)).is_some())
         .count();
-    if stays > 0 {
-        return Some(format!("{stays} remember a dead one for too long"));
+    if remaining > 0 {
+        return Some(format!("{remaining} peers keep a dead one for too long"));
     }
     None
 }
 
 #[cfg(not(mutations))]
 #[test]
-fn the_scene_is_clean() {
+fn the_scenario_does_not_fail() {
     for seed in 1..=12 {
-        assert_eq!(wrong(seed), None, "seed {seed}");
+        assert_eq!(first_failure(seed), None, "seed {seed}");
     }
 }
 
 #[cfg(mutations)]
 #[test]
-fn each_planted_defect_of_the_decider_is_found() {
+fn each_injected_defect_of_the_peers_is_found() {
     use ivyward_core::mutations::{activate, Mutation, PEERS};
-    // Where datagrams are answered is the node's own; the rig of processes finds it.
+    // The address that a datagram is answered to is chosen by the node, so this defect is found by the test harness that
+    // runs processes.
     for defect in PEERS
         .into_iter()
         .filter(|d| *d != Mutation::ReplyToSourceAddress)
     {
         activate(Some(defect));
-        let found = (1..=40).find_map(|seed| wrong(seed).map(|what| (seed, what)));
+        let found = (1..=40).find_map(|seed| first_failure(seed).map(|what| (seed, what)));
         activate(None);
         println!("{defect:?}: {found:?}");
         assert!(found.is_some(), "{defect:?} is not found");
