--- a/crates/ivyward-testbed/tests/peers.rs
+++ b/crates/ivyward-testbed/tests/peers.rs
@@ -1,10 +1,11 @@
-//! Peers on a network of datagrams in virtual time: what must not be taken for a death, and what must be known soon.
+//! Membership of peers on a simulated datagram network: what must not be taken for a death, and how soon changes must be
+//! known to all.
 
 use ivyward_core::peers::*;
 use ivyward_testbed::peer_simulation::*;
 
 #[test]
-fn all_that_join_within_a_second_know_each_other_soon() {
+fn a_hundred_peers_that_join_within_a_second_agree_soon() {
     let mut net = Net::new(100, 1, easy());
     net.run(SECOND);
     assert!(net.until_agreed(10 * SECOND).is_some());
@@ -13,20 +14,22 @@
 }
 
 #[test]
-fn a_kill_is_known_to_all_and_the_count_stays_until_it_is_certain() {
+fn a_kill_is_known_to_all_and_the_replica_count_stays() {
     let mut net = Net::new(64, 2, easy());
     net.run(15 * SECOND);
     assert!(net.agreed());
     net.kill(7);
-    let took = net.until_agreed(10 * SECOND).expect("known to all");
+    let took = net
+        .until_agreed(10 * SECOND)
+        .expect("all peers know of the kill");
     assert!(took <= 4 * SECOND, "{took}");
-    // Silence is no proof: it may be cut off from us and go on sending.
+    // Silence is no proof of a death: the node may be partitioned from its peers and still send to engines.
     assert!(net.peers[3].replica_count() == 64);
 }
 
-/// Guards against taking the others for dead on waking, and against taking a pause of two seconds for a death.
+/// Guards against a node that declares others dead when it resumes, and against taking a pause of two seconds for a death.
 #[test]
-fn pauses_kill_nobody_who_comes_back_in_time() {
+fn short_pauses_cause_no_death_and_longer_ones_are_undone() {
     let mut net = Net::new(48, 3, easy());
     net.run(15 * SECOND);
     let since = net.now;
@@ -36,7 +39,8 @@
     net.run(net.now + 10 * SECOND);
     assert_eq!(net.deaths(since), 0);
     assert!(net.agreed());
-    // Longer than the stated silence: dead to the others, who are not dead to it, and back once it speaks.
+    // A pause longer than the time until a silent peer is declared dead: the others declare node 5 dead, and it does not
+    // declare them dead when it resumes. It is alive again as soon as it sends.
     net.life[5] = Life::Stopped(net.now + 30 * SECOND);
     net.run(net.now + 20 * SECOND);
     assert_eq!(net.standing(9, 5), Some(PeerState::Dead));
@@ -51,7 +55,7 @@
 }
 
 #[test]
-fn loss_and_pauses_together_are_borne() {
+fn loss_and_pauses_together_cause_no_death() {
     for seed in 0..3 {
         let mut net = Net::new(40, 10 + seed, lossy(0.2));
         net.run(15 * SECOND);
@@ -68,7 +72,7 @@
     }
 }
 
-/// A cut of one direction of one pair is a fact of that link.
+/// A cut in one direction between two nodes says something about that link only, and not about a node.
 #[test]
 fn a_one_sided_cut_of_a_pair_is_no_death() {
     let way: Way = Box::new(|now, from, to, lot| {
@@ -80,14 +84,15 @@
     assert_eq!(net.deaths(0), 0);
     assert!(net.agreed());
     let of = |at: usize, of: usize| *net.peers[at].peer(PeerId(of as u64 + 1)).unwrap();
-    // What 4 sends reaches 3, and 3's probes do not reach 4: each is known to live, by others.
+    // Messages from 4 reach 3, and probes from 3 do not reach 4. Each knows from others that the other one is alive.
     assert!(of(3, 4).state == PeerState::Alive && of(4, 3).state == PeerState::Alive);
-    assert!(of(4, 3).indirect_only, "4 hears nothing of 3");
+    assert!(of(4, 3).indirect_only, "4 receives nothing from 3 directly");
 }
 
-/// A node that hears nobody, and is heard: the others are not dead for it at once, and it lives for all.
+/// A node that receives nothing while its own messages arrive: it does not declare the others dead at once, and it stays
+/// alive for all of them.
 #[test]
-fn a_node_that_is_deaf_is_alive_to_the_others() {
+fn a_node_that_receives_nothing_stays_alive_to_the_others() {
     let way: Way =
         Box::new(|now, _, to, lot| (!(now > 15 * SECOND && to == 6)).then_some(200 + lot % 800));
     let mut net = Net::new(24, 5, way);
@@ -95,7 +100,7 @@
     assert!(net.peers[6].is_isolated(net.now));
     assert_eq!(net.deaths(0), 0);
     net.run(60 * SECOND);
-    // It answers no question, so it is doubted again and again; but it is heard.
+    // The node answers no probe, so it is suspected repeatedly, but its own messages arrive.
     assert!(net
         .changes
         .iter()
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn halves_that_were_apart_find_each_other() {
+fn halves_agree_again_after_a_partition() {
     let (from, until) = (15 * SECOND, 75 * SECOND);
     let way: Way = Box::new(move |now, a, b, lot| {
         let cut = (from..until).contains(&now) && a % 2 != b % 2;
@@ -114,13 +119,13 @@
     assert_eq!(net.standing(0, 1), Some(PeerState::Dead));
     assert!(
         net.peers.iter().all(|p| p.replica_count() == 40),
-        "those apart may be sending"
+        "nodes in the other half may still be sending"
     );
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
 
 #[test]
-fn a_restarted_node_is_new_at_once_and_its_old_self_gone() {
+fn a_restarted_node_replaces_its_earlier_incarnation_at_once() {
     let mut net = Net::new(24, 7, easy());
     net.run(15 * SECOND);
     net.restart(9);
@@ -131,7 +136,7 @@
         .live()
         .iter()
         .all(|n| *n == 9 || net.peers[*n].peer(PeerId(10)).unwrap().node.incarnation == 2));
-    // A word of the old run brings nothing back, and tells the old one that it is over.
+    // A message of the old incarnation does not bring it back. The answer notifies the sender of the new incarnation.
     let before = net.peers[2].dropped().superseded;
     let mut out = Vec::new();
     let old = Message {
@@ -168,7 +173,7 @@
 }
 
 #[test]
-fn one_that_leaves_is_gone_at_once_for_those_it_told() {
+fn a_node_that_leaves_is_removed_at_once() {
     let mut net = Net::new(24, 8, easy());
     net.run(15 * SECOND);
     let mut out = Vec::new();
@@ -182,7 +187,7 @@
         .live()
         .iter()
         .all(|n| net.peers[*n].replica_count() == 23));
-    // What one other says of a leave is not enough to be sure of.
+    // A report of a leave by one other node is not sufficient.
     let claim = Update {
         node: card(7, 1),
         heartbeat: 1,
@@ -200,9 +205,9 @@
     assert_eq!(net.standing(2, 7), Some(PeerState::Alive));
 }
 
-/// Guards against a word that kills: a peer that forges silences of all, and beats ahead of any clock.
+/// Guards against false reports that cause deaths: one peer reports all others as silent, with heartbeats ahead of any clock.
 #[test]
-fn a_liar_has_no_healthy_node_taken_for_dead() {
+fn false_reports_of_one_peer_cause_no_death() {
     let mut net = Net::new(24, 9, easy());
     net.run(15 * SECOND);
     let since = net.now;
@@ -238,7 +243,7 @@
 }
 
 #[test]
-fn tombstones_end_and_the_bound_holds() {
+fn tombstones_expire_and_max_peers_is_respected() {
     let mut net = Net::new(6, 10, easy());
     net.run(10 * SECOND);
     net.kill(5);
@@ -261,7 +266,7 @@
         small.handle_message(1, hello, &mut Vec::new());
     }
     assert_eq!((small.peers().count(), small.dropped().over_limit), (8, 11));
-    // All fall silent: dead after a while, and later forgotten.
+    // All peers become silent: they are declared dead after a while, and their tombstones expire later.
     let mut out = Vec::new();
     for step in 1..2_000 {
         small.tick(step * 40_000, &mut out);
@@ -271,7 +276,7 @@
 }
 
 #[test]
-fn what_a_node_sends_does_not_grow_with_their_number() {
+fn the_bytes_a_node_sends_do_not_grow_with_the_number_of_nodes() {
     let mut rates = Vec::new();
     for nodes in [16, 128] {
         let mut net = Net::new(nodes, 11, easy());
@@ -285,7 +290,7 @@
     assert!(rates[1] < rates[0] * 2, "{rates:?}");
 }
 
-/// The same seed plays the same run.
+/// The same seed gives the same run.
 #[test]
 fn a_run_is_the_same_each_time() {
     let play = || {
@@ -298,9 +303,10 @@
     assert!(play() == play());
 }
 
-/// What a zone sends reaches nobody beyond it: it is heard by nobody there, and back at once when it is mended.
+/// Messages of a zone reach nobody outside of it: the others declare its nodes dead, and they are alive again at once when the
+/// link is restored.
 #[test]
-fn a_zone_that_is_cut_off_in_one_direction_is_back_when_it_is_mended() {
+fn a_zone_cut_off_in_one_direction_is_alive_again_when_the_link_is_restored() {
     let (from, until) = (15 * SECOND, 45 * SECOND);
     let way: Way = Box::new(move |now, a, b, lot| {
         let cut = (from..until).contains(&now) && a % 3 == 0 && b % 3 != 0;
@@ -312,19 +318,19 @@
     assert_eq!(
         net.standing(0, 3),
         Some(PeerState::Alive),
-        "inside it all is well"
+        "nodes within the zone are alive to each other"
     );
     assert_eq!(
         net.standing(0, 1),
         Some(PeerState::Alive),
-        "it hears the others"
+        "the zone still receives messages of the others"
     );
     assert!(net.peers.iter().all(|p| p.replica_count() == 30));
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
 
 #[test]
-fn three_parts_find_each_other() {
+fn three_parts_agree_again_after_a_partition() {
     let (from, until) = (15 * SECOND, 75 * SECOND);
     let way: Way = Box::new(move |now, a, b, lot| {
         let cut = (from..until).contains(&now) && a % 3 != b % 3;
@@ -337,7 +343,7 @@
 }
 
 #[test]
-fn a_link_that_comes_and_goes_kills_nobody() {
+fn a_flapping_link_causes_no_death() {
     let way: Way = Box::new(|now, a, b, lot| {
         let off = now > 15 * SECOND && now / 700_000 % 2 == 0 && (a, b) != (b, a) && a + b == 9;
         (!off).then_some(200 + lot % 800)
@@ -347,9 +353,9 @@
     assert_eq!(net.deaths(0), 0);
 }
 
-/// A machine whose clock went back starts its node again: the start is lower than the one that all know.
+/// A node restarts on a machine whose clock went back, so its incarnation is lower than the one that all peers know.
 #[test]
-fn a_start_before_the_last_one_is_raised_by_what_the_others_know() {
+fn a_new_incarnation_is_raised_above_the_one_that_peers_know() {
     let mut net = Net::new(24, 16, easy());
     net.run(15 * SECOND);
     net.restart_as(9, card(9, 500));
@@ -361,7 +367,7 @@
         .live()
         .iter()
         .all(|n| net.peers[*n].replica_count() == 24));
-    // One that has been here for long does not: another process has taken its name.
+    // A node that has been running for long does not raise its incarnation: another process has taken its id.
     net.run(net.now + 15 * SECOND);
     let start = net.peers[9].local_node().incarnation;
     let new = Message {
@@ -401,7 +407,7 @@
     let mut net = Net::new(25, 18, easy());
     net.kill(24);
     net.run(15 * SECOND);
-    // Its place is taken by the node that was the tenth, on another machine.
+    // The tenth node moves to the address of the last one.
     net.kill(9);
     net.restart_as(
         24,
@@ -423,10 +429,10 @@
 }
 
 #[test]
-fn three_hundred_that_join_within_a_second_know_each_other_soon() {
+fn three_hundred_peers_that_join_within_a_second_agree_soon() {
     let mut net = Net::new(300, 19, easy());
     net.run(SECOND);
-    let took = net.until_agreed(10 * SECOND).expect("all know all");
+    let took = net.until_agreed(10 * SECOND).expect("all peers agree");
     assert!(took < 5 * SECOND, "{took}");
     assert_eq!(
         net.peers
@@ -438,9 +444,9 @@
     assert_eq!(net.deaths(0), 0);
 }
 
-/// A join over a network that loses a fifth: pages that are lost are asked for again.
+/// Nodes join over a network that loses a fifth of the messages: lost pages of the view are requested again.
 #[test]
-fn a_whole_view_is_taken_in_over_a_lossy_network() {
+fn a_complete_view_is_received_over_a_lossy_network() {
     let mut net = Net::new(80, 20, lossy(0.2));
     net.run(20 * SECOND);
     assert!(net
@@ -449,9 +455,10 @@
         .all(|p| p.has_complete_view() && p.replica_count() == 80));
 }
 
-/// A node that starts in one half counts the other half, which may be sending.
+/// A node that starts in one half of a partition counts the nodes of the other half as replicas, because they may still be
+/// sending.
 #[test]
-fn one_that_starts_in_a_half_counts_the_other() {
+fn a_node_that_starts_in_a_partition_counts_the_other_half() {
     let (from, until) = (15 * SECOND, 60 * SECOND);
     let way: Way = Box::new(move |now, a, b, lot| {
         let cut = (from..until).contains(&now) && a % 2 != b % 2;
@@ -467,9 +474,9 @@
     assert!(net.until_agreed(10 * SECOND).is_some());
 }
 
-/// Until somebody's whole view was seen, what the owner said holds.
+/// Until a node has received a complete view, its replica count is the expected number that was set.
 #[test]
-fn the_count_does_not_fall_before_a_view_was_whole() {
+fn the_replica_count_does_not_fall_before_the_view_is_complete() {
     let mut alone = Peers::new(0, card(0, 1), vec![address(1)], PeerSettings::default(), 1);
     alone.set_expected_replicas(40);
     assert_eq!(
@@ -485,7 +492,7 @@
         .peers
         .iter()
         .all(|p| !p.has_complete_view() && p.replica_count() == 40));
-    // A while later it is what there is, and whoever comes then is told so at once.
+    // After a while the count is the number of nodes found, and a node that joins later receives it at once.
     net.run(65 * SECOND);
     assert!(net
         .peers
@@ -495,7 +502,7 @@
     net.peers[4].set_expected_replicas(40);
     net.run(70 * SECOND);
     assert!(net.peers[4].has_complete_view() && net.peers[4].replica_count() == 6);
-    // As many as were said are enough.
+    // As many nodes as expected make the view complete without that wait.
     let mut net = Net::new(6, 23, easy());
     net.peers
         .iter_mut()
@@ -507,13 +514,13 @@
         .all(|p| p.has_complete_view() && p.replica_count() == 6));
 }
 
-/// The store may believe other things than the peers.
+/// The records in the store may differ from the view of the peers.
 #[test]
-fn a_store_that_believes_other_things_changes_neither_view_nor_count() {
+fn store_records_that_differ_from_the_peers_change_the_count_only_when_certain() {
     let mut net = Net::new(8, 23, easy());
     net.run(10 * SECOND);
     let (now, mut out) = (net.now, Vec::new());
-    // It forgets one that is heard: nothing follows.
+    // The record of a node that peers hear from is removed: this has no effect.
     net.peers[0].store_record_added(now, card(3, 1), &mut out);
     net.peers[0].store_record_removed(now, PeerId(4));
     net.run(net.now + 20 * SECOND);
@@ -521,7 +528,7 @@
         (net.standing(0, 3), net.peers[0].replica_count()),
         (Some(PeerState::Alive), 8)
     );
-    // It names one that nobody hears: not alive, but it may be sending.
+    // A record names a node that no peer hears from: it does not count as alive, but it may be sending.
     let ghost = NodeInfo {
         id: PeerId(77),
         incarnation: 5,
@@ -532,7 +539,7 @@
     net.peers[0].store_record_added(now, ghost, &mut out);
     assert!(
         matches!(out.last(), Some(PeerAction::Send { to, .. }) if *to == address(200)),
-        "it is called on"
+        "a message is sent to the new address"
     );
     assert_eq!(
         (
@@ -543,7 +550,7 @@
     );
     net.peers[0].store_record_removed(now, ghost.id);
     assert_eq!(net.peers[0].replica_count(), 8);
-    // A record of an earlier run ends with it, and says nothing of the present one.
+    // A record of an earlier incarnation ends with that incarnation and says nothing about the present one.
     net.restart(5);
     net.run(net.now + 5 * SECOND);
     let now = net.now;
@@ -555,12 +562,17 @@
         (net.standing(0, 5), net.peers[0].replica_count()),
         (Some(PeerState::Dead), 8)
     );
-    // Of the present one: gone for certain when it is silent and the grace is over, and back if it is heard.
+    // A record of the present incarnation is removed: the node is no longer counted once it is silent and the grace period is
+    // over, and it is counted again if a peer hears from it.
     let now = net.now;
     net.peers[0].store_record_added(now, card(5, 2), &mut out);
     net.peers[0].store_record_removed(now, PeerId(6));
     net.run(net.now + SECOND);
-    assert_eq!(net.peers[0].replica_count(), 8, "its grace");
+    assert_eq!(
+        net.peers[0].replica_count(),
+        8,
+        "the grace period has not ended"
+    );
     net.run(net.now + 5 * SECOND);
     assert_eq!(net.peers[0].replica_count(), 7);
     net.restart(5);
@@ -568,9 +580,9 @@
     assert_eq!(net.peers[0].replica_count(), 8);
 }
 
-/// Guards against a relay that repeats what one said before it died, and against numbers that can be guessed.
+/// Guards against a relay that replays the messages of a dead node, and against sequence numbers that can be guessed.
 #[test]
-fn a_repeated_message_brings_nobody_back_and_an_answer_to_ones_own_question_does() {
+fn a_replayed_message_revives_no_peer_and_an_answer_to_an_own_probe_does() {
     let mut one = Peers::new(0, card(0, 1), vec![], PeerSettings::default(), 1);
     let mut out = Vec::new();
     let hello = |beat| Message {
@@ -595,7 +607,8 @@
         (standing(&one), one.dropped().replayed),
         (Some(PeerState::Dead), 1)
     );
-    // Its machine slept and its clock with it, or ours did: far ahead of what can be, unless it answers us.
+    // Either machine may have been suspended with its clock. The heartbeat is then implausibly far ahead and is accepted only
+    // in an answer to an own probe.
     one.handle_message(now, hello(900_000), &mut out);
     assert_eq!(
         (standing(&one), one.dropped().implausible),
@@ -632,7 +645,7 @@
     assert_eq!(
         standing(&one),
         Some(PeerState::Dead),
-        "another number, another name"
+        "another sequence number or another peer id"
     );
     one.handle_message(now, answer(asked, 2), &mut out);
     assert_eq!(standing(&one), Some(PeerState::Alive));
