--- a/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
+++ b/crates/ivyward-testbed/tests/virtual_cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Engines, nodes and a script in the virtual world, for tests that need no faults drawn from a seed.
+//! Engines and nodes in the deterministic simulation, for tests that need no faults drawn from a seed.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use ivyward::{Node, NodeSettings};
 use ivyward_core::interface::EndpointState;
@@ -25,16 +25,17 @@
     pub runtime: RuntimeRef,
     pub log: EventLog,
     pub engines: Vec<Engine>,
-    /// The engines' processes, in the same order.
+    /// Hosts of the engines, in the order of `engines`.
     pub engine_hosts: Vec<HostId>,
 }
 
-/// Three readers and two writers; no jitter, so that who else talks does not change how long anything takes.
+/// Starts three prefill and two decode engines. The network has no jitter, so that other traffic does not change how long a
+/// call takes.
 pub fn virtual_cluster() -> VirtualCluster {
     virtual_cluster_of(3, 2)
 }
 
-/// The same with so many readers and writers, whose ids follow the readers'.
+/// Starts the given numbers of prefill and decode engines. The ids of the decode engines follow those of the prefill engines.
 pub fn virtual_cluster_of(readers: u64, writers: u64) -> VirtualCluster {
     let sim = Sim::new(
         11,
@@ -77,16 +78,17 @@
 }
 
 impl VirtualCluster {
-    /// A node with a door, told of all engines once it is polled, and its recording.
+    /// Starts a node that serves gRPC, and returns it with its address and its recording. The node has no engines until its
+    /// endpoints are updated.
     pub fn node(&self, seed: u64) -> (Node, SocketAddr, RecordingBuffer) {
         let (node, address, memory, _) = self.node_at(seed);
         (node, address, memory)
     }
-    /// The same, with the number of its process.
+    /// Like `node`, and also returns the id of its host.
     pub fn node_at(&self, seed: u64) -> (Node, SocketAddr, RecordingBuffer, HostId) {
         self.node_with(NodeSettings { seed, ..settings() })
     }
-    /// The same, with settings of its own.
+    /// Like `node_at`, with the given settings.
     pub fn node_with(&self, settings: NodeSettings) -> (Node, SocketAddr, RecordingBuffer, HostId) {
         let (host, memory) = (self.sim.host(settings.seed), RecordingBuffer::default());
         let runtime = host.runtime();
