--- a/crates/ivyward-testbed/tests/manual_cluster.rs
+++ b/crates/ivyward-testbed/tests/manual_cluster.rs
@@ -1,4 +1,4 @@
-//! The fleet to try and the one request, as the command line gives them.
+//! The `fleet`, `engine` and `ask` commands, run as processes.
 
 use ivyward_testbed::manual_cluster::{parse_command, EngineCommand};
 use std::io::{BufRead, BufReader, Write};
@@ -15,7 +15,7 @@
     command
 }
 
-/// Ends with the test, whatever becomes of it.
+/// A child process that is killed when the test ends, even if the test fails.
 struct Running(Child, Box<dyn BufRead>);
 
 impl Running {
@@ -29,7 +29,7 @@
         self.1.read_line(&mut line).unwrap();
         line.trim().into()
     }
-    fn tell(&mut self, line: &str) -> String {
+    fn send_command(&mut self, line: &str) -> String {
         writeln!(self.0.stdin.as_mut().unwrap(), "{line}").unwrap();
         self.line()
     }
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn orders_are_read_or_refused_in_words() {
-    for (line, said) in [
+fn commands_are_parsed_or_rejected_with_the_list_of_commands() {
+    for (line, command) in [
         ("drain", EngineCommand::Drain(true)),
         (" ready ", EngineCommand::Drain(false)),
         ("hang", EngineCommand::Hang(true)),
@@ -54,7 +54,7 @@
         ("die", EngineCommand::Crash),
         ("up", EngineCommand::Restart),
     ] {
-        assert_eq!(parse_command(line).unwrap(), said, "{line}");
+        assert_eq!(parse_command(line).unwrap(), command, "{line}");
     }
     for line in [
         "", "dance", "slow", "slow x", "slow -1", "slow NaN", "ill 1.5", "drain 3", "slow 2 3",
@@ -64,9 +64,9 @@
     }
 }
 
-/// A fleet prints flags that the daemon takes as they are, and does what lines tell it.
+/// A fleet prints flags that can be passed to the daemon unchanged, and follows the commands on its standard input.
 #[test]
-fn a_fleet_says_where_it_is_and_follows_lines() {
+fn a_fleet_prints_its_addresses_and_follows_commands() {
     let mut fleet = Running::start(&["fleet", "--racks=1"]);
     let flags: Vec<String> = (0..4).map(|_| fleet.line()).collect();
     for (flag, role) in flags.iter().zip(["prefill", "mixed", "decode", "decode"]) {
@@ -77,18 +77,18 @@
         assert!(!flag.contains(":0,"), "{flag}");
     }
     assert_eq!(
-        fleet.tell("1 show"),
+        fleet.send_command("1 show"),
         "engine 1 is up and keeps 0 states and places"
     );
     assert_eq!(
-        fleet.tell("2 die"),
+        fleet.send_command("2 die"),
         "engine 2 is down and keeps 0 states and places"
     );
     assert_eq!(
-        fleet.tell("2 up"),
+        fleet.send_command("2 up"),
         "engine 2 is up and keeps 0 states and places"
     );
-    // A bad line changes nothing, and is answered on standard error.
+    // An invalid line changes nothing, and its error is printed on standard error.
     writeln!(fleet.0.stdin.as_mut().unwrap(), "9 die").unwrap();
     let mut error = String::new();
     BufReader::new(fleet.0.stderr.take().unwrap())
@@ -96,14 +96,14 @@
         .unwrap();
     assert!(error.contains("there is no engine 9"), "{error}");
     assert_eq!(
-        fleet.tell("3 slow 2"),
+        fleet.send_command("3 slow 2"),
         "engine 3 is up and keeps 0 states and places"
     );
 }
 
-/// An engine registers itself in a fleet's store, a node follows it, and one request is told to its end in words.
+/// An engine registers itself in the store of a fleet, a node watches that store, and `ask` prints the result of a request.
 #[test]
-fn store_engine_and_one_request() {
+fn a_registered_engine_serves_a_request() {
     let mut store = Running::start(&["fleet", "--racks=1", "--store=127.0.0.1:0"]);
     let endpoint = store
         .line()
@@ -127,24 +127,24 @@
     )
     .unwrap();
     let listener = as_ref.listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let door = listener.address().to_string();
+    let front_address = listener.address().to_string();
     let (serving, following) = (node.clone(), node.clone());
     ivyward_runtime::RuntimeExt::run(&*as_ref, async move { serving.serve(listener).await });
-    let follow = ivyward::watcher::WatcherOptions {
+    let options = ivyward::watcher::WatcherOptions {
         endpoints: vec![endpoint.parse().unwrap()],
         ..ivyward::watcher::WatcherOptions::default()
     };
     ivyward_runtime::RuntimeExt::run(
         &*as_ref,
-        async move { following.watch_endpoints(follow).await },
+        async move { following.watch_endpoints(options).await },
     );
-    // Its process, the store and the node need their time; how long is the machine's matter.
+    // The wait has no limit, because the time for the processes to start depends on the machine.
     runtime.block_on(async {
         while node.metrics().engines.get() < 5 {
             ivyward_runtime::RuntimeExt::sleep(&*as_ref, 5_000).await;
         }
     });
-    let output = testbed(&["ask", &door, "--tokens=5", "--class=list-review"])
+    let output = testbed(&["ask", &front_address, "--tokens=5", "--class=list-review"])
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -157,7 +157,7 @@
         "{text}"
     );
     assert!(lines[1].starts_with("served: "), "{text}");
-    let bad = testbed(&["ask", &door, "--class=no-such"])
+    let bad = testbed(&["ask", &front_address, "--class=no-such"])
         .output()
         .unwrap();
     let text = String::from_utf8_lossy(&bad.stdout).into_owned();
--- a/crates/ivyward-testbed/tests/registration.rs
+++ b/crates/ivyward-testbed/tests/registration.rs
@@ -1,4 +1,4 @@
-//! Registering and draining by the command line, and the engine's end with its lease.
+//! The `register` and `drain` commands, and the removal of an engine when its lease ends.
 
 use ivyward_fakes::engine::ThreadPerProcess;
 use ivyward_fakes::etcd::Store;
@@ -17,17 +17,20 @@
 }
 
 #[test]
-fn an_engine_registers_drains_and_ends_with_its_lease() {
+fn an_engine_registers_drains_and_is_removed_with_its_lease() {
     let host: Arc<dyn Host> = Arc::new(ThreadPerProcess);
     let store = Store::start(&host, 1).unwrap();
-    let of = [
+    let args = [
         "register",
         "--id=7",
         "--address=127.0.0.1:9000",
         "--role=decode",
         "--lease=3",
     ];
-    let mut child = testbed(&store, &of).stdout(Stdio::piped()).spawn().unwrap();
+    let mut child = testbed(&store, &args)
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap())
         .read_line(&mut line)
@@ -52,13 +55,13 @@
         member.endpoint.state,
         ivyward::core::interface::EndpointState::Draining
     );
-    // Its keeper dies: the lease ends, and the record with it.
+    // The registering process is killed: its lease ends, and the record is deleted with it.
     child.kill().unwrap();
     child.wait().unwrap();
-    let mut left = 0;
+    let mut polls = 0;
     while !store.keys().is_empty() {
-        left += 1;
-        assert!(left < 10_000, "the lease did not end");
+        polls += 1;
+        assert!(polls < 10_000, "the lease did not end");
         futures_lite::future::block_on(pause(&host));
     }
     let output = testbed(&store, &["drain", "7"]).output().unwrap();
--- a/crates/ivyward-testbed/tests/scale.rs
+++ b/crates/ivyward-testbed/tests/scale.rs
@@ -1,4 +1,4 @@
-//! A small scale run on processes: it comes to its end, and what it counts is there. Times are not looked at.
+//! A small scale run with real processes: it completes and reports its counts. Times are not checked.
 
 use ivyward_testbed::scale::cluster::Programs;
 use ivyward_testbed::scale::run::{run, Part, Report};
@@ -6,7 +6,8 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// The daemon beside this package's program. A run of all packages' tests has built it; a run of this one alone builds it.
+/// Paths of the testbed and of the daemon, which is in the same directory. The daemon exists after a test run of the whole
+/// workspace and is built here otherwise.
 fn programs() -> Programs {
     let testbed = PathBuf::from(env!("CARGO_BIN_EXE_ivyward-testbed"));
     let daemon = testbed.with_file_name("ivywardd");
@@ -16,7 +17,7 @@
             .status();
         assert!(
             built.is_ok_and(|status| status.success()),
-            "the daemon cannot be built"
+            "`cargo build -p ivywardd` failed"
         );
     }
     Programs { testbed, daemon }
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn a_small_run_plays_all_its_parts_and_counts_what_each_role_uses() {
+fn a_small_run_completes_all_parts_and_reports_what_each_role_uses() {
     let size = Size {
         nodes: 10,
         engines: 40,
@@ -56,7 +57,7 @@
     assert_eq!(names, all);
     let quiet = part(&report, "quiet");
     let node = &quiet.roles["node"];
-    // A descriptor a connection to an engine, and some of its own.
+    // One descriptor per connection to an engine, and some for the node itself.
     assert!(
         (41.0..120.0).contains(&node.descriptors),
         "{} descriptors",
@@ -70,19 +71,19 @@
     let engines = &node.parts["engines"];
     assert!(
         engines.bytes_in > 0.0 && engines.bytes_out > 0.0,
-        "connections at rest are looked after"
+        "idle connections are checked"
     );
     assert!(
         node.parts["peers"].messages_out > 0.0,
-        "nodes speak to each other"
+        "peers exchange messages"
     );
     assert!(
         quiet.roles["store"].parts["all"].bytes_in > 0.0,
-        "leases are kept alive"
+        "leases are renewed"
     );
     let requests = part(&report, "requests").clients.clone().unwrap();
     assert_eq!(requests.failed, 0, "{requests:?}");
-    // Nobody is at rest while an engine's zone is gone: the rest serves.
+    // While a zone of engines is lost, the remaining engines serve requests.
     let lost = part(&report, "zone lost").clients.clone().unwrap();
     assert!(lost.served > 0, "{lost:?}");
     let text = serde_json::to_string(&report).unwrap();
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_run_beyond_a_bound_is_refused_before_anything_starts() {
+fn a_run_over_a_limit_fails_before_any_process_starts() {
     let programs = Programs {
         testbed: PathBuf::from("/nowhere"),
         daemon: PathBuf::from("/nowhere"),
