--- a/crates/ivyward-testbed/tests/capacity.rs
+++ b/crates/ivyward-testbed/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page says what the tool works out from the kept slopes.
+//! The capacity page contains the table that the `capacity` command computes from the stored measurements.
 
 use ivyward_testbed::capacity::command::markdown;
 use ivyward_testbed::capacity::measurements::Measurements;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_page_has_the_tools_table_and_its_chart() {
+fn the_page_contains_the_computed_table_and_chart() {
     let (measurements, target) = (measurements(), Target::default());
     let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
     let table = markdown(&rows(&measurements, &target).unwrap());
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn costs_grow_with_the_size_and_not_against_it() {
+fn costs_do_not_fall_as_the_target_grows() {
     let measurements = measurements();
     let at = |target: Target, role: &str, what: &str| {
         let rows = rows(&measurements, &target).unwrap();
@@ -55,7 +55,7 @@
             "{what}: {small} at 550 engines, {large} at 1,100"
         );
     }
-    // Within the budget of checks these do not grow with connections.
+    // Checks of idle connections stay within a budget, so these costs do not grow with the number of connections.
     for what in ["processor", "bytes with headers"] {
         let (small, large) = (
             at(half, "node, control", what),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_has_no_mechanism_is_said_to_have_none() {
+fn limits_without_a_mechanism_are_marked() {
     let rows = rows(&measurements(), &Target::default()).unwrap();
     let missing: Vec<&str> = rows
         .iter()
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn sizes_and_files_that_cannot_be_are_refused_by_name() {
+fn invalid_sizes_and_missing_files_are_named_in_the_error() {
     for (target, text) in [
         (
             Target {
--- a/crates/ivyward-testbed/tests/grpc_contract.rs
+++ b/crates/ivyward-testbed/tests/grpc_contract.rs
@@ -1,4 +1,4 @@
-//! The door's contract also holds for calls that never become a request.
+//! The gRPC contract of the node also holds for calls that never become a request.
 
 mod virtual_cluster;
 
@@ -7,14 +7,14 @@
 use ivyward_proto::front::{GenerateRequest, Tokens};
 use virtual_cluster::{virtual_cluster, HOUR};
 
-/// Guards against ends without a word on whether trying again is harmless: an unknown method, bytes that are no message
-/// and a prompt over the limit end as failed, with the pushback that says not to repeat.
+/// Guards against errors that do not say whether a retry is safe: an unknown method, a body that is no valid message and a
+/// prompt over the limit end as failed, with the pushback value that forbids a retry.
 #[test]
-fn what_never_becomes_a_request_fails_by_the_contract() {
-    let stage = virtual_cluster();
-    let (node, address, _) = stage.node(7);
-    let (listed, runtime) = (stage.listed(), stage.runtime.clone());
-    let played = stage.sim.run(&stage.script, HOUR, async move {
+fn calls_that_never_become_a_request_fail_without_retry() {
+    let cluster = virtual_cluster();
+    let (node, address, _) = cluster.node(7);
+    let (listed, runtime) = (cluster.listed(), cluster.runtime.clone());
+    let result = cluster.sim.run(&cluster.script, HOUR, async move {
         node.update_endpoints(ListKind::Full, listed).await;
         let conn = runtime.connect(address).await.unwrap();
         let channel = Channel::begin(&runtime, conn, Options::default())
@@ -25,14 +25,14 @@
             prompt: vec![u32::MAX; 2 << 20],
             ..GenerateRequest::default()
         };
-        let garbage = bytes::Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]);
+        let malformed = bytes::Bytes::from_static(&[0, 0, 0, 0, 3, 0xff, 0xff, 0xff]);
         let mut ends = Vec::new();
         for (path, body) in [
             (
                 "/ivyward.front.v1.Front/NoSuch",
                 encode(&GenerateRequest::default()),
             ),
-            (method, garbage),
+            (method, malformed),
             (method, encode(&large)),
         ] {
             let mut call = channel
@@ -59,7 +59,7 @@
         }
         (ends, node.open_requests())
     });
-    let (ends, open) = played.unwrap();
+    let (ends, open) = result.unwrap();
     assert_eq!(open, 0);
     assert_eq!(ends.len(), 3);
     for (code, outcome, pushback) in ends {
--- a/crates/ivyward-testbed/tests/known_red.rs
+++ b/crates/ivyward-testbed/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of tests that are known to fail, as CI reads it.
+//! The script `.ci/known-red`, which checks the list of tests that are known to fail.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,7 +6,7 @@
 const LISTED: &str =
     "a_scene: test\nmodule::tests::one: test\ntwice: test\ntwice: test\na_bench: benchmark\n";
 
-/// A file of this process's own, removed at the end.
+/// A temporary file that is removed when dropped.
 struct File(PathBuf);
 
 impl File {
@@ -23,7 +23,7 @@
     }
 }
 
-/// What the check prints, or what it finds wrong.
+/// Runs the script. Returns its standard output, or its standard error if it fails.
 fn check(name: &str, text: &str) -> Result<String, String> {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/known-red");
     let (file, listed) = (
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn names_are_printed_for_a_list_that_holds() {
+fn names_are_printed_for_a_valid_list() {
     assert_eq!(check("empty", ""), Ok(String::new()));
     assert_eq!(check("blank", "\n  \n"), Ok(String::new()));
     let two = "a_scene | the clock stops | 12\nmodule::tests::one|two writers|46";
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_list_that_does_not_hold_fails() {
+fn an_invalid_list_fails() {
     let line = "a_scene | cause | 1\n";
     let bad = [
         ("four", line.repeat(4), "more than 3 lines"),
--- a/crates/ivyward-testbed/tests/kv_transfer.rs
+++ b/crates/ivyward-testbed/tests/kv_transfer.rs
@@ -1,4 +1,4 @@
-//! Where states are handed over, by one node's decisions in synthetic time.
+//! How far KV state is transferred, according to the decisions of one node in simulated time.
 
 use clap::Parser;
 use ivyward_testbed::kv_transfer::{play, KvTransferFlags, KvTransfers};
@@ -9,21 +9,29 @@
     flags: KvTransferFlags,
 }
 
-fn played(args: &[&str]) -> KvTransfers {
+fn run(args: &[&str]) -> KvTransfers {
     let few = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
     play(Flags::parse_from(few.iter().chain(args)).flags)
 }
 
 #[test]
-fn each_request_is_counted_once_and_a_run_is_the_same_each_time() {
-    let seen = played(&[]);
-    let sum = seen.in_rack + seen.in_zone + seen.between_zones + seen.in_place + seen.not_sent;
-    assert_eq!((seen.requests, sum), (1_100, 1_100), "{seen:?}");
-    assert_eq!(played(&[]), seen);
+fn each_request_is_counted_once_and_runs_are_deterministic() {
+    let transfers = run(&[]);
+    let sum = transfers.in_rack
+        + transfers.in_zone
+        + transfers.between_zones
+        + transfers.in_place
+        + transfers.not_sent;
+    assert_eq!((transfers.requests, sum), (1_100, 1_100), "{transfers:?}");
+    assert_eq!(run(&[]), transfers);
 }
 
 #[test]
-fn in_one_rack_nothing_leaves_it() {
-    let seen = played(&["--rack=1000", "--zones=1"]);
-    assert_eq!((seen.in_zone, seen.between_zones), (0, 0), "{seen:?}");
+fn with_a_single_rack_no_transfer_leaves_it() {
+    let transfers = run(&["--rack=1000", "--zones=1"]);
+    assert_eq!(
+        (transfers.in_zone, transfers.between_zones),
+        (0, 0),
+        "{transfers:?}"
+    );
 }
