--- a/crates/ivyward-testbed/tests/faults.rs
+++ b/crates/ivyward-testbed/tests/faults.rs
@@ -342,10 +342,10 @@
 #[test]
 fn a_short_fault_scenario_violates_no_rule() {
     for seed in [1, 2] {
-        let mut scenario = FaultScenario::drawn(seed, 500, &[]);
+        let mut scenario = FaultScenario::from_seed(seed, 500, &[]);
         scenario.load.rate = 100.0;
         // Other tests run at the same time and keep the machine busy.
-        scenario.flight = 500_000;
+        scenario.in_flight_window = 500_000;
         let report = fault_scenario::run(scenario).unwrap();
         assert_eq!(
             (report.audit.rules_passed(), report.audit.violations()),
@@ -354,10 +354,10 @@
             report.text()
         );
         let all = report.all();
-        assert_eq!(all.broken, 0);
+        assert_eq!(all.invalid, 0);
         assert_eq!(
             all.requests,
-            all.served + all.refused + all.failed + all.given_up
+            all.served + all.rejected + all.failed + all.disconnected
         );
         assert!(all.requests >= 450, "{all:?}");
         let done = ivyward::recording::replay(&report.recording[..]).unwrap();
--- a/crates/ivyward-testbed/tests/kv_transfer.rs
+++ b/crates/ivyward-testbed/tests/kv_transfer.rs
@@ -1,7 +1,7 @@
-//! How far KV state is transferred, according to the decisions of one node in simulated time.
+//! The counts of KV transfers that one node's decisions cause, in virtual time.
 
 use clap::Parser;
-use ivyward_testbed::kv_transfer::{play, KvTransferFlags, KvTransfers};
+use ivyward_testbed::kv_transfer::{simulate, KvTransferCounts, KvTransferFlags};
 
 #[derive(Parser)]
 struct Flags {
@@ -9,29 +9,22 @@
     flags: KvTransferFlags,
 }
 
-fn run(args: &[&str]) -> KvTransfers {
-    let few = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
-    play(Flags::parse_from(few.iter().chain(args)).flags)
+fn simulated(args: &[&str]) -> KvTransferCounts {
+    let small_fleet = ["handover", "--engines=200", "--nodes=60", "--requests=1500"];
+    simulate(Flags::parse_from(small_fleet.iter().chain(args)).flags)
 }
 
 #[test]
-fn each_request_is_counted_once_and_runs_are_deterministic() {
-    let transfers = run(&[]);
-    let sum = transfers.in_rack
-        + transfers.in_zone
-        + transfers.between_zones
-        + transfers.in_place
-        + transfers.not_sent;
-    assert_eq!((transfers.requests, sum), (1_100, 1_100), "{transfers:?}");
-    assert_eq!(run(&[]), transfers);
+fn each_request_is_counted_once_and_runs_are_repeatable() {
+    let counts = simulated(&[]);
+    let sum =
+        counts.in_rack + counts.in_zone + counts.between_zones + counts.in_place + counts.not_sent;
+    assert_eq!((counts.requests, sum), (1_100, 1_100), "{counts:?}");
+    assert_eq!(simulated(&[]), counts);
 }
 
 #[test]
-fn with_a_single_rack_no_transfer_leaves_it() {
-    let transfers = run(&["--rack=1000", "--zones=1"]);
-    assert_eq!(
-        (transfers.in_zone, transfers.between_zones),
-        (0, 0),
-        "{transfers:?}"
-    );
+fn with_a_single_rack_no_transfer_leaves_the_rack() {
+    let counts = simulated(&["--rack=1000", "--zones=1"]);
+    assert_eq!((counts.in_zone, counts.between_zones), (0, 0), "{counts:?}");
 }
--- a/crates/ivyward-testbed/tests/peer_mutations.rs
+++ b/crates/ivyward-testbed/tests/peer_mutations.rs
@@ -11,13 +11,13 @@
         ..PeerSettings::default()
     };
     // Links from peers 0 to 11 to peer 3 are cut for some time. Peer 3 suspects those peers and notifies others of that.
-    let way: Way = Box::new(|now, a, b, lot| {
+    let way: LinkModel = Box::new(|now, a, b, lot| {
         let cut = (30 * SECOND..60 * SECOND).contains(&now) && b == 3 && a < 12 && a != 3;
         (!cut).then_some(200 + lot % 800)
     });
-    let mut net = Net::with(16, seed, way, settings);
+    let mut net = PeerNetwork::with_settings(16, seed, way, settings);
     net.run(30 * SECOND);
-    if !net.agreed() {
+    if !net.converged() {
         return Some("the peers did not agree on the membership".into());
     }
     // The replica counts must be right throughout.
@@ -30,23 +30,23 @@
             ));
         }
     }
-    if net.deaths(0) > 0 {
+    if net.count_deaths(0) > 0 {
         return Some(format!(
             "{} deaths because of cut links alone",
-            net.deaths(0)
+            net.count_deaths(0)
         ));
     }
     // All but two are paused for less time than it takes to declare a peer dead, and then eight of them for longer.
     let since = net.now;
-    (0..14).for_each(|n| net.life[n] = Life::Stopped(since + 2 * SECOND));
+    (0..14).for_each(|n| net.process_states[n] = ProcessState::Paused(since + 2 * SECOND));
     net.run(since + 10 * SECOND);
-    if net.deaths(since) > 0 {
+    if net.count_deaths(since) > 0 {
         return Some(format!(
             "{} deaths of peers that were paused for 2 s",
-            net.deaths(since)
+            net.count_deaths(since)
         ));
     }
-    (0..8).for_each(|n| net.life[n] = Life::Stopped(since + 18 * SECOND));
+    (0..8).for_each(|n| net.process_states[n] = ProcessState::Paused(since + 18 * SECOND));
     net.run(since + 18 * SECOND);
     let resumed = net.now;
     net.run(resumed + 10 * SECOND);
@@ -61,7 +61,7 @@
     net.kill(4);
     net.run(net.now + 100 * SECOND);
     let remaining = net
-        .live()
+        .running_nodes()
         .iter()
         .filter(|n| net.peers[**n].peer(PeerId(5)).is_some())
         .count();
