--- a/crates/ivyward-fault-injection-preload/src/lib.rs
+++ b/crates/ivyward-fault-injection-preload/src/lib.rs
@@ -1,7 +1,8 @@
-//! Wrappers of libc functions for `LD_PRELOAD`: each calls the real function, unless the control file of
-//! [`ivyward_fault_injection`] makes the call fail.
+//! Wrappers of libc functions for `LD_PRELOAD`. Each calls the function of libc, unless the control file of
+//! [`ivyward_fault_injection`] selects the call for a fault.
 //!
-//! Errors have the meanings of the manual pages: a failed call has done nothing, a broken connection stays broken.
+//! Errors have the meaning that the manual pages give them: a failed call has no effect, and a broken connection stays
+//! broken.
 #![cfg(target_os = "linux")]
 
 use ivyward_fault_injection::{
@@ -12,17 +13,19 @@
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Standard input, output and error: logs are written as ever.
+/// Descriptors up to this one are standard input, output and error; writes to them never fail, so that logs
+/// are written as usual.
 const LAST_STANDARD_DESCRIPTOR: c_int = 2;
 
-/// The control file's slots, mapped for as long as the process runs.
+/// The slots of the control file, mapped until the process ends.
 struct Control(*const AtomicU64);
 
-// Sound: the mapping is never ended, and its slots are only used as atomics.
+// Sound: the mapping is never removed, and its slots are accessed only as atomics.
 unsafe impl Send for Control {}
 unsafe impl Sync for Control {}
 
 impl Control {
+    /// Maps the control file that the environment names. Returns `None` without a valid control file; no call fails then.
     fn map() -> Option<Control> {
         let name = format!("{PATH_VARIABLE}\0");
         // Sound: both names end with a zero byte; the mapping is checked for failure.
@@ -54,7 +57,8 @@
         // Sound: the index lies within the mapping.
         unsafe { &*self.0.add(index) }
     }
-    fn meets(&self, fault: SystemFault) -> bool {
+    /// Counts an eligible call and returns whether the fault is injected into it. A rate of 0 counts nothing.
+    fn inject(&self, fault: SystemFault) -> bool {
         let rate = self.slot(fault.rate_slot()).load(Ordering::Relaxed);
         if rate == 0 {
             return false;
@@ -62,16 +66,16 @@
         let call = self
             .slot(fault.calls_slot())
             .fetch_add(1, Ordering::Relaxed);
-        let met = is_injected(
+        let injected = is_injected(
             self.slot(SEED_SLOT).load(Ordering::Relaxed),
             fault,
             call,
             rate,
         );
-        if met {
+        if injected {
             self.slot(fault.hits_slot()).fetch_add(1, Ordering::Relaxed);
         }
-        met
+        injected
     }
 }
 
@@ -80,23 +84,24 @@
     CONTROL.get_or_init(Control::map).as_ref()
 }
 
-fn meets_fault(fault: SystemFault) -> bool {
-    control().is_some_and(|control| control.meets(fault))
+fn inject(fault: SystemFault) -> bool {
+    control().is_some_and(|control| control.inject(fault))
 }
 
+/// Sets errno and returns -1, the result of a failed call.
 fn fail(error: c_int) -> c_int {
     // Sound: the address of this thread's own errno.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// Ends a connection for good, so that what follows fails as well.
+/// Shuts a connection down in both directions, so that later calls on it fail as well.
 fn break_connection(socket: c_int) {
-    // Sound: a system call on a descriptor; an error means that it has ended already.
+    // Sound: `shutdown` only takes a descriptor. Its error is ignored: the connection has already ended then.
     unsafe { libc::shutdown(socket, libc::SHUT_RDWR) };
 }
 
-/// A function of libc behind this library's own, found once.
+/// A function of libc that this library wraps, looked up on first use.
 struct Real {
     name: &'static CStr,
     found: AtomicPtr<c_void>,
@@ -110,9 +115,9 @@
         }
     }
     fn address(&self) -> *mut c_void {
-        let known = self.found.load(Ordering::Relaxed);
-        if !known.is_null() {
-            return known;
+        let cached = self.found.load(Ordering::Relaxed);
+        if !cached.is_null() {
+            return cached;
         }
         // Sound: the name ends with a zero byte.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) };
@@ -122,7 +127,7 @@
     }
 }
 
-/// Calls the real function of this name with the type stated.
+/// Returns libc's function of the given name as a function pointer of the given type.
 macro_rules! real {
     ($name:literal, $type:ty) => {{
         static REAL: Real = Real::new($name);
@@ -131,10 +136,10 @@
     }};
 }
 
-/// As `recv(2)`.
+/// Wraps `recv(2)` with the receive faults.
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -146,33 +151,33 @@
         c"recv",
         unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t
     );
-    if meets_fault(SystemFault::ReceiveInterrupted) {
+    if inject(SystemFault::ReceiveInterrupted) {
         return fail(libc::EINTR) as ssize_t;
     }
-    if meets_fault(SystemFault::ReceiveTimedOut) {
+    if inject(SystemFault::ReceiveTimedOut) {
         break_connection(socket);
         return fail(libc::ETIMEDOUT) as ssize_t;
     }
-    let short = length > 1 && meets_fault(SystemFault::ReceiveShort);
+    let short = length > 1 && inject(SystemFault::ReceiveShort);
     receive(socket, buffer, if short { 1 } else { length }, flags)
 }
 
-/// Whether a write to a socket is to fail, and with which errno.
+/// Returns the errno with which a write to a socket fails, if a fault is injected into it.
 fn send_fault(socket: c_int) -> Option<c_int> {
-    if meets_fault(SystemFault::SendInterrupted) {
+    if inject(SystemFault::SendInterrupted) {
         return Some(libc::EINTR);
     }
-    if meets_fault(SystemFault::SendUnreachable) {
+    if inject(SystemFault::SendUnreachable) {
         break_connection(socket);
         return Some(libc::EHOSTUNREACH);
     }
     None
 }
 
-/// As `send(2)`.
+/// Wraps `send(2)` with the send faults.
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -187,14 +192,14 @@
     if let Some(error) = send_fault(socket) {
         return fail(error) as ssize_t;
     }
-    let short = length > 1 && meets_fault(SystemFault::SendShort);
+    let short = length > 1 && inject(SystemFault::SendShort);
     send(socket, buffer, if short { 1 } else { length }, flags)
 }
 
-/// As `writev(2)`; the node uses it for sockets alone.
+/// Wraps `writev(2)` with the send faults; the node uses `writev` only for sockets.
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     let writev = real!(
@@ -207,7 +212,7 @@
     if let Some(error) = send_fault(descriptor) {
         return fail(error) as ssize_t;
     }
-    if count > 0 && (*parts).iov_len > 1 && meets_fault(SystemFault::SendShort) {
+    if count > 0 && (*parts).iov_len > 1 && inject(SystemFault::SendShort) {
         let one = iovec {
             iov_base: (*parts).iov_base,
             iov_len: 1,
@@ -217,10 +222,10 @@
     writev(descriptor, parts, count)
 }
 
-/// As `accept4(2)`.
+/// Wraps `accept4(2)` with the accept faults.
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -232,18 +237,19 @@
         c"accept4",
         unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
     );
-    if meets_fault(SystemFault::AcceptNoDescriptor) {
+    if inject(SystemFault::AcceptNoDescriptor) {
         return fail(libc::ENFILE);
     }
-    if meets_fault(SystemFault::AcceptNoBuffers) {
+    if inject(SystemFault::AcceptNoBuffers) {
         return fail(libc::ENOBUFS);
     }
-    if meets_fault(SystemFault::AcceptAborted) {
+    if inject(SystemFault::AcceptAborted) {
         return fail(libc::ECONNABORTED);
     }
     accept(socket, address, length, flags)
 }
 
+/// Returns whether a descriptor other than the standard ones is a regular file.
 fn is_file(descriptor: c_int) -> bool {
     // Sound: `stat` is only read after the call has filled it.
     unsafe {
@@ -254,10 +260,10 @@
     }
 }
 
-/// As `write(2)`; only writes to files fail.
+/// Wraps `write(2)` with the file faults; only writes to regular files fail.
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(
     descriptor: c_int,
@@ -271,46 +277,47 @@
     if !is_file(descriptor) {
         return write(descriptor, buffer, length);
     }
-    if meets_fault(SystemFault::FileNoSpace) {
+    if inject(SystemFault::FileNoSpace) {
         return fail(libc::ENOSPC) as ssize_t;
     }
-    let short = length > 1 && meets_fault(SystemFault::FileShort);
+    let short = length > 1 && inject(SystemFault::FileShort);
     write(descriptor, buffer, if short { length / 2 } else { length })
 }
 
-/// As `fsync(2)`.
+/// Wraps `fsync(2)` with [`SystemFault::SyncFails`].
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
     let sync = real!(c"fsync", unsafe extern "C" fn(c_int) -> c_int);
-    if meets_fault(SystemFault::SyncFails) {
+    if inject(SystemFault::SyncFails) {
         return fail(libc::EIO);
     }
     sync(descriptor)
 }
 
-/// As `open(2)` with large files.
+/// Wraps `open64`, the form of `open(2)` for large files, with [`SystemFault::OpenFails`]; opening a file
+/// read-only is never made to fail.
 ///
 /// # Safety
-/// As for the real function; the mode is passed on whether or not the flags ask for it, as libc itself does.
+/// The same as for libc's function. The mode is passed on even if the flags do not use it, as libc itself does.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let open = real!(
         c"open64",
         unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int
     );
-    if flags & libc::O_ACCMODE != libc::O_RDONLY && meets_fault(SystemFault::OpenFails) {
+    if flags & libc::O_ACCMODE != libc::O_RDONLY && inject(SystemFault::OpenFails) {
         return fail(libc::EIO);
     }
     open(path, flags, mode)
 }
 
-/// As `clock_gettime(2)`; only the wall clock is off.
+/// Wraps `clock_gettime(2)` and adds the offset of the control file to the wall clock (`CLOCK_REALTIME`) only.
 ///
 /// # Safety
-/// As for the real function.
+/// The same as for libc's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int {
     let get = real!(
