--- a/crates/ivyward-testbed/src/commands/mutations.rs
+++ b/crates/ivyward-testbed/src/commands/mutations.rs
@@ -3,7 +3,7 @@
 use super::simulate::size;
 use super::{exit_code, threads, CommandResult};
 use ivyward_core::mutations::{activate, GENERAL, PEERS};
-use ivyward_testbed::simulation::{first_wrong, Size};
+use ivyward_testbed::simulation::{first_failing_seed, Size};
 
 #[derive(clap::Args)]
 pub struct Mutations {
@@ -24,7 +24,7 @@
         let mut all_found = true;
         for (mutation, size) in usual.into_iter().chain(of_peers) {
             activate(Some(mutation));
-            let found = first_wrong(1, self.count, threads(self.jobs), &size);
+            let found = first_failing_seed(1, self.count, threads(self.jobs), &size);
             all_found &= found.is_some();
             match found {
                 Some((seed, line)) => println!("| {mutation:?} | {seed} | {line} |"),
